--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -95,7 +95,7 @@
 // a connection that is broken, which shows at the next use anyway.
 func (c *conn) limitUnacknowledged(limit time.Duration) {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcpoption.SetUnacknowledgedLimit(tcp, limit)
+		_ = tcpoption.SetUserTimeout(tcp, limit)
 	}
 }
 
@@ -192,7 +192,7 @@
 	}
 	dialer := net.Dialer{
 		Timeout:         timeout,
-		Control:         tcpoption.LimitUnacknowledged(unacknowledgedTimeout),
+		Control:         tcpoption.ControlUserTimeout(unacknowledgedTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: unansweredProbes},
 	}
 	raw, err := dialer.DialContext(ctx, "tcp", name)
--- a/internal/instance/choice.go
+++ b/internal/instance/choice.go
@@ -32,7 +32,7 @@
 	Preferred string
 	// Object names what the request concerns; each object has an instance of
 	// its own that it goes to if nothing is preferred. "" for none.
-	Object string
+	AffinityKey string
 	// Only restricts the choice to one instance, "" for no restriction.
 	Only string
 	// Regions are those that the request is bound to, nil for none.
@@ -64,7 +64,7 @@
 	p.asked = asked
 	query := &p.asked
 	query.ServiceTime = p.serviceTimes[query.Service]
-	if query.Preferred == "" && query.Object != "" {
+	if query.Preferred == "" && query.AffinityKey != "" {
 		query.Preferred = p.homeOf(query, now)
 	}
 	for {
@@ -118,7 +118,7 @@
 		if !p.mayServe(e, now) || p.plugins.filteredBy(query, &e.Instance, now) != nil {
 			continue
 		}
-		if hash := xxhash.Sum64String(e.ID + "/" + query.Object); home == "" || hash > highest {
+		if hash := xxhash.Sum64String(e.ID + "/" + query.AffinityKey); home == "" || hash > highest {
 			home, highest = e.ID, hash
 		}
 	}
--- a/internal/instance/distance/distance_test.go
+++ b/internal/instance/distance/distance_test.go
@@ -25,7 +25,7 @@
 		list = append(list, instance.Instance{ID: id, Service: "s", Address: id, Zone: name, Slots: slots, State: instance.StateReady})
 	}
 	p.Replace(list)
-	p.NoteServiceTime("s", stay)
+	p.RecordServiceTime("s", stay)
 	return p
 }
 
--- a/internal/instance/health.go
+++ b/internal/instance/health.go
@@ -101,7 +101,7 @@
 
 // Pace returns how long an instance usually takes for a piece of work of a kind; 0 if
 // that is not known.
-func (p *Pool) Pace(id, kind string) time.Duration {
+func (p *Pool) TypicalLatency(id, kind string) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	usual, known := p.paces[kind]
@@ -116,7 +116,7 @@
 
 // NoteServiceTime takes note of how long an instance took to serve a request that it
 // answered.
-func (p *Pool) NoteServiceTime(service string, took time.Duration) {
+func (p *Pool) RecordServiceTime(service string, took time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	usual, known := p.serviceTimes[service]
@@ -133,7 +133,7 @@
 // NotePace takes note of how long an instance took for a piece of work that is
 // alike for all requests of a kind: to answer, or between two events of a
 // stream.
-func (p *Pool) NotePace(id, kind string, took time.Duration) {
+func (p *Pool) RecordLatency(id, kind string, took time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	e := p.byID[id]
--- a/internal/instance/health_test.go
+++ b/internal/instance/health_test.go
@@ -51,7 +51,7 @@
 
 func TestSilentInstanceIsPassedOver(t *testing.T) {
 	p := newTestPool("a", "b")
-	p.Release("a", OutcomeSilent)
+	p.Release("a", OutcomeTimeout)
 	if got := share(p)["a"]; got != 0 {
 		t.Errorf("an instance that said nothing got %d of 100", got)
 	}
@@ -61,7 +61,7 @@
 func work(p *Pool, kind string, took map[string]time.Duration) {
 	for range 10 {
 		for id, length := range took {
-			p.NotePace(id, kind, length)
+			p.RecordLatency(id, kind, length)
 		}
 	}
 }
@@ -85,8 +85,8 @@
 func TestKindsOfWorkHaveTheirOwnPace(t *testing.T) {
 	p := newTestPool("a", "b")
 	for range 20 {
-		p.NotePace("a", "long", 900*time.Millisecond)
-		p.NotePace("b", "short", 10*time.Millisecond)
+		p.RecordLatency("a", "long", 900*time.Millisecond)
+		p.RecordLatency("b", "short", 10*time.Millisecond)
 	}
 	if got := share(p); got["a"] == 0 {
 		t.Error("an instance got nothing because it does the longer kind of work")
@@ -118,22 +118,22 @@
 func TestAgeOfTheListIsThatOfItsLastConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPool(nil, Plugins{})
-		p.Confirm(time.Now())
-		if p.Listed() || p.Age() != 0 {
+		p.ConfirmList(time.Now())
+		if p.HasList() || p.ListAge() != 0 {
 			t.Error("a list counts as known before there was one")
 		}
 		p.Replace(listOf(StateReady, "a"))
 		time.Sleep(20 * time.Second)
-		if got := p.Age(); got != 20*time.Second {
+		if got := p.ListAge(); got != 20*time.Second {
 			t.Errorf("age %v", got)
 		}
-		p.Confirm(time.Now())
+		p.ConfirmList(time.Now())
 		time.Sleep(time.Second)
-		if got := p.Age(); got != time.Second {
+		if got := p.ListAge(); got != time.Second {
 			t.Errorf("age %v after the store confirmed the list", got)
 		}
-		p.Confirm(time.Now().Add(-2 * time.Second))
-		if got := p.Age(); got != time.Second {
+		p.ConfirmList(time.Now().Add(-2 * time.Second))
+		if got := p.ListAge(); got != time.Second {
 			t.Errorf("age %v after an older reading", got)
 		}
 	})
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -17,7 +17,7 @@
 	// StateReady instances take requests.
 	StateReady State = "ready"
 	// StateLeaving instances finish what they have and get no new request.
-	StateLeaving State = "leaving"
+	StateDraining State = "leaving"
 )
 
 // Instance is one run of one back end.
@@ -36,13 +36,13 @@
 	Sequence int64
 	// ColdFor is how much longer it said that it stays cold, if ReportsCold: slow, or
 	// able to take few requests.
-	ColdFor     time.Duration
-	ReportsCold bool
+	ColdFor    time.Duration
+	HasColdFor bool
 	// HeardAt is when what it says of itself was first heard, which is some time after
 	// it was said. NewAt is when it was first heard of at all, zero if it was there
 	// before this daemon.
-	HeardAt time.Time
-	NewAt   time.Time
+	ReceivedAt  time.Time
+	FirstSeenAt time.Time
 	// SendBy is until when the request may be sent that it was chosen for; zero sets
 	// no bound. It is set in what Pool.Take returns alone.
 	SendBy time.Time
@@ -82,4 +82,4 @@
 }
 
 // ColdUntil is until when it stays cold at most by what it said.
-func (i *Instance) ColdUntil() time.Time { return i.HeardAt.Add(i.ColdFor) }
+func (i *Instance) ColdUntil() time.Time { return i.ReceivedAt.Add(i.ColdFor) }
--- a/internal/instance/listing.go
+++ b/internal/instance/listing.go
@@ -82,7 +82,7 @@
 
 // IsUncertain tells whether instances may be running that this daemon does not
 // know of: before the first list, while none can be read, and shortly after.
-func (p *Pool) IsUncertain() bool {
+func (p *Pool) MayBeIncomplete() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
@@ -92,7 +92,7 @@
 
 // NoteLost takes note that the list cannot be read any more. It may have changed ever since
 // it was last confirmed.
-func (p *Pool) NoteLost() {
+func (p *Pool) MarkListUnavailable() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if !time.Now().Before(p.lapsedUntil) {
@@ -102,7 +102,7 @@
 }
 
 // NoteReturned takes note that the list can be read again.
-func (p *Pool) NoteReturned() {
+func (p *Pool) MarkListAvailable() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
@@ -113,14 +113,14 @@
 }
 
 // Listed tells whether a list was ever taken.
-func (p *Pool) Listed() bool {
+func (p *Pool) HasList() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return !p.firstListedAt.IsZero()
 }
 
 // Confirm takes note that the last list was the newest as of a time.
-func (p *Pool) Confirm(asOf time.Time) {
+func (p *Pool) ConfirmList(asOf time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.firstListedAt.IsZero() || !asOf.After(p.listedAt) {
@@ -130,7 +130,7 @@
 }
 
 // Age tells how long ago the list was known to be the newest.
-func (p *Pool) Age() time.Duration {
+func (p *Pool) ListAge() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.firstListedAt.IsZero() {
--- a/internal/instance/outcome.go
+++ b/internal/instance/outcome.go
@@ -22,9 +22,9 @@
 	// OutcomeGone: another instance has its address, or it is leaving.
 	OutcomeGone
 	// OutcomeSilent: it said nothing for all the time that the request had.
-	OutcomeSilent
+	OutcomeTimeout
 	// OutcomeGivenUp: this side ended the request.
-	OutcomeGivenUp
+	OutcomeCanceled
 )
 
 // Release ends a request that Take counted.
@@ -40,15 +40,15 @@
 	switch outcome {
 	case OutcomeFull:
 		e.pauseUntil(now.Add(fullPause))
-	case OutcomeFailed, OutcomeSilent:
+	case OutcomeFailed, OutcomeTimeout:
 		e.pauseUntil(now.Add(e.health.fail(now)))
 	case OutcomeGone:
-		e.State = StateLeaving
+		e.State = StateDraining
 	}
 }
 
 // PassOver passes an instance over for a while where another can be had.
-func (p *Pool) PassOver(id string) {
+func (p *Pool) BackOff(id string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if e := p.byID[id]; e != nil {
--- a/internal/instance/pool.go
+++ b/internal/instance/pool.go
@@ -78,7 +78,7 @@
 	addresses := map[string]bool{}
 	for _, instance := range list {
 		addresses[instance.Address] = true
-		instance.HeardAt, instance.NewAt = now, newAt
+		instance.ReceivedAt, instance.FirstSeenAt = now, newAt
 		id, left := p.update(instance)
 		seen[id] = true
 		gone = append(gone, left...)
@@ -109,9 +109,9 @@
 		return id, left
 	}
 	if known.ID != "" {
-		instance.NewAt = known.NewAt
+		instance.FirstSeenAt = known.FirstSeenAt
 		if instance.Sequence == known.Sequence {
-			instance.HeardAt = known.HeardAt
+			instance.ReceivedAt = known.ReceivedAt
 		}
 		if instance.Address != known.Address {
 			left = append(left, known.Address)
@@ -178,21 +178,21 @@
 }
 
 // Census tells how many instances of a service there are for a request.
-type Census struct {
+type Counts struct {
 	// Admitted instances may get the request.
 	Admitted int
 	// Filtered counts those that could serve, by why a filter turns them down.
 	Filtered map[string]int
 	// Temporary counts those of them that are turned down for some seconds at most.
-	Temporary int
+	TemporarilyFiltered int
 }
 
 // Count returns how many instances of a request's service may get it, those that are
 // excluded included. A request that is kept to one instance has that one alone.
-func (p *Pool) Count(query Query) Census {
+func (p *Pool) Count(query Query) Counts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	census := Census{Filtered: map[string]int{}}
+	census := Counts{Filtered: map[string]int{}}
 	now := time.Now()
 	for _, e := range p.byService[query.Service] {
 		if !p.mayServe(e, now) || (query.Only != "" && e.ID != query.Only) {
@@ -201,7 +201,7 @@
 		if filter := p.plugins.filteredBy(&query, &e.Instance, now); filter != nil {
 			census.Filtered[filter.Reason()]++
 			if _, temporary := filter.(TemporaryFilter); temporary {
-				census.Temporary++
+				census.TemporarilyFiltered++
 			}
 			continue
 		}
--- a/internal/instance/pool_test.go
+++ b/internal/instance/pool_test.go
@@ -58,11 +58,11 @@
 	homes := map[string]string{}
 	for i := range 50 {
 		object := fmt.Sprint("object-", i)
-		homes[object] = p.homeOf(&Query{Service: "s", Object: object}, time.Now())
+		homes[object] = p.homeOf(&Query{Service: "s", AffinityKey: object}, time.Now())
 	}
 	p.Replace(listOf(StateReady, "a", "b", "c"))
 	for object, home := range homes {
-		if got := p.homeOf(&Query{Service: "s", Object: object}, time.Now()); home != "d" && got != home {
+		if got := p.homeOf(&Query{Service: "s", AffinityKey: object}, time.Now()); home != "d" && got != home {
 			t.Errorf("%s moved from %s to %s", object, home, got)
 		}
 	}
@@ -70,7 +70,7 @@
 
 func TestLeavingAndExcludedInstancesGetNothing(t *testing.T) {
 	p := newTestPool("a", "b")
-	p.Replace(append(listOf(StateReady, "a"), listOf(StateLeaving, "b")...))
+	p.Replace(append(listOf(StateReady, "a"), listOf(StateDraining, "b")...))
 	if got, _ := p.Take(Query{Service: "s"}); got.ID != "a" {
 		t.Errorf("got %s", got.ID)
 	}
@@ -84,7 +84,7 @@
 
 func TestOlderWordOfAnInstanceIsIgnored(t *testing.T) {
 	p := newTestPool("a")
-	leaving := listOf(StateLeaving, "a")
+	leaving := listOf(StateDraining, "a")
 	leaving[0].Sequence = 5
 	p.Replace(leaving)
 	p.Replace(listOf(StateReady, "a"))
@@ -166,7 +166,7 @@
 
 func TestLeavingInstanceThatVanishesIsNoLastResort(t *testing.T) {
 	p := newTestPool("a")
-	p.Replace(listOf(StateLeaving, "a"))
+	p.Replace(listOf(StateDraining, "a"))
 	p.Replace(nil)
 	if got, found := p.Take(Query{Service: "s"}); found {
 		t.Errorf("got %s", got.ID)
@@ -182,18 +182,18 @@
 				t.Errorf("%s: an instance was found: %v", when, found)
 			}
 		}
-		p.NoteLost()
+		p.MarkListUnavailable()
 		time.Sleep(5 * time.Second)
 		serves(true, "in an outage")
-		p.NoteReturned()
+		p.MarkListAvailable()
 		p.Replace(nil) // all entries lapsed
 		time.Sleep(vanishedLife + 100*time.Millisecond)
 		serves(true, "before the entries must be back")
 		// The next outage begins: nothing is heard until its end.
-		p.NoteLost()
+		p.MarkListUnavailable()
 		time.Sleep(5 * time.Second)
 		serves(true, "in the next outage")
-		p.NoteReturned()
+		p.MarkListAvailable()
 		p.Replace(nil)
 		serves(true, "after the next outage")
 		time.Sleep(lapsedLife)
@@ -210,9 +210,9 @@
 		p := newTestPool("a", "b")
 		time.Sleep(time.Second)
 		p.Replace(listOf(StateReady, "a"))
-		p.Confirm(time.Now()) // as after each reading
+		p.ConfirmList(time.Now()) // as after each reading
 		time.Sleep(vanishedLife / 2)
-		p.NoteLost()
+		p.MarkListUnavailable()
 		time.Sleep(vanishedLife)
 		for range 50 {
 			if got, _ := p.Take(Query{Service: "s", Excluded: []string{"a"}}); got.ID == "b" {
@@ -225,9 +225,9 @@
 func TestInstancesThatMayHaveLapsedShareTheLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b", "c")
-		p.NoteLost()
+		p.MarkListUnavailable()
 		time.Sleep(5 * time.Second)
-		p.NoteReturned()
+		p.MarkListAvailable()
 		p.Replace(listOf(StateReady, "a")) // the first entry is back
 		taken := map[string]int{}
 		for range 12 {
@@ -253,10 +253,10 @@
 func TestVanishedInstanceCountsFromItsLastConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b")
-		p.Confirm(time.Now())
+		p.ConfirmList(time.Now())
 		time.Sleep(vanishedLife - 100*time.Millisecond) // the next reading is late
 		p.Replace(listOf(StateReady, "a"))
-		p.Confirm(time.Now())
+		p.ConfirmList(time.Now())
 		if !p.usable("b") {
 			t.Error("no last resort within its time")
 		}
@@ -272,13 +272,13 @@
 func TestLateReadingIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b")
-		p.Confirm(time.Now())
+		p.ConfirmList(time.Now())
 		time.Sleep(500 * time.Millisecond)
-		p.NoteLost()
+		p.MarkListUnavailable()
 		time.Sleep(shortestLapse - 600*time.Millisecond)
-		p.NoteReturned()
+		p.MarkListAvailable()
 		p.Replace(listOf(StateReady, "a"))
-		p.Confirm(time.Now())
+		p.ConfirmList(time.Now())
 		if p.usable("b") {
 			t.Error("an instance that left beside a late reading is taken for one whose entry lapsed")
 		}
--- a/internal/instance/runs.go
+++ b/internal/instance/runs.go
@@ -57,7 +57,7 @@
 // HasEnded tells whether another run of a run's name is believed. That is an entry's word, and no
 // proof: a run that leaves goes on with what it has while its successor begins elsewhere, and of two
 // that both write, the one that wrote last may be believed.
-func (p *Pool) HasEnded(id string) bool {
+func (p *Pool) IsSuperseded(id string) bool {
 	run := Instance{ID: id}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/instance/runs_test.go
+++ b/internal/instance/runs_test.go
@@ -27,7 +27,7 @@
 		p.Release(first.ID, OutcomeFailed)
 		p.Take(Query{Service: "s"})
 		leaving := runOf("b", 100, 901)
-		leaving.State = StateLeaving
+		leaving.State = StateDraining
 		p.Replace([]Instance{leaving})
 		time.Sleep(time.Minute)
 		gone := p.Replace([]Instance{runOf("b", 200, 1)})
@@ -35,8 +35,8 @@
 		if !found || second.ID == first.ID || second.Name() != first.Name() {
 			t.Fatalf("got %q, found %t, after %q", second.ID, found, first.ID)
 		}
-		if !second.NewAt.Equal(time.Now()) {
-			t.Errorf("first heard of %s ago, want now: it may be cold", time.Since(second.NewAt))
+		if !second.FirstSeenAt.Equal(time.Now()) {
+			t.Errorf("first heard of %s ago, want now: it may be cold", time.Since(second.FirstSeenAt))
 		}
 		if loads := p.Loads(); loads[second.ID] != 1 || len(loads) != 1 {
 			t.Errorf("requests in flight: %v", loads)
@@ -47,7 +47,7 @@
 		if diff := cmp.Diff([]string{"a-b"}, gone); diff != "" {
 			t.Errorf("connections to the run before are kept (-want +got): %s", diff)
 		}
-		if !p.HasEnded(first.ID) || p.HasEnded(second.ID) || p.HasEnded("unknown") {
+		if !p.IsSuperseded(first.ID) || p.IsSuperseded(second.ID) || p.IsSuperseded("unknown") {
 			t.Error("it is not known which run is over")
 		}
 		p.Release(first.ID, OutcomeAnswered) // its last answer comes late
--- a/internal/ledger/evacuations.go
+++ b/internal/ledger/evacuations.go
@@ -14,9 +14,9 @@
 	AskEvacuations() (end int64)
 	// TellEvacuations returns this daemon's news if it is newer than the asker's, or
 	// nil.
-	TellEvacuations(asked int64, now time.Time) *zone.News
+	TellEvacuations(asked int64, now time.Time) *zone.EvacuationUpdate
 	// HearEvacuations takes another daemon's news.
-	HearEvacuations(news *zone.News, now time.Time)
+	HearEvacuations(news *zone.EvacuationUpdate, now time.Time)
 }
 
 func (s *Service) evacuationsEnd() int64 {
@@ -26,14 +26,14 @@
 	return s.Evacuations.AskEvacuations()
 }
 
-func (s *Service) tellEvacuations(asked int64) *zone.News {
+func (s *Service) tellEvacuations(asked int64) *zone.EvacuationUpdate {
 	if s.Evacuations == nil {
 		return nil
 	}
 	return s.Evacuations.TellEvacuations(asked, time.Now())
 }
 
-func (s *Service) hearEvacuations(news *zone.News) {
+func (s *Service) hearEvacuations(news *zone.EvacuationUpdate) {
 	if s.Evacuations != nil && news != nil {
 		s.Evacuations.HearEvacuations(news, time.Now())
 	}
--- a/internal/ledger/evacuations_test.go
+++ b/internal/ledger/evacuations_test.go
@@ -14,19 +14,19 @@
 type testEvacuations struct {
 	zone.Evacuations
 	mutex sync.Mutex
-	heard []zone.Change
+	heard []zone.EvacuationChange
 }
 
-func (e *testEvacuations) AskEvacuations() int64 { return e.Asking() }
+func (e *testEvacuations) AskEvacuations() int64 { return e.KnownEnd() }
 
-func (e *testEvacuations) TellEvacuations(asked int64, now time.Time) *zone.News {
-	return e.Tell(asked, now)
+func (e *testEvacuations) TellEvacuations(asked int64, now time.Time) *zone.EvacuationUpdate {
+	return e.UpdateAfter(asked, now)
 }
 
-func (e *testEvacuations) HearEvacuations(news *zone.News, now time.Time) {
+func (e *testEvacuations) HearEvacuations(news *zone.EvacuationUpdate, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.heard = append(e.heard, e.Hear(news, now)...)
+	e.heard = append(e.heard, e.ApplyUpdate(news, now)...)
 }
 
 // TestDaemonThatDoesNotReachTheStoreHearsOfEvacuations: from the holders that it asks for
@@ -41,10 +41,10 @@
 			f.service(id).Evacuations = news[string(id)]
 		}
 		synctest.Wait()
-		tell := func(reading zone.Reading) { // what the store tells all others
+		tell := func(reading zone.OrderSnapshot) { // what the store tells all others
 			for id, e := range news {
 				if id != string(cut) {
-					e.Take(reading, time.Now())
+					e.ApplySnapshot(reading, time.Now())
 				}
 			}
 		}
@@ -56,17 +56,17 @@
 				}
 			}
 		}
-		tell(zone.Reading{End: 8, Orders: []zone.Order{{Zone: "c", Offset: 7}}})
+		tell(zone.OrderSnapshot{End: 8, Orders: []zone.EvacuationOrder{{Zone: "c", Offset: 7}}})
 		orderedAt := time.Now()
 		time.Sleep(10 * time.Second)
 		ask("first")
 		own := news[string(cut)]
-		if since, evacuated := own.Since("c"); !evacuated || since.Sub(orderedAt).Abs() > 100*time.Millisecond {
+		if since, evacuated := own.EvacuatedSince("c"); !evacuated || since.Sub(orderedAt).Abs() > 100*time.Millisecond {
 			t.Fatalf("evacuated: %v, since %s after the order", evacuated, since.Sub(orderedAt))
 		}
-		tell(zone.Reading{End: 9})
+		tell(zone.OrderSnapshot{End: 9})
 		ask("second")
-		if _, evacuated := own.Since("c"); evacuated || len(own.heard) != 2 {
+		if _, evacuated := own.EvacuatedSince("c"); evacuated || len(own.heard) != 2 {
 			t.Errorf("evacuated: %v, after it was taken back; heard %+v", evacuated, own.heard)
 		}
 	})
--- a/internal/ledger/holder.go
+++ b/internal/ledger/holder.go
@@ -47,7 +47,7 @@
 	// machine is the clock of the machine that this daemon runs on.
 	machine MachineClock
 	// quotaTerms are the terms on which the holder of a tenant's shard owns its limit.
-	quotaTerms quota.Terms
+	quotaTerms quota.Tolerance
 	// confirmations are told to those that ask for a limit.
 	confirmations Confirmations
 	logger        zerolog.Logger
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -109,7 +109,7 @@
 	RoutesAgeMS   int64 `json:"ra,omitempty"`
 	// Evacuations are the answerer's news of evacuations, if they are newer than the
 	// asker's.
-	Evacuations *zone.News `json:"ev,omitempty"`
+	Evacuations *zone.EvacuationUpdate `json:"ev,omitempty"`
 	// Grant answers Begin, Found answers Find, Verdict answers Quota.
 	Grant   Grant          `json:"g,omitzero"`
 	Found   *KeptTurn      `json:"f,omitempty"`
--- a/internal/ledger/options.go
+++ b/internal/ledger/options.go
@@ -65,7 +65,7 @@
 	// Machine is the steady clock of the machine that the daemon runs on.
 	Machine MachineClock
 	// Quota are the terms on which the holder of a tenant's shard owns its limit.
-	Quota   quota.Terms
+	Quota   quota.Tolerance
 	Logger  zerolog.Logger
 	Metrics *Metrics
 }
--- a/internal/ledger/quota_test.go
+++ b/internal/ledger/quota_test.go
@@ -11,7 +11,7 @@
 
 // testTerms let a tenant make 66.6 requests in five seconds that may make ten a second
 // and one at a time.
-var testTerms = quota.Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 10.5}
+var testTerms = quota.Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 10.5}
 
 // admissions are the moments at which requests of one tenant were admitted.
 type admissions struct {
--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -25,7 +25,7 @@
 }
 
 func (b *broadcast) init(settings Settings) {
-	b.pushes = tokenbucket.Full(float64(settings.PushBytesPerSecond), float64(settings.PushBurst))
+	b.pushes = tokenbucket.NewFull(float64(settings.PushBytesPerSecond), float64(settings.PushBurst))
 }
 
 // add queues an update in place of an older one of the same address.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -77,7 +77,7 @@
 	m.prober.init()
 	m.broadcast.init(options.Settings)
 	m.syncer.init(options.Settings)
-	m.healer.pushes = tokenbucket.Full(float64(healBytesPerSecond), float64(healBurst))
+	m.healer.pushes = tokenbucket.NewFull(float64(healBytesPerSecond), float64(healBurst))
 	return m
 }
 
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -42,7 +42,7 @@
 
 func (s *syncer) init(settings Settings) {
 	s.differsSince = map[structs.DaemonID]time.Time{}
-	s.replies = tokenbucket.Full(float64(settings.SyncBytesPerSecond), float64(settings.SyncBurst))
+	s.replies = tokenbucket.NewFull(float64(settings.SyncBytesPerSecond), float64(settings.SyncBurst))
 }
 
 // compareTable reads a daemon's table when it has differed for a while, which
--- a/internal/peer/tcp/link.go
+++ b/internal/peer/tcp/link.go
@@ -53,7 +53,7 @@
 
 // dialTCP is dial over the network.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{Control: tcpoption.LimitUnacknowledged(unacknowledgedTimeout)}
+	dialer := net.Dialer{Control: tcpoption.ControlUserTimeout(unacknowledgedTimeout)}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -55,7 +55,7 @@
 }
 
 // NewGate returns a gate; terms are the operators'.
-func NewGate(owner Owner, terms Terms) *Gate {
+func NewGate(owner Owner, terms Tolerance) *Gate {
 	return &Gate{owner: owner, window: terms.Window, begun: time.Now(), tenants: map[string]*usage{}}
 }
 
@@ -157,7 +157,7 @@
 	if u.lostAt.IsZero() {
 		u.lostAt = now
 		rate := float64(u.used(g.slot(now))) / g.window.Seconds()
-		u.unasked = tokenbucket.Bucket{Rate: rate, Capacity: unaskedCapacity, Tokens: unaskedCapacity, At: now}
+		u.unasked = tokenbucket.Bucket{Rate: rate, Capacity: unaskedCapacity, Tokens: unaskedCapacity, UpdatedAt: now}
 	}
 	bucket := &u.unasked
 	bucket.Refill(now)
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -23,7 +23,7 @@
 // Limiter decides for the tenants that one shard owns. It has no clock, and is not
 // safe for concurrent use.
 type Limiter struct {
-	terms Terms
+	terms Tolerance
 	// first: there was no owner before this one, which has decided since a time.
 	first    bool
 	since    time.Time
@@ -33,7 +33,7 @@
 
 // NewLimiter returns the limiter of an owner that decides from now on. first tells
 // that there was no owner before: then buckets are full from the start.
-func NewLimiter(terms Terms, first bool, now time.Time) *Limiter {
+func NewLimiter(terms Tolerance, first bool, now time.Time) *Limiter {
 	return &Limiter{terms: terms, first: first, since: now, tenants: map[string]*bucket{}}
 }
 
@@ -94,7 +94,7 @@
 	b := l.tenants[ask.Tenant]
 	if b == nil {
 		b = &bucket{lookedAt: now, programs: map[string]*program{}, byRoute: map[string]int{}}
-		b.At = l.since
+		b.UpdatedAt = l.since
 		b.Tokens = b.set(ask, l.terms).start
 		if l.first {
 			b.Tokens = b.Capacity
@@ -111,7 +111,7 @@
 }
 
 // set puts a limit in force, and returns what it makes of the bucket.
-func (b *bucket) set(ask Ask, terms Terms) bounds {
+func (b *bucket) set(ask Ask, terms Tolerance) bounds {
 	b.limit, b.version = ask.Limit, ask.Version
 	made := terms.boundsOf(ask.Limit)
 	b.Rate, b.Capacity = made.rate, made.capacity
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -10,7 +10,7 @@
 )
 
 // testTerms are those of the operators whose sheet sets any.
-var testTerms = Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+var testTerms = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
 func askOf(limit Limit, program string, begins bool) Ask {
 	return Ask{Tenant: "t", Limit: limit, Version: 1, Program: program, Route: "r", Begins: begins}
--- a/internal/quota/terms.go
+++ b/internal/quota/terms.go
@@ -13,14 +13,14 @@
 
 // Terms are how the operators bound a tenant's requests: in every span of Window at
 // most (rate x Window + burst) x (1 + Overage) + Slack.
-type Terms struct {
+type Tolerance struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
 }
 
 // DefaultTerms allow nothing beyond rate and burst.
-func DefaultTerms() Terms { return Terms{Window: 5 * time.Second} }
+func DefaultTolerance() Tolerance { return Tolerance{Window: 5 * time.Second} }
 
 const (
 	// takeoversBorne is how many owners may follow each other within a window: a
@@ -54,13 +54,13 @@
 }
 
 // most is what a window may hold at most.
-func (t Terms) most(limit Limit) float64 {
+func (t Tolerance) most(limit Limit) float64 {
 	return (limit.PerSecond*t.Window.Seconds()+limit.Burst)*(1+t.Overage) + t.Slack
 }
 
 // boundsOf divides what a window may hold: rate x Window + capacity +
 // takeoversBorne x start + the unasked part is exactly that.
-func (t Terms) boundsOf(limit Limit) bounds {
+func (t Tolerance) boundsOf(limit Limit) bounds {
 	usual := limit.PerSecond*t.Window.Seconds() + limit.Burst
 	spare := t.most(limit) - usual
 	b := bounds{
--- a/internal/relay/carrier.go
+++ b/internal/relay/carrier.go
@@ -80,7 +80,7 @@
 			return nil, instance.Instance{}
 		}
 		target, found := c.take()
-		if !found && c.only != "" && len(c.excluded) == 0 && c.relay.Pool.Count(c.query()).Temporary == 0 {
+		if !found && c.only != "" && len(c.excluded) == 0 && c.relay.Pool.Count(c.query()).TemporarilyFiltered == 0 {
 			c.refuseBound()
 			return nil, instance.Instance{}
 		}
@@ -111,7 +111,7 @@
 	if len(c.excluded) >= roundOffers {
 		return instance.Instance{}, false
 	}
-	if c.only != "" && c.relay.Pool.HasEnded(c.only) {
+	if c.only != "" && c.relay.Pool.IsSuperseded(c.only) {
 		c.only = "" // it has started again, so it runs nothing of before
 	}
 	target, found := c.relay.Pool.Take(c.query())
@@ -124,13 +124,13 @@
 // query is what the call needs of an instance.
 func (c *carrier) query() instance.Query {
 	return instance.Query{
-		Service:   c.service,
-		Preferred: c.preferred,
-		Object:    c.object(),
-		Only:      c.only,
-		Regions:   c.regions,
-		Excluded:  c.excluded,
-		Bytes:     c.bytes,
+		Service:     c.service,
+		Preferred:   c.preferred,
+		AffinityKey: c.object(),
+		Only:        c.only,
+		Regions:     c.regions,
+		Excluded:    c.excluded,
+		Bytes:       c.bytes,
 	}
 }
 
@@ -163,7 +163,7 @@
 	if c.relay.RoutesAge != nil {
 		routes = c.relay.RoutesAge()
 	}
-	c.relay.Metrics.offered(c.relay.Pool.Age(), routes)
+	c.relay.Metrics.offered(c.relay.Pool.ListAge(), routes)
 }
 
 // release ends the latest offer with an outcome.
@@ -172,7 +172,7 @@
 	c.taken = nil
 	c.relay.Pool.Release(target.ID, outcome)
 	if outcome == instance.OutcomeAnswered {
-		c.relay.Pool.NoteServiceTime(c.service, time.Since(c.latest.beganAt))
+		c.relay.Pool.RecordServiceTime(c.service, time.Since(c.latest.beganAt))
 	}
 }
 
@@ -188,7 +188,7 @@
 // turn's reservation as spent, for good.
 func (c *carrier) endLeftOpen() {
 	if c.taken != nil {
-		c.release(*c.taken, instance.OutcomeGivenUp)
+		c.release(*c.taken, instance.OutcomeCanceled)
 	}
 	if c.stream != nil && c.stream.turn != nil {
 		_ = c.settle(context.Background(), c.stream, false) // in the background, as nobody goes on from it
@@ -200,7 +200,7 @@
 func (c *carrier) fail(target instance.Instance) {
 	outcome := instance.OutcomeFailed
 	if c.relay.monitor.noteFailed(target, time.Now()) {
-		outcome = instance.OutcomeGivenUp
+		outcome = instance.OutcomeCanceled
 	}
 	defer c.release(target, outcome)
 	if !isGivenUp(c.latest.context) {
@@ -249,7 +249,7 @@
 	if c.refuseUnplaceable(census, now) {
 		return false
 	}
-	if census.Admitted+census.Temporary == 0 && c.offers == 0 && !c.relay.Pool.IsUncertain() {
+	if census.Admitted+census.TemporarilyFiltered == 0 && c.offers == 0 && !c.relay.Pool.MayBeIncomplete() {
 		c.decide(admission.ServiceGone, now, now)
 		c.refuse(Refusal{Reason: ReasonNoInstance, RetryAfter: c.returnAfter(), Detail: "No back end of this service is known."})
 		return false
--- a/internal/relay/connect_probe.go
+++ b/internal/relay/connect_probe.go
@@ -70,7 +70,7 @@
 		p.noteFailure(began)
 	}
 	if isRefused || p.failures >= maxFailedProbes {
-		m.relay.Pool.PassOver(target.ID)
+		m.relay.Pool.BackOff(target.ID)
 	}
 }
 
@@ -87,7 +87,7 @@
 
 // Try connects to an instance of a zone and, if that succeeds, takes note that the zone
 // can be reached. It implements reach.Connections.
-func (r *Relay) Try(zone string) {
+func (r *Relay) TryConnect(zone string) {
 	target, found := r.Pool.AnyIn(zone, r.isNamed)
 	if !found {
 		return
@@ -96,7 +96,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
 		if r.Driver.Connect(ctx, target, r.connectionLimit(target.Service)) == nil {
-			r.Zones.Heard(zone, time.Now())
+			r.Zones.RecordActivity(zone, time.Now())
 		}
 	}()
 }
--- a/internal/relay/evacuated_test.go
+++ b/internal/relay/evacuated_test.go
@@ -37,11 +37,11 @@
 // evacuate makes these the zones that are evacuated.
 func (e *evacuationTest) evacuate(names ...string) {
 	e.end++
-	reading := zone.Reading{End: e.end}
+	reading := zone.OrderSnapshot{End: e.end}
 	for _, name := range names {
-		reading.Orders = append(reading.Orders, zone.Order{Zone: name, Offset: e.end - 1})
+		reading.Orders = append(reading.Orders, zone.EvacuationOrder{Zone: name, Offset: e.end - 1})
 	}
-	e.evacuations.Take(reading, time.Now())
+	e.evacuations.ApplySnapshot(reading, time.Now())
 }
 
 // evacuateAfterFirstSend evacuates the zone of the instance that gets the first offer,
--- a/internal/relay/failed_offer.go
+++ b/internal/relay/failed_offer.go
@@ -54,9 +54,9 @@
 // instance: something, if that was silent for long.
 func (c *carrier) outcomeOfGivingUp() instance.Outcome {
 	if time.Since(c.latest.heardAt) >= silentAfter {
-		return instance.OutcomeSilent
+		return instance.OutcomeTimeout
 	}
-	return instance.OutcomeGivenUp
+	return instance.OutcomeCanceled
 }
 
 // noteRun takes note that an instance may have run the call, after all others.
--- a/internal/relay/give_up.go
+++ b/internal/relay/give_up.go
@@ -44,7 +44,7 @@
 // isDoubted tells whether the instance of a silent offer is believed not to be reached. The mutex
 // must be held.
 func (m *offerMonitor) isDoubted(o *pendingOffer, now time.Time) bool {
-	return m.isCut(o.target.Zone) || m.relay.Pool.HasEnded(o.target.ID) || !m.isReachable(o, now)
+	return m.isCut(o.target.Zone) || m.relay.Pool.IsSuperseded(o.target.ID) || !m.isReachable(o, now)
 }
 
 // hasAlternative tells whether another instance takes an offer's request.
--- a/internal/relay/logs.go
+++ b/internal/relay/logs.go
@@ -69,7 +69,7 @@
 		return
 	}
 	event = event.Str("instance", target.ID).Int("status", status).Int("offers", c.offers).Int("runs", c.runs).
-		Dur("held", time.Since(c.call.Received)).Dur("instances_age", c.relay.Pool.Age()).Int64("routes_version", c.routesVersion())
+		Dur("held", time.Since(c.call.Received)).Dur("instances_age", c.relay.Pool.ListAge()).Int64("routes_version", c.routesVersion())
 	if !c.heldUp.Since.IsZero() {
 		event = c.logForecast(event)
 	}
--- a/internal/relay/offer_monitor.go
+++ b/internal/relay/offer_monitor.go
@@ -90,7 +90,7 @@
 // noteProgress takes note that a back end sent something.
 func (m *offerMonitor) noteProgress(o *pendingOffer, now time.Time) {
 	if m.zones != nil {
-		m.zones.Heard(o.target.Zone, now)
+		m.zones.RecordActivity(o.target.Zone, now)
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -117,21 +117,21 @@
 	return m.isCut(target.Zone)
 }
 
-func (m *offerMonitor) isCut(zone string) bool { return m.zones != nil && m.zones.IsCut(zone) }
+func (m *offerMonitor) isCut(zone string) bool { return m.zones != nil && m.zones.IsCutOff(zone) }
 
 // excess is by how much the wait for an offer's back end exceeds the usual one.
 func (m *offerMonitor) excess(o *pendingOffer, now time.Time) time.Duration {
 	usual := m.relay.serving.of(o.kind).first
 	if o.started {
-		usual = m.relay.Pool.Pace(o.target.ID, o.kind)
+		usual = m.relay.Pool.TypicalLatency(o.target.ID, o.kind)
 	}
 	return now.Sub(o.waitingSince) - paceFactor*usual
 }
 
 // Waiting returns what this daemon's requests tell of the back ends of each zone. It
 // implements reach.Connections.
-func (r *Relay) Waiting(now time.Time) map[string]zone.Waiting {
-	waiting := map[string]zone.Waiting{}
+func (r *Relay) UnresponsiveBackends(now time.Time) map[string]zone.UnresponsiveBackends {
+	waiting := map[string]zone.UnresponsiveBackends{}
 	for _, wait := range r.monitor.longestWaits(now) {
 		w := waiting[wait.zone]
 		if wait.excess > overdueMargin {
@@ -185,5 +185,5 @@
 	if m.zones == nil {
 		return time.Time{}, false
 	}
-	return m.zones.Isolated()
+	return m.zones.IsolatedSince()
 }
--- a/internal/relay/offer_monitor_test.go
+++ b/internal/relay/offer_monitor_test.go
@@ -134,14 +134,14 @@
 	options.Pool, options.Driver = h.pool, driver
 	if watching {
 		h.zones = zone.NewReachability(zone.NewTopology(near, "", map[string]string{far: ""}))
-		h.zones.NoteDaemons(near, 10)
-		h.zones.NoteDaemons(far, 10)
+		h.zones.SetDaemonCount(near, 10)
+		h.zones.SetDaemonCount(far, 10)
 		options.Zones, options.RerouteTime = h.zones, 2500*time.Millisecond
 	}
 	h.relay = New(options)
 	for range 20 { // what serving usually takes
 		h.relay.serving.note("r", servingTime{first: 50 * time.Millisecond, whole: 100 * time.Millisecond})
-		h.pool.NotePace("far", "r", eventPause)
+		h.pool.RecordLatency("far", "r", eventPause)
 	}
 	return h, driver
 }
@@ -150,17 +150,17 @@
 func (h *zonesHarness) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := time.Now()
-		plan := h.zones.Step(h.relay.Waiting(now), now)
+		plan := h.zones.Step(h.relay.UnresponsiveBackends(now), now)
 		for name := range plan.Probe {
 			if name == near || !h.cut.Load() && !h.deaf.Load() {
-				h.zones.Answered(name, now.Add(time.Millisecond))
+				h.zones.RecordProbeReply(name, now.Add(time.Millisecond))
 			}
 		}
 		if plan.ProbeStore {
-			h.zones.StoreAsked(!h.storeOut.Load(), now, now)
+			h.zones.RecordStoreCall(!h.storeOut.Load(), now, now)
 		}
 		for _, name := range plan.Connect {
-			h.relay.Try(name)
+			h.relay.TryConnect(name)
 		}
 		h.relay.GiveUpSilent(now)
 		pause(ctx, zone.StepInterval)
@@ -261,7 +261,7 @@
 		h.cut.Store(true)
 		h.serve(newCall(newRoute(route.KindOnce)))
 		pause(ctx, time.Second)
-		if !h.zones.IsCut(far) {
+		if !h.zones.IsCutOff(far) {
 			t.Fatal("not found cut off")
 		}
 		for range 10 {
@@ -270,8 +270,8 @@
 		}
 		h.cut.Store(false)
 		pause(ctx, 500*time.Millisecond)
-		if got := h.picks()["far"]; h.zones.IsCut(far) || got == 0 {
-			t.Errorf("cut off: %v; it got %d of 60 requests after the cut", h.zones.IsCut(far), got)
+		if got := h.picks()["far"]; h.zones.IsCutOff(far) || got == 0 {
+			t.Errorf("cut off: %v; it got %d of 60 requests after the cut", h.zones.IsCutOff(far), got)
 		}
 	})
 }
@@ -279,7 +279,7 @@
 // answerFar lets the daemons of far answer whatever happens to its back ends.
 func (h *zonesHarness) answerFar(ctx context.Context) {
 	for ctx.Err() == nil {
-		h.zones.Answered(far, time.Now())
+		h.zones.RecordProbeReply(far, time.Now())
 		pause(ctx, 10*time.Millisecond)
 	}
 }
@@ -302,8 +302,8 @@
 				if kind == route.KindOnce {
 					inTime = isOnProof(hung)
 				}
-				if !inTime || h.zones.IsCut(far) {
-					t.Errorf("hung %s; zone cut off: %v", hung, h.zones.IsCut(far))
+				if !inTime || h.zones.IsCutOff(far) {
+					t.Errorf("hung %s; zone cut off: %v", hung, h.zones.IsCutOff(far))
 				}
 				if served := got.status == http.StatusOK; served != (kind != route.KindOnce) {
 					t.Errorf("status %d, refused with %+v", got.status, got.refusal)
@@ -328,12 +328,12 @@
 		defer cancel()
 		go h.watch(ctx)
 		pause(ctx, 3*time.Second)
-		if !h.zones.IsCut(far) {
+		if !h.zones.IsCutOff(far) {
 			t.Error("not cut off any more while it is")
 		}
 		h.cut.Store(false)
 		pause(ctx, 1500*time.Millisecond)
-		if h.zones.IsCut(far) {
+		if h.zones.IsCutOff(far) {
 			t.Error("still cut off 1.5 s after the end")
 		}
 		cancel()
@@ -371,8 +371,8 @@
 		stream := newRoute(route.KindStream)
 		stream.Resumable = false
 		got := h.serve(newCall(stream))
-		if !got.ended || h.zones.IsCut(far) {
-			t.Errorf("ended: %v, cut off: %v", got.ended, h.zones.IsCut(far))
+		if !got.ended || h.zones.IsCutOff(far) {
+			t.Errorf("ended: %v, cut off: %v", got.ended, h.zones.IsCutOff(far))
 		}
 	})
 }
--- a/internal/relay/placeable.go
+++ b/internal/relay/placeable.go
@@ -13,11 +13,11 @@
 // instance, and tells whether it did. It is called before anything is reserved for the
 // call.
 func (c *carrier) refuseIfUnplaceable() bool {
-	if c.regions.IsNowhere() {
+	if c.regions.AllowsNone() {
 		c.refuse(Refusal{Reason: ReasonNoRegion, Detail: "No region is allowed for both the route and the tenant."})
 		return true
 	}
-	if !c.regions.IsBound() && !c.relay.anyEvacuated() {
+	if !c.regions.IsRestricted() && !c.relay.anyEvacuated() {
 		return false
 	}
 	return c.refuseUnplaceable(c.relay.Pool.Count(c.query()), time.Now())
@@ -36,7 +36,7 @@
 // instances that could serve it, and tells whether it did. It does not if something else
 // keeps the call from an instance, or if instances may be running in its regions that this
 // daemon does not know of.
-func (c *carrier) refuseUnplaceable(census instance.Census, now time.Time) bool {
+func (c *carrier) refuseUnplaceable(census instance.Counts, now time.Time) bool {
 	evacuated, otherRegion := census.Filtered[zone.ReasonEvacuated], census.Filtered[residency.ReasonRegion]
 	others := -evacuated - otherRegion
 	for _, count := range census.Filtered {
@@ -48,7 +48,7 @@
 	case evacuated > 0:
 		c.refuseEvacuated(now)
 		return true
-	case otherRegion > 0 && !c.relay.Pool.IsUncertain():
+	case otherRegion > 0 && !c.relay.Pool.MayBeIncomplete():
 		c.decide(admission.ServiceGone, now, now)
 		c.refuse(Refusal{Reason: ReasonRegionEmpty, RetryAfter: c.returnAfter(), Detail: "No back end of this service is in an allowed region."})
 		return true
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -29,7 +29,7 @@
 		body, err := readWhole(answer.Body)
 		if err == nil {
 			took := time.Since(c.latest.beganAt)
-			c.relay.Pool.NotePace(target.ID, c.call.Route.Name, took)
+			c.relay.Pool.RecordLatency(target.ID, c.call.Route.Name, took)
 			c.relay.serving.note(c.call.Route.Name, servingTime{first: took, whole: took})
 			c.release(target, instance.OutcomeAnswered)
 			c.answerOrBreak(answer, body, target)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -159,7 +159,7 @@
 		responder: responder,
 		service:   r.splits.choose(call.Route),
 		logger:    callLogger(r.Logger, call),
-		regions:   residency.Bound(call.Route.AllowedRegions, call.Tenant.Regions()),
+		regions:   residency.AllowedRegions(call.Route.AllowedRegions, call.Tenant.Regions()),
 	}
 	responder.carriedBy(c)
 	defer c.endLeftOpen()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -114,8 +114,8 @@
 		h := newHarness(t, step{body: "x"})
 		call := newCall(newRoute(route.KindOnce))
 		call.Route.Services[0].Service = "late"
-		h.pool.NoteLost()
-		h.pool.NoteReturned()
+		h.pool.MarkListUnavailable()
+		h.pool.MarkListAvailable()
 		time.AfterFunc(time.Second, func() {
 			h.pool.Replace([]instance.Instance{{ID: "x", Service: "late", State: instance.StateReady, Slots: 1}})
 		})
@@ -205,7 +205,7 @@
 		h.driver.onSend = func() { // all leave, and another comes
 			list := []instance.Instance{{ID: "i4", Service: "s", Address: "a:4", Zone: "z", Slots: 4, State: instance.StateReady}}
 			for _, id := range []string{"i1", "i2", "i3"} {
-				list = append(list, instance.Instance{ID: id, Service: "s", Zone: "z", Slots: 4, State: instance.StateLeaving})
+				list = append(list, instance.Instance{ID: id, Service: "s", Zone: "z", Slots: 4, State: instance.StateDraining})
 			}
 			h.pool.Replace(list)
 		}
@@ -224,7 +224,7 @@
 	h.pool.Replace([]instance.Instance{
 		{ID: "i1", Service: "s", Address: "a:1", Zone: "z", Slots: 4, State: instance.StateReady},
 		{ID: "i2", Service: "s", Address: "a:2", Zone: "z", Slots: 4, State: instance.StateReady},
-		{ID: "i3", Service: "s", Address: "a:3", Zone: "z", Slots: 4, State: instance.StateLeaving},
+		{ID: "i3", Service: "s", Address: "a:3", Zone: "z", Slots: 4, State: instance.StateDraining},
 	})
 	r := newRoute(route.KindStream)
 	r.MaxAttempts = 1
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -139,7 +139,7 @@
 			return err
 		}
 		if passed > 0 {
-			c.relay.Pool.NotePace(target.ID, c.call.Route.Name, time.Since(c.latest.heardAt))
+			c.relay.Pool.RecordLatency(target.ID, c.call.Route.Name, time.Since(c.latest.heardAt))
 		} else {
 			state.servedAfter = time.Since(c.latest.beganAt)
 		}
--- a/internal/relaydaemon/adapter.go
+++ b/internal/relaydaemon/adapter.go
@@ -72,6 +72,6 @@
 	Routes(records map[string]store.Record) (*route.Table, error)
 	// Evacuations reads which zones the operators evacuated from the same records as
 	// Routes. The reading is partial if they are not all of the operators' records.
-	Evacuations(records map[string]store.Record, end int64) zone.Reading
+	Evacuations(records map[string]store.Record, end int64) zone.OrderSnapshot
 	Instances(records map[string]store.Record) []instance.Instance
 }
--- a/internal/relaydaemon/cold_test.go
+++ b/internal/relaydaemon/cold_test.go
@@ -28,7 +28,7 @@
 			running.Go(func() { registry.run(ctx, func([]structs.Machine) {}) })
 			registries = append(registries, registry)
 		}
-		cold := &instance.Instance{ID: "i", Service: "s", ReportsCold: true, ColdFor: time.Hour, HeardAt: time.Now()}
+		cold := &instance.Instance{ID: "i", Service: "s", HasColdFor: true, ColdFor: time.Hour, ReceivedAt: time.Now()}
 		sent := func() (count int) {
 			for range 60 {
 				for _, registry := range registries {
--- a/internal/relaydaemon/cutoff.go
+++ b/internal/relaydaemon/cutoff.go
@@ -30,10 +30,10 @@
 
 // Cost implements instance.Scorer.
 func (c cutOffZones) Cost(_ *instance.Query, candidate *instance.Instance, now time.Time) float64 {
-	if c.zones.IsCut(candidate.Zone) {
+	if c.zones.IsCutOff(candidate.Zone) {
 		return cutCost
 	}
-	return rampCost * (1 - c.zones.Share(candidate.Zone, now))
+	return rampCost * (1 - c.zones.Weight(candidate.Zone, now))
 }
 
 // watchZones prepares the watch of which zones this daemon is cut off from; a fleet of
@@ -50,7 +50,7 @@
 		Transport:    d.transport,
 		View:         d.membership,
 		ProbeStore:   d.probeStore,
-		OnCut:        func(zone string) { d.adapter.Forget(d.pool.AddressesIn(zone)) },
+		OnCutOff:     func(zone string) { d.adapter.Forget(d.pool.AddressesIn(zone)) },
 		OnIsolated:   d.expireRestingAfterReroute,
 		Random:       newRandom(),
 		Logger:       part(d.logger, "zones"),
@@ -97,7 +97,7 @@
 	if d.zones == nil {
 		return time.Time{}, false
 	}
-	return d.zones.Isolated()
+	return d.zones.IsolatedSince()
 }
 
 // RedirectsCallers tells whether callers are to make their next request on another
--- a/internal/relaydaemon/cutoff_test.go
+++ b/internal/relaydaemon/cutoff_test.go
@@ -18,7 +18,7 @@
 func cutZones(cut ...string) *zone.Reachability {
 	zones := zone.NewReachability(zone.NewTopology("a", "", map[string]string{"b": "", "c": ""}))
 	for _, name := range []string{"a", "b", "c"} {
-		zones.NoteDaemons(name, 5)
+		zones.SetDaemonCount(name, 5)
 	}
 	hear(zones, 600*time.Millisecond, cut...)
 	return zones
@@ -27,20 +27,20 @@
 // hear plays a while in which some zones are silent, and the others answer. The store
 // does not.
 func hear(zones *zone.Reachability, length time.Duration, cut ...string) {
-	waiting := map[string]zone.Waiting{}
+	waiting := map[string]zone.UnresponsiveBackends{}
 	for _, name := range cut {
-		waiting[name] = zone.Waiting{Overdue: 1, Silent: 1}
+		waiting[name] = zone.UnresponsiveBackends{Overdue: 1, Silent: 1}
 	}
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(zone.StepInterval) {
 		now := time.Now()
 		plan := zones.Step(waiting, now)
 		for name := range plan.Probe {
 			if _, silent := waiting[name]; !silent {
-				zones.Answered(name, now.Add(1))
+				zones.RecordProbeReply(name, now.Add(1))
 			}
 		}
 		if plan.ProbeStore {
-			zones.StoreAsked(len(cut) == 0, now, now)
+			zones.RecordStoreCall(len(cut) == 0, now, now)
 		}
 	}
 }
@@ -71,8 +71,8 @@
 			t.Errorf("nothing else serves: %v", got)
 		}
 		hear(d.zones, 250*time.Millisecond)
-		if got := picks(pool, 50); d.zones.IsCut("b") || got["i-b"] != 0 {
-			t.Errorf("right after the cut, cut off %v: %v", d.zones.IsCut("b"), got)
+		if got := picks(pool, 50); d.zones.IsCutOff("b") || got["i-b"] != 0 {
+			t.Errorf("right after the cut, cut off %v: %v", d.zones.IsCutOff("b"), got)
 		}
 		time.Sleep(zone.RampTime)
 		if got := picks(pool, 50); got["i-b"] != 50 {
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -60,7 +60,7 @@
 	// zones is which zones this daemon is cut off from, and reach finds that out; nil
 	// in a fleet of one zone.
 	zones    *zone.Reachability
-	reach    *reach.Watch
+	reach    *reach.Monitor
 	registry *memberRegistry
 	// cold limits the requests to cold instances.
 	cold *warmup.Limiter
@@ -197,7 +197,7 @@
 // isReady tells whether the daemon may get requests. One that is cut off can not serve
 // most of them: their callers are better led to another zone.
 func (d *Daemon) isReady() bool {
-	return !d.RedirectsCallers() && d.table.Load() != nil && d.pool.Listed() && d.ledger.IsSettled()
+	return !d.RedirectsCallers() && d.table.Load() != nil && d.pool.HasList() && d.ledger.IsSettled()
 }
 
 var (
--- a/internal/relaydaemon/members.go
+++ b/internal/relaydaemon/members.go
@@ -118,7 +118,7 @@
 			listed(r.machines(addresses))
 		},
 		OnRead:    func(asOf time.Time) { r.cold.ConfirmDaemons(asOf, time.Now()) },
-		Hurry:     r.cold.Hurry(),
+		Hurry:     r.cold.RefreshRequests(),
 		OnContact: func(err error) { r.logger.Debug().Err(err).Msg("Registry's contact changed.") },
 	}
 	watcher.Run(ctx)
--- a/internal/relaydaemon/members_test.go
+++ b/internal/relaydaemon/members_test.go
@@ -16,7 +16,7 @@
 )
 
 func newTestRegistry(s *memory.Store, address string) *memberRegistry {
-	cold := warmup.NewLimiter(warmup.Options{Terms: warmup.Terms{Overage: 1}, Own: address, Logger: zerolog.Nop()})
+	cold := warmup.NewLimiter(warmup.Options{Tolerance: warmup.Tolerance{Overage: 1}, OwnAddress: address, Logger: zerolog.Nop()})
 	return newMemberRegistry(s, Settings{PeerAddress: address, Zone: "z", Region: "r"}, cold, zerolog.Nop())
 }
 
--- a/internal/relaydaemon/placement.go
+++ b/internal/relaydaemon/placement.go
@@ -30,11 +30,11 @@
 // preparePlacement makes the pool of instances and the plug-ins of their choice.
 func (d *Daemon) preparePlacement() {
 	d.cold = warmup.NewLimiter(warmup.Options{
-		Terms:   d.settings.coldTerms(),
-		Own:     d.settings.PeerAddress,
-		Returns: &d.evacuations,
-		Logger:  part(d.logger, "warmup"),
-		Metrics: warmup.NewMetrics(d.figures),
+		Tolerance:   d.settings.coldTerms(),
+		OwnAddress:  d.settings.PeerAddress,
+		ZoneReturns: &d.evacuations,
+		Logger:      part(d.logger, "warmup"),
+		Metrics:     warmup.NewMetrics(d.figures),
 	})
 	if len(d.topology.Zones()) > 1 {
 		d.zones = zone.NewReachability(d.topology)
--- a/internal/relaydaemon/regional.go
+++ b/internal/relaydaemon/regional.go
@@ -70,12 +70,12 @@
 // ones for the text of bound turns.
 func (r *regionalLedgers) ledgerWith(common *ledger.Service) *residency.Ledger {
 	r.ledger = &residency.Ledger{
-		Common:     common,
-		Regional:   r.serviceOf,
-		Regions:    r.regions,
-		HasDaemons: r.hasDaemons,
-		InUse:      r.isInUse,
-		Logger:     r.options.Logger,
+		Common:        common,
+		Regional:      r.serviceOf,
+		Regions:       r.regions,
+		HasDaemons:    r.hasDaemons,
+		RegionalInUse: r.isInUse,
+		Logger:        r.options.Logger,
 	}
 	return r.ledger
 }
--- a/internal/relaydaemon/settings.go
+++ b/internal/relaydaemon/settings.go
@@ -89,7 +89,7 @@
 		StopSeconds:      8,
 		RevocationMS:     5000,
 
-		QuotaWindowSeconds: quota.DefaultTerms().Window.Seconds(),
+		QuotaWindowSeconds: quota.DefaultTolerance().Window.Seconds(),
 		EvacuationMS:       5000,
 		ColdOverage:        1,
 		LogLevel:           "info",
@@ -230,16 +230,16 @@
 	return time.Duration(s.EvacuationMS * float64(time.Millisecond))
 }
 
-func (s *Settings) quotaTerms() quota.Terms {
-	return quota.Terms{
+func (s *Settings) quotaTerms() quota.Tolerance {
+	return quota.Tolerance{
 		Window:  time.Duration(s.QuotaWindowSeconds * float64(time.Second)),
 		Overage: s.QuotaOverage,
 		Slack:   s.QuotaSlack,
 	}
 }
 
-func (s *Settings) coldTerms() warmup.Terms {
-	return warmup.Terms{Overage: s.ColdOverage, Slack: s.ColdSlack}
+func (s *Settings) coldTerms() warmup.Tolerance {
+	return warmup.Tolerance{Overage: s.ColdOverage, Slack: s.ColdSlack}
 }
 
 func (s *Settings) stopTime() time.Duration {
--- a/internal/relaydaemon/watch.go
+++ b/internal/relaydaemon/watch.go
@@ -103,12 +103,12 @@
 		OnChange: func(records map[string]store.Record) {
 			d.adapter.Forget(d.pool.Replace(d.adapter.Instances(records)))
 		},
-		OnRead: d.pool.Confirm,
+		OnRead: d.pool.ConfirmList,
 		OnContact: func(err error) {
 			if err != nil {
-				d.pool.NoteLost()
+				d.pool.MarkListUnavailable()
 			} else {
-				d.pool.NoteReturned()
+				d.pool.MarkListAvailable()
 			}
 			d.contact("instances")(err)
 		},
--- a/internal/relaydaemon/zones.go
+++ b/internal/relaydaemon/zones.go
@@ -17,26 +17,26 @@
 )
 
 // takeEvacuations puts the operators' orders that were read from the store in force.
-func (d *Daemon) takeEvacuations(reading zone.Reading) {
+func (d *Daemon) takeEvacuations(reading zone.OrderSnapshot) {
 	now := time.Now()
-	d.noteEvacuations(d.evacuations.Take(reading, now), reading.End, sourceStore, now)
+	d.noteEvacuations(d.evacuations.ApplySnapshot(reading, now), reading.End, sourceStore, now)
 }
 
 // AskEvacuations implements ledger.Evacuations.
-func (d *Daemon) AskEvacuations() int64 { return d.evacuations.Asking() }
+func (d *Daemon) AskEvacuations() int64 { return d.evacuations.KnownEnd() }
 
 // TellEvacuations implements ledger.Evacuations.
-func (d *Daemon) TellEvacuations(asked int64, now time.Time) *zone.News {
-	return d.evacuations.Tell(asked, now)
+func (d *Daemon) TellEvacuations(asked int64, now time.Time) *zone.EvacuationUpdate {
+	return d.evacuations.UpdateAfter(asked, now)
 }
 
 // HearEvacuations implements ledger.Evacuations.
-func (d *Daemon) HearEvacuations(news *zone.News, now time.Time) {
-	d.noteEvacuations(d.evacuations.Hear(news, now), news.End, sourceDaemon, now)
+func (d *Daemon) HearEvacuations(news *zone.EvacuationUpdate, now time.Time) {
+	d.noteEvacuations(d.evacuations.ApplyUpdate(news, now), news.End, sourceDaemon, now)
 }
 
 // noteEvacuations logs changes, and tells admission how long ended evacuations lasted.
-func (d *Daemon) noteEvacuations(changes []zone.Change, end int64, from string, now time.Time) {
+func (d *Daemon) noteEvacuations(changes []zone.EvacuationChange, end int64, from string, now time.Time) {
 	for _, change := range changes {
 		logger := part(d.logger, "zones").With().Str("zone", change.Zone).Int64("order", change.Offset).
 			Int64("as_of", end).Str("heard_from", from).Int("in_flight", d.pool.InFlight(change.Zone)).Logger()
@@ -45,7 +45,7 @@
 			logger.Info().Dur("lasted", change.Lasted).Msg("Zone taken back.")
 			continue
 		}
-		since, _ := d.evacuations.Since(change.Zone)
+		since, _ := d.evacuations.EvacuatedSince(change.Zone)
 		level := zerolog.InfoLevel
 		if now.Sub(since) > d.settings.evacuationTime() {
 			level = zerolog.WarnLevel // requests went there past the operators' bound
@@ -60,7 +60,7 @@
 	for _, name := range d.topology.Zones() {
 		registry.MustRegister(
 			zoneGauge("evacuated", "1 while the operators' order to send nothing to the zone is in force.", name, func() float64 {
-				if _, evacuated := d.evacuations.Since(name); evacuated {
+				if _, evacuated := d.evacuations.EvacuatedSince(name); evacuated {
 					return 1
 				}
 				return 0
--- a/internal/relaydaemon/zones_test.go
+++ b/internal/relaydaemon/zones_test.go
@@ -41,11 +41,11 @@
 	return route.NewTable(record.Offset, nil, nil), nil
 }
 
-func (a *testAdapter) Evacuations(records map[string]store.Record, end int64) zone.Reading {
-	reading := zone.Reading{End: end}
+func (a *testAdapter) Evacuations(records map[string]store.Record, end int64) zone.OrderSnapshot {
+	reading := zone.OrderSnapshot{End: end}
 	for key, record := range records {
 		if key != "routes" {
-			reading.Orders = append(reading.Orders, zone.Order{Zone: key, Offset: record.Offset})
+			reading.Orders = append(reading.Orders, zone.EvacuationOrder{Zone: key, Offset: record.Offset})
 		}
 	}
 	return reading
@@ -86,7 +86,7 @@
 		settings: DefaultSettings(), keys: newConfirmation(), admission: &admission.Admission{}, logger: zerolog.New(o.lines),
 		adapter: &testAdapter{}, hasTable: make(chan struct{}), front: &frontServer{server: &http.Server{}},
 	}
-	o.cold = warmup.NewLimiter(warmup.Options{Returns: &o.evacuations, Logger: zerolog.Nop()})
+	o.cold = warmup.NewLimiter(warmup.Options{ZoneReturns: &o.evacuations, Logger: zerolog.Nop()})
 	o.pool = instance.NewPool(rand.New(rand.NewPCG(1, 1)), o.placementPlugins())
 	o.pool.Replace([]instance.Instance{
 		{ID: "a1", Service: "s", Zone: "a", State: instance.StateReady}, {ID: "c1", Service: "s", Zone: "c", State: instance.StateReady},
@@ -143,7 +143,7 @@
 		o.write("routes", "1")
 		o.write("c", "{}")
 		known := false
-		o.adapter.(*testAdapter).onRoutes = func() { _, known = o.evacuations.Since("c") }
+		o.adapter.(*testAdapter).onRoutes = func() { _, known = o.evacuations.EvacuatedSince("c") }
 		defer o.follow()()
 		if o.table.Load() == nil || !known {
 			t.Errorf("routes: %v; the evacuated zone was known before them: %v", o.table.Load() != nil, known)
@@ -173,7 +173,7 @@
 		expect("after the history was dropped", "a1")
 		o.write("c", "")
 		expect("taken back", "a1 c1")
-		o.HearEvacuations(&zone.News{End: 2, Orders: []zone.ToldOrder{{Zone: "c", Offset: 1}}}, time.Now())
+		o.HearEvacuations(&zone.EvacuationUpdate{End: 2, Orders: []zone.AgedOrder{{Zone: "c", Offset: 1}}}, time.Now())
 		expect("after late news of the first order", "a1 c1")
 		o.write("c", "{}")
 		stop()
@@ -182,7 +182,7 @@
 		stop = o.follow()
 		defer func() { stop() }()
 		expect("taken back while nobody listened", "a1 c1")
-		o.HearEvacuations(&zone.News{End: 100, Orders: []zone.ToldOrder{{Zone: "late", Offset: 99, AgeMS: 5001}}}, time.Now())
+		o.HearEvacuations(&zone.EvacuationUpdate{End: 100, Orders: []zone.AgedOrder{{Zone: "late", Offset: 99, AgeMS: 5001}}}, time.Now())
 		if lines := o.lines.String(); !strings.Contains(lines, `"level":"warn"`) || !strings.Contains(lines, `"heard_from":"daemon"`) {
 			t.Errorf("nothing warns of an order that came late:\n%s", lines)
 		}
--- a/internal/residency/ledger.go
+++ b/internal/residency/ledger.go
@@ -55,8 +55,8 @@
 	HasDaemons func(region string) bool
 	// InUse tells whether regional ledgers may keep turns. An error, which wraps
 	// ErrUnavailable, means that this is not known.
-	InUse  func(ctx context.Context) (bool, error)
-	Logger zerolog.Logger
+	RegionalInUse func(ctx context.Context) (bool, error)
+	Logger        zerolog.Logger
 
 	// settling counts budgets that are settled in the background.
 	settling sync.WaitGroup
@@ -224,7 +224,7 @@
 
 // findUnbound finds a turn that the common ledger does not keep: it may have been bound.
 func (l *Ledger) findUnbound(ctx context.Context, program, turn string) (*ledger.KeptTurn, error) {
-	used, err := l.InUse(ctx)
+	used, err := l.RegionalInUse(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/residency/regions.go
+++ b/internal/residency/regions.go
@@ -23,7 +23,7 @@
 
 // Bound returns the regions to which a request is bound by those that its route and its
 // tenant name; one that names none allows all.
-func Bound(route, tenant []string) Regions {
+func AllowedRegions(route, tenant []string) Regions {
 	switch {
 	case len(route) == 0 && len(tenant) == 0:
 		return nil
@@ -42,10 +42,10 @@
 }
 
 // IsBound tells whether the request is bound to regions.
-func (r Regions) IsBound() bool { return r != nil }
+func (r Regions) IsRestricted() bool { return r != nil }
 
 // IsNowhere tells whether no region at all may serve the request.
-func (r Regions) IsNowhere() bool { return r != nil && len(r) == 0 }
+func (r Regions) AllowsNone() bool { return r != nil && len(r) == 0 }
 
 // Filter keeps bound requests from the back ends of other regions. One in a zone that
 // the settings do not name is in no region that anybody knows.
--- a/internal/residency/regions_test.go
+++ b/internal/residency/regions_test.go
@@ -19,7 +19,7 @@
 	regions := rapid.SliceOfDistinct(rapid.SampledFrom([]string{"east", "north", "south", "west"}), rapid.ID)
 	rapid.Check(t, func(t *rapid.T) {
 		route, tenant := regions.Draw(t, "route"), regions.Draw(t, "tenant")
-		bound := Bound(route, tenant)
+		bound := AllowedRegions(route, tenant)
 		filter := Filter{Topology: topology}
 		for _, name := range []string{"east-a", "east-b", "north-a", "south-a", "nowhere"} {
 			region, known := topology.RegionOf(name)
@@ -29,7 +29,7 @@
 				t.Fatalf("route %v, tenant %v: %s is admitted: %v", route, tenant, name, got)
 			}
 		}
-		if bound.IsNowhere() && (len(route) == 0 || len(tenant) == 0) || !bound.IsBound() && len(route)+len(tenant) > 0 {
+		if bound.AllowsNone() && (len(route) == 0 || len(tenant) == 0) || !bound.IsRestricted() && len(route)+len(tenant) > 0 {
 			t.Fatalf("route %v, tenant %v: bound to %v", route, tenant, bound)
 		}
 	})
@@ -38,7 +38,7 @@
 // BenchmarkFilter: 50 back ends, a request that is bound to two regions.
 func BenchmarkFilter(b *testing.B) {
 	filter := Filter{Topology: topology}
-	query := &instance.Query{Regions: Bound([]string{"north", "south"}, nil)}
+	query := &instance.Query{Regions: AllowedRegions([]string{"north", "south"}, nil)}
 	candidate := &instance.Instance{Zone: "south-a"}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/tcpoption/tcpoption_linux.go
+++ b/internal/tcpoption/tcpoption_linux.go
@@ -13,7 +13,7 @@
 // system close a connection whose data stays unacknowledged for a time. Left
 // alone it would send again at ever longer pauses, and a healed cut would go
 // unnoticed for a minute.
-func LimitUnacknowledged(limit time.Duration) func(network, address string, connection syscall.RawConn) error {
+func ControlUserTimeout(limit time.Duration) func(network, address string, connection syscall.RawConn) error {
 	return func(_, _ string, connection syscall.RawConn) error {
 		var failure error
 		err := connection.Control(func(descriptor uintptr) {
@@ -28,10 +28,10 @@
 }
 
 // SetUnacknowledgedLimit changes the limit of an open connection; 0 is the system's own.
-func SetUnacknowledgedLimit(connection syscall.Conn, limit time.Duration) error {
+func SetUserTimeout(connection syscall.Conn, limit time.Duration) error {
 	raw, err := connection.SyscallConn()
 	if err != nil {
 		return err
 	}
-	return LimitUnacknowledged(limit)("", "", raw)
+	return ControlUserTimeout(limit)("", "", raw)
 }
--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -10,20 +10,20 @@
 	// Rate is in tokens a second, Capacity in tokens.
 	Rate, Capacity float64
 	// Tokens is what was left at At, when it was last brought up to date.
-	Tokens float64
-	At     time.Time
+	Tokens    float64
+	UpdatedAt time.Time
 }
 
 // Full returns a full bucket; rate is in tokens a second.
-func Full(rate, capacity float64) Bucket {
+func NewFull(rate, capacity float64) Bucket {
 	return Bucket{Rate: rate, Capacity: capacity, Tokens: capacity}
 }
 
 // Refill brings Tokens up to date.
 func (b *Bucket) Refill(now time.Time) {
-	if passed := now.Sub(b.At).Seconds(); passed > 0 {
+	if passed := now.Sub(b.UpdatedAt).Seconds(); passed > 0 {
 		b.Tokens = min(b.Tokens+b.Rate*passed, b.Capacity)
-		b.At = now
+		b.UpdatedAt = now
 	}
 }
 
--- a/internal/warmup/fleet_test.go
+++ b/internal/warmup/fleet_test.go
@@ -15,7 +15,7 @@
 )
 
 var (
-	testTerms    = Terms{Overage: 1.5, Slack: 5}
+	testTerms    = Tolerance{Overage: 1.5, Slack: 5}
 	testServices = map[string]*route.Service{
 		"s": {Name: "s", ColdStart: 3 * time.Second, ColdPerSecond: 28},
 		"t": {Name: "t"},
@@ -29,13 +29,13 @@
 )
 
 func newTestLimiter(address string) *Limiter {
-	l := NewLimiter(Options{Terms: testTerms, Own: address, Logger: zerolog.Nop()})
+	l := NewLimiter(Options{Tolerance: testTerms, OwnAddress: address, Logger: zerolog.Nop()})
 	l.SetServices(testServices)
 	return l
 }
 
 func coldInstance(id string) *instance.Instance {
-	return &instance.Instance{ID: id, Service: "s", Zone: "z", ReportsCold: true, ColdFor: time.Hour, HeardAt: testStart}
+	return &instance.Instance{ID: id, Service: "s", Zone: "z", HasColdFor: true, ColdFor: time.Hour, ReceivedAt: testStart}
 }
 
 // machine is a machine of the fleet, with the daemon that runs on it, if one does.
@@ -123,7 +123,7 @@
 		}
 		asked := false
 		select {
-		case <-m.limiter.Hurry():
+		case <-m.limiter.RefreshRequests():
 			asked = true
 		default:
 		}
--- a/internal/warmup/limiter.go
+++ b/internal/warmup/limiter.go
@@ -49,7 +49,7 @@
 )
 
 // Returns tells when evacuated zones were taken back; zone.Evacuations is one.
-type Returns interface {
+type ZoneReturns interface {
 	// ReturnedAt returns when that was last heard of a zone, false if it was not. It must
 	// not block.
 	ReturnedAt(zone string) (time.Time, bool)
@@ -57,12 +57,12 @@
 
 // Options are what a Limiter works with.
 type Options struct {
-	Terms Terms
+	Tolerance Tolerance
 	// Own is the address under which this daemon is on record.
-	Own string
+	OwnAddress string
 	// Returns may be nil: then no zone is ever evacuated.
-	Returns Returns
-	Logger  zerolog.Logger
+	ZoneReturns ZoneReturns
+	Logger      zerolog.Logger
 	// Metrics may be nil.
 	Metrics *Metrics
 }
@@ -86,14 +86,14 @@
 	return &Limiter{
 		options: options,
 		hurry:   clock.NewPacedSignal(refreshPause),
-		roster:  newRoster(options.Own),
+		roster:  newRoster(options.OwnAddress),
 		shares:  map[string]*share{},
 	}
 }
 
 // SetServices replaces the services and their limits.
 func (l *Limiter) SetServices(services map[string]*route.Service) {
-	limits := l.options.Terms.limitsOf(services)
+	limits := l.options.Tolerance.limitsOf(services)
 	if limits == nil {
 		l.limits.Store(nil)
 		return
@@ -116,7 +116,7 @@
 }
 
 // Hurry returns a channel that asks for the record to be read at once.
-func (l *Limiter) Hurry() <-chan struct{} { return l.hurry.Asked() }
+func (l *Limiter) RefreshRequests() <-chan struct{} { return l.hurry.Asked() }
 
 // Reason implements instance.Filter.
 func (l *Limiter) Reason() string { return "cold" }
@@ -159,7 +159,7 @@
 
 // Cost implements instance.Scorer.
 func (l *Limiter) Cost(_ *instance.Query, candidate *instance.Instance, now time.Time) float64 {
-	if !candidate.ReportsCold || !now.Before(candidate.ColdUntil()) {
+	if !candidate.HasColdFor || !now.Before(candidate.ColdUntil()) {
 		return 0
 	}
 	if limits := l.limits.Load(); limits != nil {
@@ -192,16 +192,16 @@
 // taken to be cold for the service's cold start from then on.
 func (l *Limiter) coldUntil(candidate *instance.Instance, bound limit) time.Time {
 	var until time.Time
-	if candidate.ReportsCold {
+	if candidate.HasColdFor {
 		until = candidate.ColdUntil()
-	} else if !candidate.NewAt.IsZero() {
-		until = candidate.NewAt.Add(bound.coldFor)
+	} else if !candidate.FirstSeenAt.IsZero() {
+		until = candidate.FirstSeenAt.Add(bound.coldFor)
 	}
-	if l.options.Returns == nil {
+	if l.options.ZoneReturns == nil {
 		return until
 	}
-	returnedAt, returned := l.options.Returns.ReturnedAt(candidate.Zone)
-	if !returned || !candidate.HeardAt.Before(returnedAt.Add(maxEntryAge)) {
+	returnedAt, returned := l.options.ZoneReturns.ReturnedAt(candidate.Zone)
+	if !returned || !candidate.ReceivedAt.Before(returnedAt.Add(maxEntryAge)) {
 		return until
 	}
 	if until.Before(returnedAt.Add(bound.coldFor)) {
@@ -265,7 +265,7 @@
 
 func (l *Limiter) logCold(candidate *instance.Instance, s *share, until, now time.Time) {
 	l.options.Logger.Info().Str("instance", candidate.ID).Str("zone", candidate.Zone).
-		Dur("for", until.Sub(now)).Dur("entry_age", now.Sub(candidate.HeardAt)).
+		Dur("for", until.Sub(now)).Dur("entry_age", now.Sub(candidate.ReceivedAt)).
 		Int("per_second", s.rate).Int("share", s.allowed).Int("daemons", len(l.roster.others)+1).
 		Dur("record_age", min(l.roster.age(now), time.Hour)).Bool("counted", l.roster.isCounted(now)).
 		Msg("Back end is cold. It is sent this daemon's share alone.")
--- a/internal/warmup/limiter_test.go
+++ b/internal/warmup/limiter_test.go
@@ -26,7 +26,7 @@
 	returns := zoneReturns{"returned": at(10)}
 	tells := func(zone string, heard, coldFor float64) instance.Instance {
 		return instance.Instance{
-			Service: "s", Zone: zone, ReportsCold: true, HeardAt: at(heard), NewAt: at(0),
+			Service: "s", Zone: zone, HasColdFor: true, ReceivedAt: at(heard), FirstSeenAt: at(0),
 			ColdFor: time.Duration(coldFor * float64(time.Second)),
 		}
 	}
@@ -36,19 +36,19 @@
 	}{
 		"it says so":                             {tells("z", 1, 2), 1, 3},
 		"it says that it is warm":                {tells("z", 1, 0), 0, 0},
-		"it says nothing and is new":             {instance.Instance{Service: "s", NewAt: at(1), HeardAt: at(1)}, 1, 4},
-		"it says nothing and was there":          {instance.Instance{Service: "s", HeardAt: at(1)}, 0, 0},
-		"its service has no limit":               {instance.Instance{Service: "t", ReportsCold: true, HeardAt: at(0), ColdFor: time.Hour}, 0, 0},
+		"it says nothing and is new":             {instance.Instance{Service: "s", FirstSeenAt: at(1), ReceivedAt: at(1)}, 1, 4},
+		"it says nothing and was there":          {instance.Instance{Service: "s", ReceivedAt: at(1)}, 0, 0},
+		"its service has no limit":               {instance.Instance{Service: "t", HasColdFor: true, ReceivedAt: at(0), ColdFor: time.Hour}, 0, 0},
 		"its zone returned after its word":       {tells("returned", 9, 0), 10, 13},
 		"its word may be from before the return": {tells("returned", 11.9, 0), 11.9, 13},
 		"its word is newer than the return":      {tells("returned", 12, 0), 0, 0},
 		"its word is longer than the return":     {tells("returned", 9, 5), 10, 14},
 	} {
 		l := newTestLimiter("a")
-		l.options.Returns = returns
+		l.options.ZoneReturns = returns
 		for second := 0.0; second < 20; second += 0.5 {
 			now := at(second)
-			if now.Before(test.instance.HeardAt) || (test.instance.Zone == "returned" && second < 10) {
+			if now.Before(test.instance.ReceivedAt) || (test.instance.Zone == "returned" && second < 10) {
 				continue
 			}
 			_, _, got := l.limitIfCold(&test.instance, now)
@@ -97,7 +97,7 @@
 	for i := range count {
 		listed := instance.Instance{
 			ID: fmt.Sprint("engine-", i), Service: "s", Address: fmt.Sprint("address-", i), Zone: "z", Slots: 16,
-			State: instance.StateReady, Sequence: 1, ReportsCold: true,
+			State: instance.StateReady, Sequence: 1, HasColdFor: true,
 		}
 		if i < cold {
 			listed.ColdFor = coldFor
@@ -182,7 +182,7 @@
 		for found := true; found; {
 			_, found = pool.Take(instance.Query{Service: "s"})
 		}
-		if census := pool.Count(instance.Query{Service: "s"}); census.Admitted != 0 || census.Temporary != 1 || census.Filtered["cold"] != 1 {
+		if census := pool.Count(instance.Query{Service: "s"}); census.Admitted != 0 || census.TemporarilyFiltered != 1 || census.Filtered["cold"] != 1 {
 			t.Errorf("got %+v", census)
 		}
 	})
--- a/internal/warmup/terms.go
+++ b/internal/warmup/terms.go
@@ -13,7 +13,7 @@
 
 // Terms are the operators' bounds for all cold instances: one gets in each second at most
 // the rate of its service times Overage, plus Slack.
-type Terms struct {
+type Tolerance struct {
 	// Overage is a factor of at least 1.
 	Overage float64
 	// Slack is in requests per second.
@@ -31,7 +31,7 @@
 }
 
 // limitsOf returns the limits of the services that have one, nil if none has.
-func (t Terms) limitsOf(services map[string]*route.Service) map[string]limit {
+func (t Tolerance) limitsOf(services map[string]*route.Service) map[string]limit {
 	var limits map[string]limit
 	for name, service := range services {
 		if service.ColdPerSecond <= 0 {
@@ -45,7 +45,7 @@
 	return limits
 }
 
-func (t Terms) rate(perSecond float64) int {
+func (t Tolerance) rate(perSecond float64) int {
 	if usual := math.Floor(perSecond * t.Overage); usual >= 1 {
 		return int(min(usual, maxRate))
 	}
--- a/internal/zone/detection.go
+++ b/internal/zone/detection.go
@@ -19,19 +19,19 @@
 	// Asked is how many daemons were probed and did not answer, for the time Unanswered.
 	// Silent is how many back ends keep requests waiting; no back end of the zone has
 	// sent anything for the time Unheard, 0 if none ever did.
-	Asked, Silent       int
-	Unanswered, Unheard time.Duration
+	ProbedDaemons, SilentBackends          int
+	ProbesUnansweredFor, BackendsSilentFor time.Duration
 	// Told: another daemon found the zone cut off.
-	Told bool
+	ReportedByPeer bool
 }
 
 // BeliefChange is a change of what is believed.
-type BeliefChange struct {
+type ReachabilityChange struct {
 	// Zone is the zone; "" for this daemon itself.
 	Zone string
 	// Cut tells what is believed from now on, and Lasted for how long the contrary was,
 	// 0 if always.
-	Cut      bool
+	CutOff   bool
 	Lasted   time.Duration
 	Evidence Evidence
 }
@@ -49,7 +49,7 @@
 		cut = cut && (r.isolation.isCut() || p.hasEvidence(now) && r.isAnyoneHeard(p.probingSince))
 	}
 	if lasted, changed := p.become(cut, now); changed {
-		plan.Changes = append(plan.Changes, BeliefChange{Zone: name, Cut: cut, Lasted: lasted, Evidence: p.evidence(now)})
+		plan.Changes = append(plan.Changes, ReachabilityChange{Zone: name, CutOff: cut, Lasted: lasted, Evidence: p.evidence(now)})
 	}
 }
 
@@ -67,8 +67,8 @@
 
 func (p *path) evidence(now time.Time) Evidence {
 	return Evidence{
-		Asked: min(p.probes, p.daemons), Silent: p.waiting.Silent, Told: p.isReported(now),
-		Unanswered: since(p.probingSince, now), Unheard: since(p.heardAt, now),
+		ProbedDaemons: min(p.probes, p.daemons), SilentBackends: p.waiting.Silent, ReportedByPeer: p.isReported(now),
+		ProbesUnansweredFor: since(p.probingSince, now), BackendsSilentFor: since(p.heardAt, now),
 	}
 }
 
@@ -104,8 +104,8 @@
 	}
 	isolated := total > 1 && 2*lost >= total && r.store.isSilent(now)
 	if lasted, changed := r.isolation.become(isolated, now); changed {
-		evidence := Evidence{Asked: lost, Unanswered: since(r.store.answeredAt, now)}
-		plan.Changes = append(plan.Changes, BeliefChange{Cut: isolated, Lasted: lasted, Evidence: evidence})
+		evidence := Evidence{ProbedDaemons: lost, ProbesUnansweredFor: since(r.store.answeredAt, now)}
+		plan.Changes = append(plan.Changes, ReachabilityChange{CutOff: isolated, Lasted: lasted, Evidence: evidence})
 	}
 }
 
--- a/internal/zone/evacuation.go
+++ b/internal/zone/evacuation.go
@@ -20,7 +20,7 @@
 
 // Order is the operators' order to send nothing to the back ends of a zone. It is in
 // force until they take the zone back.
-type Order struct {
+type EvacuationOrder struct {
 	Zone string
 	// Offset is that of the order's record among the operators' records. A repeated order
 	// has a higher one.
@@ -28,19 +28,19 @@
 }
 
 // Reading is the orders that were read from the operators' records.
-type Reading struct {
+type OrderSnapshot struct {
 	// End is the offset after the last record that was read. The reading with the higher
 	// End is the newer of two.
 	End int64
 	// Orders are those in force.
-	Orders []Order
+	Orders []EvacuationOrder
 	// Partial: the reading may lack orders that are in force.
 	Partial bool
 }
 
 // Change is a zone that was evacuated or taken back.
-type Change struct {
-	Order
+type EvacuationChange struct {
+	EvacuationOrder
 	// Evacuated: the zone was evacuated; otherwise it was taken back.
 	Evacuated bool
 	// Lasted is for how long an order that was taken back was in force.
@@ -69,7 +69,7 @@
 }
 
 type timedOrder struct {
-	Order
+	EvacuationOrder
 	since time.Time
 }
 
@@ -83,7 +83,7 @@
 }
 
 // Since tells whether a zone is evacuated, and since when as far as is known here.
-func (e *Evacuations) Since(zone string) (since time.Time, evacuated bool) {
+func (e *Evacuations) EvacuatedSince(zone string) (since time.Time, evacuated bool) {
 	order, evacuated := e.load().evacuated[zone]
 	return order.since, evacuated
 }
@@ -108,28 +108,28 @@
 }
 
 // InForce returns the orders in force, by zone.
-func (e *Evacuations) InForce() []Order {
-	var orders []Order
+func (e *Evacuations) InForce() []EvacuationOrder {
+	var orders []EvacuationOrder
 	for _, order := range e.load().evacuated {
-		orders = append(orders, order.Order)
+		orders = append(orders, order.EvacuationOrder)
 	}
-	slices.SortFunc(orders, func(a, b Order) int { return cmp.Compare(a.Zone, b.Zone) })
+	slices.SortFunc(orders, func(a, b EvacuationOrder) int { return cmp.Compare(a.Zone, b.Zone) })
 	return orders
 }
 
 // Take takes this daemon's own reading, and returns what it changed. A reading that is not
 // newer than what is known changes nothing.
-func (e *Evacuations) Take(reading Reading, now time.Time) []Change {
+func (e *Evacuations) ApplySnapshot(reading OrderSnapshot, now time.Time) []EvacuationChange {
 	orders := map[string]timedOrder{}
 	for _, order := range reading.Orders {
-		orders[order.Zone] = timedOrder{Order: order, since: now}
+		orders[order.Zone] = timedOrder{EvacuationOrder: order, since: now}
 	}
 	return e.replace(reading.End, orders, reading.Partial, now)
 }
 
 // replace puts a newer set of orders in place. An order that was in force before keeps the
 // time since when it is known.
-func (e *Evacuations) replace(end int64, orders map[string]timedOrder, partial bool, now time.Time) []Change {
+func (e *Evacuations) replace(end int64, orders map[string]timedOrder, partial bool, now time.Time) []EvacuationChange {
 	e.writing.Lock()
 	defer e.writing.Unlock()
 	before := e.load()
@@ -145,7 +145,7 @@
 			after.returned[zone] = at
 		}
 	}
-	var changes []Change
+	var changes []EvacuationChange
 	for zone, order := range orders {
 		if known, isKnown := before.evacuated[zone]; isKnown {
 			order.since = known.since
@@ -153,7 +153,7 @@
 			continue
 		}
 		delete(after.returned, zone)
-		changes = append(changes, Change{Order: order.Order, Evacuated: true})
+		changes = append(changes, EvacuationChange{EvacuationOrder: order.EvacuationOrder, Evacuated: true})
 	}
 	for zone, order := range before.evacuated {
 		if _, still := orders[zone]; still {
@@ -164,23 +164,23 @@
 			continue
 		}
 		after.returned[zone] = now
-		changes = append(changes, Change{Order: order.Order, Lasted: now.Sub(order.since)})
+		changes = append(changes, EvacuationChange{EvacuationOrder: order.EvacuationOrder, Lasted: now.Sub(order.since)})
 	}
 	e.state.Store(after)
-	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Zone, b.Zone) })
+	slices.SortFunc(changes, func(a, b EvacuationChange) int { return cmp.Compare(a.Zone, b.Zone) })
 	return changes
 }
 
 // News is what daemons tell each other of evacuations. It is part of messages that are
 // sent for other reasons.
-type News struct {
+type EvacuationUpdate struct {
 	// End is that of the reading which the orders come from.
 	End    int64       `json:"end"`
-	Orders []ToldOrder `json:"orders,omitempty"`
+	Orders []AgedOrder `json:"orders,omitempty"`
 }
 
 // ToldOrder is one order in force.
-type ToldOrder struct {
+type AgedOrder struct {
 	Zone   string `json:"zone"`
 	Offset int64  `json:"offset"`
 	// AgeMS is for how many milliseconds the order has been known to the teller.
@@ -189,7 +189,7 @@
 
 // Asking returns the End that is sent along with a request to another daemon, so that only
 // newer news comes back: 0 while no zone is evacuated or was taken back lately.
-func (e *Evacuations) Asking() int64 {
+func (e *Evacuations) KnownEnd() int64 {
 	if state := e.load(); len(state.evacuated)+len(state.returned) > 0 {
 		return state.end
 	}
@@ -197,28 +197,28 @@
 }
 
 // Tell returns the news for a daemon that asked with an End; nil if there is none.
-func (e *Evacuations) Tell(asked int64, now time.Time) *News {
+func (e *Evacuations) UpdateAfter(asked int64, now time.Time) *EvacuationUpdate {
 	state := e.load()
-	if asked >= state.end || (asked == 0 && e.Asking() == 0) || len(state.evacuated) > maxNewsOrders {
+	if asked >= state.end || (asked == 0 && e.KnownEnd() == 0) || len(state.evacuated) > maxNewsOrders {
 		return nil
 	}
-	news := &News{End: state.end}
+	news := &EvacuationUpdate{End: state.end}
 	for _, zone := range slices.Sorted(maps.Keys(state.evacuated)) {
 		order := state.evacuated[zone]
-		news.Orders = append(news.Orders, ToldOrder{Zone: zone, Offset: order.Offset, AgeMS: now.Sub(order.since).Milliseconds()})
+		news.Orders = append(news.Orders, AgedOrder{Zone: zone, Offset: order.Offset, AgeMS: now.Sub(order.since).Milliseconds()})
 	}
 	return news
 }
 
 // Hear takes another daemon's news, and returns what it changed.
-func (e *Evacuations) Hear(news *News, now time.Time) []Change {
+func (e *Evacuations) ApplyUpdate(news *EvacuationUpdate, now time.Time) []EvacuationChange {
 	if news == nil || news.End <= e.load().end {
 		return nil
 	}
 	orders := map[string]timedOrder{}
 	for _, told := range news.Orders {
 		age := time.Duration(max(told.AgeMS, 0)) * time.Millisecond
-		orders[told.Zone] = timedOrder{Order: Order{Zone: told.Zone, Offset: told.Offset}, since: now.Add(-age)}
+		orders[told.Zone] = timedOrder{EvacuationOrder: EvacuationOrder{Zone: told.Zone, Offset: told.Offset}, since: now.Add(-age)}
 	}
 	return e.replace(news.End, orders, false, now)
 }
--- a/internal/zone/evacuation_test.go
+++ b/internal/zone/evacuation_test.go
@@ -43,10 +43,10 @@
 	return zones
 }
 
-func (l operatorsLog) reading(end int64) Reading {
-	reading := Reading{End: end}
+func (l operatorsLog) reading(end int64) OrderSnapshot {
+	reading := OrderSnapshot{End: end}
 	for zone, offset := range l.inForce(end) {
-		reading.Orders = append(reading.Orders, Order{Zone: zone, Offset: offset})
+		reading.Orders = append(reading.Orders, EvacuationOrder{Zone: zone, Offset: offset})
 	}
 	return reading
 }
@@ -68,7 +68,7 @@
 		for i := range daemons {
 			daemons[i] = &Evacuations{}
 		}
-		var late []*News
+		var late []*EvacuationUpdate
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
@@ -76,16 +76,16 @@
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				end := int64(rapid.IntRange(0, len(log)).Draw(t, "end"))
-				daemons[i].Take(log.reading(end), now)
+				daemons[i].ApplySnapshot(log.reading(end), now)
 				newest[i] = max(newest[i], end)
 			case 1:
-				if news := daemons[i].Tell(0, now); news != nil {
+				if news := daemons[i].UpdateAfter(0, now); news != nil {
 					late = append(late, news)
 				}
 			case 2:
 				if len(late) > 0 {
 					news := rapid.SampledFrom(late).Draw(t, "news")
-					daemons[i].Hear(news, now)
+					daemons[i].ApplyUpdate(news, now)
 					newest[i] = max(newest[i], news.End)
 				}
 			}
@@ -95,9 +95,9 @@
 		}
 		// One reads all of it, and the others ask it.
 		end := int64(len(log))
-		daemons[0].Take(log.reading(end), now)
+		daemons[0].ApplySnapshot(log.reading(end), now)
 		for i, daemon := range daemons[1:] {
-			daemon.Hear(daemons[0].Tell(daemon.Asking(), now), now)
+			daemon.ApplyUpdate(daemons[0].UpdateAfter(daemon.KnownEnd(), now), now)
 			if len(zonesOf(daemons[0])) == 0 && len(zonesOf(daemon)) == 0 {
 				continue // neither knows an order: nothing is told
 			}
@@ -110,29 +110,29 @@
 
 func TestOrdersHaveAnAgeAndSayWhatChanged(t *testing.T) {
 	var near, far Evacuations
-	order := Order{Zone: "c", Offset: 4}
-	changes := near.Take(Reading{End: 5, Orders: []Order{order}}, start)
-	if diff := cmp.Diff([]Change{{Order: order, Evacuated: true}}, changes); diff != "" {
+	order := EvacuationOrder{Zone: "c", Offset: 4}
+	changes := near.ApplySnapshot(OrderSnapshot{End: 5, Orders: []EvacuationOrder{order}}, start)
+	if diff := cmp.Diff([]EvacuationChange{{EvacuationOrder: order, Evacuated: true}}, changes); diff != "" {
 		t.Errorf("evacuated (-want +got):\n%s", diff)
 	}
 	later := start.Add(3 * time.Second)
-	far.Hear(near.Tell(0, later), later)
-	if since, evacuated := far.Since("c"); !evacuated || !since.Equal(start) {
+	far.ApplyUpdate(near.UpdateAfter(0, later), later)
+	if since, evacuated := far.EvacuatedSince("c"); !evacuated || !since.Equal(start) {
 		t.Errorf("the other daemon has it since %s, want %s", since, start)
 	}
-	if near.Tell(far.Asking(), later) != nil {
+	if near.UpdateAfter(far.KnownEnd(), later) != nil {
 		t.Error("a daemon that knows as much is told again")
 	}
-	near.Take(Reading{End: 6, Orders: []Order{{Zone: "c", Offset: 5}}}, later) // ordered anew
-	if since, _ := near.Since("c"); !since.Equal(start) {
+	near.ApplySnapshot(OrderSnapshot{End: 6, Orders: []EvacuationOrder{{Zone: "c", Offset: 5}}}, later) // ordered anew
+	if since, _ := near.EvacuatedSince("c"); !since.Equal(start) {
 		t.Errorf("an order that is repeated counts since %s, want since it was first given", since)
 	}
-	changes = near.Take(Reading{End: 7}, later)
-	if diff := cmp.Diff([]Change{{Order: Order{Zone: "c", Offset: 5}, Lasted: 3 * time.Second}}, changes); diff != "" {
+	changes = near.ApplySnapshot(OrderSnapshot{End: 7}, later)
+	if diff := cmp.Diff([]EvacuationChange{{EvacuationOrder: EvacuationOrder{Zone: "c", Offset: 5}, Lasted: 3 * time.Second}}, changes); diff != "" {
 		t.Errorf("taken back (-want +got):\n%s", diff)
 	}
-	far.Hear(near.Tell(far.Asking(), later), later)
-	_, evacuated := far.Since("c")
+	far.ApplyUpdate(near.UpdateAfter(far.KnownEnd(), later), later)
+	_, evacuated := far.EvacuatedSince("c")
 	if at, returned := far.ReturnedAt("c"); evacuated || !returned || !at.Equal(later) {
 		t.Error("the other daemon does not hear that the zone was taken back")
 	}
@@ -142,12 +142,12 @@
 // word of theirs. What it tells beside is in force.
 func TestPartialReadingTakesNothingBack(t *testing.T) {
 	var e Evacuations
-	e.Take(Reading{End: 5, Orders: []Order{{Zone: "c", Offset: 4}}}, start)
-	e.Take(Reading{End: 9, Partial: true, Orders: []Order{{Zone: "b", Offset: 8}}}, start)
+	e.ApplySnapshot(OrderSnapshot{End: 5, Orders: []EvacuationOrder{{Zone: "c", Offset: 4}}}, start)
+	e.ApplySnapshot(OrderSnapshot{End: 9, Partial: true, Orders: []EvacuationOrder{{Zone: "b", Offset: 8}}}, start)
 	if diff := cmp.Diff(map[string]int64{"b": 8, "c": 4}, zonesOf(&e)); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
-	e.Take(Reading{End: 10, Orders: []Order{{Zone: "b", Offset: 8}}}, start)
+	e.ApplySnapshot(OrderSnapshot{End: 10, Orders: []EvacuationOrder{{Zone: "b", Offset: 8}}}, start)
 	if diff := cmp.Diff(map[string]int64{"b": 8}, zonesOf(&e)); diff != "" {
 		t.Errorf("after a whole reading (-want +got):\n%s", diff)
 	}
@@ -155,25 +155,25 @@
 
 func TestNewsIsBoundedAndCostsNothingWithoutOrders(t *testing.T) {
 	var e Evacuations
-	e.Take(Reading{End: 100}, start)
-	if e.Asking() != 0 || e.Tell(0, start) != nil {
+	e.ApplySnapshot(OrderSnapshot{End: 100}, start)
+	if e.KnownEnd() != 0 || e.UpdateAfter(0, start) != nil {
 		t.Error("news is told where no zone was evacuated")
 	}
-	if news := e.Tell(50, start); news == nil || len(news.Orders) != 0 {
+	if news := e.UpdateAfter(50, start); news == nil || len(news.Orders) != 0 {
 		t.Errorf("one that asks for news that is older gets %+v", news)
 	}
-	reading := Reading{End: 200}
+	reading := OrderSnapshot{End: 200}
 	for i := range maxNewsOrders + 1 {
-		reading.Orders = append(reading.Orders, Order{Zone: fmt.Sprint("z", i), Offset: int64(i)})
+		reading.Orders = append(reading.Orders, EvacuationOrder{Zone: fmt.Sprint("z", i), Offset: int64(i)})
 	}
-	e.Take(reading, start)
-	if e.Tell(0, start) != nil {
+	e.ApplySnapshot(reading, start)
+	if e.UpdateAfter(0, start) != nil {
 		t.Error("a part of the orders is told: the others would count as taken back")
 	}
 	for i := range 10 {
 		at := start.Add(time.Duration(i) * returnMemory)
-		e.Take(Reading{End: int64(300 + 2*i), Orders: []Order{{Zone: fmt.Sprint("y", i)}}}, at)
-		e.Take(Reading{End: int64(301 + 2*i)}, at)
+		e.ApplySnapshot(OrderSnapshot{End: int64(300 + 2*i), Orders: []EvacuationOrder{{Zone: fmt.Sprint("y", i)}}}, at)
+		e.ApplySnapshot(OrderSnapshot{End: int64(301 + 2*i)}, at)
 	}
 	if remembered := slices.Collect(maps.Keys(e.load().returned)); len(remembered) != 1 {
 		t.Errorf("remembers the return of %v", remembered)
@@ -185,10 +185,10 @@
 func TestWholeReadingFollowsAPartialOne(t *testing.T) {
 	var e Evacuations
 	start := time.Now()
-	e.Take(Reading{End: 5, Orders: []Order{{Zone: "c", Offset: 4}}}, start)
-	e.Take(Reading{End: 9, Partial: true}, start)
-	changes := e.Take(Reading{End: 9}, start)
-	if _, evacuated := e.Since("c"); evacuated || len(changes) != 1 {
+	e.ApplySnapshot(OrderSnapshot{End: 5, Orders: []EvacuationOrder{{Zone: "c", Offset: 4}}}, start)
+	e.ApplySnapshot(OrderSnapshot{End: 9, Partial: true}, start)
+	changes := e.ApplySnapshot(OrderSnapshot{End: 9}, start)
+	if _, evacuated := e.EvacuatedSince("c"); evacuated || len(changes) != 1 {
 		t.Errorf("the zone that was taken back is evacuated: %v, changes %v", evacuated, changes)
 	}
 }
--- a/internal/zone/placement_test.go
+++ b/internal/zone/placement_test.go
@@ -18,8 +18,8 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for range daemons {
 		e := &Evacuations{}
-		e.Take(Reading{End: 1, Orders: []Order{{Zone: "c"}}}, start)
-		e.Take(Reading{End: 2}, start)
+		e.ApplySnapshot(OrderSnapshot{End: 1, Orders: []EvacuationOrder{{Zone: "c"}}}, start)
+		e.ApplySnapshot(OrderSnapshot{End: 2}, start)
 		scorers = append(scorers, ReturnScorer{Evacuations: e, Seed: random.Uint64()})
 	}
 	for _, after := range []time.Duration{0, returnTime / 4, returnTime / 2, returnTime} {
@@ -46,8 +46,8 @@
 // was taken back.
 func BenchmarkPlacement(b *testing.B) {
 	var e Evacuations
-	e.Take(Reading{End: 1, Orders: []Order{{Zone: "z1"}, {Zone: "z2"}}}, start)
-	e.Take(Reading{End: 2, Orders: []Order{{Zone: "z1"}}}, start)
+	e.ApplySnapshot(OrderSnapshot{End: 1, Orders: []EvacuationOrder{{Zone: "z1"}, {Zone: "z2"}}}, start)
+	e.ApplySnapshot(OrderSnapshot{End: 2, Orders: []EvacuationOrder{{Zone: "z1"}}}, start)
 	filter, scorer := EvacuationFilter{&e}, ReturnScorer{Evacuations: &e, Seed: 7}
 	var candidates []*instance.Instance
 	for i := range 50 {
--- a/internal/zone/probing.go
+++ b/internal/zone/probing.go
@@ -48,7 +48,7 @@
 	Connect []string
 	// ProbeStore: the store is to be called.
 	ProbeStore bool
-	Changes    []BeliefChange
+	Changes    []ReachabilityChange
 }
 
 func (p *Plan) addProbes(zone string, count int) {
@@ -60,7 +60,7 @@
 
 // Step takes what this daemon's requests tell of each zone, updates what is believed,
 // and returns what is to be probed.
-func (r *Reachability) Step(waiting map[string]Waiting, now time.Time) Plan {
+func (r *Reachability) Step(waiting map[string]UnresponsiveBackends, now time.Time) Plan {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var plan Plan
--- a/internal/zone/reach/messages.go
+++ b/internal/zone/reach/messages.go
@@ -12,7 +12,7 @@
 }
 
 // Finding tells that the sender has just found a zone cut off.
-type Finding struct {
+type CutOffReport struct {
 	Zone string `json:"z"`
 }
 
@@ -28,7 +28,7 @@
 func (*ProbeReply) MessageKind() peer.Kind { return "reach.answer" }
 
 // MessageKind implements peer.Message.
-func (*Finding) MessageKind() peer.Kind { return "reach.finding" }
+func (*CutOffReport) MessageKind() peer.Kind { return "reach.finding" }
 
 // MessageKind implements peer.Message.
 func (*Suspicion) MessageKind() peer.Kind { return "reach.suspicion" }
@@ -36,6 +36,6 @@
 func init() {
 	peer.Register(peer.ClassControl, &Probe{})
 	peer.Register(peer.ClassControl, &ProbeReply{})
-	peer.Register(peer.ClassControl, &Finding{})
+	peer.Register(peer.ClassControl, &CutOffReport{})
 	peer.Register(peer.ClassControl, &Suspicion{})
 }
--- a/internal/zone/reach/metrics.go
+++ b/internal/zone/reach/metrics.go
@@ -32,9 +32,9 @@
 	return m
 }
 
-func (m *Metrics) changed(change zone.BeliefChange) {
+func (m *Metrics) changed(change zone.ReachabilityChange) {
 	value := 0.0
-	if change.Cut {
+	if change.CutOff {
 		value = 1
 	}
 	if change.Zone == "" {
@@ -42,7 +42,7 @@
 		return
 	}
 	m.cut.WithLabelValues(change.Zone).Set(value)
-	if change.Cut {
+	if change.CutOff {
 		m.found.WithLabelValues(change.Zone).Inc()
 	}
 }
--- a/internal/zone/reach/watch.go
+++ b/internal/zone/reach/watch.go
@@ -39,10 +39,10 @@
 // Connections are the requests that this daemon has at back ends.
 type Connections interface {
 	// Waiting returns what they tell of each zone.
-	Waiting(now time.Time) map[string]zone.Waiting
+	UnresponsiveBackends(now time.Time) map[string]zone.UnresponsiveBackends
 	// Try connects to a back end of a zone and, if that can be done, takes note that the
 	// zone can be reached. It returns at once.
-	Try(zone string)
+	TryConnect(zone string)
 	// GiveUpSilent ends those that wait in vain in zones that are cut off.
 	GiveUpSilent(now time.Time)
 }
@@ -59,7 +59,7 @@
 	ProbeStore func(ctx context.Context) bool
 	// OnCut is told of each zone that is found cut off, and OnIsolated that this daemon
 	// is.
-	OnCut      func(zone string)
+	OnCutOff   func(zone string)
 	OnIsolated func()
 	Random     *rand.Rand
 	Logger     zerolog.Logger
@@ -67,7 +67,7 @@
 }
 
 // Watch keeps a daemon's belief which zones it is cut off from.
-type Watch struct {
+type Monitor struct {
 	Options
 	mutex sync.Mutex
 	// daemons are the addresses of the daemons of each zone, and probed those of them that
@@ -80,8 +80,8 @@
 }
 
 // New returns a watch, which subscribes to suspected members in the view.
-func New(options Options) *Watch {
-	w := &Watch{Options: options, daemons: map[string][]string{}, probed: map[string][]string{}}
+func New(options Options) *Monitor {
+	w := &Monitor{Options: options, daemons: map[string][]string{}, probed: map[string][]string{}}
 	w.View.Subscribe(func(member membership.Member) {
 		if member.State == membership.StateSuspect {
 			w.Reachability.Suspect(string(member.Daemon.Zone), time.Now())
@@ -91,7 +91,7 @@
 }
 
 // Run watches until ctx ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Monitor) Run(ctx context.Context) {
 	ticker := time.NewTicker(zone.StepInterval)
 	defer ticker.Stop()
 	for {
@@ -104,9 +104,9 @@
 	}
 }
 
-func (w *Watch) step(ctx context.Context, now time.Time) {
+func (w *Monitor) step(ctx context.Context, now time.Time) {
 	w.refreshDaemons(now)
-	plan := w.Reachability.Step(w.Connections.Waiting(now), now)
+	plan := w.Reachability.Step(w.Connections.UnresponsiveBackends(now), now)
 	for _, change := range plan.Changes {
 		w.applyChange(change)
 	}
@@ -117,43 +117,43 @@
 		w.notify(name, &Suspicion{Zone: name})
 	}
 	for _, name := range plan.Connect {
-		w.Connections.Try(name)
+		w.Connections.TryConnect(name)
 	}
 	if plan.ProbeStore {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 			defer cancel()
-			w.Reachability.StoreAsked(w.ProbeStore(ctx), now, time.Now())
+			w.Reachability.RecordStoreCall(w.ProbeStore(ctx), now, time.Now())
 		}()
 	}
 	w.Connections.GiveUpSilent(now)
 }
 
 // applyChange logs a change and passes it on.
-func (w *Watch) applyChange(change zone.BeliefChange) {
+func (w *Monitor) applyChange(change zone.ReachabilityChange) {
 	e := change.Evidence
-	line := w.Logger.Info().Str("zone", change.Zone).Dur("before", change.Lasted).Int("asked", e.Asked).
-		Int("silent", e.Silent).Dur("unanswered", e.Unanswered).Dur("unheard", e.Unheard).Bool("told", e.Told)
+	line := w.Logger.Info().Str("zone", change.Zone).Dur("before", change.Lasted).Int("asked", e.ProbedDaemons).
+		Int("silent", e.SilentBackends).Dur("unanswered", e.ProbesUnansweredFor).Dur("unheard", e.BackendsSilentFor).Bool("told", e.ReportedByPeer)
 	switch {
-	case change.Zone == "" && change.Cut:
+	case change.Zone == "" && change.CutOff:
 		line.Msg("Cut off from the store and most of the fleet.")
 		w.OnIsolated()
 	case change.Zone == "":
 		line.Msg("No longer cut off.")
-	case change.Cut:
+	case change.CutOff:
 		line.Msg("Zone cut off.")
 	default:
 		line.Msg("Zone reached again.")
 	}
 	w.Metrics.changed(change)
-	if change.Zone != "" && change.Cut {
-		w.OnCut(change.Zone)
-		w.notify(change.Zone, &Finding{Zone: change.Zone})
+	if change.Zone != "" && change.CutOff {
+		w.OnCutOff(change.Zone)
+		w.notify(change.Zone, &CutOffReport{Zone: change.Zone})
 	}
 }
 
 // refreshDaemons renews the lists of the zones in which nothing is suspected.
-func (w *Watch) refreshDaemons(now time.Time) {
+func (w *Monitor) refreshDaemons(now time.Time) {
 	every := refreshInterval
 	if !w.knowsAllZones {
 		every = firstRefreshInterval
@@ -172,27 +172,27 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for name, addresses := range found {
-		if w.Reachability.NoteDaemons(name, len(addresses)) {
+		if w.Reachability.SetDaemonCount(name, len(addresses)) {
 			w.daemons[name] = addresses
 		}
 	}
-	w.knowsAllZones = len(found) >= w.Reachability.Zones()
+	w.knowsAllZones = len(found) >= w.Reachability.ZoneCount()
 	for name := range w.daemons {
-		if found[name] == nil && w.Reachability.NoteDaemons(name, 0) {
+		if found[name] == nil && w.Reachability.SetDaemonCount(name, 0) {
 			delete(w.daemons, name)
 		}
 	}
 }
 
 // probe probes daemons of a zone, those first that were not probed lately.
-func (w *Watch) probe(name string, count int) {
+func (w *Monitor) probe(name string, count int) {
 	for _, address := range w.choose(name, count) {
 		w.Metrics.asked.Inc()
 		w.Transport.Send(structs.NewDaemonID(address, structs.AnyIncarnation), &Probe{})
 	}
 }
 
-func (w *Watch) choose(name string, count int) []string {
+func (w *Monitor) choose(name string, count int) []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var chosen []string
@@ -214,7 +214,7 @@
 }
 
 // unprobed are the other daemons of a zone that were not probed since all of them were.
-func (w *Watch) unprobed(name string) []string {
+func (w *Monitor) unprobed(name string) []string {
 	var left []string
 	for _, address := range w.daemons[name] {
 		if address != w.Self.Address() && !slices.Contains(w.probed[name], address) {
@@ -225,11 +225,11 @@
 }
 
 // notify sends a message about a zone to some daemons of other zones.
-func (w *Watch) notify(name string, message peer.Message) {
+func (w *Monitor) notify(name string, message peer.Message) {
 	var others []structs.DaemonID
 	for _, member := range w.View.Members() {
 		home := string(member.Daemon.Zone)
-		if member.Daemon.ID != w.Self && home != name && !w.Reachability.IsCut(home) {
+		if member.Daemon.ID != w.Self && home != name && !w.Reachability.IsCutOff(home) {
 			others = append(others, member.Daemon.ID)
 		}
 	}
@@ -239,14 +239,14 @@
 }
 
 // Receive takes a message that arrived; false means it is another part's.
-func (w *Watch) Receive(from structs.DaemonID, message peer.Message) bool {
+func (w *Monitor) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch message := message.(type) {
 	case *Probe:
 		w.Transport.Send(from, &ProbeReply{Zone: w.Zone})
 	case *ProbeReply:
-		w.Reachability.Answered(message.Zone, time.Now())
-	case *Finding:
-		w.Reachability.Told(message.Zone, 0, time.Now())
+		w.Reachability.RecordProbeReply(message.Zone, time.Now())
+	case *CutOffReport:
+		w.Reachability.RecordCutOffReport(message.Zone, 0, time.Now())
 	case *Suspicion:
 		w.Reachability.Suspect(message.Zone, time.Now())
 	default:
--- a/internal/zone/reach/watch_test.go
+++ b/internal/zone/reach/watch_test.go
@@ -31,7 +31,7 @@
 // all others, in one direction or both.
 type network struct {
 	mutex   sync.Mutex
-	watches map[string]*Watch
+	watches map[string]*Monitor
 	zoneOf  map[string]string
 	members []membership.Member
 	// lost tells whether what goes from one zone to another is lost.
@@ -92,8 +92,8 @@
 func (e *end) Subscribe(suspected func(m membership.Member)) { e.suspected = suspected }
 
 // Waiting plays requests at back ends that send something each moment, unless cut off.
-func (e *end) Waiting(now time.Time) map[string]zone.Waiting {
-	waiting := map[string]zone.Waiting{}
+func (e *end) UnresponsiveBackends(now time.Time) map[string]zone.UnresponsiveBackends {
+	waiting := map[string]zone.UnresponsiveBackends{}
 	if !e.busy {
 		return waiting
 	}
@@ -105,11 +105,11 @@
 		switch silent := now.Sub(e.silentSince[name]); {
 		case reached:
 			e.silentSince[name] = now
-			e.zones.Heard(name, now)
+			e.zones.RecordActivity(name, now)
 		case silent > 380*time.Millisecond:
-			waiting[name] = zone.Waiting{Overdue: 1, Silent: 1}
+			waiting[name] = zone.UnresponsiveBackends{Overdue: 1, Silent: 1}
 		case silent > 180*time.Millisecond:
-			waiting[name] = zone.Waiting{Overdue: 1}
+			waiting[name] = zone.UnresponsiveBackends{Overdue: 1}
 		}
 	}
 	return waiting
@@ -118,13 +118,13 @@
 func (e *end) GiveUpSilent(time.Time) {}
 
 // Try plays a back end that can be connected to unless its zone is cut off.
-func (e *end) Try(name string) {
+func (e *end) TryConnect(name string) {
 	e.n.mutex.Lock()
 	home := e.n.zoneOf[e.self]
 	lost := e.n.lost(home, name) || e.n.lost(name, home)
 	e.n.mutex.Unlock()
 	if !lost {
-		e.zones.Heard(name, time.Now())
+		e.zones.RecordActivity(name, time.Now())
 	}
 }
 
@@ -133,7 +133,7 @@
 // newFleet starts a fleet of which one daemon in three is busy.
 func newFleet(ctx context.Context) (*network, []*end) {
 	n := &network{
-		watches: map[string]*Watch{}, zoneOf: map[string]string{}, dead: map[string]bool{}, storeCut: map[string]bool{},
+		watches: map[string]*Monitor{}, zoneOf: map[string]string{}, dead: map[string]bool{}, storeCut: map[string]bool{},
 		lost: func(string, string) bool { return false },
 	}
 	regions := map[string]string{}
@@ -155,7 +155,7 @@
 	for i, e := range ends {
 		w := New(Options{
 			Self: structs.NewDaemonID(e.self, 1), Zone: n.zoneOf[e.self], Reachability: e.zones, Connections: e,
-			Transport: e, View: e, OnCut: func(string) { n.found.Add(1) }, OnIsolated: func() {}, Random: rand.New(rand.NewPCG(1, uint64(i))),
+			Transport: e, View: e, OnCutOff: func(string) { n.found.Add(1) }, OnIsolated: func() {}, Random: rand.New(rand.NewPCG(1, uint64(i))),
 			Logger: zerolog.Nop(), Metrics: NewMetrics(prometheus.NewRegistry()),
 			ProbeStore: func(asking context.Context) bool {
 				n.mutex.Lock()
@@ -210,7 +210,7 @@
 		time.Sleep(mostFind)
 		found := 0
 		for _, e := range ends {
-			if e.zones.IsCut("d") {
+			if e.zones.IsCutOff("d") {
 				found++
 			}
 		}
@@ -219,10 +219,10 @@
 		}
 		time.Sleep(time.Second - mostFind)
 		for _, e := range ends {
-			_, isolated := e.zones.Isolated()
+			_, isolated := e.zones.IsolatedSince()
 			inside := n.zoneOf[e.self] == "d"
-			if e.zones.IsCut("d") == inside || isolated != inside {
-				t.Errorf("%s in %s (busy: %v): cut off %v, isolated %v", e.self, n.zoneOf[e.self], e.busy, e.zones.IsCut("d"), isolated)
+			if e.zones.IsCutOff("d") == inside || isolated != inside {
+				t.Errorf("%s in %s (busy: %v): cut off %v, isolated %v", e.self, n.zoneOf[e.self], e.busy, e.zones.IsCutOff("d"), isolated)
 			}
 		}
 		t.Logf("%.1f messages a daemon in the first second of the cut", float64(n.sent.Load()-before)/float64(len(ends)))
@@ -230,7 +230,7 @@
 		n.heal()
 		time.Sleep(500 * time.Millisecond)
 		for _, e := range ends {
-			if _, isolated := e.zones.Isolated(); isolated || e.zones.IsCut("d") {
+			if _, isolated := e.zones.IsolatedSince(); isolated || e.zones.IsCutOff("d") {
 				t.Errorf("%s still takes something for cut off", e.self)
 			}
 		}
@@ -259,7 +259,7 @@
 		}
 		time.Sleep(900 * time.Millisecond)
 		for _, e := range young {
-			if _, isolated := e.zones.Isolated(); !isolated {
+			if _, isolated := e.zones.IsolatedSince(); !isolated {
 				t.Errorf("%s is ready still", e.self)
 			}
 		}
@@ -294,13 +294,13 @@
 				time.Sleep(1500 * time.Millisecond)
 				for _, e := range ends {
 					home := n.zoneOf[e.self]
-					_, isolated := e.zones.Isolated()
+					_, isolated := e.zones.IsolatedSince()
 					want := len(c.isolated) > 0 && (home == c.isolated[:1] || home == c.isolated[len(c.isolated)-1:])
 					if isolated != want {
 						t.Errorf("%s in %s: isolated %v", e.self, home, isolated)
 					}
-					if home == "a" && e.zones.IsCut("d") != c.cut {
-						t.Errorf("%s: d cut off %v", e.self, e.zones.IsCut("d"))
+					if home == "a" && e.zones.IsCutOff("d") != c.cut {
+						t.Errorf("%s: d cut off %v", e.self, e.zones.IsCutOff("d"))
 					}
 				}
 			})
@@ -322,9 +322,9 @@
 		}
 		time.Sleep(3 * time.Second)
 		for _, e := range ends {
-			_, isolated := e.zones.Isolated()
-			if n.zoneOf[e.self] != "d" && (isolated || e.zones.IsCut("d")) {
-				t.Errorf("%s: isolated %v, cut off %v", e.self, isolated, e.zones.IsCut("d"))
+			_, isolated := e.zones.IsolatedSince()
+			if n.zoneOf[e.self] != "d" && (isolated || e.zones.IsCutOff("d")) {
+				t.Errorf("%s: isolated %v, cut off %v", e.self, isolated, e.zones.IsCutOff("d"))
 			}
 		}
 		if found := n.found.Load(); found != 0 {
--- a/internal/zone/reachability.go
+++ b/internal/zone/reachability.go
@@ -10,7 +10,7 @@
 const RampTime = time.Second
 
 // Waiting is what a daemon's own requests tell of the back ends of a zone.
-type Waiting struct {
+type UnresponsiveBackends struct {
 	// Overdue back ends keep a request waiting for somewhat longer than they usually
 	// do, and Silent ones for much longer.
 	Overdue, Silent int
@@ -85,7 +85,7 @@
 	// suspectedAt is when there was last a reason to probe the zone, and reportedAt when
 	// another daemon found it cut off.
 	suspectedAt, reportedAt time.Time
-	waiting                 Waiting
+	waiting                 UnresponsiveBackends
 	// probingSince is since when daemons of the zone are being probed; zero if none is.
 	// probes counts the probes sent since then, and probedAt is when the latest was sent.
 	probingSince, probedAt time.Time
@@ -103,7 +103,7 @@
 
 // NewReachability returns the belief of a daemon that is cut off from no zone.
 func NewReachability(topology Topology) *Reachability {
-	r := &Reachability{own: topology.Own(), paths: map[string]*path{}}
+	r := &Reachability{own: topology.OwnZone(), paths: map[string]*path{}}
 	for _, name := range topology.Zones() {
 		r.paths[name] = &path{}
 		if name != r.own {
@@ -115,13 +115,13 @@
 }
 
 // IsCut tells whether this daemon is taken to be cut off from a zone.
-func (r *Reachability) IsCut(zone string) bool {
+func (r *Reachability) IsCutOff(zone string) bool {
 	return !r.beliefs.Load().zones[zone].cutSince.IsZero()
 }
 
 // Share is which part of its share of requests a zone is to get: 0 while it is cut
 // off, rising to 1 within RampTime after.
-func (r *Reachability) Share(zone string, now time.Time) float64 {
+func (r *Reachability) Weight(zone string, now time.Time) float64 {
 	known := r.beliefs.Load().zones[zone]
 	switch {
 	case !known.cutSince.IsZero():
@@ -134,13 +134,13 @@
 
 // Isolated tells since when this daemon takes itself to be cut off from the store
 // and most of the fleet; false if it does not.
-func (r *Reachability) Isolated() (since time.Time, isolated bool) {
+func (r *Reachability) IsolatedSince() (since time.Time, isolated bool) {
 	since = r.beliefs.Load().isolatedSince
 	return since, !since.IsZero()
 }
 
 // Zones returns how many zones there are, this daemon's own included.
-func (r *Reachability) Zones() int { return len(r.otherZones) + 1 }
+func (r *Reachability) ZoneCount() int { return len(r.otherZones) + 1 }
 
 // Changed returns a channel that is closed at the next change of a belief.
 func (r *Reachability) Changed() <-chan struct{} { return r.beliefs.Load().changed }
@@ -155,12 +155,12 @@
 }
 
 // Heard takes note that a back end of a zone sent something, or could be connected to.
-func (r *Reachability) Heard(zone string, now time.Time) {
+func (r *Reachability) RecordActivity(zone string, now time.Time) {
 	r.update(zone, func(p *path) { p.heardAt = now })
 }
 
 // Answered takes note that a daemon of a zone answered a probe.
-func (r *Reachability) Answered(zone string, now time.Time) {
+func (r *Reachability) RecordProbeReply(zone string, now time.Time) {
 	r.update(zone, func(p *path) { p.answeredAt = now })
 }
 
@@ -173,12 +173,12 @@
 // Told takes another daemon's word of some age that a zone is cut off. It
 // stands for the silence of the back ends there, not for that of the daemons: this
 // daemon probes these itself.
-func (r *Reachability) Told(zone string, age time.Duration, now time.Time) {
+func (r *Reachability) RecordCutOffReport(zone string, age time.Duration, now time.Time) {
 	r.update(zone, func(p *path) { p.reportedAt = now.Add(-age) })
 }
 
 // StoreAsked takes the outcome of a call to the store that began at a time.
-func (r *Reachability) StoreAsked(answered bool, began, now time.Time) {
+func (r *Reachability) RecordStoreCall(answered bool, began, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if answered {
@@ -191,7 +191,7 @@
 // NoteDaemons sets how many daemons a zone has, and tells whether the number was taken:
 // that of a zone that is being probed may only grow, as its daemons may be taken for
 // dead by now.
-func (r *Reachability) NoteDaemons(zone string, count int) bool {
+func (r *Reachability) SetDaemonCount(zone string, count int) bool {
 	taken := false
 	r.update(zone, func(p *path) {
 		if taken = p.probingSince.IsZero() || count > p.daemons; taken {
--- a/internal/zone/reachability_test.go
+++ b/internal/zone/reachability_test.go
@@ -28,7 +28,7 @@
 	asked map[string]int
 	// questions counts all.
 	questions int
-	changes   []BeliefChange
+	changes   []ReachabilityChange
 }
 
 const daemonsEach = 19
@@ -47,7 +47,7 @@
 	}
 	for _, name := range zoneNames {
 		f.answering[name], f.sending[name], f.instances[name] = daemonsEach, true, 1
-		f.r.NoteDaemons(name, daemonsEach)
+		f.r.SetDaemonCount(name, daemonsEach)
 	}
 	f.run(time.Second)
 	return f
@@ -79,19 +79,19 @@
 )
 
 func (f *fleet) step() {
-	waiting := map[string]Waiting{}
+	waiting := map[string]UnresponsiveBackends{}
 	for _, name := range zoneNames {
 		if f.sending[name] {
 			delete(f.silentSince, name)
-			f.r.Heard(name, f.now)
-			waiting[name] = Waiting{Overdue: f.hanging[name], Silent: f.hanging[name]}
+			f.r.RecordActivity(name, f.now)
+			waiting[name] = UnresponsiveBackends{Overdue: f.hanging[name], Silent: f.hanging[name]}
 			continue
 		}
 		if f.silentSince[name].IsZero() {
 			f.silentSince[name] = f.now
 		}
 		length := f.now.Sub(f.silentSince[name])
-		w := Waiting{}
+		w := UnresponsiveBackends{}
 		if length >= overdueAfter {
 			w.Overdue = f.instances[name]
 		}
@@ -106,26 +106,26 @@
 		f.asked[name] += count
 		// Those that died are asked first: the worst case.
 		if count > 0 && f.answering[name] > 0 && f.asked[name] > daemonsEach-f.answering[name] {
-			f.r.Answered(name, f.now.Add(5*time.Millisecond))
+			f.r.RecordProbeReply(name, f.now.Add(5*time.Millisecond))
 			f.asked[name] = 0
 		}
 	}
 	if plan.ProbeStore {
-		f.r.StoreAsked(f.storeUp, f.now, f.now.Add(10*time.Millisecond))
+		f.r.RecordStoreCall(f.storeUp, f.now, f.now.Add(10*time.Millisecond))
 	}
 	f.changes = append(f.changes, plan.Changes...)
 }
 
 // isolated tells whether the daemon takes itself to be cut off.
 func (f *fleet) isolated() bool {
-	_, isolated := f.r.Isolated()
+	_, isolated := f.r.IsolatedSince()
 	return isolated
 }
 
 func (f *fleet) cut() []string {
 	var cut []string
 	for _, name := range zoneNames {
-		if f.r.IsCut(name) {
+		if f.r.IsCutOff(name) {
 			cut = append(cut, name)
 		}
 	}
@@ -139,7 +139,7 @@
 	if got := f.cut(); len(got) != 1 || got[0] != "d" {
 		t.Fatalf("cut off after 0.6 s: %v", got)
 	}
-	if f.r.Share("d", f.now) != 0 || f.r.Share("b", f.now) != 1 {
+	if f.r.Weight("d", f.now) != 0 || f.r.Weight("b", f.now) != 1 {
 		t.Error("shares do not follow")
 	}
 	f.run(5 * time.Second)
@@ -151,11 +151,11 @@
 	if len(f.cut()) != 0 {
 		t.Fatal("still cut off 0.3 s after the end")
 	}
-	if share := f.r.Share("d", f.now); share <= 0 || share >= 1 {
+	if share := f.r.Weight("d", f.now); share <= 0 || share >= 1 {
 		t.Errorf("share %v on the ramp", share)
 	}
 	f.run(RampTime)
-	if f.r.Share("d", f.now) != 1 {
+	if f.r.Weight("d", f.now) != 1 {
 		t.Error("the ramp does not end")
 	}
 }
@@ -165,13 +165,13 @@
 	f.instances["d"] = 0 // it has no request there
 	f.silence("d")
 	f.run(300 * time.Millisecond)
-	f.r.Told("d", 0, f.now)
+	f.r.RecordCutOffReport("d", 0, f.now)
 	f.run(350 * time.Millisecond)
-	if !f.r.IsCut("d") {
+	if !f.r.IsCutOff("d") {
 		t.Error("not believed")
 	}
 	g := newFleet("a")
-	g.r.Told("d", 0, g.now)
+	g.r.RecordCutOffReport("d", 0, g.now)
 	g.run(2 * time.Second)
 	if len(g.changes) != 0 {
 		t.Errorf("believed of a zone whose daemons answer: %+v", g.changes)
@@ -282,7 +282,7 @@
 	f := newFleet("d")
 	f.silence("a") // one zone of four is cut off, too
 	for range 60 {
-		f.r.StoreAsked(false, f.now, f.now)
+		f.r.RecordStoreCall(false, f.now, f.now)
 		f.run(StepInterval)
 		if f.isolated() {
 			t.Fatal("an outage of the store for all is taken for a cut of this daemon")
@@ -307,10 +307,10 @@
 // whose answers wait at its door.
 func TestPausedDaemonMissesNobody(t *testing.T) {
 	f := newFleet("a")
-	waiting := map[string]Waiting{"b": {Overdue: 5, Silent: 5}}
+	waiting := map[string]UnresponsiveBackends{"b": {Overdue: 5, Silent: 5}}
 	f.r.Step(waiting, f.now)
 	f.now = f.now.Add(2 * probeTimeout)
-	f.r.Answered("c", f.now) // the first of them was read
+	f.r.RecordProbeReply("c", f.now) // the first of them was read
 	if plan := f.r.Step(waiting, f.now); len(plan.Changes) != 0 {
 		t.Errorf("changes: %+v", plan.Changes)
 	}
@@ -328,11 +328,11 @@
 
 func TestOneZoneAloneIsNeverCutOff(t *testing.T) {
 	r := NewReachability(NewTopology("z", "r", nil))
-	r.NoteDaemons("z", daemonsEach)
+	r.SetDaemonCount("z", daemonsEach)
 	for step := range 100 {
 		now := begin.Add(time.Duration(step) * StepInterval)
-		r.StoreAsked(false, now, now)
-		if plan := r.Step(map[string]Waiting{"z": {Overdue: 3, Silent: 3}}, now); len(plan.Changes) != 0 || plan.Probe != nil || plan.ProbeStore {
+		r.RecordStoreCall(false, now, now)
+		if plan := r.Step(map[string]UnresponsiveBackends{"z": {Overdue: 3, Silent: 3}}, now); len(plan.Changes) != 0 || plan.Probe != nil || plan.ProbeStore {
 			t.Fatalf("plan: %+v", plan)
 		}
 	}
@@ -341,12 +341,12 @@
 func TestNobodyIsMissedAtTheStart(t *testing.T) {
 	regions := map[string]string{"a": "r", "b": "r"}
 	r := NewReachability(NewTopology("a", "r", regions))
-	r.NoteDaemons("a", 1)
+	r.SetDaemonCount("a", 1)
 	for step := range 100 {
 		now := begin.Add(time.Duration(step) * StepInterval)
 		r.Suspect("b", now)
-		r.StoreAsked(false, now, now)
-		if plan := r.Step(map[string]Waiting{"b": {Overdue: 1, Silent: 1}}, now); len(plan.Changes) != 0 {
+		r.RecordStoreCall(false, now, now)
+		if plan := r.Step(map[string]UnresponsiveBackends{"b": {Overdue: 1, Silent: 1}}, now); len(plan.Changes) != 0 {
 			t.Fatalf("changes: %+v", plan.Changes)
 		}
 	}
@@ -372,16 +372,16 @@
 	f.run(time.Second)
 	tries := 0
 	for range 60 {
-		for _, name := range f.r.Step(map[string]Waiting{}, f.now).Connect {
+		for _, name := range f.r.Step(map[string]UnresponsiveBackends{}, f.now).Connect {
 			tries++
 			if tries == 3 {
-				f.r.Heard(name, f.now.Add(1))
+				f.r.RecordActivity(name, f.now.Add(1))
 			}
 		}
 		f.now = f.now.Add(StepInterval)
 	}
-	if tries != 3 || f.r.IsCut("d") {
-		t.Errorf("%d tries, cut off %v", tries, f.r.IsCut("d"))
+	if tries != 3 || f.r.IsCutOff("d") {
+		t.Errorf("%d tries, cut off %v", tries, f.r.IsCutOff("d"))
 	}
 }
 
@@ -395,22 +395,22 @@
 	}
 	r, now := NewReachability(NewTopology("a", "r", regions)), begin
 	for _, name := range names {
-		r.NoteDaemons(name, 38)
+		r.SetDaemonCount(name, 38)
 	}
 	for range 10 {
-		r.Step(map[string]Waiting{"d": {Overdue: 2, Silent: 2}}, now)
-		r.Answered("b", now.Add(1))
+		r.Step(map[string]UnresponsiveBackends{"d": {Overdue: 2, Silent: 2}}, now)
+		r.RecordProbeReply("b", now.Add(1))
 		now = now.Add(StepInterval)
 	}
-	if !r.IsCut("d") {
+	if !r.IsCutOff("d") {
 		b.Fatal("not cut off")
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		for i := range 50 {
 			name := names[i%len(names)]
-			if !r.IsCut(name) {
-				r.Share(name, now)
+			if !r.IsCutOff(name) {
+				r.Weight(name, now)
 			}
 		}
 	}
--- a/internal/zone/topology.go
+++ b/internal/zone/topology.go
@@ -59,7 +59,7 @@
 }
 
 // Own returns the daemon's own zone.
-func (t Topology) Own() string { return t.own }
+func (t Topology) OwnZone() string { return t.own }
 
 // OwnRegion returns the daemon's own region.
 func (t Topology) OwnRegion() string { return t.region }
