--- a/cmd/mintpulley-relay/trace.go
+++ b/cmd/mintpulley-relay/trace.go
@@ -25,7 +25,7 @@
 			if len(arguments) == 0 {
 				return errNoID
 			}
-			story := tracelog.NewStory(arguments[0])
+			story := tracelog.NewTrace(arguments[0])
 			if err := readLogs(story, arguments[1:]); err != nil {
 				return err
 			}
@@ -34,7 +34,7 @@
 	}
 }
 
-func readLogs(story *tracelog.Story, paths []string) error {
+func readLogs(story *tracelog.Trace, paths []string) error {
 	if len(paths) == 0 {
 		return story.Read(os.Stdin)
 	}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -33,11 +33,11 @@
 	// known.
 	ShardMoving Kind = iota
 	// StoreOut: the store answers nobody.
-	StoreOut
+	StoreUnavailable
 	// ServiceFull: all instances of a service refuse requests, as they are full.
 	ServiceFull
 	// ServiceGone: no instance of a service is known.
-	ServiceGone
+	NoInstances
 	// ServiceEvacuated: all instances of a service are in zones that the operators
 	// evacuated.
 	ServiceEvacuated
@@ -51,11 +51,11 @@
 	switch k {
 	case ShardMoving:
 		return "shard_moving"
-	case StoreOut:
+	case StoreUnavailable:
 		return "store_out"
 	case ServiceFull:
 		return "service_full"
-	case ServiceGone:
+	case NoInstances:
 		return "service_gone"
 	case ServiceEvacuated:
 		return "service_evacuated"
@@ -71,11 +71,11 @@
 	// A claim and the reading of a small shard, after a silence of 0.3 s (ledger).
 	ShardMoving: 300 * time.Millisecond,
 	// What it takes to notice that the store is out (store/proxy, ledger).
-	StoreOut: 700 * time.Millisecond,
+	StoreUnavailable: 700 * time.Millisecond,
 	// A few requests of some tens of milliseconds that end and make places free.
 	ServiceFull: 50 * time.Millisecond,
 	// A heartbeat of an instance that is starting.
-	ServiceGone: time.Second,
+	NoInstances: time.Second,
 	// What it takes to empty a zone: the operators' usual bound on that.
 	ServiceEvacuated: 5 * time.Second,
 	// One reading of the routes on a small machine that starts beside others.
@@ -100,7 +100,7 @@
 )
 
 // Admission forecasts and decides. The zero value is ready.
-type Admission struct {
+type Controller struct {
 	mutex   sync.Mutex
 	learned [kinds]learned
 }
@@ -113,49 +113,49 @@
 }
 
 // Wait is a request that is held up.
-type Wait struct {
+type HeldUpRequest struct {
 	Kind Kind
 	// Since is when the condition began, as far as is known.
 	Since time.Time
 	// Worthless is when being served stops to count for the caller: the end of its
 	// time or patience, less what serving takes.
-	Worthless time.Time
+	LatestStart time.Time
 }
 
 // Decision is what becomes of a request that is held up.
 type Decision struct {
 	// Until is the moment to which the request waits; it is refused then. One that
 	// is past is refused at once.
-	Until time.Time
+	WaitUntil time.Time
 	// Chance is the probability that it is served in time if it waits on now.
-	Chance float64
+	SuccessProbability float64
 	// Remaining is how long the condition lasts on from now, with even odds.
-	Remaining time.Duration
+	MedianRemaining time.Duration
 }
 
 // Waits tells whether the request is to wait at a time.
-func (d Decision) Waits(now time.Time) bool { return now.Before(d.Until) }
+func (d Decision) ShouldWait(now time.Time) bool { return now.Before(d.WaitUntil) }
 
 // Decide forecasts a condition's end at a time and decides.
-func (a *Admission) Decide(wait Wait, now time.Time) Decision {
+func (a *Controller) Decide(wait HeldUpRequest, now time.Time) Decision {
 	scale, shape := scales[wait.Kind].Seconds(), a.shape(wait.Kind)
 	lasted := max(now.Sub(wait.Since), 0).Seconds()
-	left := wait.Worthless.Sub(now).Seconds()
+	left := wait.LatestStart.Sub(now).Seconds()
 	// factor times (scale + lasted) is what a condition lasts on with even odds.
 	factor := math.Pow(1-evenOdds, -1/shape) - 1
-	decision := Decision{Remaining: seconds(factor * (scale + lasted))}
+	decision := Decision{MedianRemaining: seconds(factor * (scale + lasted))}
 	if left <= 0 {
-		decision.Until = now
+		decision.WaitUntil = now
 		return decision
 	}
-	decision.Chance = 1 - math.Pow((scale+lasted)/(scale+lasted+left), shape)
+	decision.SuccessProbability = 1 - math.Pow((scale+lasted)/(scale+lasted+left), shape)
 	// The odds are even when left-x = factor*(scale+lasted+x).
-	decision.Until = now.Add(seconds((left - factor*(scale+lasted)) / (1 + factor)))
+	decision.WaitUntil = now.Add(seconds((left - factor*(scale+lasted)) / (1 + factor)))
 	return decision
 }
 
 // Ended takes note of how long a condition lasted that ended.
-func (a *Admission) Ended(kind Kind, lasted time.Duration) {
+func (a *Controller) ObserveDuration(kind Kind, lasted time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	l := &a.learned[kind]
@@ -168,7 +168,7 @@
 }
 
 // shape is the maximum likelihood of a kind's shape, with what was believed before.
-func (a *Admission) shape(kind Kind) float64 {
+func (a *Controller) shape(kind Kind) float64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	l := a.learned[kind]
--- a/internal/ledger/append_history_test.go
+++ b/internal/ledger/append_history_test.go
@@ -122,7 +122,7 @@
 		asked := time.Now()
 		_, err := s.Begin(t.Context(), Turn{ID: "kept", Program: "p", Retention: time.Minute, MostTokens: 10, BudgetTokens: 10_000})
 		var heldUp *HeldUpError
-		if !errors.As(err, &heldUp) || heldUp.Kind != admission.StoreOut || time.Since(asked) > 100*time.Millisecond {
+		if !errors.As(err, &heldUp) || heldUp.Kind != admission.StoreUnavailable || time.Since(asked) > 100*time.Millisecond {
 			t.Errorf("after %s: %v", time.Since(asked), err)
 		}
 		if _, err := s.Begin(t.Context(), Turn{ID: "not-kept", Program: "p", MostTokens: 10, BudgetTokens: 10_000}); err != nil {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -35,7 +35,7 @@
 // reached, and since when.
 type HeldUpError struct {
 	Shard int
-	// Kind is ShardMoving, or StoreOut: then the error is ErrStoreUnreachable, too.
+	// Kind is ShardMoving, or StoreUnavailable: then the error is ErrStoreUnreachable, too.
 	Kind  admission.Kind
 	Since time.Time
 	// last is the last answer.
@@ -49,7 +49,7 @@
 
 // Unwrap returns ErrStoreUnreachable or ErrUnavailable.
 func (e *HeldUpError) Unwrap() error {
-	if e.Kind == admission.StoreOut {
+	if e.Kind == admission.StoreUnavailable {
 		return ErrStoreUnreachable
 	}
 	return ErrUnavailable
--- a/internal/ledger/options.go
+++ b/internal/ledger/options.go
@@ -44,7 +44,7 @@
 	// holder of each: it would take them all.
 	SettleTime time.Duration
 	// Admission decides how long a turn waits to begin; nil for one of its own.
-	Admission *admission.Admission
+	Admission *admission.Controller
 	// Expected returns how many daemons are on record, this one included, 0 if
 	// that is not known: one that heard of most of them settles early.
 	Expected func() int
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -51,7 +51,7 @@
 		capacity: newStoreCapacity(options),
 	}
 	if s.Admission == nil {
-		s.Admission = &admission.Admission{}
+		s.Admission = &admission.Controller{}
 	}
 	contact := options.Contact
 	if contact == nil {
--- a/internal/ledger/trouble.go
+++ b/internal/ledger/trouble.go
@@ -36,7 +36,7 @@
 	if since.Before(known.since) {
 		known.since = since
 	}
-	if kind == admission.StoreOut {
+	if kind == admission.StoreUnavailable {
 		known.kind = kind // what moves the shard is the outage
 	}
 	known.seenAt = now
@@ -64,14 +64,14 @@
 		return
 	}
 	if ended, seen := s.troubles.end(shard, now); seen {
-		s.Admission.Ended(ended.kind, now.Sub(ended.since))
+		s.Admission.ObserveDuration(ended.kind, now.Sub(ended.since))
 	}
 }
 
 // trouble is what an answer that is not final tells of its shard.
 func (r result) trouble() admission.Kind {
 	if r == resultImpaired || r == resultFull {
-		return admission.StoreOut
+		return admission.StoreUnavailable
 	}
 	return admission.ShardMoving
 }
@@ -86,7 +86,7 @@
 // hopeUntil is how long an asker waits on for a holder that waits for the store: an
 // answer after worthless is of no use to it.
 func (s *Service) hopeUntil(shard int, outFor time.Duration, worthless, now time.Time) time.Time {
-	since := s.troubles.note(shard, admission.StoreOut, now.Add(-outFor), now)
-	wait := admission.Wait{Kind: admission.StoreOut, Since: since, Worthless: worthless}
-	return s.Admission.Decide(wait, now).Until
+	since := s.troubles.note(shard, admission.StoreUnavailable, now.Add(-outFor), now)
+	wait := admission.HeldUpRequest{Kind: admission.StoreUnavailable, Since: since, LatestStart: worthless}
+	return s.Admission.Decide(wait, now).WaitUntil
 }
--- a/internal/ledger/trouble_test.go
+++ b/internal/ledger/trouble_test.go
@@ -27,5 +27,5 @@
 // outageForecast is how long an outage that begins now is expected to last.
 func outageForecast(s *Service) time.Duration {
 	now := time.Now()
-	return s.Admission.Decide(admission.Wait{Kind: admission.StoreOut, Since: now, Worthless: now}, now).Remaining
+	return s.Admission.Decide(admission.HeldUpRequest{Kind: admission.StoreUnavailable, Since: now, LatestStart: now}, now).MedianRemaining
 }
--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -51,7 +51,7 @@
 // decide forecasts the end of what holds the call up, and takes note of it for the
 // line that tells what became of the call.
 func (c *carrier) decide(kind admission.Kind, since, now time.Time) admission.Decision {
-	c.heldUp = admission.Wait{Kind: kind, Since: since, Worthless: c.worthless()}
+	c.heldUp = admission.HeldUpRequest{Kind: kind, Since: since, LatestStart: c.worthless()}
 	c.forecast = c.relay.Admission.Decide(c.heldUp, now)
 	return c.forecast
 }
@@ -64,7 +64,7 @@
 	}
 	kind := admission.ShardMoving
 	if errors.Is(err, ledger.ErrStoreUnreachable) || errors.Is(err, errTooMuchWaits) {
-		kind = admission.StoreOut
+		kind = admission.StoreUnavailable
 	}
 	return c.decide(kind, started, now)
 }
@@ -73,7 +73,7 @@
 // it up is over with even odds, the urgent first.
 func (c *carrier) returnAfter() time.Duration {
 	rank := (float64(c.urgency(nil)) + rand.Float64()) / (leastUrgency + 1)
-	return time.Duration(float64(c.forecast.Remaining) * (1 + returnSpread*rank))
+	return time.Duration(float64(c.forecast.MedianRemaining) * (1 + returnSpread*rank))
 }
 
 // noteForecast counts what became of a call that was held up.
@@ -90,13 +90,13 @@
 	now := time.Now()
 	decision := c.decideTurn(err, started, now)
 	_, isolated := c.relay.monitor.isolatedSince()
-	if isolated || !decision.Waits(now) {
+	if isolated || !decision.ShouldWait(now) {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(min(beginPause, decision.Until.Sub(now))):
+	case <-time.After(min(beginPause, decision.WaitUntil.Sub(now))):
 		return true
 	}
 }
--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -23,14 +23,14 @@
 func TestTurnIsRefusedAtOnceIfItsOutageOutlastsItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
-		h.ledger.err = heldUp(admission.StoreOut, 5*time.Second)
+		h.ledger.err = heldUp(admission.StoreUnavailable, 5*time.Second)
 		call := newTurn(newRoute(route.KindStream))
 		call.Deadline = call.Received.Add(3 * time.Second)
 		got := h.serve(call)
 		if held := time.Since(call.Received); held > 0 {
 			t.Errorf("held for %s", held)
 		}
-		if got.refusal == nil || got.refusal.Reason != ReasonLedger || got.refusal.RetryAfter < 5*time.Second {
+		if got.refusal == nil || got.refusal.Reason != ReasonLedgerUnavailable || got.refusal.RetryAfter < 5*time.Second {
 			t.Errorf("refused with %+v: an outage of five seconds lasts on for as long, with even odds", got.refusal)
 		}
 		if len(h.ledger.abandoned) != 1 {
@@ -63,13 +63,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		began := time.Now()
-		h.ledger.err = &ledger.HeldUpError{Kind: admission.StoreOut, Since: began}
+		h.ledger.err = &ledger.HeldUpError{Kind: admission.StoreUnavailable, Since: began}
 		call := newTurn(newRoute(route.KindStream))
 		call.Deadline = call.Received.Add(6 * time.Second)
-		decision := h.relay.Admission.Decide(admission.Wait{Kind: admission.StoreOut, Since: began, Worthless: call.Deadline}, began)
+		decision := h.relay.Admission.Decide(admission.HeldUpRequest{Kind: admission.StoreUnavailable, Since: began, LatestStart: call.Deadline}, began)
 		got := h.serve(call)
-		if got.refusal == nil || !time.Now().Equal(decision.Until) {
-			t.Errorf("refused with %+v after %s, want %s", got.refusal, time.Since(began), decision.Until.Sub(began))
+		if got.refusal == nil || !time.Now().Equal(decision.WaitUntil) {
+			t.Errorf("refused with %+v after %s, want %s", got.refusal, time.Since(began), decision.WaitUntil.Sub(began))
 		}
 	})
 }
@@ -90,7 +90,7 @@
 func TestCallerThatLeavesSoonIsNotHeldUntilThen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
-		h.ledger.err = heldUp(admission.StoreOut, 2*time.Second)
+		h.ledger.err = heldUp(admission.StoreUnavailable, 2*time.Second)
 		call := newTurn(newRoute(route.KindStream))
 		call.Deadline = call.Received.Add(time.Minute)
 		call.Patience = 2 * time.Second
@@ -105,7 +105,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		returns := func(priority int) time.Duration {
 			h := newHarness(t, step{body: eventOne})
-			h.ledger.err = heldUp(admission.StoreOut, 4*time.Second)
+			h.ledger.err = heldUp(admission.StoreUnavailable, 4*time.Second)
 			call := newTurn(newRoute(route.KindStream))
 			call.Route.Priority = priority
 			call.Deadline = call.Received.Add(time.Second)
@@ -162,7 +162,7 @@
 		h := newHarness(t, step{body: eventOne})
 		lines := &bytes.Buffer{}
 		h.relay.Logger = zerolog.New(lines)
-		h.ledger.err = heldUp(admission.StoreOut, 4*time.Second)
+		h.ledger.err = heldUp(admission.StoreUnavailable, 4*time.Second)
 		call := newTurn(newRoute(route.KindStream))
 		call.Deadline = call.Received.Add(time.Second)
 		h.relay.Serve(context.Background(), call, &recorder{})
@@ -177,7 +177,7 @@
 		time.AfterFunc(400*time.Millisecond, func() { h.ledger.setError(nil) })
 		h.serve(newTurn(newRoute(route.KindStream)))
 		h.serve(newTurn(newRoute(route.KindStream))) // not held up
-		h.ledger.setError(heldUp(admission.StoreOut, time.Hour))
+		h.ledger.setError(heldUp(admission.StoreUnavailable, time.Hour))
 		h.serve(newTurn(newRoute(route.KindStream)))
 		count := func(by admission.Kind, outcome string) float64 {
 			written := &dto.Metric{}
@@ -186,10 +186,10 @@
 			}
 			return written.GetCounter().GetValue()
 		}
-		if served, refused := count(admission.ShardMoving, heldUpServed), count(admission.StoreOut, heldUpRefused); served != 1 || refused != 1 {
+		if served, refused := count(admission.ShardMoving, heldUpServed), count(admission.StoreUnavailable, heldUpRefused); served != 1 || refused != 1 {
 			t.Errorf("%v served, %v refused", served, refused)
 		}
-		if others := count(admission.ShardMoving, heldUpRefused) + count(admission.StoreOut, heldUpServed); others != 0 {
+		if others := count(admission.ShardMoving, heldUpRefused) + count(admission.StoreUnavailable, heldUpServed); others != 0 {
 			t.Errorf("%v counted as what they were not", others)
 		}
 	})
--- a/internal/relay/bound_test.go
+++ b/internal/relay/bound_test.go
@@ -25,7 +25,7 @@
 	h.relay.Logger = zerolog.New(lines)
 	ctx, cancel := context.WithCancelCause(h.t.Context())
 	defer cancel(nil)
-	time.AfterFunc(stopAfter, func() { cancel(ErrStopBound) })
+	time.AfterFunc(stopAfter, func() { cancel(ErrShutdownDeadline) })
 	got := &recorder{}
 	h.relay.Serve(ctx, call, got)
 	h.relay.Wait(context.Background())
@@ -81,7 +81,7 @@
 		if !got.aborted {
 			t.Error("an answer without a record was ended as complete")
 		}
-		expectParts(t, lines, `"request":"q"`, `"waited":1000`, ErrStopBound.Error())
+		expectParts(t, lines, `"request":"q"`, `"waited":1000`, ErrShutdownDeadline.Error())
 	})
 }
 
@@ -103,8 +103,8 @@
 	bound, reach := context.WithCancel(h.t.Context())
 	defer reach()
 	time.AfterFunc(stopAfter, reach)
-	time.AfterFunc(stopAfter+cutAfter, func() { cut(ErrStopBound) })
-	ctx, cancel := WithStopBound(caller, bound)
+	time.AfterFunc(stopAfter+cutAfter, func() { cut(ErrShutdownDeadline) })
+	ctx, cancel := WithShutdownDeadline(caller, bound)
 	defer cancel()
 	got := &recorder{}
 	h.relay.Serve(ctx, call, got)
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -41,7 +41,7 @@
 	// ResumeAfter is the last event that the caller has of a broken stream.
 	ResumeAfter string
 	// MostTokens is the most that an answer generates, 0 if not told.
-	MostTokens int64
+	MaxTokens int64
 	// Tenant is whose request it is, nil where there are no tenants.
 	Tenant *tenant.Tenant
 	// Program tells of the program that the request is a turn or a tool call
@@ -111,9 +111,9 @@
 	ReasonNoRegion    Reason = "no_region"
 	ReasonRegionEmpty Reason = "region_empty"
 	// ReasonEvacuated: operators evacuated the zones of all instances that could serve.
-	ReasonEvacuated Reason = "evacuated"
-	ReasonFull      Reason = "full"
-	ReasonLedger    Reason = "ledger_unavailable"
+	ReasonEvacuated         Reason = "evacuated"
+	ReasonFull              Reason = "full"
+	ReasonLedgerUnavailable Reason = "ledger_unavailable"
 	// ReasonStoreCrowded: the store has no room for what the program would leave behind.
 	ReasonStoreCrowded Reason = "store_crowded"
 	ReasonStarting     Reason = "starting"
@@ -162,7 +162,7 @@
 }
 
 // Outgoing is a call on its way to one instance.
-type Outgoing struct {
+type OutgoingCall struct {
 	*Call
 	// Body replaces the call's own.
 	Body []byte
@@ -190,14 +190,14 @@
 	// instance says so only if NotRun is set, too.
 	StatusMeansNotRun bool
 	// OtherInstance: another instance has the address by now.
-	OtherInstance bool
+	Misdirected bool
 }
 
 // Driver carries calls to instances in their protocol. Errors wrap
 // httpconn.ErrNotSent if no byte left this machine; after any other error the
 // request may have run.
 type Driver interface {
-	Send(ctx context.Context, to instance.Instance, outgoing *Outgoing) (*Answer, error)
+	Send(ctx context.Context, to instance.Instance, outgoing *OutgoingCall) (*Answer, error)
 	// Connect opens a connection to an instance, which a later request may use. The
 	// error wraps httpconn.ErrNoConnection if there may be no further one.
 	Connect(ctx context.Context, to instance.Instance, connections int) error
--- a/internal/relay/carrier.go
+++ b/internal/relay/carrier.go
@@ -49,7 +49,7 @@
 	// bytes are what is sent along with the call.
 	bytes int
 	// heldUp is what held the call up last, and forecast what was expected of it.
-	heldUp   admission.Wait
+	heldUp   admission.HeldUpRequest
 	forecast admission.Decision
 	quota    quotaState
 }
@@ -69,7 +69,7 @@
 
 // offer sends the call to one instance after another until one takes it. A nil
 // answer means that the call is over: refused, or its caller left.
-func (c *carrier) offer(ctx context.Context, outgoing Outgoing) (*Answer, instance.Instance) {
+func (c *carrier) offer(ctx context.Context, outgoing OutgoingCall) (*Answer, instance.Instance) {
 	c.bytes = max(len(outgoing.Body), len(c.call.Body))
 	if c.offers == 0 {
 		c.offeredBefore = c.relay.offered.of(c.service)
@@ -92,7 +92,7 @@
 		}
 		answer, err := c.send(ctx, target, outgoing)
 		c.relay.offered.note(c.service, err == nil && !answer.NotRun)
-		if err == nil && !answer.NotRun && !answer.OtherInstance {
+		if err == nil && !answer.NotRun && !answer.Misdirected {
 			c.noteRun(target)
 			c.noteTaken()
 			return answer, target
@@ -141,7 +141,7 @@
 	return c.call.Object
 }
 
-func (c *carrier) send(ctx context.Context, target instance.Instance, outgoing Outgoing) (*Answer, error) {
+func (c *carrier) send(ctx context.Context, target instance.Instance, outgoing OutgoingCall) (*Answer, error) {
 	c.offers++
 	c.noteBeliefs()
 	now := time.Now()
@@ -234,7 +234,7 @@
 // noteTaken takes note that the call's service takes requests.
 func (c *carrier) noteTaken() {
 	if lasted, ended := c.relay.full.end(c.service, c.latest.beganAt); ended {
-		c.relay.Admission.Ended(admission.ServiceFull, lasted)
+		c.relay.Admission.ObserveDuration(admission.ServiceFull, lasted)
 	}
 }
 
@@ -250,11 +250,11 @@
 		return false
 	}
 	if census.Admitted+census.Temporary == 0 && c.offers == 0 && !c.relay.Pool.IsUncertain() {
-		c.decide(admission.ServiceGone, now, now)
+		c.decide(admission.NoInstances, now, now)
 		c.refuse(Refusal{Reason: ReasonNoInstance, RetryAfter: c.returnAfter(), Detail: "No back end of this service is known."})
 		return false
 	}
-	if decision := c.decide(admission.ServiceFull, c.relay.full.note(c.service, now), now); !decision.Waits(now) {
+	if decision := c.decide(admission.ServiceFull, c.relay.full.note(c.service, now), now); !decision.ShouldWait(now) {
 		c.refuse(Refusal{Reason: ReasonFull, RetryAfter: c.returnAfter(), Detail: "All back ends of this service are full."})
 		return false
 	}
--- a/internal/relay/doubted_test.go
+++ b/internal/relay/doubted_test.go
@@ -31,7 +31,7 @@
 )
 
 // Send implements Driver.
-func (d *pausingDriver) Send(ctx context.Context, to instance.Instance, _ *Outgoing) (*Answer, error) {
+func (d *pausingDriver) Send(ctx context.Context, to instance.Instance, _ *OutgoingCall) (*Answer, error) {
 	d.sends++
 	answer := &Answer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(&pausingBody{ctx: ctx, d: d})}
 	if to.Zone == near {
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -15,7 +15,7 @@
 	// EndingBrokenOff: the connection was closed on a caller that was still there.
 	EndingBrokenOff EndingKind = "broken_off"
 	// EndingLeft: the caller closed the connection first.
-	EndingLeft EndingKind = "left"
+	EndingCallerLeft EndingKind = "left"
 )
 
 // Cause is why a request ended without a back end's whole answer: one of those below,
@@ -34,16 +34,16 @@
 	// CauseFalsePromise: a back end ran the request and answered that it did not.
 	CauseFalsePromise Cause = "false_promise"
 	// CauseBackEndGivenUp: the daemon believes that the back end can not be reached.
-	CauseBackEndGivenUp Cause = "back_end_given_up"
-	CauseTimeOver       Cause = "time_over"
-	CauseStopBound      Cause = "stop_bound"
+	CauseBackEndGivenUp   Cause = "back_end_given_up"
+	CauseTimeOver         Cause = "time_over"
+	CauseShutdownDeadline Cause = "stop_bound"
 	// The next causes end answers that are whole and wait for their turn's record.
-	CauseRecordCallerLeft  Cause = "record_caller_left"
-	CauseRecordTimeOver    Cause = "record_time_over"
-	CauseRecordStopBound   Cause = "record_stop_bound"
-	CauseRecordMemory      Cause = "record_memory"
-	CauseRecordUnknownTurn Cause = "record_unknown_turn"
-	CauseRecordUnavailable Cause = "record_unavailable"
+	CauseRecordCallerLeft       Cause = "record_caller_left"
+	CauseRecordTimeOver         Cause = "record_time_over"
+	CauseRecordShutdownDeadline Cause = "record_stop_bound"
+	CauseRecordMemory           Cause = "record_memory"
+	CauseRecordUnknownTurn      Cause = "record_unknown_turn"
+	CauseRecordUnavailable      Cause = "record_unavailable"
 	// CauseAborted: the handler ended the connection with http.ErrAbortHandler.
 	CauseAborted Cause = "aborted"
 	// CausePanic and CauseNoEnding are faults of the handler.
@@ -83,7 +83,7 @@
 // ending is that of a request that was closed for this cause, without an answer or refusal.
 func (c Cause) ending() Ending {
 	if c.EndedBy() == PartyCaller {
-		return Ending{Kind: EndingLeft, Cause: c, By: PartyCaller}
+		return Ending{Kind: EndingCallerLeft, Cause: c, By: PartyCaller}
 	}
 	return Ending{Kind: EndingBrokenOff, Cause: c, By: c.EndedBy()}
 }
@@ -94,7 +94,7 @@
 	case ctx.Err() == nil:
 		return otherwise
 	case isStopBound(ctx):
-		return CauseStopBound
+		return CauseShutdownDeadline
 	case errors.Is(ctx.Err(), context.Canceled):
 		return CauseCallerLeft
 	}
--- a/internal/relay/ending_logs.go
+++ b/internal/relay/ending_logs.go
@@ -43,7 +43,7 @@
 	switch k {
 	case EndingRefused:
 		return "Request refused."
-	case EndingLeft:
+	case EndingCallerLeft:
 		return "Request left by its caller."
 	}
 	return "Request broken off."
--- a/internal/relay/ending_recorder.go
+++ b/internal/relay/ending_recorder.go
@@ -43,7 +43,7 @@
 // Watch calls serve with a responder that takes note of the request's ending, and makes
 // sure that there is exactly one: a request that serve leaves without, by returning or by a
 // panic, is broken off. Nested calls share what the outermost began.
-func (r *Relay) Watch(ctx context.Context, request string, responder Responder, serve func(Responder)) {
+func (r *Relay) EnsureEnding(ctx context.Context, request string, responder Responder, serve func(Responder)) {
 	e := r.recorderOf(ctx, request, responder)
 	defer func() { e.conclude(recover()) }()
 	serve(e)
@@ -167,7 +167,7 @@
 func (e *endingRecorder) closedFor(cause Cause) Ending {
 	switch {
 	case cause.EndedBy() == PartyCaller && isStopBound(e.context), cause == Cause(ReasonStopping):
-		cause = CauseStopBound
+		cause = CauseShutdownDeadline
 	case cause == Cause(ReasonTimeout), cause == Cause(ReasonNotInTime):
 		cause = CauseTimeOver
 	}
--- a/internal/relay/ending_test.go
+++ b/internal/relay/ending_test.go
@@ -93,20 +93,20 @@
 	},
 	"event does not reach its caller": {
 		kind: route.KindStream, steps: []step{{body: eventOne}}, gone: true,
-		want: loggedEnding{Ending: EndingLeft, Cause: CauseWriteFailed, By: PartyCaller, MayHaveRun: true},
+		want: loggedEnding{Ending: EndingCallerLeft, Cause: CauseWriteFailed, By: PartyCaller, MayHaveRun: true},
 	},
 	"answer does not reach its caller": {
 		kind: route.KindOnce, steps: []step{{}}, gone: true,
-		want: loggedEnding{Ending: EndingLeft, Cause: CauseWriteFailed, By: PartyCaller, MayHaveRun: true},
+		want: loggedEnding{Ending: EndingCallerLeft, Cause: CauseWriteFailed, By: PartyCaller, MayHaveRun: true},
 	},
 	"caller leaves": {
 		kind: route.KindOnce, steps: []step{{hold: true}}, leaves: errCut,
-		want: loggedEnding{Ending: EndingLeft, Cause: CauseCallerLeft, By: PartyCaller, MayHaveRun: true},
+		want: loggedEnding{Ending: EndingCallerLeft, Cause: CauseCallerLeft, By: PartyCaller, MayHaveRun: true},
 	},
 	"caller leaves before its turn is granted": {
 		kind: route.KindStream, kept: true, leaves: errCut,
 		prepare: func(h *harness) { h.relay.Ledger = &fakeLedger{err: heldUp(admission.ShardMoving, 0)} },
-		want:    loggedEnding{Ending: EndingLeft, Cause: CauseCallerLeft, By: PartyCaller},
+		want:    loggedEnding{Ending: EndingCallerLeft, Cause: CauseCallerLeft, By: PartyCaller},
 	},
 	"time is over": {
 		kind: route.KindOnce, steps: []step{{hold: true}},
@@ -114,11 +114,11 @@
 	},
 	"caller leaves before the record": {
 		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}}, leaves: errCut,
-		want: loggedEnding{Ending: EndingLeft, Cause: CauseRecordCallerLeft, By: PartyCaller, Events: 1, MayHaveRun: true},
+		want: loggedEnding{Ending: EndingCallerLeft, Cause: CauseRecordCallerLeft, By: PartyCaller, Events: 1, MayHaveRun: true},
 	},
 	"stop is at its bound before the record": {
-		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}}, leaves: ErrStopBound,
-		want: loggedEnding{Ending: EndingBrokenOff, Cause: CauseRecordStopBound, By: PartyDaemon, Events: 1, MayHaveRun: true},
+		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}}, leaves: ErrShutdownDeadline,
+		want: loggedEnding{Ending: EndingBrokenOff, Cause: CauseRecordShutdownDeadline, By: PartyDaemon, Events: 1, MayHaveRun: true},
 	},
 	"time is over before the record": {
 		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}},
@@ -137,20 +137,20 @@
 	"caller leaves while there is no memory to wait for the record": {
 		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}}, leaves: errCut,
 		prepare: func(h *harness) { h.fillRecordRoom(2) },
-		want:    loggedEnding{Ending: EndingLeft, Cause: CauseRecordCallerLeft, By: PartyCaller, Events: 1, MayHaveRun: true},
+		want:    loggedEnding{Ending: EndingCallerLeft, Cause: CauseRecordCallerLeft, By: PartyCaller, Events: 1, MayHaveRun: true},
 	},
 }
 
 // fillRecordRoom sets the memory for records, so small that the next turn has to wait.
 func (h *harness) fillRecordRoom(limit int64) {
-	h.relay.RecordBytes = limit
+	h.relay.MaxPendingRecordBytes = limit
 	_ = h.relay.recording.acquire(h.t.Context(), 1, limit) // there is room
 }
 
 // play carries the call and returns what is told of its ending.
 func (c endingCase) play(t *testing.T) []loggedEnding {
 	h := newHarness(t, c.steps...)
-	h.relay.StoppingSince = func() (time.Time, bool) { return time.Now(), c.leaves == ErrStopBound }
+	h.relay.StoppingSince = func() (time.Time, bool) { return time.Now(), c.leaves == ErrShutdownDeadline }
 	lines := &bytes.Buffer{}
 	h.relay.Logger = zerolog.New(zerolog.SyncWriter(lines))
 	r := newRoute(c.kind)
@@ -170,7 +170,7 @@
 	}
 	h.relay.Serve(ctx, call, &recorder{gone: c.gone})
 	h.relay.Wait(t.Context())
-	if c.leaves == ErrStopBound {
+	if c.leaves == ErrShutdownDeadline {
 		expectParts(t, lines.String(), `"stopping_for":0`)
 	}
 	return endingsIn(t, lines)[call.ID]
@@ -197,7 +197,7 @@
 	} {
 		h := newHarness(t)
 		got := &recorder{}
-		h.relay.Watch(t.Context(), "q", got, serve)
+		h.relay.EnsureEnding(t.Context(), "q", got, serve)
 		if got.endings != 1 || !got.aborted {
 			t.Errorf("%s: %+v", fault, got)
 		}
@@ -238,7 +238,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				h, _, call := newRecording(t, 0)
 				kept := &panickingLedger{}
-				h.relay.Ledger, h.relay.RecordBytes, h.driver.onSend = kept, 100, test.onSend
+				h.relay.Ledger, h.relay.MaxPendingRecordBytes, h.driver.onSend = kept, 100, test.onSend
 				h.relay.Serve(t.Context(), call, test.caller)
 				h.relay.Wait(t.Context())
 				if loads := h.pool.Loads(); len(loads) != 0 || len(h.relay.monitor.offers) != 0 {
--- a/internal/relay/failed_offer.go
+++ b/internal/relay/failed_offer.go
@@ -79,14 +79,14 @@
 
 func (c *carrier) noteNotRun(target instance.Instance, answer *Answer) {
 	outcome := instance.OutcomeFull
-	if answer.OtherInstance {
+	if answer.Misdirected {
 		outcome = instance.OutcomeGone
 		c.only = ""
 	} else {
 		c.refusals++
 	}
 	c.release(target, outcome)
-	c.relay.Metrics.notRun(answer.OtherInstance)
+	c.relay.Metrics.notRun(answer.Misdirected)
 	c.logNotTaken(target, answer.Status)
 }
 
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -45,14 +45,14 @@
 type scriptedDriver struct {
 	mutex sync.Mutex
 	steps []step
-	sent  []Outgoing
+	sent  []OutgoingCall
 	to    []instance.Instance
 	// onSend, if given, is called with each offer.
 	onSend func()
 }
 
 // Send implements Driver.
-func (d *scriptedDriver) Send(ctx context.Context, to instance.Instance, outgoing *Outgoing) (*Answer, error) {
+func (d *scriptedDriver) Send(ctx context.Context, to instance.Instance, outgoing *OutgoingCall) (*Answer, error) {
 	d.mutex.Lock()
 	next := d.steps[min(len(d.sent), len(d.steps)-1)]
 	d.sent = append(d.sent, *outgoing)
@@ -79,7 +79,7 @@
 	if status == 0 {
 		status = http.StatusOK
 	}
-	return &Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(body), NotRun: next.notRun, StatusMeansNotRun: next.sounds, OtherInstance: next.other}, nil
+	return &Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(body), NotRun: next.notRun, StatusMeansNotRun: next.sounds, Misdirected: next.other}, nil
 }
 
 // Connect implements Driver.
@@ -247,7 +247,7 @@
 func newRoute(kind route.Kind) *route.Route {
 	return &route.Route{
 		Name: "r", Kind: kind, MaxAttempts: 3, Resumable: true,
-		Services: []route.Weighted{{Service: "s", Weight: 1}},
+		Services: []route.WeightedService{{Service: "s", Weight: 1}},
 	}
 }
 
@@ -258,7 +258,7 @@
 
 func newTurn(r *route.Route) *Call {
 	call := newCall(r)
-	call.MostTokens = 10
+	call.MaxTokens = 10
 	call.Program = &Program{ID: "p", Session: "s1", BudgetTokens: 100}
 	return call
 }
--- a/internal/relay/health_test.go
+++ b/internal/relay/health_test.go
@@ -57,7 +57,7 @@
 // TestCallerThatLeavesWithinAFailureSaysNothingOfTheInstance: so does the bound of a stop.
 func TestCallerThatLeavesWithinAFailureSaysNothingOfTheInstance(t *testing.T) {
 	for _, kind := range []route.Kind{route.KindStream, route.KindOnce} {
-		for _, cause := range []error{context.Canceled, ErrStopBound} {
+		for _, cause := range []error{context.Canceled, ErrShutdownDeadline} {
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t, step{status: http.StatusInternalServerError, body: "half", stall: true})
 				ctx, leave := context.WithCancelCause(t.Context())
@@ -77,7 +77,7 @@
 }
 
 // Send implements Driver.
-func (d *pacedDriver) Send(_ context.Context, to instance.Instance, _ *Outgoing) (*Answer, error) {
+func (d *pacedDriver) Send(_ context.Context, to instance.Instance, _ *OutgoingCall) (*Answer, error) {
 	gap := 10 * time.Millisecond
 	if to.ID == d.slow {
 		gap *= 8
--- a/internal/relay/logs.go
+++ b/internal/relay/logs.go
@@ -80,7 +80,7 @@
 		event = event.Int64("events", state.events).Dur("first_event", state.firstAfter)
 		if state.turn != nil {
 			event = event.Dur("granted_after", state.turn.grantedAfter).Dur("recorded_after", state.turn.recordedAfter).Bool("underway", state.turn.Underway).
-				Int("history", state.turn.historyBytes).Int64("budget", c.call.Program.BudgetTokens).Int64("most", c.call.MostTokens)
+				Int("history", state.turn.historyBytes).Int64("budget", c.call.Program.BudgetTokens).Int64("most", c.call.MaxTokens)
 		}
 	}
 	event.Msg(message)
@@ -123,5 +123,5 @@
 // last looked at.
 func (c *carrier) logForecast(line *zerolog.Event) *zerolog.Event {
 	return line.Stringer("held_up_by", c.heldUp.Kind).Dur("since", time.Since(c.heldUp.Since)).
-		Dur("left", time.Until(c.heldUp.Worthless)).Float64("chance", c.forecast.Chance).Dur("expected", c.forecast.Remaining)
+		Dur("left", time.Until(c.heldUp.LatestStart)).Float64("chance", c.forecast.SuccessProbability).Dur("expected", c.forecast.MedianRemaining)
 }
--- a/internal/relay/names_test.go
+++ b/internal/relay/names_test.go
@@ -14,7 +14,7 @@
 	var offered offerTally
 	var split splits
 	var full fullServices
-	parts := []route.Weighted{{Service: "a", Weight: 1}, {Service: "b", Weight: 2}}
+	parts := []route.WeightedService{{Service: "a", Weight: 1}, {Service: "b", Weight: 2}}
 	for i := range 3 * namesLimit {
 		name := fmt.Sprint("name-", i)
 		serving.note(name, servingTime{first: time.Second, whole: 2 * time.Second})
--- a/internal/relay/offer_monitor_test.go
+++ b/internal/relay/offer_monitor_test.go
@@ -54,7 +54,7 @@
 
 const eventPause = 40 * time.Millisecond
 
-func (d *farDriver) Send(ctx context.Context, to instance.Instance, _ *Outgoing) (*Answer, error) {
+func (d *farDriver) Send(ctx context.Context, to instance.Instance, _ *OutgoingCall) (*Answer, error) {
 	d.sentTo = append(d.sentTo, to.ID)
 	answer := &Answer{Status: http.StatusOK, Header: http.Header{}}
 	if to.Zone == near {
--- a/internal/relay/placeable.go
+++ b/internal/relay/placeable.go
@@ -49,7 +49,7 @@
 		c.refuseEvacuated(now)
 		return true
 	case otherRegion > 0 && !c.relay.Pool.IsUncertain():
-		c.decide(admission.ServiceGone, now, now)
+		c.decide(admission.NoInstances, now, now)
 		c.refuse(Refusal{Reason: ReasonRegionEmpty, RetryAfter: c.returnAfter(), Detail: "No back end of this service is in an allowed region."})
 		return true
 	}
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -21,7 +21,7 @@
 // again.
 func (c *carrier) carryPlain(ctx context.Context) {
 	for {
-		outgoing := Outgoing{Call: c.call, Body: c.call.Body, Deadline: c.call.Deadline, Urgency: defaultUrgency}
+		outgoing := OutgoingCall{Call: c.call, Body: c.call.Body, Deadline: c.call.Deadline, Urgency: defaultUrgency}
 		answer, target := c.offer(ctx, outgoing)
 		if answer == nil {
 			return
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -117,7 +117,7 @@
 func TestTextThatWaitsForItsRecordIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, slow, first := newRecording(t, 2*time.Second)
-		h.relay.RecordBytes = 200
+		h.relay.MaxPendingRecordBytes = 200
 		first.Body = []byte(strings.Repeat("x", 90))
 		ended := serveInBackground(t, h, first)
 		time.Sleep(time.Second)
@@ -147,7 +147,7 @@
 func TestNewTurnIsRefusedBeforeFinishedOnesMustBeBrokenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, slow, first := newRecording(t, 2*time.Second)
-		h.relay.RecordBytes = 200
+		h.relay.MaxPendingRecordBytes = 200
 		first.Body = []byte(strings.Repeat("x", 110))
 		ended := serveInBackground(t, h, first)
 		time.Sleep(time.Second)
@@ -188,7 +188,7 @@
 	closed atomic.Int64
 }
 
-func (d *closingDriver) Send(ctx context.Context, to instance.Instance, outgoing *Outgoing) (*Answer, error) {
+func (d *closingDriver) Send(ctx context.Context, to instance.Instance, outgoing *OutgoingCall) (*Answer, error) {
 	answer, err := d.scriptedDriver.Send(ctx, to, outgoing)
 	if err == nil {
 		answer.Body = closeCounter{Reader: answer.Body, closed: &d.closed}
@@ -220,7 +220,7 @@
 func TestTurnThatAloneExceedsTheMemoryForRecordsIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, slow, call := newRecording(t, time.Second)
-		h.relay.RecordBytes = 200
+		h.relay.MaxPendingRecordBytes = 200
 		slow.history = strings.Repeat("h", 300)
 		if got := h.serve(call); !got.ended {
 			t.Error("an answer that was ready was broken off although no other waits for its record")
--- a/internal/relay/refuse.go
+++ b/internal/relay/refuse.go
@@ -32,7 +32,7 @@
 	c.refuse(Refusal{Reason: ReasonNotInTime, Detail: "The time for this request is over; it has not run."})
 }
 
-func isStopBound(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrStopBound) }
+func isStopBound(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrShutdownDeadline) }
 
 // refuse ends the call with an answer of the system's own.
 func (c *carrier) refuse(refusal Refusal) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -47,7 +47,7 @@
 
 // ErrStopBound is the cause of a context that ends because the daemon's stop is
 // at its bound: the caller is still there.
-var ErrStopBound = eris.New("relay: the daemon's stop is at its bound")
+var ErrShutdownDeadline = eris.New("relay: the daemon's stop is at its bound")
 
 // Ledger keeps programs' budgets and turns.
 type Ledger interface {
@@ -71,7 +71,7 @@
 	// Quota admits requests of tenants that have a limit; nil where none has.
 	Quota Quota
 	// Admission decides how long requests wait; nil for one of its own.
-	Admission *admission.Admission
+	Admission *admission.Controller
 	// Table returns the routes in force, nil while none are known.
 	Table func() *route.Table
 	// RoutesAge returns since when it was not confirmed that the routes in force are the
@@ -91,9 +91,9 @@
 	// RecordBytes bounds the text of turns that the ledger is to put on record, and once
 	// more that of turns which are ready and wait for room there; 0 sets no bound. From
 	// half of it on no further turns are begun.
-	RecordBytes int64
-	Logger      zerolog.Logger
-	Metrics     *Metrics
+	MaxPendingRecordBytes int64
+	Logger                zerolog.Logger
+	Metrics               *Metrics
 }
 
 // Relay carries calls. It is safe for concurrent use.
@@ -124,7 +124,7 @@
 // New returns a relay.
 func New(options Options) *Relay {
 	if options.Admission == nil {
-		options.Admission = &admission.Admission{}
+		options.Admission = &admission.Controller{}
 	}
 	r := &Relay{
 		Options:  options,
@@ -141,7 +141,7 @@
 // Serve carries one call to its end. It returns once the responder was ended.
 func (r *Relay) Serve(ctx context.Context, call *Call, responder Responder) {
 	recorder := r.recorderOf(ctx, call.ID, responder)
-	r.Watch(ctx, call.ID, recorder, func(Responder) { r.carry(ctx, call, recorder) })
+	r.EnsureEnding(ctx, call.ID, recorder, func(Responder) { r.carry(ctx, call, recorder) })
 }
 
 // carry carries a call whose ending is taken note of.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -305,9 +305,9 @@
 
 func TestRefusedTurnsNeverReachAnInstance(t *testing.T) {
 	for reason, err := range map[Reason]error{
-		ReasonBudgetSpent: ledger.ErrBudgetSpent,
-		ReasonUnknownTurn: ledger.ErrUnknownTurn,
-		ReasonLedger:      ledger.ErrUnavailable,
+		ReasonBudgetSpent:       ledger.ErrBudgetSpent,
+		ReasonUnknownTurn:       ledger.ErrUnknownTurn,
+		ReasonLedgerUnavailable: ledger.ErrUnavailable,
 	} {
 		h := newHarness(t, step{body: eventOne})
 		h.ledger.err = err
@@ -315,7 +315,7 @@
 		if got.refusal == nil || got.refusal.Reason != reason || len(h.driver.sent) > 0 {
 			t.Errorf("%v: got %+v, sent %d times", err, got.refusal, len(h.driver.sent))
 		}
-		if reason == ReasonLedger && got.refusal.RetryAfter == 0 {
+		if reason == ReasonLedgerUnavailable && got.refusal.RetryAfter == 0 {
 			t.Error("no time to come back")
 		}
 	}
@@ -350,7 +350,7 @@
 			return got.refusal.RetryAfter
 		}
 		takeover := returns(heldUp(admission.ShardMoving, 30*time.Second))
-		outage := returns(heldUp(admission.StoreOut, 60*time.Second))
+		outage := returns(heldUp(admission.StoreUnavailable, 60*time.Second))
 		if takeover < 30*time.Second || outage <= takeover {
 			t.Errorf("come back after %s from a takeover and %s from an outage", takeover, outage)
 		}
@@ -396,7 +396,7 @@
 
 func TestSplitFollowsItsWeights(t *testing.T) {
 	r := newRoute(route.KindOnce)
-	r.Services = []route.Weighted{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
+	r.Services = []route.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
 	var s splits
 	counts := map[string]int{}
 	for range 100 {
--- a/internal/relay/simulated_driver_test.go
+++ b/internal/relay/simulated_driver_test.go
@@ -155,7 +155,7 @@
 }
 
 // Send implements Driver.
-func (d *simulatedDriver) Send(ctx context.Context, to instance.Instance, outgoing *Outgoing) (*Answer, error) {
+func (d *simulatedDriver) Send(ctx context.Context, to instance.Instance, outgoing *OutgoingCall) (*Answer, error) {
 	does, took := d.pick()
 	select {
 	case <-ctx.Done():
@@ -183,7 +183,7 @@
 	return d.plain(ctx, to, outgoing, does, took)
 }
 
-func (d *simulatedDriver) plain(ctx context.Context, to instance.Instance, outgoing *Outgoing, does behaviour, took time.Duration) (*Answer, error) {
+func (d *simulatedDriver) plain(ctx context.Context, to instance.Instance, outgoing *OutgoingCall, does behaviour, took time.Duration) (*Answer, error) {
 	defer d.end(outgoing.ID, to.ID)
 	wait := took
 	if does == hangs {
@@ -209,7 +209,7 @@
 }
 
 func answerOf(status int, body string, notRun, other bool) *Answer {
-	return &Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), NotRun: notRun, OtherInstance: other}
+	return &Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), NotRun: notRun, Misdirected: other}
 }
 
 // event is the text of one event of a call's stream.
@@ -218,7 +218,7 @@
 }
 
 // stream sends the events that follow the last one the caller has.
-func (d *simulatedDriver) stream(ctx context.Context, to instance.Instance, outgoing *Outgoing, does behaviour) *Answer {
+func (d *simulatedDriver) stream(ctx context.Context, to instance.Instance, outgoing *OutgoingCall, does behaviour) *Answer {
 	reader, writer := io.Pipe()
 	first := 1
 	if outgoing.ResumeAfter != "" {
--- a/internal/relay/simulation_check_test.go
+++ b/internal/relay/simulation_check_test.go
@@ -119,7 +119,7 @@
 	for fault, is := range map[string]bool{
 		"left by a caller that was there":        ending.By == PartyCaller && !heard.gone && end.left != errCut,
 		"broken off by no back end":              ending.By == PartyBackEnd && !brokeOff(story),
-		"at the bound of no stop":                ending.Cause == CauseStopBound && end.left != ErrStopBound,
+		"at the bound of no stop":                ending.Cause == CauseShutdownDeadline && end.left != ErrShutdownDeadline,
 		"over before its time":                   isOverdue && call.Deadline.Sub(end.at) > leastTime,
 		"said not to have run":                   !ending.MayHaveRun && runs > 0,
 		"said to have other events":              ending.Events != got,
--- a/internal/relay/simulation_test.go
+++ b/internal/relay/simulation_test.go
@@ -102,7 +102,7 @@
 	c.relay.Driver = c.driver
 	records := &slowLedger{takes: recordTime}
 	c.ledger, c.relay.Ledger = &records.fakeLedger, records
-	c.relay.RecordBytes = recordBytes
+	c.relay.MaxPendingRecordBytes = recordBytes
 	c.relay.Logger = zerolog.New(zerolog.SyncWriter(c.lines))
 	return c
 }
@@ -130,7 +130,7 @@
 		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 		c.calls[i], c.heard[i] = simulatedCall(i, random), &recorder{gone: random.IntN(20) == 0}
 		ctx, end := context.WithCancelCause(c.t.Context())
-		if cause := []error{errCut, ErrStopBound}[random.IntN(2)]; random.IntN(5) == 0 {
+		if cause := []error{errCut, ErrShutdownDeadline}[random.IntN(2)]; random.IntN(5) == 0 {
 			time.AfterFunc(time.Duration(random.IntN(300))*time.Millisecond, func() { end(cause) })
 		}
 		callers.Go(func() {
--- a/internal/relay/stop_bound.go
+++ b/internal/relay/stop_bound.go
@@ -8,9 +8,9 @@
 // WithStopBound returns the context of a request that also ends, with ErrStopBound, once
 // bound ends: that gives up whatever the daemon still tries for it. Only an answer that is
 // whole and waits for its turn's record goes on to wait until ctx itself ends.
-func WithStopBound(ctx, bound context.Context) (context.Context, context.CancelFunc) {
+func WithShutdownDeadline(ctx, bound context.Context) (context.Context, context.CancelFunc) {
 	bounded, end := context.WithCancelCause(context.WithValue(ctx, callerKey{}, ctx))
-	unwatch := context.AfterFunc(bound, func() { end(ErrStopBound) })
+	unwatch := context.AfterFunc(bound, func() { end(ErrShutdownDeadline) })
 	return bounded, func() {
 		unwatch()
 		end(nil)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -97,7 +97,7 @@
 }
 
 func (c *carrier) offerStream(ctx context.Context, state *streamState) (*Answer, instance.Instance) {
-	return c.offer(ctx, Outgoing{
+	return c.offer(ctx, OutgoingCall{
 		Call:        c.call,
 		Body:        state.prompt,
 		Deadline:    c.call.Deadline,
--- a/internal/relay/turn.go
+++ b/internal/relay/turn.go
@@ -57,7 +57,7 @@
 	var crowded *ledger.CrowdedError
 	switch {
 	case errors.As(err, &crowded):
-		c.forecast.Remaining = crowded.Back
+		c.forecast.MedianRemaining = crowded.Back
 		c.refuse(Refusal{Reason: ReasonStoreCrowded, RetryAfter: c.returnAfter(), Detail: "The store has no room for another program."})
 	case errors.Is(err, ledger.ErrBudgetSpent):
 		c.refuse(Refusal{Reason: ReasonBudgetSpent, Detail: "The program's token budget has no room for this turn."})
@@ -68,7 +68,7 @@
 	case c.refuseCutOff():
 	default:
 		c.logger.Warn().Err(err).Dur("took", took).Msg("Program's record not reached.")
-		c.refuse(Refusal{Reason: ReasonLedger, RetryAfter: c.returnAfter(), Detail: "The program's record can not be reached."})
+		c.refuse(Refusal{Reason: ReasonLedgerUnavailable, RetryAfter: c.returnAfter(), Detail: "The program's record can not be reached."})
 	}
 	return nil, false
 }
@@ -88,7 +88,7 @@
 		Regions:      c.regions,
 	}
 	started := time.Now()
-	if c.call.Route.RetainContext && c.relay.recording.isCrowded(c.relay.RecordBytes) {
+	if c.call.Route.RetainContext && c.relay.recording.isCrowded(c.relay.MaxPendingRecordBytes) {
 		c.decideTurn(errTooMuchWaits, started, started)
 		return ledger.Grant{}, errTooMuchWaits
 	}
@@ -116,7 +116,7 @@
 // rounded up to whole events.
 func (c *carrier) mostTokens() int64 {
 	perEvent := c.tokensPerEvent()
-	return (c.call.MostTokens + perEvent - 1) / perEvent * perEvent
+	return (c.call.MaxTokens + perEvent - 1) / perEvent * perEvent
 }
 
 // settle tells the ledger what became of the turn. A turn that others may go
@@ -161,7 +161,7 @@
 	ctx, cancel := c.untilCallerLeaves(ctx)
 	defer cancel()
 	size := int64(len(outcome.Kept.Input) + len(outcome.Kept.Output))
-	err := c.relay.recording.acquire(ctx, size, c.relay.RecordBytes)
+	err := c.relay.recording.acquire(ctx, size, c.relay.MaxPendingRecordBytes)
 	if err == nil {
 		err = c.endWithRoom(ctx, outcome, size)
 	}
@@ -180,7 +180,7 @@
 
 // endWithRoom ends a turn in the ledger, and releases the room that its text takes.
 func (c *carrier) endWithRoom(ctx context.Context, outcome ledger.Outcome, size int64) error {
-	defer c.relay.recording.release(size, c.relay.RecordBytes) // after a panic, too
+	defer c.relay.recording.release(size, c.relay.MaxPendingRecordBytes) // after a panic, too
 	return c.relay.Ledger.End(ctx, outcome)
 }
 
@@ -199,8 +199,8 @@
 		return CauseRecordUnknownTurn
 	}
 	switch ended := causeOf(ctx, ""); {
-	case ended == CauseStopBound:
-		return CauseRecordStopBound
+	case ended == CauseShutdownDeadline:
+		return CauseRecordShutdownDeadline
 	case ended == CauseCallerLeft:
 		return CauseRecordCallerLeft
 	case errors.Is(err, errTooMuchWaits):
--- a/internal/relay/turned_down_test.go
+++ b/internal/relay/turned_down_test.go
@@ -28,7 +28,7 @@
 }
 
 // Send implements Driver.
-func (d *pickyDriver) Send(_ context.Context, to instance.Instance, outgoing *Outgoing) (*Answer, error) {
+func (d *pickyDriver) Send(_ context.Context, to instance.Instance, outgoing *OutgoingCall) (*Answer, error) {
 	time.Sleep(time.Millisecond) // the way there
 	d.mutex.Lock()
 	d.offers[outgoing.ID]++
--- a/internal/relaydaemon/adapter.go
+++ b/internal/relaydaemon/adapter.go
@@ -49,7 +49,7 @@
 	Identify(ctx context.Context, asked KeyQuestion) (*tenant.Tenant, *relay.Refusal)
 	// Watch calls serve with a responder that takes note of the request's ending, and
 	// breaks off a request that serve leaves without one.
-	Watch(ctx context.Context, request string, responder relay.Responder, serve func(relay.Responder))
+	EnsureEnding(ctx context.Context, request string, responder relay.Responder, serve func(relay.Responder))
 	// Serve carries a call to its end.
 	Serve(ctx context.Context, call *relay.Call, responder relay.Responder)
 }
--- a/internal/relaydaemon/cold_test.go
+++ b/internal/relaydaemon/cold_test.go
@@ -23,7 +23,7 @@
 		var registries []*memberRegistry
 		for _, address := range []string{"a:1", "a:2"} {
 			registry := newTestRegistry(s, address)
-			registry.cold.SetServices(map[string]*route.Service{"s": {Name: "s", ColdPerSecond: 10}})
+			registry.cold.SetServices(map[string]*route.Service{"s": {Name: "s", ColdRequestsPerSecond: 10}})
 			registry.incarnation()
 			running.Go(func() { registry.run(ctx, func([]structs.Machine) {}) })
 			registries = append(registries, registry)
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -45,7 +45,7 @@
 	adapter  Adapter
 
 	// admission decides how long requests wait.
-	admission *admission.Admission
+	admission *admission.Controller
 	relay     *relay.Relay
 	ledger    *ledger.Service
 	// regional are the ledgers of single regions.
@@ -109,7 +109,7 @@
 		keys:     newConfirmation(),
 
 		startedAt: time.Now(),
-		admission: &admission.Admission{},
+		admission: &admission.Controller{},
 		topology:  settings.topology(),
 		adapter: newAdapter(AdapterOptions{
 			StoreAddress: settings.StoreAddress,
@@ -173,8 +173,8 @@
 		return table
 	}
 	now := time.Now()
-	wait := admission.Wait{Kind: admission.RoutesUnknown, Since: d.startedAt, Worthless: now.Add(left)}
-	timer := time.NewTimer(d.admission.Decide(wait, now).Until.Sub(now))
+	wait := admission.HeldUpRequest{Kind: admission.RoutesUnknown, Since: d.startedAt, LatestStart: now.Add(left)}
+	timer := time.NewTimer(d.admission.Decide(wait, now).WaitUntil.Sub(now))
 	defer timer.Stop()
 	select {
 	case <-d.hasTable:
@@ -185,8 +185,8 @@
 }
 
 // Watch implements Gateway.
-func (d *Daemon) Watch(ctx context.Context, request string, responder relay.Responder, serve func(relay.Responder)) {
-	d.relay.Watch(ctx, request, responder, serve)
+func (d *Daemon) EnsureEnding(ctx context.Context, request string, responder relay.Responder, serve func(relay.Responder)) {
+	d.relay.EnsureEnding(ctx, request, responder, serve)
 }
 
 // Serve implements Gateway.
--- a/internal/relaydaemon/front.go
+++ b/internal/relaydaemon/front.go
@@ -61,7 +61,7 @@
 		server:    server,
 		listener:  &frontListener{Listener: listener},
 		served:    make(chan struct{}),
-		limits:    route.Limits{HeadTime: headerTimeout, IdleTime: idleTimeout},
+		limits:    route.Limits{HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout},
 		open:      map[*frontConnection]struct{}{},
 	}
 	server.Handler = s.serving(server.Handler)
@@ -81,7 +81,7 @@
 // long the connection may be used again.
 func (s *frontServer) serving(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := relay.WithStopBound(r.Context(), s.bound)
+		ctx, cancel := relay.WithShutdownDeadline(r.Context(), s.bound)
 		defer cancel()
 		r = r.WithContext(ctx)
 		connection, known := r.Context().Value(connectionKey{}).(*frontConnection)
@@ -136,7 +136,7 @@
 // that is cut off tells why.
 func (s *frontServer) close() {
 	s.giveUp()
-	s.cut(relay.ErrStopBound)
+	s.cut(relay.ErrShutdownDeadline)
 	_ = s.server.Close()
 }
 
--- a/internal/relaydaemon/front_bound_test.go
+++ b/internal/relaydaemon/front_bound_test.go
@@ -22,7 +22,7 @@
 // streamDriver answers every request with a whole stream.
 type streamDriver struct{ relay.Driver }
 
-func (streamDriver) Send(context.Context, instance.Instance, *relay.Outgoing) (*relay.Answer, error) {
+func (streamDriver) Send(context.Context, instance.Instance, *relay.OutgoingCall) (*relay.Answer, error) {
 	return &relay.Answer{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("data: x\n\n"))}, nil
 }
 
@@ -75,7 +75,7 @@
 				Table: func() *route.Table { return table }, Daemons: func() int { return 1 },
 				Metrics: relay.NewMetrics(prometheus.NewRegistry()),
 			})
-			turns := &route.Route{Name: "r", Kind: route.KindStream, MaxAttempts: 1, RetainContext: true, Services: []route.Weighted{{Service: "s", Weight: 1}}}
+			turns := &route.Route{Name: "r", Kind: route.KindStream, MaxAttempts: 1, RetainContext: true, Services: []route.WeightedService{{Service: "s", Weight: 1}}}
 			note := endingNote{ended: make(chan string, 1)}
 			listener := newPipeListener()
 			server := newFrontServer(&http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
--- a/internal/relaydaemon/front_connection.go
+++ b/internal/relaydaemon/front_connection.go
@@ -62,14 +62,14 @@
 // be held.
 func (c *frontConnection) phaseEnd() time.Time {
 	switch {
-	case c.phase == phaseResting && c.limits.IdleTime > 0:
-		end := c.since.Add(c.limits.IdleTime)
+	case c.phase == phaseResting && c.limits.IdleTimeout > 0:
+		end := c.since.Add(c.limits.IdleTimeout)
 		if end.Before(c.reusableUntil) {
 			return c.reusableUntil // the caller was told a longer time, by an earlier limit
 		}
 		return end
-	case c.phase == phaseHead && c.limits.HeadTime > 0:
-		return c.since.Add(c.limits.HeadTime)
+	case c.phase == phaseHead && c.limits.HeaderTimeout > 0:
+		return c.since.Add(c.limits.HeaderTimeout)
 	}
 	return time.Time{}
 }
@@ -107,7 +107,7 @@
 func (c *frontConnection) grantReuse() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.reuse = reuseWithin(c.limits.IdleTime)
+	c.reuse = reuseWithin(c.limits.IdleTimeout)
 	return c.reuse
 }
 
--- a/internal/relaydaemon/front_limits_test.go
+++ b/internal/relaydaemon/front_limits_test.go
@@ -16,7 +16,7 @@
 func limitsTest(t *testing.T, body func(t *testing.T, d *drainTest)) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrainTest(t)
-		d.server.setLimits(route.Limits{HeadTime: testHeadTime, IdleTime: testIdleTime})
+		d.server.setLimits(route.Limits{HeaderTimeout: testHeadTime, IdleTimeout: testIdleTime})
 		body(t, d)
 	})
 }
@@ -73,7 +73,7 @@
 		c := d.dial(t)
 		begun := time.Now()
 		time.Sleep(time.Second)
-		d.server.setLimits(route.Limits{HeadTime: testHeadTime, IdleTime: 2 * time.Second})
+		d.server.setLimits(route.Limits{HeaderTimeout: testHeadTime, IdleTimeout: 2 * time.Second})
 		c.expectClosed()
 		if took := time.Since(begun); took != 2*time.Second {
 			t.Errorf("closed after %s, want 2s", took)
--- a/internal/relaydaemon/front_reuse_test.go
+++ b/internal/relaydaemon/front_reuse_test.go
@@ -75,7 +75,7 @@
 	for name, begin := range map[string]func(t *testing.T, d *drainTest){
 		"drain": func(t *testing.T, d *drainTest) { d.drain(t.Context()) },
 		"lower limit": func(_ *testing.T, d *drainTest) {
-			d.server.setLimits(route.Limits{HeadTime: testHeadTime, IdleTime: time.Second})
+			d.server.setLimits(route.Limits{HeaderTimeout: testHeadTime, IdleTimeout: time.Second})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/relaydaemon/join.go
+++ b/internal/relaydaemon/join.go
@@ -146,10 +146,10 @@
 
 		StoppingSince: d.stopping.Since,
 
-		Admission:   d.admission,
-		RecordBytes: int64(recordShare * float64(d.settings.MemoryMegabytes) * megabyte),
-		Logger:      part(d.logger, "relay"),
-		Metrics:     relay.NewMetrics(d.figures),
+		Admission:             d.admission,
+		MaxPendingRecordBytes: int64(recordShare * float64(d.settings.MemoryMegabytes) * megabyte),
+		Logger:                part(d.logger, "relay"),
+		Metrics:               relay.NewMetrics(d.figures),
 	})
 }
 
--- a/internal/relaydaemon/keys.go
+++ b/internal/relaydaemon/keys.go
@@ -183,13 +183,13 @@
 	if _, isCut := d.cutOffSince(); isCut {
 		return d.keys.await(ctx, atMost, now) // another daemon can tell at once
 	}
-	wait := admission.Wait{Kind: admission.StoreOut, Since: d.keys.troubledSince(now), Worthless: now.Add(left)}
-	return d.keys.await(ctx, atMost, d.admission.Decide(wait, now).Until)
+	wait := admission.HeldUpRequest{Kind: admission.StoreUnavailable, Since: d.keys.troubledSince(now), LatestStart: now.Add(left)}
+	return d.keys.await(ctx, atMost, d.admission.Decide(wait, now).WaitUntil)
 }
 
 func (d *Daemon) refuseUnconfirmed(asked KeyQuestion) *relay.Refusal {
 	now := time.Now()
-	after := d.admission.Decide(admission.Wait{Kind: admission.StoreOut, Since: d.keys.troubledSince(now)}, now).Remaining
+	after := d.admission.Decide(admission.HeldUpRequest{Kind: admission.StoreUnavailable, Since: d.keys.troubledSince(now)}, now).MedianRemaining
 	if since, isCut := d.cutOffSince(); isCut {
 		after = relay.RetryAfterReroute(since, noticeTime)
 	}
--- a/internal/relaydaemon/keys_test.go
+++ b/internal/relaydaemon/keys_test.go
@@ -16,7 +16,7 @@
 // keyDaemon is a daemon that knows routes and keys, and nothing else.
 func keyDaemon(t *testing.T, keys ...string) *Daemon {
 	t.Helper()
-	d := &Daemon{settings: DefaultSettings(), keys: newConfirmation(), admission: &admission.Admission{}}
+	d := &Daemon{settings: DefaultSettings(), keys: newConfirmation(), admission: &admission.Controller{}}
 	d.setKeys(t, 1, keys...)
 	return d
 }
--- a/internal/relaydaemon/watch.go
+++ b/internal/relaydaemon/watch.go
@@ -79,7 +79,7 @@
 		return
 	}
 	d.cold.SetServices(table.Services)
-	if table.IsBound() {
+	if table.RestrictsRegions() {
 		d.regional.startAll()
 	}
 	d.table.Store(table)
@@ -87,8 +87,8 @@
 	if before == nil {
 		close(d.hasTable)
 	}
-	d.logger.Info().Int64("version", table.Version).Dur("head_time", table.Limits.HeadTime).
-		Dur("idle_time", table.Limits.IdleTime).Msg("Routes in force.")
+	d.logger.Info().Int64("version", table.Version).Dur("head_time", table.Limits.HeaderTimeout).
+		Dur("idle_time", table.Limits.IdleTimeout).Msg("Routes in force.")
 }
 
 // watchInstances follows the list of back ends until ctx ends.
--- a/internal/relaydaemon/zones.go
+++ b/internal/relaydaemon/zones.go
@@ -41,7 +41,7 @@
 		logger := part(d.logger, "zones").With().Str("zone", change.Zone).Int64("order", change.Offset).
 			Int64("as_of", end).Str("heard_from", from).Int("in_flight", d.pool.InFlight(change.Zone)).Logger()
 		if !change.Evacuated {
-			d.admission.Ended(admission.ServiceEvacuated, change.Lasted)
+			d.admission.ObserveDuration(admission.ServiceEvacuated, change.Lasted)
 			logger.Info().Dur("lasted", change.Lasted).Msg("Zone taken back.")
 			continue
 		}
--- a/internal/relaydaemon/zones_test.go
+++ b/internal/relaydaemon/zones_test.go
@@ -83,7 +83,7 @@
 func newOperatorsTest(t *testing.T) *operatorsTest {
 	o := &operatorsTest{t: t, store: &trimmingStore{Store: memory.New(), trimmed: make(chan struct{}, 1)}, lines: &outputtest.Buffer{}}
 	o.Daemon = &Daemon{
-		settings: DefaultSettings(), keys: newConfirmation(), admission: &admission.Admission{}, logger: zerolog.New(o.lines),
+		settings: DefaultSettings(), keys: newConfirmation(), admission: &admission.Controller{}, logger: zerolog.New(o.lines),
 		adapter: &testAdapter{}, hasTable: make(chan struct{}), front: &frontServer{server: &http.Server{}},
 	}
 	o.cold = warmup.NewLimiter(warmup.Options{Returns: &o.evacuations, Logger: zerolog.Nop()})
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -26,7 +26,7 @@
 )
 
 // Weighted is one part of a route that is split over services.
-type Weighted struct {
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -40,9 +40,9 @@
 	// Timeout is the longest that a request is held; 0 sets no bound.
 	Timeout time.Duration
 	// Target is the time within which an answer is worth most.
-	Target time.Duration
+	LatencyTarget time.Duration
 	// GapTarget is the longest pause between events that is in time.
-	GapTarget time.Duration
+	EventGapTarget time.Duration
 	// MaxAttempts is on how many back ends one request may run; at least 1.
 	MaxAttempts int
 	// Priority ranks requests, 0 highest.
@@ -59,7 +59,7 @@
 	// Public: requests need no key.
 	Public bool
 	// Services answer the route, each with its weight.
-	Services []Weighted
+	Services []WeightedService
 	// AllowedRegions are those in which requests may be served and their text kept,
 	// nil for all.
 	AllowedRegions []string
@@ -79,7 +79,7 @@
 	ColdStart time.Duration
 	// ColdPerSecond is how many requests a second a cold back end bears; 0 sets no
 	// bound.
-	ColdPerSecond float64
+	ColdRequestsPerSecond float64
 	// Model describes the model engines of the service, nil for plain ones.
 	Model *Model
 }
@@ -97,12 +97,12 @@
 // Limits bound what callers may send; 0 sets no bound.
 type Limits struct {
 	// HeadBytes is the longest head of a request, and BodyBytes its longest body.
-	HeadBytes int64
-	BodyBytes int64
+	MaxHeaderBytes int64
+	MaxBodyBytes   int64
 	// HeadTime is how long a request's head may take from its first byte on, and
 	// IdleTime how long a connection may rest between requests.
-	HeadTime time.Duration
-	IdleTime time.Duration
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Table is one version of all routes, services and tenants.
@@ -131,13 +131,13 @@
 }
 
 // IsBound tells whether requests of any route or tenant are bound to regions.
-func (t *Table) IsBound() bool {
+func (t *Table) RestrictsRegions() bool {
 	for _, list := range t.hosts {
 		if slices.ContainsFunc(list, func(r *Route) bool { return len(r.AllowedRegions) > 0 }) {
 			return true
 		}
 	}
-	return t.Tenants.IsBound()
+	return t.Tenants.RestrictsRegions()
 }
 
 // Lookup returns the route with the longest prefix of the path at a host, or
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// IsBound tells whether requests of any tenant are bound to regions.
-func (d *Directory) IsBound() bool {
+// RestrictsRegions reports whether any tenant restricts the regions of its requests.
+func (d *Directory) RestrictsRegions() bool {
 	if d == nil {
 		return false
 	}
--- a/internal/tracelog/tracelog.go
+++ b/internal/tracelog/tracelog.go
@@ -46,7 +46,7 @@
 }
 
 // Story is the lines about one request or program.
-type Story struct {
+type Trace struct {
 	lines []Line
 	// Skipped counts lines that are no JSON objects.
 	Skipped int
@@ -54,11 +54,11 @@
 }
 
 // NewStory returns the story of a request or program, which Read fills.
-func NewStory(id string) *Story { return &Story{id: id} }
+func NewTrace(id string) *Trace { return &Trace{id: id} }
 
 // Read takes the lines about the request or program from a log. What precedes
 // an object on its line is passed over.
-func (s *Story) Read(source io.Reader) error {
+func (s *Trace) Read(source io.Reader) error {
 	scanner := bufio.NewScanner(source)
 	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), lineLimit)
 	for scanner.Scan() {
@@ -67,7 +67,7 @@
 	return scanner.Err()
 }
 
-func (s *Story) take(text []byte) {
+func (s *Trace) take(text []byte) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 || !bytes.Contains(text, []byte(s.id)) {
 		return
@@ -92,7 +92,7 @@
 }
 
 // isAbout tells whether any field names the request or program.
-func (s *Story) isAbout(fields map[string]any) bool {
+func (s *Trace) isAbout(fields map[string]any) bool {
 	for _, value := range fields {
 		if text, isText := value.(string); isText && strings.Contains(text, s.id) {
 			return true
@@ -109,7 +109,7 @@
 
 // Lines returns the lines in order of time, those of one machine in the order
 // in which it wrote them.
-func (s *Story) Lines() []Line {
+func (s *Trace) Lines() []Line {
 	latest := map[string]time.Time{}
 	lines := slices.Clone(s.lines)
 	for i := range lines {
@@ -128,7 +128,7 @@
 }
 
 // Write prints the story.
-func (s *Story) Write(output io.Writer) error {
+func (s *Trace) Write(output io.Writer) error {
 	lines := s.Lines()
 	if len(lines) == 0 {
 		_, err := fmt.Fprintf(output, "no line is about %s\n", s.id)
--- a/internal/tracelog/tracelog_test.go
+++ b/internal/tracelog/tracelog_test.go
@@ -18,9 +18,9 @@
 {"machine":"b","message":"names it","error":"turn q1: gone","time":"2026-01-01T00:00:04.000Z"}
 `
 
-func read(t *testing.T, id string) *Story {
+func read(t *testing.T, id string) *Trace {
 	t.Helper()
-	s := NewStory(id)
+	s := NewTrace(id)
 	for _, text := range []string{logOfA, logOfB} {
 		if err := s.Read(strings.NewReader(text)); err != nil {
 			t.Fatal(err)
--- a/internal/warmup/fleet_test.go
+++ b/internal/warmup/fleet_test.go
@@ -17,7 +17,7 @@
 var (
 	testTerms    = Terms{Overage: 1.5, Slack: 5}
 	testServices = map[string]*route.Service{
-		"s": {Name: "s", ColdStart: 3 * time.Second, ColdPerSecond: 28},
+		"s": {Name: "s", ColdStart: 3 * time.Second, ColdRequestsPerSecond: 28},
 		"t": {Name: "t"},
 	}
 	testStart = time.Now()
--- a/internal/warmup/terms.go
+++ b/internal/warmup/terms.go
@@ -34,13 +34,13 @@
 func (t Terms) limitsOf(services map[string]*route.Service) map[string]limit {
 	var limits map[string]limit
 	for name, service := range services {
-		if service.ColdPerSecond <= 0 {
+		if service.ColdRequestsPerSecond <= 0 {
 			continue
 		}
 		if limits == nil {
 			limits = map[string]limit{}
 		}
-		limits[name] = limit{coldFor: service.ColdStart, rate: t.rate(service.ColdPerSecond)}
+		limits[name] = limit{coldFor: service.ColdStart, rate: t.rate(service.ColdRequestsPerSecond)}
 	}
 	return limits
 }
