--- a/internal/ledger/account.go
+++ b/internal/ledger/account.go
@@ -27,8 +27,8 @@
 	Reserved map[string]int64 `json:"reserved,omitempty"`
 	// BudgetTokens bounds what is spent and reserved, 0 for no bound.
 	BudgetTokens int64 `json:"budget,omitempty"`
-	// MostTokens is the most of the program's latest turn.
-	MostTokens int64 `json:"most,omitempty"`
+	// MaxTokens is the most of the program's latest turn.
+	MaxTokens int64 `json:"most,omitempty"`
 	// Headroom is what the holder may grant without telling the store: whoever
 	// reads the record later must count it as spent.
 	Headroom int64 `json:"headroom,omitempty"`
@@ -55,15 +55,15 @@
 	if _, already := a.Reserved[turn.ID]; already {
 		return true
 	}
-	if turn.BudgetTokens > 0 && a.committed()+turn.MostTokens > turn.BudgetTokens {
+	if turn.BudgetTokens > 0 && a.committed()+turn.MaxTokens > turn.BudgetTokens {
 		return false
 	}
 	if a.Reserved == nil {
 		a.Reserved = map[string]int64{}
 	}
-	a.Reserved[turn.ID] = turn.MostTokens
+	a.Reserved[turn.ID] = turn.MaxTokens
 	a.BudgetTokens = turn.BudgetTokens
-	a.MostTokens = turn.MostTokens
+	a.MaxTokens = turn.MaxTokens
 	a.RetentionMS = max(a.RetentionMS, turn.Retention.Milliseconds())
 	return true
 }
@@ -102,8 +102,8 @@
 		return unboundedHeadroom, 0
 	}
 	left := a.left()
-	total := max(min(left/headroomDivisor, left-turnsSpared*a.MostTokens), 0)
-	near = min(total, nearTurns*a.MostTokens)
+	total := max(min(left/headroomDivisor, left-turnsSpared*a.MaxTokens), 0)
+	near = min(total, nearTurns*a.MaxTokens)
 	return near, total - near
 }
 
--- a/internal/ledger/allowance.go
+++ b/internal/ledger/allowance.go
@@ -225,10 +225,10 @@
 	if t.BudgetTokens == 0 {
 		return unboundedHeadroom
 	}
-	kept := max(int64(keptShare*float64(t.BudgetTokens)), t.MostTokens)
+	kept := max(int64(keptShare*float64(t.BudgetTokens)), t.MaxTokens)
 	left := t.BudgetTokens + t.uncounted() - lost - kept
-	next := min(max(int64(allowanceShare*float64(t.BudgetTokens)), t.MostTokens), left, t.BudgetTokens)
-	if next < t.MostTokens {
+	next := min(max(int64(allowanceShare*float64(t.BudgetTokens)), t.MaxTokens), left, t.BudgetTokens)
+	if next < t.MaxTokens {
 		return 0
 	}
 	return next
@@ -240,11 +240,11 @@
 	if t.BudgetTokens == 0 {
 		return next
 	}
-	return min(next, t.MostTokens)
+	return min(next, t.MaxTokens)
 }
 
 // uncounted is what is not counted of what lost allowances may have granted.
-func (t Turn) uncounted() int64 { return int64(uncountedShare * float64(t.MostTokens)) }
+func (t Turn) uncounted() int64 { return int64(uncountedShare * float64(t.MaxTokens)) }
 
 // coverRetention makes the allowance's record cover a program's retention.
 func (s *state) coverRetention(retention time.Duration) {
--- a/internal/ledger/allowance_test.go
+++ b/internal/ledger/allowance_test.go
@@ -24,7 +24,7 @@
 
 // allowanceTurn is a turn of a program with a budget of 1000 tokens.
 func allowanceTurn(program, id string, most int64) Turn {
-	return Turn{ID: id, Program: program, BudgetTokens: 1000, MostTokens: most, Retention: time.Minute}
+	return Turn{ID: id, Program: program, BudgetTokens: 1000, MaxTokens: most, Retention: time.Minute}
 }
 
 // newWarmFleet returns a fleet, one of its services, and programs of one shard. The
@@ -215,7 +215,7 @@
 		s := f.service(daemonID(0, 1))
 		names := programsOfOneShard(s, 3)
 		oneTurn := func(program, id string) Turn {
-			return Turn{ID: id, Program: program, BudgetTokens: 900, MostTokens: 580, Retention: time.Minute}
+			return Turn{ID: id, Program: program, BudgetTokens: 900, MaxTokens: 580, Retention: time.Minute}
 		}
 		warmUp(t, s, names[0])
 		f.store.SetDown(true)
@@ -231,7 +231,7 @@
 // usualTurn is a turn of a program of three, with a budget of one and a half times the
 // most of its turns.
 func usualTurn(program string, number int) Turn {
-	return Turn{ID: fmt.Sprint(program, "-", number), Program: program, BudgetTokens: 2700, MostTokens: 600, Retention: time.Minute}
+	return Turn{ID: fmt.Sprint(program, "-", number), Program: program, BudgetTokens: 2700, MaxTokens: 600, Retention: time.Minute}
 }
 
 // runUsual lets a program take its three turns of 200 tokens, and returns how many it
@@ -378,22 +378,22 @@
 // each loss, and nothing of it is on record.
 func TestLostAllowancesAndWhatFollowsStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		turn := Turn{MostTokens: rapid.Int64Range(1, 1000).Draw(t, "most")}
-		turn.BudgetTokens = rapid.Int64Range(turn.MostTokens, 50*turn.MostTokens).Draw(t, "budget")
+		turn := Turn{MaxTokens: rapid.Int64Range(1, 1000).Draw(t, "most")}
+		turn.BudgetTokens = rapid.Int64Range(turn.MaxTokens, 50*turn.MaxTokens).Draw(t, "budget")
 		l := losses{OfOneTurn: rapid.IntRange(0, turnLossesBorne).Draw(t, "of one turn")}
 		if l.areBorne() {
 			l.OfAll = rapid.IntRange(0, 1).Draw(t, "of all")
 		}
 		lost := turn.lostTo(l)
 		spent := max(lost-turn.uncounted(), 0)
-		if most := lost + turn.BudgetTokens - spent; most > turn.BudgetTokens+turn.MostTokens/2 {
+		if most := lost + turn.BudgetTokens - spent; most > turn.BudgetTokens+turn.MaxTokens/2 {
 			t.Errorf("%+v: %d tokens of a budget of %d", l, most, turn.BudgetTokens)
 		}
 		if granted := turn.nextAllowance(lost); granted > turn.BudgetTokens-spent {
 			t.Errorf("%+v: %d are granted of the %d that are left", l, granted, turn.BudgetTokens-spent)
 		}
-		if turn.BudgetTokens-spent < turn.MostTokens {
-			t.Errorf("%+v leave no room for a turn of %d in a budget of %d", l, turn.MostTokens, turn.BudgetTokens)
+		if turn.BudgetTokens-spent < turn.MaxTokens {
+			t.Errorf("%+v leave no room for a turn of %d in a budget of %d", l, turn.MaxTokens, turn.BudgetTokens)
 		}
 	})
 }
--- a/internal/ledger/append_history_test.go
+++ b/internal/ledger/append_history_test.go
@@ -112,7 +112,7 @@
 		s := f.service(f.ids()[0])
 		for turn := range 4 { // headroom is set aside for the program's next turns
 			id := fmt.Sprint("turn-", turn)
-			begin(t, s, Turn{ID: id, Program: "p", Retention: time.Minute, MostTokens: 10, BudgetTokens: 10_000})
+			begin(t, s, Turn{ID: id, Program: "p", Retention: time.Minute, MaxTokens: 10, BudgetTokens: 10_000})
 			end(t, s, Outcome{Turn: id, Program: "p", Kept: &KeptTurn{ID: id, Input: []byte("text")}})
 		}
 		f.store.SetCapacity(1)
@@ -120,12 +120,12 @@
 		defer cancel()
 		_ = s.End(ctx, Outcome{Turn: "finds-it-full", Program: "p", Kept: &KeptTurn{ID: "finds-it-full"}})
 		asked := time.Now()
-		_, err := s.Begin(t.Context(), Turn{ID: "kept", Program: "p", Retention: time.Minute, MostTokens: 10, BudgetTokens: 10_000})
-		var heldUp *HeldUpError
+		_, err := s.Begin(t.Context(), Turn{ID: "kept", Program: "p", Retention: time.Minute, MaxTokens: 10, BudgetTokens: 10_000})
+		var heldUp *UnavailableError
 		if !errors.As(err, &heldUp) || heldUp.Kind != admission.StoreOut || time.Since(asked) > 100*time.Millisecond {
 			t.Errorf("after %s: %v", time.Since(asked), err)
 		}
-		if _, err := s.Begin(t.Context(), Turn{ID: "not-kept", Program: "p", MostTokens: 10, BudgetTokens: 10_000}); err != nil {
+		if _, err := s.Begin(t.Context(), Turn{ID: "not-kept", Program: "p", MaxTokens: 10, BudgetTokens: 10_000}); err != nil {
 			t.Errorf("a turn that needs no record of its text: %v", err)
 		}
 	})
--- a/internal/ledger/ask.go
+++ b/internal/ledger/ask.go
@@ -60,7 +60,7 @@
 			s.avoided.note(shard, target, response.Result)
 		}
 		s.known.noteAnswer(shard, response)
-		s.capacity.estimate.Hear(response.StoreReports, time.Now())
+		s.capacity.estimate.Merge(response.StoreReports, time.Now())
 		s.noteAnswer(shard, response.Result, time.Now())
 		if response.Result.endsAsking() || response.gaveUp {
 			return response
@@ -84,9 +84,9 @@
 // setFailed tells of which claim there is bad news, 0 for none, and whose it is, if that
 // is known and was not given up.
 func (r *Request) setFailed(failed uint64, known knownHolder) {
-	r.Failed, r.Holder = failed, ""
+	r.FailedEpoch, r.FailedHolder = failed, ""
 	if failed != 0 && failed == known.Epoch && !known.released {
-		r.Holder = known.Daemon
+		r.FailedHolder = known.Daemon
 	}
 }
 
@@ -132,7 +132,7 @@
 		s.operate(&request, s.deliver)
 	} else {
 		request.Ledger = s.Name
-		request.OrdersEnd = s.evacuationsEnd()
+		request.EvacuationsEnd = s.evacuationsEnd()
 		s.Transport.Send(to, &request)
 	}
 	timer := time.NewTimer(request.patience())
--- a/internal/ledger/asks_only_test.go
+++ b/internal/ledger/asks_only_test.go
@@ -13,15 +13,15 @@
 		f := newTestFleet(t, 2)
 		begin(t, f.service(daemonID(0, 1)), Turn{ID: "first", Program: "p"})
 		holder, other := f.service(f.holderOf("p")), f.other("p")
-		other.AsksOnly = true
+		other.ClientOnly = true
 		shard := holder.shardOf("p")
 		failed := holder.known.get(shard).Epoch
 		for name, request := range map[string]Request{
-			"take":    {Take: true, Failed: failed},
+			"take":    {Take: true, FailedEpoch: failed},
 			"prepare": {Prepare: true},
-			"begin":   {Begin: &Turn{ID: "second", Program: "p"}, Failed: failed},
-			"end":     {End: &Outcome{Turn: "first", Program: "p", Kept: &KeptTurn{ID: "first", Input: []byte("in")}}, Failed: failed},
-			"find":    {Find: &Find{Turn: "first"}, Failed: failed},
+			"begin":   {Begin: &Turn{ID: "second", Program: "p"}, FailedEpoch: failed},
+			"end":     {End: &Outcome{Turn: "first", Program: "p", Kept: &KeptTurn{ID: "first", Input: []byte("in")}}, FailedEpoch: failed},
+			"find":    {Find: &Find{Turn: "first"}, FailedEpoch: failed},
 		} {
 			request.Shard = shard
 			if got := holder.askOne(testContext(t), other.Self, request).Result; got != resultMoved {
--- a/internal/ledger/claim_test.go
+++ b/internal/ledger/claim_test.go
@@ -109,7 +109,7 @@
 func TestLeavingDaemonPassesItsShardsOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
-		turn := Turn{ID: "a", Program: "p", BudgetTokens: 1000, MostTokens: 10}
+		turn := Turn{ID: "a", Program: "p", BudgetTokens: 1000, MaxTokens: 10}
 		begin(t, f.service(daemonID(0, 1)), turn)
 		holder := f.holderOf("p")
 		f.leave(holder)
@@ -135,15 +135,15 @@
 func TestHolderThatWakesLateIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
-		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 100, MostTokens: 60})
+		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 100, MaxTokens: 60})
 		frozen := f.holderOf("p")
 		other := f.other("p")
 		f.setDeaf(frozen, true)
-		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 100, MostTokens: 20})
+		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 100, MaxTokens: 20})
 		f.setDeaf(frozen, false)
 
 		// The former holder knows nothing of turn b, and would grant this one.
-		refusedWith(t, f.service(frozen), Turn{ID: "c", Program: "p", BudgetTokens: 100, MostTokens: 30}, ErrBudgetSpent)
+		refusedWith(t, f.service(frozen), Turn{ID: "c", Program: "p", BudgetTokens: 100, MaxTokens: 30}, ErrBudgetSpent)
 	})
 }
 
@@ -151,14 +151,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		const budget, most = 1000, 10
-		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: budget, MostTokens: most})
+		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: budget, MaxTokens: most})
 		former := f.service(f.holderOf("p"))
 		later := f.other("p")
 		f.setDeaf(former.Self, true)
-		begin(t, later, Turn{ID: "b", Program: "p", BudgetTokens: budget, MostTokens: most})
+		begin(t, later, Turn{ID: "b", Program: "p", BudgetTokens: budget, MaxTokens: most})
 		granted := int64(2 * most)
 		for i := range 2 * budget / most {
-			turn := &Turn{ID: fmt.Sprint("former-", i), Program: "p", BudgetTokens: budget, MostTokens: most}
+			turn := &Turn{ID: fmt.Sprint("former-", i), Program: "p", BudgetTokens: budget, MaxTokens: most}
 			if askHolder(t, former, Request{Begin: turn}) != resultOK {
 				break
 			}
@@ -168,7 +168,7 @@
 			t.Error("the former holder granted nothing from headroom")
 		}
 		for i := range 2 * budget / most {
-			turn := &Turn{ID: fmt.Sprint("later-", i), Program: "p", BudgetTokens: budget, MostTokens: most}
+			turn := &Turn{ID: fmt.Sprint("later-", i), Program: "p", BudgetTokens: budget, MaxTokens: most}
 			if askHolder(t, later, Request{Begin: turn}) == resultOK {
 				granted += most
 			}
@@ -182,13 +182,13 @@
 func TestShardThatIsGivenUpReturnsWhatWasSetAside(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
-		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 100, MostTokens: 10})
+		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 100, MaxTokens: 10})
 		holder := f.service(f.holderOf("p"))
 		if headroom := holder.holders[holder.shardOf("p")].state.accounts["p"].headroom; headroom != (setAside{near: 30, far: 15}) {
 			t.Errorf("%+v set aside, want three turns, and with the rest half of what is left", headroom)
 		}
 		holder.Leave()
-		begin(t, f.other("p"), Turn{ID: "b", Program: "p", BudgetTokens: 100, MostTokens: 90})
+		begin(t, f.other("p"), Turn{ID: "b", Program: "p", BudgetTokens: 100, MaxTokens: 90})
 	})
 }
 
@@ -202,18 +202,18 @@
 func TestHolderThatMissesOneMessageKeepsItsShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
-		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		holder, other := f.holderOf("p"), f.other("p")
-		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		f.setDeaf(holder, true)
 		time.AfterFunc(silence/2, func() { f.setDeaf(holder, false) })
-		begin(t, other, Turn{ID: "c", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+		begin(t, other, Turn{ID: "c", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		if now := f.holderOf("p"); now != holder {
 			t.Errorf("the shard moved from %s, which lives, to %s", holder, now)
 		}
 		f.setDeaf(holder, true) // it says nothing any more
 		started := time.Now()
-		begin(t, other, Turn{ID: "d", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+		begin(t, other, Turn{ID: "d", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		if took := time.Since(started); took > holderTries*silence+100*time.Millisecond {
 			t.Errorf("a silent holder was passed over after %s", took)
 		}
--- a/internal/ledger/confirm.go
+++ b/internal/ledger/confirm.go
@@ -147,7 +147,7 @@
 func (h *holder) passOn(ctx context.Context, o operation) {
 	holder := h.confirmed.holder
 	request := *o.request
-	request.Failed = 0
+	request.FailedEpoch = 0
 	h.status.passing.Add(1)
 	h.metrics.passedOn()
 	go func() {
--- a/internal/ledger/confirm_test.go
+++ b/internal/ledger/confirm_test.go
@@ -44,9 +44,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 5)
 		f.store.SetDelay(4 * time.Millisecond)
-		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		holder, other := f.holderOf("p"), f.other("p")
-		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		for _, id := range f.ids() {
 			if id != holder {
 				f.service(id).View = staleView{testFleet: f, dead: map[structs.DaemonID]bool{holder: true}}
@@ -55,7 +55,7 @@
 		claims := f.claims()
 		started := time.Now()
 		for i := range 20 {
-			begin(t, other, Turn{ID: fmt.Sprint("later-", i), Program: "p", BudgetTokens: 1000, MostTokens: 10})
+			begin(t, other, Turn{ID: fmt.Sprint("later-", i), Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		}
 		if now := f.holderOf("p"); now != holder || f.claims() != claims {
 			t.Errorf("the shard moved from %s, which lives, to %s", holder, now)
@@ -73,16 +73,16 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newTestFleet(t, 5)
 			f.store.SetDelay(4 * time.Millisecond)
-			begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+			begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 			holder, other := f.holderOf("p"), f.other("p")
-			begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+			begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 			time.Sleep(time.Second) // what they settled with is over
 			f.kill(holder)
 			if restarted {
 				f.start(structs.NewDaemonID(holder.Address(), 2))
 			}
 			started := time.Now()
-			begin(t, other, Turn{ID: "c", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+			begin(t, other, Turn{ID: "c", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 			if took := time.Since(started); took > 50*time.Millisecond {
 				t.Errorf("restarted %v: a dead holder was replaced after %s", restarted, took)
 			}
@@ -166,7 +166,7 @@
 func TestShardThatIsGivenUpWhileRequestsArePassedOnIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
-		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		holder, other := f.service(f.holderOf("p")), f.other("p")
 		shard := holder.shardOf("p")
 		held := holder.known.get(shard).holderRecord
@@ -179,8 +179,8 @@
 			giving.drop()
 			giving.givenTo = string(other.Self)
 		})
-		turn := Turn{ID: "b", Program: "p", BudgetTokens: 1000, MostTokens: 10}
-		if got := askHolder(t, other, Request{Begin: &turn, Failed: held.Epoch, Holder: held.Daemon}); got != resultMoved {
+		turn := Turn{ID: "b", Program: "p", BudgetTokens: 1000, MaxTokens: 10}
+		if got := askHolder(t, other, Request{Begin: &turn, FailedEpoch: held.Epoch, FailedHolder: held.Daemon}); got != resultMoved {
 			t.Errorf("the request was answered %q", got)
 		}
 		time.Sleep(time.Millisecond)
--- a/internal/ledger/evacuations.go
+++ b/internal/ledger/evacuations.go
@@ -10,31 +10,31 @@
 // whom the store turns away hears of them from the holders that it asks. They are safe
 // for concurrent use.
 type Evacuations interface {
-	// AskEvacuations returns how new this daemon's news is, 0 if it knows none.
-	AskEvacuations() (end int64)
-	// TellEvacuations returns this daemon's news if it is newer than the asker's, or
+	// KnownEvacuationsEnd returns how new this daemon's news is, 0 if it knows none.
+	KnownEvacuationsEnd() (end int64)
+	// EvacuationUpdateAfter returns this daemon's news if it is newer than the asker's, or
 	// nil.
-	TellEvacuations(asked int64, now time.Time) *zone.News
-	// HearEvacuations takes another daemon's news.
-	HearEvacuations(news *zone.News, now time.Time)
+	EvacuationUpdateAfter(asked int64, now time.Time) *zone.News
+	// ApplyEvacuationUpdate takes another daemon's news.
+	ApplyEvacuationUpdate(news *zone.News, now time.Time)
 }
 
 func (s *Service) evacuationsEnd() int64 {
 	if s.Evacuations == nil {
 		return 0
 	}
-	return s.Evacuations.AskEvacuations()
+	return s.Evacuations.KnownEvacuationsEnd()
 }
 
 func (s *Service) tellEvacuations(asked int64) *zone.News {
 	if s.Evacuations == nil {
 		return nil
 	}
-	return s.Evacuations.TellEvacuations(asked, time.Now())
+	return s.Evacuations.EvacuationUpdateAfter(asked, time.Now())
 }
 
 func (s *Service) hearEvacuations(news *zone.News) {
 	if s.Evacuations != nil && news != nil {
-		s.Evacuations.HearEvacuations(news, time.Now())
+		s.Evacuations.ApplyEvacuationUpdate(news, time.Now())
 	}
 }
--- a/internal/ledger/evacuations_test.go
+++ b/internal/ledger/evacuations_test.go
@@ -17,13 +17,13 @@
 	heard []zone.Change
 }
 
-func (e *testEvacuations) AskEvacuations() int64 { return e.Asking() }
+func (e *testEvacuations) KnownEvacuationsEnd() int64 { return e.Asking() }
 
-func (e *testEvacuations) TellEvacuations(asked int64, now time.Time) *zone.News {
+func (e *testEvacuations) EvacuationUpdateAfter(asked int64, now time.Time) *zone.News {
 	return e.Tell(asked, now)
 }
 
-func (e *testEvacuations) HearEvacuations(news *zone.News, now time.Time) {
+func (e *testEvacuations) ApplyEvacuationUpdate(news *zone.News, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.heard = append(e.heard, e.Hear(news, now)...)
@@ -50,7 +50,7 @@
 		}
 		ask := func(name string) {
 			for i := range 20 {
-				turn := Turn{ID: fmt.Sprint(name, i), Program: fmt.Sprint(name, i), BudgetTokens: 100, MostTokens: 1, Retention: time.Minute}
+				turn := Turn{ID: fmt.Sprint(name, i), Program: fmt.Sprint(name, i), BudgetTokens: 100, MaxTokens: 1, Retention: time.Minute}
 				if _, err := f.service(cut).Begin(testContext(t), turn); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/ledger/fleet_test.go
+++ b/internal/ledger/fleet_test.go
@@ -89,13 +89,13 @@
 		records = f.storeOf(id)
 	}
 	s := NewService(Options{
-		Self:       id,
-		Store:      records,
-		Transport:  &testTransport{fleet: f, self: id},
-		View:       f.view(id),
-		Partitions: partitions,
-		Directory:  store.Partition{Space: "holders"},
-		SettleTime: f.settleTime,
+		Self:             id,
+		Store:            records,
+		Transport:        &testTransport{fleet: f, self: id},
+		View:             f.view(id),
+		Partitions:       partitions,
+		Directory:        store.Partition{Space: "holders"},
+		DiscoveryTimeout: f.settleTime,
 
 		StoreReadBytes: f.readBytes,
 		StoreBytes:     f.storeBytes,
--- a/internal/ledger/handover.go
+++ b/internal/ledger/handover.go
@@ -114,7 +114,7 @@
 	go func() {
 		asking, cancel := context.WithTimeout(ctx, takeTime)
 		defer cancel()
-		response := h.askSuccessor(asking, successor, Request{Take: true, Failed: epoch})
+		response := h.askSuccessor(asking, successor, Request{Take: true, FailedEpoch: epoch})
 		h.post(ctx, func(context.Context) {
 			h.givenTo = ""
 			h.known.note(h.shard, holderRecord{Epoch: response.Epoch, Daemon: response.Holder})
--- a/internal/ledger/headroom.go
+++ b/internal/ledger/headroom.go
@@ -74,9 +74,9 @@
 func (s *state) canGrant(turn Turn, now time.Time) bool {
 	entry := s.accounts[turn.Program]
 	if entry == nil {
-		return s.allowanceFor(turn, now) >= turn.MostTokens
+		return s.allowanceFor(turn, now) >= turn.MaxTokens
 	}
-	return entry.hasHeadroom(turn.MostTokens, s.isOut(now))
+	return entry.hasHeadroom(turn.MaxTokens, s.isOut(now))
 }
 
 // takeHeadroom grants a turn that was reserved from headroom, if there is room.
@@ -86,10 +86,10 @@
 	if _, granted := entry.unrecorded[turn.ID]; granted {
 		return true // it is asked for again
 	}
-	if !entry.hasHeadroom(turn.MostTokens, s.isOut(now)) {
+	if !entry.hasHeadroom(turn.MaxTokens, s.isOut(now)) {
 		return false
 	}
-	entry.takeHeadroom(turn.MostTokens)
+	entry.takeHeadroom(turn.MaxTokens)
 	if entry.unrecorded == nil {
 		entry.unrecorded = map[string]struct{}{}
 	}
--- a/internal/ledger/histories_test.go
+++ b/internal/ledger/histories_test.go
@@ -65,10 +65,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, gated := newGatedFleet(t, 5)
 		s := f.service(f.ids()[0])
-		begin(t, s, Turn{ID: "new", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+		begin(t, s, Turn{ID: "new", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		goesOn := make(chan string, 1)
 		go func() {
-			goesOn <- begin(t, s, Turn{ID: "next", Program: "p", BudgetTokens: 1000, MostTokens: 10, Previous: "t-5"})
+			goesOn <- begin(t, s, Turn{ID: "next", Program: "p", BudgetTokens: 1000, MaxTokens: 10, Previous: "t-5"})
 		}()
 		time.Sleep(time.Second)
 		select {
@@ -90,25 +90,25 @@
 		f, gated := newGatedFleet(t, 5)
 		gated.failed = true
 		s := f.service(f.ids()[0])
-		begin(t, s, Turn{ID: "new", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+		begin(t, s, Turn{ID: "new", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		for _, previous := range []string{"t-5", "never"} {
 			ctx, cancel := context.WithTimeout(t.Context(), callersPatience)
-			_, err := s.Begin(ctx, Turn{ID: "next-" + previous, Program: "p", BudgetTokens: 1000, MostTokens: 10, Previous: previous})
+			_, err := s.Begin(ctx, Turn{ID: "next-" + previous, Program: "p", BudgetTokens: 1000, MaxTokens: 10, Previous: previous})
 			cancel()
 			if !errors.Is(err, ErrUnavailable) {
 				t.Errorf("a turn after %s: %v, want %v", previous, err, ErrUnavailable)
 			}
 		}
 		started := time.Now()
-		next := Turn{ID: "asked", Program: "p", BudgetTokens: 1000, MostTokens: 10, Previous: "t-5"}
+		next := Turn{ID: "asked", Program: "p", BudgetTokens: 1000, MaxTokens: 10, Previous: "t-5"}
 		holder := f.service(f.holderOf("p"))
 		if got := askHolder(t, holder, Request{Begin: &next}); got != resultImpaired || time.Since(started) > 2*historiesRetryPause {
 			t.Errorf("who waits for a text hears %q after %s", got, time.Since(started))
 		}
 		gated.failed = false
 		close(gated.gate)
-		refusedWith(t, s, Turn{ID: "later", Program: "p", BudgetTokens: 1000, MostTokens: 10, Previous: "never"}, ErrUnknownTurn)
-		begin(t, s, Turn{ID: "last", Program: "p", BudgetTokens: 1000, MostTokens: 10, Previous: "t-5"})
+		refusedWith(t, s, Turn{ID: "later", Program: "p", BudgetTokens: 1000, MaxTokens: 10, Previous: "never"}, ErrUnknownTurn)
+		begin(t, s, Turn{ID: "last", Program: "p", BudgetTokens: 1000, MaxTokens: 10, Previous: "t-5"})
 	})
 }
 
--- a/internal/ledger/holder.go
+++ b/internal/ledger/holder.go
@@ -49,7 +49,7 @@
 	// quotaTerms are the terms on which the holder of a tenant's shard owns its limit.
 	quotaTerms quota.Terms
 	// confirmations are told to those that ask for a limit.
-	confirmations Confirmations
+	confirmations RouteConfirmations
 	logger        zerolog.Logger
 	metrics       *Metrics
 	// leaving is closed when the daemon is to give its shards up.
@@ -150,9 +150,9 @@
 		h.tellFormer(o)
 		return
 	}
-	h.known.note(h.shard, holderRecord{Epoch: o.request.Failed, Daemon: o.request.Holder})
-	if refusal, refused := h.hold(ctx, o.request.Failed, o.request.kind()); refused {
-		if refusal == resultMoved && o.request.Failed != 0 && !o.request.Take && h.isConfirmed(time.Now()) {
+	h.known.note(h.shard, holderRecord{Epoch: o.request.FailedEpoch, Daemon: o.request.FailedHolder})
+	if refusal, refused := h.hold(ctx, o.request.FailedEpoch, o.request.kind()); refused {
+		if refusal == resultMoved && o.request.FailedEpoch != 0 && !o.request.Take && h.isConfirmed(time.Now()) {
 			h.passOn(ctx, o)
 			return
 		}
--- a/internal/ledger/holder_capacity.go
+++ b/internal/ledger/holder_capacity.go
@@ -31,7 +31,7 @@
 		return true
 	}
 	plan := h.capacity.plan(now)
-	if h.records.isFull(now) || plan.IsLast {
+	if h.records.isFull(now) || plan.IsExhausted {
 		// An engine would run it, and its caller would wait in vain for the end: nothing
 		// makes room sooner than what is refused.
 		h.metrics.refusedFull()
@@ -41,10 +41,10 @@
 	if _, underway := h.state.accounts[turn.Program]; underway || turn.Previous != "" {
 		return true // what was let in ends
 	}
-	admitted, back := h.gate.Admits(plan, h.capacity.shards, now)
+	admitted, back := h.gate.Admit(plan, h.capacity.shards, now)
 	if !admitted {
 		h.metrics.refusedCrowded()
-		h.answer(o, Response{Result: resultCrowded, BackInMS: back.Milliseconds()})
+		h.answer(o, Response{Result: resultCrowded, RetryAfterMS: back.Milliseconds()})
 	}
 	return admitted
 }
@@ -65,9 +65,9 @@
 func (h *holder) reportCapacity(now time.Time) {
 	profile, sizes := h.state.kept(now)
 	sizes.history = h.appended.bytes()
-	profile.Program = sizes.turns / int64(max(len(h.state.accounts), 1))
-	coming := leftShare * float64(profile.Program) * float64(h.state.underway(now))
-	profile.Add(int64(coming), time.Duration(profile.LifeMS)*time.Millisecond)
+	profile.ProgramBytes = sizes.turns / int64(max(len(h.state.accounts), 1))
+	coming := leftShare * float64(profile.ProgramBytes) * float64(h.state.underway(now))
+	profile.Add(int64(coming), time.Duration(profile.RetentionMS)*time.Millisecond)
 	profile.Rate = h.appended.rate(now)
 	h.metrics.tookBytes(h.sizes, sizes)
 	h.sizes = sizes
@@ -86,7 +86,7 @@
 		life := time.Duration(retentionMS)*time.Millisecond + keepMargin
 		*sum += bytes
 		profile.Add(bytes, life-now.Sub(usedAt))
-		profile.LifeMS = max(profile.LifeMS, life.Milliseconds())
+		profile.RetentionMS = max(profile.RetentionMS, life.Milliseconds())
 	}
 	for _, turn := range s.turns {
 		add(&sizes.turns, int64(len(turn.Input)+len(turn.Output)+turnHeadBytes), turn.usedAt, turn.RetentionMS)
--- a/internal/ledger/holder_operations.go
+++ b/internal/ledger/holder_operations.go
@@ -46,7 +46,7 @@
 	event := h.logger.Info().Str("request", turn.ID).Str("program", turn.Program).Str("result", string(outcome)).
 		Uint64("epoch", h.epoch).Dur("held_for", time.Since(h.tenure.since))
 	if entry := h.state.accounts[turn.Program]; entry != nil {
-		event = event.Int64("budget", turn.BudgetTokens).Int64("most", turn.MostTokens).Int64("spent", entry.Spent).
+		event = event.Int64("budget", turn.BudgetTokens).Int64("most", turn.MaxTokens).Int64("spent", entry.Spent).
 			Int64("forfeited", entry.Forfeited).Int64("committed", entry.committed()).Int("reserved_turns", len(entry.Reserved))
 	}
 	event.Str("previous", turn.Previous).Msg("Turn not granted.")
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -31,9 +31,9 @@
 	ErrStoreUnreachable = eris.Wrap(ErrUnavailable, "ledger: the store can not be reached")
 )
 
-// HeldUpError is an ErrUnavailable that tells what keeps a record from being
+// UnavailableError is an ErrUnavailable that tells what keeps a record from being
 // reached, and since when.
-type HeldUpError struct {
+type UnavailableError struct {
 	Shard int
 	// Kind is ShardMoving, or StoreOut: then the error is ErrStoreUnreachable, too.
 	Kind  admission.Kind
@@ -43,29 +43,29 @@
 }
 
 // Error implements error.
-func (e *HeldUpError) Error() string {
+func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("%v: shard %d, last answer: %s", e.Unwrap(), e.Shard, e.last)
 }
 
 // Unwrap returns ErrStoreUnreachable or ErrUnavailable.
-func (e *HeldUpError) Unwrap() error {
+func (e *UnavailableError) Unwrap() error {
 	if e.Kind == admission.StoreOut {
 		return ErrStoreUnreachable
 	}
 	return ErrUnavailable
 }
 
-// CrowdedError: a program can not begin, as the store has no room for what it would leave
+// StoreCapacityError: a program can not begin, as the store has no room for what it would leave
 // behind. Nothing of the turn was reserved.
-type CrowdedError struct {
+type StoreCapacityError struct {
 	Shard int
-	// Back is when the caller had better come back.
-	Back time.Duration
+	// RetryAfter is when the caller had better come back.
+	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (e *CrowdedError) Error() string {
-	return fmt.Sprintf("ledger: the store has no room for another program: shard %d, back in %s", e.Shard, e.Back)
+func (e *StoreCapacityError) Error() string {
+	return fmt.Sprintf("ledger: the store has no room for another program: shard %d, back in %s", e.Shard, e.RetryAfter)
 }
 
 // Turn is a turn that is about to run.
@@ -78,8 +78,8 @@
 	// BudgetTokens bounds what all turns of the program generate together;
 	// 0 sets no bound.
 	BudgetTokens int64 `json:"budget,omitempty"`
-	// MostTokens is the most that this turn generates.
-	MostTokens int64 `json:"most,omitempty"`
+	// MaxTokens is the most that this turn generates.
+	MaxTokens int64 `json:"most,omitempty"`
 	// Previous is the turn that this one goes on from, "" for none.
 	Previous string `json:"previous,omitempty"`
 	// Retention is how long the program and its turns are kept after their
@@ -99,8 +99,8 @@
 type Grant struct {
 	// History is the text of the chain of turns before this one.
 	History []byte `json:"history,omitempty"`
-	// HistoryLeftOut: the asker said that it has the text.
-	HistoryLeftOut bool `json:"left_out,omitempty"`
+	// HistoryOmitted: the asker said that it has the text.
+	HistoryOmitted bool `json:"left_out,omitempty"`
 	// Underway: the program has had turns before.
 	Underway bool `json:"underway,omitempty"`
 	// Instance ran the session's turn before, or else the program's latest: it
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -38,7 +38,7 @@
 // complete runs a turn that is kept.
 func complete(t *testing.T, s *Service, program, id, previous string) {
 	t.Helper()
-	begin(t, s, Turn{ID: id, Program: program, MostTokens: 10, BudgetTokens: 1000, Previous: previous})
+	begin(t, s, Turn{ID: id, Program: program, MaxTokens: 10, BudgetTokens: 1000, Previous: previous})
 	end(t, s, Outcome{Turn: id, Program: program, UsedTokens: 5, Kept: &KeptTurn{
 		ID: id, Previous: previous, Input: []byte("in-" + id + " "), Output: []byte("out-" + id + " "),
 	}})
@@ -67,7 +67,7 @@
 		for i := range turns {
 			service := f.service(daemonID(i%3, 1))
 			workers.Go(func() {
-				turn := Turn{ID: fmt.Sprint("turn-", i), Program: "p", BudgetTokens: budget, MostTokens: most}
+				turn := Turn{ID: fmt.Sprint("turn-", i), Program: "p", BudgetTokens: budget, MaxTokens: most}
 				for {
 					_, err := service.Begin(testContext(t), turn)
 					if errors.Is(err, ErrUnavailable) {
@@ -92,11 +92,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		s := f.service(daemonID(0, 1))
-		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 20, MostTokens: 15})
-		refusedWith(t, s, Turn{ID: "b", Program: "p", BudgetTokens: 20, MostTokens: 15}, ErrBudgetSpent)
+		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 20, MaxTokens: 15})
+		refusedWith(t, s, Turn{ID: "b", Program: "p", BudgetTokens: 20, MaxTokens: 15}, ErrBudgetSpent)
 		end(t, s, Outcome{Turn: "a", Program: "p", UsedTokens: 5})
-		begin(t, s, Turn{ID: "c", Program: "p", BudgetTokens: 20, MostTokens: 15})
-		refusedWith(t, s, Turn{ID: "d", Program: "p", BudgetTokens: 20, MostTokens: 1}, ErrBudgetSpent)
+		begin(t, s, Turn{ID: "c", Program: "p", BudgetTokens: 20, MaxTokens: 15})
+		refusedWith(t, s, Turn{ID: "d", Program: "p", BudgetTokens: 20, MaxTokens: 1}, ErrBudgetSpent)
 	})
 }
 
@@ -106,14 +106,14 @@
 		s := f.service(daemonID(0, 1))
 		complete(t, s, "p", "one", "")
 		complete(t, s, "p", "two", "one")
-		begin(t, s, Turn{ID: "cut", Program: "p", BudgetTokens: 1000, MostTokens: 900})
+		begin(t, s, Turn{ID: "cut", Program: "p", BudgetTokens: 1000, MaxTokens: 900})
 		f.killAll()
 		s = f.start(daemonID(0, 2))
 		f.start(daemonID(1, 2))
 
 		// 10 are spent and 900 reserved for good, of 1000.
-		refusedWith(t, s, Turn{ID: "big", Program: "p", BudgetTokens: 1000, MostTokens: 91}, ErrBudgetSpent)
-		history := begin(t, s, Turn{ID: "three", Program: "p", BudgetTokens: 1000, MostTokens: 90, Previous: "two"})
+		refusedWith(t, s, Turn{ID: "big", Program: "p", BudgetTokens: 1000, MaxTokens: 91}, ErrBudgetSpent)
+		history := begin(t, s, Turn{ID: "three", Program: "p", BudgetTokens: 1000, MaxTokens: 90, Previous: "two"})
 		if diff := cmp.Diff("in-one out-one in-two out-two ", history); diff != "" {
 			t.Errorf("history (-want +got):\n%s", diff)
 		}
@@ -124,17 +124,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		s := f.service(daemonID(0, 1))
-		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		f.store.SetDown(true)
 		for i := range 5 {
-			turn := Turn{ID: fmt.Sprint("down-", i), Program: "p", BudgetTokens: 1000, MostTokens: 10}
+			turn := Turn{ID: fmt.Sprint("down-", i), Program: "p", BudgetTokens: 1000, MaxTokens: 10}
 			if _, err := s.Begin(testContext(t), turn); err != nil {
 				t.Fatalf("turn %d: %v", i, err)
 			}
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		beyond := Turn{ID: "n", Program: "p", BudgetTokens: 1000, MostTokens: 501}
+		beyond := Turn{ID: "n", Program: "p", BudgetTokens: 1000, MaxTokens: 501}
 		_, err := s.Begin(ctx, beyond)
 		if !errors.Is(err, ErrUnavailable) {
 			t.Errorf("a turn beyond the headroom: got %v, want %v", err, ErrUnavailable)
@@ -144,8 +144,8 @@
 		for i := range 5 {
 			end(t, s, Outcome{Turn: fmt.Sprint("down-", i), Program: "p", UsedTokens: 10})
 		}
-		begin(t, s, Turn{ID: "big", Program: "p", BudgetTokens: 1000, MostTokens: 940})
-		refusedWith(t, s, Turn{ID: "more", Program: "p", BudgetTokens: 1000, MostTokens: 1}, ErrBudgetSpent)
+		begin(t, s, Turn{ID: "big", Program: "p", BudgetTokens: 1000, MaxTokens: 940})
+		refusedWith(t, s, Turn{ID: "more", Program: "p", BudgetTokens: 1000, MaxTokens: 1}, ErrBudgetSpent)
 	})
 }
 
@@ -153,9 +153,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		s := f.service(daemonID(0, 1))
-		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 100, MostTokens: 10})
+		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 100, MaxTokens: 10})
 		f.store.SetDown(true)
-		turn := Turn{ID: "b", Program: "p", BudgetTokens: 100, MostTokens: 60}
+		turn := Turn{ID: "b", Program: "p", BudgetTokens: 100, MaxTokens: 60}
 		for range 3 {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
@@ -165,10 +165,10 @@
 		}
 		f.store.SetDown(false)
 		begin(t, s, turn)
-		begin(t, s, Turn{ID: "c", Program: "p", BudgetTokens: 100, MostTokens: 30})
+		begin(t, s, Turn{ID: "c", Program: "p", BudgetTokens: 100, MaxTokens: 30})
 		s.Abandon(turn)
 		eventually(t, func() error {
-			_, err := s.Begin(testContext(t), Turn{ID: "d", Program: "p", BudgetTokens: 100, MostTokens: 60})
+			_, err := s.Begin(testContext(t), Turn{ID: "d", Program: "p", BudgetTokens: 100, MaxTokens: 60})
 			return err
 		})
 	})
@@ -186,7 +186,7 @@
 		for i := range turns {
 			ctx, cancel := context.WithTimeout(t.Context(), patience)
 			started := time.Now()
-			_, err := s.Begin(ctx, Turn{ID: fmt.Sprint("down-", i), Program: "q", BudgetTokens: 10, MostTokens: 10})
+			_, err := s.Begin(ctx, Turn{ID: fmt.Sprint("down-", i), Program: "q", BudgetTokens: 10, MaxTokens: 10})
 			cancel()
 			if !errors.Is(err, ErrUnavailable) || (i > 5 && !errors.Is(err, ErrStoreUnreachable)) {
 				t.Fatalf("turn %d: got %v, want %v", i, err, ErrStoreUnreachable)
@@ -205,14 +205,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
 		s := f.service(daemonID(0, 1))
-		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 1000, MostTokens: 10})
+		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		holder := f.holderOf("p")
 		f.store.SetDown(true)
 		var waiting sync.WaitGroup
 		var returned time.Time
 		for i, service := range []*Service{s, f.service(daemonID(1, 1)), f.service(daemonID(2, 1))} {
 			waiting.Go(func() { // larger than the headroom
-				if _, err := service.Begin(testContext(t), Turn{ID: fmt.Sprint("big-", i), Program: "p", BudgetTokens: 9000, MostTokens: 600}); err != nil {
+				if _, err := service.Begin(testContext(t), Turn{ID: fmt.Sprint("big-", i), Program: "p", BudgetTokens: 9000, MaxTokens: 600}); err != nil {
 					t.Errorf("turn %d: %v", i, err)
 				}
 			})
@@ -240,7 +240,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		// Budgets are half as much again as the most of all turns, here two.
-		turn := Turn{Program: "p", BudgetTokens: 300, MostTokens: 100}
+		turn := Turn{Program: "p", BudgetTokens: 300, MaxTokens: 100}
 		for _, id := range []string{"one", "one again", "two"} {
 			turn.ID = id
 			begin(t, f.service(f.ids()[0]), turn)
@@ -270,10 +270,10 @@
 		s := f.service(daemonID(0, 1))
 		for i := range 8 {
 			id := fmt.Sprint("turn-", i)
-			begin(t, s, Turn{ID: id, Program: "p", BudgetTokens: 80, MostTokens: 10})
+			begin(t, s, Turn{ID: id, Program: "p", BudgetTokens: 80, MaxTokens: 10})
 			end(t, s, Outcome{Turn: id, Program: "p", UsedTokens: 10})
 		}
-		refusedWith(t, s, Turn{ID: "more", Program: "p", BudgetTokens: 80, MostTokens: 1}, ErrBudgetSpent)
+		refusedWith(t, s, Turn{ID: "more", Program: "p", BudgetTokens: 80, MaxTokens: 1}, ErrBudgetSpent)
 	})
 }
 
@@ -281,7 +281,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		s := f.service(daemonID(0, 1))
-		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 100, MostTokens: 10})
+		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 100, MaxTokens: 10})
 		holder := f.holderOf("p")
 		shard := s.shardOf("p")
 		epoch := s.known.get(shard).Epoch
@@ -297,18 +297,18 @@
 		f.setDeaf(other.Self, true)
 		ctx, cancel := context.WithTimeout(context.Background(), giveUpAfter/2)
 		defer cancel()
-		if _, err := f.service(holder).Begin(ctx, Turn{ID: "late", Program: "p", BudgetTokens: 100, MostTokens: 80}); err == nil {
+		if _, err := f.service(holder).Begin(ctx, Turn{ID: "late", Program: "p", BudgetTokens: 100, MaxTokens: 80}); err == nil {
 			t.Fatal("a turn was granted whose reservation was not acknowledged")
 		}
 		f.kill(holder)
 		f.setDeaf(other.Self, false)
 		// Of 100, 10 are reserved and 45 were set aside; then 25 are reserved.
-		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 100, MostTokens: 25})
+		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 100, MaxTokens: 25})
 		f.store.DoLate()
 		f.killAll()
 		s = f.start(daemonID(0, 3))
-		refusedWith(t, s, Turn{ID: "c", Program: "p", BudgetTokens: 100, MostTokens: 21}, ErrBudgetSpent)
-		begin(t, s, Turn{ID: "d", Program: "p", BudgetTokens: 100, MostTokens: 20})
+		refusedWith(t, s, Turn{ID: "c", Program: "p", BudgetTokens: 100, MaxTokens: 21}, ErrBudgetSpent)
+		begin(t, s, Turn{ID: "d", Program: "p", BudgetTokens: 100, MaxTokens: 20})
 	})
 }
 
@@ -355,7 +355,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 10, MostTokens: 10})
+		begin(t, s, Turn{ID: "a", Program: "p", BudgetTokens: 10, MaxTokens: 10})
 		refusedWith(t, s, Turn{ID: "b", Program: "p", Previous: "one"}, ErrUnknownTurn)
 	})
 }
@@ -402,14 +402,14 @@
 		})
 		// The holder confirms that it has no turn "one", gets a copy that it cannot
 		// append, grants the turn from headroom and dies.
-		turn := Turn{ID: "two", Program: program, BudgetTokens: 1000, MostTokens: 10, Previous: "one"}
+		turn := Turn{ID: "two", Program: program, BudgetTokens: 1000, MaxTokens: 10, Previous: "one"}
 		begin(t, f.service(holder), turn)
 		f.kill(holder)
 		f.store.SetFault(nil)
 		end(t, other, Outcome{Turn: "two", Program: program, UsedTokens: 5, Kept: &KeptTurn{
 			ID: "two", Previous: "one", Input: []byte("in-two "), Output: []byte("out-two "),
 		}})
-		history := begin(t, other, Turn{ID: "three", Program: program, BudgetTokens: 1000, MostTokens: 10, Previous: "two"})
+		history := begin(t, other, Turn{ID: "three", Program: program, BudgetTokens: 1000, MaxTokens: 10, Previous: "two"})
 		if diff := cmp.Diff("in-one out-one in-two out-two ", history); diff != "" {
 			t.Errorf("history (-want +got):\n%s", diff)
 		}
@@ -426,7 +426,7 @@
 		end(t, s, Outcome{Turn: "two", Program: program, UsedTokens: 5, Kept: &KeptTurn{
 			ID: "two", Previous: "one", Input: []byte("in-two "), Output: []byte("out-two "),
 		}})
-		history := begin(t, s, Turn{ID: "three", Program: program, BudgetTokens: 1000, MostTokens: 10, Previous: "two"})
+		history := begin(t, s, Turn{ID: "three", Program: program, BudgetTokens: 1000, MaxTokens: 10, Previous: "two"})
 		if diff := cmp.Diff("in-one out-one in-two out-two ", history); diff != "" {
 			t.Errorf("history (-want +got):\n%s", diff)
 		}
@@ -453,7 +453,7 @@
 			t.Helper()
 			var got string
 			eventually(t, func() error {
-				grant, err := s.Begin(testContext(t), Turn{ID: id, Program: "p", Session: session, BudgetTokens: 1000, MostTokens: 10, Retention: time.Minute})
+				grant, err := s.Begin(testContext(t), Turn{ID: id, Program: "p", Session: session, BudgetTokens: 1000, MaxTokens: 10, Retention: time.Minute})
 				got = grant.Instance
 				return err
 			})
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -51,22 +51,22 @@
 	Shard  int    `json:"s"`
 	// Ledger names the ledger whose shard it is, "" for that of all daemons.
 	Ledger string `json:"ledger,omitempty"`
-	// Failed is the epoch of the holder that the asker got no answer from, 0
+	// FailedEpoch is the epoch of the holder that the asker got no answer from, 0
 	// for none: only then may a daemon take the shard from a holder that lives.
-	Failed uint64 `json:"x,omitempty"`
-	// Holder is the daemon of that claim.
-	Holder string   `json:"h,omitempty"`
-	Begin  *Turn    `json:"begin,omitempty"`
-	End    *Outcome `json:"end,omitempty"`
-	Find   *Find    `json:"find,omitempty"`
+	FailedEpoch uint64 `json:"x,omitempty"`
+	// FailedHolder is the daemon of that claim.
+	FailedHolder string   `json:"h,omitempty"`
+	Begin        *Turn    `json:"begin,omitempty"`
+	End          *Outcome `json:"end,omitempty"`
+	Find         *Find    `json:"find,omitempty"`
 	// Quota asks for a request of a tenant whose limit the shard's holder owns.
 	Quota *quota.Ask `json:"quota,omitempty"`
 	// Prepare: the daemon shall read the shard ahead, as it is to take it.
 	Prepare bool `json:"prepare,omitempty"`
 	// Take: the daemon shall hold the shard from now on.
 	Take bool `json:"take,omitempty"`
-	// OrdersEnd tells how new the asker's news of evacuations is; 0 if it knows none.
-	OrdersEnd int64 `json:"oe,omitempty"`
+	// EvacuationsEnd tells how new the asker's news of evacuations is; 0 if it knows none.
+	EvacuationsEnd int64 `json:"oe,omitempty"`
 	// Superseded names the asker's claim: the daemon shall give the shard up and tell
 	// what it granted.
 	Superseded *holderRecord `json:"superseded,omitempty"`
@@ -116,9 +116,9 @@
 	Verdict *quota.Verdict `json:"q,omitempty"`
 	// StoreReports tell what the shard, and some others, take in the store, told with a turn that begins.
 	StoreReports []storecapacity.Report `json:"sr,omitempty"`
-	// BackInMS tells, with resultCrowded, in how many milliseconds the program had better
+	// RetryAfterMS tells, with resultCrowded, in how many milliseconds the program had better
 	// come back.
-	BackInMS int64 `json:"back_ms,omitempty"`
+	RetryAfterMS int64 `json:"back_ms,omitempty"`
 	// Former answers Superseded, nil if the daemon did not hold the shard lately.
 	Former *FormerAccounts `json:"former,omitempty"`
 }
--- a/internal/ledger/options.go
+++ b/internal/ledger/options.go
@@ -13,9 +13,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// DefaultSettleTime suits a fleet whose daemons hear of each other within
+// DefaultDiscoveryTimeout suits a fleet whose daemons hear of each other within
 // some probes.
-const DefaultSettleTime = 800 * time.Millisecond
+const DefaultDiscoveryTimeout = 800 * time.Millisecond
 
 // View is what the ledger sees of membership.
 type View interface {
@@ -33,24 +33,24 @@
 	Store     store.Store
 	Transport peer.Transport
 	View      View
-	// Contact tells when the store answers again; nil if nothing does.
-	Contact store.Contact
+	// Connectivity tells when the store answers again; nil if nothing does.
+	Connectivity store.Contact
 	// Partitions names every shard's partition, the same in the whole fleet.
 	Partitions []store.Partition
 	// Directory is the partition that tells who holds each shard.
 	Directory store.Partition
-	// SettleTime is how long a daemon that started waits for news of the
+	// DiscoveryTimeout is how long a daemon that started waits for news of the
 	// others before it asks for, or takes, any shard, unless the directory names a
 	// holder of each: it would take them all.
-	SettleTime time.Duration
+	DiscoveryTimeout time.Duration
 	// Admission decides how long a turn waits to begin; nil for one of its own.
 	Admission *admission.Admission
-	// Expected returns how many daemons are on record, this one included, 0 if
+	// ExpectedDaemons returns how many daemons are on record, this one included, 0 if
 	// that is not known: one that heard of most of them settles early.
-	Expected func() int
+	ExpectedDaemons func() int
 	// Confirmations are of the routes, which daemons tell each other along with what
 	// they say of tenants' limits; nil if there are none.
-	Confirmations Confirmations
+	Confirmations RouteConfirmations
 	// Evacuations are which zones the operators evacuated, which daemons tell each
 	// other along with all answers; nil if that is no matter.
 	Evacuations Evacuations
@@ -60,8 +60,8 @@
 	// StoreBytes is how many bytes the store keeps at most for the whole fleet; 0 if that is
 	// not known: then nothing is refused to spare it, until it refuses an append itself.
 	StoreBytes float64
-	// AsksOnly: the daemon holds no shard, whoever asks it to.
-	AsksOnly bool
+	// ClientOnly: the daemon holds no shard, whoever asks it to.
+	ClientOnly bool
 	// Machine is the steady clock of the machine that the daemon runs on.
 	Machine MachineClock
 	// Quota are the terms on which the holder of a tenant's shard owns its limit.
--- a/internal/ledger/pace_test.go
+++ b/internal/ledger/pace_test.go
@@ -63,7 +63,7 @@
 		var programs []string
 		for i := range 4 * shards {
 			program := fmt.Sprint("p-", i)
-			begin(t, s, Turn{ID: program + "-first", Program: program, BudgetTokens: 1000, MostTokens: 10})
+			begin(t, s, Turn{ID: program + "-first", Program: program, BudgetTokens: 1000, MaxTokens: 10})
 			programs = append(programs, program)
 		}
 		time.Sleep(time.Second)
@@ -76,7 +76,7 @@
 			settled.Go(func() { end(t, s, Outcome{Turn: program + "-first", Program: program}) })
 		}
 		started := time.Now()
-		begin(t, s, Turn{ID: "next", Program: programs[0], BudgetTokens: 1000, MostTokens: 10})
+		begin(t, s, Turn{ID: "next", Program: programs[0], BudgetTokens: 1000, MaxTokens: 10})
 		if took := time.Since(started); took > silence {
 			t.Errorf("a turn that begins waited for %s", took)
 		}
--- a/internal/ledger/promise_test.go
+++ b/internal/ledger/promise_test.go
@@ -30,7 +30,7 @@
 		time.Sleep(10 * time.Millisecond) // it has begun to leave
 		epoch := former.known.get(shard).Epoch
 		started := time.Now()
-		taken := former.askOne(testContext(t), successor.Self, Request{Shard: shard, Take: true, Failed: epoch})
+		taken := former.askOne(testContext(t), successor.Self, Request{Shard: shard, Take: true, FailedEpoch: epoch})
 		if taken.Result != resultOK || time.Since(started) > longestWithoutHolder {
 			t.Errorf("the successor says %q after %s, want %q within %s", taken.Result, time.Since(started), resultOK, longestWithoutHolder)
 		}
--- a/internal/ledger/quota.go
+++ b/internal/ledger/quota.go
@@ -11,14 +11,14 @@
 // are hashed to shards.
 const tenantPrefix = "tenant/"
 
-// Confirmations tell how lately routes, with tenants' keys, were known to be the
+// RouteConfirmations tell how lately routes, with tenants' keys, were known to be the
 // newest. They are safe for concurrent use.
-type Confirmations interface {
-	// Confirmed returns the version in force, and a time as of which it is the newest;
+type RouteConfirmations interface {
+	// RoutesConfirmed returns the version in force, and a time as of which it is the newest;
 	// zero if none is known.
-	Confirmed() (version int64, asOf time.Time)
-	// Hear takes another daemon's word that a version was the newest as of a time.
-	Hear(version int64, asOf time.Time)
+	RoutesConfirmed() (version int64, asOf time.Time)
+	// ConfirmRoutes takes another daemon's word that a version was the newest as of a time.
+	ConfirmRoutes(version int64, asOf time.Time)
 }
 
 // AskQuota asks the owner of a tenant's limit, the holder of the tenant's shard, for
@@ -30,7 +30,7 @@
 	response := s.ask(ctx, shard, Request{Quota: &ask})
 	if s.Confirmations != nil && response.RoutesVersion > 0 {
 		// The owner told an age after the question was asked.
-		s.Confirmations.Hear(response.RoutesVersion, asked.Add(-time.Duration(response.RoutesAgeMS)*time.Millisecond))
+		s.Confirmations.ConfirmRoutes(response.RoutesVersion, asked.Add(-time.Duration(response.RoutesAgeMS)*time.Millisecond))
 	}
 	if response.Result != resultOK || response.Verdict == nil {
 		return quota.Verdict{}, s.heldUp(shard, response.Result)
@@ -56,7 +56,7 @@
 	}
 	response := Response{Result: resultOK, Verdict: &verdict}
 	if h.confirmations != nil {
-		if version, asOf := h.confirmations.Confirmed(); !asOf.IsZero() {
+		if version, asOf := h.confirmations.RoutesConfirmed(); !asOf.IsZero() {
 			response.RoutesVersion = version
 			response.RoutesAgeMS = now.Sub(asOf).Milliseconds() + 1
 		}
--- a/internal/ledger/receive.go
+++ b/internal/ledger/receive.go
@@ -25,7 +25,7 @@
 	case *Request:
 		s.operate(message, func(response Response) {
 			response.Ledger = s.Name
-			response.Evacuations = s.tellEvacuations(message.OrdersEnd)
+			response.Evacuations = s.tellEvacuations(message.EvacuationsEnd)
 			s.Transport.Send(from, &response)
 		})
 	case *Response:
@@ -40,7 +40,7 @@
 // operate hands a request to its shard's holder. If that takes a while, the
 // asker is told so, again and again while the holder is busy.
 func (s *Service) operate(request *Request, reply func(Response)) {
-	if s.AsksOnly || request.Shard < 0 || request.Shard >= len(s.holders) || !request.isWhole() {
+	if s.ClientOnly || request.Shard < 0 || request.Shard >= len(s.holders) || !request.isWhole() {
 		reply(Response{Number: request.Number, Result: resultMoved})
 		return
 	}
--- a/internal/ledger/restart_test.go
+++ b/internal/ledger/restart_test.go
@@ -31,7 +31,7 @@
 	for _, id := range f.ids() {
 		for shard, program := range programOfEachShard(f.service(id)) {
 			callers.Go(func() {
-				turn := Turn{ID: fmt.Sprint(label, "-", id, "-", shard), Program: program, MostTokens: 1, Retention: time.Minute}
+				turn := Turn{ID: fmt.Sprint(label, "-", id, "-", shard), Program: program, MaxTokens: 1, Retention: time.Minute}
 				begin(t, f.service(id), turn)
 			})
 		}
@@ -112,21 +112,21 @@
 func TestDaemonSettlesOnceItKnowsAllHolders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
-		f.settleTime = DefaultSettleTime
+		f.settleTime = DefaultDiscoveryTimeout
 		f.beginEverywhere(t, "before")
 		s := f.start(daemonID(2, 1))
-		time.Sleep(DefaultSettleTime / 10)
-		if !s.IsSettled() {
+		time.Sleep(DefaultDiscoveryTimeout / 10)
+		if !s.DiscoveryDone() {
 			t.Error("the directory names all holders, and more is waited for")
 		}
 		f.store.SetDown(true)
 		s = f.start(daemonID(3, 1))
-		time.Sleep(DefaultSettleTime - 2*settledLook)
-		if s.IsSettled() {
+		time.Sleep(DefaultDiscoveryTimeout - 2*settledLook)
+		if s.DiscoveryDone() {
 			t.Error("settled though it knows of nobody")
 		}
 		time.Sleep(4 * settledLook)
-		if !s.IsSettled() {
+		if !s.DiscoveryDone() {
 			t.Error("not settled after its time")
 		}
 	})
@@ -139,8 +139,8 @@
 		f.blind = true
 		first, second := f.start(daemonID(0, 1)), f.start(daemonID(1, 1))
 		program := programOfEachShard(first)[0]
-		begin(t, first, Turn{ID: "a", Program: program, MostTokens: 1})
-		begin(t, second, Turn{ID: "b", Program: program, MostTokens: 1})
+		begin(t, first, Turn{ID: "a", Program: program, MaxTokens: 1})
+		begin(t, second, Turn{ID: "b", Program: program, MaxTokens: 1})
 		records, _, err := store.Newest(context.Background(), f.store, store.Partition{Space: "holders"})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/ledger/return_test.go
+++ b/internal/ledger/return_test.go
@@ -243,7 +243,7 @@
 	turns := 2 + random.IntN(returnTurns-1)
 	for number := range turns {
 		time.Sleep(time.Duration(random.Int64N(2 * int64(returnThink))))
-		turn := Turn{Program: program, MostTokens: returnMost, BudgetTokens: int64(turns) * returnMost * 3 / 2, Previous: previous, Retention: returnRetention}
+		turn := Turn{Program: program, MaxTokens: returnMost, BudgetTokens: int64(turns) * returnMost * 3 / 2, Previous: previous, Retention: returnRetention}
 		began := false
 		for try := 0; try < 3 && !began; try++ {
 			s := f.caller(random, zone)
@@ -280,7 +280,7 @@
 	_, err := s.Begin(ctx, turn)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if errors.Is(err, ErrBudgetSpent) && spent+turn.MostTokens <= turn.BudgetTokens {
+	if errors.Is(err, ErrBudgetSpent) && spent+turn.MaxTokens <= turn.BudgetTokens {
 		f.wrongOver = append(f.wrongOver, fmt.Sprintf("%s at %v", turn.ID, f.now()))
 	}
 	if inside {
--- a/internal/ledger/rolling_stop_test.go
+++ b/internal/ledger/rolling_stop_test.go
@@ -128,7 +128,7 @@
 func (f *rollingFleet) takeTurns(program string, waits *recordWaits, stop <-chan struct{}) {
 	for i := 0; !isClosed(stop); i++ {
 		id := fmt.Sprint(program, "-", i)
-		turn := Turn{ID: id, Program: program, Retention: time.Minute, MostTokens: 10, BudgetTokens: 1_000_000}
+		turn := Turn{ID: id, Program: program, Retention: time.Minute, MaxTokens: 10, BudgetTokens: 1_000_000}
 		waits.time(func(ctx context.Context) error { return beginInTime(ctx, f.caller(), turn) })
 		kept := &KeptTurn{ID: id, Input: []byte("in")}
 		waits.time(func(ctx context.Context) error {
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -53,7 +53,7 @@
 	if s.Admission == nil {
 		s.Admission = &admission.Admission{}
 	}
-	contact := options.Contact
+	contact := options.Connectivity
 	if contact == nil {
 		contact = store.NoContact{}
 	}
--- a/internal/ledger/settle.go
+++ b/internal/ledger/settle.go
@@ -24,18 +24,18 @@
 // the others: it would take all shards.
 func (s *Service) settle(ctx context.Context) {
 	started := time.Now()
-	reading, cancel := context.WithTimeout(ctx, s.SettleTime)
+	reading, cancel := context.WithTimeout(ctx, s.DiscoveryTimeout)
 	defer cancel()
 	go s.readHolders(reading)
 	heard, heardAt := 0, started
-	for time.Since(started) < s.SettleTime && ctx.Err() == nil && !s.known.isComplete() {
+	for time.Since(started) < s.DiscoveryTimeout && ctx.Err() == nil && !s.known.isComplete() {
 		if members := len(s.View.Members()); members != heard {
 			heard, heardAt = members, time.Now()
 		}
 		if s.hasHeardMost(heard) && time.Since(heardAt) >= settledQuiet {
 			break
 		}
-		clock.Sleep(ctx, min(settledLook, s.SettleTime-time.Since(started)))
+		clock.Sleep(ctx, min(settledLook, s.DiscoveryTimeout-time.Since(started)))
 	}
 	s.Logger.Info().Int("members", heard).Bool("holders_known", s.known.isComplete()).
 		Dur("took", time.Since(started)).Msg("Settled.")
@@ -56,12 +56,12 @@
 
 // hasHeardMost tells whether most daemons on record were heard of.
 func (s *Service) hasHeardMost(heard int) bool {
-	if s.Expected == nil {
+	if s.ExpectedDaemons == nil {
 		return false
 	}
-	expected := s.Expected()
+	expected := s.ExpectedDaemons()
 	return expected > 0 && float64(heard) >= settledShare*float64(expected)
 }
 
-// IsSettled tells whether the daemon had time to hear of the others.
-func (s *Service) IsSettled() bool { return isClosed(s.settled) }
+// DiscoveryDone tells whether the daemon had time to hear of the others.
+func (s *Service) DiscoveryDone() bool { return isClosed(s.settled) }
--- a/internal/ledger/settle_test.go
+++ b/internal/ledger/settle_test.go
@@ -19,7 +19,7 @@
 	s := NewService(Options{
 		Self: daemonID(9, 1), Store: f.store, Transport: &testTransport{fleet: f, self: daemonID(9, 1)}, View: f,
 		Partitions: []store.Partition{{Space: "ledger"}}, Directory: store.Partition{Space: "holders"},
-		SettleTime: DefaultSettleTime, Expected: expected,
+		DiscoveryTimeout: DefaultDiscoveryTimeout, ExpectedDaemons: expected,
 		Logger: zerolog.Nop(), Metrics: NewMetrics(prometheus.NewRegistry()),
 	})
 	started := time.Now()
@@ -35,9 +35,9 @@
 		want     time.Duration
 	}{
 		{"all of those on record were heard of", func() int { return 3 }, settledQuiet + settledLook},
-		{"half of those on record were heard of", func() int { return 6 }, DefaultSettleTime},
-		{"the record could not be read", func() int { return 0 }, DefaultSettleTime},
-		{"there is no record", nil, DefaultSettleTime},
+		{"half of those on record were heard of", func() int { return 6 }, DefaultDiscoveryTimeout},
+		{"the record could not be read", func() int { return 0 }, DefaultDiscoveryTimeout},
+		{"there is no record", nil, DefaultDiscoveryTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/ledger/simulation_programs_test.go
+++ b/internal/ledger/simulation_programs_test.go
@@ -146,7 +146,7 @@
 	p.sent++
 	turn := ledger.Turn{
 		ID: fmt.Sprintf("%s-%d", p.id, p.sent), Program: p.id,
-		BudgetTokens: p.budget, MostTokens: mostTokens, Previous: p.last, Retention: retention,
+		BudgetTokens: p.budget, MaxTokens: mostTokens, Previous: p.last, Retention: retention,
 	}
 	grant, err := beginUntil(service, turn)
 	switch {
--- a/internal/ledger/simulation_world_test.go
+++ b/internal/ledger/simulation_world_test.go
@@ -132,16 +132,16 @@
 		Metrics:   proxy.NewMetrics(prometheus.NewRegistry()),
 	})
 	service := ledger.NewService(ledger.Options{
-		Self:       id,
-		Store:      way,
-		Contact:    way,
-		Transport:  transport,
-		View:       w,
-		Partitions: partitions,
-		Directory:  store.Partition{Space: "holders"},
-		SettleTime: ledger.DefaultSettleTime,
-		Logger:     zerolog.Nop(),
-		Metrics:    ledger.NewMetrics(prometheus.NewRegistry()),
+		Self:             id,
+		Store:            way,
+		Connectivity:     way,
+		Transport:        transport,
+		View:             w,
+		Partitions:       partitions,
+		Directory:        store.Partition{Space: "holders"},
+		DiscoveryTimeout: ledger.DefaultDiscoveryTimeout,
+		Logger:           zerolog.Nop(),
+		Metrics:          ledger.NewMetrics(prometheus.NewRegistry()),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	w.change(func() {
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -119,7 +119,7 @@
 	s.touch(accountPrefix + turn.Program)
 	grant := Grant{History: history, Underway: underway, Instance: entry.instanceOf(turn.Session)}
 	if turn.HistoryKnown {
-		grant.History, grant.HistoryLeftOut = nil, true
+		grant.History, grant.HistoryOmitted = nil, true
 	}
 	return grant, resultOK
 }
--- a/internal/ledger/state_test.go
+++ b/internal/ledger/state_test.go
@@ -21,7 +21,7 @@
 				a.settle(id, used)
 			} else {
 				most := rapid.Int64Range(0, 100).Draw(t, "most")
-				a.reserve(Turn{ID: id, BudgetTokens: budget, MostTokens: most})
+				a.reserve(Turn{ID: id, BudgetTokens: budget, MaxTokens: most})
 			}
 			if a.committed() > budget {
 				t.Fatalf("step %d: %d committed of %d", i, a.committed(), budget)
@@ -34,7 +34,7 @@
 	s := newState(time.Now())
 	now := time.Now()
 	s.end(Outcome{Turn: "a", Program: "p"}, now)
-	if _, got := s.begin(Turn{ID: "a", Program: "p", MostTokens: 5}, now); got != resultOver {
+	if _, got := s.begin(Turn{ID: "a", Program: "p", MaxTokens: 5}, now); got != resultOver {
 		t.Errorf("got %q, want %q", got, resultOver)
 	}
 }
@@ -96,7 +96,7 @@
 func TestAccountIsKeptFromTheEndOfATurnThatIsNotReservedThere(t *testing.T) {
 	s := newState(time.Now())
 	start := time.Now()
-	s.begin(Turn{ID: "a", Program: "p", Retention: time.Minute, BudgetTokens: 100, MostTokens: 75}, start)
+	s.begin(Turn{ID: "a", Program: "p", Retention: time.Minute, BudgetTokens: 100, MaxTokens: 75}, start)
 	late := start.Add(time.Minute)
 	s.end(Outcome{Turn: "b", Program: "p", UsedTokens: 5}, late)
 	s.expire(late.Add(time.Minute), 100)
--- a/internal/ledger/store_capacity.go
+++ b/internal/ledger/store_capacity.go
@@ -72,7 +72,7 @@
 	if s.bound <= 0 {
 		return nil
 	}
-	return s.estimate.Tell(shard, s.isNotable, now)
+	return s.estimate.Reports(shard, s.isNotable, now)
 }
 
 // plan returns what the store can still take.
@@ -96,7 +96,7 @@
 	s.tellStep(kept, bound)
 	if s.current.IsCrowded != wasCrowded {
 		s.logger.Info().Bool("crowded", s.current.IsCrowded).Int64("bytes", kept.Bytes()).Float64("bound", bound).
-			Int64("rate", kept.Rate).Float64("floor", s.current.Floor).Float64("pace", s.current.Pace).
+			Int64("rate", kept.Rate).Float64("floor", s.current.BaseRate).Float64("pace", s.current.Rate).
 			Msg("Whether programs are held back for want of room in the store has changed.")
 	}
 	return s.current
@@ -120,7 +120,7 @@
 		return
 	}
 	s.logger.Info().Int("step", step).Int("before", s.step).Int64("bytes", kept.Bytes()).Float64("bound", bound).
-		Int64("rate", kept.Rate).Dur("full_in", kept.FullIn(bound)).Msg("The store has passed a step of its bound.")
+		Int64("rate", kept.Rate).Dur("full_in", kept.TimeToFull(bound)).Msg("The store has passed a step of its bound.")
 	s.step = step
 }
 
--- a/internal/ledger/store_capacity_test.go
+++ b/internal/ledger/store_capacity_test.go
@@ -104,7 +104,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	if _, err := s.Begin(ctx, Turn{ID: id, Program: program, Previous: previous, MostTokens: 10, BudgetTokens: 100, Retention: loadRetention}); err != nil {
+	if _, err := s.Begin(ctx, Turn{ID: id, Program: program, Previous: previous, MaxTokens: 10, BudgetTokens: 100, Retention: loadRetention}); err != nil {
 		s.Abandon(Turn{ID: id, Program: program})
 		return false
 	}
@@ -221,7 +221,7 @@
 	if bound := capacity.boundAt(now); bound != 98 {
 		t.Errorf("bound %v", bound)
 	}
-	if plan := capacity.plan(now.Add(planInterval)); !plan.IsLast {
+	if plan := capacity.plan(now.Add(planInterval)); !plan.IsExhausted {
 		t.Errorf("more may be kept: %+v", plan)
 	}
 	capacity.note(0, profileOf(400), now.Add(time.Second)) // a bound does not rise by what is kept
@@ -236,7 +236,7 @@
 
 // profileOf is of bytes that are dropped in half a minute.
 func profileOf(bytes int64) storecapacity.Profile {
-	profile := storecapacity.Profile{LifeMS: 30_000}
+	profile := storecapacity.Profile{RetentionMS: 30_000}
 	profile.Add(bytes, 30*time.Second)
 	return profile
 }
--- a/internal/ledger/superseded_test.go
+++ b/internal/ledger/superseded_test.go
@@ -27,7 +27,7 @@
 	before(f, holder)
 	f.store.SetDown(false)
 	shard := former.shardOf(names[1])
-	take := Request{Shard: shard, Take: true, Failed: former.known.get(shard).Epoch}
+	take := Request{Shard: shard, Take: true, FailedEpoch: former.known.get(shard).Epoch}
 	if got := successor.askOne(testContext(t), successor.Self, take).Result; got != resultOK {
 		t.Fatalf("the shard was not taken: %q", got)
 	}
@@ -94,7 +94,7 @@
 
 	holder := f.service(f.holderOf(program))
 	shard := holder.shardOf(program)
-	take := Request{Shard: shard, Take: true, Failed: holder.known.get(shard).Epoch}
+	take := Request{Shard: shard, Take: true, FailedEpoch: holder.known.get(shard).Epoch}
 	f.kill(holder.Self)
 	f.store.SetFault(func(p store.Partition, _ store.Writer) memory.Fault {
 		if p.Space == "holders" {
--- a/internal/ledger/text_cache_test.go
+++ b/internal/ledger/text_cache_test.go
@@ -80,7 +80,7 @@
 		f := newTestFleet(t, 2)
 		s := f.service(daemonID(0, 1))
 		chainOf(t, f.service(daemonID(1, 1)), "warm", 1) // the other holds a shard
-		s.AsksOnly = true
+		s.ClientOnly = true
 		chainOf(t, s, "warm-too", 2)
 		if s.texts.bytes > 0 {
 			t.Errorf("%d bytes are remembered", s.texts.bytes)
--- a/internal/ledger/trouble.go
+++ b/internal/ledger/trouble.go
@@ -80,7 +80,7 @@
 func (s *Service) heldUp(shard int, last result) error {
 	now := time.Now()
 	kind := last.trouble()
-	return &HeldUpError{Shard: shard, Kind: kind, Since: s.troubles.note(shard, kind, now, now), last: last}
+	return &UnavailableError{Shard: shard, Kind: kind, Since: s.troubles.note(shard, kind, now, now), last: last}
 }
 
 // hopeUntil is how long an asker waits on for a holder that waits for the store: an
--- a/internal/ledger/turns.go
+++ b/internal/ledger/turns.go
@@ -21,7 +21,7 @@
 
 // Begin reserves a turn's tokens and returns the history before it. The deadline
 // of ctx is when that stops to be of use: a turn that waits for a store which will
-// hardly be back by then is given up. After ErrUnavailable, a HeldUpError, it is not
+// hardly be back by then is given up. After ErrUnavailable, a UnavailableError, it is not
 // known whether they are reserved: the same turn may be tried again, which reserves
 // them once, or must be abandoned.
 func (s *Service) Begin(ctx context.Context, turn Turn) (Grant, error) {
@@ -39,7 +39,7 @@
 	}
 	switch response.Result {
 	case resultOK:
-		if response.Grant.HistoryLeftOut {
+		if response.Grant.HistoryOmitted {
 			response.Grant.History = text
 		} else {
 			s.remember(turn.Previous, response.Grant.History)
@@ -50,7 +50,7 @@
 	case resultUnknownTurn:
 		return Grant{}, ErrUnknownTurn
 	case resultCrowded:
-		return Grant{}, &CrowdedError{Shard: shard, Back: time.Duration(response.BackInMS) * time.Millisecond}
+		return Grant{}, &StoreCapacityError{Shard: shard, RetryAfter: time.Duration(response.RetryAfterMS) * time.Millisecond}
 	}
 	return Grant{}, s.heldUp(shard, response.Result)
 }
@@ -58,7 +58,7 @@
 // remember keeps the text of a chain for the next turn, unless the daemon may not have
 // it beyond what passes through.
 func (s *Service) remember(turn string, text []byte) {
-	if !s.AsksOnly {
+	if !s.ClientOnly {
 		s.texts.put(turn, slices.Clip(text))
 	}
 }
@@ -85,7 +85,7 @@
 		response := s.ask(ctx, shard, Request{End: &asked})
 		switch response.Result {
 		case resultOK:
-			if outcome.Kept != nil && !s.AsksOnly {
+			if outcome.Kept != nil && !s.ClientOnly {
 				s.texts.extend(outcome.Kept)
 			}
 			return nil
--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -58,7 +58,7 @@
 
 // decideTurn is decide for a turn that is not granted.
 func (c *carrier) decideTurn(err error, started, now time.Time) admission.Decision {
-	var heldUp *ledger.HeldUpError
+	var heldUp *ledger.UnavailableError
 	if errors.As(err, &heldUp) {
 		return c.decide(heldUp.Kind, heldUp.Since, now)
 	}
--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -17,7 +17,7 @@
 
 // heldUp is the ledger's error for a shard that has been held up for a while.
 func heldUp(kind admission.Kind, lasted time.Duration) error {
-	return &ledger.HeldUpError{Kind: kind, Since: time.Now().Add(-lasted)}
+	return &ledger.UnavailableError{Kind: kind, Since: time.Now().Add(-lasted)}
 }
 
 func TestTurnIsRefusedAtOnceIfItsOutageOutlastsItsCaller(t *testing.T) {
@@ -44,7 +44,7 @@
 func TestProgramWithoutRoomInTheStoreIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
-		h.ledger.err = &ledger.CrowdedError{Back: 3 * time.Second}
+		h.ledger.err = &ledger.StoreCapacityError{RetryAfter: 3 * time.Second}
 		call := newTurn(newRoute(route.KindStream))
 		got := h.serve(call)
 		if held := time.Since(call.Received); held > 0 || len(h.driver.sent) > 0 || len(h.ledger.turns) != 1 {
@@ -63,7 +63,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		began := time.Now()
-		h.ledger.err = &ledger.HeldUpError{Kind: admission.StoreOut, Since: began}
+		h.ledger.err = &ledger.UnavailableError{Kind: admission.StoreOut, Since: began}
 		call := newTurn(newRoute(route.KindStream))
 		call.Deadline = call.Received.Add(6 * time.Second)
 		decision := h.relay.Admission.Decide(admission.Wait{Kind: admission.StoreOut, Since: began, Worthless: call.Deadline}, began)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -279,7 +279,7 @@
 	if !got.ended {
 		t.Error("the stream did not end")
 	}
-	if most := h.ledger.turns[0].MostTokens; most != 12 {
+	if most := h.ledger.turns[0].MaxTokens; most != 12 {
 		t.Errorf("%d tokens reserved, want 10 rounded up to events of 4", most)
 	}
 	want := []ledger.Outcome{{Turn: "q", Program: "p", Session: "s1", Instance: h.driver.to[0].ID, UsedTokens: 8}}
--- a/internal/relay/turn.go
+++ b/internal/relay/turn.go
@@ -54,10 +54,10 @@
 			retain: c.call.Route.RetainContext, perEvent: c.tokensPerEvent(), grantedAfter: took,
 		}, true
 	}
-	var crowded *ledger.CrowdedError
+	var crowded *ledger.StoreCapacityError
 	switch {
 	case errors.As(err, &crowded):
-		c.forecast.Remaining = crowded.Back
+		c.forecast.Remaining = crowded.RetryAfter
 		c.refuse(Refusal{Reason: ReasonStoreCrowded, RetryAfter: c.returnAfter(), Detail: "The store has no room for another program."})
 	case errors.Is(err, ledger.ErrBudgetSpent):
 		c.refuse(Refusal{Reason: ReasonBudgetSpent, Detail: "The program's token budget has no room for this turn."})
@@ -82,7 +82,7 @@
 		Program:      c.call.Program.ID,
 		Session:      c.call.Program.Session,
 		BudgetTokens: c.call.Program.BudgetTokens,
-		MostTokens:   c.mostTokens(),
+		MaxTokens:    c.mostTokens(),
 		Previous:     c.call.Program.Previous,
 		Retention:    c.call.Route.Retention,
 		Regions:      c.regions,
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -197,11 +197,11 @@
 // isReady tells whether the daemon may get requests. One that is cut off can not serve
 // most of them: their callers are better led to another zone.
 func (d *Daemon) isReady() bool {
-	return !d.RedirectsCallers() && d.table.Load() != nil && d.pool.Listed() && d.ledger.IsSettled()
+	return !d.RedirectsCallers() && d.table.Load() != nil && d.pool.Listed() && d.ledger.DiscoveryDone()
 }
 
 var (
-	_ Gateway              = (*Daemon)(nil)
-	_ ledger.Confirmations = (*Daemon)(nil)
-	_ ledger.Evacuations   = (*Daemon)(nil)
+	_ Gateway                   = (*Daemon)(nil)
+	_ ledger.RouteConfirmations = (*Daemon)(nil)
+	_ ledger.Evacuations        = (*Daemon)(nil)
 )
--- a/internal/relaydaemon/keys.go
+++ b/internal/relaydaemon/keys.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// Confirmed implements ledger.Confirmations. The routes are looked at after the
+// RoutesConfirmed implements ledger.RouteConfirmations. The routes are looked at after the
 // confirmation: they are at least as new.
-func (d *Daemon) Confirmed() (version int64, asOf time.Time) {
+func (d *Daemon) RoutesConfirmed() (version int64, asOf time.Time) {
 	asOf, _ = d.keys.last()
 	table := d.table.Load()
 	if table == nil {
@@ -132,10 +132,10 @@
 	return time.Since(asOf)
 }
 
-// Hear implements ledger.Confirmations: what each daemon hears of some others keeps
+// ConfirmRoutes implements ledger.RouteConfirmations: what each daemon hears of some others keeps
 // its keys confirmed for longer into an outage, with no call to the store. A word of
 // newer routes makes this daemon expect them.
-func (d *Daemon) Hear(version int64, asOf time.Time) {
+func (d *Daemon) ConfirmRoutes(version int64, asOf time.Time) {
 	table := d.table.Load()
 	switch {
 	case table == nil:
--- a/internal/relaydaemon/keys_test.go
+++ b/internal/relaydaemon/keys_test.go
@@ -167,22 +167,22 @@
 		d.setKeys(t, 5, "key")
 		d.confirmRoutes(time.Now())
 		time.Sleep(time.Minute)
-		d.Hear(6, time.Now())
+		d.ConfirmRoutes(6, time.Now())
 		if d.honours(t, "key") {
 			t.Error("a word of newer routes confirms older ones")
 		}
 		if len(d.keys.newerRoutes.Asked()) == 0 {
 			t.Error("newer routes are not expected")
 		}
-		d.Hear(5, time.Now().Add(-d.settings.revocationTime()))
+		d.ConfirmRoutes(5, time.Now().Add(-d.settings.revocationTime()))
 		if d.honours(t, "key") {
 			t.Error("a word that is too old confirms")
 		}
-		d.Hear(4, time.Now().Add(-time.Second))
+		d.ConfirmRoutes(4, time.Now().Add(-time.Second))
 		if !d.honours(t, "key") {
 			t.Error("a word in time does not confirm")
 		}
-		if version, asOf := d.Confirmed(); version != 5 || time.Since(asOf) != time.Second {
+		if version, asOf := d.RoutesConfirmed(); version != 5 || time.Since(asOf) != time.Second {
 			t.Errorf("tells others of version %d as of %s ago", version, time.Since(asOf))
 		}
 	})
--- a/internal/relaydaemon/regional.go
+++ b/internal/relaydaemon/regional.go
@@ -168,8 +168,8 @@
 		options.Partitions = append(options.Partitions, store.Partition{Space: options.Name, Number: number})
 	}
 	options.Directory = regionalDirectory(region)
-	options.Expected = nil
-	options.AsksOnly = r.own != region
+	options.ExpectedDaemons = nil
+	options.ClientOnly = r.own != region
 	options.Confirmations, options.Evacuations = nil, nil
 	options.Logger = options.Logger.With().Str("region", region).Logger()
 	return options
--- a/internal/relaydaemon/regional_test.go
+++ b/internal/relaydaemon/regional_test.go
@@ -92,7 +92,7 @@
 		Random: newRandom(), MayHelp: mayHelp, Logger: zerolog.Nop(), Metrics: proxy.NewMetrics(prometheus.NewRegistry()),
 	})
 	options := ledger.Options{
-		Self: d.ID, Store: d.store, Contact: d.store, Transport: transport, View: f,
+		Self: d.ID, Store: d.store, Connectivity: d.store, Transport: transport, View: f,
 		Partitions: ledgerPartitions(DefaultSettings()), Directory: store.Partition{Space: ledgerDirectory},
 		Logger: zerolog.Nop(), Metrics: ledger.NewMetrics(prometheus.NewRegistry()),
 	}
@@ -292,7 +292,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	id := fmt.Sprintf("%s-%d", program, number)
-	turn := ledger.Turn{ID: id, Program: program, Previous: previous, BudgetTokens: 1000, MostTokens: 10, Retention: time.Hour, Regions: allowed}
+	turn := ledger.Turn{ID: id, Program: program, Previous: previous, BudgetTokens: 1000, MaxTokens: 10, Retention: time.Hour, Regions: allowed}
 	var grant ledger.Grant
 	for {
 		var err error
--- a/internal/relaydaemon/zones.go
+++ b/internal/relaydaemon/zones.go
@@ -22,16 +22,16 @@
 	d.noteEvacuations(d.evacuations.Take(reading, now), reading.End, sourceStore, now)
 }
 
-// AskEvacuations implements ledger.Evacuations.
-func (d *Daemon) AskEvacuations() int64 { return d.evacuations.Asking() }
+// KnownEvacuationsEnd implements ledger.Evacuations.
+func (d *Daemon) KnownEvacuationsEnd() int64 { return d.evacuations.Asking() }
 
-// TellEvacuations implements ledger.Evacuations.
-func (d *Daemon) TellEvacuations(asked int64, now time.Time) *zone.News {
+// EvacuationUpdateAfter implements ledger.Evacuations.
+func (d *Daemon) EvacuationUpdateAfter(asked int64, now time.Time) *zone.News {
 	return d.evacuations.Tell(asked, now)
 }
 
-// HearEvacuations implements ledger.Evacuations.
-func (d *Daemon) HearEvacuations(news *zone.News, now time.Time) {
+// ApplyEvacuationUpdate implements ledger.Evacuations.
+func (d *Daemon) ApplyEvacuationUpdate(news *zone.News, now time.Time) {
 	d.noteEvacuations(d.evacuations.Hear(news, now), news.End, sourceDaemon, now)
 }
 
--- a/internal/relaydaemon/zones_test.go
+++ b/internal/relaydaemon/zones_test.go
@@ -173,7 +173,7 @@
 		expect("after the history was dropped", "a1")
 		o.write("c", "")
 		expect("taken back", "a1 c1")
-		o.HearEvacuations(&zone.News{End: 2, Orders: []zone.ToldOrder{{Zone: "c", Offset: 1}}}, time.Now())
+		o.ApplyEvacuationUpdate(&zone.News{End: 2, Orders: []zone.ToldOrder{{Zone: "c", Offset: 1}}}, time.Now())
 		expect("after late news of the first order", "a1 c1")
 		o.write("c", "{}")
 		stop()
@@ -182,7 +182,7 @@
 		stop = o.follow()
 		defer func() { stop() }()
 		expect("taken back while nobody listened", "a1 c1")
-		o.HearEvacuations(&zone.News{End: 100, Orders: []zone.ToldOrder{{Zone: "late", Offset: 99, AgeMS: 5001}}}, time.Now())
+		o.ApplyEvacuationUpdate(&zone.News{End: 100, Orders: []zone.ToldOrder{{Zone: "late", Offset: 99, AgeMS: 5001}}}, time.Now())
 		if lines := o.lines.String(); !strings.Contains(lines, `"level":"warn"`) || !strings.Contains(lines, `"heard_from":"daemon"`) {
 			t.Errorf("nothing warns of an order that came late:\n%s", lines)
 		}
--- a/internal/storecapacity/capacity_test.go
+++ b/internal/storecapacity/capacity_test.go
@@ -38,7 +38,7 @@
 
 // profile returns what is kept now, and what is to come of programs under way.
 func (m *model) profile(coming bool) Profile {
-	p := Profile{LifeMS: testLife.Milliseconds(), Program: programBytes}
+	p := Profile{RetentionMS: testLife.Milliseconds(), ProgramBytes: programBytes}
 	for i, bytes := range m.kept {
 		age := time.Duration(m.now-i) * step
 		if bytes > 0 && testLife > age && (i <= m.now || coming) {
@@ -69,7 +69,7 @@
 			m.reported, m.second = m.second, m.profile(true)
 		}
 		for due += offered * step.Seconds(); due >= programBytes; due -= programBytes {
-			admitted, back := m.gate.Admits(PlanFor(m.reported, testBound), 1, now)
+			admitted, back := m.gate.Admit(PlanFor(m.reported, testBound), 1, now)
 			switch {
 			case admitted:
 				m.begin()
@@ -153,16 +153,16 @@
 func TestGateWithoutAPlanAdmits(t *testing.T) {
 	var g Gate
 	for range 3 {
-		if admitted, _ := g.Admits(PlanFor(Profile{}, testBound), testParts, start); !admitted {
+		if admitted, _ := g.Admit(PlanFor(Profile{}, testBound), testParts, start); !admitted {
 			t.Error("refused where nothing is known")
 		}
 	}
 }
 
 func TestProfileGoesOn(t *testing.T) {
-	p := Profile{Leaving: []int64{100, 200, 400}, Rate: 10, LifeMS: 12_000}
+	p := Profile{Expiring: []int64{100, 200, 400}, Rate: 10, RetentionMS: 12_000}
 	got := p.after(SlotLength / 2)
-	want := Profile{Leaving: []int64{150, 300, 200 + 25}, Rate: 10, LifeMS: 12_000}
+	want := Profile{Expiring: []int64{150, 300, 200 + 25}, Rate: 10, RetentionMS: 12_000}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
@@ -172,19 +172,19 @@
 }
 
 func TestFullIn(t *testing.T) {
-	p := Profile{Leaving: make([]int64, 14), Rate: 1000, LifeMS: 60_000}
+	p := Profile{Expiring: make([]int64, 14), Rate: 1000, RetentionMS: 60_000}
 	p.Add(10_000, 50*time.Second)
-	if got := p.FullIn(30_000); got != 20*time.Second {
+	if got := p.TimeToFull(30_000); got != 20*time.Second {
 		t.Errorf("full in %s", got)
 	}
-	if got := p.FullIn(1e9); got != 0 {
+	if got := p.TimeToFull(1e9); got != 0 {
 		t.Errorf("full in %s", got)
 	}
-	p.LifeMS = longestLife.Milliseconds()
-	if got := p.FullIn(1e9); got != 0 || !p.IsValid() {
+	p.RetentionMS = longestLife.Milliseconds()
+	if got := p.TimeToFull(1e9); got != 0 || !p.IsValid() {
 		t.Errorf("full in %s where things are kept for a year", got)
 	}
-	if p.LifeMS++; p.IsValid() {
+	if p.RetentionMS++; p.IsValid() {
 		t.Error("kept for longer than anything is")
 	}
 }
@@ -194,11 +194,11 @@
 	if _, known := e.Sum(start); known {
 		t.Error("known from nothing")
 	}
-	e.Note(0, Profile{Leaving: []int64{0, 0, 100}, LifeMS: 1}, start)
-	e.Note(0, Profile{Leaving: []int64{0, 0, 900}, LifeMS: 1}, start.Add(-time.Second)) // older
-	e.Note(5, Profile{Leaving: []int64{0, 0, 300}, LifeMS: 1}, start)
-	e.Note(6, Profile{Leaving: []int64{-1}, LifeMS: 1}, start)
-	e.Note(7, Profile{Leaving: make([]int64, slotsLimit+1), LifeMS: 1}, start)
+	e.Note(0, Profile{Expiring: []int64{0, 0, 100}, RetentionMS: 1}, start)
+	e.Note(0, Profile{Expiring: []int64{0, 0, 900}, RetentionMS: 1}, start.Add(-time.Second)) // older
+	e.Note(5, Profile{Expiring: []int64{0, 0, 300}, RetentionMS: 1}, start)
+	e.Note(6, Profile{Expiring: []int64{-1}, RetentionMS: 1}, start)
+	e.Note(7, Profile{Expiring: make([]int64, slotsLimit+1), RetentionMS: 1}, start)
 	sum, known := e.Sum(start)
 	if want := int64(testParts / 2 * 400); !known || sum.Bytes() != want {
 		t.Errorf("%d bytes, want %d", sum.Bytes(), want)
@@ -211,10 +211,10 @@
 // TestWhatIsKeptForLongIsNotTakenToBeDropped: nothing is let in on the strength of what is only
 // dropped beyond the slots.
 func TestWhatIsKeptForLongIsNotTakenToBeDropped(t *testing.T) {
-	p := Profile{LifeMS: time.Hour.Milliseconds()}
+	p := Profile{RetentionMS: time.Hour.Milliseconds()}
 	p.Add(int64(0.82*testBound), time.Hour)
-	if len(p.Leaving) != slotsLimit {
-		t.Errorf("%d slots", len(p.Leaving))
+	if len(p.Expiring) != slotsLimit {
+		t.Errorf("%d slots", len(p.Expiring))
 	}
 	if plan := PlanFor(p, testBound); !plan.IsCrowded || plan.Spare > 0.03*testBound {
 		t.Errorf("%+v", plan)
@@ -232,11 +232,11 @@
 	for tenth := range 30 {
 		now := start.Add(time.Duration(tenth) * 100 * time.Millisecond)
 		for i, e := range estimates {
-			e.Note(i, Profile{Leaving: []int64{0, 100}, LifeMS: 10_000}, now)
+			e.Note(i, Profile{Expiring: []int64{0, 100}, RetentionMS: 10_000}, now)
 		}
 		for i := range parts / 3 {
 			holder := (i*7 + 11*tenth) % parts
-			estimates[(3*i+tenth)%parts].Hear(estimates[holder].Tell(holder, passOn, now), now)
+			estimates[(3*i+tenth)%parts].Merge(estimates[holder].Reports(holder, passOn, now), now)
 		}
 	}
 	heard := 0
@@ -254,7 +254,7 @@
 	}
 	now := start
 	e := NewEstimate(2)
-	e.Hear([]Report{{Part: 2, Profile: Profile{LifeMS: 1}}, {Part: -1, Profile: Profile{LifeMS: 1}}, {Part: 0, AgeMS: -5, Profile: Profile{LifeMS: 1}}}, now)
+	e.Merge([]Report{{Shard: 2, Profile: Profile{RetentionMS: 1}}, {Shard: -1, Profile: Profile{RetentionMS: 1}}, {Shard: 0, AgeMS: -5, Profile: Profile{RetentionMS: 1}}}, now)
 	if len(e.reports) != 0 {
 		t.Errorf("reports of no part were taken: %v", e.reports)
 	}
@@ -263,7 +263,7 @@
 func BenchmarkPlan(b *testing.B) {
 	e := NewEstimate(48)
 	for part := range 48 {
-		p := Profile{Rate: 60_000, LifeMS: testLife.Milliseconds()}
+		p := Profile{Rate: 60_000, RetentionMS: testLife.Milliseconds()}
 		for second := range 70 {
 			p.Add(60_000, time.Duration(second)*time.Second)
 		}
--- a/internal/storecapacity/estimate.go
+++ b/internal/storecapacity/estimate.go
@@ -18,7 +18,7 @@
 
 // Report is what one part of the fleet keeps. It travels between daemons.
 type Report struct {
-	Part int `json:"part"`
+	Shard int `json:"part"`
 	// AgeMS is how many milliseconds ago the part kept that.
 	AgeMS   int64   `json:"age_ms,omitempty"`
 	Profile Profile `json:"profile"`
@@ -44,11 +44,11 @@
 	return &Estimate{parts: parts, reports: map[int]timedProfile{}}
 }
 
-// Hear takes the valid ones of reports that came from another daemon.
-func (e *Estimate) Hear(reports []Report, now time.Time) {
+// Merge takes the valid ones of reports that came from another daemon.
+func (e *Estimate) Merge(reports []Report, now time.Time) {
 	for _, report := range reports {
-		if report.AgeMS >= 0 && report.Part >= 0 && report.Part < e.parts {
-			e.Note(report.Part, report.Profile, now.Add(-time.Duration(report.AgeMS)*time.Millisecond))
+		if report.AgeMS >= 0 && report.Shard >= 0 && report.Shard < e.parts {
+			e.Note(report.Shard, report.Profile, now.Add(-time.Duration(report.AgeMS)*time.Millisecond))
 		}
 	}
 }
@@ -65,9 +65,9 @@
 	}
 }
 
-// Tell returns the report of a part, and with others those of some that were heard of lately, each
+// Reports returns the report of a part, and with others those of some that were heard of lately, each
 // time of different ones.
-func (e *Estimate) Tell(part int, others bool, now time.Time) []Report {
+func (e *Estimate) Reports(part int, others bool, now time.Time) []Report {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	var told []Report
@@ -83,7 +83,7 @@
 }
 
 func (t timedProfile) reportOf(part int, now time.Time) Report {
-	return Report{Part: part, AgeMS: max(now.Sub(t.at), 0).Milliseconds(), Profile: t.profile}
+	return Report{Shard: part, AgeMS: max(now.Sub(t.at), 0).Milliseconds(), Profile: t.profile}
 }
 
 // Sum returns what the whole fleet keeps; false if no part was heard of lately.
@@ -99,7 +99,7 @@
 			continue
 		}
 		heard++
-		if known.profile.Program > 0 {
+		if known.profile.ProgramBytes > 0 {
 			programs++
 		}
 		sum.include(known.profile.after(max(age, 0)))
@@ -107,6 +107,6 @@
 	if heard == 0 {
 		return Profile{}, false
 	}
-	sum.Program /= int64(max(programs, 1))
+	sum.ProgramBytes /= int64(max(programs, 1))
 	return sum.times(float64(e.parts) / float64(heard)), true
 }
--- a/internal/storecapacity/gate.go
+++ b/internal/storecapacity/gate.go
@@ -37,20 +37,20 @@
 	// Spare are the bytes that could be kept now beyond the floor, less than 0 if the floor
 	// could not be granted at some time to come.
 	Spare float64
-	// Floor is how many bytes a second may be kept at any time, and Pace how many now: more
+	// BaseRate is how many bytes a second may be kept at any time, and Rate how many now: more
 	// while there is something to spare, less if more was kept than planned.
-	Floor, Pace float64
-	// Program is how many bytes a program usually leaves behind.
-	Program float64
+	BaseRate, Rate float64
+	// ProgramBytes is how many bytes a program usually leaves behind.
+	ProgramBytes float64
 	// IsTight: what can be done without goes. IsCrowded: not much more than the floor may be
-	// kept. IsLast: nothing at all.
-	IsTight, IsCrowded, IsLast bool
+	// kept. IsExhausted: nothing at all.
+	IsTight, IsCrowded, IsExhausted bool
 }
 
 // PlanFor weighs what is kept against the bound of the store, in bytes. Where nothing was ever
 // kept it plans nothing.
 func PlanFor(kept Profile, bound float64) Plan {
-	if kept.LifeMS <= 0 {
+	if kept.RetentionMS <= 0 {
 		return Plan{}
 	}
 	usable := bound * (1 - reservedShare)
@@ -58,7 +58,7 @@
 	floor := floorShare * usable / kept.life().Seconds()
 	spare := usable - bytes
 	left := spare
-	for _, leaving := range kept.Leaving[:min(len(kept.Leaving), slotsLimit-1)] {
+	for _, leaving := range kept.Expiring[:min(len(kept.Expiring), slotsLimit-1)] {
 		left += float64(leaving) - floor*SlotLength.Seconds()
 		spare = min(spare, left)
 	}
@@ -67,8 +67,8 @@
 		pace = floor * max(1+spare/(correctionShare*usable), 0)
 	}
 	return Plan{
-		Spare: spare, Floor: floor, Pace: pace, Program: float64(kept.Program),
-		IsTight: bytes >= tightShare*bound, IsCrowded: spare < correctionShare*usable, IsLast: bytes >= lastShare*bound,
+		Spare: spare, BaseRate: floor, Rate: pace, ProgramBytes: float64(kept.ProgramBytes),
+		IsTight: bytes >= tightShare*bound, IsCrowded: spare < correctionShare*usable, IsExhausted: bytes >= lastShare*bound,
 	}
 }
 
@@ -79,18 +79,18 @@
 	at    time.Time
 }
 
-// Admits tells whether a program may begin in one of so many parts, and if not, when it had
+// Admit tells whether a program may begin in one of so many parts, and if not, when it had
 // better come back. Without a plan all may.
-func (g *Gate) Admits(plan Plan, parts int, now time.Time) (admitted bool, back time.Duration) {
+func (g *Gate) Admit(plan Plan, parts int, now time.Time) (admitted bool, back time.Duration) {
 	passed := now.Sub(g.at)
 	g.at = now
-	floor, pace := plan.Floor/float64(parts), plan.Pace/float64(parts)
+	floor, pace := plan.BaseRate/float64(parts), plan.Rate/float64(parts)
 	if floor <= 0 {
 		return true, 0
 	}
 	g.saved = min(g.saved+pace*passed.Seconds(), floor*burstTime.Seconds())
 	if g.saved >= 0 && pace > 0 {
-		g.saved -= plan.Program
+		g.saved -= plan.ProgramBytes
 		return true, 0
 	}
 	if pace <= 0 {
