--- a/internal/ledger/evacuations_test.go
+++ b/internal/ledger/evacuations_test.go
@@ -17,13 +17,13 @@
 	heard []zone.EvacuationChange
 }
 
-func (e *testEvacuations) AskEvacuations() int64 { return e.KnownEnd() }
+func (e *testEvacuations) KnownEvacuationsEnd() int64 { return e.KnownEnd() }
 
-func (e *testEvacuations) TellEvacuations(asked int64, now time.Time) *zone.EvacuationUpdate {
+func (e *testEvacuations) EvacuationUpdateAfter(asked int64, now time.Time) *zone.EvacuationUpdate {
 	return e.UpdateAfter(asked, now)
 }
 
-func (e *testEvacuations) HearEvacuations(news *zone.EvacuationUpdate, now time.Time) {
+func (e *testEvacuations) ApplyEvacuationUpdate(news *zone.EvacuationUpdate, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.heard = append(e.heard, e.ApplyUpdate(news, now)...)
@@ -50,7 +50,7 @@
 		}
 		ask := func(name string) {
 			for i := range 20 {
-				turn := Turn{ID: fmt.Sprint(name, i), Program: fmt.Sprint(name, i), BudgetTokens: 100, MostTokens: 1, Retention: time.Minute}
+				turn := Turn{ID: fmt.Sprint(name, i), Program: fmt.Sprint(name, i), BudgetTokens: 100, MaxTokens: 1, Retention: time.Minute}
 				if _, err := f.service(cut).Begin(testContext(t), turn); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/relaydaemon/zones.go
+++ b/internal/relaydaemon/zones.go
@@ -22,16 +22,16 @@
 	d.noteEvacuations(d.evacuations.ApplySnapshot(reading, now), reading.End, sourceStore, now)
 }
 
-// AskEvacuations implements ledger.Evacuations.
-func (d *Daemon) AskEvacuations() int64 { return d.evacuations.KnownEnd() }
+// KnownEvacuationsEnd implements ledger.Evacuations.
+func (d *Daemon) KnownEvacuationsEnd() int64 { return d.evacuations.KnownEnd() }
 
-// TellEvacuations implements ledger.Evacuations.
-func (d *Daemon) TellEvacuations(asked int64, now time.Time) *zone.EvacuationUpdate {
+// EvacuationUpdateAfter implements ledger.Evacuations.
+func (d *Daemon) EvacuationUpdateAfter(asked int64, now time.Time) *zone.EvacuationUpdate {
 	return d.evacuations.UpdateAfter(asked, now)
 }
 
-// HearEvacuations implements ledger.Evacuations.
-func (d *Daemon) HearEvacuations(news *zone.EvacuationUpdate, now time.Time) {
+// ApplyEvacuationUpdate implements ledger.Evacuations.
+func (d *Daemon) ApplyEvacuationUpdate(news *zone.EvacuationUpdate, now time.Time) {
 	d.noteEvacuations(d.evacuations.ApplyUpdate(news, now), news.End, sourceDaemon, now)
 }
 
