--- a/cmd/mintpulley-relay/main.go
+++ b/cmd/mintpulley-relay/main.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: log_level: %w", path, err)
 	}
-	var lost relaydaemon.LostLines
+	var lost relaydaemon.DroppedLines
 	logger, closer := relaydaemon.NewLogger(os.Stdout, level, lost.Add)
 	defer func() { _ = closer.Close() }()
 	logger = logger.With().Str("machine", settings.Name).Logger()
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -10,24 +10,24 @@
 	"github.com/rotisserie/eris"
 )
 
-// firstFinalStatus is the lowest status that ends an exchange.
+// firstFinalStatus is the lowest status code of a final response.
 const firstFinalStatus = 200
 
-// exchange is one request and its answer on a connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
 	pool    *Pool
 	address string
 	conn    *conn
 	stop    func() bool
-	// written gets the outcome of writing the request.
+	// written receives the result of writing the request.
 	written chan error
 	inline  bool
-	// unlimited: the other side may leave bytes unacknowledged for any time.
+	// unlimited: the connection has no limit on unacknowledged bytes.
 	unlimited bool
 	finished  sync.Once
 }
 
-// start writes the request and reads the answer's head.
+// start writes the request and reads the response header.
 func (e *exchange) start(request *http.Request) (*http.Response, error) {
 	e.inline = request.ContentLength <= inlineBody
 	if e.unlimited = request.ContentLength >= longBody; e.unlimited {
@@ -50,11 +50,11 @@
 	return response, nil
 }
 
-// writeError is the error that stands for one of writing a request, of which the system took
-// some bytes. What it did not take has not left this machine.
+// writeError maps an error of writing a request, of which the kernel accepted taken bytes. If it
+// accepted none, nothing has left this machine.
 func writeError(err error, taken int64) error {
 	if taken == 0 && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)) {
-		return ErrTurnedAway
+		return ErrResetUnused
 	}
 	return ErrBroken
 }
@@ -66,7 +66,7 @@
 	return e.conn.writer.Flush()
 }
 
-// readHead skips answers that only tell of progress.
+// readHead reads the final response, skipping informational ones (1xx).
 func (e *exchange) readHead(request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(e.conn.reader, request)
@@ -79,8 +79,8 @@
 	}
 }
 
-// finish keeps the connection if the answer was read whole, the request was
-// written whole and nothing follows the answer.
+// finish returns the connection to the pool if the request was written and the response read
+// completely, and nothing follows the response.
 func (e *exchange) finish(response *http.Response) {
 	e.finished.Do(func() {
 		idle := idleTime(response)
@@ -117,7 +117,7 @@
 	e.pool.release(e.address)
 }
 
-// body is an answer's body that gives the connection back at its end.
+// body is a response body that returns the connection to the pool at its end.
 type body struct {
 	source   io.ReadCloser
 	exchange *exchange
@@ -134,7 +134,7 @@
 	return n, err
 }
 
-// Close gives the connection back, or closes it if some of the answer was left.
+// Close returns the connection to the pool, or closes it if the response was not read completely.
 func (b *body) Close() error {
 	if b.whole {
 		b.exchange.finish(b.response)
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -1,9 +1,8 @@
-// Package httpconn keeps HTTP/1.1 connections to back ends and makes one
-// exchange at a time on each. Unlike net/http's Transport it never repeats a
-// request by itself, tells whether any byte of it was sent, and bounds the
-// connections to each address, so that the caller alone decides what may run
-// twice. A connection whose other side is gone fails, also while an answer is
-// waited for: the system probes it. Messages are written and parsed by net/http.
+// Package httpconn keeps HTTP/1.1 connections to back ends and makes one exchange at a time on
+// each. Unlike net/http's Transport, it never repeats a request, reports whether any byte of it was
+// sent, and limits the connections to each address, so that the caller alone decides what may run
+// twice. TCP keep-alive probes detect a dead peer, also while a response is awaited. Messages are
+// written and parsed by net/http.
 package httpconn
 
 import (
@@ -24,30 +23,29 @@
 )
 
 const (
-	// defaultIdle is how long a connection is used again after an answer that
-	// told no time.
+	// defaultIdle is how long a connection may be reused after a response without a Keep-Alive
+	// timeout.
 	defaultIdle = 400 * time.Millisecond
-	// idleShare is the part of the told idle time that is made use of.
+	// idleShare is the share of the announced Keep-Alive timeout that is used.
 	idleShare = 0.7
 	// bufferSize is the size of read and write buffers in bytes.
 	bufferSize = 4 << 10
-	// inlineBody is the longest body, in bytes, that is written before the
-	// answer is waited for: a back end that answers without reading must not
-	// hold up a long one.
+	// inlineBody is the maximum size, in bytes, of a body that is written before the response is
+	// read. A longer one is written in parallel, as a back end may respond without reading it.
 	inlineBody = 2 << 10
-	// unacknowledgedTimeout is when the system gives up a connection on which
-	// the other side acknowledges nothing. Two keep-alive probes fit in: one may be lost.
+	// unacknowledgedTimeout is how long sent bytes may stay unacknowledged until the kernel closes
+	// the connection. It covers two keep-alive probes, one of which may be lost.
 	unacknowledgedTimeout = 2500 * time.Millisecond
-	// keepAliveInterval is after how long a connection on which nothing comes is probed, and
-	// again. While an answer is waited for nothing else is sent that the other side could fail
-	// to acknowledge. It is the shortest that the system knows.
+	// keepAliveInterval is the idle time before the first keep-alive probe and the time between
+	// probes. Probes are needed because nothing else is sent while a response is awaited. It is the
+	// shortest interval that the kernel supports.
 	keepAliveInterval = time.Second
-	// unansweredProbes end a connection that has no limit on unacknowledged bytes: as many as
-	// fit into the limit where there is one.
+	// unansweredProbes is the number of unanswered probes that end a connection without a limit on
+	// unacknowledged bytes. It is the number that fit into unacknowledgedTimeout.
 	unansweredProbes = 2
-	// longBody is the size in bytes from which a body may fill what the other side takes without
-	// reading: 60 KB never did between two Linux systems, 200 KB always. The system counts what
-	// waits here then as unacknowledged, though the other side answers its probes.
+	// longBody is the size in bytes from which a body may exceed what the peer's kernel buffers
+	// while its process does not read. Bytes that wait for a zero window to open count as
+	// unacknowledged, so such a request must have no limit on them.
 	longBody = 64 << 10
 )
 
@@ -61,7 +59,7 @@
 
 type address struct {
 	idle []*conn
-	// open counts connections, those in use included.
+	// open is the number of connections, including those in use.
 	open int
 }
 
@@ -70,7 +68,7 @@
 	reader  *bufio.Reader
 	writer  *bufio.Writer
 	expires time.Time
-	// sent counts the bytes that the system took.
+	// sent is the number of bytes that the kernel accepted.
 	sent int64
 }
 
@@ -81,38 +79,38 @@
 	return n, err
 }
 
-// closeFor closes the connection. If the cause is ErrGivenUp, unsent data is dropped: the
-// system would go on to send it, and a request that was given up would arrive after the
-// cut's end.
+// closeFor closes the connection. If the cause is ErrPeerCutOff, unsent data is dropped: otherwise the
+// kernel would keep sending it, and an abandoned request could arrive once the peer is reachable
+// again.
 func (c *conn) closeFor(cause error) {
-	if tcp, ok := c.Conn.(*net.TCPConn); ok && errors.Is(cause, ErrGivenUp) {
-		_ = tcp.SetLinger(0) // fails on a connection that is closed already
+	if tcp, ok := c.Conn.(*net.TCPConn); ok && errors.Is(cause, ErrPeerCutOff) {
+		_ = tcp.SetLinger(0) // fails if the connection is already closed
 	}
-	_ = c.Close() // the exchange fails by its reading
+	_ = c.Close() // the exchange gets a read error
 }
 
-// limitUnacknowledged sets for how long bytes may stay unacknowledged; 0 sets no limit. It fails on
-// a connection that is broken, which shows at the next use anyway.
+// limitUnacknowledged sets how long bytes may stay unacknowledged; 0 means no limit. It fails on a
+// broken connection, which the next use detects anyway.
 func (c *conn) limitUnacknowledged(limit time.Duration) {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcpoption.SetUnacknowledgedLimit(tcp, limit)
 	}
 }
 
-// NewPool returns a pool whose dials take dialTimeout at most.
+// NewPool returns a pool that dials with a timeout.
 func NewPool(dialTimeout time.Duration) *Pool {
 	return &Pool{dialTimeout: dialTimeout, addresses: map[string]*address{}}
 }
 
-// Dials returns how many connections were opened so far.
+// Dials returns the number of connection attempts so far.
 func (p *Pool) Dials() uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.dials
 }
 
-// Forget closes the idle connections to an address.
-func (p *Pool) Forget(name string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	a := p.addresses[name]
@@ -129,22 +127,21 @@
 	}
 }
 
-// Bounds limit an exchange. The zero value sets no limit.
+// Bounds limit an exchange. The zero value sets no limits.
 type Bounds struct {
-	// Connections limits the open connections to the address; 0 sets no limit.
+	// Connections is the maximum number of open connections to the address; 0 for no limit.
 	Connections int
-	// SendBy is when the request must have begun to be sent; zero sets no limit.
+	// SendBy is the latest time to start sending the request; zero for no limit.
 	SendBy time.Time
-	// Fresh: a connection is opened, none that rested is used.
+	// Fresh: open a new connection instead of reusing an idle one.
 	Fresh bool
-	// ConnectTimeout limits the opening of a connection; 0 for the pool's own limit.
+	// ConnectTimeout is the timeout of dialling; 0 for that of the pool.
 	ConnectTimeout time.Duration
 }
 
-// Do sends a request to an address and reads the head of the answer. The body
-// of the answer must be closed; read to its end, the connection is kept. The error
-// wraps ErrNotSent or ErrBroken. When ctx ends, the connection is closed; if its cause is
-// ErrGivenUp, what was not delivered is dropped.
+// Do sends a request to an address and reads the response header. The response body must be closed;
+// if it was read to its end, the connection is kept. The error wraps ErrNotSent or ErrBroken. When
+// ctx ends, the connection is closed; if the cause is ErrPeerCutOff, undelivered data is dropped.
 func (p *Pool) Do(ctx context.Context, name string, bounds Bounds, request *http.Request) (*http.Response, error) {
 	var c *conn
 	if !bounds.Fresh {
@@ -159,7 +156,7 @@
 	if !bounds.SendBy.IsZero() && time.Now().After(bounds.SendBy) {
 		_ = c.Close() // nothing was sent on it
 		p.release(name)
-		return nil, ErrLate
+		return nil, ErrSendTooLate
 	}
 	e := &exchange{pool: p, address: name, conn: c, written: make(chan error, 1)}
 	e.stop = context.AfterFunc(ctx, func() { c.closeFor(context.Cause(ctx)) })
@@ -171,7 +168,7 @@
 	return response, nil
 }
 
-// Connect opens a connection to an address and keeps it for a request. The error wraps
+// Connect opens a connection to an address and keeps it for a later request. The error wraps
 // ErrNotSent.
 func (p *Pool) Connect(ctx context.Context, name string, bounds Bounds) error {
 	c, err := p.open(ctx, name, bounds)
@@ -181,7 +178,7 @@
 	return err
 }
 
-// open opens a connection, within the bounds on connections and on connecting.
+// open opens a connection within the limits on connections and connect time.
 func (p *Pool) open(ctx context.Context, name string, bounds Bounds) (*conn, error) {
 	if !p.reserve(name, bounds.Connections) {
 		return nil, ErrNoConnection
@@ -205,7 +202,7 @@
 	return c, nil
 }
 
-// dialError is the error that stands for one of connecting.
+// dialError maps an error of connecting.
 func dialError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return ErrRefused
@@ -274,8 +271,8 @@
 	a.idle = append(a.idle, c)
 }
 
-// idleTime tells how long a connection may rest after an answer; 0 means that
-// it must be closed.
+// idleTime returns how long a connection may stay idle after a response; 0 means that it must be
+// closed.
 func idleTime(response *http.Response) time.Duration {
 	if response.Close {
 		return 0
@@ -293,5 +290,5 @@
 	return defaultIdle
 }
 
-// IsNotSent tells whether no byte of the request left this machine.
+// IsNotSent reports whether no byte of the request left this machine.
 func IsNotSent(err error) bool { return errors.Is(err, ErrNotSent) }
--- a/internal/httpconn/pool_test.go
+++ b/internal/httpconn/pool_test.go
@@ -16,14 +16,13 @@
 	"time"
 )
 
-// rawServer answers each request on a connection with the next text; "" closes
-// the connection.
+// rawServer answers each request on a connection with the next text; "" closes the connection.
 type rawServer struct {
 	address string
 	mutex   sync.Mutex
 	answers []string
 	read    []string
-	// skipBody answers before the body is read.
+	// skipBody: answer before the body is read.
 	skipBody bool
 	accepted atomic.Int64
 }
@@ -150,7 +149,7 @@
 	if _, err := exchangeBody(t, p, s.address, ""); err != nil {
 		t.Fatal(err)
 	}
-	_, err := exchangeBody(t, p, s.address, "") // read, then closed without an answer
+	_, err := exchangeBody(t, p, s.address, "") // the request is read, then the connection closed
 	if !errors.Is(err, ErrBroken) || IsNotSent(err) {
 		t.Errorf("got %v, want %v: the request may have run", err, ErrBroken)
 	}
@@ -198,7 +197,7 @@
 		t.Fatalf("got %q, %v", body, err)
 	}
 	if c := p.takeIdle(s.address); c != nil {
-		t.Error("a connection is kept on which the rest of a body is due")
+		t.Error("a connection is kept although the rest of a body was not sent")
 	}
 }
 
@@ -230,17 +229,17 @@
 	}
 }
 
-// TestRequestThatIsLateIsNotSent: it was meant to be sent before a time.
+// TestRequestThatIsLateIsNotSent checks that a request is not sent after Bounds.SendBy.
 func TestRequestThatIsLateIsNotSent(t *testing.T) {
 	s := newRawServer(t, okAnswer)
 	p := NewPool(time.Second)
 	late := Bounds{SendBy: time.Now().Add(-time.Millisecond)}
-	if _, err := p.Do(context.Background(), s.address, late, get("")); !errors.Is(err, ErrLate) || !IsNotSent(err) {
-		t.Errorf("got %v, want %v", err, ErrLate)
+	if _, err := p.Do(context.Background(), s.address, late, get("")); !errors.Is(err, ErrSendTooLate) || !IsNotSent(err) {
+		t.Errorf("got %v, want %v", err, ErrSendTooLate)
 	}
 	response, err := p.Do(context.Background(), s.address, Bounds{Connections: 1, SendBy: time.Now().Add(time.Minute)}, get(""))
 	if err != nil {
-		t.Fatalf("the connection still counts: %v", err)
+		t.Fatalf("the unused connection still counts: %v", err)
 	}
 	_ = response.Body.Close()
 }
@@ -253,15 +252,15 @@
 		t.Fatal(err)
 	}
 	if err := p.Connect(t.Context(), s.address, one); !errors.Is(err, ErrNoConnection) {
-		t.Errorf("a further one: got %v, want %v", err, ErrNoConnection)
+		t.Errorf("another connection: got %v, want %v", err, ErrNoConnection)
 	}
 	if _, err := exchangeBody(t, p, s.address, ""); err != nil || p.Dials() != 1 {
 		t.Errorf("%v, after %d dials", err, p.Dials())
 	}
 }
 
-// TestRequestThatIsGivenUpIsDropped: the other side sees a reset, not the end of a
-// request that it may go on to serve.
+// TestRequestThatIsGivenUpIsDropped checks that the peer sees a reset, not a complete request that
+// it would serve.
 func TestRequestThatIsGivenUpIsDropped(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -282,11 +281,11 @@
 	if _, err := io.ReadFull(conn, make([]byte, 10)); err != nil {
 		t.Fatal(err)
 	}
-	cancel(ErrGivenUp)
+	cancel(ErrPeerCutOff)
 	if err := <-ended; !errors.Is(err, ErrBroken) || IsNotSent(err) {
 		t.Errorf("got %v, want %v", err, ErrBroken)
 	}
 	if _, err := io.ReadAll(conn); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the other side got %v", err)
+		t.Errorf("the peer got %v", err)
 	}
 }
--- a/internal/httpconn/reset_linux_test.go
+++ b/internal/httpconn/reset_linux_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestRequestOnAConnectionThatWasResetIsNotSent: a back end that takes no more connections
-// resets a new one, before the first byte is written to it.
+// TestRequestOnAConnectionThatWasResetIsNotSent checks that a request counts as not sent if the
+// back end reset the new connection before the first byte was written.
 func TestRequestOnAConnectionThatWasResetIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,13 +24,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = accepted.(*net.TCPConn).SetLinger(0) // to close resets
+	_ = accepted.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 	_ = accepted.Close()
 	for isQuiet(c.Conn) {
 		time.Sleep(time.Millisecond)
 	}
 	e := &exchange{pool: p, address: listener.Addr().String(), conn: c, written: make(chan error, 1)}
-	if _, err := e.start(get("")); !errors.Is(err, ErrTurnedAway) || !IsNotSent(err) {
-		t.Errorf("got %v, want %v", err, ErrTurnedAway)
+	if _, err := e.start(get("")); !errors.Is(err, ErrResetUnused) || !IsNotSent(err) {
+		t.Errorf("got %v, want %v", err, ErrResetUnused)
 	}
 }
--- a/internal/httpconn/silence_linux_test.go
+++ b/internal/httpconn/silence_linux_test.go
@@ -15,10 +15,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// patience is how long callers of these tests wait.
+// patience is the timeout of requests in these tests.
 const patience = 10 * time.Second
 
-// serveOnce passes the first connection on, with the head of its request read.
+// serveOnce calls serve with the first connection, after reading the header of its request.
 func serveOnce(t *testing.T, serve func(conn *net.TCPConn, request *http.Request)) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +39,8 @@
 	return listener.Addr().String()
 }
 
-// goDark lets the system drop whatever comes on a connection, and so acknowledge nothing.
+// goDark makes the kernel drop all packets that arrive on a connection, so that it acknowledges
+// nothing.
 func goDark(conn *net.TCPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -54,9 +55,9 @@
 	return errors.Join(err, failure)
 }
 
-// TestAnswerOfADeadMachineFails: a stream stood still until its caller left. The machine that sent
-// it had lost power, or its connection had gone silent while new ones worked; nothing was sent to
-// it any more that it could have failed to acknowledge.
+// TestAnswerOfADeadMachineFails guards against a response that stalls until its caller leaves,
+// because the machine that sends it died or its connection went silent, and no bytes are in flight
+// whose missing acknowledgement would show it.
 func TestAnswerOfADeadMachineFails(t *testing.T) {
 	for name, length := range map[string]int{"short request": 10, "long request": 1 << 20} {
 		t.Run(name, func(t *testing.T) { t.Parallel(); testDeadMachine(t, strings.Repeat("x", length)) })
@@ -83,9 +84,8 @@
 	}
 }
 
-// TestRequestToASlowReaderLasts: a call with a long body that must not run twice ended with 502. Its
-// back end had been busy and read only the head at first; it acknowledged all that it had room for,
-// and the rest waited here. The system counted that as unacknowledged.
+// TestRequestToASlowReaderLasts guards against the failure of a long request whose back end is slow
+// to read it: the bytes that do not fit into its receive buffer count as unacknowledged.
 func TestRequestToASlowReaderLasts(t *testing.T) {
 	t.Parallel()
 	address := serveOnce(t, func(conn *net.TCPConn, request *http.Request) {
@@ -98,7 +98,8 @@
 	}
 }
 
-// TestAnswerOfASlowMachineLasts: its process says nothing, and the machine acknowledges all it gets.
+// TestAnswerOfASlowMachineLasts checks that a slow back end whose kernel acknowledges everything is
+// not considered dead.
 func TestAnswerOfASlowMachineLasts(t *testing.T) {
 	t.Parallel()
 	address := serveOnce(t, func(conn *net.TCPConn, _ *http.Request) {
--- a/internal/httpconn/socket_linux.go
+++ b/internal/httpconn/socket_linux.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// isQuiet tells whether an idle connection is still open and has no bytes to
-// read: such bytes belong to no request that is under way.
+// isQuiet reports whether an idle connection is open and has no bytes to read. Such bytes would
+// belong to no request.
 func isQuiet(c net.Conn) bool {
 	system, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/ledger/append_history_test.go
+++ b/internal/ledger/append_history_test.go
@@ -55,7 +55,7 @@
 		f := newTestFleet(t, 2)
 		f.store.SetCapacity(longDayCapacity)
 		f.takeLongTurns("turn", longDay)
-		if full := f.store.Full(); full > 0 {
+		if full := f.store.FullRefusals(); full > 0 {
 			t.Errorf("%d appends found the store full", full)
 		}
 	})
@@ -98,7 +98,7 @@
 				}
 			}
 		}
-		if full := f.store.Full(); full > 0 {
+		if full := f.store.FullRefusals(); full > 0 {
 			t.Errorf("%d appends found the store full", full)
 		}
 	})
--- a/internal/ledger/holder_release.go
+++ b/internal/ledger/holder_release.go
@@ -162,7 +162,7 @@
 		h.learnHolder(ctx)
 		return resultMoved
 	}
-	h.retry.postpone(h.records.contact.Returned())
+	h.retry.postpone(h.records.contact.Recovered())
 	h.logger.Warn().Err(err).Uint64("epoch", h.epoch).Dur("pause", h.retry.pause).Msg("Shard's partition not reached.")
 	return resultImpaired
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -287,7 +287,7 @@
 		epoch := s.known.get(shard).Epoch
 		f.store.SetFault(func(partition store.Partition, by store.Writer) memory.Fault {
 			if partition.Number == shard && partition.Space == "ledger" && by.Epoch == epoch {
-				return memory.FaultDoneLate
+				return memory.FaultDelayed
 			}
 			return memory.FaultNone
 		})
@@ -304,7 +304,7 @@
 		f.setDeaf(other.Self, false)
 		// Of 100, 10 are reserved and 45 were set aside; then 25 are reserved.
 		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 100, MostTokens: 25})
-		f.store.DoLate()
+		f.store.ApplyDelayed()
 		f.killAll()
 		s = f.start(daemonID(0, 3))
 		refusedWith(t, s, Turn{ID: "c", Program: "p", BudgetTokens: 100, MostTokens: 21}, ErrBudgetSpent)
--- a/internal/ledger/long_day_test.go
+++ b/internal/ledger/long_day_test.go
@@ -20,7 +20,7 @@
 
 // keptOf is what a fleet keeps, by name.
 func (f *testFleet) keptOf() map[string]int {
-	kept := map[string]int{"store": f.store.Kept(), "goroutines": runtime.NumGoroutine()}
+	kept := map[string]int{"store": f.store.StoredBytes(), "goroutines": runtime.NumGoroutine()}
 	for _, id := range f.ids() {
 		s := f.service(id)
 		s.avoided.mutex.Lock()
--- a/internal/ledger/options.go
+++ b/internal/ledger/options.go
@@ -34,7 +34,7 @@
 	Transport peer.Transport
 	View      View
 	// Contact tells when the store answers again; nil if nothing does.
-	Contact store.Contact
+	Contact store.Connectivity
 	// Partitions names every shard's partition, the same in the whole fleet.
 	Partitions []store.Partition
 	// Directory is the partition that tells who holds each shard.
--- a/internal/ledger/record_append.go
+++ b/internal/ledger/record_append.go
@@ -56,7 +56,7 @@
 				return err
 			}
 			last = err
-		case <-r.contact.Returned():
+		case <-r.contact.Recovered():
 			try()
 		case <-next.C:
 			try()
--- a/internal/ledger/record_store.go
+++ b/internal/ledger/record_store.go
@@ -33,7 +33,7 @@
 // append keeps its number, so the store does it once.
 type recordStore struct {
 	store.Store
-	contact store.Contact
+	contact store.Connectivity
 	// pages bounds the pages that are read at a time, and histories those of them that
 	// nobody waits for.
 	pages     slots
--- a/internal/ledger/record_store_test.go
+++ b/internal/ledger/record_store_test.go
@@ -27,7 +27,7 @@
 func TestStoreThatBreaksCallsOffIsNotCalledWithoutPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &resettingStore{}
-		r := &recordStore{Store: s, contact: store.NoContact{}}
+		r := &recordStore{Store: s, contact: store.UnknownConnectivity{}}
 		err := r.appendWithin(t.Context(), giveUpAfter, store.Partition{}, store.Writer{}, nil)
 		if !errors.Is(err, store.ErrOutcomeUnknown) {
 			t.Errorf("got %v, want %v", err, store.ErrOutcomeUnknown)
@@ -67,7 +67,7 @@
 func TestSlowPageIsProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &slowPages{late: 1800 * time.Millisecond}
-		r := &recordStore{Store: s, contact: store.NoContact{}}
+		r := &recordStore{Store: s, contact: store.UnknownConnectivity{}}
 		go func() {
 			for range 20 {
 				time.Sleep(100 * time.Millisecond)
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -55,7 +55,7 @@
 	}
 	contact := options.Contact
 	if contact == nil {
-		contact = store.NoContact{}
+		contact = store.UnknownConnectivity{}
 	}
 	s.records = &recordStore{
 		Store: options.Store, contact: contact,
--- a/internal/ledger/store_capacity_test.go
+++ b/internal/ledger/store_capacity_test.go
@@ -156,7 +156,7 @@
 		l.run(lost-back, usualPrograms)
 		l.wait()
 
-		if full := f.store.Full(); full > 0 {
+		if full := f.store.FullRefusals(); full > 0 {
 			t.Errorf("%d appends found the store full", full)
 		}
 		if broken := l.count(l.broken, 0, back); broken > 0 {
@@ -313,7 +313,7 @@
 				t.Errorf("%d programs ended of those that began from %s on for 5 s, of the usual load it would be %d", ended, from, 5*scale*usualPrograms)
 			}
 		}
-		if full := f.store.Full(); full > 0 {
+		if full := f.store.FullRefusals(); full > 0 {
 			t.Errorf("%d appends found the store full", full)
 		}
 		t.Logf("ended %v, refused %v, broken %v", l.ended, l.refused, l.broken)
--- a/internal/ledger/store_reach.go
+++ b/internal/ledger/store_reach.go
@@ -45,7 +45,7 @@
 		return false
 	}
 	if isClosed(r.reach.returned) {
-		r.reach.returned = r.contact.Returned()
+		r.reach.returned = r.contact.Recovered()
 		return false
 	}
 	if now.Before(r.reach.probeAt) {
@@ -96,7 +96,7 @@
 		r.reach.failedAt = time.Now()
 		if r.reach.failingSince.IsZero() {
 			r.reach.failingSince = r.reach.failedAt
-			r.reach.returned = r.contact.Returned()
+			r.reach.returned = r.contact.Recovered()
 		}
 	}
 }
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback finds addresses on this machine for what is started in one
-// process: the demonstration, the load driver's stand-ins, and tests.
+// Package loopback provides addresses on this machine for servers that run in one process: the
+// demonstration, the stand-ins of the load driver, and tests.
 package loopback
 
 import (
@@ -17,36 +17,35 @@
 
 const (
 	host = "127.0.0.1"
-	// anyPort is the loopback address with a port that the system picks.
+	// anyPort is the loopback address with a port chosen by the kernel.
 	anyPort = host + ":0"
-	// freePorts is how many ports below those that the system picks are given,
-	// and leastPort the lowest that may be.
+	// freePorts is the number of ports below the kernel's ephemeral range from which FreeAddress
+	// chooses, and leastPort the lowest port that may be used.
 	freePorts = 10000
 	leastPort = 2000
-	// freeTries bounds the tries to find a free one.
+	// freeTries is the maximum number of attempts to find a free port.
 	freeTries = 100
-	// portRangeFile tells from which ports the system picks; where there is
-	// none, usualFirstSystemPort holds.
+	// portRangeFile contains the kernel's ephemeral port range; usualFirstSystemPort is assumed if
+	// it cannot be read.
 	portRangeFile        = "/proc/sys/net/ipv4/ip_local_port_range"
 	usualFirstSystemPort = 32768
 )
 
-// headerTimeout bounds how long a client may take to send a request's header.
+// headerTimeout is how long a client may take to send a request header.
 const headerTimeout = time.Second
 
-// ErrListen is returned when no port can be listened on.
+// ErrListen: no port could be listened on.
 var ErrListen = eris.New("loopback: cannot listen")
 
-// FreeAddress returns an "IP:PORT" that nothing listens on now, of a port that
-// the system does not pick for others and that this process was not given
-// before. It is not reserved: who listens on it by number may take it before the
-// caller does. The error is ErrListen.
+// FreeAddress returns an "IP:PORT" on which nothing listens now. The port is outside the ephemeral
+// range, and was not returned to this process before. It is not reserved: another process may
+// listen on it before the caller does. The error is ErrListen.
 func FreeAddress() (string, error) {
 	first := firstSystemPort() - freePorts
 	for range freeTries {
 		port := first + rand.IntN(freePorts)
 		if first < leastPort {
-			port = 0 // there is no room below
+			port = 0 // there are not enough ports below
 		}
 		listener, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port)))
 		if err != nil {
@@ -61,7 +60,7 @@
 	return "", eris.Wrap(ErrListen, "no port was free")
 }
 
-// given are the addresses that this process was given.
+// given are the addresses returned so far.
 var given addressSet
 
 // addressSet is safe for concurrent use. The zero value is empty.
@@ -70,7 +69,7 @@
 	addresses map[string]bool
 }
 
-// add returns false if the address was in the set.
+// add adds an address; it returns false if the set contained it.
 func (s *addressSet) add(address string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -84,7 +83,7 @@
 	return true
 }
 
-// firstSystemPort is the first of the ports from which the system picks.
+// firstSystemPort returns the first port of the kernel's ephemeral range.
 func firstSystemPort() int {
 	text, err := os.ReadFile(portRangeFile)
 	if err != nil {
@@ -101,8 +100,8 @@
 	return port
 }
 
-// Serve answers HTTP on a port that the system picks and returns the "IP:PORT".
-// The caller closes the server. The error is ErrListen.
+// Serve serves HTTP on a port chosen by the kernel and returns the "IP:PORT". The caller closes the
+// server. The error is ErrListen.
 func Serve(handler http.Handler) (*http.Server, string, error) {
 	listener, err := listen()
 	if err != nil {
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -28,7 +28,7 @@
 		}
 		given[port] = true
 		if hasRoom && port >= firstSystemPort() {
-			t.Fatalf("port %d may go to any listener that lets the system pick, from %d on", port, firstSystemPort())
+			t.Fatalf("port %d is in the kernel's ephemeral range, which begins at %d", port, firstSystemPort())
 		}
 	}
 }
--- a/internal/loopback/loopbacktest/address.go
+++ b/internal/loopback/loopbacktest/address.go
@@ -1,4 +1,4 @@
-// Package loopbacktest gives tests addresses on this machine.
+// Package loopbacktest provides tests with addresses on this machine.
 package loopbacktest
 
 import (
@@ -7,8 +7,8 @@
 	"github.com/mintpulley/mintpulley/internal/loopback"
 )
 
-// FreeAddress returns an "IP:PORT" on loopback that nothing listens on, as
-// loopback.FreeAddress does. It ends the test when there is none.
+// FreeAddress returns an "IP:PORT" on which nothing listens; see loopback.FreeAddress. It fails the
+// test if there is none.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	address, err := loopback.FreeAddress()
--- a/internal/peer/avoided.go
+++ b/internal/peer/avoided.go
@@ -6,13 +6,13 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Avoided are daemons that failed when they were asked, and are not asked for a while. The zero
-// value is ready; who uses it guards it.
+// Avoided is a set of daemons that failed to answer and are not asked for a while. The zero value
+// is empty. The caller synchronizes access.
 type Avoided struct {
 	until map[structs.DaemonID]time.Time
 }
 
-// Add avoids a daemon from now on for a time, and forgets those whose time is over.
+// Add adds a daemon for a time from now on, and removes those whose time is over.
 func (a *Avoided) Add(id structs.DaemonID, now time.Time, pause time.Duration) {
 	if a.until == nil {
 		a.until = map[structs.DaemonID]time.Time{}
@@ -25,5 +25,5 @@
 	a.until[id] = now.Add(pause)
 }
 
-// Has tells whether a daemon is avoided.
+// Has reports whether a daemon is in the set.
 func (a *Avoided) Has(id structs.DaemonID, now time.Time) bool { return now.Before(a.until[id]) }
--- a/internal/peer/avoided_test.go
+++ b/internal/peer/avoided_test.go
@@ -9,7 +9,7 @@
 	var avoided Avoided
 	now := time.Unix(1, 0)
 	if avoided.Has("a", now) {
-		t.Error("avoided without having failed")
+		t.Error("a daemon is avoided that never failed")
 	}
 	avoided.Add("a", now, time.Second)
 	avoided.Add("b", now, time.Minute)
@@ -20,6 +20,6 @@
 	}
 	avoided.Add("c", now.Add(2*time.Second), time.Second)
 	if !avoided.Has("b", now.Add(2*time.Second)) || len(avoided.until) != 2 {
-		t.Errorf("kept: %v", avoided.until)
+		t.Errorf("remaining: %v", avoided.until)
 	}
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -10,18 +10,17 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Appender is implemented by the few messages that are sent once per token and
-// write their own JSON.
+// Appender is implemented by the few messages that are sent once per token and encode their own
+// JSON.
 type Appender interface {
-	// AppendJSON appends the body as encoding/json would write it, or with the
-	// same meaning.
+	// AppendJSON appends the body as encoding/json would encode it, or an equivalent.
 	AppendJSON(buffer []byte) []byte
 }
 
-// Scanner is implemented by messages that read their own JSON.
+// Scanner is implemented by messages that decode their own JSON.
 type Scanner interface {
-	// ScanJSON reads a body. It returns false, and may have filled some fields,
-	// for any form that it does not know; encoding/json reads that.
+	// ScanJSON decodes a body. It returns false, possibly with some fields set, for any form that
+	// it does not support; encoding/json then decodes the body.
 	ScanJSON(body []byte) bool
 }
 
@@ -33,7 +32,7 @@
 	Body json.RawMessage  `json:"body"`
 }
 
-// Parts of a line as Append writes it.
+// Parts of a line as Append encodes it.
 var (
 	partFrom = []byte(`{"from":"`)
 	partTo   = []byte(`,"to":"`)
@@ -41,13 +40,13 @@
 	partBody = []byte(`,"body":`)
 )
 
-// Encode returns the JSON line of a message, newline included.
+// Encode returns the JSON line of a message, including the newline.
 func Encode(from, to structs.DaemonID, message Message) ([]byte, error) {
 	return Append(nil, from, to, message)
 }
 
-// Append appends the JSON line of a message, newline included. On an error it
-// returns the buffer as it was.
+// Append appends the JSON line of a message, including the newline. On an error it returns the
+// buffer unchanged.
 func Append(buffer []byte, from, to structs.DaemonID, message Message) ([]byte, error) {
 	line := append(buffer, partFrom[:len(partFrom)-1]...)
 	line = jsontext.AppendString(line, string(from))
@@ -68,18 +67,18 @@
 	return append(line, '}', '\n'), nil
 }
 
-// Decode reads one JSON line. It returns ErrMalformed or ErrUnknownKind.
+// Decode decodes one JSON line. The error is ErrMalformed or ErrUnknownKind.
 func Decode(line []byte) (from, to structs.DaemonID, message Message, err error) {
 	var d Decoder
 	return d.Decode(line)
 }
 
-// Decoder reads the lines of one connection, whose ends are the same in nearly
-// all of them. It is not safe for concurrent use.
+// Decoder decodes the lines of one connection. It caches the sender and the receiver, which nearly
+// all lines share. It is not safe for concurrent use.
 type Decoder struct{ from, to structs.DaemonID }
 
-// Decode reads one JSON line; what it returns does not refer to the line. It
-// returns ErrMalformed or ErrUnknownKind.
+// Decode decodes one JSON line; the result does not refer to the line. The error is ErrMalformed or
+// ErrUnknownKind.
 func (d *Decoder) Decode(line []byte) (from, to structs.DaemonID, message Message, err error) {
 	head, known := splitLine(line)
 	if !known {
@@ -119,7 +118,7 @@
 	return nil
 }
 
-// decodeAny reads a line in any form of JSON.
+// decodeAny decodes a line in any form of JSON.
 func decodeAny(line []byte) (from, to structs.DaemonID, message Message, err error) {
 	var e envelope
 	if err := json.Unmarshal(line, &e); err != nil {
@@ -136,13 +135,13 @@
 	return e.From, e.To, message, nil
 }
 
-// lineHead is a line taken apart; its parts refer to the line.
+// lineHead holds the parts of a line, as slices of it.
 type lineHead struct {
 	from, to, kind, body []byte
 }
 
-// splitLine takes apart a line in the form that Append writes, without reading
-// the body. Names with escapes or beyond ASCII are left to decodeAny.
+// splitLine splits a line in the form that Append encodes, without decoding the body. Lines whose
+// strings have escapes or non-ASCII characters are left to decodeAny.
 func splitLine(line []byte) (lineHead, bool) {
 	var head lineHead
 	rest, found := bytes.CutPrefix(line, partFrom)
@@ -167,7 +166,7 @@
 	return head, found && len(head.body) > 0
 }
 
-// plain tells whether a JSON string's content stands for itself.
+// plain reports whether a JSON string has neither escapes nor non-ASCII characters.
 func plain(text []byte) bool {
 	for _, b := range text {
 		if b < ' ' || b == '\\' || b > '~' {
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// note is a message of this test.
+// note is a message for these tests.
 type note struct {
 	Text string `json:"text"`
 }
@@ -83,11 +83,11 @@
 		t.Errorf("changed with the line: %s %s %+v", from, to, message)
 	}
 	if from, _, _, err = decoder.Decode([]byte(`{"from":"c#3","to":"b#2","kind":"test.note","body":{"text":"x"}}`)); err != nil || from != structs.DaemonID("c#3") {
-		t.Errorf("the former sender stuck: %s, %v", from, err)
+		t.Errorf("the sender of the previous line is returned: %s, %v", from, err)
 	}
 }
 
-// FuzzDecode: whatever is taken can be written and read again unchanged.
+// FuzzDecode checks that any line that is accepted can be encoded and decoded again unchanged.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"from":"a#1","to":"b#2","kind":"test.note","body":{"text":"x"}}`))
 	f.Add([]byte(`{"kind":"test.note","body":{"text":"\ud800"},"from":"\"","to":""}`))
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -1,6 +1,6 @@
-// Package peer carries typed messages between daemons as JSON lines. Parts
-// register the kinds they send; the real transport and the simulation
-// share the same encoding, so that bytes are counted alike.
+// Package peer exchanges typed messages between daemons as JSON lines. Components register the
+// kinds of messages that they send. The real transport and the simulation share the encoding, so
+// that they count the same bytes.
 package peer
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Kind names a type of message, "part.step".
+// Kind names a type of message, "component.step".
 type Kind string
 
 // Class separates control traffic, which has a byte budget, from data.
@@ -27,33 +27,32 @@
 	ClassData
 )
 
-// Message is a typed body. Implementations are pointers to plain structs and
-// must not be changed after they were sent.
+// Message is a typed body. Implementations are pointers to plain structs and must not be modified
+// after they were sent.
 type Message interface {
 	// MessageKind returns the registered kind.
 	MessageKind() Kind
 }
 
-// Handler takes messages that arrived for this daemon.
+// Handler handles messages that arrive for this daemon.
 type Handler interface {
-	// Receive handles one message. It may be called by several goroutines.
+	// Receive handles one message. It may be called concurrently.
 	Receive(from structs.DaemonID, message Message)
 }
 
-// Transport sends messages to other daemons. Messages may be lost, and
-// delivered late; between two daemons they keep their order while a
-// connection lasts.
+// Transport sends messages to other daemons. Messages may be lost or delayed. Between two daemons
+// their order is kept while a connection lasts.
 type Transport interface {
-	// Send queues message for the daemon; it never blocks. A daemon with
-	// structs.AnyIncarnation is whichever run listens at the address.
+	// Send queues a message for a daemon; it never blocks. A daemon with structs.AnyIncarnation is
+	// whichever process listens at the address.
 	Send(to structs.DaemonID, message Message)
 }
 
-// Immediate is implemented by messages that a transport may hand to this same
-// daemon's handler in the sender's goroutine, without the codec and ahead of
-// messages that wait: those sent once per token. Their parts must be safe to
-// share, they must not be sent under a lock that a handler takes, and what they
-// say must hold in whatever order they come with other kinds.
+// Immediate is implemented by messages that are sent once per token. If such a message is sent to
+// this same daemon, a transport may call the handler directly in the sender's goroutine, without
+// encoding it and ahead of queued messages. Their contents must be safe to share, they must not be
+// sent while holding a lock that a handler takes, and they must be valid in any order relative to
+// other kinds.
 type Immediate interface {
 	Message
 	// Immediate marks the kind.
@@ -70,8 +69,8 @@
 	registry      = map[Kind]registration{}
 )
 
-// Register makes a kind known. Parts call it from init with a sample message.
-// It panics when the kind is taken.
+// Register registers a kind by a sample message. Components call it from init. It panics if the
+// kind is already registered.
 func Register(class Class, sample Message) {
 	registryMutex.Lock()
 	defer registryMutex.Unlock()
@@ -86,14 +85,14 @@
 	}
 }
 
-// Kinds returns every registered kind, ordered by name.
+// Kinds returns all registered kinds in alphabetical order.
 func Kinds() []Kind {
 	registryMutex.RLock()
 	defer registryMutex.RUnlock()
 	return slices.Sorted(maps.Keys(registry))
 }
 
-// ClassOf returns the class a kind was registered with.
+// ClassOf returns the class of a registered kind.
 func ClassOf(kind Kind) Class {
 	registryMutex.RLock()
 	defer registryMutex.RUnlock()
--- a/internal/peer/replies.go
+++ b/internal/peer/replies.go
@@ -7,18 +7,17 @@
 	"time"
 )
 
-// Replies hands answers that arrive from other daemons to who waits for them,
-// by the number of the request. The zero value is ready; it is safe for
-// concurrent use.
+// Replies matches answers from other daemons to the requests that wait for them, by the number of
+// the request. The zero value is ready to use. It is safe for concurrent use.
 type Replies[R any] struct {
 	last    atomic.Uint64
 	mutex   sync.Mutex
 	waiting map[uint64]chan R
 }
 
-// Expect returns a number for a request that no other has, and a channel that
-// gets its answers: up to capacity that were not taken yet, later ones are
-// dropped. The caller must call forget once it waits no longer.
+// Expect returns a unique number for a request, and a channel that receives its answers. The
+// channel buffers up to capacity answers; further ones are dropped. The caller must call forget
+// when it no longer waits.
 func (r *Replies[R]) Expect(capacity int) (number uint64, answers <-chan R, forget func()) {
 	number = r.last.Add(1)
 	channel := make(chan R, capacity)
@@ -35,8 +34,8 @@
 	}
 }
 
-// Deliver hands an answer over. It never blocks: one that nobody waits for any
-// more is dropped.
+// Deliver passes an answer to the waiting request. It never blocks: an answer that nobody waits for
+// is dropped.
 func (r *Replies[R]) Deliver(number uint64, answer R) {
 	r.mutex.Lock()
 	answers := r.waiting[number]
@@ -47,9 +46,9 @@
 	}
 }
 
-// Ask has a request sent under a number of its own, and waits for its first answer. It returns
-// false if none came within the patience or before ctx ended. It waits by the process's own time:
-// it is not for code that takes time from a clock.Clock.
+// Ask sends a request with a unique number by calling send, and waits for the first answer. It
+// returns false if none arrived within patience or before ctx ended. It uses the system clock, so
+// it is not for code that uses a clock.Clock.
 func (r *Replies[R]) Ask(ctx context.Context, patience time.Duration, send func(number uint64)) (answer R, arrived bool) {
 	number, answers, forget := r.Expect(1)
 	defer forget()
--- a/internal/peer/tcp/inbound.go
+++ b/internal/peer/tcp/inbound.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// acceptPause is how long accepting rests after an error.
+	// acceptPause is the delay before accepting again after an error.
 	acceptPause = 50 * time.Millisecond
-	// lineLimit bounds one message in bytes.
+	// lineLimit is the maximum size of a message in bytes.
 	lineLimit = 64 << 20
 )
 
-// acceptConnections accepts until the transport closes. After an error, as when
-// the process has too many files open, it tries again.
+// acceptConnections accepts connections until the transport closes. It retries after an error, for
+// example if the process has too many open files.
 func (t *Transport) acceptConnections() {
 	defer t.workers.Done()
 	for {
@@ -44,7 +44,7 @@
 	}
 }
 
-// sleep pauses for d, or until the transport closes.
+// sleep waits for d, or until the transport closes.
 func (t *Transport) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -77,8 +77,8 @@
 	}
 }
 
-// receive handles one line. It returns false when the sender cannot be
-// understood; its connection is closed then.
+// receive handles one line. It returns false if the line cannot be decoded; the connection is then
+// closed.
 func (t *Transport) receive(decoder *peer.Decoder, line []byte) bool {
 	from, to, message, err := decoder.Decode(line)
 	if err != nil {
--- a/internal/peer/tcp/link.go
+++ b/internal/peer/tcp/link.go
@@ -12,65 +12,63 @@
 )
 
 const (
-	// dialTimeout bounds one try to connect. A round trip between regions takes 16 ms. If
-	// the first packet of a connection is lost, the system sends it again only after a
-	// second; another try before that has the link back within 0.3 s of a cut's end.
+	// dialTimeout is the timeout of one connection attempt. A round trip between regions takes 16
+	// ms. The kernel retransmits a lost SYN only after a second; another attempt before that
+	// restores the link within 0.3 s of the end of a network failure.
 	dialTimeout = 300 * time.Millisecond
-	// writeTimeout bounds one write to a daemon that does not read.
+	// writeTimeout is the timeout of one write to a daemon that does not read.
 	writeTimeout = 2 * time.Second
-	// closeTimeout bounds the writing of what is queued when the transport
-	// closes.
+	// closeTimeout is the time for writing queued messages when the transport closes.
 	closeTimeout = 200 * time.Millisecond
-	// unacknowledgedTimeout is after how long the system gives up a connection on which
-	// the other side acknowledges nothing. A connection that fell silent is replaced
-	// before its daemon would be taken for dead (1.4 s, see package membership), and
-	// three packets in a row may be lost until then.
+	// unacknowledgedTimeout is how long sent bytes may stay unacknowledged until the kernel closes
+	// the connection. A silent connection is replaced before its daemon would be considered dead
+	// (1.4 s, see package membership), and up to three packets in a row may be lost before that.
 	unacknowledgedTimeout = time.Second
-	// firstRedialPause separates a failed try from the next, and doubles up to
-	// longestRedialPause; the time that the try took counts. Messages meanwhile are
-	// dropped. The first is short against the 0.3 s after which a silent holder of shards
-	// counts as failed: daemons that start together miss each other by some milliseconds.
+	// firstRedialPause is the time from one connection attempt to the next. It doubles with each
+	// failure up to longestRedialPause. Messages in the meantime are dropped. The first pause is
+	// short against the 0.3 s after which a silent holder of shards counts as failed, as daemons
+	// that start together miss each other by a few milliseconds.
 	firstRedialPause   = 50 * time.Millisecond
 	longestRedialPause = 200 * time.Millisecond
-	// linkLife is how long a link is kept that nothing is sent on: several rounds of
-	// membership, which speaks to each daemon that lives every 10 s or so. Without it a daemon
-	// that is replaced at another address costs five tries to connect a second for good.
+	// linkLife is how long a link without messages is kept: several rounds of membership, which
+	// contacts each live daemon about every 10 s. Without this limit, a daemon that was replaced at
+	// another address would be dialled five times a second for good.
 	linkLife = time.Minute
-	// idleLook separates looks at that on a connection.
+	// idleLook is the interval at which a connection is checked for that.
 	idleLook = 10 * time.Second
 )
 
-// link is the outgoing side towards one address.
+// link is the outgoing connection to one address, with its queue.
 type link struct {
 	address string
 	lines   chan *bytes.Buffer
-	// usedAt is when something was last to be sent. The transport's mutex guards it.
+	// usedAt is when a message was last queued. It is guarded by the transport's mutex.
 	usedAt time.Time
 }
 
 // dial opens a connection to a daemon.
 type dial func(ctx context.Context, address string) (net.Conn, error)
 
-// dialTCP is dial over the network.
+// dialTCP is a dial function that uses TCP.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Control: tcpoption.LimitUnacknowledged(unacknowledgedTimeout)}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// lineBuffers are used again for the messages that go out.
+// lineBuffers is a pool of buffers for outgoing messages.
 var lineBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// keptBuffer is the largest buffer that is kept for later messages, in bytes.
+// keptBuffer is the maximum capacity, in bytes, of a buffer that is returned to the pool.
 const keptBuffer = 16 << 10
 
-// recycle keeps a message's buffer for another, unless it is large.
+// recycle returns a buffer to the pool, unless it is large.
 func recycle(line *bytes.Buffer) {
 	if line.Cap() <= keptBuffer {
 		lineBuffers.Put(line)
 	}
 }
 
-// isIdle tells whether nothing was sent on a link for linkLife.
+// isIdle reports whether nothing was sent on a link for linkLife.
 func (t *Transport) isIdle(l *link) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -79,7 +77,8 @@
 
 func (l *link) isIdle() bool { return len(l.lines) == 0 && time.Since(l.usedAt) >= linkLife }
 
-// endIdle ends a link that is idle, and tells whether it did. The next message makes another.
+// endIdle removes a link if it is idle, and reports whether it did. The next message creates
+// another.
 func (t *Transport) endIdle(l *link) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -90,7 +89,7 @@
 	return true
 }
 
-// writeLink connects and writes until the transport closes, or nothing is sent for long.
+// writeLink connects and writes messages until the transport closes or the link is idle.
 func (t *Transport) writeLink(l *link) {
 	defer t.workers.Done()
 	pause := firstRedialPause
@@ -104,19 +103,19 @@
 		}
 		pause = firstRedialPause
 		t.writeTo(l, conn)
-		_ = conn.Close() // it is given up
+		_ = conn.Close() // the connection has failed or is no longer needed
 	}
 }
 
-// connect makes one try to connect.
+// connect makes one connection attempt.
 func (t *Transport) connect(l *link) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(t.context, dialTimeout)
 	defer cancel()
 	return t.dial(ctx, l.address)
 }
 
-// dropFor discards messages for a while: a daemon that is not there would not
-// have got them, and old ones are of no use to it later.
+// dropFor discards messages for a while. An unreachable daemon would not get them now, and they
+// would be outdated later.
 func (t *Transport) dropFor(l *link, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -131,8 +130,7 @@
 	}
 }
 
-// writeTo writes messages to a connection until it ends, nothing is sent for long or the transport
-// closes.
+// writeTo writes messages to a connection until it ends, the link is idle, or the transport closes.
 func (t *Transport) writeTo(l *link, conn net.Conn) {
 	gone := make(chan struct{})
 	go watchClosed(conn, gone)
@@ -167,8 +165,8 @@
 	}
 }
 
-// writeRest writes what was queued before the transport was closed, such as
-// this daemon's word that it has left.
+// writeRest writes the messages that were queued before the transport closed, such as the
+// announcement that this daemon has left.
 func writeRest(l *link, conn net.Conn, writer *bufio.Writer) {
 	_ = conn.SetWriteDeadline(time.Now().Add(closeTimeout)) // if that fails, so does the write
 	for len(l.lines) > 0 {
@@ -179,8 +177,8 @@
 	_ = writer.Flush() // the process ends either way
 }
 
-// watchClosed notices that the other side closed: nothing is ever read on an
-// outgoing connection.
+// watchClosed detects that the peer closed the connection. Nothing is ever received on an outgoing
+// connection.
 func watchClosed(conn net.Conn, gone chan<- struct{}) {
 	defer close(gone)
 	var one [1]byte
--- a/internal/peer/tcp/link_test.go
+++ b/internal/peer/tcp/link_test.go
@@ -23,8 +23,8 @@
 func (l *quietListener) Close() error              { close(l.closed); return nil }
 func (l *quietListener) Addr() net.Addr            { return &net.TCPAddr{} }
 
-// cutNetwork swallows the opening packets of connections while it is cut; the system
-// sends them again after a second.
+// cutNetwork drops the SYN packets of connections while it is cut; the kernel retransmits them
+// after a second.
 type cutNetwork struct {
 	cut     atomic.Bool
 	arrived chan struct{}
@@ -53,9 +53,9 @@
 	return near, nil
 }
 
-// TestLinkIsBackSoonAfterACut: daemons that come back from a cut must hear of each
-// other before they act on what they believed meanwhile. Whenever the cut ends, a
-// message that is sent from then on arrives within 0.35 s.
+// TestLinkIsBackSoonAfterACut checks that a message sent after the end of a network failure arrives
+// within 0.35 s, whenever the failure ends. Daemons must hear of each other before they act on
+// outdated membership.
 func TestLinkIsBackSoonAfterACut(t *testing.T) {
 	const send, bound = 10 * time.Millisecond, 350 * time.Millisecond
 	for _, length := range []time.Duration{1010 * time.Millisecond, 2350 * time.Millisecond, 5470 * time.Millisecond} {
@@ -82,15 +82,15 @@
 	}
 }
 
-// linksOf returns how many links a transport has.
+// linksOf returns the number of links of a transport.
 func linksOf(t *Transport) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return len(t.links)
 }
 
-// TestLinkToADaemonThatIsGoneEnds: daemons are replaced at other addresses all day long. A link
-// that nobody uses any more costs neither a goroutine nor tries to connect.
+// TestLinkToADaemonThatIsGoneEnds checks that an unused link to a daemon which is gone costs
+// neither a goroutine nor connection attempts.
 func TestLinkToADaemonThatIsGoneEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dials atomic.Int64
@@ -107,17 +107,18 @@
 		before := dials.Load()
 		time.Sleep(10 * time.Second)
 		if more := dials.Load() - before; more != 0 {
-			t.Errorf("%d tries to connect in ten seconds", more)
+			t.Errorf("%d connection attempts in ten seconds", more)
 		}
 		transport.Send(structs.NewDaemonID("10.0.1.1:1", 1), &membership.UpdatePush{})
 		synctest.Wait()
 		if dials.Load() == before {
-			t.Error("a link that ended is not made again")
+			t.Error("a link that ended is not created again")
 		}
 	})
 }
 
-// TestConnectionThatIsNotUsedEnds: a daemon that is dark says nothing, nor closes.
+// TestConnectionThatIsNotUsedEnds checks that an unused connection is closed although its daemon is
+// silent and does not close it.
 func TestConnectionThatIsNotUsedEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &cutNetwork{arrived: make(chan struct{}, 1)}
--- a/internal/peer/tcp/transport.go
+++ b/internal/peer/tcp/transport.go
@@ -1,6 +1,6 @@
-// Package tcp carries messages between daemons over TCP. One connection per
-// direction and pair keeps the order; a broken one loses what was queued, and
-// the parts above ask again.
+// Package tcp carries messages between daemons over TCP. Each pair of daemons has one connection
+// per direction, which keeps the order of messages. A broken connection loses the queued messages,
+// and the components above repeat their requests.
 package tcp
 
 import (
@@ -18,15 +18,15 @@
 )
 
 const (
-	// queueLength bounds the messages that wait for one daemon.
+	// queueLength is the maximum number of messages queued for one daemon.
 	queueLength = 8192
-	// bufferSize is the size of read and write buffers in bytes at first; a
-	// longer line makes a read buffer grow. Each daemon has one of them for each
-	// other one and direction, so 64 KB took 8 MB of machines that have 112.
+	// bufferSize is the initial size of read and write buffers in bytes; a read buffer grows with
+	// longer lines. A daemon has one buffer per direction for every other daemon, so small buffers
+	// matter on machines with 112 MB of memory.
 	bufferSize = 8 << 10
 )
 
-// Counter is told of every message that was sent.
+// Counter is called for every message that was sent to another daemon.
 type Counter func(to structs.DaemonID, kind peer.Kind, bytes int)
 
 // Transport implements peer.Transport.
@@ -48,14 +48,14 @@
 	closed bool
 }
 
-// Listen starts a transport at the address of self. handler gets every message
-// that is meant for this run of the daemon.
+// Listen starts a transport at the address of self. handler gets all messages for this process of
+// the daemon.
 func Listen(self structs.DaemonID, handler peer.Handler, counter Counter, logger zerolog.Logger) (*Transport, error) {
 	return ListenOn(self.Address(), self, handler, counter, logger)
 }
 
-// ListenOn is Listen at another address than the one that others dial, which
-// then must lead here.
+// ListenOn is like Listen, at another address than the one that other daemons dial, which must be
+// forwarded to it.
 func ListenOn(address string, self structs.DaemonID, handler peer.Handler, counter Counter, logger zerolog.Logger) (*Transport, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -64,8 +64,7 @@
 	return serve(listener, dialTCP, self, handler, counter, logger), nil
 }
 
-// serve starts a transport that accepts connections from a listener and opens them
-// with dial.
+// serve starts a transport with a listener and a dial function.
 func serve(listener net.Listener, dial dial, self structs.DaemonID, handler peer.Handler, counter Counter, logger zerolog.Logger) *Transport {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &Transport{
@@ -85,7 +84,7 @@
 	return t
 }
 
-// Close ends all connections and waits for the goroutines.
+// Close closes all connections and waits for the goroutines.
 func (t *Transport) Close() {
 	t.mutex.Lock()
 	t.closed = true
@@ -98,9 +97,8 @@
 	t.workers.Wait()
 }
 
-// Send implements peer.Transport. A message to this daemon itself takes the
-// same way through the codec, without the network; one that is immediate goes
-// to the handler at once.
+// Send implements peer.Transport. A message to this daemon itself is encoded and decoded, but does
+// not use the network. If it is a peer.Immediate, it goes directly to the handler.
 func (t *Transport) Send(to structs.DaemonID, message peer.Message) {
 	if _, immediate := message.(peer.Immediate); immediate && to == t.self {
 		t.handler.Receive(t.self, message)
--- a/internal/peer/tcp/transport_test.go
+++ b/internal/peer/tcp/transport_test.go
@@ -15,7 +15,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// counting counts what arrives.
+// counting counts the messages that arrive.
 type counting struct{ received atomic.Int64 }
 
 func (c *counting) Receive(structs.DaemonID, peer.Message) { c.received.Add(1) }
@@ -61,15 +61,15 @@
 	receiver.await(t, 1+messages)
 }
 
-// TestOwnAnswersAreHandedOverAtOnce sends the message of a token to this very
-// daemon, and to a former run at its address, which must get nothing.
+// TestOwnAnswersAreHandedOverAtOnce sends an immediate message to this daemon, and to an earlier
+// incarnation at its address, which must get nothing.
 func TestOwnAnswersAreHandedOverAtOnce(t *testing.T) {
 	receiver := &counting{}
 	transport := listen(t, receiver)
 	defer transport.Close()
 	transport.Send(transport.self, &dispatch.Answer{})
 	if got := receiver.received.Load(); got != 1 {
-		t.Errorf("%d answers were there when Send returned, want 1", got)
+		t.Errorf("%d answers had arrived when Send returned, want 1", got)
 	}
 	former := structs.NewDaemonID(transport.self.Address(), 0xdead)
 	transport.Send(former, &dispatch.Answer{})
@@ -77,7 +77,7 @@
 	receiver.await(t, 2)
 }
 
-// failingListener fails to accept once, as when too many files are open.
+// failingListener fails to accept once, as with too many open files.
 type failingListener struct {
 	net.Listener
 	failed bool
--- a/internal/relay/cold_test.go
+++ b/internal/relay/cold_test.go
@@ -60,7 +60,7 @@
 // TestOfferThatIsLateIsMadeAnew: nothing was sent, and nothing is wrong with the instance.
 func TestOfferThatIsLateIsMadeAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHarness(t, step{err: httpconn.ErrLate}, step{body: "whole"})
+		h := newHarness(t, step{err: httpconn.ErrSendTooLate}, step{body: "whole"})
 		for range 30 {
 			if got := h.serve(newCall(newRoute(route.KindOnce))); got.body.String() != "whole" {
 				t.Fatalf("got %q, %+v", got.body.String(), got.refusal)
--- a/internal/relay/failed_offer.go
+++ b/internal/relay/failed_offer.go
@@ -34,7 +34,7 @@
 		c.refuseLate(ctx)
 		return false
 	}
-	if errors.Is(err, httpconn.ErrNoConnection) || errors.Is(err, httpconn.ErrLate) || errors.Is(err, httpconn.ErrTurnedAway) {
+	if errors.Is(err, httpconn.ErrNoConnection) || errors.Is(err, httpconn.ErrSendTooLate) || errors.Is(err, httpconn.ErrResetUnused) {
 		c.release(target, instance.OutcomeFull)
 		return true
 	}
--- a/internal/relay/give_up.go
+++ b/internal/relay/give_up.go
@@ -11,7 +11,7 @@
 
 // errGivenUp ends the wait for a back end that is believed not to be reached or whose run is
 // over, and the wait for records that can not be reached.
-var errGivenUp = httpconn.ErrGivenUp
+var errGivenUp = httpconn.ErrPeerCutOff
 
 // GiveUpSilent ends the wait for silent back ends whose run is over, and the wait for those that
 // are only believed not to be reached, if another takes the request. It also ends that of turns for
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -31,7 +31,7 @@
 		"refused":        {status: 503, notRun: true},
 		"other instance": {status: 421, other: true},
 		"not sent":       {err: errNotSent},
-		"turned away":    {err: httpconn.ErrTurnedAway},
+		"turned away":    {err: httpconn.ErrResetUnused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, first, step{body: "ok"})
@@ -239,7 +239,7 @@
 // reached, it may still run the stream.
 func TestStreamStaysBoundToAnInstanceThatTurnsItsConnectionAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHarness(t, step{body: eventOne, cut: true}, step{err: httpconn.ErrTurnedAway}, step{body: eventTwo})
+		h := newHarness(t, step{body: eventOne, cut: true}, step{err: httpconn.ErrResetUnused}, step{body: eventTwo})
 		r := newRoute(route.KindStream)
 		r.MaxAttempts = 1
 		got := h.serve(newCall(r))
--- a/internal/relaydaemon/adapter.go
+++ b/internal/relaydaemon/adapter.go
@@ -17,61 +17,58 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// Adapters holds the adapters that registered themselves.
+// Adapters is the registry of adapters, by the name that the settings use.
 var Adapters kernel.Registry[func(AdapterOptions) Adapter]
 
-// AdapterOptions give an adapter what it works with.
+// AdapterOptions configure an adapter.
 type AdapterOptions struct {
 	StoreAddress string
 	Logger       zerolog.Logger
 	Registry     prometheus.Registerer
 }
 
-// KeyQuestion asks whom a request acts for.
-type KeyQuestion struct {
+// IdentifyQuery is the input of Gateway.Identify.
+type IdentifyQuery struct {
 	// Request is the request's ID, for the log.
 	Request string
 	Route   *route.Route
-	// Key is what the caller bears, "" for none. It is never logged.
+	// Key is the API key that the caller sent, "" for none. It is never logged.
 	Key string
-	// Left is the time that the caller has, 0 if it does not tell.
+	// Left is the time until the caller's deadline, 0 if it sent none.
 	Left time.Duration
 }
 
-// Gateway is what an adapter's front may ask of the daemon.
+// Gateway is the part of the daemon that an adapter's HTTP handler uses.
 type Gateway interface {
-	// Table returns the routes in force. While none are known it waits for them,
-	// for a part of the time that the caller has left (0: not told), and returns
-	// nil if none came.
+	// Table returns the routes in force. While none are known, it waits for them for a part of the
+	// time that the caller has left (0: no deadline), and returns nil if none arrive.
 	Table(ctx context.Context, left time.Duration) *route.Table
-	// Identify returns the tenant that a request acts for, nil for none, or why it is
+	// Identify returns the tenant that a request acts for, nil for none, or why the request is
 	// refused. It must be called once the request has arrived.
-	Identify(ctx context.Context, asked KeyQuestion) (*tenant.Tenant, *relay.Refusal)
-	// Watch calls serve with a responder that takes note of the request's ending, and
-	// breaks off a request that serve leaves without one.
+	Identify(ctx context.Context, asked IdentifyQuery) (*tenant.Tenant, *relay.Refusal)
+	// Watch calls serve with a responder that records how the request ends, and aborts a request
+	// that serve leaves without an ending.
 	Watch(ctx context.Context, request string, responder relay.Responder, serve func(relay.Responder))
-	// Serve carries a call to its end.
+	// Serve handles a call until it ends.
 	Serve(ctx context.Context, call *relay.Call, responder relay.Responder)
 }
 
-// Adapter translates one platform's protocols. It decides nothing.
+// Adapter translates one platform's protocols. It contains no decisions of its own.
 type Adapter interface {
 	Store() store.Store
 	Driver() relay.Driver
-	// Forget drops idle connections to addresses that nobody has any more.
-	Forget(addresses []string)
-	// Front handles callers' requests, Ready the platform's question whether
-	// the daemon takes any.
+	// CloseIdle closes the idle connections to addresses that no instance uses any more.
+	CloseIdle(addresses []string)
+	// Front handles callers' requests, and Ready the platform's readiness probe.
 	Front(daemon Gateway) http.Handler
 	Ready(isReady func() bool) http.Handler
-	// RoutesPartition and InstancesPartition are where operators and back ends
-	// write; Routes and Instances read what they wrote. Routes returns nil if
-	// nothing was written yet.
+	// RoutesPartition and InstancesPartition are the partitions to which operators and back ends
+	// write; Routes and Instances parse their records. Routes returns nil if none were written yet.
 	RoutesPartition() store.Partition
 	InstancesPartition() store.Partition
 	Routes(records map[string]store.Record) (*route.Table, error)
-	// Evacuations reads which zones the operators evacuated from the same records as
-	// Routes. The reading is partial if they are not all of the operators' records.
+	// Evacuations parses the operators' orders to evacuate zones from the same records as Routes.
+	// The result is partial if records are not all of the operators' records.
 	Evacuations(records map[string]store.Record, end int64) zone.Reading
 	Instances(records map[string]store.Record) []instance.Instance
 }
--- a/internal/relaydaemon/capacity.go
+++ b/internal/relaydaemon/capacity.go
@@ -1,12 +1,10 @@
 package relaydaemon
 
-// coreMegabits is how many Mbit/s of a shard's records one core reads: 0.85 MB
-// took 0.15 s on 0.8 of a core with a fast link, by the logs of a rolling stop.
+// coreMegabits is the rate in Mbit/s at which one core reads a shard's records.
 const coreMegabits = 60.0
 
-// capacity is how much of the fleet's work the machine can take beside others:
-// the Mbit/s of records that it receives and reads, one after the other. It is 0
-// if the settings do not tell.
+// capacity returns the machine's share of the fleet's work as a weight: the rate in Mbit/s at which
+// it can receive and then parse records. It is 0 if the settings do not specify the machine.
 func (s *Settings) capacity() int {
 	if s.ProcessorShare == 0 || s.LinkMegabits == 0 {
 		return 0
--- a/internal/relaydaemon/capacity_test.go
+++ b/internal/relaydaemon/capacity_test.go
@@ -8,7 +8,7 @@
 	slowLink := Settings{ProcessorShare: 0.8, ProcessorSpeed: 1, LinkMegabits: 5}
 	unknown := Settings{}
 	if got := unknown.capacity(); got != 0 {
-		t.Errorf("settings that do not tell: capacity %d, want 0", got)
+		t.Errorf("settings without the machine's resources: capacity %d, want 0", got)
 	}
 	if 4*small.capacity() >= large.capacity() {
 		t.Errorf("small machine %d, large machine %d; want less than a quarter", small.capacity(), large.capacity())
--- a/internal/relaydaemon/cold_test.go
+++ b/internal/relaydaemon/cold_test.go
@@ -13,8 +13,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// TestColdBackEndsAreSharedAmongDaemonsOnRecord: the record is read again when a request
-// asks for it, and while it can't be read a cold back end gets nothing.
+// TestColdBackEndsAreSharedAmongDaemonsOnRecord checks that daemons share the rate of a cold back
+// end, that a request causes the list of daemons to be read again, and that a cold back end gets no
+// requests while that list cannot be read.
 func TestColdBackEndsAreSharedAmongDaemonsOnRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
@@ -47,12 +48,12 @@
 		s.SetDown(true)
 		time.Sleep(4 * time.Second)
 		if got := sent(); got != 0 {
-			t.Errorf("%d requests though who else sends is unknown", got)
+			t.Errorf("%d requests although the other daemons are unknown", got)
 		}
 		s.SetDown(false)
 		time.Sleep(2 * time.Second)
 		if got := sent(); got < 8 || got > 22 {
-			t.Errorf("%d requests in three seconds after the store's return, want some 20", got)
+			t.Errorf("%d requests in three seconds after the outage, want some 20", got)
 		}
 		stop()
 		running.Wait()
--- a/internal/relaydaemon/cutoff.go
+++ b/internal/relaydaemon/cutoff.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// cutCost counts against an instance in a zone that is cut off, as a share of its
-	// slots. It is above all other costs: an instance that failed lately may serve again.
+	// cutCost is the cost of an instance in a zone that is cut off, as a share of its slots. It
+	// exceeds all other costs, so that even an instance that failed recently is preferred.
 	cutCost = 10_000
-	// rampCost is the same right after a cut's end; it falls to 0 within zone.RampTime. At
-	// first the instance gets only requests that find no free slot elsewhere: until a third
-	// of the ramp is over this exceeds what counts for the instance that knows a session
-	// (0.4).
+	// rampCost is the cost of an instance right after its zone became reachable again; it falls to
+	// 0 within zone.RampTime. During the first third of the ramp it exceeds the bonus of the
+	// instance that knows a session (0.4), so that the instance gets only requests which find no
+	// free slot elsewhere.
 	rampCost = 0.6
 	// lastKey sorts after all keys of a space.
 	lastKey = "\xff"
 )
 
-// cutOffZones keeps requests from the instances of zones that are cut off, unless no other
-// instance serves. It implements instance.Scorer.
+// cutOffZones is an instance.Scorer that keeps requests away from zones that are cut off, unless no
+// other instance is available.
 type cutOffZones struct{ zones *zone.Reachability }
 
 // Cost implements instance.Scorer.
@@ -36,8 +36,8 @@
 	return rampCost * (1 - c.zones.Share(candidate.Zone, now))
 }
 
-// watchZones prepares the watch of which zones this daemon is cut off from; a fleet of
-// one zone has none.
+// watchZones creates the watch for zones that this daemon is cut off from. A fleet of one zone has
+// none.
 func (d *Daemon) watchZones() {
 	if d.zones == nil {
 		return
@@ -50,7 +50,7 @@
 		Transport:    d.transport,
 		View:         d.membership,
 		ProbeStore:   d.probeStore,
-		OnCut:        func(zone string) { d.adapter.Forget(d.pool.AddressesIn(zone)) },
+		OnCut:        func(zone string) { d.adapter.CloseIdle(d.pool.AddressesIn(zone)) },
 		OnIsolated:   d.expireRestingAfterReroute,
 		Random:       newRandom(),
 		Logger:       part(d.logger, "zones"),
@@ -58,7 +58,7 @@
 	})
 }
 
-// watchReach watches what can not be reached until ctx ends.
+// watchReach runs the watch until ctx ends.
 func (d *Daemon) watchReach(ctx context.Context) {
 	if d.reach == nil {
 		d.relay.WatchSilence(ctx)
@@ -67,9 +67,9 @@
 	d.reach.Run(ctx)
 }
 
-// expireRestingAfterReroute closes callers' idle connections that no caller may use again once new ones are routed to
-// other daemons, if this one is still cut off then: their next requests then reach a
-// daemon that can serve them without being refused first.
+// expireRestingAfterReroute closes idle connections once the platform routes new ones to other
+// daemons, if this daemon is still cut off by then. Their callers then reach a daemon that can
+// serve them without being refused first. Connections that their caller may still reuse stay open.
 func (d *Daemon) expireRestingAfterReroute() {
 	time.AfterFunc(noticeTime, func() {
 		if _, isCut := d.cutOffSince(); isCut {
@@ -78,21 +78,20 @@
 	})
 }
 
-// probeStore tells whether the store answers, directly or by way of another daemon. It
-// reads after the last key of the members' registry, so that the answer is empty.
+// probeStore reports whether the store answers, directly or by way of another daemon. It reads
+// after the last key of the registry of daemons, so that the answer is empty.
 func (d *Daemon) probeStore(ctx context.Context) bool {
 	_, err := d.store.NewestPage(ctx, registryPartition(), lastKey)
 	return err == nil
 }
 
-// receiveReach takes a message about what can be reached; false means it is another
-// part's.
+// receiveReach handles a message of package reach; it returns false if the message belongs to
+// another component.
 func (d *Daemon) receiveReach(from structs.DaemonID, message peer.Message) bool {
 	return d.reach != nil && d.reach.Receive(from, message)
 }
 
-// cutOffSince tells since when this daemon has been cut off from the store and most
-// of the fleet.
+// cutOffSince returns since when this daemon has been cut off from the store and most of the fleet.
 func (d *Daemon) cutOffSince() (since time.Time, isCut bool) {
 	if d.zones == nil {
 		return time.Time{}, false
@@ -100,9 +99,9 @@
 	return d.zones.Isolated()
 }
 
-// RedirectsCallers tells whether callers are to make their next request on another
-// connection: new connections of callers are routed to other
-// daemons while this one stops or is cut off.
+// RedirectsCallers reports whether callers should send their next request on a new connection,
+// because the platform routes new connections to other daemons: while this daemon stops or is cut
+// off.
 func (d *Daemon) RedirectsCallers() bool {
 	_, isCut := d.cutOffSince()
 	return isCut || d.stopping.Load()
--- a/internal/relaydaemon/cutoff_test.go
+++ b/internal/relaydaemon/cutoff_test.go
@@ -14,7 +14,8 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// cutZones returns the belief of a daemon in zone a that finds others cut off.
+// cutZones returns the reachability as seen by a daemon in zone a from which the given zones are
+// cut off.
 func cutZones(cut ...string) *zone.Reachability {
 	zones := zone.NewReachability(zone.NewTopology("a", "", map[string]string{"b": "", "c": ""}))
 	for _, name := range []string{"a", "b", "c"} {
@@ -24,8 +25,8 @@
 	return zones
 }
 
-// hear plays a while in which some zones are silent, and the others answer. The store
-// does not.
+// hear simulates a span in which the cut zones do not answer while the others do. If any zone is
+// cut, the store does not answer either.
 func hear(zones *zone.Reachability, length time.Duration, cut ...string) {
 	waiting := map[string]zone.Waiting{}
 	for _, name := range cut {
@@ -68,7 +69,7 @@
 			t.Errorf("cut off: %v", got)
 		}
 		if got := picks(pool, 50, "i-a"); got["i-b"] != 50 {
-			t.Errorf("nothing else serves: %v", got)
+			t.Errorf("no other instance: %v", got)
 		}
 		hear(d.zones, 250*time.Millisecond)
 		if got := picks(pool, 50); d.zones.IsCut("b") || got["i-b"] != 0 {
@@ -86,7 +87,7 @@
 		d := keyDaemon(t, "key")
 		d.zones = cutZones()
 		if d.RedirectsCallers() {
-			t.Fatal("sends callers away while all is well")
+			t.Fatal("redirects callers without a cut")
 		}
 		d.confirmRoutes(time.Now())
 		hear(d.zones, time.Second, "b", "c")
@@ -94,17 +95,17 @@
 			t.Fatal("ready though it is cut off")
 		}
 		if !d.honours(t, "key") {
-			t.Error("a key that was confirmed lately is not honoured")
+			t.Error("a recently confirmed key is not accepted")
 		}
 		time.Sleep(d.settings.revocationTime())
 		asked := time.Now()
-		_, refusal := d.Identify(t.Context(), KeyQuestion{Route: &route.Route{}, Key: "key", Left: 3 * time.Second})
+		_, refusal := d.Identify(t.Context(), IdentifyQuery{Route: &route.Route{}, Key: "key", Left: 3 * time.Second})
 		if refusal == nil || refusal.Reason != relay.ReasonKeysUnconfirmed || time.Since(asked) != 0 {
 			t.Errorf("refused after %s: %+v", time.Since(asked), refusal)
 		}
 		hear(d.zones, 600*time.Millisecond)
 		if d.RedirectsCallers() {
-			t.Error("still sends callers away 0.6 s after the cut")
+			t.Error("still redirects callers 0.6 s after the cut")
 		}
 	})
 }
@@ -142,6 +143,6 @@
 		return isPart
 	})
 	if d.reach != nil || inChoice || d.RedirectsCallers() {
-		t.Error("it has")
+		t.Error("a fleet of one zone watches for cuts")
 	}
 }
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -28,12 +28,10 @@
 )
 
 const (
-	// memoryShare is the part of the memory that the runtime aims to stay in.
+	// memoryShare is the share of the machine's memory that is set as the runtime's soft limit.
 	memoryShare = 0.7
-	// heapGrowth is by how many percent the heap may grow until it is collected.
-	// Memory costs operators more than the processor time of collecting: in a run of 11
-	// daemons for each value, 30 in place of the runtime's 100 took 13 MB at the peak in
-	// place of 18, and 23% more processor time.
+	// heapGrowth is the garbage collector's target percentage. It is lower than the default of 100,
+	// as memory costs operators more than the processor time of collecting.
 	heapGrowth = 30
 	megabyte   = 1 << 20
 )
@@ -48,38 +46,38 @@
 	admission *admission.Admission
 	relay     *relay.Relay
 	ledger    *ledger.Service
-	// regional are the ledgers of single regions.
+	// regional are the ledgers of the regions.
 	regional   *regionalLedgers
 	membership *membership.Membership
 	transport  *tcp.Transport
 	pool       *instance.Pool
-	// topology is which zones there are, and how far each is.
+	// topology are the zones of the fleet and their distances.
 	topology zone.Topology
-	// evacuations are which zones the operators evacuated.
+	// evacuations are the zones that the operators evacuated.
 	evacuations zone.Evacuations
-	// zones is which zones this daemon is cut off from, and reach finds that out; nil
-	// in a fleet of one zone.
+	// zones are the zones that this daemon is cut off from, and reach detects them; both are nil in
+	// a fleet of one zone.
 	zones    *zone.Reachability
 	reach    *reach.Watch
 	registry *memberRegistry
 	// cold limits the requests to cold instances.
 	cold *warmup.Limiter
-	// store is reached by way of other daemons where this one does not reach it.
+	// store calls the store by way of other daemons where this one does not reach it.
 	store *proxy.Service
-	// records is where the operators' records are read: at the store, or of a neighbour while
-	// they are large.
+	// records reads the operators' records: from the store, or from a neighbour while they are
+	// large.
 	records *fanout.Service
 	figures *prometheus.Registry
-	// watchMetrics count the readings of what is followed in the store.
+	// watchMetrics count the reads of watched partitions.
 	watchMetrics *store.WatchMetrics
-	// servers are all servers but front, the one that callers reach.
+	// servers are all HTTP servers except front, which serves callers.
 	servers []*http.Server
 	front   *frontServer
 
 	table atomic.Pointer[route.Table]
-	// refused: newer routes than those in force could not be understood.
+	// refused is set while newer routes than those in force could not be parsed.
 	refused atomic.Bool
-	// keys tells when the routes in force, keys included, were last confirmed.
+	// keys is the time as of which the routes in force, keys included, are known to be the newest.
 	keys *confirmation
 	// hasTable is closed once routes are known.
 	hasTable  chan struct{}
@@ -90,8 +88,8 @@
 	workers   sync.WaitGroup
 }
 
-// Start opens the listeners and sets the daemon going.
-func Start(settings Settings, logger zerolog.Logger, lost *LostLines) (*Daemon, error) {
+// Start opens the listeners and starts the daemon.
+func Start(settings Settings, logger zerolog.Logger, lost *DroppedLines) (*Daemon, error) {
 	boundMemory(settings)
 	newAdapter, err := Adapters.Lookup(settings.Adapter)
 	if err != nil {
@@ -130,7 +128,7 @@
 	return d, nil
 }
 
-// boundMemory makes the runtime keep within the settings' memory.
+// boundMemory configures the runtime for the settings' memory limit.
 func boundMemory(settings Settings) {
 	if settings.MemoryMegabytes > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryMegabytes) * megabyte))
@@ -138,8 +136,8 @@
 	debug.SetGCPercent(heapGrowth)
 }
 
-// newFigures returns a registry with the figures of the log.
-func newFigures(lost *LostLines) *prometheus.Registry {
+// newFigures returns a metrics registry with the metrics of the log.
+func newFigures(lost *DroppedLines) *prometheus.Registry {
 	figures := prometheus.NewRegistry()
 	figures.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Namespace: "mintpulley", Subsystem: "log", Name: "lines_lost_total", Help: "Log lines that were dropped.",
@@ -153,7 +151,7 @@
 	return logger.With().Str("part", name).Logger()
 }
 
-// run starts what works in the background.
+// run starts the background goroutines.
 func (d *Daemon) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
@@ -166,8 +164,8 @@
 	d.workers.Go(func() { d.watchReach(ctx) })
 }
 
-// Table implements Gateway. The first routes are waited for while it is likely that
-// they come within the time that the caller has left.
+// Table implements Gateway. It waits for the first routes while they are likely to arrive before
+// the caller's deadline.
 func (d *Daemon) Table(ctx context.Context, left time.Duration) *route.Table {
 	if table := d.table.Load(); table != nil || left <= 0 {
 		return table
@@ -194,8 +192,8 @@
 	d.relay.Serve(ctx, call, responder)
 }
 
-// isReady tells whether the daemon may get requests. One that is cut off can not serve
-// most of them: their callers are better led to another zone.
+// isReady reports whether the daemon should get requests. One that is cut off should not, since it
+// cannot serve most of them and another zone could.
 func (d *Daemon) isReady() bool {
 	return !d.RedirectsCallers() && d.table.Load() != nil && d.pool.Listed() && d.ledger.IsSettled()
 }
--- a/internal/relaydaemon/front.go
+++ b/internal/relaydaemon/front.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// drainPoll separates looks for connections that rest during a drain.
+	// drainPoll is the interval at which a drain checks for idle connections.
 	drainPoll = 20 * time.Millisecond
-	// firstRequestTime is how long a new connection may take in a drain until its
-	// first request arrives: callers give a connection a second to come up.
+	// firstRequestTime is how long a new connection may take to send its first request during a
+	// drain. Callers allow a connection a second to be established.
 	firstRequestTime = time.Second
-	// lastAccept is how long a drain goes on to accept connections that the system has
-	// accepted: closing the listener resets them, and the requests that have arrived on them.
+	// lastAccept is how long a drain continues to accept connections that the kernel has already
+	// established: closing the listener resets them, and with them the requests that have arrived.
 	lastAccept = 50 * time.Millisecond
 )
 
-// frontServer serves callers and can be drained. The Shutdown of http.Server is
-// no drain: a request that is read whole after its begin gets no answer.
+// frontServer serves callers and can be drained. http.Server.Shutdown does not suffice: it may
+// close a connection on which a request has begun to arrive.
 type frontServer struct {
 	server   *http.Server
 	listener *frontListener
-	// served is closed once no connection is accepted any more.
+	// served is closed once no more connections are accepted.
 	served chan struct{}
-	// bound ends when giveUp gives up what is not ready of all requests, and cut ends the
-	// contexts of all callers, with their cause.
+	// bound is canceled by giveUp at the shutdown deadline: requests without a complete answer end.
+	// cut then cancels the contexts of all requests, with a cause.
 	bound  context.Context
 	giveUp context.CancelFunc
 	cut    context.CancelCauseFunc
-	// redirects tells whether new connections of callers are routed to other daemons.
+	// redirects reports whether the platform routes new connections to other daemons.
 	redirects func() bool
 	draining  atomic.Bool
 
@@ -45,11 +45,11 @@
 	open   map[*frontConnection]struct{}
 }
 
-// connectionKey is under which a request's context has its frontConnection.
+// connectionKey is the context key of a request's frontConnection.
 type connectionKey struct{}
 
-// newFrontServer starts to serve on a listener. Times that callers may take are the
-// front server's: server must set none. While redirects is true, no connection is kept.
+// newFrontServer starts to serve on a listener. server must not set timeouts: the front server
+// enforces the operators' limits itself. No connection is kept while redirects returns true.
 func newFrontServer(server *http.Server, listener net.Listener, redirects func() bool) *frontServer {
 	bound, giveUp := context.WithCancel(context.Background())
 	callers, cut := context.WithCancelCause(context.Background())
@@ -77,8 +77,8 @@
 	return s
 }
 
-// serving takes note of each request whose head was read, and has its answer tell for how
-// long the connection may be used again.
+// serving wraps the handler: it records that a request's header was read, and adds the headers that
+// tell the caller how long it may reuse the connection.
 func (s *frontServer) serving(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := relay.WithStopBound(r.Context(), s.bound)
@@ -92,16 +92,16 @@
 		connection.enter(phaseServing, time.Now())
 		answer := &answerWriter{ResponseWriter: w, server: s, connection: connection}
 		handler.ServeHTTP(answer, r)
-		answer.announceReuse() // an answer without a body may have no head yet
+		answer.announceReuse() // an answer without a body may not have written its header yet
 	})
 }
 
-// announcesClose tells whether answers say that their connection closes: in a drain, and while
-// new connections of callers are routed to other daemons.
+// announcesClose reports whether answers carry "Connection: close": during a drain, and while the
+// platform routes new connections to other daemons.
 func (s *frontServer) announcesClose() bool { return s.draining.Load() || s.redirects() }
 
-// setLimits puts the operators' limits on callers' time in force, for connections that
-// are open, too. A limit of 0 sets no bound.
+// setLimits applies the operators' timeouts for callers, also to open connections. A limit of 0
+// means none.
 func (s *frontServer) setLimits(limits route.Limits) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -111,9 +111,9 @@
 	}
 }
 
-// drain accepts no connection any more, answers every request that has begun to
-// arrive, and closes connections that rest and that no caller may use again. It returns
-// once none is open, or with an error when ctx ends.
+// drain stops accepting connections, answers every request that has begun to arrive, and closes
+// each idle connection once its caller may no longer reuse it. It returns when no connection is
+// open, or with an error when ctx ends.
 func (s *frontServer) drain(ctx context.Context) error {
 	s.draining.Store(true)
 	s.stopAccepting()
@@ -126,22 +126,22 @@
 	return nil
 }
 
-// stopAccepting closes the listener once no connection waits to be accepted.
+// stopAccepting closes the listener once no established connection waits to be accepted.
 func (s *frontServer) stopAccepting() {
 	s.listener.finish()
 	<-s.served
 }
 
-// close closes the listener and cuts all connections. Contexts end first: that of a caller
-// that is cut off tells why.
+// close closes the listener and all connections. The contexts are canceled first, so that requests
+// which are cut off end with ErrShutdownDeadline as their cause.
 func (s *frontServer) close() {
 	s.giveUp()
 	s.cut(relay.ErrStopBound)
 	_ = s.server.Close()
 }
 
-// endRests lets connections that rest be closed although their callers may use them, and
-// returns how many others are open: at the bound of a stop the process ends in any case.
+// endRests closes idle connections even if their callers may still reuse them, and returns the
+// number of others. It is called at the shutdown deadline, when the process is about to exit.
 func (s *frontServer) endRests() (busy int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -154,15 +154,15 @@
 	return busy
 }
 
-// count returns how many connections are open.
+// count returns the number of open connections.
 func (s *frontServer) count() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.open)
 }
 
-// expireResting ends the wait for a next request on connections that rest and that no
-// caller may use again, and returns how many connections are open.
+// expireResting closes idle connections that their callers may no longer reuse, and returns the
+// number of open connections.
 func (s *frontServer) expireResting(now time.Time) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/relaydaemon/front_bound_test.go
+++ b/internal/relaydaemon/front_bound_test.go
@@ -19,14 +19,14 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// streamDriver answers every request with a whole stream.
+// streamDriver answers every request with a complete stream.
 type streamDriver struct{ relay.Driver }
 
 func (streamDriver) Send(context.Context, instance.Instance, *relay.Outgoing) (*relay.Answer, error) {
 	return &relay.Answer{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("data: x\n\n"))}, nil
 }
 
-// slowRecords is a ledger that takes a while to put a turn on record.
+// slowRecords is a ledger that takes a while to record a turn.
 type slowRecords struct {
 	relay.Ledger
 	takes time.Duration
@@ -48,7 +48,7 @@
 	}
 }
 
-// endingNote takes note of how a stream ends.
+// endingNote reports how a stream ends.
 type endingNote struct {
 	relay.Responder
 	ended chan string
@@ -62,8 +62,8 @@
 
 func (n endingNote) Abort() { n.ended <- "broken off" }
 
-// TestWholeAnswerWaitsForItsRecordUntilItsCallerIsCut: at the bound of a stop, the front
-// gives up what is not ready, and cuts its callers only later.
+// TestWholeAnswerWaitsForItsRecordUntilItsCallerIsCut checks that at the shutdown deadline a complete
+// answer may still wait for its record until its connection is cut.
 func TestWholeAnswerWaitsForItsRecordUntilItsCallerIsCut(t *testing.T) {
 	for want, takes := range map[string]time.Duration{"ended": 2 * time.Second, "broken off": time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/relaydaemon/front_connection.go
+++ b/internal/relaydaemon/front_connection.go
@@ -14,14 +14,14 @@
 const (
 	// phaseResting lasts until the first byte of the next request.
 	phaseResting phase = iota
-	// phaseHead lasts until the request's head was read.
+	// phaseHead lasts until the request's header was read.
 	phaseHead
-	// phaseServing lasts until its answer ended.
+	// phaseServing lasts until the answer was written.
 	phaseServing
 )
 
-// frontConnection is a caller's connection. It bounds how long each phase may take:
-// net/http's own bounds can not be changed once a server runs.
+// frontConnection is a caller's connection with a timeout for each phase. The timeouts of
+// http.Server cannot be changed while it runs.
 type frontConnection struct {
 	net.Conn
 
@@ -30,11 +30,11 @@
 	phase  phase
 	// since is when the phase began.
 	since time.Time
-	// reuse is for how long the caller may use the connection again after its latest answer,
-	// and reusableUntil when a request that it sends in time has arrived.
+	// reuse is how long the caller may reuse the connection after its latest answer, as announced
+	// to it. Until reusableUntil, a request that the caller sends in time may still arrive.
 	reuse         time.Duration
 	reusableUntil time.Time
-	// expired: the wait for the next request was ended, to make the server close the connection.
+	// expired: the read deadline was set to the past, so that the server closes the connection.
 	expired bool
 }
 
@@ -47,8 +47,8 @@
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn. The server sets none between its own uses: then
-// that of the phase holds.
+// SetReadDeadline implements net.Conn. When the server clears its deadline, that of the phase
+// applies.
 func (c *frontConnection) SetReadDeadline(at time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -58,14 +58,14 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// phaseEnd is when the phase must have ended; zero if nothing bounds it. The mutex must
-// be held.
+// phaseEnd returns the deadline of the phase, zero if there is none. The caller must hold the
+// mutex.
 func (c *frontConnection) phaseEnd() time.Time {
 	switch {
 	case c.phase == phaseResting && c.limits.IdleTime > 0:
 		end := c.since.Add(c.limits.IdleTime)
 		if end.Before(c.reusableUntil) {
-			return c.reusableUntil // the caller was told a longer time, by an earlier limit
+			return c.reusableUntil // a longer time was announced under an earlier limit
 		}
 		return end
 	case c.phase == phaseHead && c.limits.HeadTime > 0:
@@ -74,20 +74,20 @@
 	return time.Time{}
 }
 
-// enter begins a phase.
+// enter starts a phase.
 func (c *frontConnection) enter(next phase, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.begin(next, now)
 }
 
-// begin is enter. The mutex must be held.
+// begin is enter for callers that hold the mutex.
 func (c *frontConnection) begin(next phase, now time.Time) {
 	c.phase, c.since = next, now
 	c.bound()
 }
 
-// setLimits puts limits in force, for the current phase, too.
+// setLimits applies limits, also to the current phase.
 func (c *frontConnection) setLimits(limits route.Limits) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -97,13 +97,13 @@
 	}
 }
 
-// bound makes reads fail from the end of the phase on. The mutex must be held.
+// bound sets the read deadline to the end of the phase. The caller must hold the mutex.
 func (c *frontConnection) bound() {
-	_ = c.Conn.SetReadDeadline(c.phaseEnd()) // fails on a connection that is closed
+	_ = c.Conn.SetReadDeadline(c.phaseEnd()) // fails if the connection is closed
 }
 
-// grantReuse returns for how long the caller may use the connection again after the answer
-// that begins now.
+// grantReuse returns how long the caller may reuse the connection after the answer that begins now,
+// and records it.
 func (c *frontConnection) grantReuse() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -111,8 +111,8 @@
 	return c.reuse
 }
 
-// restAfterAnswer begins phaseResting after an answer: it lasts at least for as long as that
-// lets the caller use the connection again.
+// restAfterAnswer starts phaseResting after an answer. It lasts at least as long as the caller may
+// reuse the connection.
 func (c *frontConnection) restAfterAnswer(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -123,21 +123,21 @@
 	c.rest(least, now)
 }
 
-// restFor begins phaseResting, which lasts at least for a while.
+// restFor starts phaseResting with a minimum duration.
 func (c *frontConnection) restFor(least time.Duration, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.rest(least, now)
 }
 
-// rest is restFor. The mutex must be held.
+// rest is restFor for callers that hold the mutex.
 func (c *frontConnection) rest(least time.Duration, now time.Time) {
 	c.reusableUntil = now.Add(least)
 	c.begin(phaseResting, now)
 }
 
-// noteArrived begins phaseHead when the first bytes of a request arrive, also if the wait
-// for them was just ended.
+// noteArrived starts phaseHead when the first bytes of a request arrive, even if the connection has
+// just expired.
 func (c *frontConnection) noteArrived(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -148,9 +148,9 @@
 	c.begin(phaseHead, now)
 }
 
-// expire makes the server close the connection if it rests and its caller may not use it
-// again. The server closes it itself when its reading fails: it then has no byte of a
-// request.
+// expire makes the server close the connection if it is idle and its caller may no longer reuse it.
+// It sets a read deadline instead of closing, so that a request whose first byte has already
+// arrived is still served.
 func (c *frontConnection) expire(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -159,13 +159,13 @@
 	}
 }
 
-// expireNow is expire for a connection that rests. The mutex must be held.
+// expireNow expires an idle connection. The caller must hold the mutex.
 func (c *frontConnection) expireNow(now time.Time) {
 	c.expired = true
-	_ = c.Conn.SetReadDeadline(now) // fails on a connection that is closed
+	_ = c.Conn.SetReadDeadline(now) // fails if the connection is closed
 }
 
-// endRest is expire, whatever the caller was told; false if the connection does not rest.
+// endRest expires the connection even if its caller may still reuse it; false if it is not idle.
 func (c *frontConnection) endRest(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -177,8 +177,8 @@
 	return true
 }
 
-// CloseWrite closes the writing side only: net/http looks for this method and uses it
-// where closing at once would reset the connection.
+// CloseWrite closes the write side. net/http looks for this method, and uses it where closing the
+// connection at once would reset it.
 func (c *frontConnection) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
--- a/internal/relaydaemon/front_limits_test.go
+++ b/internal/relaydaemon/front_limits_test.go
@@ -24,7 +24,7 @@
 func TestRestingConnectionIsClosedAtTheOperatorsLimit(t *testing.T) {
 	limitsTest(t, func(t *testing.T, d *drainTest) {
 		c := d.dial(t)
-		for range 3 { // four fifths of the limit are within it
+		for range 3 { // four fifths of the limit are allowed
 			time.Sleep(testIdleTime * 4 / 5)
 			c.send("GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
 			c.expectAnswer("/x ")
@@ -66,8 +66,8 @@
 	})
 }
 
-// TestNewLimitHoldsForOpenConnections: a connection that rests already is closed when
-// it has rested for as long as the newer limit allows.
+// TestNewLimitHoldsForOpenConnections checks that an idle connection is closed once it has been
+// idle for as long as a newer limit allows.
 func TestNewLimitHoldsForOpenConnections(t *testing.T) {
 	limitsTest(t, func(t *testing.T, d *drainTest) {
 		c := d.dial(t)
--- a/internal/relaydaemon/front_listener.go
+++ b/internal/relaydaemon/front_listener.go
@@ -7,36 +7,35 @@
 	"time"
 )
 
-// deadlineListener is a listener whose Accept can be bounded, as that of TCP.
+// deadlineListener is a listener whose Accept supports a deadline, such as *net.TCPListener.
 type deadlineListener interface {
 	SetDeadline(at time.Time) error
 }
 
-// frontListener accepts connections as frontConnections, until it is finished.
+// frontListener accepts frontConnections until finish is called.
 type frontListener struct {
 	net.Listener
-	// isLastLook: Accept has begun to look for connections since the deadline was over.
+	// isLastLook: the deadline has passed once, and Accept is called with a second one.
 	isLastLook bool
 }
 
-// finish lets Accept go on to accept connections that wait, and then close the listener. A
-// listener without a deadline is closed at once.
+// finish makes Accept return the connections that are already established, and then close the
+// listener. A listener without deadlines is closed at once.
 func (l *frontListener) finish() {
 	if !l.limit() {
-		_ = l.Close() // fails if it is closed
+		_ = l.Close() // fails if it is already closed
 	}
 }
 
-// limit bounds the next Accept by lastAccept; false if that is not possible.
+// limit sets the deadline of Accept to lastAccept from now; false if that is not supported.
 func (l *frontListener) limit() bool {
 	limited, ok := l.Listener.(deadlineListener)
 	return ok && limited.SetDeadline(time.Now().Add(lastAccept)) == nil
 }
 
-// Accept implements net.Listener. A deadline that was over when it was called says nothing of
-// connections that wait: a process that did not get the processor meanwhile has not looked for
-// any. So the deadline is set once more, and what is accepted until then is the last, however
-// many go on to come.
+// Accept implements net.Listener. After the deadline it accepts once more with a new deadline: a
+// process that was not scheduled in the meantime may have established connections it has not seen.
+// That second deadline is final, even if connections keep arriving.
 func (l *frontListener) Accept() (net.Conn, error) {
 	for {
 		connection, err := l.Listener.Accept()
@@ -47,8 +46,8 @@
 			return nil, err
 		}
 		if l.isLastLook || !l.limit() {
-			_ = l.Close()             // the error of its deadline is the reason already
-			return nil, net.ErrClosed // the server would try a deadline's error again
+			_ = l.Close()             // Accept already failed
+			return nil, net.ErrClosed // the server would retry after a timeout error
 		}
 		l.isLastLook = true
 	}
--- a/internal/relaydaemon/front_reuse.go
+++ b/internal/relaydaemon/front_reuse.go
@@ -6,22 +6,20 @@
 	"time"
 )
 
-// HTTP/1.1 has no way to close a connection that rests while the caller's next request may be
-// on its way: that request is lost, and where it may not be repeated, it is lost to its caller.
-// So each answer tells for how long the connection may be taken up again, or that it closes,
-// and nothing but the caller, or the end of the process, ends a connection's rest before that
-// time is over: neither the drain of a planned stop, nor a lower limit of the operators, nor a cut.
+// HTTP/1.1 cannot close an idle connection safely while the caller's next request may be in flight:
+// that request is lost, and its caller may not be allowed to repeat it. Therefore each answer
+// announces how long the connection may be reused, or that it closes. Until that time is over, only
+// the caller or the exit of the process ends an idle connection: not the drain of a planned shutdown,
+// nor a lower limit of the operators, nor being cut off.
 
 const (
-	// reuseTime is for how long callers may take up a connection after an answer. It ends,
-	// travel included, within noticeTime: in a planned stop answers say from its begin that
-	// the connection closes, so at the end of the notice no caller may use a connection
-	// that rests but those of answers that began before it: these hold it for as long as
-	// they may be used. Without it each stop loses 0.06 to 0.2 requests, with it none (means of
-	// days with 100 to 200 stops, links of 3 ms).
+	// reuseTime is how long callers may reuse a connection after an answer. Including requestTravel
+	// it is no longer than noticeTime. During a planned shutdown, answers announce from the beginning
+	// that the connection closes, so when noticeTime is over, only connections whose answer began
+	// before the shutdown may still be reused.
 	reuseTime = 2 * time.Second
-	// requestTravel is how long a request may take to arrive that was sent in time: the
-	// loss of a packet or two, or a processor that is not had for a while.
+	// requestTravel is how long a request sent in time may take to arrive: it covers one or two
+	// lost packets or a delay in scheduling.
 	requestTravel = noticeTime - reuseTime
 )
 
@@ -30,8 +28,8 @@
 	headerKeepAlive  = "Keep-Alive"
 )
 
-// reuseWithin returns for how long callers may take up a connection again, by the operators'
-// limit on its rest: whole seconds, as callers are told; 0 if the limit leaves none.
+// reuseWithin returns how long callers may reuse a connection under the operators' idle limit, in
+// whole seconds as in the Keep-Alive header; 0 if the limit leaves no time.
 func reuseWithin(idleLimit time.Duration) time.Duration {
 	if idleLimit <= 0 {
 		return reuseTime
@@ -39,7 +37,7 @@
 	return max(min(reuseTime, idleLimit-requestTravel), 0).Truncate(time.Second)
 }
 
-// answerWriter tells with each answer's head for how long the connection may be used again.
+// answerWriter adds the headers that announce how long the connection may be reused.
 type answerWriter struct {
 	http.ResponseWriter
 	server     *frontServer
@@ -62,10 +60,10 @@
 	return w.ResponseWriter.Write(data)
 }
 
-// Unwrap lets http.ResponseController reach the writer beneath.
+// Unwrap lets http.ResponseController use the underlying writer.
 func (w *answerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// announceReuse sets the headers that tell it, once.
+// announceReuse sets the headers once.
 func (w *answerWriter) announceReuse() {
 	if w.isAnnounced {
 		return
--- a/internal/relaydaemon/front_reuse_test.go
+++ b/internal/relaydaemon/front_reuse_test.go
@@ -16,27 +16,15 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// What callers saw: in planned stops of a fleet, a handful of some 41,000 requests a day
-// ended with a closed connection, neither answered nor refused; on days without stops none
-// did. Those that may not be repeated were lost to their callers.
-//
-// The order of events: a daemon is told to stop, is not ready from then on, and says with
-// each answer that the connection closes. Two and a half seconds later it closes all
-// connections that rest. A connection whose last answer was sent before the stop was told
-// nothing: its caller may send the next request at any moment up to the operators' limit
-// on resting connections, and the request is on the wire when the connection is closed.
-//
-// The cause: nothing told callers for how long they may take up a connection, so there was no
-// moment at which closing one that rests was safe. The evidence: with a link of 3 ms between
-// them, whatever a caller sends within 3 ms of the close is lost, after any rest; without a
-// link's delay, as on loopback, hardly ever.
+// These tests guard against requests that are lost in a planned shutdown: a daemon that closes idle
+// connections without having announced how long they may be reused may close one while the next
+// request is in flight. It shows only if the link has a delay.
 
 // linkDelay is the one-way delay between callers and the daemon.
 const linkDelay = 3 * time.Millisecond
 
-// reuseBound is for how long the sender of an answer lets its caller take up the connection:
-// the time that the answer tells, or else four fifths of the operators' limit; 0 if the
-// answer says that the connection closes.
+// reuseBound is how long the answer lets its caller reuse the connection: the announced time, or
+// else four fifths of the operators' limit; 0 if the answer announces that the connection closes.
 func reuseBound(t *testing.T, answer *http.Response, idleTime time.Duration) time.Duration {
 	t.Helper()
 	if answer.Close {
@@ -53,7 +41,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// exchangeAnswer sends a request and returns its answer, read whole.
+// exchangeAnswer sends a request and reads the whole answer.
 func (c *caller) exchangeAnswer(text string) (*http.Response, error) {
 	if _, err := io.WriteString(c.Conn, text); err != nil {
 		return nil, err
@@ -67,9 +55,8 @@
 	return response, err
 }
 
-// TestCallerThatMayStillUseItsConnectionIsAnsweredInAStop lets a drain begin, or the
-// operators lower their limit, while the next request of a connection is on the wire that
-// has rested for a while.
+// TestCallerThatMayStillUseItsConnectionIsAnsweredInAStop begins a drain, or lowers the operators'
+// limit, while a request is in flight on a connection that has been idle for a while.
 func TestCallerThatMayStillUseItsConnectionIsAnsweredInAStop(t *testing.T) {
 	const step = 97 * time.Millisecond
 	for name, begin := range map[string]func(t *testing.T, d *drainTest){
@@ -87,9 +74,9 @@
 						t.Fatal(err)
 					}
 					if reuseBound(t, answer, testIdleTime) < rest {
-						return // the caller connects anew
+						return // the caller opens a new connection
 					}
-					time.Sleep(rest) // it sends the next request now, which takes linkDelay to arrive
+					time.Sleep(rest) // the caller then sends the next request, which takes linkDelay to arrive
 					time.Sleep(linkDelay / 2)
 					begin(t, d)
 					time.Sleep(linkDelay / 2)
@@ -102,8 +89,8 @@
 	}
 }
 
-// TestConnectionsAreKeptBetweenRequests: what callers are told must not make them connect
-// for each request.
+// TestConnectionsAreKeptBetweenRequests checks that the announced time is long enough for callers
+// to reuse their connections.
 func TestConnectionsAreKeptBetweenRequests(t *testing.T) {
 	limitsTest(t, func(t *testing.T, d *drainTest) {
 		answer, err := d.dial(t).exchangeAnswer("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -111,13 +98,13 @@
 			t.Fatal(err)
 		}
 		if bound := reuseBound(t, answer, testIdleTime); bound < time.Second {
-			t.Errorf("the connection may be used again for %s", bound)
+			t.Errorf("the connection may be reused for %s only", bound)
 		}
 	})
 }
 
-// TestAnswersAnnounceTheCloseWhileCallersAreRedirected: while a daemon is cut off or stops, no connection
-// is kept.
+// TestAnswersAnnounceTheCloseWhileCallersAreRedirected checks that no connection is kept while a
+// daemon stops or is cut off.
 func TestAnswersAnnounceTheCloseWhileCallersAreRedirected(t *testing.T) {
 	for redirects, want := range map[bool]string{true: "", false: "timeout=2"} {
 		limitsTest(t, func(t *testing.T, d *drainTest) {
@@ -133,8 +120,8 @@
 	}
 }
 
-// TestRestingConnectionIsNoRequestThatIsGivenUp: at the bound of a stop one that still may be
-// used is closed.
+// TestRestingConnectionIsNoRequestThatIsGivenUp checks that an idle connection that may still be
+// reused is closed at the shutdown deadline and does not count as an unfinished request.
 func TestRestingConnectionIsNoRequestThatIsGivenUp(t *testing.T) {
 	limitsTest(t, func(t *testing.T, d *drainTest) {
 		c := d.dial(t)
@@ -154,8 +141,8 @@
 	})
 }
 
-// TestConnectionThatTheSystemAcceptedIsServedInADrain: a connection that the system has
-// accepted, and the daemon has not, is none that was never made.
+// TestConnectionThatTheSystemAcceptedIsServedInADrain checks that a drain serves connections which
+// the kernel has established and the daemon has not accepted yet.
 func TestConnectionThatTheSystemAcceptedIsServedInADrain(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -183,8 +170,8 @@
 	}
 }
 
-// gatedListener accepts nothing until its end began and its deadline is over, as a process
-// that does not get the processor for a while.
+// gatedListener accepts nothing until it is closed or a while after its deadline, like a process
+// that is not scheduled.
 type gatedListener struct {
 	net.Listener
 	open   sync.Once
@@ -203,7 +190,7 @@
 	return l.Listener.Close()
 }
 
-// SetDeadline implements what a drain may use of a TCP listener.
+// SetDeadline implements deadlineListener.
 func (l *gatedListener) SetDeadline(at time.Time) error {
 	defer time.AfterFunc(2*lastAccept, l.openGate)
 	limited, ok := l.Listener.(interface{ SetDeadline(at time.Time) error })
--- a/internal/relaydaemon/front_test.go
+++ b/internal/relaydaemon/front_test.go
@@ -58,11 +58,11 @@
 func (c *caller) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.Conn, text); err != nil {
-		c.t.Errorf("%q was not taken: %v", text, err)
+		c.t.Errorf("%q was not written: %v", text, err)
 	}
 }
 
-// expectAnswer reads one whole answer.
+// expectAnswer reads one complete answer.
 func (c *caller) expectAnswer(want string) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
@@ -83,18 +83,18 @@
 	}
 }
 
-// drainTest is a front server in a bubble.
+// drainTest is a front server whose connections are pipes, for use in a synctest bubble.
 type drainTest struct {
 	*pipeListener
 	server *frontServer
 	// release lets requests for /slow be answered.
 	release chan struct{}
 	drained chan error
-	// redirects: new connections of callers are routed to other daemons.
+	// redirects: the platform routes new connections to other daemons.
 	redirects bool
 }
 
-// keepsCallers is for servers whose new connections are never routed to other daemons.
+// keepsCallers is the redirects function of servers whose callers are never redirected.
 func keepsCallers() bool { return false }
 
 func newDrainTest(t *testing.T) *drainTest {
@@ -174,7 +174,7 @@
 		time.Sleep(drainTestTime)
 		select {
 		case err := <-d.drained:
-			t.Fatalf("the drain ended with a request under way: %v", err)
+			t.Fatalf("the drain ended with an unfinished request: %v", err)
 		default:
 		}
 		close(d.release)
@@ -195,7 +195,7 @@
 		defer cancel()
 		d.drain(ctx)
 		if err := <-d.drained; err == nil {
-			t.Error("a drain with a request under way ended well")
+			t.Error("a drain with an unfinished request returned no error")
 		}
 		d.server.close()
 		c.expectClosed()
@@ -203,8 +203,8 @@
 	})
 }
 
-// TestNoRequestThatWasTakenIsCutByADrain sends requests on kept connections
-// while the server drains: each that the handler saw must be answered whole.
+// TestNoRequestThatWasTakenIsCutByADrain sends requests on kept connections while the server
+// drains: each request that reached the handler must be answered completely.
 func TestNoRequestThatWasTakenIsCutByADrain(t *testing.T) {
 	const callers = 40
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -247,7 +247,7 @@
 	}
 	running.Wait()
 	if taken.Load() != answered.Load() {
-		t.Errorf("%d requests were taken, %d answered whole", taken.Load(), answered.Load())
+		t.Errorf("%d requests reached the handler, %d were answered completely", taken.Load(), answered.Load())
 	}
 }
 
--- a/internal/relaydaemon/join.go
+++ b/internal/relaydaemon/join.go
@@ -19,20 +19,18 @@
 )
 
 const (
-	// ledgerSpace is the prefix of the store's spaces of the ledger's shards; a number
-	// follows.
+	// ledgerSpace is the prefix of the store's spaces for the ledger's shards; a number follows.
 	ledgerSpace = "ledger-"
-	// ledgerDirectory is the store's space of the directory of the shards' holders.
+	// ledgerDirectory is the store's space for the directory of the shards' holders.
 	ledgerDirectory = "ledger-holders"
-	// recordShare is the part of the memory that the text of turns may take
-	// which the ledger is to put on record: some hundred turns on the smallest machines.
-	// As much again may wait for room there: turns that are ready hold less than they did
-	// under way, as their histories are dropped.
+	// recordShare is the share of the memory that the text of turns being written to the ledger may
+	// take: a few hundred turns on the smallest machines. The same amount again may wait to be
+	// written. Finished turns hold less memory than running ones, as their histories are dropped.
 	recordShare = 0.1
 )
 
-// join makes the daemon a member of the fleet, with its share of the ledger. The order
-// matters: each part uses those before it.
+// join makes the daemon a member of the fleet and creates its components. The order matters, as
+// each component uses those before it.
 func (d *Daemon) join() error {
 	receiver := &receiverSlot{}
 	if err := d.joinMembers(receiver); err != nil {
@@ -46,7 +44,7 @@
 	return nil
 }
 
-// joinMembers prepares the registry, the transport to other daemons, and membership.
+// joinMembers creates the registry, the transport to other daemons, and the membership.
 func (d *Daemon) joinMembers(receiver peer.Handler) error {
 	d.registry = newMemberRegistry(d.adapter.Store(), d.settings, d.cold, part(d.logger, "members"))
 	self := structs.Daemon{
@@ -74,7 +72,7 @@
 	return nil
 }
 
-// joinStore prepares calls to the store, directly or by way of other daemons.
+// joinStore creates the store client, which calls the store directly or by way of other daemons.
 func (d *Daemon) joinStore() {
 	d.store = proxy.New(proxy.Options{
 		Self:      d.membership.Self.ID,
@@ -100,7 +98,7 @@
 	})
 }
 
-// joinLedger prepares the ledger of all daemons; those of regions are started when they
+// joinLedger creates the ledger of the whole fleet. The ledgers of regions are started when they
 // are needed.
 func (d *Daemon) joinLedger() {
 	options := ledger.Options{
@@ -129,7 +127,7 @@
 	d.regional = newRegionalLedgers(d.topology, options)
 }
 
-// joinRelay prepares the relay of callers' requests.
+// joinRelay creates the relay for callers' requests.
 func (d *Daemon) joinRelay() {
 	d.relay = relay.New(relay.Options{
 		Pool:      d.pool,
@@ -153,8 +151,8 @@
 	})
 }
 
-// membershipSettings look for other daemons every 50 ms after the start, as daemons that
-// start after the loss of all of them must find each other within some 0.1 s.
+// membershipSettings search for other daemons every 50 ms after the start, so that daemons which
+// start after the loss of all of them find each other within about 0.1 s.
 func membershipSettings() membership.Settings {
 	settings := membership.DefaultSettings()
 	settings.FirstJoinTime = 600 * time.Millisecond
@@ -173,7 +171,7 @@
 	return partitions
 }
 
-// receiverSlot lets the transport start before the parts that it serves.
+// receiverSlot lets the transport start before the components that receive its messages.
 type receiverSlot struct{ daemon atomic.Pointer[Daemon] }
 
 // Receive implements peer.Handler.
--- a/internal/relaydaemon/keys.go
+++ b/internal/relaydaemon/keys.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// revocationMargin is kept below the time within which a key that was taken away
-	// must be refused: steady clocks of machines differ by less than one in 50.
+	// revocationMargin is subtracted from the time within which a revoked key must be refused. It
+	// allows for monotonic clocks of machines that differ by up to one in 50.
 	revocationMargin = 100 * time.Millisecond
-	// unknownKeyAge is how old the confirmation of the keys may be for one to be
-	// refused that is not among them: operators expect a new key to be taken within
-	// the time that routes take, three seconds at least. A reading takes
-	// routesWatch.Wait, so that an idle fleet confirms its keys within this time.
+	// unknownKeyAge is the maximum age of the confirmed keys for a key that is not among them to be
+	// refused. Operators expect a new key to be accepted within the time that routes take, at least
+	// three seconds. As a read takes routesWatch.Wait, an idle fleet confirms its keys within this
+	// time.
 	unknownKeyAge = 2 * time.Second
-	// hurryPause separates readings that are made before their time: callers without
-	// a key must not make the daemon call the store for each request.
+	// hurryPause is the minimum time between reads on demand, so that callers without a key do not
+	// cause a call to the store for each request.
 	hurryPause = 100 * time.Millisecond
-	// unknownPatience is how long a caller is taken to wait that does not tell.
+	// unknownPatience is how long a caller without a deadline is assumed to wait.
 	unknownPatience = 2 * time.Second
 )
 
-// confirmation is when the routes in force, tenants' keys included, were last known
-// to be the newest: never later than the moment of which the store's answer tells.
+// confirmation is the time as of which the routes in force, tenants' keys included, are known to be
+// the newest. It is never later than the state that the store's answer describes.
 type confirmation struct {
 	mutex sync.Mutex
 	at    time.Time
 	// renewed is closed at the next confirmation.
 	renewed chan struct{}
-	// lostAt is when the store stopped to answer, zero while it does.
+	// lostAt is when the store stopped answering, zero while it answers.
 	lostAt time.Time
-	// hurry makes the watch of the routes read at once, and newerRoutes tells it that there
-	// are newer ones: that breaks nothing off, as the reading under way brings them, and is
-	// made once more only if it does not begin to.
+	// hurry makes the watcher of the routes read at once. newerRoutes tells it that newer routes
+	// exist; this does not interrupt the read in flight, which will return them, and repeats it
+	// only if no answer begins to arrive.
 	hurry, newerRoutes *clock.PacedSignal
 }
 
@@ -48,8 +48,7 @@
 	}
 }
 
-// note takes a confirmation as of a time. What the store answered
-// must be in force by now.
+// note records a confirmation as of a time. The store's answer must already be in force.
 func (c *confirmation) note(asOf time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -61,7 +60,7 @@
 	c.renewed = make(chan struct{})
 }
 
-// noteContact takes note that the store is lost, or with nil that it answers.
+// noteContact records that the store is unreachable, or with nil that it answers.
 func (c *confirmation) noteContact(err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -71,8 +70,8 @@
 	}
 }
 
-// troubledSince is when what keeps the keys from being confirmed began: a daemon to
-// which the store answers reads them in some milliseconds.
+// troubledSince returns since when the store has not answered; now if it answers, as the keys are
+// then confirmed within milliseconds.
 func (c *confirmation) troubledSince(now time.Time) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -82,15 +81,15 @@
 	return c.lostAt
 }
 
-// last returns the last confirmation, and a channel that is closed at the next.
+// last returns the last confirmation, and a channel that is closed at the next one.
 func (c *confirmation) last() (at time.Time, renewed <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.at, c.renewed
 }
 
-// await waits for a confirmation that is no older than a time, until a moment or
-// until ctx ends, and tells whether there is one.
+// await waits for a confirmation that is at most atMost old, until a deadline or until ctx ends,
+// and reports whether there is one.
 func (c *confirmation) await(ctx context.Context, atMost time.Duration, until time.Time) bool {
 	for {
 		now := time.Now()
@@ -115,8 +114,8 @@
 	}
 }
 
-// Confirmed implements ledger.Confirmations. The routes are looked at after the
-// confirmation: they are at least as new.
+// Confirmed implements ledger.Confirmations. It loads the routes after the confirmation, so that
+// they are at least as new.
 func (d *Daemon) Confirmed() (version int64, asOf time.Time) {
 	asOf, _ = d.keys.last()
 	table := d.table.Load()
@@ -126,15 +125,15 @@
 	return table.Version, asOf
 }
 
-// routesAge is since when it was not confirmed that the routes in force are the newest.
+// routesAge returns the age of the last confirmation that the routes in force are the newest.
 func (d *Daemon) routesAge() time.Duration {
 	asOf, _ := d.keys.last()
 	return time.Since(asOf)
 }
 
-// Hear implements ledger.Confirmations: what each daemon hears of some others keeps
-// its keys confirmed for longer into an outage, with no call to the store. A word of
-// newer routes makes this daemon expect them.
+// Hear implements ledger.Confirmations. Confirmations are exchanged between daemons, which keeps
+// keys confirmed further into an outage without calls to the store. News of newer routes makes this
+// daemon expect them.
 func (d *Daemon) Hear(version int64, asOf time.Time) {
 	table := d.table.Load()
 	switch {
@@ -146,11 +145,11 @@
 	}
 }
 
-// Identify implements Gateway. What a daemon knows of the keys has an age: one that
-// is cut off, or was frozen, must not take a key that was taken away. The age is
-// looked at when the request has arrived, so it is at least that of when it was sent;
-// whatever holds the request up afterwards, it does not count against the key.
-func (d *Daemon) Identify(ctx context.Context, asked KeyQuestion) (*tenant.Tenant, *relay.Refusal) {
+// Identify implements Gateway. A daemon that is cut off or was suspended must not accept a key that
+// has been revoked in the meantime, so the age of its confirmation is checked. It is checked once
+// the request has arrived, and is thus at least the age at which it was sent. A delay of the
+// request after this check does not invalidate its key.
+func (d *Daemon) Identify(ctx context.Context, asked IdentifyQuery) (*tenant.Tenant, *relay.Refusal) {
 	table := d.table.Load()
 	switch {
 	case table.Tenants == nil:
@@ -160,8 +159,8 @@
 	case asked.Key == "":
 		return nil, d.refuseKey(asked, relay.Refusal{Reason: relay.ReasonUnknownKey, Detail: "The request bears no key."})
 	}
-	// A key that is known must be confirmed within the operators' bound, and one that
-	// is not is looked for in newer routes.
+	// A known key must be confirmed within the operators' limit. An unknown key is looked up in
+	// newer routes.
 	for _, atMost := range [...]time.Duration{d.settings.revocationTime() - revocationMargin, unknownKeyAge} {
 		if !d.awaitKeys(ctx, atMost, asked.Left) {
 			return nil, d.refuseUnconfirmed(asked)
@@ -173,21 +172,21 @@
 	return nil, d.refuseKey(asked, relay.Refusal{Reason: relay.ReasonUnknownKey, Detail: "No tenant has the key."})
 }
 
-// awaitKeys waits for a confirmation of the keys while it is likely to come within
-// the time that the caller has left.
+// awaitKeys waits for a confirmation of the keys while it is likely to arrive before the caller's
+// deadline.
 func (d *Daemon) awaitKeys(ctx context.Context, atMost, left time.Duration) bool {
 	if left <= 0 {
 		left = unknownPatience
 	}
 	now := time.Now()
 	if _, isCut := d.cutOffSince(); isCut {
-		return d.keys.await(ctx, atMost, now) // another daemon can tell at once
+		return d.keys.await(ctx, atMost, now) // another daemon can answer at once
 	}
 	wait := admission.Wait{Kind: admission.StoreOut, Since: d.keys.troubledSince(now), Worthless: now.Add(left)}
 	return d.keys.await(ctx, atMost, d.admission.Decide(wait, now).Until)
 }
 
-func (d *Daemon) refuseUnconfirmed(asked KeyQuestion) *relay.Refusal {
+func (d *Daemon) refuseUnconfirmed(asked IdentifyQuery) *relay.Refusal {
 	now := time.Now()
 	after := d.admission.Decide(admission.Wait{Kind: admission.StoreOut, Since: d.keys.troubledSince(now)}, now).Remaining
 	if since, isCut := d.cutOffSince(); isCut {
@@ -199,8 +198,8 @@
 	})
 }
 
-// refuseKey logs why a request is refused for its key.
-func (d *Daemon) refuseKey(asked KeyQuestion, refusal relay.Refusal) *relay.Refusal {
+// refuseKey logs why a request is refused because of its key.
+func (d *Daemon) refuseKey(asked IdentifyQuery, refusal relay.Refusal) *relay.Refusal {
 	asOf, _ := d.keys.last()
 	d.logger.Info().Str("part", "keys").Str("request", asked.Request).Str("route", asked.Route.Name).
 		Str("reason", string(refusal.Reason)).Dur("keys_age", time.Since(asOf)).Int64("routes_version", d.table.Load().Version).
--- a/internal/relaydaemon/keys_test.go
+++ b/internal/relaydaemon/keys_test.go
@@ -13,7 +13,7 @@
 	"github.com/mintpulley/mintpulley/internal/tenant"
 )
 
-// keyDaemon is a daemon that knows routes and keys, and nothing else.
+// keyDaemon returns a daemon that has only routes and keys.
 func keyDaemon(t *testing.T, keys ...string) *Daemon {
 	t.Helper()
 	d := &Daemon{settings: DefaultSettings(), keys: newConfirmation(), admission: &admission.Admission{}}
@@ -31,16 +31,15 @@
 	d.table.Store(table)
 }
 
-// honours tells whether a request with a key is let through at once.
+// honours reports whether a request with a key is accepted without waiting.
 func (d *Daemon) honours(t *testing.T, key string) bool {
 	t.Helper()
-	known, refusal := d.Identify(t.Context(), KeyQuestion{Route: &route.Route{}, Key: key, Left: time.Millisecond})
+	known, refusal := d.Identify(t.Context(), IdentifyQuery{Route: &route.Route{}, Key: key, Left: time.Millisecond})
 	return known != nil && refusal == nil
 }
 
-// TestKeysCountForAsLongAsTheyWereConfirmed: a daemon that was cut off, or stood
-// still, honours no key past the time within which one that was taken away must be
-// refused, counted from when the store was asked.
+// TestKeysCountForAsLongAsTheyWereConfirmed checks that a daemon which was cut off or suspended
+// accepts no key past the revocation time, counted from when the store was asked.
 func TestKeysCountForAsLongAsTheyWereConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := keyDaemon(t, "key")
@@ -49,20 +48,21 @@
 		d.confirmRoutes(askedAt)
 		time.Sleep(d.settings.revocationTime() - revocationMargin - time.Second)
 		if !d.honours(t, "key") {
-			t.Error("a key is not honoured within the time")
+			t.Error("a key is not accepted within the revocation time")
 		}
 		time.Sleep(2 * time.Millisecond)
 		if d.honours(t, "key") {
-			t.Error("a key is honoured that nobody confirmed in time")
+			t.Error("a key is accepted that was not confirmed in time")
 		}
 		d.confirmRoutes(time.Now())
 		if !d.honours(t, "key") {
-			t.Error("a key is not honoured that was confirmed")
+			t.Error("a confirmed key is not accepted")
 		}
 	})
 }
 
-// TestRoutesThatCannotBeUnderstoodConfirmNothing: they may take keys away.
+// TestRoutesThatCannotBeUnderstoodConfirmNothing checks that routes which cannot be parsed do not
+// confirm the keys in force, as they may revoke some.
 func TestRoutesThatCannotBeUnderstoodConfirmNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := keyDaemon(t, "key")
@@ -71,31 +71,31 @@
 		time.Sleep(d.settings.revocationTime())
 		d.confirmRoutes(time.Now())
 		if d.honours(t, "key") {
-			t.Error("a key is honoured although the newest routes are not known")
+			t.Error("a key is accepted although the newest routes could not be parsed")
 		}
 	})
 }
 
-// TestRequestWaitsForTheConfirmation: it comes some milliseconds after a daemon that
-// stood still goes on, or after the store is back.
+// TestRequestWaitsForTheConfirmation checks that a request waits for the confirmation that comes
+// some milliseconds after a suspended daemon resumes or the store is back.
 func TestRequestWaitsForTheConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := keyDaemon(t, "key")
 		d.confirmRoutes(time.Now())
 		time.Sleep(time.Minute)
 		time.AfterFunc(10*time.Millisecond, func() { d.confirmRoutes(time.Now()) })
-		known, refusal := d.Identify(t.Context(), KeyQuestion{Route: &route.Route{}, Key: "key", Left: 3 * time.Second})
+		known, refusal := d.Identify(t.Context(), IdentifyQuery{Route: &route.Route{}, Key: "key", Left: 3 * time.Second})
 		if known == nil || refusal != nil {
 			t.Errorf("got %v, %+v", known, refusal)
 		}
 		if len(d.keys.hurry.Asked()) == 0 {
-			t.Error("nobody asked for the confirmation")
+			t.Error("no read was requested")
 		}
 	})
 }
 
-// TestKeyThatIsNotKnownIsLookedForOnce: what is known may be older than the key, and
-// callers without one must not make the daemon read for each request.
+// TestKeyThatIsNotKnownIsLookedForOnce checks that an unknown key is looked up in newer routes, and
+// that repeated requests with unknown keys do not each cause a read.
 func TestKeyThatIsNotKnownIsLookedForOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := keyDaemon(t, "key")
@@ -116,12 +116,12 @@
 				d.confirmRoutes(time.Now())
 			}
 		}()
-		if known, refusal := d.Identify(t.Context(), KeyQuestion{Route: &route.Route{}, Key: "new", Left: 3 * time.Second}); known == nil {
+		if known, refusal := d.Identify(t.Context(), IdentifyQuery{Route: &route.Route{}, Key: "new", Left: 3 * time.Second}); known == nil {
 			t.Errorf("a new key: got %+v", refusal)
 		}
 		for range 100 {
-			if known, _ := d.Identify(t.Context(), KeyQuestion{Route: &route.Route{}, Key: "none", Left: 3 * time.Second}); known != nil {
-				t.Error("a key of nobody's was honoured")
+			if known, _ := d.Identify(t.Context(), IdentifyQuery{Route: &route.Route{}, Key: "none", Left: 3 * time.Second}); known != nil {
+				t.Error("a key without a tenant was accepted")
 			}
 		}
 		if reads != 1 {
@@ -131,14 +131,14 @@
 	})
 }
 
-// TestHurriedWatchReadsAtOnce: it tells when the reading was asked for, not when the
-// answer came.
+// TestHurriedWatchReadsAtOnce checks that a requested read confirms the routes as of when it was
+// sent, not of when the answer came.
 func TestHurriedWatchReadsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		keys := newConfirmation()
 		watcher := store.Watcher{
-			Store: memory.New(), Partition: store.Partition{Space: "x"}, Settings: store.WatchSettings{Wait: time.Hour, Answer: time.Minute},
-			OnChange: func(map[string]store.Record) {}, OnContact: func(error) {}, OnRead: keys.note, Hurry: keys.hurry.Asked(),
+			Store: memory.New(), Partition: store.Partition{Space: "x"}, Settings: store.WatchSettings{Wait: time.Hour, AnswerTimeout: time.Minute},
+			OnChange: func(map[string]store.Record) {}, OnConnectivity: func(error) {}, OnRead: keys.note, Refresh: keys.hurry.Asked(),
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -152,15 +152,16 @@
 			t.Error("no confirmation came")
 		}
 		if at, _ := keys.last(); at.Before(began) || time.Since(began) > hurryPause {
-			t.Errorf("confirmed as of %s after the question, %s later", at.Sub(began), time.Since(began))
+			t.Errorf("confirmed as of %s after the request, %s later", at.Sub(began), time.Since(began))
 		}
 		stop()
 		<-done
 	})
 }
 
-// TestOtherDaemonsWordConfirmsKeys: one that has the same routes, or older ones, by
-// its age; a word of newer routes confirms nothing, and makes the daemon expect them.
+// TestOtherDaemonsWordConfirmsKeys checks that a confirmation by a daemon with the same or older
+// routes counts, with its age, and that news of newer routes confirms nothing but makes this daemon
+// expect them.
 func TestOtherDaemonsWordConfirmsKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := keyDaemon(t, "key")
@@ -169,21 +170,21 @@
 		time.Sleep(time.Minute)
 		d.Hear(6, time.Now())
 		if d.honours(t, "key") {
-			t.Error("a word of newer routes confirms older ones")
+			t.Error("news of newer routes confirms older ones")
 		}
 		if len(d.keys.newerRoutes.Asked()) == 0 {
 			t.Error("newer routes are not expected")
 		}
 		d.Hear(5, time.Now().Add(-d.settings.revocationTime()))
 		if d.honours(t, "key") {
-			t.Error("a word that is too old confirms")
+			t.Error("a confirmation that is too old counts")
 		}
 		d.Hear(4, time.Now().Add(-time.Second))
 		if !d.honours(t, "key") {
-			t.Error("a word in time does not confirm")
+			t.Error("a recent confirmation does not count")
 		}
 		if version, asOf := d.Confirmed(); version != 5 || time.Since(asOf) != time.Second {
-			t.Errorf("tells others of version %d as of %s ago", version, time.Since(asOf))
+			t.Errorf("confirms version %d as of %s ago to other daemons", version, time.Since(asOf))
 		}
 	})
 }
--- a/internal/relaydaemon/listen.go
+++ b/internal/relaydaemon/listen.go
@@ -12,20 +12,19 @@
 )
 
 const (
-	// headerTimeout and idleTimeout are what callers may take for a request's
-	// head, and how long their connections may rest, until the operators' limits are
-	// known.
+	// headerTimeout and idleTimeout limit how long callers may take to send a request's header, and
+	// how long their connections may be idle, until the operators' limits are known.
 	headerTimeout = 15 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// headerLimit is the longest head of a request that is read, in bytes, whatever
-	// operators allow: it is held in memory.
+	// headerLimit is the maximum size of a request's header in bytes, whatever the operators allow:
+	// it is held in memory.
 	headerLimit = 256 << 10
-	// metricsPath is where figures are read.
+	// metricsPath is the path of the metrics endpoint.
 	metricsPath = "/metrics"
 )
 
-// listen opens the daemon's listeners and serves on them. Figures come last and
-// are not needed to serve: if their address is taken, the daemon goes without.
+// listen opens the daemon's listeners and serves on them. Metrics come last and are optional: if
+// their address is taken, the daemon runs without them.
 func (d *Daemon) listen() error {
 	if err := d.serve(d.settings.ReadyAddress, d.adapter.Ready(d.isReady)); err != nil {
 		return err
@@ -39,7 +38,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET "+metricsPath, promhttp.HandlerFor(d.figures, promhttp.HandlerOpts{}))
 	if err := d.serve(d.settings.MetricsAddress, mux); err != nil {
-		d.logger.Error().Err(err).Str("metrics_address", d.settings.MetricsAddress).Msg("Figures can not be read.")
+		d.logger.Error().Err(err).Str("metrics_address", d.settings.MetricsAddress).Msg("Metrics address not available. Metrics are not served.")
 	}
 	return nil
 }
@@ -50,7 +49,7 @@
 		return eris.Wrap(err, "relaydaemon: listen")
 	}
 	server := newServer(d.adapter.Front(d), part(d.logger, "http"))
-	server.ReadHeaderTimeout, server.IdleTimeout = 0, 0 // the front server's own bounds hold
+	server.ReadHeaderTimeout, server.IdleTimeout = 0, 0 // the front server enforces its own limits
 	d.front = newFrontServer(server, listener, d.RedirectsCallers)
 	return nil
 }
--- a/internal/relaydaemon/logs.go
+++ b/internal/relaydaemon/logs.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// logQueue is how many lines may wait to be written; more are dropped and
-	// counted.
+	// logQueue is the maximum number of lines that wait to be written; further lines are dropped
+	// and counted.
 	logQueue = 4096
-	// flushTime is how long a process that ends waits for its lines to be
-	// written, and flushPoll separates looks for that.
+	// flushTime is how long Close waits for queued lines to be written, and flushPoll how often it
+	// checks.
 	flushTime = 100 * time.Millisecond
 	flushPoll = 100 * time.Microsecond
 )
@@ -23,9 +23,8 @@
 // timeFormat is RFC 3339 with milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// NewLogger returns a logger whose lines never hold up who writes them: they
-// wait in a bounded queue, and those that find it full are dropped and counted
-// by dropped. Close writes what waits.
+// NewLogger returns a logger that never blocks: lines wait in a bounded queue, and are dropped and
+// counted by dropped when it is full. Close writes the queued lines.
 func NewLogger(output io.Writer, level zerolog.Level, dropped func(lines int)) (zerolog.Logger, io.Closer) {
 	zerolog.TimeFieldFormat = timeFormat
 	queue := &lineQueue{}
@@ -36,8 +35,8 @@
 	return zerolog.New(queue).Level(level).With().Timestamp().Logger(), queue
 }
 
-// lineQueue is a diode that writes what waits before it closes: by itself it
-// drops a line that comes just before.
+// lineQueue is a diode that writes its queue before it closes. A diode alone drops a line written
+// just before Close.
 type lineQueue struct {
 	diode.Writer
 	// waiting counts lines that are not written yet.
@@ -50,8 +49,7 @@
 	return q.Writer.Write(line)
 }
 
-// Close implements io.Closer. An empty line wakes a reader that missed the last
-// one's signal.
+// Close implements io.Closer. The empty line wakes a reader that missed the signal of the last one.
 func (q *lineQueue) Close() error {
 	for end := time.Now().Add(flushTime); q.waiting.Load() > 0 && time.Now().Before(end); {
 		_, _ = q.Writer.Write(nil)
@@ -60,7 +58,7 @@
 	return q.Writer.Close()
 }
 
-// lineOutput notes what was written.
+// lineOutput counts the lines that were written.
 type lineOutput struct {
 	io.Writer
 	queue *lineQueue
@@ -75,21 +73,21 @@
 	return o.Writer.Write(line)
 }
 
-// serverLines takes what net/http tells of faults of its own, such as a request
-// whose handling panicked or a connection that could not be accepted.
+// serverLines logs errors of net/http itself, such as a panic in a handler or a connection that
+// could not be accepted.
 type serverLines struct{ logger zerolog.Logger }
 
 // Write implements io.Writer.
 func (s serverLines) Write(line []byte) (int, error) {
-	s.logger.Error().Str("fault", strings.TrimSpace(string(line))).Msg("Fault in serving.")
+	s.logger.Error().Str("fault", strings.TrimSpace(string(line))).Msg("HTTP server reported an error.")
 	return len(line), nil
 }
 
-// LostLines counts log lines that were dropped. The zero value is ready.
-type LostLines struct{ count atomic.Int64 }
+// DroppedLines counts dropped log lines. The zero value is ready.
+type DroppedLines struct{ count atomic.Int64 }
 
-// Add counts dropped lines.
-func (l *LostLines) Add(lines int) { l.count.Add(int64(lines)) }
+// Add adds to the number of dropped lines.
+func (l *DroppedLines) Add(lines int) { l.count.Add(int64(lines)) }
 
-// Count returns how many lines were dropped so far.
-func (l *LostLines) Count() int64 { return l.count.Load() }
+// Count returns the number of dropped lines.
+func (l *DroppedLines) Count() int64 { return l.count.Load() }
--- a/internal/relaydaemon/logs_test.go
+++ b/internal/relaydaemon/logs_test.go
@@ -10,11 +10,11 @@
 	"github.com/rs/zerolog"
 )
 
-// TestLastLineIsWritten: the last line of a process tells that it stopped as
-// planned.
+// TestLastLineIsWritten checks that the last line before Close, which reports a planned shutdown, is
+// not lost.
 func TestLastLineIsWritten(t *testing.T) {
 	const processes = 5000
-	var lost LostLines
+	var lost DroppedLines
 	missing := 0
 	for range processes {
 		output := &bytes.Buffer{}
@@ -32,7 +32,8 @@
 	}
 }
 
-// TestRequestThatPanicsIsTold: its caller hears nothing, so the log must.
+// TestRequestThatPanicsIsTold checks that a panic in a handler is logged, since the caller gets no
+// answer.
 func TestRequestThatPanicsIsTold(t *testing.T) {
 	output := &bytes.Buffer{}
 	server := newServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -50,6 +51,6 @@
 		t.Error(err)
 	}
 	if !strings.Contains(output.String(), "fault at /a") {
-		t.Errorf("the fault is not told in %q", output)
+		t.Errorf("the panic is not logged in %q", output)
 	}
 }
--- a/internal/relaydaemon/machine_linux.go
+++ b/internal/relaydaemon/machine_linux.go
@@ -10,12 +10,12 @@
 	"github.com/mintpulley/mintpulley/internal/ledger"
 )
 
-// bootFile names the machine's run.
+// bootFile contains an ID of the current boot.
 const bootFile = "/proc/sys/kernel/random/boot_id"
 
-// machineClock returns the steady clock that all processes of the machine share that
-// follow each other at an address: there is one at a time. Without the machine's run
-// it could be that of another machine: then it is no use.
+// machineClock returns the monotonic clock that consecutive processes at an address share, together
+// with the ID of the boot, without which a time could be that of another machine. If the ID cannot
+// be read, it returns the zero value.
 func machineClock(address string) ledger.MachineClock {
 	boot, err := os.ReadFile(bootFile)
 	if err != nil {
@@ -27,7 +27,7 @@
 func uptime() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
-		return 0 // the clock is one that every kernel has; a record of 0 counts as old
+		return 0 // every kernel has this clock; a record with time 0 counts as old
 	}
 	return time.Duration(now.Nano())
 }
--- a/internal/relaydaemon/machine_other.go
+++ b/internal/relaydaemon/machine_other.go
@@ -4,5 +4,6 @@
 
 import "github.com/mintpulley/mintpulley/internal/ledger"
 
-// machineClock returns none: what a former run may have granted is not known then.
+// machineClock returns none: the daemon then does not know what an earlier process may have
+// granted.
 func machineClock(string) ledger.MachineClock { return ledger.MachineClock{} }
--- a/internal/relaydaemon/members.go
+++ b/internal/relaydaemon/members.go
@@ -17,35 +17,36 @@
 )
 
 const (
-	// daemonsSpace is where daemons tell each other their addresses.
+	// daemonsSpace is the store's space for the daemons' addresses.
 	daemonsSpace = "daemons"
-	// registryTimeout bounds one call for the registry.
+	// registryTimeout is the timeout of one call for the registry.
 	registryTimeout = 600 * time.Millisecond
-	// registryRetry separates tries to write this daemon's entry.
+	// registryRetry is the time between attempts to write this daemon's entry.
 	registryRetry = 300 * time.Millisecond
 )
 
-// registryWatch: daemons come and go rarely, and gossip spreads that sooner.
+// registryWatch polls rarely: daemons seldom come and go, and gossip spreads such changes sooner.
 var registryWatch = store.WatchSettings{
-	Wait: 15 * time.Second, Answer: time.Second, Retry: 500 * time.Millisecond, Pause: time.Second,
+	Wait: 15 * time.Second, AnswerTimeout: time.Second, RetryInterval: 500 * time.Millisecond, Pause: time.Second,
 }
 
-// memberRegistry is the list of daemons in the store: how those find each
-// other that no seed joins.
+// memberRegistry is the list of daemons in the store, by which daemons find each other without
+// seeds.
 type memberRegistry struct {
 	store    store.Store
-	contact  store.Contact
+	contact  store.Connectivity
 	settings Settings
 	logger   zerolog.Logger
 	own      memberRecord
-	// cold is told who is on record: cold back ends are shared among these.
+	// cold gets the list of daemons, which share the limits of cold back ends.
 	cold *warmup.Limiter
-	// known is how many daemons were on record when that was last read.
+	// known is the number of listed daemons at the last read.
 	known atomic.Int64
 }
 
-// memberRecord stands under a daemon's peer address. That of a daemon that
-// stopped as planned stays, with left: its next run must be numbered above it.
+// memberRecord is the value of a daemon's entry; its key is the peer address. After a planned shutdown
+// the entry remains with left set, since the next process at the address needs a higher
+// incarnation.
 type memberRecord struct {
 	Incarnation uint64 `json:"incarnation"`
 	Zone        string `json:"zone"`
@@ -53,14 +54,13 @@
 	Left        bool   `json:"left,omitempty"`
 }
 
-// present tells whether a record is that of a daemon that has not withdrawn it.
+// present reports whether the daemon of an entry has not left.
 func present(value []byte) bool {
 	var record memberRecord
 	return json.Unmarshal(value, &record) != nil || !record.Left
 }
 
-// presentAddresses returns the addresses under which daemons are on record that
-// have not withdrawn.
+// presentAddresses returns the addresses of the listed daemons that have not left.
 func presentAddresses(records iter.Seq[store.Record]) []string {
 	var addresses []string
 	for record := range records {
@@ -77,8 +77,8 @@
 
 func registryPartition() store.Partition { return store.Partition{Space: daemonsSpace} }
 
-// incarnation reads the registry and chooses a number above that of this daemon's former run, even if
-// the time of day was set back since.
+// incarnation reads the registry and returns an incarnation above that of the former process at
+// this address, even if the wall clock was set back since.
 func (r *memberRegistry) incarnation() uint64 {
 	r.own = memberRecord{
 		Incarnation: uint64(time.Now().UnixNano()),
@@ -89,7 +89,7 @@
 	defer cancel()
 	records, _, err := store.Newest(ctx, r.store, registryPartition())
 	if err != nil {
-		r.logger.Warn().Err(err).Msg("Registry not read. The time of day numbers this run.")
+		r.logger.Warn().Err(err).Msg("Registry of daemons not read. The incarnation is the current time.")
 		return r.own.Incarnation
 	}
 	r.known.Store(int64(len(presentAddresses(slices.Values(records)))))
@@ -102,24 +102,26 @@
 	return r.own.Incarnation
 }
 
-// run writes this daemon's entry and tells of the others until ctx ends.
+// run writes this daemon's entry, and passes on the addresses of the others until ctx ends.
 func (r *memberRegistry) run(ctx context.Context, listed func([]structs.Machine)) {
 	listed(r.machines(nil))
 	r.write(ctx)
 	watcher := store.Watcher{
-		Store:     r.store,
-		Contact:   r.contact,
-		Partition: registryPartition(),
-		Settings:  registryWatch,
+		Store:        r.store,
+		Connectivity: r.contact,
+		Partition:    registryPartition(),
+		Settings:     registryWatch,
 		OnChange: func(records map[string]store.Record) {
 			addresses := presentAddresses(maps.Values(records))
 			r.known.Store(int64(len(addresses)))
 			r.cold.SetDaemons(addresses, time.Now())
 			listed(r.machines(addresses))
 		},
-		OnRead:    func(asOf time.Time) { r.cold.ConfirmDaemons(asOf, time.Now()) },
-		Hurry:     r.cold.Hurry(),
-		OnContact: func(err error) { r.logger.Debug().Err(err).Msg("Registry's contact changed.") },
+		OnRead:  func(asOf time.Time) { r.cold.ConfirmDaemons(asOf, time.Now()) },
+		Refresh: r.cold.Hurry(),
+		OnConnectivity: func(err error) {
+			r.logger.Debug().Err(err).Msg("Reachability of the store for the registry of daemons changed.")
+		},
 	}
 	watcher.Run(ctx)
 }
@@ -144,19 +146,19 @@
 	return r.store.Append(ctx, registryPartition(), store.Writer{}, []store.Record{record})
 }
 
-// withdraw notes that this daemon has left.
+// withdraw marks this daemon's entry as left.
 func (r *memberRegistry) withdraw(ctx context.Context) {
 	own := r.own
 	own.Left = true
 	if err := r.append(ctx, own); err != nil {
-		r.logger.Warn().Err(err).Msg("Entry not withdrawn.")
+		r.logger.Warn().Err(err).Msg("Entry in the registry of daemons not withdrawn.")
 	}
 }
 
-// count returns how many daemons are on record; 0 if that is not known.
+// count returns the number of listed daemons; 0 if unknown.
 func (r *memberRegistry) count() int { return int(r.known.Load()) }
 
-// machines returns the seeds and the daemons on record.
+// machines returns the seeds and the listed daemons.
 func (r *memberRegistry) machines(onRecord []string) []structs.Machine {
 	var machines []structs.Machine
 	add := func(address string) {
--- a/internal/relaydaemon/members_test.go
+++ b/internal/relaydaemon/members_test.go
@@ -20,8 +20,8 @@
 	return newMemberRegistry(s, Settings{PeerAddress: address, Zone: "z", Region: "r"}, cold, zerolog.Nop())
 }
 
-// TestRunAfterAPlannedStopIsNumberedAboveIt: the time of day may go back between
-// the two, and the others do not take in a run with a lower number.
+// TestRunAfterAPlannedStopIsNumberedAboveIt checks that a restarted daemon gets a higher
+// incarnation even if the wall clock went back; the others ignore a lower one.
 func TestRunAfterAPlannedStopIsNumberedAboveIt(t *testing.T) {
 	s := memory.New()
 	former := newTestRegistry(s, "a:1")
@@ -30,7 +30,7 @@
 	former.write(t.Context())
 	former.withdraw(t.Context())
 	if got := newTestRegistry(s, "a:1").incarnation(); got <= former.own.Incarnation {
-		t.Errorf("a run after %d is numbered %d", former.own.Incarnation, got)
+		t.Errorf("the incarnation after %d is %d", former.own.Incarnation, got)
 	}
 }
 
@@ -47,7 +47,7 @@
 	reader := newTestRegistry(s, "a:3")
 	reader.incarnation()
 	if reader.count() != 1 {
-		t.Errorf("at the start %d daemons are on record, want 1", reader.count())
+		t.Errorf("at the start %d daemons are listed, want 1", reader.count())
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -62,7 +62,7 @@
 		select {
 		case got = <-lists:
 		case <-time.After(20 * time.Second):
-			t.Fatal("the daemons on record are not told")
+			t.Fatal("the listed daemons were not reported")
 		}
 		if cmp.Equal(want, sorted(got)) {
 			break
@@ -74,7 +74,7 @@
 		}
 	}
 	if reader.count() != 2 {
-		t.Errorf("%d daemons are on record, want 2", reader.count())
+		t.Errorf("%d daemons are listed, want 2", reader.count())
 	}
 }
 
--- a/internal/relaydaemon/placement.go
+++ b/internal/relaydaemon/placement.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// placementPlugins are the filters, scorers and reservers in the choice of instances.
+// placementPlugins returns the filters, scorers and reservers that choose instances.
 func (d *Daemon) placementPlugins() instance.Plugins {
 	plugins := instance.Plugins{
 		Filters: []instance.Filter{
@@ -27,7 +27,7 @@
 	return plugins
 }
 
-// preparePlacement makes the pool of instances and the plug-ins of their choice.
+// preparePlacement creates the pool of instances and the plug-ins that choose from it.
 func (d *Daemon) preparePlacement() {
 	d.cold = warmup.NewLimiter(warmup.Options{
 		Terms:   d.settings.coldTerms(),
--- a/internal/relaydaemon/regional.go
+++ b/internal/relaydaemon/regional.go
@@ -20,34 +20,32 @@
 )
 
 const (
-	// regionalSpace is the prefix of the store's space of a regional ledger; the region
-	// follows.
+	// regionalSpace is the prefix of the store's space for a regional ledger; the region follows.
 	regionalSpace = "ledger-region-"
-	// regionalShards is the number of shards of a regional ledger, which keeps the text of
-	// bound turns only. One more partition is the directory of their holders.
+	// regionalShards is the number of shards of a regional ledger, which only keeps the text of
+	// turns restricted to the region. One more partition is the directory of the shards' holders.
 	regionalShards = 8
-	// lookPause is the least time between checks whether regional ledgers were used before
-	// this daemon started: each is a call to the store for each region, and without a pause
-	// every unknown turn would cause one.
+	// lookPause is the minimum time between checks whether regional ledgers were used before this
+	// daemon started. Each check calls the store once per region, and every unknown turn asks for
+	// one.
 	lookPause = time.Second
 )
 
-// regionalLedgers are the ledgers of single regions, which keep the text of turns that
-// operators bind to regions: only daemons of a region hold its shards, and make calls to
-// the store about them. They are started once they are needed. It is safe for concurrent
-// use.
+// regionalLedgers are the ledgers of the regions, which keep the text of turns that operators restrict
+// to regions. Only daemons of a region hold its shards and call the store about them. The ledgers
+// are started when they are needed. It is safe for concurrent use.
 type regionalLedgers struct {
 	regions []string
-	// own is the daemon's region.
+	// own is this daemon's region.
 	own     string
 	options ledger.Options
 	ledger  *residency.Ledger
 	inUse   atomic.Bool
-	// looking is held while the directories are read, last at lookedAt.
+	// looking is held while the directories are read; lookedAt is when they were last read, and
+	// lookErr the error.
 	looking  sync.Mutex
 	lookedAt time.Time
-	// lookErr is the outcome of that.
-	lookErr error
+	lookErr  error
 
 	mutex sync.Mutex
 	// run runs a service in the background; nil until the daemon runs.
@@ -56,8 +54,8 @@
 	leaving  bool
 }
 
-// newRegionalLedgers returns the regional ledgers, by the options of the ledger of all
-// daemons. A fleet of one region has none.
+// newRegionalLedgers returns the regional ledgers; options are those of the fleet's ledger. A fleet
+// with one region has none.
 func newRegionalLedgers(topology zone.Topology, options ledger.Options) *regionalLedgers {
 	regions := topology.Regions()
 	if len(regions) < 2 {
@@ -66,8 +64,8 @@
 	return &regionalLedgers{regions: regions, own: topology.OwnRegion(), options: options, services: map[string]*ledger.Service{}}
 }
 
-// ledgerWith returns the ledger of all callers' turns: the common ledger, and the regional
-// ones for the text of bound turns.
+// ledgerWith returns the ledger of all turns, which combines the common ledger with the regional
+// ones for the text of restricted turns.
 func (r *regionalLedgers) ledgerWith(common *ledger.Service) *residency.Ledger {
 	r.ledger = &residency.Ledger{
 		Common:     common,
@@ -80,14 +78,13 @@
 	return r.ledger
 }
 
-// serviceOf is service for residency.Ledger.
+// serviceOf adapts service for residency.Ledger.
 func (r *regionalLedgers) serviceOf(region string) (residency.Service, bool) {
 	service := r.service(region)
 	return service, service != nil
 }
 
-// startAll starts the ledgers of all regions, so that they have settled once requests
-// come that need them.
+// startAll starts the ledgers of all regions, so that they are settled before requests need them.
 func (r *regionalLedgers) startAll() {
 	if r.inUse.Swap(true) {
 		return
@@ -97,8 +94,8 @@
 	}
 }
 
-// isInUse tells whether a regional ledger may keep turns: since routes in force name
-// regions, or since some did before this daemon started, as their directories tell.
+// isInUse reports whether a regional ledger may hold turns: because routes in force name regions,
+// or because routes did before this daemon started, as the directories show.
 func (r *regionalLedgers) isInUse(ctx context.Context) (bool, error) {
 	if r.inUse.Load() || len(r.regions) == 0 {
 		return r.inUse.Load(), nil
@@ -115,8 +112,8 @@
 	return r.inUse.Load(), r.lookErr
 }
 
-// look reads the directories of all regions, and starts their ledgers if any was used.
-// While the store does not answer, those that wait for the mutex get the same error.
+// look reads the directories of all regions, and starts the ledgers if any directory has entries.
+// If the store does not answer, callers that wait for the mutex get the same error.
 func (r *regionalLedgers) look(ctx context.Context) error {
 	for _, region := range r.regions {
 		page, err := r.options.Store.NewestPage(ctx, regionalDirectory(region), "")
@@ -131,13 +128,12 @@
 	return nil
 }
 
-// regionalDirectory is the partition that tells who holds the shards of a region.
+// regionalDirectory is the partition that lists the holders of a region's shards.
 func regionalDirectory(region string) store.Partition {
 	return store.Partition{Space: regionalSpace + region, Number: regionalShards}
 }
 
-// service returns the ledger of a region, and starts it if that is due; nil if there is
-// none.
+// service returns the ledger of a region, and starts it if necessary; nil if there is none.
 func (r *regionalLedgers) service(region string) *ledger.Service {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -156,9 +152,9 @@
 	return service
 }
 
-// serviceOptions are the options of the ledger of a region: those of the ledger of all
-// daemons, with the region's members and partitions. Keys and evacuations are the common
-// ledger's matter.
+// serviceOptions returns the options for the ledger of a region: those of the fleet's ledger, with
+// the members and partitions of the region. Confirmations and evacuations are handled by the
+// fleet's ledger only.
 func (r *regionalLedgers) serviceOptions(region string) ledger.Options {
 	options := r.options
 	options.Name = regionalSpace + region
@@ -175,14 +171,14 @@
 	return options
 }
 
-// setRunner sets how services are run; until then none is started.
+// setRunner sets how services are run; none is started before.
 func (r *regionalLedgers) setRunner(run func(*ledger.Service)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.run = run
 }
 
-// receive takes a message for the ledger of a region.
+// receive handles a message for the ledger of a region.
 func (r *regionalLedgers) receive(from structs.DaemonID, message peer.Message) {
 	name, known := ledger.LedgerOf(message)
 	region, isRegional := strings.CutPrefix(name, regionalSpace)
@@ -221,16 +217,15 @@
 
 func (r *regionalLedgers) wait(ctx context.Context) { r.ledger.Wait(ctx) }
 
-// hasDaemons tells whether any daemon lives in a region. One that is leaving does: it holds
-// its shards until it has passed them on, and the homes of programs must not move to another
-// region while the daemons of theirs are replaced.
+// hasDaemons reports whether a region has any daemon. One that is leaving counts: it holds its
+// shards until it has handed them over, and the homes of programs must not move to another region
+// while the daemons of theirs are replaced.
 func (r *regionalLedgers) hasDaemons(region string) bool {
 	view := regionView{View: r.options.View, region: structs.RegionName(region)}
 	return len(view.Members()) > 0
 }
 
-// regionView is membership as the ledger of a region sees it: daemons of other regions
-// hold nothing of it.
+// regionView is the membership restricted to a region, for that region's ledger.
 type regionView struct {
 	ledger.View
 	region structs.RegionName
@@ -241,8 +236,8 @@
 	return slices.DeleteFunc(v.View.Members(), func(m membership.Member) bool { return m.Daemon.Region != v.region })
 }
 
-// Lookup implements ledger.View. A daemon of another region that has the address of a
-// former holder by now counts as dead: it is not to be asked for its records.
+// Lookup implements ledger.View. A daemon of another region at the address of a former holder
+// counts as dead, so that it is not asked for that holder's records.
 func (v regionView) Lookup(address string) (membership.Member, bool) {
 	member, heardOf := v.View.Lookup(address)
 	if heardOf && member.Daemon.Region != v.region {
@@ -251,8 +246,8 @@
 	return member, heardOf
 }
 
-// mayHelp tells whether a daemon may make calls to the store about a partition for
-// others: about those of a region's ledger only daemons of the region.
+// mayHelp reports whether a daemon may call the store about a partition for other daemons. Only
+// daemons of a region may do so for that region's ledger.
 func mayHelp(partition store.Partition, daemon structs.Daemon) bool {
 	region, isRegional := strings.CutPrefix(partition.Space, regionalSpace)
 	return !isRegional || string(daemon.Region) == region
--- a/internal/relaydaemon/regional_test.go
+++ b/internal/relaydaemon/regional_test.go
@@ -30,26 +30,26 @@
 
 var testRegions = []string{"east", "north", "south"}
 
-// regionalFleet is six daemons in three regions over one store, with a network that
-// reads every message.
+// regionalFleet is a set of six daemons in three regions that share one store. Its transport checks
+// every message.
 type regionalFleet struct {
 	t      *testing.T
 	store  *memory.Store
 	number int
-	// unused: daemons that start know no routes that name regions.
+	// unused: daemons that start have no routes that name regions.
 	unused bool
 
 	mutex   sync.Mutex
 	daemons []*regionalDaemon
-	// allowed and front are the regions of the turn under way, nil for all, and the
-	// daemon that its caller reached.
+	// allowed are the regions of the current turn, nil for all, and front is the daemon that its
+	// caller reached.
 	allowed []string
 	front   structs.DaemonID
-	// read counts messages with text.
+	// read counts the messages that contain text.
 	read int
 }
 
-// regionalDaemon is one run of a daemon.
+// regionalDaemon is one process of a daemon.
 type regionalDaemon struct {
 	structs.Daemon
 	common   *ledger.Service
@@ -57,7 +57,7 @@
 	regional *regionalLedgers
 	joined   *residency.Ledger
 	stop     context.CancelFunc
-	// refused: the store turns it away. leaving: it says that it stops.
+	// refused: the store refuses its calls. leaving: it announces that it stops.
 	refused, leaving bool
 }
 
@@ -75,7 +75,7 @@
 	f.daemons = append(f.daemons, d)
 }
 
-// start starts a run of the daemon at a place, in a region.
+// start starts a process of the daemon at a place, in a region.
 func (f *regionalFleet) start(place int, own string) *regionalDaemon {
 	f.number++
 	d := &regionalDaemon{Daemon: structs.Daemon{
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// check reads a message: one with the text of turns may go to daemons in the allowed
-// regions, and to the one that the caller reached.
+// check fails the test if a message with the text of turns goes to a daemon outside the allowed
+// regions, other than the one that the caller reached.
 func (f *regionalFleet) check(from, to *regionalDaemon, message peer.Message) {
 	if !bytes.Contains(textOf(reflect.ValueOf(message)), []byte("secret")) {
 		return
@@ -174,7 +174,7 @@
 	}
 }
 
-// textOf joins all bytes in a value.
+// textOf concatenates all bytes in a value.
 func textOf(value reflect.Value) []byte {
 	var text []byte
 	switch value.Kind() {
@@ -197,7 +197,7 @@
 	return text
 }
 
-// regionalTransport is a daemon's way to the others.
+// regionalTransport sends a daemon's messages to the others.
 type regionalTransport struct {
 	fleet *regionalFleet
 	self  *regionalDaemon
@@ -217,7 +217,7 @@
 	}()
 }
 
-// refusingStore turns one daemon away while it is told to.
+// refusingStore refuses the calls of a daemon while its refused flag is set.
 type refusingStore struct {
 	*memory.Store
 	daemon *regionalDaemon
@@ -254,8 +254,7 @@
 	return s.Store.Read(ctx, p, from, wait)
 }
 
-// disturb replaces a daemon by another run of it, or lets the store turn some away or
-// serve them again.
+// disturb replaces a daemon by another process, or toggles whether the store refuses it.
 func (f *regionalFleet) disturb(random *rand.Rand) {
 	i := random.IntN(len(f.daemons))
 	if random.IntN(2) == 0 {
@@ -264,7 +263,7 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	// One of each region is served at least: the others' helper.
+	// At least one daemon of each region reaches the store, as the others' helper.
 	f.daemons[i].refused = !f.daemons[(i+len(testRegions))%len(f.daemons)].refused && !f.daemons[i].refused
 }
 
@@ -283,7 +282,7 @@
 	f.allowed = regions
 }
 
-// turn carries a turn by way of a daemon, until it is on record.
+// turn runs a turn by way of a daemon until it is recorded.
 func (f *regionalFleet) turn(d *regionalDaemon, program, previous, want string, number int, allowed []string) string {
 	f.mutex.Lock()
 	f.front = d.ID
@@ -320,9 +319,9 @@
 
 const beginPauseOfTest = 50 * time.Millisecond
 
-// TestTextOfTurnsStaysInItsRegions: programs are bound to one region or two, their turns
-// enter anywhere, daemons are killed and started, and the store turns some away. Every
-// turn goes on from the whole text before it.
+// TestTextOfTurnsStaysInItsRegions checks that the text of turns restricted to one or two regions does
+// not leave them, while turns enter anywhere, daemons are replaced and the store refuses some.
+// Every turn must get the complete history.
 func TestTextOfTurnsStaysInItsRegions(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -342,19 +341,19 @@
 							f.disturb(random)
 						}
 					}
-					f.allow([]string{}) // what still goes on has no text
+					f.allow([]string{}) // messages that are still sent have no text
 					time.Sleep(time.Second)
 				}
 				if f.read < 20 {
-					t.Errorf("only %d messages had text", f.read)
+					t.Errorf("only %d messages contained text", f.read)
 				}
 			})
 		})
 	}
 }
 
-// TestAddressThatMovesToAnotherRegionGetsNoText: the daemons of a region go, one of
-// another region comes to the address of each, and new ones come elsewhere.
+// TestAddressThatMovesToAnotherRegionGetsNoText checks that a daemon which takes over the address
+// of a daemon of another region gets none of that region's text.
 func TestAddressThatMovesToAnotherRegionGetsNoText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRegionalFleet(t)
@@ -365,13 +364,14 @@
 			}
 		}
 		f.add(f.start(6, "east"))
-		f.turn(f.daemons[1], "p", "", "", 1, []string{"east"}) // nothing is asked for first
+		f.turn(f.daemons[1], "p", "", "", 1, []string{"east"}) // without a history
 		f.turn(f.daemons[1], "p", "p-0", first, 2, []string{"east"})
 	})
 }
 
-// TestTurnsAreFoundWhenTheOperatorsChangeTheirRegions: none, then some, then others, then
-// none again; a turn that nobody has is unknown at every time.
+// TestTurnsAreFoundWhenTheOperatorsChangeTheirRegions checks that a history is found after its
+// regions change from none to some, to others and back to none, and that an unknown turn stays
+// unknown throughout.
 func TestTurnsAreFoundWhenTheOperatorsChangeTheirRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRegionalFleet(t)
@@ -382,10 +382,10 @@
 			previous = fmt.Sprintf("p-%d", i)
 			unknown := ledger.Turn{ID: fmt.Sprint("u", i), Program: "p", Previous: "nobody's", Regions: allowed}
 			if _, err := d.joined.Begin(t.Context(), unknown); !errors.Is(err, ledger.ErrUnknownTurn) {
-				t.Errorf("a turn that goes on from nobody's: %v", err)
+				t.Errorf("a turn with an unknown predecessor: %v", err)
 			}
 		}
-		// All start again, after no route names regions any more.
+		// All daemons restart after no route names regions any more.
 		f.unused = true
 		bound := f.turn(f.daemons[0], "q", "", "", 0, []string{"north"})
 		for i, d := range f.daemons {
@@ -399,9 +399,8 @@
 	})
 }
 
-// TestTurnsStayInARegionWhileItsDaemonsStop: all daemons of a region stop shortly after one
-// another, and come back. Its turns are kept there as long as one of them lives, also where
-// another region may keep them, too.
+// TestTurnsStayInARegionWhileItsDaemonsStop checks that turns stay in their region while its
+// daemons are replaced one after the other, even if another region may hold them, too.
 func TestTurnsStayInARegionWhileItsDaemonsStop(t *testing.T) {
 	const (
 		stopSpacing = 270 * time.Millisecond
@@ -439,7 +438,7 @@
 	})
 }
 
-// leave makes a daemon say that it stops.
+// leave makes a daemon announce that it stops.
 func (f *regionalFleet) leave(i int) {
 	f.mutex.Lock()
 	f.daemons[i].leaving = true
@@ -448,7 +447,7 @@
 	f.daemons[i].regional.leave()
 }
 
-// homeOf returns the region that keeps a turn, "" if none does.
+// homeOf returns the region that holds a turn, "" if none does.
 func (f *regionalFleet) homeOf(program, turn string) string {
 	for _, region := range testRegions {
 		ctx, cancel := context.WithTimeout(f.t.Context(), time.Second)
--- a/internal/relaydaemon/reload.go
+++ b/internal/relaydaemon/reload.go
@@ -2,12 +2,12 @@
 
 import "github.com/rs/zerolog"
 
-// Reload reads the settings again. The level of the log changes at once; all
-// else holds from the next start on. Settings that are wrong change nothing.
+// Reload reads the settings again. The log level changes at once, everything else at the next
+// start. Invalid settings change nothing.
 func (d *Daemon) Reload(path string) {
 	settings, err := ReadSettings(path)
 	if err != nil {
-		d.logger.Error().Err(err).Msg("Settings refused. Those before stay in force.")
+		d.logger.Error().Err(err).Msg("Settings refused. The previous ones stay in force.")
 		return
 	}
 	level, err := zerolog.ParseLevel(settings.LogLevel)
@@ -16,5 +16,5 @@
 		return
 	}
 	zerolog.SetGlobalLevel(level)
-	d.logger.Info().Str("log_level", settings.LogLevel).Msg("Settings read again.")
+	d.logger.Info().Str("log_level", settings.LogLevel).Msg("Settings reloaded.")
 }
--- a/internal/relaydaemon/settings.go
+++ b/internal/relaydaemon/settings.go
@@ -1,5 +1,5 @@
-// Package relaydaemon runs a relay with its ledger and membership as one
-// process behind an adapter, which translates the platform's protocols.
+// Package relaydaemon runs a relay with its ledger and membership as one process behind an adapter,
+// which translates the platform's protocols.
 package relaydaemon
 
 import (
@@ -21,67 +21,67 @@
 
 // Settings is the content of a relay daemon's settings file.
 type Settings struct {
-	// Adapter names the adapter to the platform.
+	// Adapter is the name of the platform's adapter.
 	Adapter string `yaml:"adapter"`
-	// Name names the machine in logs.
+	// Name is the machine's name in logs.
 	Name   string `yaml:"name"`
 	Zone   string `yaml:"zone"`
 	Region string `yaml:"region"`
-	// Zones is the region of each zone of the fleet. A zone that is not in it counts as one
-	// of this daemon's region.
+	// Zones maps each zone of the fleet to its region. A zone that is missing belongs to this
+	// daemon's region.
 	Zones map[string]string `yaml:"zones"`
-	// FrontAddress is where callers reach it, ReadyAddress where it tells
-	// whether it takes requests, PeerAddress where other daemons reach it;
-	// each "IP:PORT".
+	// FrontAddress serves callers, ReadyAddress the platform's readiness probe, and PeerAddress
+	// other daemons; each is "IP:PORT".
 	FrontAddress string `yaml:"front_address"`
 	ReadyAddress string `yaml:"ready_address"`
 	PeerAddress  string `yaml:"peer_address"`
-	// MetricsAddress is where figures are read, "IP:PORT"; "" for nowhere.
+	// MetricsAddress serves metrics, "IP:PORT"; "" for none.
 	MetricsAddress string `yaml:"metrics_address"`
 	// Seeds are peer addresses of other daemons, separated by commas.
 	Seeds string `yaml:"seeds"`
-	// StoreAddress is where the durable store listens, "IP:PORT".
+	// StoreAddress is the address of the durable store, "IP:PORT".
 	StoreAddress string `yaml:"store_address"`
-	// LedgerSpaces times LedgerPartitions is the number of the ledger's shards,
-	// the same in the whole fleet.
+	// LedgerSpaces times LedgerPartitions is the number of the ledger's shards. They must be the
+	// same in the whole fleet.
 	LedgerSpaces     int `yaml:"ledger_spaces"`
 	LedgerPartitions int `yaml:"ledger_partitions"`
-	// MemoryMegabytes is what the process may take; 0 sets no bound.
+	// MemoryMegabytes is the memory limit of the process; 0 for none.
 	MemoryMegabytes int `yaml:"memory_megabytes"`
-	// ProcessorShare is the part of a core that the process gets, ProcessorSpeed
-	// how many times as fast that core runs, and LinkMegabits what its link carries
-	// in Mbit/s; 0 if that is not known.
+	// ProcessorShare is the share of a core that the process gets, ProcessorSpeed the relative
+	// speed of that core, and LinkMegabits the bandwidth of its network link in Mbit/s; 0 if
+	// unknown.
 	ProcessorShare float64 `yaml:"processor_share"`
 	ProcessorSpeed float64 `yaml:"processor_speed"`
 	LinkMegabits   float64 `yaml:"link_megabits"`
-	// StopSeconds bounds a planned stop.
+	// StopSeconds limits the duration of a planned shutdown.
 	StopSeconds float64 `yaml:"stop_seconds"`
-	// RevocationMS is within how many milliseconds after the operators took a key
-	// away no request may run that is sent with it.
+	// RevocationMS is the time in milliseconds after the revocation of a key from which no request
+	// sent with it may run.
 	RevocationMS float64 `yaml:"revocation_milliseconds"`
-	// A tenant's requests may be in each span of QuotaWindowSeconds its rate times the
-	// span and its burst, QuotaOverage of that more, and QuotaSlack more.
+	// In each span of QuotaWindowSeconds, a tenant may make as many requests as its rate times the
+	// span plus its burst; QuotaOverage is the tolerated excess as a share of that, and QuotaSlack
+	// a constant one.
 	QuotaWindowSeconds float64 `yaml:"quota_window_seconds"`
 	QuotaOverage       float64 `yaml:"quota_overage"`
 	QuotaSlack         float64 `yaml:"quota_slack"`
-	// EvacuationMS is within how many milliseconds after the operators emptied a zone
-	// no request may reach a back end there.
+	// EvacuationMS is the time in milliseconds after the order to evacuate a zone from which no
+	// request may reach a back end there.
 	EvacuationMS float64 `yaml:"evacuation_milliseconds"`
-	// A cold back end may get from the whole fleet, in each second, its service's rate times
-	// ColdOverage plus ColdSlack requests.
+	// A cold back end may get up to its service's rate times ColdOverage plus ColdSlack requests
+	// per second from the whole fleet.
 	ColdOverage float64 `yaml:"cold_overage"`
 	ColdSlack   float64 `yaml:"cold_slack"`
-	// StoreReadMegabytes is how many megabytes a second the store reads for the whole
-	// fleet; 0 if that is not known.
+	// StoreReadMegabytes is the number of megabytes per second that the store serves to the whole
+	// fleet; 0 if unknown.
 	StoreReadMegabytes float64 `yaml:"store_read_megabytes"`
-	// StoreMegabytes is how many megabytes the store keeps at most for the whole fleet; 0 if
-	// that is not known: then nothing is refused to spare it.
+	// StoreMegabytes is the store's capacity for the whole fleet in megabytes; 0 if unknown: then
+	// no request is refused to save space.
 	StoreMegabytes float64 `yaml:"store_megabytes"`
 	// LogLevel is "trace", "debug", "info", "warn" or "error".
 	LogLevel string `yaml:"log_level"`
 }
 
-// DefaultSettings returns settings with everything that has a default.
+// DefaultSettings returns the settings with their default values.
 func DefaultSettings() Settings {
 	return Settings{
 		LedgerSpaces:     2,
@@ -96,8 +96,7 @@
 	}
 }
 
-// ReadSettings reads and checks a settings file. The error is ErrUnreadable or
-// yamlfile.Problems.
+// ReadSettings reads and checks a settings file. The error is ErrUnreadable or yamlfile.Problems.
 func ReadSettings(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -117,7 +116,7 @@
 	return settings, nil
 }
 
-// check returns what is wrong with the settings of a file.
+// check returns the problems of the settings in a file.
 func (s *Settings) check(path string) []yamlfile.Problem {
 	var problems []yamlfile.Problem
 	add := func(field, reason string) {
@@ -130,7 +129,7 @@
 	return problems
 }
 
-// checkAddresses checks where this daemon and the store listen.
+// checkAddresses checks the addresses of this daemon and of the store.
 func (s *Settings) checkAddresses(add func(field, reason string)) {
 	addresses := []struct {
 		field, value string
@@ -152,7 +151,7 @@
 	}
 }
 
-// checkMachine checks what this daemon is and may use.
+// checkMachine checks the identity and the resources of this daemon.
 func (s *Settings) checkMachine(add func(field, reason string)) {
 	if s.Zone == "" {
 		add("zone", "must be given")
@@ -174,7 +173,7 @@
 	}
 }
 
-// checkBounds checks what the operators promise to others.
+// checkBounds checks the limits that operators promise to others.
 func (s *Settings) checkBounds(add func(field, reason string)) {
 	if s.RevocationMS <= milliseconds(revocationMargin) {
 		add("revocation_milliseconds", "must be above 100")
@@ -193,7 +192,7 @@
 	}
 }
 
-// checkFleet checks what the fleet has in common.
+// checkFleet checks what must be the same in the whole fleet.
 func (s *Settings) checkFleet(add func(field, reason string)) {
 	if s.StoreReadMegabytes < 0 {
 		add("store_read_megabytes", "must not be negative")
@@ -206,7 +205,7 @@
 	}
 }
 
-// topology is the fleet's zones as seen from this daemon's.
+// topology returns the fleet's zones as seen from this daemon's.
 func (s *Settings) topology() zone.Topology { return zone.NewTopology(s.Zone, s.Region, s.Zones) }
 
 // seedAddresses splits the seeds.
--- a/internal/relaydaemon/settings_test.go
+++ b/internal/relaydaemon/settings_test.go
@@ -13,7 +13,7 @@
 func TestSettingsNameEveryMistake(t *testing.T) {
 	_, err := ParseSettings("boot.yaml", []byte("front_address: nowhere\nunknown: 1\nstop_seconds: -1\nmemory_megabytes: x\n"))
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid settings were accepted")
 	}
 	for _, want := range []string{"adapter", "front_address", "ready_address", "peer_address", "store_address", "zone", "unknown", "stop_seconds", "memory_megabytes"} {
 		if !strings.Contains(err.Error(), want) {
@@ -29,9 +29,9 @@
 }
 
 func TestLogNeverBlocks(t *testing.T) {
-	reader, writer := io.Pipe() // nobody reads
+	reader, writer := io.Pipe() // no reader
 	defer func() { _ = reader.Close() }()
-	var lost LostLines
+	var lost DroppedLines
 	logger, _ := NewLogger(writer, zerolog.InfoLevel, lost.Add)
 	done := make(chan struct{})
 	go func() {
@@ -43,6 +43,6 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("writing a line waits for a reader that does not read")
+		t.Fatal("logging blocks on a slow reader")
 	}
 }
--- a/internal/relaydaemon/stop.go
+++ b/internal/relaydaemon/stop.go
@@ -9,27 +9,26 @@
 )
 
 const (
-	// noticeTime is how long the platform takes to see that a daemon is not
-	// ready any more; requests go on to arrive until then.
+	// noticeTime is how long the platform takes to route new connections to other daemons after
+	// this one became unready; requests keep arriving until then.
 	noticeTime = 2500 * time.Millisecond
-	// handoverWait bounds how long a daemon that has answered everything waits for
-	// its shards to be passed on: a small successor reads some for seconds.
+	// handoverWait is how long a daemon that has answered all requests waits for the handover of
+	// its shards: a small successor reads some of them for seconds.
 	handoverWait = 2 * time.Second
-	// exitMargin is kept between the last answers of a planned stop and its
-	// bound, at which the platform kills the process.
+	// exitMargin is the time between the last answers of a planned shutdown and its deadline, at which
+	// the platform kills the process.
 	exitMargin = 700 * time.Millisecond
-	// refusalTime is the part of it in which callers that still wait are told
-	// that they wait in vain, and in which whole answers still wait for their record.
+	// refusalTime is the part of exitMargin in which waiting callers are refused, and complete
+	// answers still wait for their record.
 	refusalTime = 200 * time.Millisecond
-	// killMargin is kept between the end of everything else, such as settling the
-	// turns that were given up, and the kill.
+	// killMargin is the time between the end of all other work, such as settling the turns that
+	// were aborted, and the kill.
 	killMargin = 250 * time.Millisecond
 )
 
-// Stop ends the daemon as planned: it is not ready from now on, passes its
-// shards on, answers what it has, and leaves. What still runs at the bound is
-// given up.
-// Further calls wait for the first.
+// Stop performs a planned shutdown: the daemon becomes unready, hands over its shards, finishes its
+// requests, and leaves the fleet. Requests that still run at the deadline are aborted. Further
+// calls wait for the first.
 func (d *Daemon) Stop() { d.stopOnce.Do(d.stop) }
 
 func (d *Daemon) stop() {
@@ -55,25 +54,25 @@
 	d.logger.Info().Dur("took", time.Since(started)).Msg("Daemon stopped.")
 }
 
-// drainFront answers what callers have sent. Who still waits when ctx ends gets
-// a refusal, or where an answer has begun, its visible break; only an answer that is
-// whole goes on to wait for its record, since the ledger serves until the end of the
-// stop. What does not end in refusalTime is cut.
+// drainFront answers the requests that callers have sent. When ctx ends, a request that still waits
+// is refused, and an answer that has begun is visibly aborted; only a complete answer continues to
+// wait for its record, as the ledger serves until the end of the shutdown. What does not end within
+// refusalTime is cut off.
 func (d *Daemon) drainFront(ctx context.Context) {
 	defer d.front.close()
 	if d.front.drain(ctx) == nil || d.front.endRests() == 0 {
 		return
 	}
-	d.logger.Warn().Int("connections", d.front.count()).Msg("Requests are given up at the bound of the stop.")
+	d.logger.Warn().Int("connections", d.front.count()).Msg("Shutdown deadline reached. Unfinished requests are refused or aborted.")
 	d.front.giveUp()
 	ctx, cancel := context.WithTimeout(context.Background(), refusalTime)
 	defer cancel()
 	if d.front.drain(ctx) != nil {
-		d.logger.Warn().Int("connections", d.front.count()).Msg("Requests were cut at the bound of the stop.")
+		d.logger.Warn().Int("connections", d.front.count()).Msg("Shutdown deadline reached. Remaining connections are closed.")
 	}
 }
 
-// waitForHandover lets successors read the shards that this daemon still holds.
+// waitForHandover waits until successors have read the shards that this daemon still holds.
 func (d *Daemon) waitForHandover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverWait)
 	defer cancel()
@@ -81,8 +80,8 @@
 	d.regional.waitForHandover(ctx)
 }
 
-// settleAndWithdraw settles turns and withdraws this daemon's entry, both until
-// end: also after requests took all of the time that is for them.
+// settleAndWithdraw settles turns and withdraws this daemon's registry entry, until end. It has
+// time even if requests took all of theirs.
 func (d *Daemon) settleAndWithdraw(end time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
--- a/internal/relaydaemon/stop_mark.go
+++ b/internal/relaydaemon/stop_mark.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// stopMark tells whether the daemon stops, and since when. It is safe for concurrent use,
-// and the zero value is ready.
+// stopMark records whether and since when the daemon stops. It is safe for concurrent use, and the
+// zero value is ready.
 type stopMark struct{ at atomic.Pointer[time.Time] }
 
-// Store marks that the daemon stops from now on, or that it does not.
+// Store sets whether the daemon stops.
 func (m *stopMark) Store(stopping bool) {
 	if !stopping {
 		m.at.Store(nil)
@@ -19,10 +19,10 @@
 	m.at.CompareAndSwap(nil, &now)
 }
 
-// Load tells whether the daemon stops.
+// Load reports whether the daemon stops.
 func (m *stopMark) Load() bool { return m.at.Load() != nil }
 
-// Since tells since when the daemon stops, false if it does not.
+// Since returns since when the daemon stops, false if it does not.
 func (m *stopMark) Since() (at time.Time, stopping bool) {
 	begun := m.at.Load()
 	if begun == nil {
--- a/internal/relaydaemon/traffic.go
+++ b/internal/relaydaemon/traffic.go
@@ -11,18 +11,19 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// traffic counts the bytes that this daemon sends to others, by kind of message and by
-// distance: those between zones and regions cost money.
+// traffic counts the bytes sent to other daemons by kind of message and distance, as traffic
+// between zones and regions costs money.
 type traffic struct {
 	topology zone.Topology
-	// members is set once membership is there; what is sent before counts as near.
+	// members looks a daemon up by address. It is nil until the membership exists; messages before
+	// that count as same_region.
 	members func(address string) (membership.Member, bool)
 	bytes   *prometheus.CounterVec
-	// counters are those of bytes by trafficKey: finding them by labels takes longer.
+	// counters caches the counters of bytes by trafficKey, since a lookup by labels is slower.
 	counters sync.Map
 }
 
-// trafficKey names one counter.
+// trafficKey identifies one counter.
 type trafficKey struct {
 	kind     peer.Kind
 	distance zone.Distance
@@ -39,7 +40,7 @@
 	return t
 }
 
-// count takes note of a message to another daemon.
+// count adds a message to another daemon.
 func (t *traffic) count(to structs.DaemonID, kind peer.Kind, bytes int) {
 	key := trafficKey{kind: kind, distance: zone.SameRegion}
 	if t.members != nil {
--- a/internal/relaydaemon/traffic_test.go
+++ b/internal/relaydaemon/traffic_test.go
@@ -23,7 +23,7 @@
 		sent.count(structs.NewDaemonID(address, 1), "a", 1)
 		sent.count(structs.NewDaemonID(address, 1), "b", 5)
 	}
-	sent.count(structs.NewDaemonID("10.0.0.9:7000", 1), "a", 100) // nothing is known of it
+	sent.count(structs.NewDaemonID("10.0.0.9:7000", 1), "a", 100) // an unknown daemon
 	for labels, want := range map[[2]string]float64{
 		{"a", "same_zone"}: 11, {"a", "same_region"}: 111, {"a", "other_region"}: 11, {"b", "other_region"}: 5,
 	} {
--- a/internal/relaydaemon/watch.go
+++ b/internal/relaydaemon/watch.go
@@ -7,39 +7,39 @@
 	"github.com/mintpulley/mintpulley/internal/store"
 )
 
-// shortestDrain is the shortest time that operators give daemons to stop sending to an
+// shortestDrain is the shortest time that operators give daemons to stop sending requests to an
 // instance that leaves.
 const shortestDrain = 2 * time.Second
 
-// How operators' and back ends' records are watched. A reading whose connection goes silent is
-// made once more Wait + Answer after it began: that stays below shortestDrain, with time left for
-// a second one that hangs (2 x Answer) and for a request on its way, and below the two seconds
-// within which operators expect new routes in force. Back ends write often: Pause has their
-// changes read together. Each reading confirms the routes, and with them the keys.
+// Settings of the watchers of the operators' and back ends' records. A read whose connection goes
+// silent is sent again Wait + AnswerTimeout after it began. That stays below shortestDrain, with
+// time left for a second read that hangs (2 x AnswerTimeout) and for a request in flight, and below
+// the two seconds within which operators expect new routes in force. Back ends write often, so
+// Pause batches their changes. Each read confirms the routes, and with them the keys.
 var (
 	routesWatch = store.WatchSettings{
-		Wait: 1200 * time.Millisecond, Answer: 400 * time.Millisecond, Retry: 150 * time.Millisecond,
+		Wait: 1200 * time.Millisecond, AnswerTimeout: 400 * time.Millisecond, RetryInterval: 150 * time.Millisecond,
 	}
 	instancesWatch = store.WatchSettings{
-		Wait: 600 * time.Millisecond, Answer: 400 * time.Millisecond, Retry: 150 * time.Millisecond,
+		Wait: 600 * time.Millisecond, AnswerTimeout: 400 * time.Millisecond, RetryInterval: 150 * time.Millisecond,
 		Pause: 500 * time.Millisecond,
 	}
 )
 
-// watchRoutes follows the operators' routes until ctx ends.
+// watchRoutes follows the operators' records until ctx ends.
 func (d *Daemon) watchRoutes(ctx context.Context) {
 	watcher := store.Watcher{
-		Store:     d.records,
-		Contact:   d.store,
-		Partition: d.adapter.RoutesPartition(),
-		Settings:  routesWatch,
-		OnAdvance: d.takeOperators,
-		OnRead:    d.confirmRoutes,
-		Hurry:     d.keys.hurry.Asked(),
-		Expected:  d.keys.newerRoutes.Asked(),
-		Metrics:   d.watchMetrics,
-		Logger:    &d.logger,
-		OnContact: func(err error) {
+		Store:          d.records,
+		Connectivity:   d.store,
+		Partition:      d.adapter.RoutesPartition(),
+		Settings:       routesWatch,
+		OnAdvance:      d.takeOperators,
+		OnRead:         d.confirmRoutes,
+		Refresh:        d.keys.hurry.Asked(),
+		ChangeExpected: d.keys.newerRoutes.Asked(),
+		Metrics:        d.watchMetrics,
+		Logger:         &d.logger,
+		OnConnectivity: func(err error) {
 			d.keys.noteContact(err)
 			d.contact("routes")(err)
 		},
@@ -47,28 +47,27 @@
 	watcher.Run(ctx)
 }
 
-// takeOperators puts the operators' records in force. Evacuations come first: a
-// daemon that starts sends nothing before it has routes.
+// takeOperators applies the operators' records. Evacuations come first: a daemon that starts sends
+// no request before it has routes.
 func (d *Daemon) takeOperators(records map[string]store.Record, end int64) {
 	d.takeEvacuations(d.adapter.Evacuations(records, end))
 	d.takeRoutes(records)
 }
 
-// confirmRoutes takes note that the routes in force are the newest. They are not
-// while newer ones could not be understood, which may take keys away.
+// confirmRoutes records that the routes in force are the newest as of a time. While newer ones
+// could not be parsed, which may revoke keys, it records nothing.
 func (d *Daemon) confirmRoutes(asOf time.Time) {
 	if !d.refused.Load() && d.table.Load() != nil {
 		d.keys.note(asOf)
 	}
 }
 
-// takeRoutes puts the newest routes in force. Routes that cannot be understood
-// or that are older change nothing.
+// takeRoutes applies the newest routes. Routes that cannot be parsed or are older change nothing.
 func (d *Daemon) takeRoutes(records map[string]store.Record) {
 	table, err := d.adapter.Routes(records)
 	d.refused.Store(err != nil)
 	if err != nil {
-		d.logger.Error().Err(err).Msg("Routes refused. Those before stay in force.")
+		d.logger.Error().Err(err).Msg("Routes refused. The previous ones stay in force.")
 		return
 	}
 	if table == nil {
@@ -94,17 +93,17 @@
 // watchInstances follows the list of back ends until ctx ends.
 func (d *Daemon) watchInstances(ctx context.Context) {
 	watcher := store.Watcher{
-		Store:     d.store,
-		Contact:   d.store,
-		Partition: d.adapter.InstancesPartition(),
-		Settings:  instancesWatch,
-		Metrics:   d.watchMetrics,
-		Logger:    &d.logger,
+		Store:        d.store,
+		Connectivity: d.store,
+		Partition:    d.adapter.InstancesPartition(),
+		Settings:     instancesWatch,
+		Metrics:      d.watchMetrics,
+		Logger:       &d.logger,
 		OnChange: func(records map[string]store.Record) {
-			d.adapter.Forget(d.pool.Replace(d.adapter.Instances(records)))
+			d.adapter.CloseIdle(d.pool.Replace(d.adapter.Instances(records)))
 		},
 		OnRead: d.pool.Confirm,
-		OnContact: func(err error) {
+		OnConnectivity: func(err error) {
 			if err != nil {
 				d.pool.NoteLost()
 			} else {
@@ -116,13 +115,14 @@
 	watcher.Run(ctx)
 }
 
-// contact logs when what is followed in the store is lost and regained.
+// contact returns a function that logs when the store becomes unreachable for a watcher, and when
+// it answers again.
 func (d *Daemon) contact(what string) func(error) {
 	return func(err error) {
 		if err != nil {
-			d.logger.Warn().Str("watch", what).Err(err).Msg("Store lost. What was read last stays in force.")
+			d.logger.Warn().Str("watch", what).Err(err).Msg("Store unreachable. The records read last stay in force.")
 			return
 		}
-		d.logger.Info().Str("watch", what).Msg("Store regained.")
+		d.logger.Info().Str("watch", what).Msg("Store reachable again.")
 	}
 }
--- a/internal/relaydaemon/zones.go
+++ b/internal/relaydaemon/zones.go
@@ -16,7 +16,7 @@
 	sourceDaemon = "daemon"
 )
 
-// takeEvacuations puts the operators' orders that were read from the store in force.
+// takeEvacuations applies the operators' orders that were read from the store.
 func (d *Daemon) takeEvacuations(reading zone.Reading) {
 	now := time.Now()
 	d.noteEvacuations(d.evacuations.Take(reading, now), reading.End, sourceStore, now)
@@ -35,27 +35,27 @@
 	d.noteEvacuations(d.evacuations.Hear(news, now), news.End, sourceDaemon, now)
 }
 
-// noteEvacuations logs changes, and tells admission how long ended evacuations lasted.
+// noteEvacuations logs changes, and reports to admission how long ended evacuations lasted.
 func (d *Daemon) noteEvacuations(changes []zone.Change, end int64, from string, now time.Time) {
 	for _, change := range changes {
 		logger := part(d.logger, "zones").With().Str("zone", change.Zone).Int64("order", change.Offset).
 			Int64("as_of", end).Str("heard_from", from).Int("in_flight", d.pool.InFlight(change.Zone)).Logger()
 		if !change.Evacuated {
 			d.admission.Ended(admission.ServiceEvacuated, change.Lasted)
-			logger.Info().Dur("lasted", change.Lasted).Msg("Zone taken back.")
+			logger.Info().Dur("lasted", change.Lasted).Msg("Evacuation of the zone ended.")
 			continue
 		}
 		since, _ := d.evacuations.Since(change.Zone)
 		level := zerolog.InfoLevel
 		if now.Sub(since) > d.settings.evacuationTime() {
-			level = zerolog.WarnLevel // requests went there past the operators' bound
+			level = zerolog.WarnLevel // requests went to the zone past the operators' limit
 		}
 		logger.WithLevel(level).Dur("known_for", now.Sub(since)).Msg("Zone evacuated.")
 	}
 }
 
-// registerZones registers metrics of each zone that the settings name. Orders for other
-// zones, of which operators may name any, are counted together.
+// registerZones registers the metrics of each zone in the settings. Orders for other zones are
+// counted together, as operators may name any zone.
 func (d *Daemon) registerZones(registry prometheus.Registerer) {
 	for _, name := range d.topology.Zones() {
 		registry.MustRegister(
