--- a/internal/relaydaemon/zones_test.go
+++ b/internal/relaydaemon/zones_test.go
@@ -22,7 +22,7 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// testAdapter reads records whose keys are "routes" and names of zones.
+// testAdapter parses records whose keys are "routes" or the name of a zone.
 type testAdapter struct {
 	Adapter
 	onRoutes func()
@@ -51,12 +51,11 @@
 	return reading
 }
 
-// trimmingStore can be told that all records are gone that were read so far: then the
-// newest are listed anew.
+// trimmingStore reports trimmed records on demand, so that the watcher lists all keys again.
 type trimmingStore struct {
 	*memory.Store
 	trimmed chan struct{}
-	// hangs lets a reading hang until it is given up.
+	// hangs makes one read hang until it is canceled.
 	hangs chan struct{}
 }
 
@@ -72,7 +71,7 @@
 	}
 }
 
-// operatorsTest is a daemon that follows the operators' records, and nothing else.
+// operatorsTest is a daemon that only follows the operators' records.
 type operatorsTest struct {
 	*Daemon
 	t     *testing.T
@@ -103,7 +102,7 @@
 	synctest.Wait()
 }
 
-// follow follows the records until the test is over.
+// follow watches the records until stop is called.
 func (o *operatorsTest) follow() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -111,7 +110,7 @@
 		defer close(done)
 		watcher := store.Watcher{
 			Store: o.store, Partition: o.adapter.RoutesPartition(), Settings: routesWatch,
-			OnAdvance: o.takeOperators, OnContact: func(error) {},
+			OnAdvance: o.takeOperators, OnConnectivity: func(error) {},
 		}
 		watcher.Run(ctx)
 	}()
@@ -122,7 +121,7 @@
 	}
 }
 
-// admitted returns the instances that requests may go to.
+// admitted returns the instances that may get requests.
 func (o *operatorsTest) admitted() string {
 	var ids []string
 	for {
@@ -136,7 +135,8 @@
 	}
 }
 
-// TestStartingDaemonKnowsEvacuationsBeforeItHasRoutes: it sends nothing before.
+// TestStartingDaemonKnowsEvacuationsBeforeItHasRoutes checks that a starting daemon applies
+// evacuations before routes, as it sends requests once it has routes.
 func TestStartingDaemonKnowsEvacuationsBeforeItHasRoutes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOperatorsTest(t)
@@ -151,9 +151,9 @@
 	})
 }
 
-// TestEvacuationThroughTheOperatorsRecords: an order, a history that is dropped, the
-// order's end, late news, another order whose end nobody listened to, and one that
-// comes past the operators' bound.
+// TestEvacuationThroughTheOperatorsRecords checks an order, a trimmed history, the end of the
+// order, late news of it, another order whose end was missed, and an order that arrives past the
+// operators' limit.
 func TestEvacuationThroughTheOperatorsRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOperatorsTest(t)
@@ -177,21 +177,20 @@
 		expect("after late news of the first order", "a1 c1")
 		o.write("c", "{}")
 		stop()
-		o.write("c", "") // not heard of but by what a new listing lacks
+		o.write("c", "") // only a new listing, in which the key is missing, shows this
 		expect("evacuated anew", "a1")
 		stop = o.follow()
 		defer func() { stop() }()
 		expect("taken back while nobody listened", "a1 c1")
 		o.HearEvacuations(&zone.News{End: 100, Orders: []zone.ToldOrder{{Zone: "late", Offset: 99, AgeMS: 5001}}}, time.Now())
 		if lines := o.lines.String(); !strings.Contains(lines, `"level":"warn"`) || !strings.Contains(lines, `"heard_from":"daemon"`) {
-			t.Errorf("nothing warns of an order that came late:\n%s", lines)
+			t.Errorf("no warning about a late order:\n%s", lines)
 		}
 	})
 }
 
-// TestOrderComesIntoForceThoughAReadingHangs: the store lets one reading hang for good
-// and answers others, as a watch that it cut without a word. The order is in force within
-// the operators' bound all the same.
+// TestOrderComesIntoForceThoughAReadingHangs checks that an order is applied within the operators'
+// limit although one read hangs for good, as on a connection cut silently.
 func TestOrderComesIntoForceThoughAReadingHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOperatorsTest(t)
@@ -211,7 +210,7 @@
 	})
 }
 
-// TestSeveralZones: also ones that nobody knows.
+// TestSeveralZones evacuates several zones, one of which the settings do not name.
 func TestSeveralZones(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOperatorsTest(t)
--- a/internal/store/contact_test.go
+++ b/internal/store/connectivity_test.go
@@ -10,7 +10,8 @@
 	"github.com/mintpulley/mintpulley/internal/store/memory"
 )
 
-// hangingStore does not answer until it is told to, and calls from before never.
+// hangingStore lets listings hang while hangs is set. A call that hangs never returns an answer,
+// even after hangs is cleared.
 type hangingStore struct {
 	*memory.Store
 	hangs bool
@@ -24,13 +25,13 @@
 	return s.Store.NewestPage(ctx, p, after)
 }
 
-// signal is a Contact that a test closes.
+// signal is a Connectivity whose recovery the test triggers by closing returned.
 type signal struct {
-	store.NoContact
+	store.UnknownConnectivity
 	returned chan struct{}
 }
 
-func (s *signal) Returned() <-chan struct{} { return s.returned }
+func (s *signal) Recovered() <-chan struct{} { return s.returned }
 
 func TestWatcherReadsAtOnceWhenTheStoreAnswersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -39,10 +40,10 @@
 		ctx, stop := context.WithCancel(t.Context())
 		changes, losses, returns := 0, 0, 0
 		w := store.Watcher{
-			Store: s, Partition: store.Partition{Space: "x"}, Contact: contact,
-			Settings: store.WatchSettings{Wait: time.Minute, Answer: time.Second, Retry: time.Minute},
+			Store: s, Partition: store.Partition{Space: "x"}, Connectivity: contact,
+			Settings: store.WatchSettings{Wait: time.Minute, AnswerTimeout: time.Second, RetryInterval: time.Minute},
 			OnChange: func(map[string]store.Record) { changes++ },
-			OnContact: func(err error) {
+			OnConnectivity: func(err error) {
 				if err != nil {
 					losses++
 				} else {
@@ -55,9 +56,9 @@
 			w.Run(ctx)
 			close(done)
 		}()
-		time.Sleep(10 * time.Second) // a listing hangs, which waits for no change
+		time.Sleep(10 * time.Second) // the listing hangs; a listing does not wait for a change
 		if changes != 0 || losses != 1 {
-			t.Errorf("%d changes and %d losses told in 10 s without an answer, want 0 and 1", changes, losses)
+			t.Errorf("%d changes and %d losses reported in 10 s without an answer, want 0 and 1", changes, losses)
 		}
 		s.hangs = false
 		before := contact.returned
@@ -65,7 +66,7 @@
 		close(before)
 		synctest.Wait()
 		if changes != 1 || losses != 1 || returns != 1 {
-			t.Errorf("%d changes, %d losses and %d returns told at the return, want one each", changes, losses, returns)
+			t.Errorf("%d changes, %d losses and %d recoveries reported after the recovery, want one each", changes, losses, returns)
 		}
 		stop()
 		<-done
--- a/internal/store/fanout/fanout.go
+++ b/internal/store/fanout/fanout.go
@@ -1,11 +1,11 @@
-// Package fanout hands large records on from daemon to daemon.
+// Package fanout distributes large records between daemons.
 //
-// A store reads for all daemons together at one rate, so a record that each of them reads keeps
-// it busy for as long as its size times their number takes, and small records wait behind it.
-// Service stands before the store for the readings of one partition. While its records are large
-// for the fleet, a few daemons of each zone read them from the store, and each other daemon asks
-// one neighbour, along a tree (see tree). A neighbour that brings nothing in time is passed over
-// and the store asked, so that no daemon depends on another.
+// A store has one read rate for all daemons. If each daemon reads a large record itself, the store
+// is busy for as long as the record's size times their number takes, and small records are delayed.
+// Service wraps a store for the reads of one partition. While its records are large, a few daemons
+// of each zone read them from the store, and every other daemon requests them from one neighbour,
+// along a tree (see parentOf). If the neighbour does not deliver in time, the daemon reads from the
+// store, so no daemon depends on another.
 package fanout
 
 import (
@@ -21,32 +21,33 @@
 )
 
 const (
-	// busyTime is for how long the reading of all daemons may keep the store busy: half of the
-	// 0.4 s after which a reading of the list of instances is late. Records that take longer
-	// are handed on. With 295 daemons and 80 MB/s that is from 54 KB on.
+	// busyTime is how long the reads of all daemons may keep the store busy: half of the 0.4 s
+	// after which a read of the list of instances is late. Larger records are distributed between
+	// daemons; with 295 daemons and 80 MB/s that is above 54 KB.
 	busyTime = 200 * time.Millisecond
-	// assumedReadRate is what a store reads that does not tell, in bytes a second: little enough
-	// that a store of usual disks and links is not kept busy.
+	// assumedReadRate is the read rate of the store in bytes per second if it is not configured:
+	// low enough for a store with ordinary disks and links.
 	assumedReadRate = 80e6
 )
 
-// Options give a Service what it works with.
+// Options configure a Service.
 type Options struct {
-	// Store is read where no neighbour is asked.
+	// Store is read when no neighbour can be asked.
 	store.Store
-	// Partition is the one whose records are handed on; calls about others pass through.
+	// Partition is the one whose records are distributed; calls for other partitions go to Store.
 	Partition store.Partition
 	Self      structs.Daemon
 	View      membership.View
 	Transport peer.Transport
-	// ReadRate is how many bytes a second the store reads for all daemons; 0 if not known.
+	// ReadRate is the number of bytes per second that the store serves to all daemons together; 0
+	// if unknown.
 	ReadRate float64
 	Logger   zerolog.Logger
 	Metrics  *Metrics
 }
 
-// Service is a store.Store whose readings of one partition go by way of a neighbour while its
-// records are large. It is safe for concurrent use.
+// Service is a store.Store that reads one partition by way of a neighbour while its records are
+// large. It is safe for concurrent use.
 type Service struct {
 	Options
 	replica replica
@@ -54,7 +55,7 @@
 	replies peer.Replies[*Response]
 }
 
-// New returns a service.
+// New returns a Service.
 func New(options Options) *Service {
 	if options.ReadRate <= 0 {
 		options.ReadRate = assumedReadRate
@@ -64,7 +65,7 @@
 	return s
 }
 
-// NewestPage implements store.Store. The store is asked; sizes are noted.
+// NewestPage implements store.Store. It reads from the store and records the sizes of the values.
 func (s *Service) NewestPage(ctx context.Context, partition store.Partition, after string) (store.Page, error) {
 	page, err := s.Store.NewestPage(ctx, partition, after)
 	if err == nil && partition == s.Partition {
@@ -73,8 +74,8 @@
 	return page, err
 }
 
-// Read implements store.Store. A reading that does not wait, or that is made beside one that is
-// late, goes to the store: somebody wants to know what the store itself says.
+// Read implements store.Store. A read that does not wait, or that is the parallel copy of one that
+// is late, goes to the store, because its caller needs the store's own current state.
 func (s *Service) Read(ctx context.Context, partition store.Partition, from int64, wait time.Duration) ([]store.Record, int64, error) {
 	if partition != s.Partition {
 		return s.Store.Read(ctx, partition, from, wait)
@@ -83,7 +84,7 @@
 	if wait > 0 && !store.WantsFreshConnection(ctx) {
 		if neighbour, found := s.neighbour(began); found {
 			if got, brought := s.follow(ctx, neighbour, from, wait); brought {
-				store.ProgressOf(ctx).NoteAsOf(got.asOf)
+				store.ProgressOf(ctx).SetAsOf(got.asOf)
 				return got.records, got.next, nil
 			}
 			wait = max(0, wait-time.Since(began))
@@ -92,19 +93,20 @@
 	return s.readStore(ctx, from, wait)
 }
 
-// readStore reads from the store, and answers those that wait for this daemon.
+// readStore reads from the store, and answers the daemons that wait for this one.
 func (s *Service) readStore(ctx context.Context, from int64, wait time.Duration) ([]store.Record, int64, error) {
 	began := time.Now()
 	records, next, err := s.Store.Read(ctx, s.Partition, from, wait)
 	if err == nil {
 		asOf := store.AsOf(began, wait, time.Now(), len(records) > 0)
-		store.ProgressOf(ctx).NoteAsOf(asOf)
+		store.ProgressOf(ctx).SetAsOf(asOf)
 		s.take(reading{records: records, from: from, next: next, asOf: asOf}, nil)
 	}
 	return records, next, err
 }
 
-// neighbour returns whom to ask for newer records; false if they are read from the store.
+// neighbour returns the daemon to request newer records from; false if they are to be read from the
+// store.
 func (s *Service) neighbour(now time.Time) (structs.DaemonID, bool) {
 	size := s.replica.size()
 	if size == 0 {
--- a/internal/store/fanout/faults_test.go
+++ b/internal/store/fanout/faults_test.go
@@ -9,10 +9,10 @@
 	"github.com/mintpulley/mintpulley/internal/store/fanout"
 )
 
-// spoiler returns what arrives of a message between two daemons, nil for nothing.
+// spoiler returns what arrives of a message sent between two daemons, nil if it is lost.
 type spoiler func(from, to int, message peer.Message) peer.Message
 
-// onData changes the pieces of bundles.
+// onData applies a change to the pieces of bundles.
 func onData(change func(*fanout.Response)) spoiler {
 	return func(_, _ int, message peer.Message) peer.Message {
 		if response, is := message.(*fanout.Response); is && len(response.Data) > 0 {
@@ -24,7 +24,7 @@
 	}
 }
 
-// neighbourFaults is what neighbours may do to a bundle, by name.
+// neighbourFaults are faults of neighbours by name.
 var neighbourFaults = map[string]spoiler{
 	"nothing arrives": func(int, int, peer.Message) peer.Message { return nil },
 	"a third is cut off": func(from, to int, message peer.Message) peer.Message {
@@ -52,9 +52,11 @@
 	},
 }
 
-// TestRecordArrivesWhateverNeighboursDo: the store is asked by whoever gets nothing of use.
+// TestRecordArrivesWhateverNeighboursDo checks that a daemon reads from the store if its neighbour
+// sends nothing usable.
 func TestRecordArrivesWhateverNeighboursDo(t *testing.T) {
-	// most: a reading waits, its neighbour is silent, and all read 1.2 MB from the store, some twice.
+	// most covers a read that waits, a neighbour that is silent, and all daemons reading 1.2 MB
+	// from the store, some of them twice.
 	const daemons, most = 40, 10 * time.Second
 	for name, spoil := range neighbourFaults {
 		t.Run(name, func(t *testing.T) {
@@ -72,10 +74,11 @@
 	}
 }
 
-// TestConfirmationsRestOnTheStore: while the store answers, each daemon's routes are confirmed
-// about as lately as without neighbours; when it is out, nobody's are confirmed as of later.
+// TestConfirmationsRestOnTheStore checks that each daemon's routes are confirmed about as recently
+// as without neighbours while the store answers, and that no confirmation is later than the store's
+// last answer during an outage.
 func TestConfirmationsRestOnTheStore(t *testing.T) {
-	const oldest = 1700 * time.Millisecond // a reading's wait, and a neighbour's that hung
+	const oldest = 1700 * time.Millisecond // the wait of a read, and of one by way of a neighbour that hung
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(40)
 		f.store.put(t, routes, largeSize)
@@ -96,9 +99,9 @@
 			t.Errorf("%d calls to the store, want at most %d", after-before, most)
 		}
 		f.store.SetDown(true)
-		time.Sleep(10 * time.Second) // readings that waited as it went out are answered
+		time.Sleep(10 * time.Second) // reads that were waiting when the outage began are answered
 		if time.Since(f.store.answeredAt) < 8*time.Second {
-			t.Error("the store is not out")
+			t.Error("the store still answers")
 		}
 		for i, follower := range f.followers {
 			if _, _, asOf := follower.known(); asOf.After(f.store.answeredAt) {
@@ -108,7 +111,7 @@
 	})
 }
 
-// TestSmallRecordsAreReadFromTheStore: they cost no messages.
+// TestSmallRecordsAreReadFromTheStore checks that small records cause no messages between daemons.
 func TestSmallRecordsAreReadFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(40)
@@ -123,8 +126,8 @@
 	})
 }
 
-// TestVersionsThatFollowEachOther: a bundle goes on to be fetched while newer versions come, and
-// nobody goes to the store for that.
+// TestVersionsThatFollowEachOther checks that a fetch continues while newer versions arrive, and
+// that no daemon falls back to the store because of them.
 func TestVersionsThatFollowEachOther(t *testing.T) {
 	const versions = 6
 	synctest.Test(t, func(t *testing.T) {
@@ -140,7 +143,7 @@
 		}
 		took := f.awaitRoutes(versions, 10*time.Second)
 		after, _ := f.store.count()
-		// Two of each zone read each version, and some of them again with the next.
+		// Two daemons of each zone read each version, and some read it again together with the next.
 		if most := 2 * 2 * zones * versions * largeSize; took > time.Second || after-before > most {
 			t.Errorf("known to all after %s, %.1f MB read, want 1s and %.1f", took, float64(after-before)/1e6, float64(most)/1e6)
 		}
--- a/internal/store/fanout/fleet_test.go
+++ b/internal/store/fanout/fleet_test.go
@@ -18,15 +18,15 @@
 	instances = store.Partition{Space: "instances"}
 )
 
-// busyStore serves readings one after the other at a rate that all share, also those that
-// nobody waits for any more.
+// busyStore serves reads one after the other at a rate shared by all, including those that nobody
+// waits for any more.
 type busyStore struct {
 	*memory.Store
 	bytesPerSecond int
 	mutex          sync.Mutex
 	freeAt         time.Time
 	served, calls  int
-	// answeredAt is when the last reading was answered.
+	// answeredAt is when the last read of the routes was answered.
 	answeredAt time.Time
 }
 
@@ -51,7 +51,7 @@
 	return records, next, err
 }
 
-// pass waits until the store has sent so many bytes; false if nobody waits for them.
+// pass waits until the store has sent size bytes; false if the caller left first.
 func (s *busyStore) pass(ctx context.Context, size int) bool {
 	s.mutex.Lock()
 	if now := time.Now(); s.freeAt.Before(now) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// follower is what one daemon has read.
+// follower records what one daemon has read.
 type follower struct {
 	mutex      sync.Mutex
 	end, lists int64
@@ -98,7 +98,7 @@
 	wentBack   bool
 }
 
-// noting returns a function that notes what was read under the mutex.
+// noting wraps a function so that it runs under the mutex.
 func (f *follower) noting(note func(map[string]store.Record, int64)) func(map[string]store.Record, int64) {
 	return func(records map[string]store.Record, end int64) {
 		f.mutex.Lock()
@@ -121,11 +121,11 @@
 	return f.end, f.lists, f.asOf
 }
 
-// follow has a daemon read the routes from one store and the instances from another.
+// follow watches the routes in one store and the instances in another.
 func (f *follower) follow(ctx context.Context, routesStore, instancesStore store.Store) {
-	settings := store.WatchSettings{Wait: 1200 * time.Millisecond, Answer: 400 * time.Millisecond, Retry: 150 * time.Millisecond}
+	settings := store.WatchSettings{Wait: 1200 * time.Millisecond, AnswerTimeout: 400 * time.Millisecond, RetryInterval: 150 * time.Millisecond}
 	watchRoutes := store.Watcher{
-		Store: routesStore, Partition: routes, Settings: settings, OnContact: func(error) {},
+		Store: routesStore, Partition: routes, Settings: settings, OnConnectivity: func(error) {},
 		OnAdvance: f.noting(func(records map[string]store.Record, end int64) {
 			f.wentBack = f.wentBack || end < f.end
 			f.end, f.size = end, len(records["k"].Value)
@@ -134,7 +134,7 @@
 	}
 	settings.Wait, settings.Pause = 600*time.Millisecond, 500*time.Millisecond
 	watchInstances := store.Watcher{
-		Store: instancesStore, Partition: instances, Settings: settings, OnContact: func(error) {},
+		Store: instancesStore, Partition: instances, Settings: settings, OnConnectivity: func(error) {},
 		OnAdvance: f.noting(func(_ map[string]store.Record, end int64) { f.lists = end }),
 	}
 	go watchRoutes.Run(ctx)
@@ -155,8 +155,8 @@
 	return ofRoutes, ofInstances
 }
 
-// awaitRoutes waits until all daemons have a version of the routes, and returns for how long: most
-// at most.
+// awaitRoutes waits up to most until all daemons have a version of the routes, and returns how long
+// it took.
 func (f *fleet) awaitRoutes(version int64, most time.Duration) time.Duration {
 	began := time.Now()
 	for missing := len(f.followers); missing > 0 && time.Since(began) < most; time.Sleep(10 * time.Millisecond) {
@@ -165,7 +165,8 @@
 	return time.Since(began)
 }
 
-// expectRoutes checks that each daemon has exactly a version of the routes, and never went back.
+// expectRoutes checks that each daemon has exactly this version of the routes, and that no daemon
+// ever went back to an older one.
 func (f *fleet) expectRoutes(t *testing.T, version int64, size int) {
 	t.Helper()
 	for i, follower := range f.followers {
@@ -180,8 +181,8 @@
 	storeRate = 20_000_000
 )
 
-// TestInstancesDoNotWaitBehindALargeRecord: a record of 1.2 MB takes the store 3.6 s if each of
-// 60 daemons reads it, and the list of instances, of some bytes, waits behind that.
+// TestInstancesDoNotWaitBehindALargeRecord checks that a large record does not delay a small one:
+// if each of 60 daemons reads 1.2 MB, the store is busy for 3.6 s.
 func TestInstancesDoNotWaitBehindALargeRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(60)
--- a/internal/store/fanout/follow.go
+++ b/internal/store/fanout/follow.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// silence is how long a neighbour may say nothing beyond the wait: it reads with the same
-	// wait, so its next answer is due by then, and half of the 0.4 s after which the watch makes
-	// the reading once more is left for the store's answer.
+	// silence is how long after the wait a neighbour's answer may take. The neighbour reads with
+	// the same wait, so its next answer is due by then, and half of the 0.4 s after which the
+	// watcher repeats the read remains for the store's answer.
 	silence = 200 * time.Millisecond
-	// pieceSilence is how long the next piece may take: some of them on a link of 30 Mbit/s that
-	// five other daemons share, and a small machine that is busy.
+	// pieceSilence is how long the next piece may take: several pieces on a link of 30 Mbit/s
+	// shared with five other daemons, plus the delay of a busy small machine.
 	pieceSilence = 300 * time.Millisecond
 )
 
-// follow asks a neighbour for what follows an offset; false if it did not bring it.
+// follow requests the records from an offset on from a neighbour; false if it did not deliver them.
 func (s *Service) follow(ctx context.Context, neighbour structs.DaemonID, from int64, wait time.Duration) (reading, bool) {
 	sent := time.Now()
 	request := Request{Partition: s.Partition, From: from}
@@ -39,11 +39,12 @@
 	return s.failed(ctx, neighbour, outcomeUnable)
 }
 
-// fetch gets the rest of a bundle whose first piece a neighbour sent to a request made at a time.
+// fetch requests the remaining pieces of a bundle. piece is the first one, and askedAt when it was
+// requested.
 func (s *Service) fetch(ctx context.Context, neighbour structs.DaemonID, request Request, piece *Response, askedAt time.Time) (reading, bool) {
 	var partial partialBundle
 	for partial.add(piece, askedAt) {
-		store.ProgressOf(ctx).Note(len(piece.Data))
+		store.ProgressOf(ctx).AddBytes(len(piece.Data))
 		if partial.isWhole() {
 			return s.unpack(ctx, neighbour, request.From, &partial)
 		}
@@ -56,7 +57,7 @@
 	return s.failed(ctx, neighbour, outcomeMalformed)
 }
 
-// unpack takes the records from an offset on that a neighbour's whole bundle holds.
+// unpack extracts the records from an offset on from a complete bundle.
 func (s *Service) unpack(ctx context.Context, neighbour structs.DaemonID, from int64, whole *partialBundle) (reading, bool) {
 	packed, records, err := unpackBundle(whole.first.Bundle, whole.data)
 	if err != nil || packed.from > from || packed.end <= from {
@@ -69,19 +70,20 @@
 	return got, true
 }
 
-// failed passes a neighbour over that brought nothing, unless nobody waited for it.
+// failed records that a neighbour did not deliver, so that it is not asked for a while. It does
+// nothing if the caller canceled the read.
 func (s *Service) failed(ctx context.Context, neighbour structs.DaemonID, how outcome) (reading, bool) {
 	if ctx.Err() == nil {
 		s.sources.avoid(neighbour, time.Now())
 		s.Metrics.asked(how)
-		s.Logger.Info().Str("neighbour", string(neighbour)).Str("why", string(how)).Msg("Records not brought. The store is asked.")
+		s.Logger.Info().Str("neighbour", string(neighbour)).Str("why", string(how)).Msg("Neighbour did not deliver the records. Reading from the store.")
 	}
 	return reading{}, false
 }
 
-// ask sends a request and waits for its answer; nil means none came.
+// ask sends a request and waits up to patience for the answer; nil if none arrived.
 func (s *Service) ask(ctx context.Context, neighbour structs.DaemonID, request Request, patience time.Duration) *Response {
-	response, _ := s.replies.Ask(ctx, patience, func(number uint64) { // nil if none came
+	response, _ := s.replies.Ask(ctx, patience, func(number uint64) { // nil if no answer arrived
 		request.Number = number
 		s.Transport.Send(neighbour, &request)
 	})
--- a/internal/store/fanout/main_test.go
+++ b/internal/store/fanout/main_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestMain prepares the codec, which all share, outside the bubbles of the tests.
+// TestMain initializes the shared codec outside the synctest bubbles of the tests.
 func TestMain(m *testing.M) {
 	if packed, err := packBundle(0, 0, nil); err != nil || packed == nil {
 		panic(err)
--- a/internal/store/fanout/messages.go
+++ b/internal/store/fanout/messages.go
@@ -7,27 +7,28 @@
 	"github.com/mintpulley/mintpulley/internal/store"
 )
 
-// Request asks a neighbour for newer records than the asker's, or for one more piece of a bundle.
+// Request asks a neighbour for records newer than those of the sender, or for another piece of a
+// bundle.
 type Request struct {
 	Number    uint64          `json:"n"`
 	Partition store.Partition `json:"p"`
-	// From is the offset from which records are wanted.
+	// From is the first offset wanted.
 	From int64 `json:"f"`
-	// Bundle and At name a bundle and the byte of it to go on from; without them the neighbour
-	// answers once it has news.
+	// Bundle is the hash of a bundle, and At the position in it from which the next piece is
+	// wanted. If Bundle is empty, the neighbour answers once it has newer records.
 	Bundle string `json:"b,omitempty"`
 	At     int    `json:"a,omitempty"`
 }
 
-// result tells what a Response brings.
+// result is what a Response contains.
 type result string
 
 const (
-	// resultUnchanged: there are no newer records than the asker's.
+	// resultUnchanged: there are no records newer than the sender's.
 	resultUnchanged result = "unchanged"
-	// resultPiece: a part of a bundle.
+	// resultPiece: a piece of a bundle.
 	resultPiece result = "piece"
-	// resultUnable: the neighbour cannot tell what follows the asker's records.
+	// resultUnable: the neighbour does not know the records that follow the sender's.
 	resultUnable result = "unable"
 )
 
@@ -35,19 +36,21 @@
 type Response struct {
 	Number uint64 `json:"n"`
 	Result result `json:"r"`
-	// AsOfMS is when what is told was the newest, in milliseconds after the request arrived;
-	// mostly below 0. It comes with the first piece of a bundle and means nothing with others,
-	// which may be of a bundle that is not the newest any more.
+	// AsOfMS is the time as of which the records are current, in milliseconds relative to the
+	// arrival of the request; usually negative. It is set in the first piece of a bundle only,
+	// since later pieces may belong to a bundle that is no longer the newest.
 	AsOfMS int64 `json:"as,omitempty"`
-	// Bundle is the SHA-256 of the bundle's Size bytes, in which Data stands at byte At.
+	// Bundle is the SHA-256 of the whole bundle and Size its length in bytes. Data is the piece at
+	// position At.
 	Bundle string `json:"b,omitempty"`
 	Size   int    `json:"size,omitempty"`
 	At     int    `json:"a,omitempty"`
 	Data   []byte `json:"d,omitempty"`
 }
 
-// asOf turns the answer's age into a time of the asker, who sent the request at a time: not
-// later than it arrived, so the age is not told too low. No answer is of the time to come.
+// asOf converts AsOfMS to a time on the requester's clock. It counts from when the request was
+// sent, which is before it arrived, so the records are never taken to be newer than they are. The
+// result is not later than now.
 func (r *Response) asOf(sent, now time.Time) time.Time {
 	asOf := sent.Add(time.Duration(r.AsOfMS) * time.Millisecond)
 	if asOf.After(now) {
@@ -56,8 +59,8 @@
 	return asOf
 }
 
-// ageAt is the AsOfMS of records that were the newest as of a time, to a request that arrived
-// at a time; rounded down.
+// ageAt returns the AsOfMS, rounded down, of records that were current at asOf, for a request that
+// arrived at the given time.
 func ageAt(asOf, arrived time.Time) int64 {
 	return int64(asOf.Sub(arrived).Truncate(time.Millisecond)/time.Millisecond) - 1
 }
--- a/internal/store/fanout/metrics.go
+++ b/internal/store/fanout/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// outcome is what became of a reading by way of a neighbour: a label of figures.
+// outcome is the outcome of a read by way of a neighbour, as a metric label.
 type outcome string
 
 const (
@@ -13,7 +13,7 @@
 	outcomeMalformed outcome = "malformed"
 )
 
-// Metrics counts readings by way of a neighbour.
+// Metrics counts reads by way of a neighbour.
 type Metrics struct {
 	readings *prometheus.CounterVec
 	answers  *prometheus.CounterVec
--- a/internal/store/fanout/sources.go
+++ b/internal/store/fanout/neighbours.go
@@ -11,20 +11,20 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// avoidTime is for how long a neighbour is passed over that brought nothing: two readings, and
-// longer than membership takes to notice that it died (1.4 s).
+// avoidTime is how long a neighbour that did not deliver is not asked: two reads, and longer than
+// the membership protocol takes to detect that it died (1.4 s).
 const avoidTime = 3 * time.Second
 
-// sources is what is known of the neighbours that may be asked. It is safe for concurrent use.
+// sources tracks which neighbours can be asked. It is safe for concurrent use.
 type sources struct {
 	mutex sync.Mutex
-	// avoided neighbours brought nothing.
+	// avoided are the neighbours that failed to deliver recently.
 	avoided peer.Avoided
 	// asked is the neighbour that was asked last, "" for the store.
 	asked structs.DaemonID
 }
 
-// usable lists the members that live and did not fail lately, this daemon among them.
+// usable returns the members that are alive and did not fail recently, and always this daemon.
 func (s *sources) usable(members []membership.Member, self structs.DaemonID, now time.Time) []membership.Member {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -38,14 +38,14 @@
 	return usable
 }
 
-// avoid passes a neighbour over for a while.
+// avoid excludes a neighbour for avoidTime.
 func (s *sources) avoid(neighbour structs.DaemonID, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.avoided.Add(neighbour, now, avoidTime)
 }
 
-// note logs a change of the neighbour that is asked.
+// note logs when another neighbour is asked than before.
 func (s *sources) note(neighbour structs.DaemonID, logger *zerolog.Logger) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -57,5 +57,5 @@
 		logger.Info().Msg("Large records are read from the store.")
 		return
 	}
-	logger.Info().Str("from", string(neighbour)).Msg("Large records are asked of a neighbour.")
+	logger.Info().Str("from", string(neighbour)).Msg("Large records are fetched from a neighbour.")
 }
--- a/internal/store/fanout/network_test.go
+++ b/internal/store/fanout/network_test.go
@@ -23,7 +23,8 @@
 	largeCapacity = 44
 )
 
-// fleet is daemons over one busy store, in three zones, every fifth of them a large machine.
+// fleet is a set of daemons with one busy store, in three zones. Every fifth daemon is a large
+// machine.
 type fleet struct {
 	store     *busyStore
 	followers []*follower
@@ -32,10 +33,10 @@
 	index     map[structs.DaemonID]int
 
 	mutex sync.Mutex
-	// freeAt is when a daemon's link has sent what was given to it.
+	// freeAt is when each daemon's link has sent all messages queued so far.
 	freeAt []time.Time
 	sent   int
-	// spoil, if set, changes a message on its way, or loses it with nil.
+	// spoil, if set, changes or drops messages.
 	spoil spoiler
 }
 
@@ -66,7 +67,7 @@
 	return f
 }
 
-// run lets the daemons follow both partitions until end, which waits for what is under way.
+// run lets the daemons follow both partitions until end is called, which waits for calls in flight.
 func (f *fleet) run(t *testing.T) (end func()) {
 	ctx, stop := context.WithCancel(t.Context())
 	for i, follower := range f.followers {
@@ -99,7 +100,7 @@
 // Subscribe implements membership.View.
 func (f *fleet) Subscribe(func(membership.Member)) {}
 
-// transport carries one daemon's messages over its link of 30 Mbit/s.
+// transport sends one daemon's messages over its link of 30 Mbit/s.
 type transport struct {
 	fleet *fleet
 	self  int
--- a/internal/store/fanout/partial_bundle.go
+++ b/internal/store/fanout/partial_bundle.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// bundlesTried bounds how many bundles a neighbour may begin to send in one fetch: each newer one
-// takes the place of the one before.
+// bundlesTried limits how many different bundles a neighbour may start to send in one fetch: a
+// newer bundle replaces the one before.
 const bundlesTried = 3
 
-// partialBundle is what has arrived of a bundle that a neighbour sends in pieces. The zero value
-// waits for the first one.
+// partialBundle is the received part of a bundle that arrives in pieces. The zero value waits for
+// the first piece.
 type partialBundle struct {
-	// first is the bundle's first piece, and askedAt when it was asked for.
+	// first is the bundle's first piece, and askedAt when it was requested.
 	first   *Response
 	askedAt time.Time
 	data    []byte
-	// begun counts the bundles of which a first piece came.
+	// begun counts the bundles of which a first piece arrived.
 	begun int
 }
 
-// add appends the next piece, which was asked for at a time. A piece of another bundle begins
-// anew. It returns false if the piece does not fit, or if too many bundles were begun.
+// add appends the next piece, which was requested at askedAt. A piece of another bundle starts
+// over. It returns false if the piece does not fit, or if too many bundles were begun.
 func (b *partialBundle) add(piece *Response, askedAt time.Time) bool {
 	if b.first == nil || piece.Result == resultPiece && piece.Bundle != b.first.Bundle {
 		b.first, b.askedAt, b.data = piece, askedAt, nil
@@ -31,11 +31,11 @@
 	return true
 }
 
-// isWhole tells whether all pieces have arrived.
+// isWhole reports whether all pieces have arrived.
 func (b *partialBundle) isWhole() bool { return len(b.data) == b.first.Size }
 
-// continues tells whether a response is the piece that begins at a byte of the bundle whose first
-// piece is given.
+// continues reports whether a response is the piece at position at of the bundle that first belongs
+// to.
 func (r *Response) continues(first *Response, at int) bool {
 	return r.Result == resultPiece && r.At == at && len(r.Data) > 0 && r.Size == first.Size &&
 		r.Size <= bundleLimit && at+len(r.Data) <= r.Size
--- a/internal/store/fanout/replica.go
+++ b/internal/store/fanout/replica.go
@@ -10,50 +10,50 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// waitersLimit bounds the daemons that wait for this one's answer: ten times as many as the tree
-// has ask it, for views of the members differ for a while.
+// waitersLimit limits the daemons that may wait for this one's answer: ten times the number of
+// children in the tree, since views of the membership may differ for a while.
 const waitersLimit = 10 * fanOut
 
-// leastWait is how long a request waits at least for the answer that there is nothing new. A daemon
-// whose callers make it confirm their keys reads ten times a second, and all that follow it
-// would. It is below silence, so that the next answer comes in time.
+// leastWait is the minimum time that a request is held before it is answered with "unchanged".
+// Without it, a daemon that refreshes ten times a second would make all its descendants do the
+// same. It is less than silence, so that the answer is in time.
 const leastWait = 150 * time.Millisecond
 
-// bundlesKept are the bundles that a daemon keeps: neighbours may be fetching one while the next
-// versions come. Four of 1.2 MB of routes take 0.5 MB.
+// bundlesKept is the number of bundles that are cached, as neighbours may still fetch one while
+// newer versions arrive.
 const bundlesKept = 4
 
-// reading is what a reading brought: the records of a range of offsets, newest as of a time.
+// reading is the result of a read: the records of a range of offsets, current as of a time.
 type reading struct {
 	records    []store.Record
 	from, next int64
 	asOf       time.Time
 }
 
-// replica is what this daemon has read, as far as it can hand it on. It is safe for concurrent
-// use.
+// replica caches what this daemon has read, so that it can serve its neighbours. It is safe for
+// concurrent use.
 type replica struct {
 	mutex sync.Mutex
-	// sizes are those of the newest values by key.
+	// sizes are the sizes of the newest values by key.
 	sizes map[string]int
-	// hasRead tells whether a reading was made; newest are the newest records, deletions too, of
-	// the keys that changed in offsets from start to end, as of asOf.
+	// hasRead is set after the first read. newest holds the newest record, or deletion, of each key
+	// that changed in the offsets from start to end, current as of asOf.
 	hasRead    bool
 	start, end int64
 	newest     map[string]store.Record
 	asOf       time.Time
-	// bundles are the last ones, received or made.
+	// bundles are the last bundles received or packed, oldest first.
 	bundles []*bundle
 	waiters map[structs.DaemonID]waiter
 }
 
-// waiter is a daemon that waits for news.
+// waiter is a request of another daemon that waits for newer records.
 type waiter struct {
 	request *Request
 	arrived time.Time
 }
 
-// noteSizes takes note of the sizes of listed records.
+// noteSizes updates the sizes with the records of a listing.
 func (r *replica) noteSizes(records []store.Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// size returns the bytes of the newest values.
+// size returns the total size of the newest values in bytes.
 func (r *replica) size() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -77,12 +77,12 @@
 	return size
 }
 
-// take takes what a reading brought, with the bundle that brought it, if one did, and returns
-// who waited for it.
+// take adds the result of a read, with the bundle that contained it if there is one, and returns
+// the requests that can now be answered.
 func (r *replica) take(got reading, packed *bundle) map[structs.DaemonID]waiter {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if !r.hasRead || got.from > r.end { // what lies between is not known
+	if !r.hasRead || got.from > r.end { // the records in between are not known
 		r.hasRead, r.start, r.end, r.newest, r.bundles = true, got.from, got.from, map[string]store.Record{}, nil
 	}
 	if got.next > r.end {
@@ -99,7 +99,7 @@
 	return r.due(time.Now())
 }
 
-// due removes the requests that are to be answered now, and returns them by who sent them.
+// due removes and returns the requests that are to be answered now, by sender.
 func (r *replica) due(now time.Time) map[structs.DaemonID]waiter {
 	due := map[structs.DaemonID]waiter{}
 	for from, w := range r.waiters {
@@ -111,8 +111,8 @@
 	return due
 }
 
-// await keeps a request until the next reading, unless newer records are there by now or too
-// many wait.
+// await holds a request until the next read. It returns false if newer records are available by now
+// or too many requests wait.
 func (r *replica) await(from structs.DaemonID, w waiter) (kept bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -126,8 +126,8 @@
 	return true
 }
 
-// since returns a bundle of what follows an offset, nil if nothing does; false if that is not
-// known.
+// since returns a bundle of the records from an offset on, nil if there are none; known is false if
+// this daemon does not know them.
 func (r *replica) since(from int64) (packed *bundle, asOf time.Time, known bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -160,7 +160,7 @@
 	return packed, r.asOf, true
 }
 
-// keep keeps a bundle, nil for none, in the place of the oldest.
+// keep caches a bundle, if it is not nil, and drops the oldest if there are too many.
 func (r *replica) keep(packed *bundle) {
 	if packed == nil {
 		return
@@ -171,7 +171,7 @@
 	}
 }
 
-// bundleOf returns the bundle of a name; false if this daemon has it no more.
+// bundleOf returns the cached bundle with a hash; false if there is none.
 func (r *replica) bundleOf(name string) (*bundle, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/store/fanout/serve.go
+++ b/internal/store/fanout/serve.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Receive takes a message that arrived; false means it is another part's.
+// Receive handles a message; it returns false if the message belongs to another component.
 func (s *Service) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch message := message.(type) {
 	case *Request:
@@ -22,7 +22,7 @@
 	return true
 }
 
-// serve answers a request, now or after the next reading.
+// serve answers a request, now or after the next read.
 func (s *Service) serve(from structs.DaemonID, w waiter) {
 	if w.request.Partition != s.Partition || w.request.At < 0 {
 		s.answer(from, w, &Response{Result: resultUnable})
@@ -39,10 +39,10 @@
 		s.answer(from, w, response)
 		return
 	}
-	s.answer(from, w, &Response{Result: resultUnable}) // too many wait
+	s.answer(from, w, &Response{Result: resultUnable}) // too many requests wait
 }
 
-// take takes what a reading brought, and answers those that waited for it.
+// take stores the result of a read, and answers the requests that waited for it.
 func (s *Service) take(got reading, packed *bundle) {
 	due := s.replica.take(got, packed)
 	for _, from := range slices.Sorted(maps.Keys(due)) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// responseTo returns the answer to a request by what this daemon has read by now.
+// responseTo builds the answer to a request from what this daemon has read so far.
 func (s *Service) responseTo(w waiter) *Response {
 	packed, asOf, known := s.replica.since(w.request.From)
 	switch {
@@ -64,7 +64,7 @@
 	return first
 }
 
-// pieceOf returns the piece of a bundle that begins at a byte.
+// pieceOf returns the piece of a bundle at position at.
 func pieceOf(packed *bundle, at int) *Response {
 	at = min(at, len(packed.data))
 	return &Response{
--- a/internal/store/fanout/tree.go
+++ b/internal/store/fanout/tree.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// rootsOfZone are the daemons of a zone that read from the store: one may die while the
-	// other brings a record to the zone.
+	// rootsOfZone is the number of daemons of a zone that read from the store: if one dies, the
+	// other still brings records to the zone.
 	rootsOfZone = 2
-	// fanOut is how many daemons ask one neighbour. 62 daemons of a zone are two steps from the
-	// store, and six bundles of 1.2 MB of routes, 0.16 MB each on the wire, take a link of
-	// 30 Mbit/s 0.26 s.
+	// fanOut is the number of daemons that request from one neighbour. With 62 daemons in a zone,
+	// each is at most two steps from the store, and six bundles of 0.16 MB take a link of 30 Mbit/s
+	// 0.26 s.
 	fanOut = 6
 )
 
-// ranked is a daemon with its place in the order.
+// ranked is a daemon with its sort keys.
 type ranked struct {
 	id       structs.DaemonID
 	capacity int
 	place    uint64
 }
 
-// parentOf returns the neighbour that a daemon asks, false if it reads from the store. The tree
-// is that of the members of its zone: large machines come first, so these send the most, and
-// among equals a hash decides that differs with the partition. Each daemon finds the same tree
-// from the same members, and whoever is asked ranks above the asker, so that no two of one view
-// wait for each other.
+// parentOf returns the neighbour that a daemon requests records from, or false if it reads from the
+// store. The members of its zone form a tree, ordered by capacity, so that large machines send the
+// most; a hash that depends on the partition breaks ties. Daemons with the same view of the members
+// compute the same tree, and a parent always ranks above its children, so that no two of them wait
+// for each other.
 func parentOf(self structs.Daemon, members []membership.Member, partition store.Partition) (structs.DaemonID, bool) {
 	order := rank(self.Zone, members, partition)
 	own := slices.IndexFunc(order, func(r ranked) bool { return r.id == self.ID })
@@ -42,7 +42,7 @@
 	return order[(own-rootsOfZone)/fanOut].id, true
 }
 
-// rank orders the daemons of a zone.
+// rank returns the daemons of a zone in tree order.
 func rank(zone structs.ZoneName, members []membership.Member, partition store.Partition) []ranked {
 	var order []ranked
 	for _, member := range members {
--- a/internal/store/fanout/tree_test.go
+++ b/internal/store/fanout/tree_test.go
@@ -12,8 +12,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// TestTreeOfAZone: each daemon's way leads to the store in few steps, none sends to many, and
-// small machines send nothing where there are large ones enough.
+// TestTreeOfAZone checks that each daemon is a few steps from the store, that none has too many
+// children, and that small machines have no children if there are enough large ones.
 func TestTreeOfAZone(t *testing.T) {
 	const large, steps = 11, 3
 	partition := store.Partition{Space: "x"}
@@ -56,7 +56,7 @@
 	}
 }
 
-// FuzzUnpackBundle: whatever a neighbour sends is refused or has its records in order.
+// FuzzUnpackBundle checks that any input is rejected or yields records in order.
 func FuzzUnpackBundle(f *testing.F) {
 	records := []store.Record{{Key: "a", Value: []byte("1"), Offset: 4}, {Key: "b", Offset: 5}, {Key: "c", Value: []byte("33"), Offset: 8}}
 	packed, err := packBundle(3, 9, records)
@@ -68,7 +68,7 @@
 		f.Fatalf("%v, %v", got, err)
 	}
 	if _, _, err := unpackBundle(packed.name, packed.data[1:]); err == nil {
-		f.Error("a bundle without its hash is taken")
+		f.Error("a bundle with a wrong hash is accepted")
 	}
 	f.Add([]byte(`{"from":3,"end":9,"records":[{"key":"a","offset":4,"size":1}]}` + "\n1"))
 	f.Add([]byte(`{"from":3,"end":2,"records":[{"key":"a","offset":1,"size":-1}]}` + "\n"))
--- a/internal/store/reading.go
+++ b/internal/store/hedged_read.go
@@ -9,23 +9,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// A reading is never broken off to be made anew while it may still be answered. A store that is
-// busy serves its readings one after the other and goes on with those that nobody waits for: 65
-// daemons that began a reading of 0.8 MB anew every 0.1 s had it read 5.5 GB in ten seconds where
-// 0.1 GB were needed, and none of them got an answer. One that is late is made a second time
-// beside the first, on a connection of its own, and the first answer counts: a daemon whose
-// connection went silent hears what is new after Answer, and a busy store gets one reading more.
+// A read is not canceled and restarted while it may still be answered: a busy store serves its
+// reads one after the other, and continues with those that nobody waits for any more, so restarts
+// make it slower. Instead, a read that is late is hedged: it is sent a second time in parallel, on
+// a new connection, and the first answer counts. A daemon whose connection went silent thus learns
+// of changes after AnswerTimeout, and a busy store serves one extra read.
 
 const (
-	// lateGrowth is how much longer each further call of a reading is waited for than the
-	// one before, and longestLate bounds that: while nobody answers, a call every 1.6 s
-	// notices a store that is back.
+	// lateGrowth is the factor by which the delay until the next hedge grows, up to longestLate.
+	// While the store does not answer, a call every 1.6 s notices when it is back.
 	lateGrowth  = 2
 	longestLate = 1600 * time.Millisecond
-	// lateCallsOfLostStore are the calls after which a store that says nothing counts as lost.
-	// One alone may have been lost with its connection.
+	// lateCallsOfLostStore is the number of hedges without an answer after which the store counts
+	// as unreachable. A single one may be due to a dead connection.
 	lateCallsOfLostStore = 2
-	// giveUpCall is how long a call may bring nothing until it is given up: the longest time
+	// giveUpCall is how long a call may receive nothing until it is canceled: the longest time
 	// that the ledger waits for a page of a busy store.
 	giveUpCall = 4 * time.Second
 )
@@ -33,17 +31,18 @@
 // errLate: nothing of an answer arrived in time.
 var errLate = eris.Wrap(ErrOutcomeUnknown, "store: no answer in time")
 
-// reading is one reading of a Watcher, by one call or several.
+// reading is one read of a Watcher, made by one or more parallel calls.
 type reading struct {
 	watcher *Watcher
-	// from is where to read from; negative for a listing of all keys.
+	// from is the offset to read from; negative for a listing of all keys.
 	from    int64
 	contact *watchContact
 	began   time.Time
-	// calls are those under way, in the order in which they were made.
+	// calls are the calls in flight, oldest first.
 	calls   []*readingCall
 	answers chan readingAnswer
-	// late fires at lateAt, when nothing has arrived for patience; it did lateCalls times.
+	// late fires at lateAt, when nothing has arrived for patience. lateCalls counts how often it
+	// did without progress.
 	late      *time.Timer
 	lateAt    time.Time
 	patience  time.Duration
@@ -53,31 +52,32 @@
 // readingCall is one call of a reading.
 type readingCall struct {
 	began time.Time
-	// wait is how long it lets the store wait for a change.
+	// wait is how long the store may wait for a change before it answers.
 	wait     time.Duration
 	progress *Progress
 	cancel   context.CancelFunc
-	// bytes had arrived by progressAt, when some arrived last as far as is known.
+	// bytes is how many bytes had arrived at the last check, and progressAt when that number last
+	// grew.
 	bytes      int64
 	progressAt time.Time
 }
 
-// readingAnswer is how a call ended.
+// readingAnswer is the result of a call.
 type readingAnswer struct {
 	call    *readingCall
 	records []Record
-	// end is where to go on from; negative if what follows is not kept any more.
+	// end is the offset to continue from; negative if the records that follow were trimmed.
 	end int64
-	// listed: the records are all that there are, not those that followed.
+	// listed: the records are a complete listing, not the changes since from.
 	listed  bool
 	err     error
 	endedAt time.Time
 }
 
-// isChange tells whether an answer brought something new.
+// isChange reports whether the answer contains anything new.
 func (a *readingAnswer) isChange() bool { return a.listed || len(a.records) > 0 }
 
-// asOf is the time as of which the answer is the newest.
+// asOf returns the time as of which the answer is known to be current.
 func (a *readingAnswer) asOf() time.Time {
 	if asOf, told := a.call.progress.AsOf(); told {
 		return asOf
@@ -85,9 +85,10 @@
 	return AsOf(a.call.began, a.call.wait, a.endedAt, a.isChange())
 }
 
-// AsOf is the time as of which the store's answer to a reading is the newest, which began and
-// ended at some times and let the store wait: a record that came before the end of a wait would
-// have been the answer.
+// AsOf returns the time as of which the answer to a read is known to be current. The read began and
+// ended at the given times and let the store wait up to wait for a change. If the whole wait passed
+// without a change, the answer is current as of the end of the wait: an earlier record would have
+// ended it. Otherwise it is current as of when the read began.
 func AsOf(began time.Time, wait time.Duration, ended time.Time, isChange bool) time.Time {
 	if !isChange && ended.Sub(began) >= wait {
 		return began.Add(wait)
@@ -97,21 +98,21 @@
 
 func newReading(w *Watcher, from int64, contact *watchContact) *reading {
 	return &reading{
-		watcher: w, from: from, contact: contact, answers: make(chan readingAnswer), patience: w.Settings.Answer,
+		watcher: w, from: from, contact: contact, answers: make(chan readingAnswer), patience: w.Settings.AnswerTimeout,
 		began: time.Now(), late: time.NewTimer(time.Hour),
 	}
 }
 
-// run makes the reading and returns its first answer, or the last failure if all calls failed.
+// run makes the read and returns the first answer, or the last error if all calls failed.
 func (r *reading) run(ctx context.Context, wait time.Duration) readingAnswer {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer r.late.Stop()
 	if r.from < 0 {
-		wait = 0 // a listing waits for no change
+		wait = 0 // a listing does not wait for a change
 	}
 	r.call(ctx, wait)
-	returned := r.watcher.contact().Returned()
+	returned := r.watcher.contact().Recovered()
 	for {
 		select {
 		case answer := <-r.answers:
@@ -122,12 +123,12 @@
 			}
 		case <-r.late.C:
 			r.noteLate(ctx)
-		case <-r.watcher.Hurry:
+		case <-r.watcher.Refresh:
 			r.hurry(ctx)
-		case <-r.watcher.Expected:
+		case <-r.watcher.ChangeExpected:
 			r.expect()
 		case <-returned:
-			returned = r.watcher.contact().Returned()
+			returned = r.watcher.contact().Recovered()
 			r.call(WithFreshConnection(ctx), 0)
 		case <-ctx.Done():
 			return readingAnswer{err: ctx.Err()}
@@ -135,7 +136,7 @@
 	}
 }
 
-// call makes a call. It is late when nothing has arrived for patience after its wait.
+// call starts a call, and sets the timer to when it is late: patience after the end of its wait.
 func (r *reading) call(ctx context.Context, wait time.Duration) {
 	calling, progress := WithProgress(ctx)
 	calling, cancel := context.WithCancel(calling)
@@ -149,18 +150,18 @@
 		answer.call, answer.endedAt = call, time.Now()
 		select {
 		case r.answers <- answer:
-		case <-ctx.Done(): // another call was answered
+		case <-ctx.Done(): // another call was answered first
 		}
 	}()
 }
 
-// lateIn sets when the reading is late.
+// lateIn sets the timer of late calls.
 func (r *reading) lateIn(left time.Duration) {
 	r.lateAt = time.Now().Add(left)
 	r.late.Reset(left)
 }
 
-// read makes the call itself.
+// read calls the store.
 func (r *reading) read(ctx context.Context, wait time.Duration) readingAnswer {
 	w := r.watcher
 	if r.from < 0 {
@@ -174,8 +175,8 @@
 	return readingAnswer{records: records, end: end, err: err}
 }
 
-// noteLate makes another call, unless more of an answer has arrived since that was last
-// looked at.
+// noteLate handles the timer: it starts another call unless more of an answer has arrived since the
+// last check.
 func (r *reading) noteLate(ctx context.Context) {
 	now := time.Now()
 	if r.noteProgress(now) {
@@ -191,8 +192,8 @@
 	r.call(WithFreshConnection(ctx), 0)
 }
 
-// noteProgress tells whether more of some answer has arrived, and gives up calls that have
-// brought nothing for long.
+// noteProgress reports whether more of an answer has arrived, and cancels calls that have received
+// nothing for giveUpCall.
 func (r *reading) noteProgress(now time.Time) (more bool) {
 	for _, call := range r.calls {
 		if bytes := call.progress.Bytes(); bytes > call.bytes {
@@ -206,26 +207,26 @@
 	return more
 }
 
-// latest returns the call that was made last.
+// latest returns the call that was started last.
 func (r *reading) latest() *readingCall { return r.calls[len(r.calls)-1] }
 
-// isWaiting tells whether the latest call lets the store wait, and nothing of its answer has
-// arrived: then whoever wants news may have to wait, too.
+// isWaiting reports whether the latest call lets the store wait for a change and nothing of its
+// answer has arrived.
 func (r *reading) isWaiting() bool {
 	latest := r.latest()
 	return latest.wait > 0 && latest.progress.Bytes() == 0
 }
 
-// hurry makes a call that does not wait for a change, unless one is under way or an answer is
-// arriving.
+// hurry starts a call that does not wait for a change, unless such a call is in flight or an answer
+// is arriving.
 func (r *reading) hurry(ctx context.Context) {
 	if r.isWaiting() {
 		r.call(ctx, 0)
 	}
 }
 
-// expect takes note that a change is there: the store has begun to answer the call that waits
-// for one, or will not answer it.
+// expect handles the news that there is a change: a call that waits for one should be answered now,
+// so it is late after patience rather than after its wait.
 func (r *reading) expect() {
 	if r.isWaiting() && time.Until(r.lateAt) > r.patience {
 		r.lateIn(r.patience)
--- a/internal/store/listing.go
+++ b/internal/store/listing.go
@@ -6,17 +6,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// pageLimit bounds the pages of one listing.
+// pageLimit bounds the number of pages of one listing.
 const pageLimit = 1000
 
-// Newest reads the newest record of each key, page by page. end is the offset
-// behind the last record that all pages are sure to cover: who goes on to read
-// from there misses nothing, and may meet records again that it has.
+// Newest reads the newest record of each key, page by page. end is the offset up to which the
+// listing is guaranteed to be complete. A caller that continues to read from end misses nothing,
+// but may see some of the listed records again.
 func Newest(ctx context.Context, s Store, partition Partition) (records []Record, end int64, err error) {
 	return ListNewest(func(after string) (Page, error) { return s.NewestPage(ctx, partition, after) })
 }
 
-// ListNewest is Newest over a function that reads a page.
+// ListNewest is like Newest, with a function that reads one page.
 func ListNewest(readPage func(after string) (Page, error)) (records []Record, end int64, err error) {
 	after := ""
 	for number := range pageLimit {
@@ -25,7 +25,7 @@
 			return nil, 0, err
 		}
 		if number == 0 {
-			end = page.End // later pages may show later records
+			end = page.End // later pages may contain records beyond this offset
 		}
 		records = append(records, page.Records...)
 		if !page.More || len(page.Records) == 0 {
@@ -36,8 +36,8 @@
 	return nil, 0, eris.Wrap(ErrMalformed, "the list of newest records does not end")
 }
 
-// ApplyNewest takes records that follow those known into the newest record of each
-// key: a record without a value drops its key.
+// ApplyNewest updates known, the newest record of each key, with the records that follow. A record
+// without a value deletes its key.
 func ApplyNewest(known map[string]Record, records []Record) {
 	for _, record := range records {
 		if len(record.Value) == 0 {
@@ -48,7 +48,7 @@
 	}
 }
 
-// SizeOf returns the bytes of records' keys and values.
+// SizeOf returns the total size of the records' keys and values in bytes.
 func SizeOf(records []Record) int {
 	size := 0
 	for _, record := range records {
--- a/internal/store/memory/memory.go
+++ b/internal/store/memory/memory.go
@@ -1,6 +1,6 @@
-// Package memory is a store in the memory of one process: the stand-in for
-// the platform's store in tests. It fences, answers repeats alike, and can be
-// told to be down, to lose answers and to do calls late.
+// Package memory implements store.Store in memory, as a stand-in for the platform's store in tests.
+// It fences writers and deduplicates repeated appends, and can simulate outages, lost answers and
+// delayed appends.
 package memory
 
 import (
@@ -13,26 +13,26 @@
 	"github.com/mintpulley/mintpulley/internal/store"
 )
 
-// pageRecords bounds the records of one page of a listing.
+// pageRecords is the maximum number of records in one page of a listing.
 const pageRecords = 500
 
-// repeatsKept is how many calls of a writer are answered again alike.
+// repeatsKept is the number of a writer's last appends that are recognized when they are repeated.
 const repeatsKept = 5
 
-// Fault tells what becomes of one call to Append.
+// Fault is what happens to one call to Append.
 type Fault int
 
-// Faults of a call.
+// Faults of a call to Append.
 const (
-	// FaultNone: the call is done and answered.
+	// FaultNone: the append is applied and answered.
 	FaultNone Fault = iota
-	// FaultRefused: nothing is done.
+	// FaultRefused: the append is refused and has no effect.
 	FaultRefused
-	// FaultAnswerLost: the call is done, and the caller hears nothing.
+	// FaultAnswerLost: the append is applied, but the answer is lost.
 	FaultAnswerLost
-	// FaultDoneLate: the caller hears nothing, and the call is done when
-	// DoLate is called, if its writer was not fenced by then.
-	FaultDoneLate
+	// FaultDelayed: the answer is lost, and the append is applied when ApplyDelayed is called, unless
+	// its writer is fenced by then.
+	FaultDelayed
 )
 
 // Store implements store.Store.
@@ -46,15 +46,15 @@
 	delay      time.Duration
 	appends    int
 	unfenced   bool
-	// capacity bounds the bytes that are kept, 0 for no bound, and full counts the appends
-	// that were refused for it.
+	// capacity is the maximum number of bytes stored, 0 for no limit. full counts the appends
+	// refused because of it.
 	capacity int
 	full     int
 }
 
 type partition struct {
 	records []store.Record
-	// first is the offset of the first record of the history.
+	// first is the offset of the first record that was not trimmed.
 	first   int64
 	newest  map[string]int
 	writers map[string]*writer
@@ -72,21 +72,21 @@
 	return s
 }
 
-// SetDown makes every call fail without effect, or ends that.
+// SetDown starts or ends an outage, in which every call fails without effect.
 func (s *Store) SetDown(down bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.down = down
 }
 
-// SetDelay makes every call take a while before it is done.
+// SetDelay sets how long every call takes.
 func (s *Store) SetDelay(delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.delay = delay
 }
 
-// await lets the delay of a call pass.
+// await sleeps for the delay of a call.
 func (s *Store) await() {
 	s.mutex.Lock()
 	delay := s.delay
@@ -96,7 +96,7 @@
 	}
 }
 
-// awaitReading lets the delay of a reading pass; false if nobody waits for its end.
+// awaitReading sleeps for the delay of a read; false if ctx ended first.
 func (s *Store) awaitReading(ctx context.Context) bool {
 	s.mutex.Lock()
 	delay := s.delay
@@ -114,15 +114,15 @@
 	}
 }
 
-// SetFault installs a function that picks the fault of each Append.
+// SetFault installs a function that chooses the fault of each Append.
 func (s *Store) SetFault(fault func(store.Partition, store.Writer) Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fault = fault
 }
 
-// DoLate does the calls that FaultDoneLate put off.
-func (s *Store) DoLate() {
+// ApplyDelayed applies the appends that FaultDelayed delayed.
+func (s *Store) ApplyDelayed() {
 	s.mutex.Lock()
 	late := s.late
 	s.late = nil
@@ -132,37 +132,37 @@
 	}
 }
 
-// SetFencing makes the store refuse superseded writers, as it does from the
-// start, or take their appends: a store that breaks its promise.
+// SetFencing sets whether superseded writers are refused, which is the default. Without fencing the
+// store violates its contract.
 func (s *Store) SetFencing(fencing bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.unfenced = !fencing
 }
 
-// SetCapacity bounds the bytes that the store keeps: the history of all partitions, and
-// besides it the newest record of each key.
+// SetCapacity limits the bytes that the store holds: the untrimmed history of all partitions plus
+// the newest record of each key.
 func (s *Store) SetCapacity(bytes int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.capacity = bytes
 }
 
-// Full returns how many appends were refused because the store was full.
-func (s *Store) Full() int {
+// FullRefusals returns the number of appends that were refused because the store was full.
+func (s *Store) FullRefusals() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.full
 }
 
-// Kept returns how many bytes the store keeps.
-func (s *Store) Kept() int {
+// StoredBytes returns the number of bytes that the store holds.
+func (s *Store) StoredBytes() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.kept()
 }
 
-// kept returns the bytes that the store keeps.
+// kept is StoredBytes for callers that hold the mutex.
 func (s *Store) kept() int {
 	bytes := 0
 	for _, p := range s.partitions {
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// Appends returns how many calls to Append were made.
+// Appends returns the number of calls to Append.
 func (s *Store) Appends() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -212,7 +212,7 @@
 	case FaultAnswerLost:
 		_ = s.append(name, by, records)
 		return store.ErrOutcomeUnknown
-	case FaultDoneLate:
+	case FaultDelayed:
 		s.late = append(s.late, func() {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
@@ -247,7 +247,8 @@
 	return nil
 }
 
-// admit checks the writer's epoch and number; repeated means it was done.
+// admit checks the writer's epoch and sequence number. repeated means that the append was applied
+// before.
 func (p *partition) admit(by store.Writer) (repeated bool, err error) {
 	known := p.writers[by.Name]
 	if known == nil || by.Epoch > known.epoch {
--- a/internal/store/memory/memory_test.go
+++ b/internal/store/memory/memory_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	if err := s.Append(ctx, p, store.Writer{Name: "w", Epoch: 2, Sequence: 2}, record); !errors.Is(err, store.ErrFenced) {
-		t.Errorf("a former epoch: got %v", err)
+		t.Errorf("an earlier epoch: got %v", err)
 	}
 }
 
@@ -45,7 +45,7 @@
 	done := make(chan struct{})
 	watcher := store.Watcher{
 		Store: s, Partition: p,
-		Settings: store.WatchSettings{Wait: 20 * time.Millisecond, Answer: time.Second, Retry: time.Millisecond},
+		Settings: store.WatchSettings{Wait: 20 * time.Millisecond, AnswerTimeout: time.Second, RetryInterval: time.Millisecond},
 		OnChange: func(records map[string]store.Record) {
 			values := map[string]string{}
 			for key, record := range records {
@@ -53,7 +53,7 @@
 			}
 			changes <- values
 		},
-		OnContact: func(err error) { contact <- err },
+		OnConnectivity: func(err error) { contact <- err },
 	}
 	go func() {
 		defer close(done)
@@ -76,11 +76,11 @@
 	expect(map[string]string{"a": "1"})
 	s.SetDown(true)
 	if err := <-contact; err == nil {
-		t.Error("the outage was not told")
+		t.Error("the outage was not reported")
 	}
 	s.SetDown(false)
 	if err := <-contact; err != nil {
-		t.Errorf("the end of the outage was not told: %v", err)
+		t.Errorf("the end of the outage was not reported: %v", err)
 	}
 	put("a", "")
 	expect(map[string]string{})
--- a/internal/store/meter.go
+++ b/internal/store/meter.go
@@ -13,42 +13,43 @@
 )
 
 const (
-	// meterWindow is the span over which a Meter adds calls up for one log line.
+	// meterWindow is the interval whose calls a Meter sums up in one log line.
 	meterWindow = time.Second
-	// meterBytes is what a daemon reads in a window at least for a line to be
-	// logged where all calls were answered: a quarter of a page.
+	// meterBytes is the number of bytes read in a window from which the window is logged even if
+	// all calls were answered: a quarter of a page.
 	meterBytes = 256 << 10
 )
 
-// Meter counts the calls and the bytes read of the store that it wraps, by purpose.
-// A second in which much was read, or in which calls failed, is told in one log line.
-// It is safe for concurrent use.
+// Meter wraps a store and counts its calls and the bytes read, by purpose. It logs one line for
+// each window in which much was read or a call failed. It is safe for concurrent use.
 type Meter struct {
 	Store
 	logger zerolog.Logger
 	calls  *prometheus.CounterVec
 	bytes  *prometheus.CounterVec
 	mutex  sync.Mutex
-	// from is when the window began that is added up, window its calls and read its bytes.
+	// from is when the current window began, window its calls by purpose, and read the bytes read
+	// in it.
 	from   time.Time
 	window map[Purpose]*meterCount
 	read   int
-	// trouble tells whether a call of the window was refused or not answered.
+	// trouble is set if a call of the window was refused or not answered.
 	trouble bool
 }
 
-// callOutcome is how a call to the store ended: a label of figures.
+// callOutcome is how a call to the store ended, as a metric label.
 type callOutcome string
 
 const (
 	outcomeAnswered   callOutcome = "answered"
 	outcomeRefused    callOutcome = "refused"
 	outcomeUnanswered callOutcome = "unanswered"
-	// outcomeGivenUp: another try was answered, or nobody waited any more.
+	// outcomeGivenUp: the caller canceled the call, because another attempt was answered or the
+	// result was no longer needed.
 	outcomeGivenUp callOutcome = "given_up"
 )
 
-// outcomeOf returns how a call under a context ended.
+// outcomeOf classifies how a call made with ctx ended.
 func outcomeOf(ctx context.Context, err error) callOutcome {
 	switch {
 	case errors.Is(err, ErrUnavailable):
@@ -61,13 +62,13 @@
 	return outcomeAnswered
 }
 
-// meterCount adds the calls of one purpose up, and the bytes that they read.
+// meterCount is the number of calls of one purpose by outcome, and the bytes that they read.
 type meterCount struct {
 	calls map[callOutcome]int
 	bytes int
 }
 
-// NewMeter wraps a store and registers its figures.
+// NewMeter wraps a store and registers its metrics.
 func NewMeter(s Store, registry prometheus.Registerer, logger zerolog.Logger) *Meter {
 	m := &Meter{
 		Store: s, logger: logger, window: map[Purpose]*meterCount{},
@@ -112,7 +113,7 @@
 	return err
 }
 
-// note counts one call that has ended.
+// note counts a finished call.
 func (m *Meter) note(ctx context.Context, records []Record, err error) {
 	purpose, now := PurposeOf(ctx), time.Now()
 	size := SizeOf(records)
@@ -136,7 +137,7 @@
 	m.bytes.WithLabelValues(string(purpose)).Add(float64(size))
 }
 
-// tell logs the window that has ended, if it is worth a line, and begins another.
+// tell logs the finished window if it is worth a line, and resets the counters.
 func (m *Meter) tell() {
 	if m.read >= meterBytes || m.trouble {
 		event := m.logger.Info().Time("since", m.from).Int("bytes", m.read)
@@ -152,7 +153,7 @@
 	m.read, m.trouble = 0, false
 }
 
-// purposes lists the purposes of the window in their order.
+// purposes returns the purposes of the window in alphabetical order.
 func (m *Meter) purposes() []Purpose {
 	var list []Purpose
 	for purpose := range m.window {
--- a/internal/store/meter_test.go
+++ b/internal/store/meter_test.go
@@ -15,8 +15,8 @@
 	"github.com/mintpulley/mintpulley/internal/store/memory"
 )
 
-// TestMeterTellsOfHeavyAndFailedSeconds: calls are counted by purpose; a second with
-// little in it is not worth a line.
+// TestMeterTellsOfHeavyAndFailedSeconds checks that calls are counted by purpose, and that a window
+// is logged only if much was read in it or a call failed.
 func TestMeterTellsOfHeavyAndFailedSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
@@ -34,7 +34,7 @@
 		read()
 		read()
 		if log.Len() > 0 {
-			t.Errorf("a light second is told: %s", log.String())
+			t.Errorf("a window with few bytes is logged: %s", log.String())
 		}
 		if err := meter.Append(context.Background(), partition, store.Writer{}, []store.Record{{Key: "k", Value: make([]byte, 300<<10)}}); err != nil {
 			t.Fatal(err)
@@ -43,14 +43,14 @@
 		read()
 		read()
 		if got := strings.Count(log.String(), "\"shard\":[1,0,0,0,307201]"); got != 1 {
-			t.Errorf("a heavy second is told %d times, want once: %s", got, log.String())
+			t.Errorf("a window with many bytes is logged %d times, want once: %s", got, log.String())
 		}
 		memory.SetDown(true)
 		read()
 		log.Reset()
 		read()
 		if !strings.Contains(log.String(), "\"shard\":[0,1,0,0,0]") {
-			t.Errorf("a failed call is not told: %s", log.String())
+			t.Errorf("a failed call is not logged: %s", log.String())
 		}
 		families, err := registry.Gather()
 		if err != nil {
@@ -58,7 +58,7 @@
 		}
 		for _, family := range families {
 			if got := len(family.GetMetric()); family.GetName() == "mintpulley_store_purpose_calls_total" && got != 3 {
-				t.Errorf("%d rows of calls, want 3: shard answered and refused, other answered", got)
+				t.Errorf("%d label combinations of calls, want 3: shard answered and refused, other answered", got)
 			}
 		}
 	})
--- a/internal/store/progress.go
+++ b/internal/store/progress.go
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// Progress tells the caller of a reading how much of the store's answer has arrived. It
-// is safe for concurrent use.
+// Progress reports to the caller of a read how much of the store's answer has arrived. It is safe
+// for concurrent use.
 type Progress struct {
 	bytes atomic.Int64
-	// asOf is when the answer was the newest, nil if that follows from when it was asked for.
+	// asOf is the time as of which the answer is current; nil if that follows from when the call
+	// was made.
 	asOf atomic.Pointer[time.Time]
 }
 
-// progressKey is the key of a context's Progress.
+// progressKey is the context key of a Progress.
 type progressKey struct{}
 
-// WithProgress returns a context under which the store's driver tells the progress of a
-// call.
+// WithProgress returns a context in which the store's driver reports the progress of a call.
 func WithProgress(ctx context.Context) (context.Context, *Progress) {
 	progress := &Progress{}
 	return context.WithValue(ctx, progressKey{}, progress), progress
 }
 
-// TrackProgress returns the progress of the calls under a context, and a context under which it
-// is told if that was not asked for before.
+// TrackProgress returns the Progress of ctx, and adds one if there is none.
 func TrackProgress(ctx context.Context) (context.Context, *Progress) {
 	if progress, watched := ctx.Value(progressKey{}).(*Progress); watched {
 		return ctx, progress
@@ -33,8 +32,7 @@
 	return WithProgress(ctx)
 }
 
-// ProgressOf returns the progress of the call that is made under a context. It is never
-// nil.
+// ProgressOf returns the Progress of ctx. It is never nil.
 func ProgressOf(ctx context.Context) *Progress {
 	if progress, watched := ctx.Value(progressKey{}).(*Progress); watched {
 		return progress
@@ -42,17 +40,17 @@
 	return &Progress{}
 }
 
-// Note takes note of bytes that arrived; the head of an answer counts as one.
-func (p *Progress) Note(bytes int) { p.bytes.Add(int64(bytes)) }
+// AddBytes adds to the number of bytes received; a response header counts as one byte.
+func (p *Progress) AddBytes(bytes int) { p.bytes.Add(int64(bytes)) }
 
-// Bytes returns how many bytes arrived so far.
+// Bytes returns the number of bytes received so far.
 func (p *Progress) Bytes() int64 { return p.bytes.Load() }
 
-// NoteAsOf takes note of the time as of which the answer is the newest: it rests on another
-// daemon's reading, which may be older than the call.
-func (p *Progress) NoteAsOf(asOf time.Time) { p.asOf.Store(&asOf) }
+// SetAsOf sets the time as of which the answer is current. It is set for an answer that another
+// daemon read, possibly before the call was made.
+func (p *Progress) SetAsOf(asOf time.Time) { p.asOf.Store(&asOf) }
 
-// AsOf returns what NoteAsOf was told last; false if it was told nothing.
+// AsOf returns the time that SetAsOf set last, or false if it was never called.
 func (p *Progress) AsOf() (asOf time.Time, told bool) {
 	if noted := p.asOf.Load(); noted != nil {
 		return *noted, true
@@ -60,16 +58,16 @@
 	return time.Time{}, false
 }
 
-// freshKey is the key of a context whose calls want a fresh connection.
+// freshKey is the context key that marks calls which need a new connection.
 type freshKey struct{}
 
-// WithFreshConnection marks calls that must not share the connection of an earlier one: it
-// hangs, and others that were opened before may be as silent.
+// WithFreshConnection marks calls that must open a new connection, because an earlier call hangs
+// and other connections of that time may be dead, too.
 func WithFreshConnection(ctx context.Context) context.Context {
 	return context.WithValue(ctx, freshKey{}, true)
 }
 
-// WantsFreshConnection tells whether calls under a context were marked so.
+// WantsFreshConnection reports whether WithFreshConnection marked ctx.
 func WantsFreshConnection(ctx context.Context) bool {
 	fresh, _ := ctx.Value(freshKey{}).(bool)
 	return fresh
--- a/internal/store/proxy/contact.go
+++ b/internal/store/proxy/connectivity.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// probePause separates direct calls while they fail: each daemon makes so
-	// few that an outage costs little, and notices the return by itself.
+	// probePause is the time between direct calls during an outage: few enough calls to cost
+	// little, and often enough for each daemon to notice the recovery by itself.
 	probePause = 200 * time.Millisecond
-	// isolatedAfter is how long neither the store nor a helper must have
-	// answered until a daemon takes itself to be cut off.
+	// isolatedAfter is how long neither the store nor a helper may have answered until a daemon
+	// considers itself isolated.
 	isolatedAfter = 1500 * time.Millisecond
 )
 
-// contact is what direct calls tell of the store.
+// contact tracks whether the store answers direct calls.
 type contact struct {
 	mutex sync.Mutex
-	// failingSince is when the first call failed since one was answered; zero
-	// if none did.
+	// failingSince is when the first call since the last answered one failed; zero if none did.
 	failingSince time.Time
-	probeAt      time.Time
+	// probeAt is when the next direct call may be made during an outage.
+	probeAt time.Time
 	// answeredAt is when a direct call was last answered.
 	answeredAt time.Time
-	// returned is closed when the store answers again after noticeAfter or more,
-	// or is said to.
+	// returned is closed when the store answers again after an outage of at least noticeAfter, or
+	// when another daemon reports that it does.
 	returned chan struct{}
-	// noticeAt is when the last notice of a return was sent or heard.
+	// noticeAt is when a notice of a recovery was last sent or received.
 	noticeAt time.Time
 }
 
 func newContact() contact { return contact{returned: make(chan struct{})} }
 
-// mayCall tells whether a direct call may be made: always while the store
-// answers, and every probePause while it does not.
+// mayCall reports whether a direct call may be made: always while the store answers, and once per
+// probePause while it does not.
 func (c *contact) mayCall(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -47,7 +47,7 @@
 	return true
 }
 
-// fail notes a call that was not answered, and tells whether it is the first.
+// fail records a call that was not answered, and reports whether it is the first of an outage.
 func (c *contact) fail(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -59,17 +59,16 @@
 	return true
 }
 
-// hasAnsweredSince tells whether the store has answered a direct call since a time: a
-// call that was made then and hangs is late at a store that is busy, or its answer was
-// lost, but the store is not.
+// hasAnsweredSince reports whether the store has answered a direct call since a time. If so, a call
+// made then that hangs is late or its answer was lost, but the store is reachable.
 func (c *contact) hasAnsweredSince(at time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.answeredAt.After(at)
 }
 
-// answer notes a call that was answered, and returns for how long none was; 0
-// if none had failed.
+// answer records an answered call, and returns how long the outage lasted that it ends; 0 if there
+// was none.
 func (c *contact) answer(now time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -85,7 +84,7 @@
 	return out
 }
 
-// mayNotify tells whether a notice of the return may be sent.
+// mayNotify reports whether a notice of the recovery may be sent now.
 func (c *contact) mayNotify(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -96,8 +95,8 @@
 	return true
 }
 
-// hearOfReturn takes another daemon's word that the store answers, and tells
-// whether that is news: whoever waits for the store tries again at once.
+// hearOfReturn handles another daemon's notice that the store answers. It reports whether this
+// daemon was in an outage; if so, the callers that wait for the store retry at once.
 func (c *contact) hearOfReturn(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/store/proxy/helper.go
+++ b/internal/store/proxy/helper.go
@@ -15,56 +15,55 @@
 )
 
 const (
-	// helperSilence is how long a helper may say nothing, beyond the wait that
-	// the call asks for, until another is asked: some ways between zones and
-	// one answer of a store that is slow.
+	// helperSilence is how long beyond the wait of the call a helper may take to answer until
+	// another one is asked: a few round trips between zones and one answer of a slow store.
 	helperSilence = 600 * time.Millisecond
-	// pageShare is the part of the asker's time that a helper may take for a page of
-	// newest records, which may be a megabyte, if that is more: a second helper can
-	// be asked after it.
+	// pageShare is the share of the caller's remaining time that a helper may use to read a page of
+	// newest records, if that is more than helperSilence. A page may be a megabyte, and a second
+	// helper must still have time.
 	pageShare = 0.5
-	// avoidSilent is how long a helper that said nothing is not asked.
+	// avoidSilent is how long a helper that did not answer is not asked.
 	avoidSilent = 3 * time.Second
-	// otherRegionsTime is for how long helpers of all regions may be asked after one of the
-	// own region failed: what keeps that from the store may be common to the region. A
+	// otherRegionsTime is how long helpers of all regions may be asked after one of this daemon's
+	// region failed, since whatever keeps that one from the store may affect the whole region. A
 	// helper of another region answers a few one-way delays of 8 ms later.
 	otherRegionsTime = 5 * time.Second
-	// outPause is how long no helper is asked after one said that it cannot
-	// reach the store either, or makes calls enough for others.
+	// outPause is how long no helper is asked after one answered that it does not reach the store
+	// either, or that it is at its limit.
 	outPause = 250 * time.Millisecond
 )
 
-// helpedPrefix marks the purpose of calls that are made for another daemon.
+// helpedPrefix is prepended to the purpose of calls made for another daemon.
 const helpedPrefix = "helped_"
 
-// errNoHelper: no daemon can be asked to pass a call on.
-var errNoHelper = eris.Wrap(store.ErrUnavailable, "proxy: no other daemon to pass the call on")
+// errNoHelper: no other daemon can be asked to make the call.
+var errNoHelper = eris.Wrap(store.ErrUnavailable, "proxy: no other daemon can make the call")
 
-// helpers is what is known of the daemons that may pass calls on.
+// helpers tracks the daemons that can be asked to make calls.
 type helpers struct {
 	mutex sync.Mutex
-	// chosen is the helper that answered last, "" for none.
+	// chosen is the helper in use, "" for none.
 	chosen structs.DaemonID
-	// avoided helpers said nothing.
+	// avoided are the helpers that did not answer recently.
 	avoided peer.Avoided
 	// outUntil is until when no helper is asked.
 	outUntil time.Time
-	// unansweredSince is when a helper was first asked since one answered; zero
-	// if none was.
+	// unansweredSince is when a helper was first asked after the last answer of one; zero if none
+	// was.
 	unansweredSince time.Time
-	// otherRegionsUntil is until when helpers of other regions come into question, too.
+	// otherRegionsUntil is until when helpers of other regions may be asked, too.
 	otherRegionsUntil time.Time
 }
 
-// candidate is a daemon that may pass calls on.
+// candidate is a daemon that may be asked to make a call.
 type candidate struct {
 	id structs.DaemonID
-	// near: it is of the own region.
+	// near: it is in this daemon's region.
 	near bool
 }
 
-// choose returns the helper to ask: one of the own region, unless there is none or one
-// failed lately.
+// choose returns the helper to ask. It is one of this daemon's region unless there is none or one
+// failed recently.
 func (h *helpers) choose(found []candidate, pick func(int) int, now time.Time) (structs.DaemonID, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -87,7 +86,7 @@
 	return h.chosen, true
 }
 
-// usable lists the candidates that did not keep silent lately, those of other regions only
+// usable returns the candidates that did not fail to answer recently; those of other regions only
 // if withOtherRegions is set.
 func (h *helpers) usable(found []candidate, withOtherRegions bool, now time.Time) []structs.DaemonID {
 	var usable []structs.DaemonID
@@ -99,8 +98,7 @@
 	return usable
 }
 
-// note takes a helper's answer; helped is false if it could not reach the store
-// either.
+// note records an answer of a helper. helped is false if it did not reach the store either.
 func (h *helpers) note(helped bool, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -112,7 +110,7 @@
 	}
 }
 
-// noteSilent passes a helper over that said nothing.
+// noteSilent excludes a helper that did not answer for a while.
 func (h *helpers) noteSilent(id structs.DaemonID, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -123,7 +121,7 @@
 	}
 }
 
-// silentFor returns for how long helpers that were asked have said nothing.
+// silentFor returns how long the helpers that were asked have not answered.
 func (h *helpers) silentFor(now time.Time) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -133,7 +131,7 @@
 	return now.Sub(h.unansweredSince)
 }
 
-// candidates are the other daemons that live and may make a call about a partition.
+// candidates returns the other daemons that are alive and may make calls about a partition.
 func (s *Service) candidates(partition store.Partition) []candidate {
 	var candidates []candidate
 	for _, member := range s.View.Members() {
@@ -164,7 +162,7 @@
 			s.helpers.noteSilent(helper, now)
 			s.Metrics.asked("silent")
 		}
-		return outcome{next: request.From, err: eris.Wrapf(store.ErrOutcomeUnknown, "proxy: %s says nothing", helper)}
+		return outcome{next: request.From, err: eris.Wrapf(store.ErrOutcomeUnknown, "proxy: no answer from helper %s", helper)}
 	}
 	got := response.outcome()
 	s.helpers.note(isAnswered(got.err), now)
@@ -172,7 +170,7 @@
 	return got
 }
 
-// helperPatience is how long a helper may say nothing.
+// helperPatience returns how long a helper may take to answer.
 func helperPatience(ctx context.Context, request *Request) time.Duration {
 	patience := request.wait() + helperSilence
 	deadline, bounded := ctx.Deadline()
@@ -182,13 +180,13 @@
 	return max(patience, time.Duration(pageShare*float64(time.Until(deadline))))
 }
 
-// ask sends a call to a helper and waits for its answer; nil means none came.
+// ask sends a call to a helper and waits for the answer; nil if none arrived.
 func (s *Service) ask(ctx context.Context, helper structs.DaemonID, request *Request) *Response {
 	patience := helperPatience(ctx, request)
 	sent := *request
 	sent.Purpose = helpedPrefix + request.Purpose
 	sent.WithinMS = patience.Milliseconds()
-	response, _ := s.replies.Ask(ctx, patience, func(number uint64) { // nil if none came
+	response, _ := s.replies.Ask(ctx, patience, func(number uint64) { // nil if no answer arrived
 		sent.Number = number
 		s.Transport.Send(helper, &sent)
 	})
--- a/internal/store/proxy/helper_test.go
+++ b/internal/store/proxy/helper_test.go
@@ -14,7 +14,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// regionalView puts the daemons of a fleet into two regions, the first half in one.
+// regionalView assigns the first half of a fleet's daemons to one region and the second half to
+// another.
 type regionalView struct{ *fleet }
 
 func (v regionalView) Members() []membership.Member {
@@ -28,8 +29,8 @@
 	return members
 }
 
-// newRegionalFleet returns a fleet of six daemons in two regions, of which the first
-// does not reach the store itself.
+// newRegionalFleet returns a fleet of six daemons in two regions. The store refuses the direct
+// calls of the first daemon.
 func newRegionalFleet() *fleet {
 	f := newFleet(6)
 	f.ways[0].set(refused)
@@ -40,7 +41,7 @@
 	return f
 }
 
-// append makes some calls one after the other and returns how many were done.
+// append makes calls one after the other and returns how many succeeded.
 func (f *fleet) append(t *testing.T, calls int) (done int) {
 	for range calls {
 		if f.services[0].Append(within(t, time.Second), partition, store.Writer{}, []store.Record{record}) == nil {
@@ -54,10 +55,10 @@
 func TestHelpersAreOfTheOwnRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRegionalFleet()
-		for round := range 20 { // each chooses anew
+		for round := range 20 { // each round chooses a helper again
 			f.services[0].helpers = helpers{}
 			if done := f.append(t, 3); done != 3 {
-				t.Errorf("round %d: %d of 3 calls were done", round, done)
+				t.Errorf("round %d: %d of 3 calls succeeded", round, done)
 			}
 		}
 		for i := 3; i < 6; i++ {
@@ -68,8 +69,8 @@
 	})
 }
 
-// TestRegionThatDoesNotReachTheStoreIsHelpedByAnother, whether its daemons say so or
-// nothing at all.
+// TestRegionThatDoesNotReachTheStoreIsHelpedByAnother checks that helpers of another region are
+// asked if those of the own region are refused by the store or do not answer.
 func TestRegionThatDoesNotReachTheStoreIsHelpedByAnother(t *testing.T) {
 	for name, lose := range map[string]func(f *fleet, i int){
 		"refused": func(f *fleet, i int) { f.ways[i].set(refused) },
@@ -81,7 +82,7 @@
 				lose(f, 1)
 				lose(f, 2)
 				if done := f.append(t, 20); done < 14 {
-					t.Errorf("%d of 20 calls were done", done)
+					t.Errorf("%d of 20 calls succeeded", done)
 				}
 			})
 		})
--- a/internal/store/proxy/messages.go
+++ b/internal/store/proxy/messages.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/store"
 )
 
-// call names one of the store's calls.
+// call is the name of one of the store's calls.
 type call string
 
 const (
@@ -21,21 +21,21 @@
 	callTrim   call = "trim"
 )
 
-// Request asks another daemon to make a call to the store.
+// Request asks another daemon to call the store.
 type Request struct {
 	Number uint64 `json:"n"`
 	Call   call   `json:"c"`
-	// Purpose is what the call is for, for figures and logs.
+	// Purpose is the purpose of the call, for metrics and logs.
 	Purpose   store.Purpose   `json:"u,omitempty"`
 	Partition store.Partition `json:"p"`
 	Writer    store.Writer    `json:"w,omitzero"`
 	Records   []store.Record  `json:"r,omitempty"`
-	// From is the offset that a reading begins at, or before which history is trimmed.
+	// From is the offset to read from, or the offset before which to trim.
 	From int64 `json:"f,omitempty"`
-	// After is the key behind which a page of newest records begins.
+	// After is the key after which a page of newest records starts.
 	After string `json:"a,omitempty"`
-	// WaitMS is how long a reading waits at the store, and WithinMS how long
-	// the asker waits for the answer, both in milliseconds.
+	// WaitMS is how long the store may wait for a change, and WithinMS how long the requester waits
+	// for the answer, in milliseconds.
 	WaitMS   int64 `json:"wait,omitempty"`
 	WithinMS int64 `json:"within"`
 }
@@ -47,12 +47,12 @@
 	Detail  string         `json:"d,omitempty"`
 	Records []store.Record `json:"l,omitempty"`
 	Next    int64          `json:"o,omitempty"`
-	// More: a page of newest records is not the last.
+	// More: a page of newest records is not the last one.
 	More bool `json:"m,omitempty"`
 }
 
-// Returned tells that the store answers again.
-type Returned struct{}
+// RecoveryNotice tells another daemon that the store answers again after an outage.
+type RecoveryNotice struct{}
 
 // MessageKind implements peer.Message.
 func (*Request) MessageKind() peer.Kind { return "store.request" }
@@ -61,23 +61,23 @@
 func (*Response) MessageKind() peer.Kind { return "store.response" }
 
 // MessageKind implements peer.Message.
-func (*Returned) MessageKind() peer.Kind { return "store.returned" }
+func (*RecoveryNotice) MessageKind() peer.Kind { return "store.returned" }
 
 func init() {
 	peer.Register(peer.ClassData, &Request{})
 	peer.Register(peer.ClassData, &Response{})
-	peer.Register(peer.ClassControl, &Returned{})
+	peer.Register(peer.ClassControl, &RecoveryNotice{})
 }
 
-// isKnown tells whether a request names a call.
+// isKnown reports whether the request names a known call.
 func (r *Request) isKnown() bool {
 	return r.Call == callAppend || r.Call == callNewest || r.Call == callRead || r.Call == callTrim
 }
 
-// wait is how long the store itself may let the call wait.
+// wait returns how long the store may wait for a change.
 func (r *Request) wait() time.Duration { return time.Duration(r.WaitMS) * time.Millisecond }
 
-// perform makes the call.
+// perform makes the call on a store.
 func (r *Request) perform(ctx context.Context, s store.Store) outcome {
 	ctx = store.WithPurpose(ctx, r.Purpose)
 	var got outcome
@@ -96,7 +96,7 @@
 	return got
 }
 
-// result tells what became of a call that was passed on.
+// result is the result of a call made for another daemon.
 type result string
 
 const (
@@ -110,7 +110,7 @@
 	resultMalformed   result = "malformed"
 )
 
-// errorOf gives the error of each result but resultOK.
+// errorOf maps each result except resultOK to its error.
 var errorOf = map[result]error{
 	resultUnavailable: store.ErrUnavailable,
 	resultFull:        store.ErrFull,
@@ -136,8 +136,8 @@
 	return resultUnknown
 }
 
-// outcome turns an answer into what the call would have returned. A result
-// that this version does not know tells nothing of what was done.
+// outcome converts a response to the return values of the call. A result that this version does not
+// know says nothing about whether the call took effect.
 func (r *Response) outcome() outcome {
 	got := outcome{records: r.Records, next: r.Next, more: r.More}
 	if r.Result == resultOK {
--- a/internal/store/proxy/metrics.go
+++ b/internal/store/proxy/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts calls that went by way of another daemon.
+// Metrics counts calls made by way of another daemon.
 type Metrics struct {
 	calls *prometheus.CounterVec
 	late  prometheus.Counter
--- a/internal/store/proxy/proxy.go
+++ b/internal/store/proxy/proxy.go
@@ -1,12 +1,11 @@
-// Package proxy lets a daemon that cannot reach the store call it by way of
-// another daemon.
+// Package proxy lets a daemon that cannot reach the store call it by way of another daemon, called
+// a helper.
 //
-// A platform may refuse, throttle or cut off some machines while it serves the
-// others. A call that fails, or that takes long, is made a second time by way
-// of a daemon that may reach the store; the first answer counts. That is safe
-// for reads, and for appends that carry a writer's epoch and number: the store
-// does a repeated append once, and fences a superseded writer whichever way its
-// append comes. Appends without a writer must be harmless when done twice.
+// A platform may refuse, throttle or cut off some machines while it serves the others. A call that
+// fails or is slow is made a second time by way of a daemon that may reach the store, and the first
+// answer counts. That is safe for reads, and for appends that carry a writer's epoch and sequence
+// number: the store applies a repeated append once, and fences a superseded writer on whichever way
+// its append arrives. Appends without a writer must be idempotent.
 package proxy
 
 import (
@@ -25,68 +24,67 @@
 )
 
 const (
-	// overdueAfter is how long a direct call may take, beyond the wait that it
-	// asks for, until it is made by way of a helper, too. An answer of the store
-	// takes some milliseconds; one of a store that is slow for all takes as long
-	// for a helper, so little is gained by asking sooner.
+	// overdueAfter is how long a direct append may take until a helper makes it, too. The store
+	// usually answers within milliseconds; if it is slow for everyone, it is as slow for a helper,
+	// so a shorter time would gain little.
 	overdueAfter = 150 * time.Millisecond
-	// readOverdueAfter is the same for a reading. It may bring a megabyte, which takes a link
-	// of 30 Mbit/s 0.3 s; made twice it takes a store that is busy, and two machines, as much
-	// again.
+	// readOverdueAfter is the same for a read, in addition to its wait. A read may return a
+	// megabyte, which takes 0.3 s on a link of 30 Mbit/s, and a second copy would load a busy store
+	// and two machines.
 	readOverdueAfter = 400 * time.Millisecond
-	// silentAfter is how long nothing of a direct call's answer may have arrived, and none of
-	// another, until the store counts as lost: some answers of a store that is sixty times as
-	// slow as usual. Calls that are waited for without a limit would not tell of it at all.
+	// silentAfter is how long nothing of a direct call's answer may have arrived, nor any other
+	// answer, until the store counts as unreachable: a few answers of a store that is sixty times
+	// slower than usual. It also detects outages for calls without a deadline.
 	silentAfter = 700 * time.Millisecond
-	// overdueFactor times what pages of newest records of a space took lately is
-	// how long the next may take: a page is up to a megabyte, and made twice it costs
-	// two machines what one of them is short of.
+	// overdueFactor times the recent duration of pages of newest records of a space is how long the
+	// next page may take until a helper reads it, too. A page may be a megabyte, so a second copy
+	// is expensive.
 	overdueFactor = 3
-	// busyPageAfter is how long a page of many records may take at least while the store
-	// answers other calls: it is busy, and a page made twice makes it busier.
+	// busyPageAfter is the minimum time that a page of a bulk read may take while the store answers
+	// other calls: the store is busy, and a second copy would make it busier.
 	busyPageAfter = 700 * time.Millisecond
-	// pageTimeFall is how fast the longest time of a page is forgotten, with each
-	// shorter one: the last page of a listing is a short one.
+	// pageTimeFall is the factor by which the recorded duration of a page decays with each shorter
+	// page. The last page of a listing is short.
 	pageTimeFall = 0.9
-	// noticeAfter is how long the store must have been out for its return to be
-	// told to the other daemons, and noticePause separates such notices.
+	// noticeAfter is the minimum length of an outage whose end is announced to the other daemons,
+	// and noticePause the minimum time between announcements.
 	noticeAfter = 300 * time.Millisecond
 	noticePause = time.Second
 )
 
-// Options give a Service what it works with.
+// Options configure a Service.
 type Options struct {
 	Self structs.DaemonID
-	// Region is this daemon's: helpers are looked for there first.
+	// Region is this daemon's region, whose helpers are preferred.
 	Region structs.RegionName
-	// Direct is the store as this daemon reaches it itself.
+	// Direct is the store as this daemon reaches it without a helper.
 	Direct    store.Store
 	Transport peer.Transport
 	View      membership.View
 	Random    *rand.Rand
-	// MayHelp tells whether a daemon may see the records of a partition; nil if all
-	// may see all.
+	// MayHelp reports whether a daemon is allowed to see the records of a partition; nil if all
+	// daemons may see all partitions.
 	MayHelp func(partition store.Partition, daemon structs.Daemon) bool
 	Logger  zerolog.Logger
 	Metrics *Metrics
 }
 
-// Service is a store.Store and a store.Contact. It is safe for concurrent use.
+// Service is a store.Store and a store.Connectivity. It is safe for concurrent use.
 type Service struct {
 	Options
 	contact contact
 	helpers helpers
-	// serving bounds the calls that are made for other daemons at a time.
+	// serving limits the concurrent calls made for other daemons.
 	serving chan struct{}
 	served  served
 	replies peer.Replies[*Response]
-	// mutex guards Options.Random and pageTimes, which tells by space how long pages
-	// of newest records took lately.
+	// mutex guards Options.Random and pageTimes, the recent duration of a page of newest records by
+	// space.
 	mutex     sync.Mutex
 	pageTimes map[string]time.Duration
 }
 
-// New returns a service.
+// New returns a Service.
 func New(options Options) *Service {
 	return &Service{
 		Options: options,
@@ -97,7 +95,7 @@
 	}
 }
 
-// outcome is what became of a call.
+// outcome holds the return values of a call.
 type outcome struct {
 	records []store.Record
 	next    int64
@@ -105,8 +103,8 @@
 	err     error
 }
 
-// isAnswered tells whether the store itself answered a call, also that it is full: another
-// daemon would hear the same.
+// isAnswered reports whether the store itself answered a call. An answer that it is full counts, as
+// another daemon would get the same.
 func isAnswered(err error) bool {
 	return errors.Is(err, store.ErrFull) || !errors.Is(err, store.ErrUnavailable) && !errors.Is(err, store.ErrOutcomeUnknown)
 }
@@ -133,7 +131,7 @@
 	return s.do(ctx, &Request{Call: callTrim, Partition: partition, From: before}).err
 }
 
-// callWays are the ways by which one call is being made, directly or by a helper.
+// callWays are the parallel attempts at one call, directly and by way of a helper.
 type callWays struct {
 	request  *Request
 	answers  chan outcome
@@ -142,13 +140,13 @@
 	helped bool
 }
 
-// start makes the call by one more way.
+// start starts another attempt.
 func (w *callWays) start(ctx context.Context, call func(context.Context, *Request) outcome) {
 	w.underway++
 	go func() { w.answers <- call(ctx, w.request) }()
 }
 
-// askHelper makes the call by way of a helper, once.
+// askHelper starts an attempt by way of a helper, unless there was one.
 func (s *Service) askHelper(ctx context.Context, w *callWays) {
 	if !w.helped {
 		w.helped = true
@@ -200,7 +198,7 @@
 	}
 }
 
-// overdueTime is how long a direct call may take until a helper makes it, too.
+// overdueTime returns how long a direct call may take until a helper makes it, too.
 func (s *Service) overdueTime(request *Request) time.Duration {
 	switch request.Call {
 	case callAppend:
@@ -213,13 +211,14 @@
 	return max(overdueFactor*s.pageTimes[request.Partition.Space], overdueAfter)
 }
 
-// isBusyPage tells whether a page that is overdue is waited for all the same.
+// isBusyPage reports whether an overdue page should be waited for without asking a helper, because
+// the store is only busy.
 func (s *Service) isBusyPage(request *Request, started time.Time) bool {
 	return request.Call == callNewest && request.Purpose.IsBulk() &&
 		time.Since(started) < busyPageAfter && s.contact.hasAnsweredSince(started)
 }
 
-// notePageTime takes note of how long a page took.
+// notePageTime records how long a page took.
 func (s *Service) notePageTime(request *Request, took time.Duration) {
 	if request.Call != callNewest {
 		return
@@ -230,8 +229,8 @@
 	s.pageTimes[request.Partition.Space] = max(took, fallen)
 }
 
-// worse joins the errors of a call that was made in two ways: it may have been
-// done if either of them may have done it.
+// worse merges the errors of two attempts at a call: the outcome is unknown if either attempt may
+// have taken effect.
 func worse(a, b error) error {
 	if a == nil || errors.Is(b, store.ErrOutcomeUnknown) {
 		return b
@@ -239,8 +238,7 @@
 	return a
 }
 
-// callDirect makes a call without a helper, and takes note of whether the
-// store answers.
+// callDirect makes a call without a helper, and records whether the store answered.
 func (s *Service) callDirect(ctx context.Context, request *Request) outcome {
 	started := time.Now()
 	watch := s.watchSilence(ctx, request, started)
@@ -250,7 +248,7 @@
 		s.notePageTime(request, time.Since(started))
 	}
 	if !isAnswered(got.err) && errors.Is(ctx.Err(), context.Canceled) {
-		return got // nobody waited for the answer any more
+		return got // the caller canceled the call
 	}
 	if errors.Is(got.err, store.ErrOutcomeUnknown) && s.contact.hasAnsweredSince(started) {
 		s.Metrics.lateCall()
@@ -260,8 +258,8 @@
 	return got
 }
 
-// watchSilence takes note that the store does not answer if nothing of a direct call's answer
-// arrives in time, until the watch is stopped.
+// watchSilence starts a timer that records an outage if nothing of a direct call's answer arrives
+// in time. The caller stops it.
 func (s *Service) watchSilence(ctx context.Context, request *Request, started time.Time) (watch *time.Timer) {
 	progress := store.ProgressOf(ctx)
 	before := progress.Bytes()
@@ -273,11 +271,11 @@
 	})
 }
 
-// noteDirect takes the outcome of a direct call.
+// noteDirect records the outcome of a direct call, and logs the begin and the end of an outage.
 func (s *Service) noteDirect(err error) {
 	if !isAnswered(err) {
 		if s.contact.fail(time.Now()) {
-			s.Logger.Warn().Err(err).Msg("The store does not answer. Calls go by way of other daemons, too.")
+			s.Logger.Warn().Err(err).Msg("The store does not answer. Other daemons are asked to make calls, too.")
 		}
 		return
 	}
@@ -291,34 +289,34 @@
 	}
 }
 
-// notify tells the other daemons that the store answers again.
+// notify announces to the other daemons that the store answers again.
 func (s *Service) notify() {
 	for _, member := range s.View.Members() {
 		if member.Daemon.ID != s.Self {
-			s.Transport.Send(member.Daemon.ID, &Returned{})
+			s.Transport.Send(member.Daemon.ID, &RecoveryNotice{})
 		}
 	}
 }
 
-// Returned implements store.Contact.
-func (s *Service) Returned() <-chan struct{} { return s.contact.signal() }
+// Recovered implements store.Connectivity.
+func (s *Service) Recovered() <-chan struct{} { return s.contact.signal() }
 
-// IsIsolated implements store.Contact.
+// IsIsolated implements store.Connectivity.
 func (s *Service) IsIsolated() bool {
 	now := time.Now()
 	return s.contact.failingFor(now) > isolatedAfter && s.helpers.silentFor(now) > isolatedAfter
 }
 
-// Receive takes a message that arrived; false means it is another part's.
+// Receive handles a message; it returns false if the message belongs to another component.
 func (s *Service) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch message := message.(type) {
 	case *Request:
 		s.serve(from, message)
 	case *Response:
 		s.replies.Deliver(message.Number, message)
-	case *Returned:
+	case *RecoveryNotice:
 		if s.contact.hearOfReturn(time.Now()) {
-			s.Logger.Info().Str("from", string(from)).Msg("Another daemon tells that the store answers again.")
+			s.Logger.Info().Str("from", string(from)).Msg("Another daemon reports that the store answers again.")
 		}
 	default:
 		return false
@@ -327,6 +325,6 @@
 }
 
 var (
-	_ store.Store   = (*Service)(nil)
-	_ store.Contact = (*Service)(nil)
+	_ store.Store        = (*Service)(nil)
+	_ store.Connectivity = (*Service)(nil)
 )
--- a/internal/store/proxy/proxy_test.go
+++ b/internal/store/proxy/proxy_test.go
@@ -21,7 +21,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// trouble is what one daemon's own way to the store is like.
+// trouble is the fault of one daemon's direct connection to the store.
 type trouble int
 
 const (
@@ -30,10 +30,10 @@
 	silent
 )
 
-// way is one daemon's own way to the store.
+// way is one daemon's direct connection to the store.
 type way struct {
 	*memory.Store
-	// arriving makes the answers of readings arrive piece by piece for so long.
+	// arriving is how long the answers of reads take to arrive, piece by piece.
 	arriving time.Duration
 	mutex    sync.Mutex
 	trouble  trouble
@@ -52,7 +52,7 @@
 	return w.calls
 }
 
-// pass tells whether a call gets to the store.
+// pass counts a call and returns the error of the current fault, if there is one.
 func (w *way) pass(ctx context.Context) error {
 	w.mutex.Lock()
 	w.calls++
@@ -88,12 +88,12 @@
 		return nil, from, err
 	}
 	for began := time.Now(); time.Since(began) < w.arriving; time.Sleep(50 * time.Millisecond) {
-		store.ProgressOf(ctx).Note(1)
+		store.ProgressOf(ctx).AddBytes(1)
 	}
 	return w.Store.Read(ctx, p, from, wait)
 }
 
-// fleet is some daemons over one store.
+// fleet is a set of daemons that share one store.
 type fleet struct {
 	store    *memory.Store
 	ids      []structs.DaemonID
@@ -140,7 +140,7 @@
 // Subscribe implements membership.View.
 func (f *fleet) Subscribe(func(membership.Member)) {}
 
-// transport carries one daemon's messages through the codec.
+// transport delivers one daemon's messages, encoded and decoded.
 type transport struct {
 	fleet *fleet
 	self  structs.DaemonID
@@ -207,7 +207,7 @@
 					t.Errorf("read: %d records, next %d, %v", len(got), next, err)
 				}
 				if s.IsIsolated() {
-					t.Error("takes itself to be cut off")
+					t.Error("considers itself isolated")
 				}
 			})
 		})
@@ -246,7 +246,7 @@
 			}
 		}
 		if done < 6 {
-			t.Errorf("%d of 8 appends were done by way of the one helper that answers", done)
+			t.Errorf("%d of 8 appends succeeded by way of the one helper that answers", done)
 		}
 	})
 }
@@ -261,7 +261,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		var callers sync.WaitGroup
 		for _, s := range f.services {
-			for range 3 { // those who wait for the store try all the time
+			for range 3 { // callers that wait for the store retry all the time
 				callers.Go(func() {
 					for ctx.Err() == nil {
 						_ = s.Append(ctx, partition, store.Writer{}, []store.Record{record})
@@ -285,12 +285,12 @@
 		}
 		var heard []<-chan struct{}
 		for _, s := range f.services {
-			heard = append(heard, s.Returned())
+			heard = append(heard, s.Recovered())
 		}
 		for _, w := range f.ways {
 			w.set(reaches)
 		}
-		time.Sleep(probePause) // one daemon's next try may come
+		time.Sleep(probePause) // the next probe may be made
 		if err := f.services[3].Append(t.Context(), partition, store.Writer{}, []store.Record{record}); err != nil {
 			t.Fatal(err)
 		}
@@ -317,12 +317,12 @@
 			_ = f.services[0].Append(within(t, 500*time.Millisecond), partition, store.Writer{}, []store.Record{record})
 		}
 		if !f.services[0].IsIsolated() {
-			t.Error("does not know that it is cut off")
+			t.Error("does not consider itself isolated")
 		}
 		if f.services[1].IsIsolated() {
-			t.Error("another daemon takes itself to be cut off")
+			t.Error("another daemon considers itself isolated")
 		}
-		// An outage for all is no reason to give work to others.
+		// In an outage for all daemons there is nobody to hand work over to.
 		f = newFleet(3)
 		for _, w := range f.ways {
 			w.set(refused)
@@ -332,7 +332,7 @@
 			time.Sleep(400 * time.Millisecond)
 		}
 		if f.services[0].IsIsolated() {
-			t.Error("takes itself to be cut off in an outage for all")
+			t.Error("considers itself isolated in an outage for all daemons")
 		}
 	})
 }
@@ -353,7 +353,7 @@
 			t.Errorf("a daemon makes %d calls at a time for another, want %d at most", calls, servingLimit)
 		}
 		callers.Wait()
-		time.Sleep(2 * time.Second) // what the helper makes ends
+		time.Sleep(2 * time.Second) // the helper's calls end
 	})
 }
 
@@ -367,20 +367,20 @@
 		if got := <-answers; got.Result != resultUnavailable {
 			t.Errorf("got %q", got.Result)
 		}
-		s.Receive(f.services[0].Self, &Response{Number: 77}) // nobody waits
+		s.Receive(f.services[0].Self, &Response{Number: 77}) // no call waits for it
 		if got := (&Response{Result: "new"}).outcome().err; !errors.Is(got, store.ErrOutcomeUnknown) {
-			t.Errorf("a result of a later version: got %v", got)
+			t.Errorf("an unknown result: got %v", got)
 		}
 	})
 }
 
-// TestLongPageIsNotReadTwice: a page that takes long, as pages of its space do, is
+// TestLongPageIsNotReadTwice checks that a page which takes as long as recent pages of its space is
 // not read by way of a helper, too.
 func TestLongPageIsNotReadTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
 		s := f.services[0]
-		for _, took := range []time.Duration{400, 400, 20, 400} { // a listing's last page is short
+		for _, took := range []time.Duration{400, 400, 20, 400} { // the last page of a listing is short
 			f.store.SetDelay(took * time.Millisecond)
 			if _, err := s.NewestPage(within(t, 2*time.Second), partition, ""); err != nil {
 				t.Fatal(err)
@@ -392,10 +392,8 @@
 	})
 }
 
-// TestLongPageComesByWayOfAHelper: to a daemon that the store does not serve.
-// TestSilenceIsNoticedByCallsWithoutALimit: a daemon without requests only follows what is in the
-// store, and waits for that without a limit. It was not noticed that the store said nothing, so
-// that a daemon which was cut off took itself for one that is not.
+// TestSilenceIsNoticedByCallsWithoutALimit checks that a daemon without requests, whose only calls
+// have no deadline, notices that the store does not answer.
 func TestSilenceIsNoticedByCallsWithoutALimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
@@ -405,19 +403,19 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			_, _, _ = f.services[0].Read(ctx, partition, 0, time.Second) // it is given up below
+			_, _, _ = f.services[0].Read(ctx, partition, 0, time.Second) // canceled below
 		}()
 		time.Sleep(time.Second + silentAfter + 10*time.Millisecond)
 		if f.services[0].contact.failingFor(time.Now()) == 0 {
-			t.Error("the store counts as answering that has said nothing")
+			t.Error("the store counts as reachable although it did not answer")
 		}
 		cancel()
 		<-done
 	})
 }
 
-// TestReadingThatArrivesIsNotMadeTwice: a large record takes small machines long, and a second
-// reading of it by way of another daemon takes two of them.
+// TestReadingThatArrivesIsNotMadeTwice checks that a read whose answer is still arriving is not
+// repeated by way of a helper: a large record takes small machines long.
 func TestReadingThatArrivesIsNotMadeTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
@@ -426,11 +424,12 @@
 			t.Fatal(err)
 		}
 		if got := f.ways[1].count(); got != 0 {
-			t.Errorf("the helper made %d calls for a reading whose answer was arriving", got)
+			t.Errorf("the helper made %d calls for a read whose answer was arriving", got)
 		}
 	})
 }
 
+// TestLongPageComesByWayOfAHelper checks that a helper has enough time for a slow page.
 func TestLongPageComesByWayOfAHelper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
@@ -442,7 +441,7 @@
 	})
 }
 
-// busyWay is a way to a store that answers one call late while it answers others.
+// busyWay delays one kind of call while others are answered at once.
 type busyWay struct {
 	*way
 	late time.Duration
@@ -457,8 +456,8 @@
 	return w.way.NewestPage(ctx, p, after)
 }
 
-// TestBusyStoreIsNotTakenForALostOne: while the store answers other calls, one that
-// comes late is neither made by way of a helper nor news of an outage.
+// TestBusyStoreIsNotTakenForALostOne checks that a late call neither goes to a helper nor counts as
+// an outage while the store answers other calls.
 func TestBusyStoreIsNotTakenForALostOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
@@ -478,13 +477,13 @@
 		if _, err := s.NewestPage(bulk, partition, ""); err != nil {
 			t.Error(err)
 		}
-		for range 3 { // these are given up by their caller
+		for range 3 { // calls that their caller cancels
 			ctx, cancel := context.WithTimeout(bulk, 500*time.Millisecond)
 			_, _ = s.NewestPage(ctx, partition, "")
 			cancel()
 			time.Sleep(5 * time.Millisecond)
 			if failing := s.contact.failingFor(time.Now()); failing > 0 {
-				t.Errorf("the store is taken for lost since %s", failing)
+				t.Errorf("the store counts as unreachable for %s", failing)
 			}
 		}
 		stop()
--- a/internal/store/proxy/serve.go
+++ b/internal/store/proxy/serve.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// servingLimit bounds the calls that one daemon makes for others at a time,
-	// so that its own callers keep most of its machine.
+	// servingLimit is the maximum number of concurrent calls made for other daemons. It leaves most
+	// of the machine to this daemon's own callers.
 	servingLimit = 32
-	// servedPause separates the log lines that tell of help for one daemon.
+	// servedPause is the minimum time between log lines about help for the same daemon.
 	servedPause = 5 * time.Second
-	// servedLimit bounds the daemons whose help is remembered.
+	// servedLimit is the maximum number of daemons that are remembered for the log.
 	servedLimit = 1024
 )
 
-// served remembers which daemons were helped lately, for the log.
+// served limits the rate of log lines about help for other daemons.
 type served struct {
 	mutex  sync.Mutex
 	toldAt map[structs.DaemonID]time.Time
 }
 
-// isNews tells whether help for a daemon is to be logged.
+// isNews reports whether help for a daemon should be logged now.
 func (s *served) isNews(daemon structs.DaemonID, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -39,7 +39,7 @@
 	return true
 }
 
-// serve makes a call for another daemon. It never passes the call on further.
+// serve makes a call for another daemon. It never asks a third daemon.
 func (s *Service) serve(from structs.DaemonID, request *Request) {
 	if !request.isKnown() || !s.contact.mayCall(time.Now()) {
 		s.reply(from, request, outcome{err: store.ErrUnavailable})
@@ -53,7 +53,7 @@
 	}
 	if s.served.isNews(from, time.Now()) {
 		s.Logger.Info().Str("for", string(from)).Str("call", string(request.Call)).
-			Msg("Makes calls to the store for another daemon.")
+			Msg("Calling the store for another daemon.")
 	}
 	go func() {
 		defer func() { <-s.serving }()
--- a/internal/store/purpose.go
+++ b/internal/store/purpose.go
@@ -2,10 +2,10 @@
 
 import "context"
 
-// Purpose is what a call to the store is made for: a label of figures and logs.
+// Purpose is why a call to the store is made, as a label of metrics and logs.
 type Purpose string
 
-// Purposes of calls; watchers name theirs after the space that they follow.
+// Purposes of calls. Those of watchers are named after the space they follow.
 const (
 	PurposeOther     Purpose = "other"
 	PurposeDirectory Purpose = "directory"
@@ -17,20 +17,21 @@
 	PurposeTrim      Purpose = "trim"
 )
 
-// IsBulk tells whether calls bring many records, which take long by themselves.
+// IsBulk reports whether calls of this purpose read many records, and are therefore slow even on a
+// healthy store.
 func (p Purpose) IsBulk() bool {
 	return p == PurposeShard || p == PurposeHistories || p == PurposeReadAhead
 }
 
-// purposeKey is the key of a context's purpose.
+// purposeKey is the context key of a Purpose.
 type purposeKey struct{}
 
-// WithPurpose marks calls made under a context.
+// WithPurpose sets the purpose of the calls made with the returned context.
 func WithPurpose(ctx context.Context, purpose Purpose) context.Context {
 	return context.WithValue(ctx, purposeKey{}, purpose)
 }
 
-// PurposeOf returns what calls under a context are made for.
+// PurposeOf returns the purpose of calls made with ctx.
 func PurposeOf(ctx context.Context) Purpose {
 	if purpose, marked := ctx.Value(purposeKey{}).(Purpose); marked {
 		return purpose
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -9,17 +9,17 @@
 	"github.com/mintpulley/mintpulley/internal/clock"
 )
 
-// WatchSettings give the pauses of a Watcher.
+// WatchSettings are the timing parameters of a Watcher.
 type WatchSettings struct {
-	// Wait is how long one reading waits at the store for a change.
+	// Wait is how long the store may wait for a change in one read.
 	Wait time.Duration
-	// Answer is how long after that nothing of the answer may arrive until the reading is
-	// made a second time, beside the first; see reading.
-	Answer time.Duration
-	// Pause separates readings, so that frequent changes are read together.
+	// AnswerTimeout is how long after Wait nothing of the answer may arrive until the read is sent a
+	// second time in parallel; see reading.
+	AnswerTimeout time.Duration
+	// Pause is the time between reads, so that frequent changes are read in one batch.
 	Pause time.Duration
-	// Retry separates readings while the store refuses them.
-	Retry time.Duration
+	// RetryInterval is the time between reads while the store refuses them.
+	RetryInterval time.Duration
 }
 
 // Watcher follows the newest record of each key of a partition.
@@ -27,30 +27,28 @@
 	Store     Store
 	Partition Partition
 	Settings  WatchSettings
-	// OnChange is called with the newest records by key after each change, and
-	// after the first reading. The map must not be kept.
+	// OnChange is called with the newest records by key after the first read and after each change.
+	// It must not retain the map.
 	OnChange func(records map[string]Record)
-	// OnAdvance, if given, is called in place of OnChange, and told the place behind
-	// the last record that was read too: the higher it is, the newer are the records.
+	// OnAdvance, if set, is called instead of OnChange and also gets the offset after the last
+	// record read: the higher it is, the newer are the records.
 	OnAdvance func(records map[string]Record, end int64)
-	// OnRead, if given, is called after each reading that the store answered,
-	// with or without a change, and after OnChange: what was heard is the newest as of
-	// a time, which is when the reading was asked for, or when the store had waited for
-	// a record in vain.
+	// OnRead, if set, is called after each read that the store answered, with or without a change,
+	// and after OnChange. asOf is the time as of which the records are known to be the newest; see
+	// AsOf.
 	OnRead func(asOf time.Time)
-	// OnContact is called when the store is lost, with the cause, and with nil
-	// when it answers again.
-	OnContact func(err error)
-	// Contact, if given, tells when the store answers again: then a reading is made
-	// beside one that hangs.
-	Contact Contact
-	// Hurry, if given, asks for a reading that does not wait for a change: somebody wants
-	// to know what is the newest now.
-	Hurry <-chan struct{}
-	// Expected, if given, tells that there are changes which were not read yet: a reading
-	// that waits for some is due.
-	Expected <-chan struct{}
-	// Metrics, if given, count the readings, and Logger hears of those that bring nothing.
+	// OnConnectivity is called with the error when the store becomes unreachable, and with nil when it
+	// answers again.
+	OnConnectivity func(err error)
+	// Connectivity, if set, signals when the store answers again. A read that hangs is then sent again
+	// in parallel.
+	Connectivity Connectivity
+	// Refresh, if set, requests a read that returns the current records without waiting for a change.
+	Refresh <-chan struct{}
+	// ChangeExpected, if set, signals that there are changes which were not read yet, so that a read
+	// which waits for changes should be answered now.
+	ChangeExpected <-chan struct{}
+	// Metrics, if set, count the reads. Logger, if set, gets the reads that fail or are late.
 	Metrics *WatchMetrics
 	Logger  *zerolog.Logger
 }
@@ -59,11 +57,11 @@
 func (w *Watcher) Run(ctx context.Context) {
 	known := map[string]Record{}
 	next := int64(-1)
-	contact := watchContact{tell: w.OnContact}
+	contact := watchContact{tell: w.OnConnectivity}
 	for ctx.Err() == nil {
 		wait := w.Settings.Wait
 		if contact.lost {
-			wait = 0 // what counts is whether the store answers
+			wait = 0 // only check whether the store answers
 		}
 		answer := newReading(w, next, &contact).run(ctx, wait)
 		switch {
@@ -77,7 +75,7 @@
 		contact.noteAnswer()
 		next = answer.end
 		if next < 0 {
-			continue // the records that follow are gone: nothing is known of what they told
+			continue // the records that follow were trimmed: list all keys again
 		}
 		if answer.listed {
 			clear(known)
@@ -93,7 +91,7 @@
 	}
 }
 
-// tell calls OnAdvance, or OnChange without it.
+// tell calls OnAdvance, or OnChange if OnAdvance is not set.
 func (w *Watcher) tell(known map[string]Record, end int64) {
 	if w.OnAdvance != nil {
 		w.OnAdvance(known, end)
@@ -102,25 +100,25 @@
 	w.OnChange(known)
 }
 
-// pause waits before the next reading, until the store answers again at most.
+// pause waits until the next read is due or the store answers again.
 func (w *Watcher) pause(ctx context.Context) {
-	retry := time.NewTimer(w.Settings.Retry)
+	retry := time.NewTimer(w.Settings.RetryInterval)
 	defer retry.Stop()
 	select {
 	case <-retry.C:
-	case <-w.contact().Returned():
+	case <-w.contact().Recovered():
 	case <-ctx.Done():
 	}
 }
 
-func (w *Watcher) contact() Contact {
-	if w.Contact == nil {
-		return NoContact{}
+func (w *Watcher) contact() Connectivity {
+	if w.Connectivity == nil {
+		return UnknownConnectivity{}
 	}
-	return w.Contact
+	return w.Connectivity
 }
 
-// watchContact is whether a watcher takes the store for lost.
+// watchContact tracks whether a watcher considers the store unreachable.
 type watchContact struct {
 	lost bool
 	tell func(err error)
--- a/internal/store/watch_busy_test.go
+++ b/internal/store/watch_busy_test.go
@@ -12,8 +12,8 @@
 	"github.com/mintpulley/mintpulley/internal/store/memory"
 )
 
-// busyStore serves readings one after the other at a rate that all share. It goes on with a
-// reading that nobody waits for any more: it has begun it.
+// busyStore serves reads one after the other at a rate shared by all. It finishes a read that it
+// has begun even if nobody waits for it any more.
 type busyStore struct {
 	*memory.Store
 	bytesPerSecond int
@@ -33,7 +33,7 @@
 	return records, next, nil
 }
 
-// pass waits until the store has sent so many bytes; false if nobody waits for them.
+// pass waits until the store has sent size bytes; false if the caller left first.
 func (s *busyStore) pass(ctx context.Context, size int) bool {
 	s.mutex.Lock()
 	if now := time.Now(); s.freeAt.Before(now) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// busyFleet is daemons that follow one partition of a busy store.
+// busyFleet is a number of daemons that follow one partition of a busy store.
 type busyFleet struct {
 	mutex    sync.Mutex
 	store    *busyStore
@@ -72,13 +72,13 @@
 func (f *busyFleet) run(ctx context.Context, settings store.WatchSettings) {
 	for i, hurry := range f.hurries {
 		watcher := store.Watcher{
-			Store: f.store, Partition: store.Partition{Space: "routes"}, Settings: settings, Hurry: hurry,
+			Store: f.store, Partition: store.Partition{Space: "routes"}, Settings: settings, Refresh: hurry,
 			OnAdvance: func(_ map[string]store.Record, end int64) {
 				f.mutex.Lock()
 				defer f.mutex.Unlock()
 				f.versions[i] = end
 			},
-			OnContact: func(err error) {
+			OnConnectivity: func(err error) {
 				f.mutex.Lock()
 				defer f.mutex.Unlock()
 				if err != nil {
@@ -90,8 +90,8 @@
 	}
 }
 
-// hurryThoseBehind asks the daemons that do not have a version for a reading at once, as word
-// from others does, and returns how many they are.
+// hurryThoseBehind requests an immediate read from each daemon that lacks a version, as news from
+// other daemons would, and returns how many lack it.
 func (f *busyFleet) hurryThoseBehind(version int64) (behind int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -108,21 +108,9 @@
 	return behind
 }
 
-// TestLargeRecordIsReadAlthoughItsNewsIsHeard plays how a fleet never finished reading a large
-// configuration. What operators saw: a version with 2,800 routes was acknowledged, and half of
-// the daemons went on with the one before; ten seconds later requests were refused because no
-// daemon could confirm its tenants' keys, and instances that had left still got requests.
-//
-// The order of events: the record of 0.8 MB takes the store 10 ms for each of 65 daemons, and
-// small machines longer. The daemons that were served first told the others of the version, as
-// each answer between daemons does. That word broke off the reading under way, every 0.1 s. The
-// store went on with what it had begun, so its queue grew, and soon no reading, however small,
-// was answered within the 0.7 s after which a daemon gave it up and began it anew.
-//
-// The cause: a reading that gets on was ended by a wish for the very thing that it brings, and
-// by a limit of our own. The evidence: in the first second 133 readings of 65 daemons were
-// broken off after 0.16 s in the median, none was refused or late, and the store answered every
-// append all the time.
+// TestLargeRecordIsReadAlthoughItsNewsIsHeard guards against a fleet that never finishes reading a
+// large record because news of it cancels and restarts the reads in flight: the busy store goes on
+// with canceled reads, so its queue grows.
 func TestLargeRecordIsReadAlthoughItsNewsIsHeard(t *testing.T) {
 	const (
 		daemons = 65
@@ -133,11 +121,11 @@
 		f := newBusyFleet(daemons, rate)
 		ctx, stop := context.WithCancel(t.Context())
 		f.run(ctx, store.WatchSettings{
-			Wait: 1500 * time.Millisecond, Answer: 700 * time.Millisecond, Retry: 150 * time.Millisecond,
+			Wait: 1500 * time.Millisecond, AnswerTimeout: 700 * time.Millisecond, RetryInterval: 150 * time.Millisecond,
 		})
 		time.Sleep(time.Second)
 		large := store.Record{Key: "configuration", Value: bytes.Repeat([]byte("r"), size)}
-		for range 2 { // a second version follows before the first is read by all
+		for range 2 { // a second version follows before all daemons have read the first
 			if err := f.store.Append(ctx, store.Partition{Space: "routes"}, store.Writer{}, []store.Record{large}); err != nil {
 				t.Fatal(err)
 			}
@@ -155,15 +143,15 @@
 			t.Errorf("%d of %d daemons have not read it after %s", behind, daemons, took)
 		}
 		if most := 2 * 2 * daemons * size; f.store.served > most {
-			t.Errorf("the store read %d MB, of which %d MB were needed", f.store.served>>20, 2*daemons*size>>20)
+			t.Errorf("the store served %d MB, of which %d MB were needed", f.store.served>>20, 2*daemons*size>>20)
 		}
 		if f.lost > 0 {
-			t.Errorf("%d daemons took the store for lost, which answered all the time", f.lost)
+			t.Errorf("%d daemons considered the store unreachable although it answered all the time", f.lost)
 		}
 	})
 }
 
-// silentStore answers nothing to the readings that wait while it is silent, and counts those
+// silentStore does not answer reads that wait for a change while it is silent, and counts reads
 // that do not wait.
 type silentStore struct {
 	*memory.Store
@@ -182,20 +170,21 @@
 	return s.Store.Read(ctx, p, from, wait)
 }
 
-// TestExpectedChangeIsReadAlthoughTheReadingHangs: who hears of a change does not wait for the
-// end of a reading's wait, and who gets it from the reading makes no further one.
+// TestExpectedChangeIsReadAlthoughTheReadingHangs checks that news of a change does not have to
+// wait until the end of a read that hangs, and that no extra read is made if the one in flight
+// returns the change.
 func TestExpectedChangeIsReadAlthoughTheReadingHangs(t *testing.T) {
-	for name, isSilent := range map[string]bool{"the reading hangs": true, "the reading brings it": false} {
+	for name, isSilent := range map[string]bool{"the read hangs": true, "the read returns it": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &silentStore{Store: memory.New(), silent: isSilent}
 				expected := make(chan struct{}, 1)
 				changed := make(chan struct{}, 2)
 				watcher := store.Watcher{
-					Store: s, Partition: store.Partition{Space: "x"}, Expected: expected,
-					Settings:  store.WatchSettings{Wait: time.Minute, Answer: 400 * time.Millisecond},
-					OnChange:  func(map[string]store.Record) { changed <- struct{}{} },
-					OnContact: func(error) {},
+					Store: s, Partition: store.Partition{Space: "x"}, ChangeExpected: expected,
+					Settings:       store.WatchSettings{Wait: time.Minute, AnswerTimeout: 400 * time.Millisecond},
+					OnChange:       func(map[string]store.Record) { changed <- struct{}{} },
+					OnConnectivity: func(error) {},
 				}
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
@@ -206,7 +195,7 @@
 					t.Fatal(err)
 				}
 				began := time.Now()
-				for len(changed) == 0 && time.Since(began) < 10*time.Second { // others tell of it until it is read
+				for len(changed) == 0 && time.Since(began) < 10*time.Second { // other daemons announce it until it is read
 					select {
 					case expected <- struct{}{}:
 					default:
@@ -217,7 +206,7 @@
 					t.Errorf("read after %s", took)
 				}
 				if want := map[bool]int{true: 1, false: 0}[isSilent]; s.urgent != want {
-					t.Errorf("%d readings beside the first, want %d", s.urgent, want)
+					t.Errorf("%d parallel reads, want %d", s.urgent, want)
 				}
 			})
 		})
--- a/internal/store/watch_report.go
+++ b/internal/store/watch_report.go
@@ -7,19 +7,19 @@
 	"github.com/rs/zerolog"
 )
 
-// readingOutcome is how a call of a Watcher's reading went: a label of figures.
+// readingOutcome is how a call of a Watcher's read ended, as a metric label.
 type readingOutcome string
 
 const (
 	readingChanged   readingOutcome = "changed"
 	readingUnchanged readingOutcome = "unchanged"
-	// readingFailed: the store refused it, or it was given up.
+	// readingFailed: the store refused the call, or the call was canceled.
 	readingFailed readingOutcome = "failed"
-	// readingLate: nothing came in time, and it was made once more beside.
+	// readingLate: nothing arrived in time, and the read was sent again in parallel.
 	readingLate readingOutcome = "late"
 )
 
-// WatchMetrics counts the readings of all watchers of a daemon.
+// WatchMetrics counts the reads of all watchers of a daemon.
 type WatchMetrics struct {
 	readings *prometheus.CounterVec
 	times    *prometheus.HistogramVec
@@ -42,7 +42,7 @@
 	return m
 }
 
-// outcomeOfReading returns how a call of a reading ended.
+// outcomeOfReading classifies how a call of a read ended.
 func outcomeOfReading(answer readingAnswer) readingOutcome {
 	switch {
 	case answer.err != nil:
@@ -53,26 +53,26 @@
 	return readingUnchanged
 }
 
-// report counts a call of a reading, and logs one that failed.
+// report counts a finished call of a read, and logs it if it failed.
 func (r *reading) report(answer readingAnswer) {
 	outcome := outcomeOfReading(answer)
 	took := answer.endedAt.Sub(answer.call.began)
 	r.count(outcome, took)
 	if outcome == readingFailed {
 		r.watcher.logger().Info().Str("space", r.watcher.Partition.Space).Dur("took", took).Int("underway", len(r.calls)).
-			Int64("bytes", answer.call.progress.Bytes()).AnErr("error", answer.err).Msg("Reading not answered.")
+			Int64("bytes", answer.call.progress.Bytes()).AnErr("error", answer.err).Msg("Read failed.")
 	}
 }
 
-// reportLate counts a reading that is late, and logs it.
+// reportLate counts and logs a read that is late.
 func (r *reading) reportLate(now time.Time) {
 	took := now.Sub(r.began)
 	r.count(readingLate, took)
 	r.watcher.logger().Info().Str("space", r.watcher.Partition.Space).Dur("took", took).Int("underway", len(r.calls)).
-		Int64("bytes", r.latest().progress.Bytes()).Msg("Reading late. Made once more beside.")
+		Int64("bytes", r.latest().progress.Bytes()).Msg("Read is late. Sent again in parallel.")
 }
 
-// count adds a call or a reading up.
+// count updates the metrics, if there are any.
 func (r *reading) count(outcome readingOutcome, took time.Duration) {
 	metrics, space := r.watcher.Metrics, r.watcher.Partition.Space
 	if metrics == nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// logger returns where the watcher logs to: nowhere unless it was given one.
+// logger returns the watcher's logger, or one that discards everything.
 func (w *Watcher) logger() *zerolog.Logger {
 	if w.Logger == nil {
 		nowhere := zerolog.Nop()
--- a/internal/store/watch_test.go
+++ b/internal/store/watch_test.go
@@ -19,13 +19,13 @@
 		var value string
 		w := store.Watcher{
 			Store: s, Partition: partition,
-			Settings: store.WatchSettings{Wait: time.Second, Answer: time.Second, Retry: 100 * time.Millisecond},
+			Settings: store.WatchSettings{Wait: time.Second, AnswerTimeout: time.Second, RetryInterval: 100 * time.Millisecond},
 			OnChange: func(records map[string]store.Record) {
 				changes++
 				value = string(records["a"].Value)
 			},
 			OnRead: func(time.Time) { reads++ },
-			OnContact: func(err error) {
+			OnConnectivity: func(err error) {
 				if err != nil {
 					losses++
 				} else {
@@ -55,19 +55,19 @@
 		before := reads
 		time.Sleep(3 * time.Second)
 		if losses != 1 || reads != before {
-			t.Errorf("%d losses told, %d reads while the store was down", losses, reads-before)
+			t.Errorf("%d losses reported, %d reads while the store was down", losses, reads-before)
 		}
 		s.SetDown(false)
 		time.Sleep(3 * time.Second)
 		if returns != 1 || reads == before {
-			t.Errorf("%d returns told, %d reads since", returns, reads-before)
+			t.Errorf("%d recoveries reported, %d reads since", returns, reads-before)
 		}
 		stop()
 		<-done
 	})
 }
 
-// trimmedStore says once that the records which follow are gone.
+// trimmedStore reports once that the records at the offset were trimmed.
 type trimmedStore struct {
 	*memory.Store
 	trimmed bool
@@ -81,8 +81,8 @@
 	return s.Store.Read(ctx, p, from, wait)
 }
 
-// TestReadingTellsAsOfWhenItIsTheNewest: the end of a wait in which no record came, or
-// else when it was asked for. That records are gone tells nothing.
+// TestReadingTellsAsOfWhenItIsTheNewest checks that a read is current as of the end of its wait if
+// no record arrived, or else as of when it was sent, and that a trimmed offset confirms nothing.
 func TestReadingTellsAsOfWhenItIsTheNewest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &trimmedStore{Store: memory.New()}
@@ -90,8 +90,8 @@
 		var told []time.Duration
 		began := time.Now()
 		w := store.Watcher{
-			Store: s, Partition: partition, Settings: store.WatchSettings{Wait: time.Second, Answer: time.Second},
-			OnChange: func(map[string]store.Record) {}, OnContact: func(error) {},
+			Store: s, Partition: partition, Settings: store.WatchSettings{Wait: time.Second, AnswerTimeout: time.Second},
+			OnChange: func(map[string]store.Record) {}, OnConnectivity: func(error) {},
 			OnRead: func(asOf time.Time) { told = append(told, asOf.Sub(began)) },
 		}
 		ctx, stop := context.WithCancel(t.Context())
@@ -100,7 +100,7 @@
 			w.Run(ctx)
 			close(done)
 		}()
-		time.Sleep(1500 * time.Millisecond) // a listing, the loss of records, a listing, a wait, half a wait
+		time.Sleep(1500 * time.Millisecond) // a listing, a trimmed read, a listing, a full wait, half a wait
 		if err := s.Append(ctx, partition, store.Writer{}, []store.Record{{Key: "a", Value: []byte("1")}}); err != nil {
 			t.Fatal(err)
 		}
@@ -108,7 +108,7 @@
 		stop()
 		<-done
 		if want := []time.Duration{0, 0, time.Second, time.Second}; !slices.Equal(told, want) {
-			t.Errorf("told as of %v, want %v", told, want)
+			t.Errorf("reported as of %v, want %v", told, want)
 		}
 	})
 }
