--- a/internal/ledger/options.go
+++ b/internal/ledger/options.go
@@ -34,7 +34,7 @@
 	Transport peer.Transport
 	View      View
 	// Connectivity tells when the store answers again; nil if nothing does.
-	Connectivity store.Contact
+	Connectivity store.Connectivity
 	// Partitions names every shard's partition, the same in the whole fleet.
 	Partitions []store.Partition
 	// Directory is the partition that tells who holds each shard.
