--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,21 +1,21 @@
-// Package admission decides whether a request that cannot go on at this moment
-// waits or is refused, and when a refused caller had better come back.
+// Package admission decides whether a request that cannot proceed waits or is
+// refused, and when a refused caller should retry.
 //
-// What holds a request up is a condition: the store is out, a program's shard is
-// being taken over, all instances of a service are full. A condition that has
-// lasted long tends to last on, so how long conditions of a kind last is taken as
-// a Pareto (Lomax) distribution: one that has lasted e ends within a further w
-// with probability
+// A request is held up by a condition: the store is unavailable, a program's shard
+// is being taken over, or all instances of a service are at capacity. The longer a
+// condition has lasted, the longer it tends to go on. Durations are therefore
+// modelled by a Pareto (Lomax) distribution: a condition that has lasted e ends
+// within a further w with probability
 //
 //	P = 1 - ((scale + e) / (scale + e + w))^shape
 //
-// Its scale is that of the shortest troubles of the kind, and its shape is learned
-// from those that ended, by maximum likelihood. A request waits while it is more
-// likely served than not by the time at which an answer stops counting for its
-// caller, and is refused at the moment at which that hope ends.
+// The scale is that of the shortest conditions of a kind. The shape is estimated
+// from the durations of past conditions by maximum likelihood. A request waits as
+// long as it is more likely than not to be served before its caller stops waiting,
+// and is refused when that no longer holds.
 //
-// The package is pure: it has no clock and no goroutine. It is safe for
-// concurrent use.
+// The package uses no clock and starts no goroutines. It is safe for concurrent
+// use.
 package admission
 
 import (
@@ -24,26 +24,25 @@
 	"time"
 )
 
-// Kind is a kind of condition that holds requests up.
+// Kind is a condition that holds requests up.
 type Kind int
 
-// Kinds of conditions.
+// Conditions that hold requests up.
 const (
-	// ShardMoving: a program's shard is being taken over, or its holder is not
-	// known.
+	// ShardMoving: a program's shard is being taken over, or its holder is unknown.
 	ShardMoving Kind = iota
-	// StoreOut: the store answers nobody.
+	// StoreUnavailable: no daemon reaches the store.
 	StoreUnavailable
-	// ServiceFull: all instances of a service refuse requests, as they are full.
+	// ServiceFull: all instances of a service refuse requests because they are at capacity.
 	ServiceFull
-	// ServiceGone: no instance of a service is known.
+	// NoInstances: no instance of a service is known.
 	NoInstances
-	// ServiceEvacuated: all instances of a service are in zones that the operators
+	// ServiceEvacuated: all instances of a service are in zones that operators have
 	// evacuated.
 	ServiceEvacuated
-	// RoutesUnknown: the daemon has just started and knows no routes yet.
+	// RoutesUnknown: the daemon has just started and has not read the routes yet.
 	RoutesUnknown
-	kinds
+	kindCount
 )
 
 // String implements fmt.Stringer.
@@ -65,115 +64,120 @@
 	return "unknown"
 }
 
-// scales are what the shortest troubles of each kind last, from the times that
-// cause them.
-var scales = [kinds]time.Duration{
-	// A claim and the reading of a small shard, after a silence of 0.3 s (ledger).
+// scales are the scale parameters of the distributions: the duration of the shortest
+// conditions of each kind, derived from the timeouts that cause them.
+var scales = [kindCount]time.Duration{
+	// Claiming and reading a small shard, after its holder was silent for 0.3 s (package
+	// ledger).
 	ShardMoving: 300 * time.Millisecond,
-	// What it takes to notice that the store is out (store/proxy, ledger).
+	// Detecting that the store is unavailable (packages store/proxy and ledger).
 	StoreUnavailable: 700 * time.Millisecond,
-	// A few requests of some tens of milliseconds that end and make places free.
+	// A few requests of tens of milliseconds complete and free their slots.
 	ServiceFull: 50 * time.Millisecond,
-	// A heartbeat of an instance that is starting.
+	// One heartbeat of an instance that starts.
 	NoInstances: time.Second,
-	// What it takes to empty a zone: the operators' usual bound on that.
+	// The operators' usual bound on emptying a zone.
 	ServiceEvacuated: 5 * time.Second,
-	// One reading of the routes on a small machine that starts beside others.
+	// One read of the routes on a small machine where other processes start, too.
 	RoutesUnknown: 200 * time.Millisecond,
 }
 
 const (
-	// evenOdds is the probability from which on a request waits.
-	evenOdds = 0.5
-	// priorShape is the shape before anything was learned: half of the conditions
-	// that have lasted e (beyond the scale) end within another e.
+	// minSuccessProbability is the probability of being served in time above which a
+	// request waits.
+	minSuccessProbability = 0.5
+	// priorShape is the shape of the prior: half of the conditions that have lasted e
+	// (beyond the scale) end within another e.
 	priorShape = 1.0
-	// priorCount is how many conditions that belief weighs.
-	priorCount = 4.0
-	// leastShape and mostShape bound what is learned: a few odd conditions must
-	// make no request wait for ever, nor refuse all.
-	leastShape = 0.5
-	mostShape  = 4.0
-	// learnedLimit bounds the conditions that what was learned weighs, so that it
-	// follows the times.
-	learnedLimit = 32.0
+	// priorWeight is the number of samples that the prior weighs.
+	priorWeight = 4.0
+	// minShape and maxShape bound the estimate: a few outliers must neither make requests
+	// wait indefinitely nor refuse all of them.
+	minShape = 0.5
+	maxShape = 4.0
+	// maxSampleWeight bounds the number of samples that past conditions weigh, so that the
+	// estimate follows recent ones.
+	maxSampleWeight = 32.0
 )
 
-// Admission forecasts and decides. The zero value is ready.
+// Controller forecasts when conditions end, and decides which requests wait for that. The
+// zero value is ready to use.
 type Controller struct {
 	mutex   sync.Mutex
-	learned [kinds]learned
+	samples [kindCount]samples
 }
 
-// learned is what the conditions of a kind that ended tell of its shape.
-type learned struct {
+// samples are the sufficient statistics of the durations of one kind of condition.
+type samples struct {
 	count float64
-	// logs is the sum of ln(1 + length/scale).
-	logs float64
+	// logSum is the sum of ln(1 + duration/scale).
+	logSum float64
 }
 
-// Wait is a request that is held up.
+// HeldUpRequest is a request that a condition keeps from proceeding.
 type HeldUpRequest struct {
 	Kind Kind
-	// Since is when the condition began, as far as is known.
+	// Since is when the condition began, as far as known.
 	Since time.Time
-	// Worthless is when being served stops to count for the caller: the end of its
-	// time or patience, less what serving takes.
+	// LatestStart is the latest time at which serving may start and still be of use to the
+	// caller: the end of its deadline or patience, minus the usual serving time.
 	LatestStart time.Time
 }
 
-// Decision is what becomes of a request that is held up.
+// Decision states how long a held-up request waits, and the forecast behind that.
 type Decision struct {
-	// Until is the moment to which the request waits; it is refused then. One that
-	// is past is refused at once.
+	// WaitUntil is the time until which the request waits, and at which it is refused. If
+	// it is past, the request is refused at once.
 	WaitUntil time.Time
-	// Chance is the probability that it is served in time if it waits on now.
+	// SuccessProbability is the probability that the request is served in time if it goes
+	// on waiting.
 	SuccessProbability float64
-	// Remaining is how long the condition lasts on from now, with even odds.
+	// MedianRemaining is the median of the condition's remaining duration.
 	MedianRemaining time.Duration
 }
 
-// Waits tells whether the request is to wait at a time.
+// ShouldWait reports whether the request should still wait at now.
 func (d Decision) ShouldWait(now time.Time) bool { return now.Before(d.WaitUntil) }
 
-// Decide forecasts a condition's end at a time and decides.
+// Decide forecasts when the condition ends, and decides how long the request waits for it.
 func (a *Controller) Decide(wait HeldUpRequest, now time.Time) Decision {
 	scale, shape := scales[wait.Kind].Seconds(), a.shape(wait.Kind)
 	lasted := max(now.Sub(wait.Since), 0).Seconds()
 	left := wait.LatestStart.Sub(now).Seconds()
-	// factor times (scale + lasted) is what a condition lasts on with even odds.
-	factor := math.Pow(1-evenOdds, -1/shape) - 1
+	// The median of the remaining duration is factor * (scale + lasted).
+	factor := math.Pow(1-minSuccessProbability, -1/shape) - 1
 	decision := Decision{MedianRemaining: seconds(factor * (scale + lasted))}
 	if left <= 0 {
 		decision.WaitUntil = now
 		return decision
 	}
 	decision.SuccessProbability = 1 - math.Pow((scale+lasted)/(scale+lasted+left), shape)
-	// The odds are even when left-x = factor*(scale+lasted+x).
+	// The success probability falls to one half at x from now, where left-x =
+	// factor*(scale+lasted+x).
 	decision.WaitUntil = now.Add(seconds((left - factor*(scale+lasted)) / (1 + factor)))
 	return decision
 }
 
-// Ended takes note of how long a condition lasted that ended.
+// ObserveDuration adds the duration of a condition that ended to the estimate for its kind.
 func (a *Controller) ObserveDuration(kind Kind, lasted time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	l := &a.learned[kind]
-	if l.count >= learnedLimit {
-		l.logs *= (learnedLimit - 1) / l.count
-		l.count = learnedLimit - 1
+	l := &a.samples[kind]
+	if l.count >= maxSampleWeight {
+		l.logSum *= (maxSampleWeight - 1) / l.count
+		l.count = maxSampleWeight - 1
 	}
 	l.count++
-	l.logs += math.Log1p(max(lasted, 0).Seconds() / scales[kind].Seconds())
+	l.logSum += math.Log1p(max(lasted, 0).Seconds() / scales[kind].Seconds())
 }
 
-// shape is the maximum likelihood of a kind's shape, with what was believed before.
+// shape returns the maximum likelihood estimate of a kind's shape, combined with the prior.
 func (a *Controller) shape(kind Kind) float64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	l := a.learned[kind]
-	shape := (priorCount + l.count) / (priorCount/priorShape + l.logs)
-	return min(max(shape, leastShape), mostShape)
+	l := a.samples[kind]
+	shape := (priorWeight + l.count) / (priorWeight/priorShape + l.logSum)
+	return min(max(shape, minShape), maxShape)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,7 +9,8 @@
 
 var start = time.Date(2026, time.December, 2, 18, 0, 0, 0, time.UTC)
 
-// storeOut is a request that is held up by a store that has been out for a while.
+// storeOut returns a request that is held up because the store has been unavailable for
+// some time.
 func storeOut(lasted, left time.Duration) (HeldUpRequest, time.Time) {
 	now := start.Add(lasted)
 	return HeldUpRequest{Kind: StoreUnavailable, Since: start, LatestStart: now.Add(left)}, now
@@ -21,11 +22,11 @@
 		lasted, left time.Duration
 		waits        bool
 	}{
-		{"the outage has just begun and there is much time", 0, 3 * time.Second, true},
-		{"the outage has just begun and there is none", 0, 200 * time.Millisecond, false},
-		{"it has lasted longer than the caller still listens", 4 * time.Second, 3 * time.Second, false},
-		{"the caller listens for longer than it has lasted", 4 * time.Second, 6 * time.Second, true},
-		{"the time is over", time.Second, -time.Second, false},
+		{"new outage, long deadline", 0, 3 * time.Second, true},
+		{"new outage, short deadline", 0, 200 * time.Millisecond, false},
+		{"outage longer than the time left", 4 * time.Second, 3 * time.Second, false},
+		{"time left longer than the outage", 4 * time.Second, 6 * time.Second, true},
+		{"deadline passed", time.Second, -time.Second, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -41,7 +42,7 @@
 func TestWaitEndsWhenTheOddsAreEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a Controller
-		kind := Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind"))
+		kind := Kind(rapid.IntRange(0, int(kindCount)-1).Draw(t, "kind"))
 		for range rapid.IntRange(0, 50).Draw(t, "ended") {
 			a.ObserveDuration(kind, time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "lasted")))
 		}
@@ -50,7 +51,7 @@
 		now := start.Add(lasted)
 		wait := HeldUpRequest{Kind: kind, Since: start, LatestStart: now.Add(left)}
 		first := a.Decide(wait, now)
-		if waits := first.ShouldWait(now); waits != (first.SuccessProbability > evenOdds) {
+		if waits := first.ShouldWait(now); waits != (first.SuccessProbability > minSuccessProbability) {
 			t.Fatalf("chance %v, waits: %v", first.SuccessProbability, waits)
 		}
 		if !first.ShouldWait(now) {
@@ -59,18 +60,18 @@
 		if first.WaitUntil.After(wait.LatestStart) {
 			t.Fatalf("waits until %s, which is after %s", first.WaitUntil, wait.LatestStart)
 		}
-		// The same answer comes out later: nothing is decided anew by being asked.
+		// Asking again later yields the same decision: asking has no side effects.
 		middle := now.Add(first.WaitUntil.Sub(now) / 2)
 		if later := a.Decide(wait, middle).WaitUntil; later.Sub(first.WaitUntil).Abs() > time.Microsecond {
 			t.Fatalf("decided %s, and later %s", first.WaitUntil, later)
 		}
 		if a.Decide(wait, first.WaitUntil.Add(time.Millisecond)).ShouldWait(first.WaitUntil.Add(time.Millisecond)) {
-			t.Fatal("still waits after that")
+			t.Fatal("still waits 1 ms after the end of its wait")
 		}
 	})
 }
 
-func TestForecastFollowsTheConditionsThatEnded(t *testing.T) {
+func TestForecastLearnsFromObservedDurations(t *testing.T) {
 	var fresh, short, long Controller
 	for range 40 {
 		short.ObserveDuration(ShardMoving, 100*time.Millisecond)
@@ -79,18 +80,18 @@
 	wait := HeldUpRequest{Kind: ShardMoving, Since: start, LatestStart: start.Add(500 * time.Millisecond)}
 	before, quick, slow := fresh.Decide(wait, start), short.Decide(wait, start), long.Decide(wait, start)
 	if !(quick.MedianRemaining < before.MedianRemaining && before.MedianRemaining < slow.MedianRemaining) {
-		t.Errorf("remaining: %s after short ones, %s before any, %s after long ones", quick.MedianRemaining, before.MedianRemaining, slow.MedianRemaining)
+		t.Errorf("median remaining: %s after short samples, %s without samples, %s after long samples", quick.MedianRemaining, before.MedianRemaining, slow.MedianRemaining)
 	}
 	if !quick.ShouldWait(start) || slow.ShouldWait(start) {
-		t.Errorf("waits: %v after short ones, %v after long ones", quick.ShouldWait(start), slow.ShouldWait(start))
+		t.Errorf("waits: %v after short samples, %v after long samples", quick.ShouldWait(start), slow.ShouldWait(start))
 	}
 	other := HeldUpRequest{Kind: StoreUnavailable, Since: start, LatestStart: start.Add(time.Second)}
 	if long.Decide(other, start) != fresh.Decide(other, start) {
-		t.Error("one kind of condition speaks for another")
+		t.Error("samples of one kind changed the forecast of another")
 	}
 }
 
-func TestForecastFollowsTheTimes(t *testing.T) {
+func TestForecastWeighsRecentDurationsMore(t *testing.T) {
 	var a Controller
 	for range 200 {
 		a.ObserveDuration(ServiceFull, 10*time.Second)
@@ -100,7 +101,7 @@
 	}
 	wait := HeldUpRequest{Kind: ServiceFull, Since: start, LatestStart: start.Add(100 * time.Millisecond)}
 	if !a.Decide(wait, start).ShouldWait(start) {
-		t.Error("what was long ago outweighs what is")
+		t.Error("old samples outweigh recent ones")
 	}
 }
 
--- a/internal/eventstream/reader.go
+++ b/internal/eventstream/reader.go
@@ -1,5 +1,5 @@
-// Package eventstream reads streams of server-sent events one whole event at
-// a time, so that an event which was cut off partway is never passed on.
+// Package eventstream reads streams of server-sent events one whole event at a time, so
+// that a truncated event is never passed on.
 package eventstream
 
 import (
@@ -11,20 +11,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrTooLong: an event exceeds the reader's limit.
+// ErrTooLong is returned if an event exceeds the reader's limit.
 var ErrTooLong = eris.New("eventstream: the event is too long")
 
-// Event is one whole event.
+// Event is one complete server-sent event.
 type Event struct {
-	// Raw holds the event's bytes as they came, the empty line included.
+	// Raw holds the event's bytes as received, including the terminating empty line.
 	Raw []byte
-	// ID is the event's id, "" if it has none.
+	// ID is the value of the id field, "" if there is none.
 	ID string
-	// Data is what the event carries, lines joined by line feeds.
+	// Data holds the values of the data fields, joined by line feeds.
 	Data []byte
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	source *bufio.Reader
 	limit  int
@@ -35,8 +35,8 @@
 	return &Reader{source: bufio.NewReader(source), limit: limit}
 }
 
-// Next returns the next whole event, io.EOF at the end of the stream, and
-// io.ErrUnexpectedEOF when the stream ends inside an event.
+// Next returns the next complete event. It returns io.EOF at the end of the stream, and
+// io.ErrUnexpectedEOF if the stream ends within an event.
 func (r *Reader) Next() (Event, error) {
 	var event Event
 	hasData := false
@@ -49,11 +49,11 @@
 		if len(text) == 0 {
 			return event, nil
 		}
-		hasData = event.field(text, hasData)
+		hasData = event.parseField(text, hasData)
 	}
 }
 
-// readLine adds the next line to the event's bytes and returns it.
+// readLine appends the next line to event.Raw and returns it.
 func (r *Reader) readLine(event *Event) ([]byte, error) {
 	start := len(event.Raw)
 	for {
@@ -66,20 +66,21 @@
 			return event.Raw[start:], nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
-			return nil, endOf(err, event.Raw)
+			return nil, truncationError(err, event.Raw)
 		}
 	}
 }
 
-func endOf(err error, gathered []byte) error {
+func truncationError(err error, gathered []byte) error {
 	if errors.Is(err, io.EOF) && len(gathered) > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// field takes one line; it returns whether the event has data by now.
-func (e *Event) field(line []byte, hasData bool) bool {
+// parseField parses one line into the event. It returns whether the event has had a data
+// field so far.
+func (e *Event) parseField(line []byte, hasData bool) bool {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
--- a/internal/eventstream/reader_test.go
+++ b/internal/eventstream/reader_test.go
@@ -60,7 +60,7 @@
 			joined += string(event.Raw)
 		}
 		if !strings.HasPrefix(text, joined) {
-			t.Errorf("the events %q are not what came", joined)
+			t.Errorf("the events %q are not a prefix of the input", joined)
 		}
 	})
 }
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,6 +1,6 @@
-// Package prefix turns conversations into token counts and chained block
-// hashes, so that the scheduler and the engine stand-ins agree on which
-// prefixes two prompts share. One token stands for four bytes of text.
+// Package prefix computes token counts and chained block hashes of conversations, so that
+// the scheduler and the simulated engines agree on which prefixes two prompts share. One
+// token stands for four bytes of text.
 package prefix
 
 import (
@@ -22,9 +22,9 @@
 	messageOverheadBytes = 16
 )
 
-// Hasher walks a conversation and emits a hash per full block. A hash covers
-// the block and everything before it. The zero value is ready; copying one
-// forks the conversation.
+// Hasher hashes a conversation incrementally, one hash per full block. A hash covers the
+// block and everything before it. The zero value is ready to use; a copy continues the
+// conversation independently.
 type Hasher struct {
 	chain   uint64
 	partial [blockBytes]byte
@@ -32,7 +32,7 @@
 	bytes   int64
 }
 
-// Write adds a message and appends the hashes of blocks it completes.
+// Write adds a message and appends the hashes of the blocks that it completes to blocks.
 func (h *Hasher) Write(message structs.Message, blocks []structs.BlockHash) []structs.BlockHash {
 	blocks = h.writeText(message.Role, blocks)
 	blocks = h.writeText("\n", blocks)
@@ -49,7 +49,7 @@
 	return (h.bytes + BytesPerToken - 1) / BytesPerToken
 }
 
-// Digest returns a hash of everything written so far, full blocks or not.
+// Digest returns a hash of everything written so far, including an incomplete block.
 func (h *Hasher) Digest() uint64 {
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], h.chain)
@@ -98,8 +98,7 @@
 	return int64((len(text) + BytesPerToken - 1) / BytesPerToken)
 }
 
-// UpperBound returns a number of tokens that no byte-level tokenizer exceeds
-// for the messages.
+// UpperBound returns a token count for the messages that no byte-level tokenizer exceeds.
 func UpperBound(messages []structs.Message) int64 {
 	var total int64
 	for _, message := range messages {
--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -11,82 +11,83 @@
 )
 
 const (
-	// unknownTime is how long a caller is taken to wait that does not tell.
-	unknownTime = 2 * time.Second
-	// returnSpread is by how much of the forecast the return of the last callers is
-	// put off after that of the first, so that they are no herd.
-	returnSpread = 0.5
+	// defaultPatience is how long a caller without deadline and patience is assumed to
+	// wait.
+	defaultPatience = 2 * time.Second
+	// retryAfterSpread spreads Retry-After over this fraction of the forecast, so that
+	// callers do not all come back at once.
+	retryAfterSpread = 0.5
 )
 
-// worthless is when being served from then on stops to count for the caller: it
-// would leave, or its time would end, before it has what it needs.
-func (c *carrier) worthless() time.Time {
-	usual := c.relay.serving.of(c.call.Route.Name)
+// latestStart returns the latest time at which serving the call can start and still be of
+// use: later, the caller would leave or its deadline would pass before it has the answer.
+func (c *callHandler) latestStart() time.Time {
+	usual := c.relay.serving.average(c.call.Route.Name)
 	var end time.Time
 	if !c.call.Deadline.IsZero() {
-		end = c.call.Deadline.Add(-usual.whole)
+		end = c.call.Deadline.Add(-usual.total)
 	}
 	if c.call.Patience > 0 {
-		leaves := c.call.Received.Add(c.call.Patience - usual.first)
+		leaves := c.call.Received.Add(c.call.Patience - usual.untilFirst)
 		if end.IsZero() || leaves.Before(end) {
 			end = leaves
 		}
 	}
 	if end.IsZero() {
-		return c.call.Received.Add(unknownTime)
+		return c.call.Received.Add(defaultPatience)
 	}
 	return end
 }
 
-// beginUntil is how long a turn's reservation is waited for at most. A caller with
-// less time than serving usually takes is served if it is granted at once.
-func (c *carrier) beginUntil(now time.Time) time.Time {
-	worthless := c.worthless()
-	if worthless.After(now) || c.call.Deadline.IsZero() {
-		return worthless
+// beginDeadline bounds the wait for a turn's reservation. A caller with less time left than
+// serving usually takes is still served if the reservation is granted at once.
+func (c *callHandler) beginDeadline(now time.Time) time.Time {
+	latestStart := c.latestStart()
+	if latestStart.After(now) || c.call.Deadline.IsZero() {
+		return latestStart
 	}
 	return c.call.Deadline
 }
 
-// decide forecasts the end of what holds the call up, and takes note of it for the
-// line that tells what became of the call.
-func (c *carrier) decide(kind admission.Kind, since, now time.Time) admission.Decision {
-	c.heldUp = admission.HeldUpRequest{Kind: kind, Since: since, LatestStart: c.worthless()}
+// decide forecasts when the condition that holds the call up ends, and keeps the forecast
+// for the call's log line and Retry-After.
+func (c *callHandler) decide(kind admission.Kind, since, now time.Time) admission.Decision {
+	c.heldUp = admission.HeldUpRequest{Kind: kind, Since: since, LatestStart: c.latestStart()}
 	c.forecast = c.relay.Admission.Decide(c.heldUp, now)
 	return c.forecast
 }
 
-// decideTurn is decide for a turn that is not granted.
-func (c *carrier) decideTurn(err error, started, now time.Time) admission.Decision {
+// decideTurn is decide for a turn whose reservation failed with err.
+func (c *callHandler) decideTurn(err error, started, now time.Time) admission.Decision {
 	var heldUp *ledger.HeldUpError
 	if errors.As(err, &heldUp) {
 		return c.decide(heldUp.Kind, heldUp.Since, now)
 	}
 	kind := admission.ShardMoving
-	if errors.Is(err, ledger.ErrStoreUnreachable) || errors.Is(err, errTooMuchWaits) {
+	if errors.Is(err, ledger.ErrStoreUnreachable) || errors.Is(err, errRecordMemoryFull) {
 		kind = admission.StoreUnavailable
 	}
 	return c.decide(kind, started, now)
 }
 
-// returnAfter is when a caller should come back that is refused now: when what held
-// it up is over with even odds, the urgent first.
-func (c *carrier) returnAfter() time.Duration {
-	rank := (float64(c.urgency(nil)) + rand.Float64()) / (leastUrgency + 1)
-	return time.Duration(float64(c.forecast.MedianRemaining) * (1 + returnSpread*rank))
+// retryAfter returns when a refused caller should come back: after the median remaining
+// duration of the condition, urgent calls first.
+func (c *callHandler) retryAfter() time.Duration {
+	rank := (float64(c.urgency(nil)) + rand.Float64()) / (lowestUrgency + 1)
+	return time.Duration(float64(c.forecast.MedianRemaining) * (1 + retryAfterSpread*rank))
 }
 
-// noteForecast counts what became of a call that was held up.
-func (c *carrier) noteForecast(outcome string) {
+// countHeldUp counts the outcome of a call that was held up.
+func (c *callHandler) countHeldUp(outcome string) {
 	if !c.heldUp.Since.IsZero() {
 		c.relay.Metrics.heldUp(c.heldUp.Kind, outcome)
 	}
 }
 
-// waitForTurn waits before the reservation is tried again. False means that the
-// turn is to be refused: its context ended, it is hardly served in time, or another
-// daemon can serve it now.
-func (c *carrier) waitForTurn(ctx context.Context, err error, started time.Time) bool {
+// waitForTurn waits before the next attempt to reserve the turn. It returns false if the
+// turn is to be refused: its context ended, it is unlikely to be served in time, or other
+// daemons can serve it now.
+func (c *callHandler) waitForTurn(ctx context.Context, err error, started time.Time) bool {
 	now := time.Now()
 	decision := c.decideTurn(err, started, now)
 	_, isolated := c.relay.monitor.isolatedSince()
@@ -96,7 +97,7 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(min(beginPause, decision.WaitUntil.Sub(now))):
+	case <-time.After(min(beginRetryPause, decision.WaitUntil.Sub(now))):
 		return true
 	}
 }
--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -15,12 +15,12 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// heldUp is the ledger's error for a shard that has been held up for a while.
+// heldUp returns the ledger's error for a shard that has been held up for a while.
 func heldUp(kind admission.Kind, lasted time.Duration) error {
 	return &ledger.HeldUpError{Kind: kind, Since: time.Now().Add(-lasted)}
 }
 
-func TestTurnIsRefusedAtOnceIfItsOutageOutlastsItsCaller(t *testing.T) {
+func TestTurnIsRefusedAtOnceIfOutageOutlastsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		h.ledger.err = heldUp(admission.StoreUnavailable, 5*time.Second)
@@ -31,7 +31,7 @@
 			t.Errorf("held for %s", held)
 		}
 		if got.refusal == nil || got.refusal.Reason != ReasonLedgerUnavailable || got.refusal.RetryAfter < 5*time.Second {
-			t.Errorf("refused with %+v: an outage of five seconds lasts on for as long, with even odds", got.refusal)
+			t.Errorf("refused with %+v: the median remaining duration of a five-second outage is at least as long", got.refusal)
 		}
 		if len(h.ledger.abandoned) != 1 {
 			t.Errorf("abandoned %v", h.ledger.abandoned)
@@ -39,9 +39,9 @@
 	})
 }
 
-// TestProgramWithoutRoomInTheStoreIsRefusedAtOnce: it hears when there may be room, and nothing of it
-// is reserved.
-func TestProgramWithoutRoomInTheStoreIsRefusedAtOnce(t *testing.T) {
+// A program for which the store has no capacity is refused with a Retry-After, and nothing
+// is reserved for it.
+func TestProgramIsRefusedAtOnceWhenStoreIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		h.ledger.err = &ledger.CrowdedError{Back: 3 * time.Second}
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestTurnIsRefusedOnceItsHopeIsOver(t *testing.T) {
+func TestTurnIsRefusedOnceItCannotBeServedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		began := time.Now()
@@ -74,7 +74,7 @@
 	})
 }
 
-func TestShardThatMovesIsWaitedForAndLearnedFrom(t *testing.T) {
+func TestTurnWaitsForMovingShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		h.ledger.err = heldUp(admission.ShardMoving, 0)
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestCallerThatLeavesSoonIsNotHeldUntilThen(t *testing.T) {
+func TestTurnIsRefusedAtOnceIfOutageOutlastsPatience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		h.ledger.err = heldUp(admission.StoreUnavailable, 2*time.Second)
@@ -96,12 +96,12 @@
 		call.Patience = 2 * time.Second
 		h.serve(call)
 		if held := time.Since(call.Received); held > 0 {
-			t.Errorf("held for %s, and the caller leaves after %s", held, call.Patience)
+			t.Errorf("held for %s although the caller leaves after %s", held, call.Patience)
 		}
 	})
 }
 
-func TestUrgentCallersComeBackFirst(t *testing.T) {
+func TestUrgentCallersGetShorterRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		returns := func(priority int) time.Duration {
 			h := newHarness(t, step{body: eventOne})
@@ -112,12 +112,12 @@
 			return h.serve(call).refusal.RetryAfter
 		}
 		if first, last := returns(0), returns(5); first >= last {
-			t.Errorf("the urgent comes back after %s, the other after %s", first, last)
+			t.Errorf("Retry-After of the urgent call is %s, of the other %s", first, last)
 		}
 	})
 }
 
-func TestFullServiceIsWaitedForByWhatIsKnownOfIt(t *testing.T) {
+func TestWaitForFullServiceDependsOnHowLongItWasFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{status: 503, notRun: true})
 		call := func(left time.Duration) *Call {
@@ -131,33 +131,33 @@
 		second := call(held)
 		got := h.serve(second)
 		if held == 0 || time.Since(second.Received) > 0 {
-			t.Errorf("held for %s, and then %s though it had been full for as long as there was time", held, time.Since(second.Received))
+			t.Errorf("held for %s, and then %s although the service had been full for longer than the time left", held, time.Since(second.Received))
 		}
 		if got.refusal == nil || got.refusal.Reason != ReasonFull || got.refusal.RetryAfter < held {
 			t.Errorf("refused with %+v", got.refusal)
 		}
-		time.Sleep(2 * fullGap) // nobody knows any more
+		time.Sleep(2 * fullServiceTTL) // until the refusals of the service are forgotten
 		third := call(time.Second)
 		h.serve(third)
 		if time.Since(third.Received) < held/2 {
-			t.Errorf("held for %s by what was long ago", time.Since(third.Received))
+			t.Errorf("held for %s: old refusals still count", time.Since(third.Received))
 		}
 	})
 }
 
-func TestRequestIsOfferedThoughItHasLessTimeThanUsual(t *testing.T) {
+func TestRequestWithLessTimeThanUsualIsStillOffered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		call := newTurn(newRoute(route.KindStream))
 		call.Deadline = call.Received.Add(time.Second)
-		h.relay.serving.note(call.Route.Name, servingTime{first: 2 * time.Second, whole: 5 * time.Second})
+		h.relay.serving.observe(call.Route.Name, servingTime{untilFirst: 2 * time.Second, total: 5 * time.Second})
 		if got := h.serve(call); !got.ended {
 			t.Errorf("refused with %+v", got.refusal)
 		}
 	})
 }
 
-func TestRefusalTellsWhatItRestsOn(t *testing.T) {
+func TestRefusalLogsItsForecast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		lines := &bytes.Buffer{}
@@ -170,7 +170,7 @@
 	})
 }
 
-func TestHeldUpRequestsAreCountedByWhatBecameOfThem(t *testing.T) {
+func TestHeldUpRequestsAreCountedByOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		h.ledger.err = heldUp(admission.ShardMoving, 0)
@@ -181,7 +181,7 @@
 		h.serve(newTurn(newRoute(route.KindStream)))
 		count := func(by admission.Kind, outcome string) float64 {
 			written := &dto.Metric{}
-			if err := h.relay.Metrics.waits.WithLabelValues(by.String(), outcome).Write(written); err != nil {
+			if err := h.relay.Metrics.heldUpRequests.WithLabelValues(by.String(), outcome).Write(written); err != nil {
 				t.Fatal(err)
 			}
 			return written.GetCounter().GetValue()
@@ -190,7 +190,7 @@
 			t.Errorf("%v served, %v refused", served, refused)
 		}
 		if others := count(admission.ShardMoving, heldUpRefused) + count(admission.StoreUnavailable, heldUpServed); others != 0 {
-			t.Errorf("%v counted as what they were not", others)
+			t.Errorf("%v counted with the wrong outcome", others)
 		}
 	})
 }
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -1,9 +1,9 @@
-// Package relay carries callers' requests to back ends. It decides which
-// instance gets a request, when it is sent again, taken up elsewhere or
-// refused, and never lets a request run more often than its route allows.
+// Package relay forwards callers' requests to back ends. It chooses the instance for each
+// request, and decides when a request is retried, resumed at another instance or refused. A
+// request never runs more often than its route allows.
 //
-// The package knows neither the callers' nor the back ends' protocol: a front
-// translates requests into Call and Responder, and a Driver carries them on.
+// The package is independent of the callers' and the back ends' protocols: a front
+// translates requests into Call and Responder, and a Driver sends them to instances.
 package relay
 
 import (
@@ -17,53 +17,52 @@
 	"github.com/mintpulley/mintpulley/internal/tenant"
 )
 
-// Call is one request of a caller.
+// Call is a caller's request.
 type Call struct {
 	ID    string
 	Route *route.Route
-	// Method, Target, Host, Header and Body go to the back end unchanged.
-	// Target is the path with its query, as it came.
+	// Method, Target, Host, Header and Body are forwarded unchanged. Target is the path
+	// with the query, as received.
 	Method string
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Received is when the request was read whole.
+	// Received is when the request had been read completely.
 	Received time.Time
-	// Deadline is when the caller stops waiting, or the route's timeout ends;
-	// the zero time means never.
+	// Deadline is when the caller stops waiting or the route's timeout ends; the zero time
+	// means no deadline.
 	Deadline time.Time
-	// Patience is how long the caller of a stream hears nothing until it leaves;
-	// 0 if that is not known.
+	// Patience is how long the caller of a stream waits for the next event before it
+	// disconnects; 0 if unknown.
 	Patience time.Duration
-	// Object names what the request concerns, for routes that are sticky.
+	// Object identifies what the request concerns, for sticky routes.
 	Object string
-	// ResumeAfter is the last event that the caller has of a broken stream.
+	// ResumeAfter is the ID of the last event that the caller received of a broken stream.
 	ResumeAfter string
-	// MostTokens is the most that an answer generates, 0 if not told.
+	// MaxTokens is the most tokens that the answer may have; 0 if not stated.
 	MaxTokens int64
-	// Tenant is whose request it is, nil where there are no tenants.
+	// Tenant is the tenant that sent the request; nil if there are no tenants.
 	Tenant *tenant.Tenant
-	// Program tells of the program that the request is a turn or a tool call
-	// of; nil if of none.
+	// Program is the program whose turn or tool call the request is; nil if none.
 	Program *Program
 }
 
-// Program is what a request tells of its program.
+// Program is the information about its program that a request carries.
 type Program struct {
 	ID string
-	// Session names one line of turns within the program.
+	// Session names one conversation within the program.
 	Session string
-	// BudgetTokens is what the program may generate in all its turns; 0 when
-	// the request is no turn.
+	// BudgetTokens is how many tokens the program may generate in all its turns; 0 if the
+	// request is not a turn.
 	BudgetTokens int64
-	// Previous is the turn that this one goes on from, "" for none.
+	// Previous is the ID of the turn that this one continues, "" for none.
 	Previous string
-	// FinishBy is when the program should be over; zero if not told.
+	// FinishBy is when the program should finish; zero if not stated.
 	FinishBy time.Time
 }
 
-// scopedTo returns the program under names that no other tenant's program has.
+// scopedTo returns the program with IDs that are unique across tenants.
 func (p *Program) scopedTo(name string) *Program {
 	if p == nil {
 		return nil
@@ -74,7 +73,7 @@
 	return &scoped
 }
 
-// tenantName is the name of the call's tenant, "" for none.
+// tenantName returns the name of the call's tenant, "" for none.
 func (c *Call) tenantName() string {
 	if c.Tenant == nil {
 		return ""
@@ -82,7 +81,7 @@
 	return c.Tenant.Name
 }
 
-// priority is the rank of the call's requests: its tenant's, or else its route's.
+// priority returns the tenant's priority if it has one, otherwise the route's.
 func (c *Call) priority() int {
 	if c.Tenant != nil && c.Tenant.Priority != nil {
 		return *c.Tenant.Priority
@@ -90,47 +89,49 @@
 	return c.Route.Priority
 }
 
-// Refusal is a final answer of the system's own.
+// Refusal is an answer that the system itself gives in place of a back end's.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when to come back; 0 if that would not help.
+	// RetryAfter is when the caller should retry; 0 if a retry would not help.
 	RetryAfter time.Duration
-	// Detail is a short sentence for the caller.
+	// Detail is a sentence for the caller.
 	Detail string
 }
 
-// Reason tells why the system ends a request by itself.
+// Reason is why the system itself ended a request.
 type Reason string
 
-// Reasons. Those of the first group promise that the request has not run and
-// never will.
+// Reasons of refusals. PromisesNotRun reports which of them guarantee that the request has
+// not run.
 const (
 	ReasonNoInstance Reason = "no_instance"
-	// ReasonNoRegion: no region is allowed for both the route and the tenant;
-	// ReasonRegionEmpty: no instance is in one that is.
+	// ReasonNoRegion: the route and the tenant have no allowed region in common;
+	// ReasonRegionEmpty: no instance is in an allowed region.
 	ReasonNoRegion    Reason = "no_region"
 	ReasonRegionEmpty Reason = "region_empty"
-	// ReasonEvacuated: operators evacuated the zones of all instances that could serve.
+	// ReasonEvacuated: operators evacuated the zones of all instances that could serve the
+	// request.
 	ReasonEvacuated         Reason = "evacuated"
 	ReasonFull              Reason = "full"
 	ReasonLedgerUnavailable Reason = "ledger_unavailable"
-	// ReasonStoreCrowded: the store has no room for what the program would leave behind.
+	// ReasonStoreCrowded: the store has no capacity for a new program.
 	ReasonStoreCrowded Reason = "store_crowded"
 	ReasonStarting     Reason = "starting"
 	ReasonStopping     Reason = "stopping"
-	// ReasonCutOff: this daemon reaches neither the store nor most of the fleet.
+	// ReasonCutOff: this daemon is isolated: it reaches neither the store nor most of the
+	// fleet.
 	ReasonCutOff      Reason = "cut_off"
 	ReasonNotInTime   Reason = "not_in_time"
 	ReasonBudgetSpent Reason = "budget_spent"
 	ReasonUnknownTurn Reason = "unknown_turn"
-	// ReasonTurnedDown: instances turn the request down and take others.
+	// ReasonTurnedDown: instances refuse this request while they accept others.
 	ReasonTurnedDown Reason = "turned_down"
-	// ReasonQuota: the tenant's limit has no room; ReasonQuotaUnknown: its owner can
-	// not be asked.
+	// ReasonQuota: the tenant's limit is exhausted; ReasonQuotaUnknown: the daemon that
+	// keeps the limit cannot be reached.
 	ReasonQuota        Reason = "quota"
 	ReasonQuotaUnknown Reason = "quota_unknown"
-	// ReasonUnknownKey: no tenant has the key; ReasonKeysUnconfirmed: it was not
-	// confirmed lately which keys there are.
+	// ReasonUnknownKey: no tenant has the API key; ReasonKeysUnconfirmed: the list of keys
+	// has not been confirmed recently.
 	ReasonUnknownKey      Reason = "unknown_key"
 	ReasonKeysUnconfirmed Reason = "keys_unconfirmed"
 	ReasonBroken          Reason = "broken"
@@ -140,65 +141,67 @@
 	ReasonHeadTooLarge    Reason = "head_too_large"
 	ReasonMalformed       Reason = "malformed"
 	ReasonCallerLeft      Reason = "caller_left"
-	// ReasonBodyCut: the connection ended within the request's body.
+	// ReasonBodyCut: the connection ended before the request's body was complete.
 	ReasonBodyCut Reason = "body_cut"
 )
 
-// Responder is the caller's side of a call. Exactly one of Answer, Refuse, End
-// and Abort ends it.
+// Responder is the caller's side of a call. Exactly one call of Answer, Refuse, End or
+// Abort ends it.
 type Responder interface {
-	// Answer gives a back end's whole answer; the error tells that the caller left.
+	// Answer sends a back end's complete answer; an error means that the caller
+	// disconnected.
 	Answer(status int, header http.Header, body []byte) error
-	// Refuse gives an answer of the system's own.
+	// Refuse sends a refusal by the system itself.
 	Refuse(refusal Refusal)
 	// Head begins a stream with a back end's status and header.
 	Head(status int, header http.Header)
-	// Event passes one whole event on; the error tells that the caller left.
+	// Event sends one complete event; an error means that the caller disconnected.
 	Event(raw []byte) error
-	// End ends a stream that is complete.
+	// End ends a complete stream.
 	End()
-	// Abort breaks a stream off, so that it cannot be taken for complete.
+	// Abort closes the connection so that the caller cannot take a stream for complete.
 	Abort()
 }
 
-// Outgoing is a call on its way to one instance.
+// OutgoingCall is a call as sent to one instance.
 type OutgoingCall struct {
 	*Call
-	// Body replaces the call's own.
+	// Body is sent in place of the call's own.
 	Body []byte
-	// Deadline is when the instance shall stop work; zero means never.
+	// Deadline is when the instance should stop working on the call; the zero time means no
+	// deadline.
 	Deadline time.Time
-	// ResumeAfter is the last event that needs not come again, "" for none.
+	// ResumeAfter is the ID of the last event that need not be sent again, "" for none.
 	ResumeAfter string
-	// Urgency orders requests at the instance, 0 first to 9 last.
+	// Urgency orders requests at the instance, from 0 for the first to 9 for the last.
 	Urgency int
-	// ConnectionLimit bounds this daemon's connections to the instance.
+	// ConnectionLimit bounds this daemon's connections to the instance; 0 means no bound.
 	ConnectionLimit int
-	// ConnectTimeout limits the opening of a connection; 0 for the driver's own limit.
+	// ConnectTimeout bounds the opening of a connection; 0 for the driver's default.
 	ConnectTimeout time.Duration
 }
 
-// Answer is the head of what an instance answered.
+// Answer is an instance's answer, with its body unread.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Body must be closed.
+	// Body must be closed by the receiver of the answer.
 	Body io.ReadCloser
-	// NotRun: the instance promises that it did not run the request.
+	// NotRun: the instance guarantees that it did not run the request.
 	NotRun bool
 	// StatusMeansNotRun: callers take the status to mean that the request has not run. The
-	// instance says so only if NotRun is set, too.
+	// instance itself guarantees that only if NotRun is set, too.
 	StatusMeansNotRun bool
-	// OtherInstance: another instance has the address by now.
+	// Misdirected: another instance uses the address now.
 	Misdirected bool
 }
 
-// Driver carries calls to instances in their protocol. Errors wrap
-// httpconn.ErrNotSent if no byte left this machine; after any other error the
-// request may have run.
+// Driver sends calls to instances in their protocol. Errors of Send wrap
+// httpconn.ErrNotSent if no byte left this machine; after any other error the request may
+// have run.
 type Driver interface {
 	Send(ctx context.Context, to instance.Instance, outgoing *OutgoingCall) (*Answer, error)
-	// Connect opens a connection to an instance, which a later request may use. The
-	// error wraps httpconn.ErrNoConnection if there may be no further one.
+	// Connect opens a connection to an instance that a later request may use. The error
+	// wraps httpconn.ErrNoConnection if the limit of connections is reached.
 	Connect(ctx context.Context, to instance.Instance, connections int) error
 }
--- a/internal/relay/cold_test.go
+++ b/internal/relay/cold_test.go
@@ -12,7 +12,7 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// coldFor turns all instances down until a time.
+// coldFor is a filter that excludes all instances until a time.
 type coldFor struct{ until time.Time }
 
 func (c *coldFor) Reason() string { return "cold" }
@@ -29,13 +29,12 @@
 	h.pool = instance.NewPool(rand.New(rand.NewPCG(1, 1)), instance.Plugins{Filters: []instance.Filter{filter}})
 	h.pool.Replace([]instance.Instance{{ID: "i1", Service: "s", Address: "a:1", Slots: 4, State: instance.StateReady}})
 	h.relay.Pool = h.pool
-	time.Sleep(5 * time.Second) // the list is no news of a daemon that just started
+	time.Sleep(5 * time.Second) // past the time in which the list may be incomplete after a start
 	return h
 }
 
-// TestServiceWhoseInstancesAreAllColdIsFull: callers are told to come back, not that
-// there is no such service.
-func TestServiceWhoseInstancesAreAllColdIsFull(t *testing.T) {
+// Callers must be told to come back, not that no instance exists.
+func TestServiceWithOnlyColdInstancesIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newColdHarness(t, time.Hour, step{body: "whole"})
 		call := newCall(newRoute(route.KindOnce))
@@ -47,8 +46,8 @@
 	})
 }
 
-// TestColdInstanceIsWaitedFor: a share is to be had again soon.
-func TestColdInstanceIsWaitedFor(t *testing.T) {
+// A call waits until a cold instance admits it.
+func TestCallWaitsForColdInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newColdHarness(t, 100*time.Millisecond, step{body: "whole"})
 		if got := h.serve(newCall(newRoute(route.KindOnce))); got.body.String() != "whole" {
@@ -57,8 +56,8 @@
 	})
 }
 
-// TestOfferThatIsLateIsMadeAnew: nothing was sent, and nothing is wrong with the instance.
-func TestOfferThatIsLateIsMadeAnew(t *testing.T) {
+// A late offer was not sent, so it is repeated, and does not count against the instance.
+func TestLateOfferIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{err: httpconn.ErrLate}, step{body: "whole"})
 		for range 30 {
@@ -69,7 +68,7 @@
 		}
 		sent := h.sentTo()
 		if !slices.Contains(sent[1:], sent[0]) {
-			t.Errorf("the instance of the late offer is passed over: %v", sent)
+			t.Errorf("the instance of the late offer got no further offers: %v", sent)
 		}
 	})
 }
--- a/internal/relay/connect_probe.go
+++ b/internal/relay/connect_probe.go
@@ -10,30 +10,32 @@
 )
 
 const (
-	// probeTimeout bounds a try to connect to a silent instance. However busy the instance
-	// is, its operating system answers within several round trips to another region.
+	// probeTimeout bounds an attempt to connect to a silent instance. However busy the
+	// instance is, its operating system answers within a few round trips, even to another
+	// region.
 	probeTimeout = 200 * time.Millisecond
-	// maxFailedProbes in a row tell that the instance can not be reached: one may be lost.
+	// maxFailedProbes consecutive failures mean that the instance is unreachable: a single
+	// failure may be packet loss.
 	maxFailedProbes = 2
-	// reprobeInterval is after how long an instance that stays silent is probed again, whether
-	// it was reached or not: a new connection costs it a moment, and a burst makes all silent.
+	// reprobeInterval is how long after a probe a silent instance is probed again, whatever
+	// the result: each connection costs the instance time, and a burst of load makes all
+	// instances silent.
 	reprobeInterval = 2 * time.Second
 )
 
-// connectProbes are the tries to connect to a silent instance. The monitor's mutex guards
-// them.
+// connectProbes tracks the attempts to connect to a silent instance. The monitor's mutex
+// guards it.
 type connectProbes struct {
 	running bool
-	// failures counts the failed ones since the last that succeeded; the first of them
-	// began at failingSince.
+	// failures counts the consecutive failures, the first of which began at failingSince.
 	failures     int
 	failingSince time.Time
-	// endedAt is when the latest ended.
+	// endedAt is when the latest probe ended.
 	endedAt time.Time
 }
 
-// isReachable tells whether the instance of a silent offer can be reached as far as is
-// known, and probes it if that is due. The mutex must be held.
+// isReachable reports whether the instance of a silent offer is reachable according to its
+// probes, and starts a probe if one is due. The mutex must be held.
 func (m *offerMonitor) isReachable(o *pendingOffer, now time.Time) bool {
 	p := m.probes[o.target.ID]
 	if p == nil {
@@ -41,7 +43,7 @@
 		m.probes[o.target.ID] = p
 	}
 	if p.failingSince.Before(o.waitingSince) {
-		p.failures = 0 // it was heard since
+		p.failures = 0 // the instance sent something since
 	}
 	isUndecided := p.failures > 0 && p.failures < maxFailedProbes
 	due := isUndecided || now.Sub(p.endedAt) >= reprobeInterval
@@ -52,9 +54,10 @@
 	return p.failures < maxFailedProbes
 }
 
-// probe tries to connect to an instance. One that can not be connected to gets no new requests for a
-// while, whatever becomes of those that it has. If connections are refused it is reached: it may be
-// leaving, and its machine would close the connections of a process that ended.
+// probe tries to connect to an instance. One that cannot be connected to gets no new
+// requests for a while; those that it has are not affected. If it refuses connections it is
+// reachable: it may be shutting down, and its machine would reset the connections of a
+// process that exited.
 func (m *offerMonitor) probe(target instance.Instance, p *connectProbes, began time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -74,7 +77,7 @@
 	}
 }
 
-// noteFailure takes note of a try that failed and began at a time.
+// noteFailure records a failed probe that started at began.
 func (p *connectProbes) noteFailure(began time.Time) {
 	if p.failures == 0 {
 		p.failingSince = began
@@ -82,13 +85,13 @@
 	p.failures++
 }
 
-// isNamed tells whether the routes in force name a service.
-func (r *Relay) isNamed(service string) bool { return r.serviceInForce(service) != nil }
+// hasService reports whether the current routes contain a service.
+func (r *Relay) hasService(service string) bool { return r.serviceInForce(service) != nil }
 
-// Try connects to an instance of a zone and, if that succeeds, takes note that the zone
-// can be reached. It implements reach.Connections.
+// Try connects to an instance of a zone and, if that succeeds, notes that the zone is
+// reachable. It does not block. It implements reach.Connections.
 func (r *Relay) Try(zone string) {
-	target, found := r.Pool.AnyIn(zone, r.isNamed)
+	target, found := r.Pool.AnyIn(zone, r.hasService)
 	if !found {
 		return
 	}
@@ -101,8 +104,8 @@
 	}()
 }
 
-// dropOldProbes drops the probes of instances that are not probed any more: no silent
-// offer waits there. The mutex must be held.
+// dropOldProbes drops the probes of instances without a silent offer. The mutex must be
+// held.
 func (m *offerMonitor) dropOldProbes(now time.Time) {
 	for id, p := range m.probes {
 		if !p.running && now.Sub(p.endedAt) > reprobeInterval {
--- a/internal/relay/drain_test.go
+++ b/internal/relay/drain_test.go
@@ -6,7 +6,7 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-func TestCallThatComesInADrainIsRefusedAsOneThatHasNotRun(t *testing.T) {
+func TestCallDuringDrainIsRefusedAsNotRun(t *testing.T) {
 	h := newHarness(t, step{body: "answer"})
 	h.relay.Drain()
 	for _, kind := range []route.Kind{route.KindOnce, route.KindStream} {
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -5,39 +5,43 @@
 	"errors"
 )
 
-// EndingKind is what a request's caller got in the end.
+// EndingKind is how a request ended from its caller's view.
 type EndingKind string
 
 // Kinds of endings.
 const (
 	EndingAnswered EndingKind = "answered"
 	EndingRefused  EndingKind = "refused"
-	// EndingBrokenOff: the connection was closed on a caller that was still there.
+	// EndingBrokenOff: the daemon closed the connection of a caller that was still there.
 	EndingBrokenOff EndingKind = "broken_off"
-	// EndingLeft: the caller closed the connection first.
+	// EndingCallerLeft: the caller closed the connection first.
 	EndingCallerLeft EndingKind = "left"
 )
 
-// Cause is why a request ended without a back end's whole answer: one of those below,
-// or the Reason of a refusal.
+// Cause is why a request ended without a back end's complete answer: one of the constants
+// below, or the Reason of a refusal.
 type Cause string
 
-// Causes of endings that are no refusals, or whose refusal tells less.
+// Causes of endings that are not refusals, or that are more specific than the refusal's
+// reason.
 const (
 	CauseCallerLeft = Cause(ReasonCallerLeft)
-	// CauseWriteFailed: what was written did not reach the caller.
+	// CauseWriteFailed: writing to the caller failed.
 	CauseWriteFailed Cause = "write_failed"
-	// CauseBackEndBroke: the back end broke its answer off, and the request may not run again.
+	// CauseBackEndBroke: the back end's answer broke off, and the request may not run
+	// again.
 	CauseBackEndBroke Cause = "back_end_broke_off"
-	// CauseBackEndFailed: a back end that was to go on with a stream answered with a failure.
+	// CauseBackEndFailed: a back end that was to resume a stream answered with an error.
 	CauseBackEndFailed Cause = "back_end_failed"
-	// CauseFalsePromise: a back end ran the request and answered that it did not.
+	// CauseFalsePromise: a back end ran the request, but its status tells callers that it
+	// did not.
 	CauseFalsePromise Cause = "false_promise"
-	// CauseBackEndGivenUp: the daemon believes that the back end can not be reached.
+	// CauseBackEndGivenUp: the daemon stopped waiting because it considers the back end
+	// unreachable.
 	CauseBackEndGivenUp   Cause = "back_end_given_up"
 	CauseTimeOver         Cause = "time_over"
 	CauseShutdownDeadline Cause = "stop_bound"
-	// The next causes end answers that are whole and wait for their turn's record.
+	// The next causes end calls whose answer is complete but whose turn was not stored.
 	CauseRecordCallerLeft       Cause = "record_caller_left"
 	CauseRecordTimeOver         Cause = "record_time_over"
 	CauseRecordShutdownDeadline Cause = "record_stop_bound"
@@ -46,12 +50,12 @@
 	CauseRecordUnavailable      Cause = "record_unavailable"
 	// CauseAborted: the handler ended the connection with http.ErrAbortHandler.
 	CauseAborted Cause = "aborted"
-	// CausePanic and CauseNoEnding are faults of the handler.
+	// CausePanic and CauseNoEnding are bugs of the handler.
 	CausePanic    Cause = "panic"
 	CauseNoEnding Cause = "no_ending"
 )
 
-// Party is who ended a request.
+// Party is the side that caused a request's ending.
 type Party string
 
 // Parties of a request.
@@ -61,7 +65,7 @@
 	PartyBackEnd Party = "back_end"
 )
 
-// Ending is how a request ended for its caller.
+// Ending describes how a request ended.
 type Ending struct {
 	Kind EndingKind
 	// Cause is "" for an answer.
@@ -69,7 +73,7 @@
 	By    Party
 }
 
-// EndedBy is who ends requests for this cause.
+// EndedBy returns the party that ends requests for this cause.
 func (c Cause) EndedBy() Party {
 	switch c {
 	case CauseCallerLeft, CauseWriteFailed, CauseRecordCallerLeft, Cause(ReasonBodyCut):
@@ -80,7 +84,8 @@
 	return PartyDaemon
 }
 
-// ending is that of a request that was closed for this cause, without an answer or refusal.
+// ending returns the Ending of a request that ended for this cause without an answer or a
+// refusal.
 func (c Cause) ending() Ending {
 	if c.EndedBy() == PartyCaller {
 		return Ending{Kind: EndingCallerLeft, Cause: c, By: PartyCaller}
@@ -88,12 +93,12 @@
 	return Ending{Kind: EndingBrokenOff, Cause: c, By: c.EndedBy()}
 }
 
-// causeOf is why a context ended, or otherwise if it has not.
+// causeOf returns why ctx ended, or otherwise if it has not ended.
 func causeOf(ctx context.Context, otherwise Cause) Cause {
 	switch {
 	case ctx.Err() == nil:
 		return otherwise
-	case isStopBound(ctx):
+	case isPastShutdownDeadline(ctx):
 		return CauseShutdownDeadline
 	case errors.Is(ctx.Err(), context.Canceled):
 		return CauseCallerLeft
--- a/internal/relay/ending_logs.go
+++ b/internal/relay/ending_logs.go
@@ -6,17 +6,17 @@
 	"github.com/rs/zerolog"
 )
 
-// loggedIDLength bounds, in bytes, what a log line holds of an ID that a caller made up.
-const loggedIDLength = 64
+// maxLoggedIDBytes bounds the length of caller-supplied request IDs in log lines.
+const maxLoggedIDBytes = 64
 
-// lineDetails adds fields to a line of the log; nil adds none.
+// lineDetails adds fields to a log line; nil adds none.
 type lineDetails func(*zerolog.Event) *zerolog.Event
 
-// log writes the line of an ending that is no answer.
+// log writes the log line of an ending that is not an answer.
 func (e *endingRecorder) log(ending Ending, details lineDetails) {
 	logger := e.loggerOf(ending.Kind)
 	line := logger.Info().Str("ending", string(ending.Kind)).Str("cause", string(ending.Cause)).Str("ended_by", string(ending.By)).
-		Dur("held", time.Since(e.receivedAt)).Int64("events", e.events).Bool("may_have_run", e.carrier != nil && e.carrier.mayHaveRun())
+		Dur("held", time.Since(e.receivedAt)).Int64("events", e.events).Bool("may_have_run", e.callHandler != nil && e.callHandler.mayHaveRun())
 	if stopping, since := e.relay.stoppingFor(); stopping {
 		line = line.Dur("stopping_for", since)
 	}
@@ -26,19 +26,19 @@
 	line.Msg(ending.Kind.message())
 }
 
-// loggerOf returns a logger for endings of a kind. Lines of the relay's refusals are never
-// left out.
+// loggerOf returns the logger for endings of a kind. Refusals by the relay itself are never
+// sampled.
 func (e *endingRecorder) loggerOf(kind EndingKind) zerolog.Logger {
 	switch {
 	case kind != EndingRefused:
-		return e.logger.Sample(e.relay.closings)
-	case e.carrier == nil:
-		return e.logger.Sample(e.relay.frontRefusals)
+		return e.logger.Sample(e.relay.brokenOffSampler)
+	case e.callHandler == nil:
+		return e.logger.Sample(e.relay.frontRefusalSampler)
 	}
 	return e.logger
 }
 
-// message is the line of a request that ended so.
+// message returns the message of the log line.
 func (k EndingKind) message() string {
 	switch k {
 	case EndingRefused:
@@ -49,7 +49,7 @@
 	return "Request broken off."
 }
 
-// stoppingFor tells whether the daemon stops, and since how long.
+// stoppingFor reports whether the daemon is shutting down, and for how long it has been.
 func (r *Relay) stoppingFor() (stopping bool, since time.Duration) {
 	if r.StoppingSince == nil {
 		return false, 0
--- a/internal/relay/ending_recorder.go
+++ b/internal/relay/ending_recorder.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// handlingFault is an error of the code that serves a request.
+// handlingFault is a bug in the code that serves a request.
 type handlingFault string
 
 const (
@@ -19,52 +19,54 @@
 	faultSecondEnding handlingFault = "second_ending"
 )
 
-// endingRecorder passes a request's ending on to its caller and takes note of it. Only the
-// first one gets through: bytes after an end would belong to no answer.
+// endingRecorder is a Responder that records the request's ending. Only the first ending is
+// passed on to the caller: bytes after it would belong to no answer.
 type endingRecorder struct {
 	responder Responder
 	relay     *Relay
-	// context is the request's: it tells whether a stop closed the connection.
+	// context is the request's context: its cause shows whether the daemon closed the
+	// connection at the shutdown deadline.
 	context    context.Context
 	logger     zerolog.Logger
 	receivedAt time.Time
-	// carrier carries the request, nil as long as the front has it.
-	carrier *carrier
-	hasHead bool
-	// events counts those that were passed on.
+	// callHandler handles the request, nil until the relay has it.
+	callHandler *callHandler
+	hasHead     bool
+	// events counts the events that were passed on.
 	events int64
-	// isEnding: an ending was begun, and ending is what it came to.
+	// isEnding is set once an ending has begun; ending is its result.
 	isEnding bool
 	ending   Ending
-	// isDelivered: the ending was passed on.
+	// isDelivered is set once the ending was passed on.
 	isDelivered bool
 }
 
-// Watch calls serve with a responder that takes note of the request's ending, and makes
-// sure that there is exactly one: a request that serve leaves without, by returning or by a
-// panic, is broken off. Nested calls share what the outermost began.
+// EnsureEnding calls serve with a responder that records the request's ending, and ensures
+// that there is exactly one: if serve returns or panics without an ending, the connection
+// is closed. Nested calls share the recorder of the outermost.
 func (r *Relay) EnsureEnding(ctx context.Context, request string, responder Responder, serve func(Responder)) {
 	e := r.recorderOf(ctx, request, responder)
 	defer func() { e.conclude(recover()) }()
 	serve(e)
 }
 
-// recorderOf returns the recorder that a responder is, or a new one for it.
+// recorderOf returns responder if it is a recorder, or else a new recorder that wraps it.
 func (r *Relay) recorderOf(ctx context.Context, request string, responder Responder) *endingRecorder {
 	if known, isKnown := responder.(*endingRecorder); isKnown {
 		return known
 	}
 	r.Metrics.opened()
-	request = request[:min(len(request), loggedIDLength)]
+	request = request[:min(len(request), maxLoggedIDBytes)]
 	return &endingRecorder{
 		responder: responder, relay: r, context: ctx, receivedAt: time.Now(),
 		logger: r.Logger.With().Str("request", request).Logger(),
 	}
 }
 
-// carriedBy takes note of who carries the request: lines tell of its call from now on.
-func (e *endingRecorder) carriedBy(c *carrier) {
-	e.carrier = c
+// setHandler sets the handler of the request, whose call appears in the log lines from now
+// on.
+func (e *endingRecorder) setHandler(c *callHandler) {
+	e.callHandler = c
 	e.logger = c.logger
 	e.receivedAt = c.call.Received
 }
@@ -87,8 +89,8 @@
 // Refuse implements Responder.
 func (e *endingRecorder) Refuse(refusal Refusal) { e.refuse(refusal, Cause(refusal.Reason), nil) }
 
-// refuse refuses the request for a cause of which the refusal may tell less. A stream whose
-// head was sent is broken off: it is too late for a refusal.
+// refuse refuses the request for a cause that may be more specific than the refusal's
+// reason. If the head of a stream was sent already, the stream is broken off instead.
 func (e *endingRecorder) refuse(refusal Refusal, cause Cause, details lineDetails) {
 	if !e.begin() {
 		return
@@ -108,8 +110,8 @@
 	e.isDelivered = true
 }
 
-// refusedFor is the ending of a request that is refused for a reason and a cause: one that
-// its caller ended, if the refusal reaches nobody.
+// refusedFor returns the ending of a refused request. It is one by the caller if the caller
+// left before the refusal.
 func (e *endingRecorder) refusedFor(reason Reason, cause Cause) Ending {
 	switch {
 	case Cause(reason).EndedBy() == PartyCaller:
@@ -147,26 +149,26 @@
 // Abort implements Responder.
 func (e *endingRecorder) Abort() { e.abort(CauseAborted) }
 
-// abort ends the request by closing the caller's connection for a cause.
+// abort ends the request for a cause by closing the caller's connection.
 func (e *endingRecorder) abort(cause Cause) {
 	if e.begin() {
 		e.closeConnection(cause, nil)
 	}
 }
 
-// closeConnection closes the caller's connection for a cause, once an ending was begun.
+// closeConnection closes the caller's connection for a cause. An ending must have begun.
 func (e *endingRecorder) closeConnection(cause Cause, details lineDetails) {
 	e.finish(e.closedFor(cause), details)
 	e.responder.Abort()
 	e.isDelivered = true
 }
 
-// closedFor is the ending of a connection that was closed for a cause, also for that of a
-// refusal that could not be told. At the bound of a stop the daemon closes connections
-// itself, which looks like callers that leave.
+// closedFor returns the ending of a connection that was closed for a cause, which may be
+// that of an undeliverable refusal. At the shutdown deadline the daemon itself closes
+// connections, which looks as if callers disconnected.
 func (e *endingRecorder) closedFor(cause Cause) Ending {
 	switch {
-	case cause.EndedBy() == PartyCaller && isStopBound(e.context), cause == Cause(ReasonStopping):
+	case cause.EndedBy() == PartyCaller && isPastShutdownDeadline(e.context), cause == Cause(ReasonStopping):
 		cause = CauseShutdownDeadline
 	case cause == Cause(ReasonTimeout), cause == Cause(ReasonNotInTime):
 		cause = CauseTimeOver
@@ -174,7 +176,7 @@
 	return cause.ending()
 }
 
-// begin tells whether the request has not ended before.
+// begin marks the request as ending. It returns false if it had an ending before.
 func (e *endingRecorder) begin() bool {
 	if e.isEnding {
 		e.relay.Metrics.fault(faultSecondEnding)
@@ -185,7 +187,7 @@
 	return true
 }
 
-// finish counts an ending, and logs one that is no answer.
+// finish counts an ending, and logs it if it is not an answer.
 func (e *endingRecorder) finish(ending Ending, details lineDetails) {
 	e.ending = ending
 	e.relay.Metrics.ended(ending)
@@ -195,8 +197,7 @@
 	e.log(ending, details)
 }
 
-// conclude ends a request that its handler left, by a panic if fault is not nil, without
-// an ending.
+// conclude ends a request whose handler returned without an ending, or panicked with fault.
 func (e *endingRecorder) conclude(fault any) {
 	switch {
 	case fault == http.ErrAbortHandler:
@@ -213,8 +214,8 @@
 	}
 }
 
-// breakOff closes the connection unless the caller has its ending: one that was begun may
-// have been written in part.
+// breakOff closes the connection unless an ending was delivered. An ending that has only
+// begun may have been written in part.
 func (e *endingRecorder) breakOff(cause Cause) {
 	if e.isDelivered {
 		return
--- a/internal/relay/ending_test.go
+++ b/internal/relay/ending_test.go
@@ -16,7 +16,7 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// loggedEnding is what the log tells of a call that was not answered.
+// loggedEnding is the log line of a call that was not answered.
 type loggedEnding struct {
 	Request    string     `json:"request"`
 	Ending     EndingKind `json:"ending"`
@@ -26,7 +26,7 @@
 	MayHaveRun bool       `json:"may_have_run"`
 }
 
-// endingsIn reads the endings of a log by call.
+// endingsIn returns the logged endings by call.
 func endingsIn(t *testing.T, lines *bytes.Buffer) map[string][]loggedEnding {
 	t.Helper()
 	endings := map[string][]loggedEnding{}
@@ -42,19 +42,19 @@
 	return endings
 }
 
-// endingCase is a call, and what is told of its ending.
+// endingCase is a call and its expected logged ending.
 type endingCase struct {
 	kind route.Kind
-	// once: the stream may not be taken up. kept: it is a turn whose record takes longer
-	// than its caller waits.
+	// once: the stream is not resumable. kept: the call is a turn that takes longer to
+	// store than its caller waits.
 	once, kept bool
 	steps      []step
-	// prepare, if given, changes the harness.
-	prepare func(*harness)
-	gone    bool
-	// leaves, if given, ends the call's context after a second.
-	leaves error
-	want   loggedEnding
+	// prepare, if not nil, modifies the harness.
+	prepare      func(*harness)
+	disconnected bool
+	// contextCause, if not nil, cancels the call's context after a second.
+	contextCause error
+	want         loggedEnding
 }
 
 var endingCases = map[string]endingCase{
@@ -62,11 +62,11 @@
 		kind: route.KindStream, once: true, steps: []step{{body: eventOne, cut: true}},
 		want: loggedEnding{Ending: EndingBrokenOff, Cause: CauseBackEndBroke, By: PartyBackEnd, Events: 1, MayHaveRun: true},
 	},
-	"back end fails to take a stream up": {
+	"back end fails to resume a stream": {
 		kind: route.KindStream, steps: []step{{body: eventOne, cut: true}, {status: 500}},
 		want: loggedEnding{Ending: EndingBrokenOff, Cause: CauseBackEndFailed, By: PartyBackEnd, Events: 1, MayHaveRun: true},
 	},
-	"nobody takes a stream up": {
+	"no instance resumes a stream": {
 		kind: route.KindStream, steps: []step{{body: eventOne, cut: true}, {notRun: true, status: 503}},
 		want: loggedEnding{Ending: EndingBrokenOff, Cause: Cause(ReasonFull), By: PartyDaemon, Events: 1, MayHaveRun: true},
 	},
@@ -74,11 +74,11 @@
 		kind: route.KindOnce, steps: []step{{body: "half", cut: true}},
 		want: loggedEnding{Ending: EndingRefused, Cause: Cause(ReasonBroken), By: PartyBackEnd, MayHaveRun: true},
 	},
-	"back end breaks a failure off where a stream is due": {
+	"back end breaks off an error answer to a stream request": {
 		kind: route.KindStream, steps: []step{{status: 500, body: "half", cut: true}},
 		want: loggedEnding{Ending: EndingRefused, Cause: CauseBackEndBroke, By: PartyBackEnd, MayHaveRun: true},
 	},
-	"back end has started again": {
+	"back end has restarted": {
 		kind: route.KindOnce, steps: []step{{hold: true}},
 		prepare: func(h *harness) {
 			h.pool.Replace(restartedRun(100))
@@ -88,69 +88,70 @@
 		want: loggedEnding{Ending: EndingRefused, Cause: CauseBackEndGivenUp, By: PartyDaemon, MayHaveRun: true},
 	},
 	"back end promises falsely": {
-		kind: route.KindOnce, steps: []step{{status: 503, sounds: true}},
+		kind: route.KindOnce, steps: []step{{status: 503, impliesNotRun: true}},
 		want: loggedEnding{Ending: EndingRefused, Cause: CauseFalsePromise, By: PartyBackEnd, MayHaveRun: true},
 	},
-	"event does not reach its caller": {
-		kind: route.KindStream, steps: []step{{body: eventOne}}, gone: true,
+	"event cannot be written": {
+		kind: route.KindStream, steps: []step{{body: eventOne}}, disconnected: true,
 		want: loggedEnding{Ending: EndingCallerLeft, Cause: CauseWriteFailed, By: PartyCaller, MayHaveRun: true},
 	},
-	"answer does not reach its caller": {
-		kind: route.KindOnce, steps: []step{{}}, gone: true,
+	"answer cannot be written": {
+		kind: route.KindOnce, steps: []step{{}}, disconnected: true,
 		want: loggedEnding{Ending: EndingCallerLeft, Cause: CauseWriteFailed, By: PartyCaller, MayHaveRun: true},
 	},
 	"caller leaves": {
-		kind: route.KindOnce, steps: []step{{hold: true}}, leaves: errCut,
+		kind: route.KindOnce, steps: []step{{hold: true}}, contextCause: errCut,
 		want: loggedEnding{Ending: EndingCallerLeft, Cause: CauseCallerLeft, By: PartyCaller, MayHaveRun: true},
 	},
 	"caller leaves before its turn is granted": {
-		kind: route.KindStream, kept: true, leaves: errCut,
+		kind: route.KindStream, kept: true, contextCause: errCut,
 		prepare: func(h *harness) { h.relay.Ledger = &fakeLedger{err: heldUp(admission.ShardMoving, 0)} },
 		want:    loggedEnding{Ending: EndingCallerLeft, Cause: CauseCallerLeft, By: PartyCaller},
 	},
-	"time is over": {
+	"deadline passes": {
 		kind: route.KindOnce, steps: []step{{hold: true}},
 		want: loggedEnding{Ending: EndingRefused, Cause: Cause(ReasonTimeout), By: PartyDaemon, MayHaveRun: true},
 	},
-	"caller leaves before the record": {
-		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}}, leaves: errCut,
+	"caller leaves before the turn is stored": {
+		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}}, contextCause: errCut,
 		want: loggedEnding{Ending: EndingCallerLeft, Cause: CauseRecordCallerLeft, By: PartyCaller, Events: 1, MayHaveRun: true},
 	},
-	"stop is at its bound before the record": {
-		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}}, leaves: ErrShutdownDeadline,
+	"shutdown deadline before the turn is stored": {
+		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}}, contextCause: ErrShutdownDeadline,
 		want: loggedEnding{Ending: EndingBrokenOff, Cause: CauseRecordShutdownDeadline, By: PartyDaemon, Events: 1, MayHaveRun: true},
 	},
-	"time is over before the record": {
+	"deadline passes before the turn is stored": {
 		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}},
 		want: loggedEnding{Ending: EndingBrokenOff, Cause: CauseRecordTimeOver, By: PartyDaemon, Events: 1, MayHaveRun: true},
 	},
-	"record's chain is not known": {
+	"previous turn is unknown to the ledger": {
 		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}},
 		prepare: func(h *harness) { h.relay.Ledger = &fakeLedger{endErr: ledger.ErrUnknownTurn} },
 		want:    loggedEnding{Ending: EndingBrokenOff, Cause: CauseRecordUnknownTurn, By: PartyDaemon, Events: 1, MayHaveRun: true},
 	},
-	"no memory to wait for the record": {
+	"record memory is full": {
 		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}},
-		prepare: func(h *harness) { h.fillRecordRoom(2) },
+		prepare: func(h *harness) { h.fillRecordMemory(2) },
 		want:    loggedEnding{Ending: EndingBrokenOff, Cause: CauseRecordMemory, By: PartyDaemon, Events: 1, MayHaveRun: true},
 	},
-	"caller leaves while there is no memory to wait for the record": {
-		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}}, leaves: errCut,
-		prepare: func(h *harness) { h.fillRecordRoom(2) },
+	"caller leaves while the record memory is full": {
+		kind: route.KindStream, kept: true, steps: []step{{body: eventOne}}, contextCause: errCut,
+		prepare: func(h *harness) { h.fillRecordMemory(2) },
 		want:    loggedEnding{Ending: EndingCallerLeft, Cause: CauseRecordCallerLeft, By: PartyCaller, Events: 1, MayHaveRun: true},
 	},
 }
 
-// fillRecordRoom sets the memory for records, so small that the next turn has to wait.
-func (h *harness) fillRecordRoom(limit int64) {
+// fillRecordMemory sets the limit of the memory for records and fills it, so that the next
+// turn has to wait.
+func (h *harness) fillRecordMemory(limit int64) {
 	h.relay.MaxPendingRecordBytes = limit
-	_ = h.relay.recording.acquire(h.t.Context(), 1, limit) // there is room
+	_ = h.relay.pendingRecords.acquire(h.t.Context(), 1, limit) // the memory is empty
 }
 
-// play carries the call and returns what is told of its ending.
-func (c endingCase) play(t *testing.T) []loggedEnding {
+// run serves the call and returns its logged endings.
+func (c endingCase) run(t *testing.T) []loggedEnding {
 	h := newHarness(t, c.steps...)
-	h.relay.StoppingSince = func() (time.Time, bool) { return time.Now(), c.leaves == ErrShutdownDeadline }
+	h.relay.StoppingSince = func() (time.Time, bool) { return time.Now(), c.contextCause == ErrShutdownDeadline }
 	lines := &bytes.Buffer{}
 	h.relay.Logger = zerolog.New(zerolog.SyncWriter(lines))
 	r := newRoute(c.kind)
@@ -165,23 +166,23 @@
 	}
 	ctx, end := context.WithCancelCause(t.Context())
 	defer end(nil)
-	if c.leaves != nil {
-		time.AfterFunc(time.Second, func() { end(c.leaves) })
+	if c.contextCause != nil {
+		time.AfterFunc(time.Second, func() { end(c.contextCause) })
 	}
-	h.relay.Serve(ctx, call, &recorder{gone: c.gone})
+	h.relay.Serve(ctx, call, &recorder{disconnected: c.disconnected})
 	h.relay.Wait(t.Context())
-	if c.leaves == ErrShutdownDeadline {
+	if c.contextCause == ErrShutdownDeadline {
 		expectParts(t, lines.String(), `"stopping_for":0`)
 	}
 	return endingsIn(t, lines)[call.ID]
 }
 
-func TestEndingTellsWhyAndByWhom(t *testing.T) {
+func TestEndingLogsCauseAndParty(t *testing.T) {
 	for name, test := range endingCases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				test.want.Request = "q"
-				if diff := cmp.Diff([]loggedEnding{test.want}, test.play(t)); diff != "" {
+				if diff := cmp.Diff([]loggedEnding{test.want}, test.run(t)); diff != "" {
 					t.Errorf("(-want +got):\n%s", diff)
 				}
 			})
@@ -189,11 +190,11 @@
 	}
 }
 
-func TestCallThatItsHandlerLeavesIsBrokenOffAndCounted(t *testing.T) {
+func TestCallWithoutEndingIsBrokenOffAndCounted(t *testing.T) {
 	for fault, serve := range map[handlingFault]func(Responder){
 		faultNoEnding:     func(Responder) {},
 		faultPanic:        func(Responder) { panic("fault") },
-		faultSecondEnding: func(out Responder) { out.Abort(); out.Refuse(stopping) },
+		faultSecondEnding: func(out Responder) { out.Abort(); out.Refuse(stoppingRefusal) },
 	} {
 		h := newHarness(t)
 		got := &recorder{}
@@ -202,13 +203,13 @@
 			t.Errorf("%s: %+v", fault, got)
 		}
 		if sumOf(h.relay.Metrics.faults.WithLabelValues(string(fault))) != 1 || sumOf(h.relay.Metrics.open) != 0 {
-			t.Errorf("%s: is not counted", fault)
+			t.Errorf("%s: fault is not counted", fault)
 		}
-		h.metrics = nil // their faults are meant
+		h.metrics = nil // these faults are expected
 	}
 }
 
-// panickingLedger fails at the record of a kept turn.
+// panickingLedger panics when a kept turn is stored.
 type panickingLedger struct{ fakeLedger }
 
 func (l *panickingLedger) End(ctx context.Context, outcome ledger.Outcome) error {
@@ -218,13 +219,14 @@
 	return l.fakeLedger.End(ctx, outcome)
 }
 
-// panickingResponder fails at an event.
+// panickingResponder panics at an event.
 type panickingResponder struct{ recorder }
 
 func (*panickingResponder) Event([]byte) error { panic("fault") }
 
-// TestPanicLeavesNothingBehind: the offer under way is released, and the turn is settled.
-func TestPanicLeavesNothingBehind(t *testing.T) {
+// After a panic the instance's load and the record memory are released, and the turn is
+// settled.
+func TestPanicReleasesInstanceAndSettlesTurn(t *testing.T) {
 	for name, test := range map[string]struct {
 		caller Responder
 		events int64
@@ -236,7 +238,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h, _, call := newRecording(t, 0)
+				h, _, call := newRecordingHarness(t, 0)
 				kept := &panickingLedger{}
 				h.relay.Ledger, h.relay.MaxPendingRecordBytes, h.driver.onSend = kept, 100, test.onSend
 				h.relay.Serve(t.Context(), call, test.caller)
@@ -244,7 +246,7 @@
 				if loads := h.pool.Loads(); len(loads) != 0 || len(h.relay.monitor.offers) != 0 {
 					t.Errorf("an offer is still counted: %v", loads)
 				}
-				if h.relay.recording.held != 0 {
+				if h.relay.pendingRecords.held != 0 {
 					t.Error("room for its record is still held")
 				}
 				if len(kept.outcomes) != 1 || kept.outcomes[0].UsedTokens != test.events*4 {
@@ -253,7 +255,7 @@
 				if sumOf(h.relay.Metrics.faults) != 1 {
 					t.Error("the fault is not counted")
 				}
-				h.metrics = nil // it is meant
+				h.metrics = nil // the fault is expected
 			})
 		})
 	}
--- a/internal/relay/evacuated_test.go
+++ b/internal/relay/evacuated_test.go
@@ -34,7 +34,7 @@
 	return e
 }
 
-// evacuate makes these the zones that are evacuated.
+// evacuate sets the evacuated zones.
 func (e *evacuationTest) evacuate(names ...string) {
 	e.end++
 	reading := zone.Reading{End: e.end}
@@ -44,8 +44,8 @@
 	e.evacuations.Take(reading, time.Now())
 }
 
-// evacuateAfterFirstSend evacuates the zone of the instance that gets the first offer,
-// while that is under way.
+// evacuateAfterFirstSend evacuates the zone of the instance that gets the first offer while
+// the offer is in progress.
 func (e *evacuationTest) evacuateAfterFirstSend() {
 	e.driver.onSend = func() {
 		if len(e.driver.to) == 1 {
@@ -54,8 +54,8 @@
 	}
 }
 
-// expectOthersElsewhere checks that of all offers just the first went to its zone.
-func (e *evacuationTest) expectOthersElsewhere() {
+// expectLaterOffersElsewhere checks that only the first offer went to its zone.
+func (e *evacuationTest) expectLaterOffersElsewhere() {
 	e.t.Helper()
 	if len(e.driver.to) < 2 {
 		e.t.Fatalf("sent to %v only", e.sentTo())
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestRetryLeavesTheEvacuatedZone(t *testing.T) {
+func TestRetryAvoidsEvacuatedZone(t *testing.T) {
 	for name, first := range map[string]step{
 		"not run":   {status: 503, notRun: true},
 		"broke off": {body: "half", cut: true},
@@ -77,12 +77,12 @@
 			if got := e.serve(newCall(newRoute(route.KindRepeatable))); got.body.String() != "ok" {
 				t.Errorf("got %d %q %+v", got.status, got.body.String(), got.refusal)
 			}
-			e.expectOthersElsewhere()
+			e.expectLaterOffersElsewhere()
 		})
 	}
 }
 
-func TestStreamThatBreaksIsTakenUpOutsideTheEvacuatedZone(t *testing.T) {
+func TestBrokenStreamResumesOutsideEvacuatedZone(t *testing.T) {
 	e := newEvacuationTest(t,
 		step{body: "id: 1\ndata: one\n\n", cut: true}, step{body: "id: 2\ndata: two\n\n", cut: true}, step{body: "id: 3\ndata: three\n\n"})
 	e.evacuateAfterFirstSend()
@@ -90,24 +90,24 @@
 	if !got.ended || got.body.String() != "id: 1\ndata: one\n\nid: 2\ndata: two\n\nid: 3\ndata: three\n\n" {
 		t.Errorf("got %q, ended: %v", got.body.String(), got.ended)
 	}
-	e.expectOthersElsewhere()
+	e.expectLaterOffersElsewhere()
 }
 
-func TestSessionLeavesItsInstanceInAnEvacuatedZone(t *testing.T) {
+func TestSessionMovesOutOfEvacuatedZone(t *testing.T) {
 	e := newEvacuationTest(t, step{body: "id: 1\ndata: one\n\n"})
 	e.serve(newTurn(newRoute(route.KindStream)))
 	e.evacuate(e.driver.to[0].Zone)
-	e.ledger.instance = e.driver.to[0].ID // what the program's record knows
+	e.ledger.instance = e.driver.to[0].ID // as if the program's record named it
 	for range 3 {
 		e.serve(newTurn(newRoute(route.KindStream)))
 	}
-	e.expectOthersElsewhere()
+	e.expectLaterOffersElsewhere()
 }
 
-// TestBoundCallIsNotRunAgainInAnEvacuatedZone: only the instance that may still run it
-// could, so it ends there, and nobody is told that it has not run.
-func TestBoundCallIsNotRunAgainInAnEvacuatedZone(t *testing.T) {
-	for name, second := range map[string]step{"the order comes first": {body: "id: 1\ndata: again\n\n"}, "the order comes while it is full": {status: 503, notRun: true}} {
+// A call bound to one instance must not be sent there again after its zone was evacuated,
+// nor be reported as not run.
+func TestBoundCallIsNotRetriedInEvacuatedZone(t *testing.T) {
+	for name, second := range map[string]step{"evacuated before the retry": {body: "id: 1\ndata: again\n\n"}, "evacuated while the instance is full": {status: 503, notRun: true}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e := newEvacuationTest(t, step{err: errCut}, second)
@@ -118,7 +118,7 @@
 					}
 				}
 				r := newRoute(route.KindStream)
-				r.MaxAttempts = 1 // a stream that broke is run again where it may still run
+				r.MaxAttempts = 1 // a stream that broke may only be resumed at the same instance
 				got := e.serve(newCall(r))
 				if got.refusal == nil || got.refusal.Reason != ReasonBroken {
 					t.Errorf("got %d %q %+v", got.status, got.body.String(), got.refusal)
@@ -135,11 +135,11 @@
 	}
 }
 
-// TestServiceWhoseZonesAreAllEvacuatedRefusesAtOnce: truly, as not run, and with a time
-// to come back that grows with how long zones are evacuated. Also while instances may
-// be missing on the list, and after an offer that was not taken.
-func TestServiceWhoseZonesAreAllEvacuatedRefusesAtOnce(t *testing.T) {
-	for name, offers := range map[string]int{"before any offer": 0, "after one that was not taken": 1} {
+// The refusal guarantees that the request has not run, and its Retry-After grows with the
+// duration of the evacuation. That holds while the list may be incomplete, and after an
+// offer that was turned down.
+func TestServiceInEvacuatedZonesOnlyRefusesAtOnce(t *testing.T) {
+	for name, offers := range map[string]int{"before any offer": 0, "after one that was turned down": 1} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e := newEvacuationTest(t, step{status: 503, notRun: true})
@@ -157,9 +157,9 @@
 				}
 				time.Sleep(time.Minute)
 				if later := e.serve(newCall(newRoute(route.KindOnce))).refusal; later.RetryAfter <= got.refusal.RetryAfter || got.refusal.RetryAfter <= 0 {
-					t.Errorf("to come back after %s, and a minute later after %s", got.refusal.RetryAfter, later.RetryAfter)
+					t.Errorf("Retry-After %s, and a minute later %s", got.refusal.RetryAfter, later.RetryAfter)
 				}
-				if _, full := e.relay.full.end("s", time.Now()); full {
+				if _, full := e.relay.full.noteNotFull("s", time.Now()); full {
 					t.Error("the service counts as full")
 				}
 				e.driver.onSend = nil
--- a/internal/relay/failed_offer.go
+++ b/internal/relay/failed_offer.go
@@ -10,78 +10,79 @@
 	"github.com/mintpulley/mintpulley/internal/instance"
 )
 
-// What becomes of a call whose latest offer was not taken: whether another instance may get it
+// Handling of offers that were not accepted: whether another instance may get the call
 // depends on whether this one may have run it.
 
-// goOn takes note of a failed offer and tells whether the call may be offered
-// to another instance. If not, the call was ended.
-func (c *carrier) goOn(ctx context.Context, target instance.Instance, answer *Answer, err error) bool {
+// handleFailedOffer handles an offer that was not accepted and reports whether the call may
+// be offered to another instance. If not, the call was ended.
+func (c *callHandler) handleFailedOffer(ctx context.Context, target instance.Instance, answer *Answer, err error) bool {
 	c.excluded = append(c.excluded, target.ID)
 	if err == nil {
 		drainAndClose(answer.Body)
 		c.noteNotRun(target, answer)
-		if belongsToCall(c.refusals, c.others()) {
+		if isCallAtFault(c.refusals, c.others()) {
 			c.refuseTurnedDown()
 			return false
 		}
 		return true
 	}
 	if ctx.Err() != nil {
-		c.release(target, c.outcomeOfGivingUp())
+		c.release(target, c.canceledOutcome())
 		if !httpconn.IsNotSent(err) {
 			c.noteRun(target)
 		}
-		c.refuseLate(ctx)
+		c.refuseEnded(ctx)
 		return false
 	}
 	if errors.Is(err, httpconn.ErrNoConnection) || errors.Is(err, httpconn.ErrLate) || errors.Is(err, httpconn.ErrTurnedAway) {
 		c.release(target, instance.OutcomeFull)
 		return true
 	}
-	c.fail(target)
+	c.releaseFailed(target)
 	c.logger.Info().Str("instance", target.ID).Int("offer", c.offers).Err(err).Msg("Offer failed.")
 	if httpconn.IsNotSent(err) {
-		// It can not be connected to: nearly always because it is gone, and most back ends drop a
-		// run whose connection broke. One that leaves may still run it, and nothing tells.
-		c.only = ""
+		// The instance does not accept connections. Nearly always it is gone, and most back
+		// ends stop a run when its connection breaks. A back end that is shutting down may
+		// still run the call, which cannot be detected.
+		c.boundTo = ""
 		return true
 	}
 	c.noteRun(target)
 	return c.mayRunAgain()
 }
 
-// outcomeOfGivingUp is what a request that this side ended says of its
-// instance: something, if that was silent for long.
-func (c *carrier) outcomeOfGivingUp() instance.Outcome {
-	if time.Since(c.latest.heardAt) >= silentAfter {
+// canceledOutcome returns the outcome of an offer that this side ended. It counts against
+// the instance only if that was silent for long.
+func (c *callHandler) canceledOutcome() instance.Outcome {
+	if time.Since(c.latest.heardAt) >= silentThreshold {
 		return instance.OutcomeSilent
 	}
 	return instance.OutcomeGivenUp
 }
 
-// noteRun takes note that an instance may have run the call, after all others.
-func (c *carrier) noteRun(target instance.Instance) {
+// noteRun records that an instance may have run the call, as the latest.
+func (c *callHandler) noteRun(target instance.Instance) {
 	c.runs++
 	c.ranOn = slices.DeleteFunc(c.ranOn, func(id string) bool { return id == target.ID })
 	c.ranOn = append(c.ranOn, target.ID)
 }
 
-// bind keeps a call that ran on as many instances as its route allows to the
-// last of them. Only the connection to it may have broken, not its run; one
-// that cannot be reached any more is left.
-func (c *carrier) bind() {
+// bindToLastInstance binds a call that ran on as many instances as its route allows to the
+// last of them, which may still be running it although the connection broke. The binding
+// ends when that instance cannot be reached any more.
+func (c *callHandler) bindToLastInstance() {
 	if len(c.ranOn) < c.call.Route.MaxAttempts {
 		return
 	}
-	c.only = c.ranOn[len(c.ranOn)-1]
+	c.boundTo = c.ranOn[len(c.ranOn)-1]
 	c.excluded = c.excluded[:0]
 }
 
-func (c *carrier) noteNotRun(target instance.Instance, answer *Answer) {
+func (c *callHandler) noteNotRun(target instance.Instance, answer *Answer) {
 	outcome := instance.OutcomeFull
 	if answer.Misdirected {
 		outcome = instance.OutcomeGone
-		c.only = ""
+		c.boundTo = ""
 	} else {
 		c.refusals++
 	}
@@ -90,22 +91,23 @@
 	c.logNotTaken(target, answer.Status)
 }
 
-// mostRuns bounds how often the call may run.
-func (c *carrier) mostRuns() int {
+// maxRuns returns how often the call may run.
+func (c *callHandler) maxRuns() int {
 	if c.call.Route.Kind == kindStream {
-		return streamRuns
+		return maxStreamRuns
 	}
 	return c.call.Route.MaxAttempts
 }
 
-// alternativeTo is what another instance must be to get the call while the target may still run it,
-// nil if the route allows no further run or no further instance.
-func (c *carrier) alternativeTo(target instance.Instance) *instance.Query {
+// alternativeTo returns the requirements for another instance that gets the call while
+// target may still be running it, nil if the route allows no further run or no further
+// instance.
+func (c *callHandler) alternativeTo(target instance.Instance) *instance.Query {
 	ranOn := len(c.ranOn)
 	if !slices.Contains(c.ranOn, target.ID) {
 		ranOn++
 	}
-	if !c.call.Route.Repeatable() || c.runs+1 >= c.mostRuns() || ranOn >= c.call.Route.MaxAttempts {
+	if !c.call.Route.Repeatable() || c.runs+1 >= c.maxRuns() || ranOn >= c.call.Route.MaxAttempts {
 		return nil
 	}
 	query := c.query()
@@ -113,14 +115,14 @@
 	return &query
 }
 
-// mayRunAgain tells whether the route allows another run; if not, the call is
-// ended as one that may have run.
-func (c *carrier) mayRunAgain() bool {
-	if c.call.Route.Repeatable() && c.runs < c.mostRuns() {
-		c.bind()
+// mayRunAgain reports whether the route allows another run. If not, the call is ended as
+// one that may have run.
+func (c *callHandler) mayRunAgain() bool {
+	if c.call.Route.Repeatable() && c.runs < c.maxRuns() {
+		c.bindToLastInstance()
 		c.relay.Metrics.retry()
 		return true
 	}
-	c.refuse(brokenOff)
+	c.refuse(brokenOffRefusal)
 	return false
 }
--- a/internal/relay/promise_test.go
+++ b/internal/relay/false_promise_test.go
@@ -6,22 +6,22 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// TestPromiseThatItsInstanceDidNotMakeIsNotPassedOn: an answer whose status says that the
-// request has not run, of an instance that does not say so, ran it. Who may send it again
-// anyhow gets the answer as it is.
-func TestPromiseThatItsInstanceDidNotMakeIsNotPassedOn(t *testing.T) {
+// An answer whose status implies that the request was not run, but without the instance's
+// guarantee for that, means that it did run. Only requests that may run again get the
+// answer unchanged.
+func TestFalseNotRunPromiseIsNotPassedOn(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind      route.Kind
 		resumable bool
 		passed    bool
 	}{
-		"once":                    {route.KindOnce, false, false},
-		"stream":                  {route.KindStream, false, false},
-		"repeatable":              {route.KindRepeatable, false, true},
-		"stream that is taken up": {route.KindStream, true, true},
+		"once":             {route.KindOnce, false, false},
+		"stream":           {route.KindStream, false, false},
+		"repeatable":       {route.KindRepeatable, false, true},
+		"resumable stream": {route.KindStream, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHarness(t, step{status: 503, body: "busy", sounds: true})
+			h := newHarness(t, step{status: 503, body: "busy", impliesNotRun: true})
 			r := newRoute(c.kind)
 			r.Resumable = c.resumable
 			got := h.serve(newCall(r))
--- a/internal/relay/give_up.go
+++ b/internal/relay/give_up.go
@@ -9,27 +9,29 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// errGivenUp ends the wait for a back end that is believed not to be reached or whose run is
-// over, and the wait for records that can not be reached.
+// errGivenUp is the cause of canceling a wait: for a back end that is presumed unreachable
+// or whose run is over, or for a program's record that cannot be reached.
 var errGivenUp = httpconn.ErrGivenUp
 
-// GiveUpSilent ends the wait for silent back ends whose run is over, and the wait for those that
-// are only believed not to be reached, if another takes the request. It also ends that of turns for
-// their records while this daemon is isolated. It implements reach.Connections.
+// GiveUpSilent cancels the waits for silent back ends whose run is over, and for silent
+// back ends that are presumed unreachable if another back end can take the request. While
+// this daemon is isolated it also cancels the waits of turns for their program's record. It
+// implements reach.Connections.
 //
-// The belief is wrong of back ends that leave, are full, or pause while their zone's daemons start
-// again: they go on with the answers that they have. So it ends no answer that only they can give.
-// Where they are really gone the connection fails by itself, as package httpconn has it probed.
+// The presumption is wrong for back ends that are shutting down, are full, or pause while
+// the daemons of their zone restart: they do complete their answers. It therefore never
+// ends an answer that only they can give. If such a back end is really gone, the TCP
+// keepalive of package httpconn fails the connection.
 func (r *Relay) GiveUpSilent(now time.Time) {
 	m := r.monitor
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for o := range m.offers {
-		if m.excess(o, now) <= silentMargin {
+		if m.overdueBy(o, now) <= silentMargin {
 			continue
 		}
-		isDoubted := m.isDoubted(o, now)
-		if isDoubted && m.hasAlternative(o) || m.relay.Pool.IsReplaced(o.target) {
+		presumedUnreachable := m.presumedUnreachable(o, now)
+		if presumedUnreachable && m.hasAlternative(o) || m.relay.Pool.IsReplaced(o.target) {
 			o.giveUp(errGivenUp)
 		}
 	}
@@ -41,19 +43,19 @@
 	}
 }
 
-// isDoubted tells whether the instance of a silent offer is believed not to be reached. The mutex
-// must be held.
-func (m *offerMonitor) isDoubted(o *pendingOffer, now time.Time) bool {
-	return m.isCut(o.target.Zone) || m.relay.Pool.HasEnded(o.target.ID) || !m.isReachable(o, now)
+// presumedUnreachable reports whether the instance of a silent offer is presumed
+// unreachable. The mutex must be held.
+func (m *offerMonitor) presumedUnreachable(o *pendingOffer, now time.Time) bool {
+	return m.isCutOff(o.target.Zone) || m.relay.Pool.HasEnded(o.target.ID) || !m.isReachable(o, now)
 }
 
-// hasAlternative tells whether another instance takes an offer's request.
+// hasAlternative reports whether another instance can take an offer's request.
 func (m *offerMonitor) hasAlternative(o *pendingOffer) bool {
-	return o.alternative != nil && m.relay.Pool.HasReady(*o.alternative, m.isCut)
+	return o.alternative != nil && m.relay.Pool.HasReady(*o.alternative, m.isCutOff)
 }
 
-// WatchSilence calls GiveUpSilent until ctx ends. It is for a fleet of one zone, where no
-// reach.Watch calls it.
+// WatchSilence calls GiveUpSilent periodically until ctx ends. It is for a fleet of one
+// zone, where no reach.Watch calls it.
 func (r *Relay) WatchSilence(ctx context.Context) {
 	ticker := time.NewTicker(zone.StepInterval)
 	defer ticker.Stop()
@@ -67,7 +69,7 @@
 	}
 }
 
-// untilIsolated returns a context that also ends when this daemon is isolated.
+// untilIsolated returns a context that is also canceled when this daemon becomes isolated.
 func (m *offerMonitor) untilIsolated(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, giveUp := context.WithCancelCause(ctx)
 	m.mutex.Lock()
@@ -81,5 +83,5 @@
 	}
 }
 
-// isGivenUp tells whether a context ended because what waited under it was given up.
+// isGivenUp reports whether a context was canceled with errGivenUp.
 func isGivenUp(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errGivenUp) }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -23,31 +23,31 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// errCut stands for a connection that breaks.
+// errCut is the error of a connection that broke.
 var errCut = errors.New("cut")
 
-// step is what the driver does with one offer.
+// step is the driver's response to one offer.
 type step struct {
 	err    error
 	status int
 	notRun bool
-	// sounds: the status promises that it did not run.
-	sounds bool
-	other  bool
-	body   string
-	// cut breaks the body off at its end, and stall at the end of the call's context.
+	// impliesNotRun: callers take the status to mean that the request was not run.
+	impliesNotRun bool
+	misdirected   bool
+	body          string
+	// cut ends the body with errCut; stall blocks at its end until the call's context ends.
 	cut, stall bool
-	// hold waits until the call's context ends.
+	// hold blocks until the call's context ends, without an answer.
 	hold bool
 }
 
-// scriptedDriver plays steps in turn; the last one is repeated.
+// scriptedDriver plays its steps in order and repeats the last one.
 type scriptedDriver struct {
 	mutex sync.Mutex
 	steps []step
 	sent  []OutgoingCall
 	to    []instance.Instance
-	// onSend, if given, is called with each offer.
+	// onSend, if not nil, is called with each offer.
 	onSend func()
 }
 
@@ -79,7 +79,7 @@
 	if status == 0 {
 		status = http.StatusOK
 	}
-	return &Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(body), NotRun: next.notRun, StatusMeansNotRun: next.sounds, Misdirected: next.other}, nil
+	return &Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(body), NotRun: next.notRun, StatusMeansNotRun: next.impliesNotRun, Misdirected: next.misdirected}, nil
 }
 
 // Connect implements Driver.
@@ -89,7 +89,7 @@
 
 func (cutReader) Read([]byte) (int, error) { return 0, errCut }
 
-// stalledReader gives nothing until its context ends.
+// stalledReader blocks until its context ends.
 type stalledReader struct{ context.Context }
 
 func (r stalledReader) Read([]byte) (int, error) {
@@ -97,22 +97,22 @@
 	return 0, r.Err()
 }
 
-// recorder is a caller that notes what it gets.
+// recorder is a Responder that records what the caller gets.
 type recorder struct {
-	status  int
-	body    bytes.Buffer
-	refusal *Refusal
-	ended   bool
-	aborted bool
-	endings int
-	gone    bool
+	status       int
+	body         bytes.Buffer
+	refusal      *Refusal
+	ended        bool
+	aborted      bool
+	endings      int
+	disconnected bool
 }
 
 func (r *recorder) Answer(status int, _ http.Header, body []byte) error {
 	r.status = status
 	r.body.Write(body)
 	r.endings++
-	if r.gone {
+	if r.disconnected {
 		return errCut
 	}
 	return nil
@@ -126,7 +126,7 @@
 func (r *recorder) Head(status int, _ http.Header) { r.status = status }
 
 func (r *recorder) Event(raw []byte) error {
-	if r.gone {
+	if r.disconnected {
 		return errCut
 	}
 	r.body.Write(raw)
@@ -143,7 +143,7 @@
 	r.endings++
 }
 
-// fakeLedger grants, refuses and notes.
+// fakeLedger is a Ledger that returns fixed results and records its calls.
 type fakeLedger struct {
 	mutex    sync.Mutex
 	err      error
@@ -152,7 +152,7 @@
 	instance string
 	turns    []ledger.Turn
 	outcomes []ledger.Outcome
-	// abandoned lists turns that were given up before they began.
+	// abandoned lists the IDs of abandoned turns.
 	abandoned []string
 }
 
@@ -188,7 +188,7 @@
 	ledger *fakeLedger
 	relay  *Relay
 	pool   *instance.Pool
-	// metrics are those of all relays that the test used.
+	// metrics are the metrics of all relays that the test used.
 	metrics []*Metrics
 }
 
@@ -216,8 +216,7 @@
 	return h
 }
 
-// checkEndings makes sure that every request of the run has ended, once, and by what its
-// handler decided.
+// checkEndings checks that every request ended exactly once and by its handler.
 func (h *harness) checkEndings() {
 	h.t.Helper()
 	for _, m := range h.metrics {
@@ -230,7 +229,7 @@
 	}
 }
 
-// sumOf adds up all figures of a metric.
+// sumOf returns the sum of all series of a metric.
 func sumOf(metric prometheus.Collector) float64 {
 	figures := make(chan prometheus.Metric, 100)
 	metric.Collect(figures)
@@ -238,7 +237,7 @@
 	sum := 0.0
 	for figure := range figures {
 		var read dto.Metric
-		_ = figure.Write(&read) // fails on no metric of this package
+		_ = figure.Write(&read) // does not fail for the metrics of this package
 		sum += read.GetCounter().GetValue() + read.GetGauge().GetValue()
 	}
 	return sum
@@ -263,7 +262,7 @@
 	return call
 }
 
-// serve carries a call and checks that it was ended once.
+// serve handles a call and checks that it ended once.
 func (h *harness) serve(call *Call) *recorder {
 	h.t.Helper()
 	r := &recorder{}
@@ -286,7 +285,7 @@
 	return ids
 }
 
-func allDiffer(ids []string) bool {
+func allDistinct(ids []string) bool {
 	sorted := slices.Sorted(slices.Values(ids))
 	return len(slices.Compact(sorted)) == len(ids)
 }
--- a/internal/relay/health_test.go
+++ b/internal/relay/health_test.go
@@ -13,7 +13,7 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// picks returns how often the pool picks each instance for single requests.
+// picks returns how often the pool picks each instance in 60 single requests.
 func (h *harness) picks() map[string]int {
 	counts := map[string]int{}
 	for range 60 {
@@ -24,7 +24,7 @@
 	return counts
 }
 
-func TestInstanceThatSaysNothingIsPassedOver(t *testing.T) {
+func TestSilentInstanceIsPassedOver(t *testing.T) {
 	for _, kind := range []route.Kind{route.KindStream, route.KindOnce} {
 		t.Run(string(kind), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -42,20 +42,21 @@
 	}
 }
 
-func TestCallerThatLeavesEarlySaysNothingOfTheInstance(t *testing.T) {
+func TestEarlyDisconnectDoesNotCountAgainstInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{hold: true})
 		ctx, leave := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer leave()
 		h.relay.Serve(ctx, newCall(newRoute(route.KindOnce)), &recorder{})
 		if got := h.picks()[h.sentTo()[0]]; got == 0 {
-			t.Error("the instance is passed over")
+			t.Error("the instance gets no requests")
 		}
 	})
 }
 
-// TestCallerThatLeavesWithinAFailureSaysNothingOfTheInstance: so does the bound of a stop.
-func TestCallerThatLeavesWithinAFailureSaysNothingOfTheInstance(t *testing.T) {
+// A disconnect or the shutdown deadline during an error answer must not count against the
+// instance.
+func TestDisconnectDuringErrorAnswerDoesNotCountAgainstInstance(t *testing.T) {
 	for _, kind := range []route.Kind{route.KindStream, route.KindOnce} {
 		for _, cause := range []error{context.Canceled, ErrShutdownDeadline} {
 			synctest.Test(t, func(t *testing.T) {
@@ -64,14 +65,14 @@
 				time.AfterFunc(50*time.Millisecond, func() { leave(cause) })
 				h.relay.Serve(ctx, newCall(newRoute(kind)), &recorder{})
 				if got := h.picks()[h.sentTo()[0]]; got == 0 {
-					t.Errorf("%s, %v: the instance is passed over", kind, cause)
+					t.Errorf("%s, %v: the instance gets no requests", kind, cause)
 				}
 			})
 		}
 	}
 }
 
-// pacedDriver answers with ten events; those of one instance take longer.
+// pacedDriver answers with ten events; one instance sends them more slowly.
 type pacedDriver struct {
 	slow string
 }
@@ -93,7 +94,7 @@
 	return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: reader}, nil
 }
 
-func TestSlowStreamsSpeakAgainstTheirInstance(t *testing.T) {
+func TestSlowStreamsCountAgainstTheirInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.relay.Driver = &pacedDriver{slow: "i2"}
@@ -103,7 +104,7 @@
 			}
 		}
 		if got := h.picks(); got["i2"] != 0 || got["i1"] == 0 || got["i3"] == 0 {
-			t.Errorf("got %v, want nothing at i2, which is slow", got)
+			t.Errorf("got %v, want none at the slow instance i2", got)
 		}
 	})
 }
--- a/internal/relay/logs.go
+++ b/internal/relay/logs.go
@@ -9,21 +9,20 @@
 )
 
 const (
-	// ordinaryBurst is how many lines of the ordinary way a daemon writes each
-	// second; of those beyond it, every ordinaryEvery-th. Refusals, repeats and
-	// failures are never left out.
-	ordinaryBurst = 60
-	ordinaryEvery = 20
-	// closingBurst is how many lines a daemon writes each second of requests that ended
-	// without an answer or a refusal; of those beyond it, every ordinaryEvery-th. It is far
-	// above what faults make: what exceeds it are callers that leave in a crowd.
-	closingBurst = 200
+	// routineLogBurst is the number of routine log lines that a daemon writes each second;
+	// of further lines it writes every sampleInterval-th. Refusals, retries and failures
+	// are never sampled.
+	routineLogBurst = 60
+	sampleInterval  = 20
+	// brokenOffLogBurst is the same for requests that ended without an answer or a refusal.
+	// Failures stay far below it; only many callers that disconnect at once exceed it.
+	brokenOffLogBurst = 200
 )
 
-// countingSampler counts the lines that another sampler leaves out.
+// countingSampler wraps a sampler and counts the lines that it drops.
 type countingSampler struct {
 	zerolog.Sampler
-	leftOut func()
+	onDrop func()
 }
 
 // Sample implements zerolog.Sampler.
@@ -31,24 +30,24 @@
 	if s.Sampler.Sample(level) {
 		return true
 	}
-	s.leftOut()
+	s.onDrop()
 	return false
 }
 
-// newSampler returns a sampler that leaves most lines out that come after a burst within a
-// second.
-func newSampler(burst uint32, leftOut func()) zerolog.Sampler {
+// newSampler returns a sampler that passes a burst of lines each second and every
+// sampleInterval-th line beyond it.
+func newSampler(burst uint32, onDrop func()) zerolog.Sampler {
 	return countingSampler{
 		Sampler: &zerolog.BurstSampler{
 			Burst:       burst,
 			Period:      time.Second,
-			NextSampler: &zerolog.BasicSampler{N: ordinaryEvery},
+			NextSampler: &zerolog.BasicSampler{N: sampleInterval},
 		},
-		leftOut: leftOut,
+		onDrop: onDrop,
 	}
 }
 
-// callLogger returns a logger whose lines name the call.
+// callLogger returns a logger with the fields that identify the call.
 func callLogger(logger zerolog.Logger, call *Call) zerolog.Logger {
 	fields := logger.With().Str("request", call.ID).Str("route", call.Route.Name)
 	if call.Tenant != nil {
@@ -60,10 +59,10 @@
 	return fields.Logger()
 }
 
-// logAnswered tells how a request that was answered got there: what was decided,
-// on which news, and how long each step took.
-func (c *carrier) logAnswered(message string, target instance.Instance, status int, state *streamState) {
-	logger := callLogger(c.relay.ordinary, c.call)
+// logAnswered logs an answered request: the decisions, the age of the data they were based
+// on, and the duration of each step.
+func (c *callHandler) logAnswered(message string, target instance.Instance, status int, state *streamState) {
+	logger := callLogger(c.relay.routine, c.call)
 	event := logger.Info()
 	if event == nil {
 		return
@@ -77,7 +76,7 @@
 		event = c.logVerdict(event).Dur("admitted_after", c.quota.admittedAfter)
 	}
 	if state != nil {
-		event = event.Int64("events", state.events).Dur("first_event", state.firstAfter)
+		event = event.Int64("events", state.events).Dur("first_event", state.firstEventAfter)
 		if state.turn != nil {
 			event = event.Dur("granted_after", state.turn.grantedAfter).Dur("recorded_after", state.turn.recordedAfter).Bool("underway", state.turn.Underway).
 				Int("history", state.turn.historyBytes).Int64("budget", c.call.Program.BudgetTokens).Int64("most", c.call.MaxTokens)
@@ -86,8 +85,8 @@
 	event.Msg(message)
 }
 
-// routesVersion is the version of the routes in force.
-func (c *carrier) routesVersion() int64 {
+// routesVersion returns the version of the current routes.
+func (c *callHandler) routesVersion() int64 {
 	table := c.relay.Table()
 	if table == nil {
 		return 0
@@ -95,15 +94,15 @@
 	return table.Version
 }
 
-// logNotTaken tells of an offer that an instance did not run. There may be many
-// of them for one request.
-func (c *carrier) logNotTaken(target instance.Instance, status int) {
-	logger := callLogger(c.relay.ordinary, c.call)
+// logNotTaken logs an offer that an instance did not run. There may be many of them for one
+// request.
+func (c *callHandler) logNotTaken(target instance.Instance, status int) {
+	logger := callLogger(c.relay.routine, c.call)
 	logger.Info().Str("instance", target.ID).Int("status", status).Int("offer", c.offers).Msg("Offer not taken.")
 }
 
-// logRefusal adds how far the call got until it was refused, and what held it up.
-func (c *carrier) logRefusal(line *zerolog.Event, refusal Refusal) *zerolog.Event {
+// logRefusal adds the fields of a refused call: how far it got, and what held it up.
+func (c *callHandler) logRefusal(line *zerolog.Event, refusal Refusal) *zerolog.Event {
 	line = line.Int("offers", c.offers).Int("runs", c.runs).Dur("retry_after", refusal.RetryAfter)
 	if c.quota.verdict.Reason != "" {
 		line = c.logVerdict(line)
@@ -114,14 +113,13 @@
 	return line
 }
 
-// logVerdict adds what the owner of the tenant's limit decided, and on what.
-func (c *carrier) logVerdict(line *zerolog.Event) *zerolog.Event {
+// logVerdict adds the quota owner's verdict and the values that it was based on.
+func (c *callHandler) logVerdict(line *zerolog.Event) *zerolog.Event {
 	return line.Str("quota", string(c.quota.verdict.Reason)).Float64("tokens", c.quota.verdict.Tokens).Int("programs", c.quota.verdict.Programs)
 }
 
-// logForecast adds what held the call up, and what was expected of it when that was
-// last looked at.
-func (c *carrier) logForecast(line *zerolog.Event) *zerolog.Event {
+// logForecast adds what held the call up, and the latest forecast for that.
+func (c *callHandler) logForecast(line *zerolog.Event) *zerolog.Event {
 	return line.Stringer("held_up_by", c.heldUp.Kind).Dur("since", time.Since(c.heldUp.Since)).
 		Dur("left", time.Until(c.heldUp.LatestStart)).Float64("chance", c.forecast.SuccessProbability).Dur("expected", c.forecast.MedianRemaining)
 }
--- a/internal/relay/logs_test.go
+++ b/internal/relay/logs_test.go
@@ -14,7 +14,7 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// logTo makes the relay write its lines to a buffer.
+// logTo replaces the relay by one that logs to output.
 func (h *harness) logTo(output *bytes.Buffer) {
 	options := h.relay.Options
 	options.Logger = zerolog.New(output)
@@ -23,7 +23,7 @@
 	h.relay = New(options)
 }
 
-func TestAnsweredTurnIsLoggedWithWhatItRestsOn(t *testing.T) {
+func TestAnsweredTurnLogsItsFields(t *testing.T) {
 	h := newHarness(t, step{body: "id: 1\ndata: x\n\n"})
 	var output bytes.Buffer
 	h.logTo(&output)
@@ -37,12 +37,12 @@
 		"granted_after", "underway", "history", "instances_age", "routes_version",
 	} {
 		if _, there := line[field]; !there {
-			t.Errorf("%s is not told in %s", field, output.String())
+			t.Errorf("field %s is missing in %s", field, output.String())
 		}
 	}
 }
 
-func TestLinesOfTheOrdinaryWayAreBoundedAndRefusalsAreNot(t *testing.T) {
+func TestAnswersAreSampledInLogsAndRefusalsAreNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const calls = 400
 		h := newHarness(t, step{})
@@ -51,8 +51,8 @@
 		for range calls {
 			h.serve(newCall(newRoute(route.KindOnce)))
 		}
-		want := ordinaryBurst + (calls-ordinaryBurst)/ordinaryEvery
-		if got := strings.Count(output.String(), "Request answered."); got < ordinaryBurst || got > want+1 {
+		want := routineLogBurst + (calls-routineLogBurst)/sampleInterval
+		if got := strings.Count(output.String(), "Request answered."); got < routineLogBurst || got > want+1 {
 			t.Errorf("%d of %d answers were logged, want about %d", got, calls, want)
 		}
 		output.Reset()
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -16,65 +16,66 @@
 	subsystem = "relay"
 )
 
-// Metrics counts what the relay does.
+// Metrics are the relay's Prometheus metrics.
 type Metrics struct {
-	answers     *prometheus.CounterVec
-	refusals    *prometheus.CounterVec
-	offers      *prometheus.CounterVec
-	runs        *prometheus.CounterVec
-	latency     *prometheus.HistogramVec
-	firstEvents prometheus.Histogram
-	begins      *prometheus.HistogramVec
-	records     *prometheus.HistogramVec
-	leftOut     prometheus.Counter
-	// beliefAges are, at each offer, how old what the daemon believes is, by what it is of.
+	answers      *prometheus.CounterVec
+	refusals     *prometheus.CounterVec
+	offers       *prometheus.CounterVec
+	runs         *prometheus.CounterVec
+	latency      *prometheus.HistogramVec
+	firstEvents  prometheus.Histogram
+	begins       *prometheus.HistogramVec
+	records      *prometheus.HistogramVec
+	droppedLines prometheus.Counter
+	// beliefAges observes, at each offer, how long ago the data that it is based on was
+	// confirmed, by kind of data.
 	beliefAges *prometheus.HistogramVec
-	// givenUp are offers that were given up, by zone and by whether the zone or the
-	// instance alone could not be reached.
+	// givenUp counts offers that were given up, by zone and by whether the zone or only the
+	// instance was unreachable.
 	givenUp *prometheus.CounterVec
-	// waits are requests that were held up, by what held them up last and by what
-	// became of them.
-	waits   *prometheus.CounterVec
-	tenants tenantMetrics
-	// endings are requests that ended, by kind and cause, open those that have not, and
-	// faults errors of the code that ends them.
+	// heldUpRequests counts requests that were held up, by the last condition that did and
+	// by outcome.
+	heldUpRequests *prometheus.CounterVec
+	tenants        tenantMetrics
+	// endings counts requests that ended, by kind and cause; open is the number of those
+	// that have not, and faults counts bugs of the code that ends them.
 	endings *prometheus.CounterVec
 	open    prometheus.Gauge
 	faults  *prometheus.CounterVec
 }
 
-// NewMetrics registers the relay's metrics.
+// NewMetrics returns the relay's metrics, registered with registry.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	m := &Metrics{
-		answers:     counters("answers_total", "Back ends' answers passed on, by route kind and status.", "kind", "status"),
-		refusals:    counters("refusals_total", "Requests ended by the system itself, by reason.", "reason"),
-		offers:      counters("offers_not_taken_total", "Offers that an instance did not run, by cause.", "cause"),
-		runs:        counters("further_runs_total", "Requests run again or streams taken up.", "cause"),
-		latency:     histograms("answer_seconds", "From a request read to its answer ended.", "kind"),
-		begins:      histograms("turn_begin_seconds", "Time to reserve a turn's tokens, by outcome.", "outcome"),
-		records:     histograms("turn_record_seconds", "Time until the end of a kept turn was on record, by outcome.", "outcome"),
+		answers:     newCounterVec("answers_total", "Back ends' answers passed on, by route kind and status.", "kind", "status"),
+		refusals:    newCounterVec("refusals_total", "Requests ended by the system itself, by reason.", "reason"),
+		offers:      newCounterVec("offers_not_taken_total", "Offers that an instance did not run, by cause.", "cause"),
+		runs:        newCounterVec("further_runs_total", "Requests run again or streams taken up.", "cause"),
+		latency:     newHistogramVec("answer_seconds", "From a request read to its answer ended.", "kind"),
+		begins:      newHistogramVec("turn_begin_seconds", "Time to reserve a turn's tokens, by outcome.", "outcome"),
+		records:     newHistogramVec("turn_record_seconds", "Time until the end of a kept turn was on record, by outcome.", "outcome"),
 		firstEvents: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Subsystem: subsystem, Name: "first_event_seconds", Help: "From a request read to its first event.", Buckets: buckets()}),
 	}
-	m.waits = counters("held_up_total", "Requests that were held up, by what held them up last and by what became of them.", "by", "outcome")
+	m.heldUpRequests = newCounterVec("held_up_total", "Requests that were held up, by what held them up last and by what became of them.", "by", "outcome")
 	m.tenants = newTenantMetrics()
-	m.givenUp = counters("offers_given_up_total", "Offers given up as their back end is not reached, by its zone and by what is not reached.", "zone", "what")
-	m.leftOut = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: "log_lines_left_out_total", Help: "Log lines of the ordinary way that sampling left out."})
-	m.beliefAges = histograms("belief_age_seconds", "At each offer, since when what it rests on was not confirmed, by what that is.", "of")
-	m.endings = counters("endings_total", "Requests that ended, by kind and cause.", "ending", "cause")
-	m.faults = counters("handling_faults_total", "Requests left without an ending, ended twice, or whose handler panicked.", "fault")
+	m.givenUp = newCounterVec("offers_given_up_total", "Offers given up as their back end is not reached, by its zone and by what is not reached.", "zone", "what")
+	m.droppedLines = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: "log_lines_left_out_total", Help: "Log lines of the ordinary way that sampling left out."})
+	m.beliefAges = newHistogramVec("belief_age_seconds", "At each offer, since when what it rests on was not confirmed, by what that is.", "of")
+	m.endings = newCounterVec("endings_total", "Requests that ended, by kind and cause.", "ending", "cause")
+	m.faults = newCounterVec("handling_faults_total", "Requests left without an ending, ended twice, or whose handler panicked.", "fault")
 	m.open = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Subsystem: subsystem, Name: "open_requests", Help: "Requests that have not ended."})
 	registry.MustRegister(m.endings, m.faults, m.open)
-	registry.MustRegister(m.beliefAges, m.answers, m.refusals, m.offers, m.runs, m.latency, m.begins, m.records, m.firstEvents, m.leftOut, m.waits, m.givenUp, m.tenants.requests)
+	registry.MustRegister(m.beliefAges, m.answers, m.refusals, m.offers, m.runs, m.latency, m.begins, m.records, m.firstEvents, m.droppedLines, m.heldUpRequests, m.givenUp, m.tenants.requests)
 	return m
 }
 
 func buckets() []float64 { return prometheus.ExponentialBuckets(0.001, 2, 14) }
 
-func counters(name, help string, labels ...string) *prometheus.CounterVec {
+func newCounterVec(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: name, Help: help}, labels)
 }
 
-func histograms(name, help string, labels ...string) *prometheus.HistogramVec {
+func newHistogramVec(name, help string, labels ...string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Subsystem: subsystem, Name: name, Help: help, Buckets: buckets()}, labels)
 }
 
@@ -91,7 +92,7 @@
 
 func (m *Metrics) refused(call *Call, reason Reason) {
 	m.refusals.WithLabelValues(string(reason)).Inc()
-	m.tenants.count(call, outcomeOf(reason))
+	m.tenants.count(call, tenantOutcome(reason))
 }
 
 func (m *Metrics) opened() { m.open.Inc() }
@@ -110,7 +111,7 @@
 )
 
 func (m *Metrics) heldUp(by admission.Kind, outcome string) {
-	m.waits.WithLabelValues(by.String(), outcome).Inc()
+	m.heldUpRequests.WithLabelValues(by.String(), outcome).Inc()
 }
 
 func (m *Metrics) gaveUp(zone string, isCut bool) {
@@ -121,19 +122,19 @@
 	m.givenUp.WithLabelValues(zone, what).Inc()
 }
 
-// Beliefs that an offer rests on.
+// Data that an offer is based on.
 const (
 	beliefInstances = "instances"
 	beliefRoutes    = "routes"
 )
 
-// offered notes how old the list of instances and the routes are at an offer.
+// offered observes the ages of the list of instances and of the routes at an offer.
 func (m *Metrics) offered(instances, routes time.Duration) {
 	m.beliefAges.WithLabelValues(beliefInstances).Observe(instances.Seconds())
 	m.beliefAges.WithLabelValues(beliefRoutes).Observe(routes.Seconds())
 }
 
-func (m *Metrics) lineLeftOut() { m.leftOut.Inc() }
+func (m *Metrics) lineDropped() { m.droppedLines.Inc() }
 
 func (m *Metrics) retry() { m.runs.WithLabelValues("retry").Inc() }
 
@@ -147,7 +148,7 @@
 	m.offers.WithLabelValues(cause).Inc()
 }
 
-func (m *Metrics) recorded(took time.Duration, err error) {
+func (m *Metrics) recordEnded(took time.Duration, err error) {
 	outcome := "recorded"
 	if err != nil {
 		outcome = "given_up"
@@ -155,7 +156,7 @@
 	m.records.WithLabelValues(outcome).Observe(took.Seconds())
 }
 
-func (m *Metrics) begun(took time.Duration, err error) {
+func (m *Metrics) beginEnded(took time.Duration, err error) {
 	outcome := "granted"
 	switch {
 	case err == nil:
--- a/internal/relay/offer_monitor.go
+++ b/internal/relay/offer_monitor.go
@@ -10,52 +10,55 @@
 )
 
 const (
-	// overdueMargin is by how much the wait for a back end must exceed the usual one for
-	// it to count as overdue, and silentMargin the same for it to count as silent.
+	// overdueMargin is by how much a wait for a back end must exceed the usual one to count
+	// as overdue, and silentMargin the same to count as silent.
 	overdueMargin = 100 * time.Millisecond
 	silentMargin  = 300 * time.Millisecond
-	// paceFactor times the mean wait counts as usual: single requests differ by as much.
-	paceFactor = 2
-	// failureTTL is for how long a back end that broke off counts as silent; it may be
-	// its zone's connections that are reset.
+	// latencyFactor times the mean wait is considered usual, as single requests vary by
+	// that much.
+	latencyFactor = 2
+	// failureTTL is how long a back end counts as silent after its connection broke: that
+	// may be the reset of all connections to its zone.
 	failureTTL = time.Second
-	// cutConnectTimeout bounds one try to connect to a back end in a zone that is cut off:
-	// several round trips to another region. Nothing is sent if it fails.
-	cutConnectTimeout = 100 * time.Millisecond
+	// cutOffConnectTimeout bounds connecting to a back end in a zone that is cut off:
+	// several round trips to another region. If it fails, nothing was sent.
+	cutOffConnectTimeout = 100 * time.Millisecond
 )
 
-// pendingOffer is an offer that a back end has not answered to its end. The monitor's
-// mutex guards it.
+// pendingOffer is an offer that a back end has not answered completely. The monitor's mutex
+// guards it.
 type pendingOffer struct {
 	target instance.Instance
-	// kind is the route's name, by which paces are kept.
+	// kind is the name of the route, the key of the usual latencies.
 	kind string
-	// waitingSince is since when the back end has sent nothing while it was waited for, and
-	// started tells that it sent something before.
+	// waitingSince is since when the daemon has been waiting for the back end to send
+	// something, and started whether it sent anything before.
 	waitingSince time.Time
 	started      bool
-	// alternative is what another instance must be to get the request, nil if none may.
+	// alternative holds the requirements for another instance that may take the request,
+	// nil if none may.
 	alternative *instance.Query
 	giveUp      context.CancelCauseFunc
 }
 
-// offerMonitor watches the requests that wait for a back end or for a program's record,
-// and ends the wait when what they wait for can not be reached.
+// offerMonitor tracks the requests that wait for a back end or for a program's record, and
+// cancels the wait if that cannot be reached.
 type offerMonitor struct {
 	relay *Relay
 	// zones is nil in a fleet of one zone.
 	zones *zone.Reachability
 	mutex sync.Mutex
-	// offers wait for back ends, and pendingBegins are turns that wait for their record.
+	// offers are the offers that wait for a back end, and pendingBegins cancels the
+	// reservations of turns that wait for their program's record.
 	offers        map[*pendingOffer]struct{}
 	pendingBegins map[*context.CancelCauseFunc]struct{}
-	// failed are the instances that broke off lately, and probes the connection probes of
-	// silent instances; both by the instance's ID.
+	// failed holds the latest failure of instances, and probes the connection probes of
+	// silent instances; both by instance ID.
 	failed map[string]failure
 	probes map[string]*connectProbes
 }
 
-// failure is where and when an instance broke off.
+// failure is the zone and the time of an instance's latest failure.
 type failure struct {
 	zone string
 	at   time.Time
@@ -69,7 +72,8 @@
 	}
 }
 
-// startOffer watches an offer until endOffer. The context ends when it is given up.
+// startOffer tracks an offer until endOffer. The returned context is canceled if the offer
+// is given up.
 func (m *offerMonitor) startOffer(ctx context.Context, o *pendingOffer) context.Context {
 	ctx, o.giveUp = context.WithCancelCause(ctx)
 	o.waitingSince = time.Now()
@@ -79,7 +83,7 @@
 	return ctx
 }
 
-// endOffer ends the watch of an offer.
+// endOffer stops tracking an offer.
 func (m *offerMonitor) endOffer(o *pendingOffer) {
 	m.mutex.Lock()
 	delete(m.offers, o)
@@ -87,7 +91,7 @@
 	o.giveUp(nil)
 }
 
-// noteProgress takes note that a back end sent something.
+// noteProgress records that the back end of an offer sent something.
 func (m *offerMonitor) noteProgress(o *pendingOffer, now time.Time) {
 	if m.zones != nil {
 		m.zones.Heard(o.target.Zone, now)
@@ -97,16 +101,16 @@
 	o.waitingSince, o.started = now, true
 }
 
-// restartWait takes note that the back end is waited for from now on: until now it was
-// the caller that took its time.
+// restartWait records that the wait for the back end starts now: until now the caller was
+// reading.
 func (m *offerMonitor) restartWait(o *pendingOffer) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	o.waitingSince = time.Now()
 }
 
-// noteFailed takes note that an instance broke off, and tells whether its zone is cut
-// off: then the failure says nothing of the instance.
+// noteFailed records that an instance failed, and reports whether its zone is cut off: in
+// that case the failure does not count against the instance.
 func (m *offerMonitor) noteFailed(target instance.Instance, now time.Time) bool {
 	if m.zones == nil {
 		return false
@@ -114,30 +118,30 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.failed[target.ID] = failure{target.Zone, now}
-	return m.isCut(target.Zone)
+	return m.isCutOff(target.Zone)
 }
 
-func (m *offerMonitor) isCut(zone string) bool { return m.zones != nil && m.zones.IsCut(zone) }
+func (m *offerMonitor) isCutOff(zone string) bool { return m.zones != nil && m.zones.IsCut(zone) }
 
-// excess is by how much the wait for an offer's back end exceeds the usual one.
-func (m *offerMonitor) excess(o *pendingOffer, now time.Time) time.Duration {
-	usual := m.relay.serving.of(o.kind).first
+// overdueBy returns by how much the wait for an offer's back end exceeds the usual one.
+func (m *offerMonitor) overdueBy(o *pendingOffer, now time.Time) time.Duration {
+	usual := m.relay.serving.average(o.kind).untilFirst
 	if o.started {
 		usual = m.relay.Pool.Pace(o.target.ID, o.kind)
 	}
-	return now.Sub(o.waitingSince) - paceFactor*usual
+	return now.Sub(o.waitingSince) - latencyFactor*usual
 }
 
-// Waiting returns what this daemon's requests tell of the back ends of each zone. It
-// implements reach.Connections.
+// Waiting returns the number of overdue and silent back ends per zone, as seen by this
+// daemon's requests. It implements reach.Connections.
 func (r *Relay) Waiting(now time.Time) map[string]zone.Waiting {
 	waiting := map[string]zone.Waiting{}
 	for _, wait := range r.monitor.longestWaits(now) {
 		w := waiting[wait.zone]
-		if wait.excess > overdueMargin {
+		if wait.overdueBy > overdueMargin {
 			w.Overdue++
 		}
-		if wait.excess > silentMargin {
+		if wait.overdueBy > silentMargin {
 			w.Silent++
 		}
 		waiting[wait.zone] = w
@@ -145,14 +149,14 @@
 	return waiting
 }
 
-// longestWait is by how much the longest wait for an instance exceeds the usual one.
+// longestWait is the longest wait for an instance.
 type longestWait struct {
-	zone   string
-	excess time.Duration
+	zone      string
+	overdueBy time.Duration
 }
 
 // longestWaits returns the longest wait for each instance, by ID, that exceeds the usual
-// one. An instance that broke off lately counts as silent.
+// one. An instance that failed recently counts as silent.
 func (m *offerMonitor) longestWaits(now time.Time) map[string]longestWait {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -162,25 +166,26 @@
 			delete(m.failed, id)
 			continue
 		}
-		longest[id] = longestWait{zone: failed.zone, excess: silentMargin + 1}
+		longest[id] = longestWait{zone: failed.zone, overdueBy: silentMargin + 1}
 	}
 	for o := range m.offers {
-		if excess := m.excess(o, now); excess > longest[o.target.ID].excess {
-			longest[o.target.ID] = longestWait{zone: o.target.Zone, excess: excess}
+		if overdueBy := m.overdueBy(o, now); overdueBy > longest[o.target.ID].overdueBy {
+			longest[o.target.ID] = longestWait{zone: o.target.Zone, overdueBy: overdueBy}
 		}
 	}
 	return longest
 }
 
-// connectTimeout bounds the connecting to an instance; 0 for the driver's own bound.
+// connectTimeout returns the timeout of connecting to an instance; 0 for the driver's
+// default.
 func (m *offerMonitor) connectTimeout(target instance.Instance) time.Duration {
-	if !m.isCut(target.Zone) {
+	if !m.isCutOff(target.Zone) {
 		return 0
 	}
-	return cutConnectTimeout
+	return cutOffConnectTimeout
 }
 
-// isolatedSince tells since when this daemon has been isolated; false if it is not.
+// isolatedSince returns since when this daemon has been isolated; false if it is not.
 func (m *offerMonitor) isolatedSince() (time.Time, bool) {
 	if m.zones == nil {
 		return time.Time{}, false
--- a/internal/relay/offer_monitor_test.go
+++ b/internal/relay/offer_monitor_test.go
@@ -21,35 +21,38 @@
 
 const (
 	near, far = "z", "y"
-	cutAt     = 2 * time.Second
-	// provedAfter is how long after a cut the system fails a connection that waits for an
-	// answer, as package httpconn sets it up, and connectBound how long connecting takes at most:
-	// longer than it takes to find a zone cut off.
-	provedAfter  = 3100 * time.Millisecond
-	connectBound = time.Second
+	cutDelay  = 2 * time.Second
+	// connectionTimeout is how long after a cut the operating system fails a connection
+	// that waits for an answer, as configured by package httpconn. connectTimeout bounds
+	// the opening of a connection; it is longer than detecting that a zone is cut off
+	// takes.
+	connectionTimeout = 3100 * time.Millisecond
+	connectTimeout    = time.Second
 )
 
-// zonesHarness is a relay in zone near with an instance there and one in zone far,
-// which is tried first. What is far can be cut off.
+// zonesHarness is a relay in zone near with one instance there and one in zone far, which
+// is preferred. Zone far can be cut off.
 type zonesHarness struct {
 	*harness
 	zones *zone.Reachability
-	// cut ends what comes from far, and deaf only what its daemons answer.
-	cut, deaf, storeOut atomic.Bool
+	// cut: nothing arrives from far. daemonsSilent: only the daemons of far do not answer.
+	cut, daemonsSilent, storeOut atomic.Bool
 }
 
-// farDriver answers at once in near. In far it sends an event each eventPause, and
-// nothing while far is cut off.
+// farDriver answers at once in near. In far it sends an event every eventPause, and nothing
+// while far is cut off.
 type farDriver struct {
 	h *zonesHarness
-	// unsent: requests to far are not even sent. resets: connections there are reset.
+	// unsent: requests to far cannot be sent. resets: connections to far are reset.
 	unsent, resets bool
-	// dark: the instance alone can not be reached. Its zone's daemons answer.
-	dark bool
-	// hangs: the instance says nothing, and its machine acknowledges what it gets.
-	hangs  bool
-	sentTo []string
-	tries  atomic.Int64
+	// instanceUnreachable: only the instance is unreachable; the daemons of its zone
+	// answer.
+	instanceUnreachable bool
+	// acknowledgesOnly: the instance sends nothing, but its operating system acknowledges
+	// received data.
+	acknowledgesOnly bool
+	sentTo           []string
+	connects         atomic.Int64
 }
 
 const eventPause = 40 * time.Millisecond
@@ -64,7 +67,7 @@
 	if d.h.cut.Load() {
 		switch {
 		case d.unsent && !d.resets:
-			pause(ctx, connectBound)
+			pause(ctx, connectTimeout)
 			return nil, httpconn.ErrNotSent
 		case d.unsent:
 			return nil, httpconn.ErrNotSent
@@ -77,19 +80,19 @@
 	return answer, nil
 }
 
-// awaitFailure waits until a connection on which nothing comes any more fails, or ctx ends.
+// awaitFailure blocks until a connection that receives nothing fails, or ctx ends.
 func (d *farDriver) awaitFailure(ctx context.Context) {
-	if d.hangs {
+	if d.acknowledgesOnly {
 		<-ctx.Done()
 		return
 	}
-	pause(ctx, provedAfter)
+	pause(ctx, connectionTimeout)
 }
 
 // Connect implements Driver.
 func (d *farDriver) Connect(ctx context.Context, to instance.Instance, _ int) error {
-	d.tries.Add(1)
-	if to.Zone == far && d.dark && d.h.cut.Load() {
+	d.connects.Add(1)
+	if to.Zone == far && d.instanceUnreachable && d.h.cut.Load() {
 		if !d.resets {
 			<-ctx.Done()
 		}
@@ -139,20 +142,20 @@
 		options.Zones, options.RerouteTime = h.zones, 2500*time.Millisecond
 	}
 	h.relay = New(options)
-	for range 20 { // what serving usually takes
-		h.relay.serving.note("r", servingTime{first: 50 * time.Millisecond, whole: 100 * time.Millisecond})
+	for range 20 { // the usual serving time
+		h.relay.serving.observe("r", servingTime{untilFirst: 50 * time.Millisecond, total: 100 * time.Millisecond})
 		h.pool.NotePace("far", "r", eventPause)
 	}
 	return h, driver
 }
 
-// watch does for the test's time what the watch of the zones does.
+// watch does what reach.Watch does.
 func (h *zonesHarness) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := time.Now()
 		plan := h.zones.Step(h.relay.Waiting(now), now)
 		for name := range plan.Probe {
-			if name == near || !h.cut.Load() && !h.deaf.Load() {
+			if name == near || !h.cut.Load() && !h.daemonsSilent.Load() {
 				h.zones.Answered(name, now.Add(time.Millisecond))
 			}
 		}
@@ -167,7 +170,7 @@
 	}
 }
 
-// pause sleeps, or until ctx ends.
+// pause sleeps for d or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -175,38 +178,39 @@
 	}
 }
 
-// hangs serves a call during which far is cut off, and returns how long it hung.
-func (h *zonesHarness) hangs(call *Call) (*recorder, time.Duration) {
+// serveDuringCut serves a call while far is cut off, and returns how long after the cut it
+// ended.
+func (h *zonesHarness) serveDuringCut(call *Call) (*recorder, time.Duration) {
 	ctx, cancel := context.WithCancel(h.t.Context())
 	defer cancel()
 	if h.zones != nil {
 		go h.watch(ctx)
 	}
 	began := time.Now()
-	time.AfterFunc(cutAt, func() { h.cut.Store(true) })
-	time.Sleep(cutAt - 100*time.Millisecond)
+	time.AfterFunc(cutDelay, func() { h.cut.Store(true) })
+	time.Sleep(cutDelay - 100*time.Millisecond)
 	call.Received, call.Deadline = time.Now(), time.Now().Add(20*time.Second)
 	got := h.serve(call)
-	return got, time.Since(began) - cutAt
+	return got, time.Since(began) - cutDelay
 }
 
-// TestRequestsInAZoneThatIsCutOffAreGivenUpEarly prints how long requests hang that
-// wait for a back end when its zone is cut off, without the watch of the zones and
-// with it. Those that only the back end can answer wait until their connection fails.
-func TestRequestsInAZoneThatIsCutOffAreGivenUpEarly(t *testing.T) {
+// Logs how long requests wait for a back end whose zone is cut off, without and with the
+// detection of cut-off zones. Requests that only this back end can answer wait until their
+// connection fails.
+func TestRequestsInCutOffZoneAreGivenUpEarly(t *testing.T) {
 	once, repeatable, stream, resumable := newRoute(route.KindOnce), newRoute(route.KindRepeatable), newRoute(route.KindStream), newRoute(route.KindStream)
 	stream.Resumable = false
 	cases := []struct {
 		name  string
 		route *route.Route
-		// moves: another back end may get it.
+		// moves: another back end may get the request.
 		moves bool
 		check func(*recorder) bool
 	}{
 		{"unrepeatable", once, false, func(r *recorder) bool { return r.refusal != nil && r.refusal.Reason == ReasonBroken }},
 		{"repeatable", repeatable, true, func(r *recorder) bool { return r.status == http.StatusOK }},
 		{"stream", stream, false, func(r *recorder) bool { return r.aborted }},
-		{"stream that may be taken up", resumable, true, func(r *recorder) bool { return r.ended && strings.HasSuffix(r.body.String(), "near\n\n") }},
+		{"resumable stream", resumable, true, func(r *recorder) bool { return r.ended && strings.HasSuffix(r.body.String(), "near\n\n") }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -215,46 +219,46 @@
 				synctest.Test(t, func(t *testing.T) {
 					h, _ := newZonesHarness(t, watching)
 					var got *recorder
-					got, hung[i] = h.hangs(newCall(c.route))
+					got, hung[i] = h.serveDuringCut(newCall(c.route))
 					if watching && !c.check(got) {
 						t.Errorf("got %+v, refused with %+v", got, got.refusal)
 					}
 				})
 			}
 			t.Logf("%-30s hung %5d ms without, %4d ms with", c.name, hung[0].Milliseconds(), hung[1].Milliseconds())
-			if c.moves && hung[1] > 800*time.Millisecond || !c.moves && !isOnProof(hung[1]) {
+			if c.moves && hung[1] > 800*time.Millisecond || !c.moves && !endedByConnectionTimeout(hung[1]) {
 				t.Errorf("hung %s", hung[1])
 			}
 		})
 	}
 }
 
-// isOnProof tells whether a request that hung for a time after a cut was ended by the failure of
-// its connection, neither before that nor later.
-func isOnProof(hung time.Duration) bool {
-	return hung >= provedAfter && hung <= provedAfter+eventPause
+// endedByConnectionTimeout reports whether a request that ended this long after a cut was
+// ended by the failure of its connection.
+func endedByConnectionTimeout(hung time.Duration) bool {
+	return hung >= connectionTimeout && hung <= connectionTimeout+eventPause
 }
 
-func TestRequestThatWasNotSentToACutZoneGoesOn(t *testing.T) {
+func TestUnsentRequestToCutOffZoneGoesElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, driver := newZonesHarness(t, true)
 		driver.unsent = true
 		h.cut.Store(true)
-		got, _ := h.hangs(newCall(newRoute(route.KindOnce)))
+		got, _ := h.serveDuringCut(newCall(newRoute(route.KindOnce)))
 		if got.status != http.StatusOK || len(driver.sentTo) != 2 {
 			t.Errorf("status %d after %v", got.status, driver.sentTo)
 		}
 		if got := h.picks()["far"]; got == 0 {
-			t.Error("the instance is passed over for a failure, which was its zone's")
+			t.Error("the failure of its zone counts against the instance")
 		}
 	})
 }
 
-// TestResetsOfAZoneDoNotSpeakAgainstItsInstances: a cut may reset connections.
-func TestResetsOfAZoneDoNotSpeakAgainstItsInstances(t *testing.T) {
+// A cut may reset connections, which must not count against the zone's instances.
+func TestResetsOfCutOffZoneDoNotCountAgainstInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, driver := newZonesHarness(t, true)
-		driver.unsent, driver.resets, driver.dark = true, true, true
+		driver.unsent, driver.resets, driver.instanceUnreachable = true, true, true
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go h.watch(ctx)
@@ -262,7 +266,7 @@
 		h.serve(newCall(newRoute(route.KindOnce)))
 		pause(ctx, time.Second)
 		if !h.zones.IsCut(far) {
-			t.Fatal("not found cut off")
+			t.Fatal("the zone is not detected as cut off")
 		}
 		for range 10 {
 			h.serve(newCall(newRoute(route.KindOnce)))
@@ -271,12 +275,12 @@
 		h.cut.Store(false)
 		pause(ctx, 500*time.Millisecond)
 		if got := h.picks()["far"]; h.zones.IsCut(far) || got == 0 {
-			t.Errorf("cut off: %v; it got %d of 60 requests after the cut", h.zones.IsCut(far), got)
+			t.Errorf("cut off: %v; the instance got %d of 60 requests after the cut", h.zones.IsCut(far), got)
 		}
 	})
 }
 
-// answerFar lets the daemons of far answer whatever happens to its back ends.
+// answerFar makes the daemons of far answer, whatever happens to its back ends.
 func (h *zonesHarness) answerFar(ctx context.Context) {
 	for ctx.Err() == nil {
 		h.zones.Answered(far, time.Now())
@@ -284,23 +288,22 @@
 	}
 }
 
-// TestInstanceThatIsNotReachedIsGivenUpEarly prints what
-// TestRequestsInAZoneThatIsCutOffAreGivenUpEarly does, for an instance whose machine
-// alone is cut off.
-func TestInstanceThatIsNotReachedIsGivenUpEarly(t *testing.T) {
+// As TestRequestsInCutOffZoneAreGivenUpEarly, for a single instance whose machine is cut
+// off.
+func TestUnreachableInstanceIsGivenUpEarly(t *testing.T) {
 	for _, kind := range []route.Kind{route.KindOnce, route.KindRepeatable, route.KindStream} {
 		t.Run(string(kind), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h, driver := newZonesHarness(t, true)
-				driver.dark = true
+				driver.instanceUnreachable = true
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				go h.answerFar(ctx)
-				got, hung := h.hangs(newCall(newRoute(kind)))
+				got, hung := h.serveDuringCut(newCall(newRoute(kind)))
 				t.Logf("%-10s hung %4d ms", kind, hung.Milliseconds())
 				inTime := hung <= 950*time.Millisecond
 				if kind == route.KindOnce {
-					inTime = isOnProof(hung)
+					inTime = endedByConnectionTimeout(hung)
 				}
 				if !inTime || h.zones.IsCut(far) {
 					t.Errorf("hung %s; zone cut off: %v", hung, h.zones.IsCut(far))
@@ -309,7 +312,7 @@
 					t.Errorf("status %d, refused with %+v", got.status, got.refusal)
 				}
 				if got := h.picks()["far"]; got != 0 {
-					t.Errorf("it got %d of 60 requests right after", got)
+					t.Errorf("the instance got %d of 60 requests right afterwards", got)
 				}
 				time.Sleep(probeTimeout)
 			})
@@ -317,19 +320,20 @@
 	}
 }
 
-// TestZoneWhoseDaemonsAreGoneComesBack: its back ends can be connected to again.
-func TestZoneWhoseDaemonsAreGoneComesBack(t *testing.T) {
+// A zone whose daemons do not answer counts as reachable once its back ends accept
+// connections.
+func TestZoneWithoutDaemonsBecomesReachableAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, driver := newZonesHarness(t, true)
-		driver.dark = true
-		h.deaf.Store(true)
-		h.hangs(newCall(newRoute(route.KindOnce)))
+		driver.instanceUnreachable = true
+		h.daemonsSilent.Store(true)
+		h.serveDuringCut(newCall(newRoute(route.KindOnce)))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go h.watch(ctx)
 		pause(ctx, 3*time.Second)
 		if !h.zones.IsCut(far) {
-			t.Error("not cut off any more while it is")
+			t.Error("the zone is not detected as cut off any more although it is")
 		}
 		h.cut.Store(false)
 		pause(ctx, 1500*time.Millisecond)
@@ -341,30 +345,31 @@
 	})
 }
 
-// TestSilentBackEndAloneIsWaitedFor: it can be connected to, and the daemons of its
-// zone answer.
-func TestSilentBackEndAloneIsWaitedFor(t *testing.T) {
+// A silent back end that accepts connections, in a zone whose daemons answer, is not given
+// up.
+func TestReachableSilentBackEndIsNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, driver := newZonesHarness(t, true)
-		driver.hangs = true
+		driver.acknowledgesOnly = true
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go h.answerFar(ctx)
-		got, hung := h.hangs(newCall(newRoute(route.KindOnce)))
+		got, hung := h.serveDuringCut(newCall(newRoute(route.KindOnce)))
 		if hung < 15*time.Second {
 			t.Errorf("given up after %s: %+v", hung, got.refusal)
 		}
-		if tries := driver.tries.Load(); tries > 11 {
-			t.Errorf("%d tries to connect in 20 s", tries)
+		if connects := driver.connects.Load(); connects > 11 {
+			t.Errorf("%d connection attempts in 20 s", connects)
 		}
 	})
 }
 
-// TestConnectionThatGetsSomethingIsNotGivenUp: only daemons are silent.
-func TestConnectionThatGetsSomethingIsNotGivenUp(t *testing.T) {
+// Guards against giving up a stream that still receives events when only the daemons of its
+// zone are silent.
+func TestActiveConnectionIsNotGivenUpWhenDaemonsAreSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, _ := newZonesHarness(t, true)
-		h.deaf.Store(true)
+		h.daemonsSilent.Store(true)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go h.watch(ctx)
@@ -377,7 +382,7 @@
 	})
 }
 
-// isolate cuts the relay's daemon off.
+// isolate cuts the relay's daemon off from the other zone and the store.
 func (h *zonesHarness) isolate(ctx context.Context) {
 	h.cut.Store(true)
 	h.storeOut.Store(true)
@@ -396,7 +401,7 @@
 	return newTurn(r)
 }
 
-func TestDaemonThatIsCutOffSendsTurnsAwayAtOnce(t *testing.T) {
+func TestIsolatedDaemonRefusesTurnsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, _ := newZonesHarness(t, true)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -405,35 +410,35 @@
 		h.isolate(ctx)
 		held := keptTurn()
 		if got := h.serve(held); got.refusal == nil || got.refusal.Reason != ReasonCutOff {
-			t.Fatalf("a turn that was held up: %+v", got.refusal)
+			t.Fatalf("held-up turn: refused with %+v", got.refusal)
 		}
 		if took := time.Since(held.Received); took > time.Second {
 			t.Errorf("held for %s", took)
 		}
 		if len(h.ledger.abandoned) != 1 {
-			t.Error("it was not abandoned: its tokens may stay reserved")
+			t.Error("the turn was not abandoned: its tokens may stay reserved")
 		}
 		next := keptTurn()
 		got := h.serve(next)
 		if got.refusal == nil || got.refusal.Reason != ReasonCutOff || time.Since(next.Received) != 0 {
-			t.Errorf("the next one after %s: %+v", time.Since(next.Received), got.refusal)
+			t.Errorf("next turn after %s: refused with %+v", time.Since(next.Received), got.refusal)
 		}
 		if after := got.refusal.RetryAfter; after < 2*time.Second || after > 2500*time.Millisecond {
-			t.Errorf("to come back after %s", after)
+			t.Errorf("Retry-After %s", after)
 		}
-		h.ledger.setError(nil) // its holder grants from what it has
+		h.ledger.setError(nil) // the shard's holder can grant without the store
 		if got := h.serve(newTurn(newRoute(route.KindStream))); !got.ended {
-			t.Errorf("a turn whose caller keeps its text: %+v", got.refusal)
+			t.Errorf("turn without retained context: refused with %+v", got.refusal)
 		}
 		h.pool.Replace([]instance.Instance{{ID: "near", Service: "s", Address: "a:2", Zone: near, Slots: 4, State: instance.StateReady}})
 		if got := h.serve(newCall(newRoute(route.KindOnce))); got.status != http.StatusOK {
-			t.Errorf("a call that needs no record: %+v", got.refusal)
+			t.Errorf("call without a program: refused with %+v", got.refusal)
 		}
 		h.cut.Store(false)
 		h.storeOut.Store(false)
 		time.Sleep(500 * time.Millisecond)
 		if got := h.serve(keptTurn()); !got.ended {
-			t.Errorf("after the cut: %+v", got.refusal)
+			t.Errorf("turn after the cut: refused with %+v", got.refusal)
 		}
 	})
 }
--- a/internal/relay/placeable.go
+++ b/internal/relay/placeable.go
@@ -9,10 +9,10 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// refuseIfUnplaceable refuses a call for which regions or evacuated zones leave no
-// instance, and tells whether it did. It is called before anything is reserved for the
-// call.
-func (c *carrier) refuseIfUnplaceable() bool {
+// refuseIfUnplaceable refuses a call for which region restrictions or evacuated zones leave
+// no instance, and reports whether it did. It must be called before anything is reserved
+// for the call.
+func (c *callHandler) refuseIfUnplaceable() bool {
 	if c.regions.IsNowhere() {
 		c.refuse(Refusal{Reason: ReasonNoRegion, Detail: "No region is allowed for both the route and the tenant."})
 		return true
@@ -23,7 +23,7 @@
 	return c.refuseUnplaceable(c.relay.Pool.Count(c.query()), time.Now())
 }
 
-// anyEvacuated tells whether any zone is evacuated.
+// anyEvacuated reports whether any zone is evacuated.
 func (r *Relay) anyEvacuated() bool {
 	if r.Evacuations == nil {
 		return false
@@ -32,43 +32,43 @@
 	return ordered
 }
 
-// refuseUnplaceable refuses a call that regions or evacuated zones alone keep from all
-// instances that could serve it, and tells whether it did. It does not if something else
-// keeps the call from an instance, or if instances may be running in its regions that this
-// daemon does not know of.
-func (c *carrier) refuseUnplaceable(census instance.Census, now time.Time) bool {
-	evacuated, otherRegion := census.Filtered[zone.ReasonEvacuated], census.Filtered[residency.ReasonRegion]
+// refuseUnplaceable refuses a call that only region restrictions or evacuated zones keep
+// from all instances, and reports whether it did. It does not if something else keeps the
+// call from an instance, or if its regions may have instances that this daemon does not
+// know of.
+func (c *callHandler) refuseUnplaceable(counts instance.Census, now time.Time) bool {
+	evacuated, otherRegion := counts.Filtered[zone.ReasonEvacuated], counts.Filtered[residency.ReasonRegion]
 	others := -evacuated - otherRegion
-	for _, count := range census.Filtered {
+	for _, count := range counts.Filtered {
 		others += count
 	}
 	switch {
-	case census.Admitted > 0 || others > 0:
+	case counts.Admitted > 0 || others > 0:
 		return false
 	case evacuated > 0:
 		c.refuseEvacuated(now)
 		return true
 	case otherRegion > 0 && !c.relay.Pool.IsUncertain():
 		c.decide(admission.NoInstances, now, now)
-		c.refuse(Refusal{Reason: ReasonRegionEmpty, RetryAfter: c.returnAfter(), Detail: "No back end of this service is in an allowed region."})
+		c.refuse(Refusal{Reason: ReasonRegionEmpty, RetryAfter: c.retryAfter(), Detail: "No back end of this service is in an allowed region."})
 		return true
 	}
 	return false
 }
 
-// refuseBound ends a call that only one instance may run again, and that instance may not
+// refuseBound ends a call that only one instance may run again, if that instance may not
 // get it any more: it left the list, or its zone was evacuated. The instance may still run
-// the call to its end.
-func (c *carrier) refuseBound() {
+// the call to completion.
+func (c *callHandler) refuseBound() {
 	if !c.refuseUnplaceable(c.relay.Pool.Count(c.query()), time.Now()) {
-		c.refuse(brokenOff)
+		c.refuse(brokenOffRefusal)
 	}
 }
 
 // refuseEvacuated refuses a call whose service has back ends in evacuated zones only. It
-// does not wait: how long operators need has nothing to do with the caller's time, and
-// other daemons know no other back ends.
-func (c *carrier) refuseEvacuated(now time.Time) {
+// does not wait: how long an evacuation lasts does not depend on the caller's time, and
+// other daemons have the same list of back ends.
+func (c *callHandler) refuseEvacuated(now time.Time) {
 	since := now
 	if c.relay.Evacuations != nil {
 		if at, ordered := c.relay.Evacuations.LastOrderedAt(); ordered {
@@ -76,5 +76,5 @@
 		}
 	}
 	c.decide(admission.ServiceEvacuated, since, now)
-	c.refuse(Refusal{Reason: ReasonEvacuated, RetryAfter: c.returnAfter(), Detail: "All back ends of this service are in evacuated zones."})
+	c.refuse(Refusal{Reason: ReasonEvacuated, RetryAfter: c.retryAfter(), Detail: "All back ends of this service are in evacuated zones."})
 }
--- a/internal/relay/quota.go
+++ b/internal/relay/quota.go
@@ -10,31 +10,30 @@
 
 // Quota admits the requests of tenants that have a limit.
 type Quota interface {
-	// Admit returns the verdict on a request. The error wraps quota.ErrUnasked: it
-	// is not known whether the tenant's limit has room.
+	// Admit returns the verdict on a request. An error wraps quota.ErrUnasked: the owner of
+	// the tenant's limit could not be asked.
 	Admit(ctx context.Context, ask quota.Ask) (quota.Verdict, error)
-	// Return gives back what a request was admitted on that did not run.
+	// Return returns the quota of a request that was admitted but did not run.
 	Return(ask quota.Ask)
 }
 
-// quotaState is what a call asked for by its tenant's limit, and the verdict on it.
+// quotaState is a call's request for quota, and the verdict on it.
 type quotaState struct {
 	asked   quota.Ask
 	verdict quota.Verdict
-	// admittedAfter is how long the call waited until it was admitted.
+	// admittedAfter is how long the call waited to be admitted.
 	admittedAfter time.Duration
 }
 
-// admitByQuota makes sure that the tenant's limit has room for the request. False
-// means that the call was ended. A request of a program under way waits for room
-// while it is still served in time then: a program that is stopped half-way has cost
-// all that it used. Others are refused at once.
-func (c *carrier) admitByQuota(ctx context.Context) bool {
+// admitByQuota requests quota for the call. It returns false if the call was ended. A
+// request of an ongoing program waits for quota as long as it can still be served in time:
+// stopping a program halfway wastes what it has used. Other requests are refused at once.
+func (c *callHandler) admitByQuota(ctx context.Context) bool {
 	if !c.call.Tenant.IsLimited() {
 		return true
 	}
 	started := time.Now()
-	ctx, cancel := context.WithDeadline(ctx, c.beginUntil(started))
+	ctx, cancel := context.WithDeadline(ctx, c.beginDeadline(started))
 	defer cancel()
 	ask := c.quotaAsk()
 	c.quota.asked = ask
@@ -43,7 +42,7 @@
 		c.quota.verdict = verdict
 		switch {
 		case err != nil:
-			c.refuseUnasked(ctx, err, started)
+			c.refuseQuotaUnknown(ctx, err, started)
 			return false
 		case verdict.Admitted:
 			c.quota.admittedAfter = time.Since(started)
@@ -55,7 +54,7 @@
 	}
 }
 
-func (c *carrier) quotaAsk() quota.Ask {
+func (c *callHandler) quotaAsk() quota.Ask {
 	ask := quota.Ask{
 		Tenant:  c.call.Tenant.Name,
 		Limit:   quota.Limit{PerSecond: c.call.Tenant.PerSecond, Burst: c.call.Tenant.Burst},
@@ -70,17 +69,17 @@
 	return ask
 }
 
-// returnQuota gives back what the call was admitted on, if no instance was offered it:
-// a program that has spent its budget asks again and again.
-func (c *carrier) returnQuota() {
+// returnQuota returns the call's quota if it was offered to no instance: otherwise a
+// program that has spent its budget and keeps asking would use up its tenant's limit.
+func (c *callHandler) returnQuota() {
 	if c.quota.verdict.Reason == quota.ReasonRoom && c.offers == 0 {
 		c.relay.Quota.Return(c.quota.asked)
 	}
 }
 
-// waitForQuota waits until the limit may have room. False means that the request is
-// not to wait for that.
-func (c *carrier) waitForQuota(ctx context.Context, ask quota.Ask, verdict quota.Verdict) bool {
+// waitForQuota waits until the limit may have room. It returns false if the request should
+// not wait.
+func (c *callHandler) waitForQuota(ctx context.Context, ask quota.Ask, verdict quota.Verdict) bool {
 	if ask.Begins || ask.Program == "" {
 		return false
 	}
@@ -95,14 +94,14 @@
 	}
 }
 
-// refuseUnasked ends a call for which the owner of the tenant's limit can not be
+// refuseQuotaUnknown ends a call for which the owner of the tenant's limit could not be
 // asked.
-func (c *carrier) refuseUnasked(ctx context.Context, err error, started time.Time) {
-	if isStopBound(ctx) {
-		c.refuse(stopping)
+func (c *callHandler) refuseQuotaUnknown(ctx context.Context, err error, started time.Time) {
+	if isPastShutdownDeadline(ctx) {
+		c.refuse(stoppingRefusal)
 		return
 	}
-	c.logger.Info().Err(err).Msg("Owner of the tenant's limit not asked.")
+	c.logger.Info().Err(err).Msg("Owner of the tenant's limit could not be asked.")
 	c.decide(admission.ShardMoving, started, time.Now())
-	c.refuse(Refusal{Reason: ReasonQuotaUnknown, RetryAfter: c.returnAfter(), Detail: "The tenant's limit can not be asked for."})
+	c.refuse(Refusal{Reason: ReasonQuotaUnknown, RetryAfter: c.retryAfter(), Detail: "The tenant's limit can not be asked for."})
 }
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/tenant"
 )
 
-// scriptedQuota gives verdicts in turn; the last one is repeated.
+// scriptedQuota returns its verdicts in order and repeats the last one.
 type scriptedQuota struct {
 	verdicts []quota.Verdict
 	err      error
@@ -36,7 +36,7 @@
 	noRoom = quota.Verdict{Reason: quota.ReasonSpent, AfterMS: 100}
 )
 
-// tenantTurn is a turn of a tenant that has a limit.
+// tenantTurn returns a turn of a tenant that has a limit.
 func tenantTurn(previous string) *Call {
 	call := newTurn(newRoute(kindStream))
 	call.Tenant = &tenant.Tenant{Name: "north", PerSecond: 10, Burst: 10}
@@ -44,9 +44,9 @@
 	return call
 }
 
-// TestProgramUnderWayWaitsForRoom: the limit has room again in time. A program that
-// has not begun is refused at once, with the time.
-func TestProgramUnderWayWaitsForRoom(t *testing.T) {
+// A turn of an ongoing program waits until the limit has room. A first turn is refused at
+// once with a Retry-After.
+func TestOngoingProgramWaitsForQuota(t *testing.T) {
 	for name, test := range map[string]struct {
 		previous string
 		served   bool
@@ -68,25 +68,23 @@
 	}
 }
 
-// TestCallThatNeverRanCostsTheTenantNothing: a program whose budget is spent asks
-// again and again.
-func TestCallThatNeverRanCostsTheTenantNothing(t *testing.T) {
+// A program that has spent its budget and keeps asking must not use up its tenant's limit.
+func TestQuotaIsReturnedForCallThatNeverRan(t *testing.T) {
 	h := newHarness(t, step{body: "id: 1\ndata: x\n\n"})
 	q := &scriptedQuota{verdicts: []quota.Verdict{room}}
 	h.relay.Quota = q
 	h.serve(tenantTurn("t0"))
 	if len(q.returned) != 0 {
-		t.Errorf("a call that ran was given back")
+		t.Errorf("quota of a call that ran was returned")
 	}
 	h.ledger.setError(ledger.ErrBudgetSpent)
 	h.serve(tenantTurn("t0"))
 	if len(q.returned) != 1 || q.returned[0].Program != "north|p" {
-		t.Errorf("given back: %+v", q.returned)
+		t.Errorf("returned quota: %+v", q.returned)
 	}
 }
 
-// TestUnaskedLimitPromisesThatNothingRan.
-func TestUnaskedLimitPromisesThatNothingRan(t *testing.T) {
+func TestUnreachableQuotaOwnerRefusesAsNotRun(t *testing.T) {
 	h := newHarness(t, step{body: "id: 1\ndata: x\n\n"})
 	h.relay.Quota = &scriptedQuota{err: quota.ErrUnasked}
 	r := h.serve(tenantTurn("t0"))
@@ -98,13 +96,13 @@
 	}
 }
 
-// TestNamesAreTheTenants: the ledger knows programs and turns by names of their own.
-func TestNamesAreTheTenants(t *testing.T) {
+// The ledger gets program and turn IDs that are scoped by tenant.
+func TestProgramAndTurnIDsAreScopedByTenant(t *testing.T) {
 	h := newHarness(t, step{body: "id: 1\ndata: x\n\n"})
 	h.relay.Quota = &scriptedQuota{verdicts: []quota.Verdict{room}}
 	h.serve(tenantTurn("t0"))
 	got := h.ledger.turns[0]
 	if got.Program != "north|p" || got.Previous != "north|t0" || got.ID != "north|q" || h.ledger.outcomes[0].Turn != "north|q" {
-		t.Errorf("the ledger heard of %+v and %+v", got, h.ledger.outcomes[0])
+		t.Errorf("the ledger got %+v and %+v", got, h.ledger.outcomes[0])
 	}
 }
--- a/internal/relay/waiting_test.go
+++ b/internal/relay/record_memory_test.go
@@ -7,12 +7,12 @@
 	"testing/synctest"
 )
 
-// TestRoomForRecordsIsGrantedInOrderWithinItsBound: text that fits waits behind text that
-// does not, and what waits for room is bounded, too.
-func TestRoomForRecordsIsGrantedInOrderWithinItsBound(t *testing.T) {
+// A small request waits behind a larger one that does not fit, and the queue is bounded,
+// too.
+func TestRecordMemoryIsGrantedInOrderWithinItsLimit(t *testing.T) {
 	const limit = 10
 	synctest.Test(t, func(t *testing.T) {
-		room := &recordRoom{}
+		room := &recordMemory{}
 		var granted []int64
 		ask := func(ctx context.Context, bytes int64) {
 			go func() {
@@ -31,27 +31,27 @@
 		}
 		leaving, leave := context.WithCancel(t.Context())
 		ask(t.Context(), 8)
-		ask(t.Context(), 30) // alone more than all room
+		ask(t.Context(), 30) // larger than the limit
 		expect(8)
-		if room.acquire(t.Context(), 1, limit) != errTooMuchWaits {
-			t.Error("more waits for room than may")
+		if room.acquire(t.Context(), 1, limit) != errRecordMemoryFull {
+			t.Error("the queue exceeds its limit")
 		}
 		room.release(8, limit)
 		expect(8, 30)
 		ask(t.Context(), 7)
-		if !room.isCrowded(limit) {
-			t.Error("further turns are begun")
+		if !room.isNearlyFull(limit) {
+			t.Error("not nearly full although turns are waiting")
 		}
 		room.release(30, limit)
 		ask(leaving, 5)
 		ask(t.Context(), 1)
-		expect(8, 30, 7) // the last would fit, and waits for the one before it
+		expect(8, 30, 7) // the last would fit, but waits for the one before it
 		leave()
 		expect(8, 30, 7, 1)
 		room.release(7, limit)
 		room.release(1, limit)
-		if room.held != 0 || room.queued != 0 || room.isCrowded(limit) {
-			t.Errorf("%d bytes are held and %d wait, after all", room.held, room.queued)
+		if room.held != 0 || room.queued != 0 || room.isNearlyFull(limit) {
+			t.Errorf("%d bytes are held and %d queued at the end", room.held, room.queued)
 		}
 	})
 }
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -16,15 +16,15 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// slowLedger takes a while to put the end of a kept turn on record.
+// slowLedger takes some time to store a kept turn.
 type slowLedger struct {
 	fakeLedger
 	takes time.Duration
-	// held is the text of the turns that it has, and mostHeld the most of that.
+	// held is the number of bytes that the ledger is storing, and mostHeld its maximum.
 	held, mostHeld int
 }
 
-// hold adds to what the ledger holds.
+// hold adds to the bytes that the ledger is storing.
 func (l *slowLedger) hold(bytes int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -46,8 +46,9 @@
 	return l.fakeLedger.End(ctx, outcome)
 }
 
-// newRecording returns a relay whose ledger takes a while, and a kept turn.
-func newRecording(t *testing.T, takes time.Duration) (*harness, *slowLedger, *Call) {
+// newRecordingHarness returns a harness whose ledger takes some time to store turns, and a
+// kept turn.
+func newRecordingHarness(t *testing.T, takes time.Duration) (*harness, *slowLedger, *Call) {
 	h := newHarness(t, step{body: eventOne + eventTwo})
 	slow := &slowLedger{takes: takes}
 	h.relay.Ledger = slow
@@ -58,11 +59,11 @@
 	return h, slow, call
 }
 
-func TestAnswerThatIsReadyWaitsForItsRecordAsLongAsItsCaller(t *testing.T) {
+func TestReadyAnswerWaitsForItsRecordUntilDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, slow, call := newRecording(t, 4900*time.Millisecond)
+		h, slow, call := newRecordingHarness(t, 4900*time.Millisecond)
 		if got := h.serve(call); !got.ended {
-			t.Error("an answer that was ready, and whose caller waited for it, was broken off")
+			t.Error("a complete answer was broken off although its caller was waiting")
 		}
 		if len(slow.outcomes) != 1 || slow.outcomes[0].Kept == nil {
 			t.Errorf("outcomes: %+v", slow.outcomes)
@@ -70,11 +71,11 @@
 	})
 }
 
-func TestTurnWhoseCallerLeavesBeforeItsRecordIsSettledWithWhatItGot(t *testing.T) {
+func TestUnrecordedTurnIsSettledWithDeliveredTokens(t *testing.T) {
 	for name, leave := range map[string]bool{"leaves": true, "its time is over": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h, slow, call := newRecording(t, time.Minute)
+				h, slow, call := newRecordingHarness(t, time.Minute)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				left := 5 * time.Second
@@ -85,7 +86,7 @@
 				got := &recorder{}
 				h.relay.Serve(ctx, call, got)
 				if !got.aborted || got.ended {
-					t.Error("a turn that is not on record was ended as complete")
+					t.Error("a turn that was not stored was ended as complete")
 				}
 				if held := time.Since(call.Received); held > left {
 					t.Errorf("held for %s, want %s", held, left)
@@ -100,7 +101,7 @@
 	}
 }
 
-// serveInBackground serves a call, and tells what its caller heard at its end.
+// serveInBackground serves a call and sends what its caller got when it has ended.
 func serveInBackground(t *testing.T, h *harness, call *Call) <-chan *recorder {
 	t.Helper()
 	ended := make(chan *recorder, 1)
@@ -112,11 +113,11 @@
 	return ended
 }
 
-// TestTextThatWaitsForItsRecordIsBounded: never more than the bound is with the ledger, and
-// a turn that is ready waits for room as long as its caller does.
-func TestTextThatWaitsForItsRecordIsBounded(t *testing.T) {
+// The ledger never stores more than the limit at once, and a finished turn waits for memory
+// as long as its caller does.
+func TestRecordMemoryIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, slow, first := newRecording(t, 2*time.Second)
+		h, slow, first := newRecordingHarness(t, 2*time.Second)
 		h.relay.MaxPendingRecordBytes = 200
 		first.Body = []byte(strings.Repeat("x", 90))
 		ended := serveInBackground(t, h, first)
@@ -126,27 +127,27 @@
 		got := &recorder{}
 		h.relay.Serve(t.Context(), second, got)
 		if held := time.Since(second.Received); !got.ended || held != 3*time.Second {
-			t.Errorf("beyond the bound: ended %v, after %s", got.ended, held)
+			t.Errorf("beyond the limit: ended %v, after %s", got.ended, held)
 		}
 		if !(<-ended).ended {
-			t.Error("the turn that waited before was broken off")
+			t.Error("the turn that waited first was broken off")
 		}
 		if slow.mostHeld > 200 {
-			t.Errorf("%d bytes were with the ledger at once", slow.mostHeld)
+			t.Errorf("the ledger was storing %d bytes at once", slow.mostHeld)
 		}
 		third := newTurn(first.Route)
 		got = &recorder{}
 		h.relay.Serve(t.Context(), third, got)
 		if !got.ended || time.Since(third.Received) != 2*time.Second {
-			t.Error("what waited once is still counted")
+			t.Error("memory of stored turns is still counted")
 		}
 		h.relay.Wait(t.Context())
 	})
 }
 
-func TestNewTurnIsRefusedBeforeFinishedOnesMustBeBrokenOff(t *testing.T) {
+func TestNewTurnIsRefusedWhileRecordMemoryIsNearlyFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, slow, first := newRecording(t, 2*time.Second)
+		h, slow, first := newRecordingHarness(t, 2*time.Second)
 		h.relay.MaxPendingRecordBytes = 200
 		first.Body = []byte(strings.Repeat("x", 110))
 		ended := serveInBackground(t, h, first)
@@ -165,13 +166,13 @@
 		got = &recorder{}
 		h.relay.Serve(t.Context(), newTurn(first.Route), got)
 		if !got.ended {
-			t.Error("refused although nothing waits any more")
+			t.Error("refused although no turn is waiting")
 		}
 		h.relay.Wait(t.Context())
 	})
 }
 
-// closeCounter counts bodies that were closed.
+// closeCounter counts closed bodies.
 type closeCounter struct {
 	io.Reader
 	closed *atomic.Int64
@@ -196,18 +197,17 @@
 	return answer, err
 }
 
-// TestStreamThatWaitsForItsRecordHoldsNoConnection: a daemon's share of an
-// instance's connections is a few, and a record may take as long as its caller
-// waits.
-func TestStreamThatWaitsForItsRecordHoldsNoConnection(t *testing.T) {
+// A daemon's share of an instance's connections is small, and storing a turn may take as
+// long as its caller waits.
+func TestStreamAwaitingItsRecordHoldsNoConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, _, call := newRecording(t, 2*time.Second)
+		h, _, call := newRecordingHarness(t, 2*time.Second)
 		driver := &closingDriver{scriptedDriver: h.driver}
 		h.relay.Driver = driver
 		ended := serveInBackground(t, h, call)
 		time.Sleep(time.Second)
 		if driver.closed.Load() != 1 {
-			t.Error("the answer was read whole, and its connection is held")
+			t.Error("the answer was read to its end, but its connection is still held")
 		}
 		if !(<-ended).ended {
 			t.Error("the stream was broken off")
@@ -215,15 +215,15 @@
 	})
 }
 
-// TestTurnThatAloneExceedsTheMemoryForRecordsIsRecorded: its caller sends it again, and it
-// would be broken off each time.
-func TestTurnThatAloneExceedsTheMemoryForRecordsIsRecorded(t *testing.T) {
+// A turn that is larger than the limit could never be stored otherwise, however often its
+// caller retries.
+func TestTurnLargerThanRecordMemoryIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, slow, call := newRecording(t, time.Second)
+		h, slow, call := newRecordingHarness(t, time.Second)
 		h.relay.MaxPendingRecordBytes = 200
 		slow.history = strings.Repeat("h", 300)
 		if got := h.serve(call); !got.ended {
-			t.Error("an answer that was ready was broken off although no other waits for its record")
+			t.Error("a complete answer was broken off although no other turn is waiting")
 		}
 	})
 }
--- a/internal/relay/regional_record_test.go
+++ b/internal/relay/regional_record_test.go
@@ -10,11 +10,11 @@
 	"github.com/mintpulley/mintpulley/internal/residency"
 )
 
-// regionalLedger is a region's ledger that may not know a turn's chain.
+// regionalLedger simulates a region's ledger, which may not have the turns before a turn.
 type regionalLedger struct {
 	fakeLedger
-	// knowsNoChain: a turn is recorded only with its chain. Of the questions for a turn,
-	// which are counted, one is not answered.
+	// knowsNoChain: a turn is stored only together with its chain of earlier turns. Calls
+	// of Find are counted, and the one with number unanswered fails.
 	knowsNoChain      bool
 	asked, unanswered int
 }
@@ -35,11 +35,11 @@
 	return &ledger.KeptTurn{ID: turn}, nil
 }
 
-// expectBoundAnswer carries a kept turn that is bound to a region, and whose caller waits for
-// five seconds, to its end.
+// expectBoundAnswer serves a kept turn that is restricted to a region, and whose caller
+// waits for five seconds, and checks that it is answered.
 func expectBoundAnswer(t *testing.T, regional *regionalLedger, hasDaemons func() bool, previous string) {
 	t.Helper()
-	h, _, call := newRecording(t, 0)
+	h, _, call := newRecordingHarness(t, 0)
 	common := &regionalLedger{}
 	h.relay.Ledger = &residency.Ledger{
 		Common: common, Regions: []string{"north"}, Logger: h.relay.Logger,
@@ -49,24 +49,23 @@
 	call.Route.AllowedRegions = []string{"north"}
 	call.Program.Previous = previous
 	if got := h.serve(call); !got.ended {
-		t.Errorf("an answer that was ready was broken off after %s, and its caller waited", time.Since(call.Received))
+		t.Errorf("a complete answer was broken off after %s although its caller was waiting", time.Since(call.Received))
 	}
 }
 
-// TestAnswerIsReadyBeforeADaemonOfItsRegionIsKnown: the daemons of a small region are
-// replaced one after another, and for a moment none of them is known to live.
-func TestAnswerIsReadyBeforeADaemonOfItsRegionIsKnown(t *testing.T) {
+// While the daemons of a small region are replaced one after another, none of them may be
+// known for a moment.
+func TestRegionalTurnIsRecordedOnceADaemonIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		back := time.Now().Add(time.Second)
 		expectBoundAnswer(t, &regionalLedger{}, func() bool { return time.Now().After(back) }, "")
 	})
 }
 
-// TestAnswerIsReadyWhileItsChainIsNotReached: the turn before is kept in another shard, which
-// moves.
-func TestAnswerIsReadyWhileItsChainIsNotReached(t *testing.T) {
+// The turn before is stored in another shard, which is moving.
+func TestRegionalTurnIsRecordedOnceItsChainIsReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const afterBegin = 2 // the first question is for the history
+		const afterBegin = 2 // the first Find is for the history
 		expectBoundAnswer(t, &regionalLedger{knowsNoChain: true, unanswered: afterBegin}, func() bool { return true }, "before")
 	})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,108 +20,108 @@
 )
 
 const (
-	// offerPause separates the first rounds of offers to the instances of a service.
-	// It doubles up to longestOfferPause, some requests' time: a place that came free
-	// is found as soon as that by one of the daemons that look for one.
-	offerPause        = 15 * time.Millisecond
-	longestOfferPause = 60 * time.Millisecond
-	// stoppingPause is after when a caller should come back to whom a daemon that
-	// stops gave no answer: others serve already, it only has to reach one.
-	stoppingPause = 50 * time.Millisecond
-	// silentAfter is how long an instance must have sent nothing when a request
-	// is given up for that to speak against it.
-	silentAfter = 900 * time.Millisecond
-	// leastTime is the time below which a call is not sent any more.
-	leastTime = 5 * time.Millisecond
-	// streamRuns bounds how often one stream is taken up.
-	streamRuns = 4
-	// bodyLimit is the longest answer that is read whole, in bytes.
-	bodyLimit = 16 << 20
-	// eventLimit is the longest event of a stream, in bytes.
-	eventLimit = 4 << 20
-	// beginPause separates tries to reserve a turn.
-	beginPause = 120 * time.Millisecond
-	// settleTimeout bounds how long a finished turn is tried to be settled.
+	// minRoundPause is the pause after the first round of offers to the instances of a
+	// service. It doubles per round up to maxRoundPause, which is about the time of a few
+	// requests, so that a slot that becomes free is found soon.
+	minRoundPause = 15 * time.Millisecond
+	maxRoundPause = 60 * time.Millisecond
+	// shortRetryAfter is the shortest Retry-After: other daemons can serve the request at
+	// once, so the caller only needs the time to reach one.
+	shortRetryAfter = 50 * time.Millisecond
+	// silentThreshold is how long an instance must have sent nothing for a given-up request
+	// to count against it.
+	silentThreshold = 900 * time.Millisecond
+	// minTimeLeft is the time before the deadline below which a call is not sent any more.
+	minTimeLeft = 5 * time.Millisecond
+	// maxStreamRuns bounds how often a stream is run, including the resumptions.
+	maxStreamRuns = 4
+	// maxBodyBytes bounds an answer that is read as a whole.
+	maxBodyBytes = 16 << 20
+	// maxEventBytes bounds one event of a stream.
+	maxEventBytes = 4 << 20
+	// beginRetryPause is the pause between attempts to reserve a turn.
+	beginRetryPause = 120 * time.Millisecond
+	// settleTimeout bounds the settlement of a finished turn in the background.
 	settleTimeout = 20 * time.Second
 )
 
-// ErrStopBound is the cause of a context that ends because the daemon's stop is
-// at its bound: the caller is still there.
-var ErrShutdownDeadline = eris.New("relay: the daemon's stop is at its bound")
+// ErrShutdownDeadline is the cause of a context that is canceled because the daemon reached
+// its shutdown deadline while the caller was still connected.
+var ErrShutdownDeadline = eris.New("relay: shutdown deadline reached")
 
-// Ledger keeps programs' budgets and turns.
+// Ledger stores the token budgets and the turns of programs.
 type Ledger interface {
-	// Begin reserves a turn's tokens and returns the history before it. Errors
-	// wrap ledger.ErrBudgetSpent, ledger.ErrUnknownTurn or
-	// ledger.ErrUnavailable.
-	// After ErrUnavailable the same turn may be tried again, or abandoned.
+	// Begin reserves a turn's tokens and returns the history before the turn. Errors wrap
+	// ledger.ErrBudgetSpent, ledger.ErrUnknownTurn or ledger.ErrUnavailable. After
+	// ErrUnavailable the same turn may be begun again or abandoned.
 	Begin(ctx context.Context, turn ledger.Turn) (ledger.Grant, error)
-	// Abandon ends a turn of which it is not known whether it was reserved. It
-	// returns at once.
+	// Abandon ends a turn that may or may not have been reserved. It does not block.
 	Abandon(turn ledger.Turn)
-	// End settles a turn. It returns once the outcome is durable.
+	// End settles a turn. It returns once the outcome is stored durably.
 	End(ctx context.Context, outcome ledger.Outcome) error
 }
 
-// Options give a Relay what it works with.
+// Options are the dependencies and settings of a Relay.
 type Options struct {
 	Pool   *instance.Pool
 	Driver Driver
 	Ledger Ledger
-	// Quota admits requests of tenants that have a limit; nil where none has.
+	// Quota admits the requests of tenants that have a limit; nil if no tenant has one.
 	Quota Quota
-	// Admission decides how long requests wait; nil for one of its own.
+	// Admission decides how long requests wait; nil for a new controller.
 	Admission *admission.Controller
-	// Table returns the routes in force, nil while none are known.
+	// Table returns the current routes, nil while none are known.
 	Table func() *route.Table
-	// RoutesAge returns since when it was not confirmed that the routes in force are the
-	// newest; nil if that is not known.
+	// RoutesAge returns how long ago the routes were last confirmed to be the newest; nil
+	// if that is not tracked.
 	RoutesAge func() time.Duration
-	// Daemons returns how many daemons share the instances' connections.
+	// Daemons returns the number of daemons that share the connections to instances.
 	Daemons func() int
-	// Evacuations are which zones the operators evacuated; nil if none ever is.
+	// Evacuations lists the zones that operators have evacuated; nil if the fleet has no
+	// evacuations.
 	Evacuations *zone.Evacuations
-	// Zones is which zones this daemon is cut off from; nil in a fleet of one zone.
+	// Zones tracks which zones this daemon is cut off from; nil in a fleet of one zone.
 	Zones *zone.Reachability
-	// StoppingSince tells whether the daemon stops, and since when; nil if it never does.
+	// StoppingSince reports whether the daemon is shutting down, and since when; nil if it
+	// never does.
 	StoppingSince func() (at time.Time, stopping bool)
-	// RerouteTime is how long it takes until new connections are routed to other daemons
-	// after this one found itself isolated.
+	// RerouteTime is how long it takes to route new connections to other daemons after this
+	// one is found isolated.
 	RerouteTime time.Duration
-	// RecordBytes bounds the text of turns that the ledger is to put on record, and once
-	// more that of turns which are ready and wait for room there; 0 sets no bound. From
-	// half of it on no further turns are begun.
+	// MaxPendingRecordBytes bounds the text of turns that the ledger is storing, and
+	// separately the text of finished turns that wait for their place there; 0 means no
+	// bound. Above half of it no new turns are begun.
 	MaxPendingRecordBytes int64
 	Logger                zerolog.Logger
 	Metrics               *Metrics
 }
 
-// Relay carries calls. It is safe for concurrent use.
+// Relay forwards calls to instances. It is safe for concurrent use.
 type Relay struct {
 	Options
 	sessions *sessions
 	splits   splits
-	// full are the services whose instances refuse all requests, and serving is
-	// what serving takes on each route.
+	// full holds the services whose instances all refuse requests, and serving the usual
+	// serving time of each route.
 	full    fullServices
 	serving servingTimes
 	// offered counts the offers to each service.
-	offered offerTally
-	// ordinary is for lines of requests that went the ordinary way.
-	ordinary zerolog.Logger
-	// frontRefusals bounds the lines of requests that the front refused, and closings those
-	// of requests that ended without an answer or a refusal.
-	frontRefusals, closings zerolog.Sampler
-	// recording is the room for the text of turns that wait for their record.
-	recording recordRoom
-	// draining: calls that come now are refused.
+	offered offerCounters
+	// routine is the sampled logger for requests that were served normally.
+	routine zerolog.Logger
+	// frontRefusalSampler samples the log lines of requests that the front refused, and
+	// brokenOffSampler those of requests that ended without an answer or a refusal.
+	frontRefusalSampler, brokenOffSampler zerolog.Sampler
+	// pendingRecords bounds the text of turns that wait to be stored.
+	pendingRecords recordMemory
+	// draining is set once new calls are refused.
 	draining atomic.Bool
 	monitor  *offerMonitor
-	// settling counts turns whose outcome is not on record yet.
+	// settling counts the turns whose outcome is not stored yet.
 	settling sync.WaitGroup
 }
 
-// New returns a relay.
+// New returns a relay with the given options.
 func New(options Options) *Relay {
 	if options.Admission == nil {
 		options.Admission = &admission.Controller{}
@@ -130,29 +130,29 @@
 		Options:  options,
 		sessions: newSessions(),
 	}
-	ordinary := newSampler(ordinaryBurst, options.Metrics.lineLeftOut)
-	r.ordinary = options.Logger.Sample(ordinary)
-	r.frontRefusals = ordinary
-	r.closings = newSampler(closingBurst, options.Metrics.lineLeftOut)
+	routine := newSampler(routineLogBurst, options.Metrics.lineDropped)
+	r.routine = options.Logger.Sample(routine)
+	r.frontRefusalSampler = routine
+	r.brokenOffSampler = newSampler(brokenOffLogBurst, options.Metrics.lineDropped)
 	r.monitor = newOfferMonitor(r)
 	return r
 }
 
-// Serve carries one call to its end. It returns once the responder was ended.
+// Serve handles one call. It returns after the responder was ended.
 func (r *Relay) Serve(ctx context.Context, call *Call, responder Responder) {
 	recorder := r.recorderOf(ctx, call.ID, responder)
-	r.EnsureEnding(ctx, call.ID, recorder, func(Responder) { r.carry(ctx, call, recorder) })
+	r.EnsureEnding(ctx, call.ID, recorder, func(Responder) { r.handle(ctx, call, recorder) })
 }
 
-// carry carries a call whose ending is taken note of.
-func (r *Relay) carry(ctx context.Context, call *Call, responder *endingRecorder) {
+// handle handles a call whose ending is recorded.
+func (r *Relay) handle(ctx context.Context, call *Call, responder *endingRecorder) {
 	if !call.Deadline.IsZero() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, call.Deadline)
 		defer cancel()
 	}
 	call.Program = call.Program.scopedTo(call.tenantName())
-	c := &carrier{
+	c := &callHandler{
 		relay:     r,
 		call:      call,
 		turnID:    tenant.Scoped(call.tenantName(), call.ID),
@@ -161,10 +161,10 @@
 		logger:    callLogger(r.Logger, call),
 		regions:   residency.Bound(call.Route.AllowedRegions, call.Tenant.Regions()),
 	}
-	responder.carriedBy(c)
-	defer c.endLeftOpen()
+	responder.setHandler(c)
+	defer c.releaseLeftovers()
 	if r.draining.Load() {
-		c.refuse(stopping)
+		c.refuse(stoppingRefusal)
 		return
 	}
 	if c.needsRecord() && c.refuseCutOff() || c.refuseIfUnplaceable() {
@@ -174,14 +174,14 @@
 		return
 	}
 	if call.Route.Kind == route.KindStream {
-		c.carryStream(ctx)
+		c.handleStream(ctx)
 		return
 	}
-	c.carryPlain(ctx)
+	c.handlePlain(ctx)
 }
 
-// Drain makes the relay refuse calls that come from now on. Those under way go on.
+// Drain makes the relay refuse new calls. Calls in progress continue.
 func (r *Relay) Drain() { r.draining.Store(true) }
 
-// Wait waits until all turns are settled, or ctx ends.
+// Wait blocks until all turns are settled or ctx ends.
 func (r *Relay) Wait(ctx context.Context) { clock.WaitFor(ctx, &r.settling) }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -22,21 +22,21 @@
 		t.Errorf("got %d %q", got.status, got.body.String())
 	}
 	if limit := h.driver.sent[0].ConnectionLimit; limit != 10 {
-		t.Errorf("connection limit %d, want this daemon's half of 20", limit)
+		t.Errorf("connection limit %d, want 10: this daemon's half of 20", limit)
 	}
 }
 
-func TestRequestThatWasNotRunGoesToOthers(t *testing.T) {
+func TestRequestThatWasNotRunGoesToAnotherInstance(t *testing.T) {
 	for name, first := range map[string]step{
 		"refused":        {status: 503, notRun: true},
-		"other instance": {status: 421, other: true},
+		"other instance": {status: 421, misdirected: true},
 		"not sent":       {err: errNotSent},
 		"turned away":    {err: httpconn.ErrTurnedAway},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, first, step{body: "ok"})
 			got := h.serve(newCall(newRoute(route.KindOnce)))
-			if got.status != 200 || !allDiffer(h.sentTo()) {
+			if got.status != 200 || !allDistinct(h.sentTo()) {
 				t.Errorf("got %d from %v", got.status, h.sentTo())
 			}
 		})
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestFullServiceIsRefusedWithATimeToComeBack(t *testing.T) {
+func TestFullServiceIsRefusedWithRetryAfter(t *testing.T) {
 	h := newHarness(t, step{status: 503, notRun: true})
 	call := newCall(newRoute(route.KindOnce))
 	call.Deadline = call.Received.Add(200 * time.Millisecond)
@@ -96,7 +96,7 @@
 		h := newHarness(t, step{})
 		h.pool.Replace(nil)
 		h.pool.Replace([]instance.Instance{{ID: "x", Service: "other", State: instance.StateReady}})
-		time.Sleep(5 * time.Second) // the list is no news of a daemon that just started
+		time.Sleep(5 * time.Second) // past the time in which the list may be incomplete after a start
 		call := newCall(newRoute(route.KindOnce))
 		call.Route.Services[0].Service = "none"
 		got := h.serve(call)
@@ -109,7 +109,7 @@
 	})
 }
 
-func TestServiceWithoutInstancesIsWaitedForAfterAnOutageOfItsList(t *testing.T) {
+func TestCallWaitsForInstancesAfterListOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: "x"})
 		call := newCall(newRoute(route.KindOnce))
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestCallerThatLeavesEndsTheCall(t *testing.T) {
+func TestDisconnectEndsTheCall(t *testing.T) {
 	h := newHarness(t, step{hold: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
@@ -152,24 +152,24 @@
 	eventThree = "id: 3\ndata: c\n\n"
 )
 
-func TestStreamIsTakenUpBehindTheLastWholeEvent(t *testing.T) {
+func TestStreamResumesAfterLastWholeEvent(t *testing.T) {
 	h := newHarness(t, step{body: eventOne + "id: 2\nda", cut: true}, step{body: eventTwo + eventThree})
 	got := h.serve(newCall(newRoute(route.KindStream)))
 	if want := eventOne + eventTwo + eventThree; got.body.String() != want || !got.ended {
 		t.Errorf("got %q, ended %v", got.body.String(), got.ended)
 	}
 	if after := h.driver.sent[1].ResumeAfter; after != "1" {
-		t.Errorf("taken up after %q, want 1", after)
+		t.Errorf("resumed after %q, want 1", after)
 	}
-	if !allDiffer(h.sentTo()) {
+	if !allDistinct(h.sentTo()) {
 		t.Errorf("sent to %v", h.sentTo())
 	}
 }
 
-func TestStreamIsTakenUpWhereItRanIfItsRouteAllowsOneInstance(t *testing.T) {
+func TestStreamResumesAtItsInstanceIfRouteAllowsOne(t *testing.T) {
 	r := newRoute(route.KindStream)
 	r.MaxAttempts = 1
-	// The third step is a refusal for now, the fourth a dead port.
+	// The third step is a temporary refusal, the fourth a refused connection.
 	h := newHarness(t,
 		step{body: eventOne, cut: true}, step{err: errCut}, step{status: 503, notRun: true}, step{err: errNotSent},
 		step{body: eventTwo + eventThree})
@@ -180,29 +180,29 @@
 	ids := h.sentTo()
 	for i, id := range ids[:4] {
 		if id != ids[0] {
-			t.Errorf("offer %d went to %s, though %s may still run it", i, id, ids[0])
+			t.Errorf("offer %d went to %s although %s may still be running the stream", i, id, ids[0])
 		}
 	}
 	if ids[4] == ids[0] {
-		t.Error("the last offer went to an instance that cannot be reached")
+		t.Error("the last offer went to an unreachable instance")
 	}
 }
 
-func TestStreamLeavesAnInstanceThatIsGone(t *testing.T) {
+func TestStreamLeavesReplacedInstance(t *testing.T) {
 	r := newRoute(route.KindStream)
 	r.MaxAttempts = 1
-	h := newHarness(t, step{body: eventOne, cut: true}, step{status: 421, other: true}, step{body: eventTwo})
+	h := newHarness(t, step{body: eventOne, cut: true}, step{status: 421, misdirected: true}, step{body: eventTwo})
 	if got := h.serve(newCall(r)); !got.ended || h.sentTo()[2] == h.sentTo()[0] {
 		t.Errorf("ended %v, sent to %v", got.ended, h.sentTo())
 	}
 }
 
-func TestStreamIsNotTakenUpElsewhereWhileItsInstanceMayRunIt(t *testing.T) {
+func TestStreamDoesNotResumeElsewhereWhileItMayRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne, cut: true}, step{body: eventTwo})
 		r := newRoute(route.KindStream)
 		r.MaxAttempts = 1
-		h.driver.onSend = func() { // all leave, and another comes
+		h.driver.onSend = func() { // all instances are shutting down, and another starts
 			list := []instance.Instance{{ID: "i4", Service: "s", Address: "a:4", Zone: "z", Slots: 4, State: instance.StateReady}}
 			for _, id := range []string{"i1", "i2", "i3"} {
 				list = append(list, instance.Instance{ID: id, Service: "s", Zone: "z", Slots: 4, State: instance.StateLeaving})
@@ -211,7 +211,7 @@
 		}
 		got := h.serve(newCall(r))
 		if !got.aborted || len(h.driver.sent) != 1 {
-			t.Errorf("broken off: %v; sent to %v, of which the first may still run it", got.aborted, h.sentTo())
+			t.Errorf("broken off: %v; sent to %v, the first of which may still be running the stream", got.aborted, h.sentTo())
 		}
 	})
 }
@@ -219,7 +219,8 @@
 func TestStreamIsBoundToTheInstanceThatRanItLast(t *testing.T) {
 	cut := func(body string) step { return step{body: body, cut: true} }
 	lost := step{err: errNotSent}
-	// It runs at one, at the other, and at the first again, whose connection breaks.
+	// The stream runs at one instance, at another, and at the first again, whose connection
+	// breaks.
 	h := newHarness(t, cut(eventOne), lost, cut(eventTwo), lost, cut(""), step{body: eventTwo})
 	h.pool.Replace([]instance.Instance{
 		{ID: "i1", Service: "s", Address: "a:1", Zone: "z", Slots: 4, State: instance.StateReady},
@@ -231,13 +232,13 @@
 	h.serve(newCall(r))
 	to := h.sentTo()
 	if len(to) != 6 || to[0] != to[1] || to[2] != to[3] || to[4] != to[0] || to[5] != to[4] {
-		t.Errorf("sent to %v, want the instance that may still run it at the end", to)
+		t.Errorf("sent to %v, want the last offers at the instance that may still be running the stream", to)
 	}
 }
 
-// TestStreamStaysBoundToAnInstanceThatTurnsItsConnectionAway: unlike one that is not
-// reached, it may still run the stream.
-func TestStreamStaysBoundToAnInstanceThatTurnsItsConnectionAway(t *testing.T) {
+// An instance that turns a connection away may still run the stream, unlike one that cannot
+// be reached.
+func TestStreamStaysBoundToInstanceThatTurnsConnectionAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne, cut: true}, step{err: httpconn.ErrTurnedAway}, step{body: eventTwo})
 		r := newRoute(route.KindStream)
@@ -249,7 +250,7 @@
 	})
 }
 
-func TestStreamThatMayNotBeTakenUpIsBrokenOff(t *testing.T) {
+func TestNonResumableStreamIsBrokenOff(t *testing.T) {
 	h := newHarness(t, step{body: eventOne, cut: true}, step{body: eventTwo})
 	r := newRoute(route.KindStream)
 	r.Resumable = false
@@ -264,7 +265,7 @@
 	}
 }
 
-func TestStreamThatIsNotTakenAnyMoreIsBrokenOffNotRefused(t *testing.T) {
+func TestStreamThatCannotResumeIsBrokenOffNotRefused(t *testing.T) {
 	h := newHarness(t, step{body: eventOne, cut: true}, step{status: 503, notRun: true})
 	call := newCall(newRoute(route.KindStream))
 	call.Deadline = call.Received.Add(100 * time.Millisecond)
@@ -288,7 +289,7 @@
 	}
 }
 
-func TestTurnThatFailsIsSettledWithWhatItsCallerGot(t *testing.T) {
+func TestFailedTurnIsSettledWithDeliveredTokens(t *testing.T) {
 	r := newRoute(route.KindStream)
 	r.Resumable = false
 	h := newHarness(t, step{body: eventOne, cut: true})
@@ -316,7 +317,7 @@
 			t.Errorf("%v: got %+v, sent %d times", err, got.refusal, len(h.driver.sent))
 		}
 		if reason == ReasonLedgerUnavailable && got.refusal.RetryAfter == 0 {
-			t.Error("no time to come back")
+			t.Error("no Retry-After")
 		}
 	}
 }
@@ -324,13 +325,13 @@
 func TestTurnWaitsForTheEndOfAnOutage(t *testing.T) {
 	h := newHarness(t, step{body: eventOne})
 	h.ledger.err = ledger.ErrStoreUnreachable
-	time.AfterFunc(2*beginPause, func() { h.ledger.setError(nil) })
+	time.AfterFunc(2*beginRetryPause, func() { h.ledger.setError(nil) })
 	if got := h.serve(newTurn(newRoute(route.KindStream))); !got.ended {
 		t.Errorf("refused: %+v", got.refusal)
 	}
 	for _, turn := range h.ledger.turns {
 		if turn.ID != "q" {
-			t.Errorf("tried as %q: each name would be reserved for itself", turn.ID)
+			t.Errorf("tried as %q: each ID would reserve tokens of its own", turn.ID)
 		}
 	}
 	if len(h.ledger.turns) < 2 || len(h.ledger.abandoned) > 0 {
@@ -338,7 +339,7 @@
 	}
 }
 
-func TestCallersComeBackLaterWhileTheStoreIsUnreachable(t *testing.T) {
+func TestRetryAfterIsLongerForStoreOutageThanForTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		returns := func(err error) time.Duration {
 			h := newHarness(t, step{body: eventOne})
@@ -352,12 +353,12 @@
 		takeover := returns(heldUp(admission.ShardMoving, 30*time.Second))
 		outage := returns(heldUp(admission.StoreUnavailable, 60*time.Second))
 		if takeover < 30*time.Second || outage <= takeover {
-			t.Errorf("come back after %s from a takeover and %s from an outage", takeover, outage)
+			t.Errorf("Retry-After %s during a takeover and %s during an outage", takeover, outage)
 		}
 	})
 }
 
-func TestKeptTurnEndsOnlyOnceItIsOnRecord(t *testing.T) {
+func TestKeptTurnEndsOnlyOnceRecorded(t *testing.T) {
 	r := newRoute(route.KindStream)
 	r.RetainContext = true
 	call := newTurn(r)
@@ -377,7 +378,7 @@
 	h = newHarness(t, step{body: eventOne})
 	h.ledger.endErr = ledger.ErrUnavailable
 	if got := h.serve(newTurn(r)); !got.aborted {
-		t.Error("a turn that is not on record was ended as complete")
+		t.Error("a turn that was not stored was ended as complete")
 	}
 }
 
@@ -407,11 +408,11 @@
 	}
 }
 
-func TestUrgencyPutsBegunProgramsFirst(t *testing.T) {
+func TestUrgencyPutsOngoingProgramsFirst(t *testing.T) {
 	rank := func(left time.Duration, underway bool) int {
 		call := newTurn(newRoute(route.KindStream))
 		call.Program.FinishBy = time.Now().Add(left)
-		return (&carrier{call: call}).urgency(&turnState{Grant: ledger.Grant{Underway: underway}})
+		return (&callHandler{call: call}).urgency(&turnState{Grant: ledger.Grant{Underway: underway}})
 	}
 	order := []int{
 		rank(time.Second, true),
@@ -421,16 +422,16 @@
 		rank(-time.Second, true),
 	}
 	for i := 1; i < len(order); i++ {
-		if order[i] < order[i-1] || order[i] > leastUrgency {
-			t.Errorf("ranks %v do not rise", order)
+		if order[i] < order[i-1] || order[i] > lowestUrgency {
+			t.Errorf("ranks %v are not ascending", order)
 		}
 	}
 	if order[2] >= order[3] || order[3] >= order[4] {
-		t.Errorf("ranks %v: begun, new and overdue programs are not told apart", order)
+		t.Errorf("ranks %v: ongoing, new and overdue programs are not distinguished", order)
 	}
 }
 
-func TestSessionFromAnotherDaemonGoesToTheInstanceThatItsRecordNames(t *testing.T) {
+func TestSessionFromAnotherDaemonGoesToRecordedInstance(t *testing.T) {
 	h := newHarness(t, step{body: eventOne})
 	h.ledger.instance = "i2"
 	for range 10 {
--- a/internal/relay/restarted_test.go
+++ b/internal/relay/restarted_test.go
@@ -10,17 +10,16 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// restartedRun is the entry of a run of the one back end of the service.
+// restartedRun returns the entry of one incarnation of the service's only back end.
 func restartedRun(incarnation int64) []instance.Instance {
 	return []instance.Instance{{
 		ID: instance.RunID("i", incarnation), Service: "s", Address: "a:1", Zone: near, Slots: 4, State: instance.StateReady,
 	}}
 }
 
-// TestStreamOfARunThatEndedIsTakenUpAgain: a stream may run at one instance at a time, and was
-// kept to the one that ran it last. That one has started again under its name: it runs the stream
-// no more, and whoever takes it up is the only one.
-func TestStreamOfARunThatEndedIsTakenUpAgain(t *testing.T) {
+// Guards against binding a stream to an instance that has restarted: its old run is over,
+// so any instance may resume the stream.
+func TestStreamResumesAfterItsInstanceRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne, cut: true}, step{body: eventTwo})
 		h.pool.Replace(restartedRun(100))
@@ -34,10 +33,9 @@
 	})
 }
 
-// TestCallAtARunThatEndedInSilenceIsGivenUp: a machine that lost power says nothing, and whoever
-// runs at its address now can be connected to. A call that must not run twice was waited for in
-// vain until its caller left.
-func TestCallAtARunThatEndedInSilenceIsGivenUp(t *testing.T) {
+// Guards against waiting for a run that ended without closing its connection, as after a
+// power loss, while the restarted instance at the same address accepts connections.
+func TestCallAtSilentlyRestartedInstanceIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, _ := newZonesHarness(t, true)
 		h.driver = &scriptedDriver{steps: []step{{hold: true}}}
@@ -59,10 +57,10 @@
 		}()
 		got := h.serve(call)
 		if took := time.Since(restarted); took > time.Second || got.refusal == nil || got.refusal.Reason != ReasonBroken {
-			t.Errorf("%s after the new run was known: %+v", took, got.refusal)
+			t.Errorf("ended %s after the new incarnation was known: %+v", took, got.refusal)
 		}
 		if len(h.driver.sent) != 1 {
-			t.Errorf("sent %d times, which may run it twice", len(h.driver.sent))
+			t.Errorf("sent %d times, so it may have run twice", len(h.driver.sent))
 		}
 	})
 }
