--- a/internal/relay/sessions.go
+++ b/internal/relay/sessions.go
@@ -6,15 +6,14 @@
 )
 
 const (
-	// sessionLife is how long a session's instance is remembered after its
-	// last turn.
-	sessionLife = 20 * time.Second
-	// sessionLimit bounds the sessions that are remembered.
-	sessionLimit = 8192
+	// sessionTTL is how long a session's instance is remembered after its last turn.
+	sessionTTL = 20 * time.Second
+	// maxSessions bounds the number of remembered entries.
+	maxSessions = 8192
 )
 
-// sessions remembers which instance last served each line of turns: it holds
-// the line's prompt in its cache.
+// sessions remembers which instance last served each session: that instance has the
+// session's prompt in its cache.
 type sessions struct {
 	mutex   sync.Mutex
 	entries map[string]sessionEntry
@@ -29,8 +28,8 @@
 	return &sessions{entries: map[string]sessionEntry{}}
 }
 
-// find returns the instance that knows a program's session, or else the
-// program's latest turn, "" if none is known.
+// find returns the instance that last served the program's session, or else the program's
+// latest turn; "" if none is known.
 func (s *sessions) find(program *Program) string {
 	if program == nil {
 		return ""
@@ -38,7 +37,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, key := range [...]string{program.ID + "/" + program.Session, program.ID} {
-		if e, known := s.entries[key]; known && time.Since(e.at) < sessionLife {
+		if e, known := s.entries[key]; known && time.Since(e.at) < sessionTTL {
 			return e.instance
 		}
 	}
@@ -52,22 +51,22 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.entries) >= sessionLimit {
-		s.trim()
+	if len(s.entries) >= maxSessions {
+		s.evict()
 	}
 	e := sessionEntry{instance: instance, at: time.Now()}
 	s.entries[program.ID+"/"+program.Session] = e
 	s.entries[program.ID] = e
 }
 
-// trim drops what is old, and everything if nothing is.
-func (s *sessions) trim() {
+// evict drops expired entries, and all entries if that does not make room.
+func (s *sessions) evict() {
 	for key, e := range s.entries {
-		if time.Since(e.at) > sessionLife {
+		if time.Since(e.at) > sessionTTL {
 			delete(s.entries, key)
 		}
 	}
-	if len(s.entries) >= sessionLimit {
+	if len(s.entries) >= maxSessions {
 		clear(s.entries)
 	}
 }
--- a/internal/relay/bound_test.go
+++ b/internal/relay/shutdown_deadline_test.go
@@ -14,36 +14,36 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// stopAfter is when the daemon's stop reaches its bound in these tests.
-const stopAfter = time.Second
+// shutdownDeadlineAfter is when the daemon reaches its shutdown deadline in these tests.
+const shutdownDeadlineAfter = time.Second
 
-// serveUntilBound carries a call whose daemon reaches the bound of its stop, and
-// returns what the caller got and what was logged.
-func (h *harness) serveUntilBound(call *Call) (*recorder, string) {
+// serveUntilShutdownDeadline serves a call whose daemon reaches its shutdown deadline, and
+// returns what the caller got and the log.
+func (h *harness) serveUntilShutdownDeadline(call *Call) (*recorder, string) {
 	h.t.Helper()
 	lines := &bytes.Buffer{}
 	h.relay.Logger = zerolog.New(lines)
 	ctx, cancel := context.WithCancelCause(h.t.Context())
 	defer cancel(nil)
-	time.AfterFunc(stopAfter, func() { cancel(ErrShutdownDeadline) })
+	time.AfterFunc(shutdownDeadlineAfter, func() { cancel(ErrShutdownDeadline) })
 	got := &recorder{}
 	h.relay.Serve(ctx, call, got)
 	h.relay.Wait(context.Background())
 	if got.endings != 1 {
 		h.t.Errorf("the call was ended %d times", got.endings)
 	}
-	if waited := time.Since(call.Received); waited != stopAfter {
+	if waited := time.Since(call.Received); waited != shutdownDeadlineAfter {
 		h.t.Errorf("the call was ended after %v", waited)
 	}
 	return got, lines.String()
 }
 
-func TestCallUnderWayAtTheBoundOfAStopIsToldThatItMayHaveRun(t *testing.T) {
+func TestSentCallAtShutdownDeadlineMayHaveRun(t *testing.T) {
 	for _, kind := range []route.Kind{route.KindOnce, route.KindRepeatable, route.KindStream} {
 		t.Run(string(kind), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t, step{hold: true})
-				got, lines := h.serveUntilBound(newCall(newRoute(kind)))
+				got, lines := h.serveUntilShutdownDeadline(newCall(newRoute(kind)))
 				if got.refusal == nil || got.refusal.Reason != ReasonBroken {
 					t.Errorf("refused with %+v", got.refusal)
 				}
@@ -53,33 +53,33 @@
 	}
 }
 
-func TestCallThatNoneTookAtTheBoundOfAStopIsToldThatItHasNotRun(t *testing.T) {
+func TestRejectedCallAtShutdownDeadlineHasNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{notRun: true, status: 503})
-		got, _ := h.serveUntilBound(newCall(newRoute(route.KindOnce)))
+		got, _ := h.serveUntilShutdownDeadline(newCall(newRoute(route.KindOnce)))
 		if got.refusal == nil || got.refusal.Reason != ReasonStopping || got.refusal.RetryAfter <= 0 {
 			t.Errorf("refused with %+v", got.refusal)
 		}
 	})
 }
 
-func TestTurnThatIsNotGrantedAtTheBoundOfAStopIsToldThatItHasNotRun(t *testing.T) {
+func TestUngrantedTurnAtShutdownDeadlineHasNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{})
 		h.ledger.err = ledger.ErrUnavailable
-		got, _ := h.serveUntilBound(newTurn(newRoute(route.KindStream)))
+		got, _ := h.serveUntilShutdownDeadline(newTurn(newRoute(route.KindStream)))
 		if got.refusal == nil || got.refusal.Reason != ReasonStopping || got.refusal.RetryAfter <= 0 {
 			t.Errorf("refused with %+v", got.refusal)
 		}
 	})
 }
 
-func TestAnswerThatWaitsForItsRecordAtTheBoundOfAStopIsBrokenOffWithItsCause(t *testing.T) {
+func TestAnswerAwaitingItsRecordIsBrokenOffAtShutdownDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, _, call := newRecording(t, 4*time.Second)
-		got, lines := h.serveUntilBound(call)
+		h, _, call := newRecordingHarness(t, 4*time.Second)
+		got, lines := h.serveUntilShutdownDeadline(call)
 		if !got.aborted {
-			t.Error("an answer without a record was ended as complete")
+			t.Error("an answer whose turn was not stored was ended as complete")
 		}
 		expectParts(t, lines, `"request":"q"`, `"waited":1000`, ErrShutdownDeadline.Error())
 	})
@@ -94,16 +94,16 @@
 	}
 }
 
-// serveBounded carries a call whose daemon reaches the bound of its stop, and cuts its
-// callers off a while later.
-func (h *harness) serveBounded(call *Call, cutAfter time.Duration) *recorder {
+// serveUntilClosed serves a call whose daemon reaches its shutdown deadline, and closes its
+// callers' connections cutAfter later.
+func (h *harness) serveUntilClosed(call *Call, cutAfter time.Duration) *recorder {
 	h.t.Helper()
 	caller, cut := context.WithCancelCause(h.t.Context())
 	defer cut(nil)
 	bound, reach := context.WithCancel(h.t.Context())
 	defer reach()
-	time.AfterFunc(stopAfter, reach)
-	time.AfterFunc(stopAfter+cutAfter, func() { cut(ErrShutdownDeadline) })
+	time.AfterFunc(shutdownDeadlineAfter, reach)
+	time.AfterFunc(shutdownDeadlineAfter+cutAfter, func() { cut(ErrShutdownDeadline) })
 	ctx, cancel := WithShutdownDeadline(caller, bound)
 	defer cancel()
 	got := &recorder{}
@@ -111,18 +111,18 @@
 	return got
 }
 
-// TestAnswerThatIsReadyWaitsForItsRecordUntilItsCallerIsCutOff: the ledger still works for a
-// daemon whose stop is at its bound.
-func TestAnswerThatIsReadyWaitsForItsRecordUntilItsCallerIsCutOff(t *testing.T) {
+// Until connections are closed, the ledger still works for a daemon past its shutdown
+// deadline.
+func TestReadyAnswerWaitsForItsRecordUntilConnectionsAreClosed(t *testing.T) {
 	const cutAfter = 200 * time.Millisecond
-	for takes, isRecorded := range map[time.Duration]bool{stopAfter + cutAfter/2: true, stopAfter + 2*cutAfter: false} {
+	for takes, isRecorded := range map[time.Duration]bool{shutdownDeadlineAfter + cutAfter/2: true, shutdownDeadlineAfter + 2*cutAfter: false} {
 		synctest.Test(t, func(t *testing.T) {
-			h, _, call := newRecording(t, takes)
-			got := h.serveBounded(call, cutAfter)
+			h, _, call := newRecordingHarness(t, takes)
+			got := h.serveUntilClosed(call, cutAfter)
 			if got.ended != isRecorded || got.aborted == isRecorded {
-				t.Errorf("record after %s: ended %v, broken off %v", takes, got.ended, got.aborted)
+				t.Errorf("stored after %s: ended %v, broken off %v", takes, got.ended, got.aborted)
 			}
-			if held, want := time.Since(call.Received), min(takes, stopAfter+cutAfter); held != want {
+			if held, want := time.Since(call.Received), min(takes, shutdownDeadlineAfter+cutAfter); held != want {
 				t.Errorf("held for %s, want %s", held, want)
 			}
 			h.relay.Wait(t.Context())
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestBoundOfAStopEndsWhatIsNotReady: only whole answers go on.
-func TestBoundOfAStopEndsWhatIsNotReady(t *testing.T) {
+// Only complete answers continue past the shutdown deadline.
+func TestShutdownDeadlineEndsUnfinishedCalls(t *testing.T) {
 	for name, prepare := range map[string]func(*harness){
 		"an offer": func(h *harness) { h.driver.steps = []step{{hold: true}} },
 		"a queue":  func(h *harness) { h.driver.steps = []step{{notRun: true, status: 503}} },
@@ -139,10 +139,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h, _, call := newRecording(t, 0)
+				h, _, call := newRecordingHarness(t, 0)
 				prepare(h)
-				got := h.serveBounded(call, time.Second)
-				if held := time.Since(call.Received); got.refusal == nil || held != stopAfter {
+				got := h.serveUntilClosed(call, time.Second)
+				if held := time.Since(call.Received); got.refusal == nil || held != shutdownDeadlineAfter {
 					t.Errorf("refused with %+v after %s", got.refusal, held)
 				}
 				h.relay.Wait(t.Context())
--- a/internal/relay/simulated_driver_test.go
+++ b/internal/relay/simulated_driver_test.go
@@ -16,46 +16,47 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// behaviour is what an instance does with one offer.
+// behaviour is an instance's response to one offer.
 type behaviour int
 
 const (
 	behavesWell behaviour = iota
-	notReached
+	unreachable
 	refuses
-	isAnother
+	misdirects
 	resetsBeforeRun
 	losesAnswer
 	hangs
 	fails
 	crashesMidway
 	resetsMidway
-	behaviours
+	behaviourCount
 )
 
 // simulatedRun is one run of a call at an instance.
 type simulatedRun struct {
 	instance string
-	// until is when the instance stops working on it.
+	// until is when the instance stops working on the call.
 	until time.Time
 }
 
-// simulatedDriver is all instances, with what they did.
+// simulatedDriver simulates all instances and records their runs.
 type simulatedDriver struct {
 	t      *testing.T
 	mutex  sync.Mutex
 	random *rand.Rand
 	runs   map[string][]*simulatedRun
-	// most counts unfinished runs of a call at different instances, at most.
-	most map[string]int
-	// gone instances are no more: another has their address.
+	// maxConcurrent is the largest number of instances that worked on a call at the same
+	// time, by call.
+	maxConcurrent map[string]int
+	// gone holds the instances that were replaced by another at their address.
 	gone map[string]bool
-	// stories tell of the offers of each call, for calls that went wrong.
-	stories map[string][]string
+	// offerLogs describes the offers of each call, for error messages.
+	offerLogs map[string][]string
 }
 
 func newSimulatedDriver(t *testing.T, seed uint64) *simulatedDriver {
-	return &simulatedDriver{t: t, random: rand.New(rand.NewPCG(seed, 7)), runs: map[string][]*simulatedRun{}, most: map[string]int{}, gone: map[string]bool{}}
+	return &simulatedDriver{t: t, random: rand.New(rand.NewPCG(seed, 7)), runs: map[string][]*simulatedRun{}, maxConcurrent: map[string]int{}, gone: map[string]bool{}}
 }
 
 func (d *simulatedDriver) pick() (behaviour, time.Duration) {
@@ -64,28 +65,28 @@
 	if d.random.IntN(3) > 0 {
 		return behavesWell, time.Duration(d.random.IntN(40)) * time.Millisecond
 	}
-	return behaviour(d.random.IntN(int(behaviours))), time.Duration(d.random.IntN(200)) * time.Millisecond
+	return behaviour(d.random.IntN(int(behaviourCount))), time.Duration(d.random.IntN(200)) * time.Millisecond
 }
 
-// override is what an instance does that cannot behave as it was picked: one
-// that is gone, and all of them for calls that meet a crowd.
+// override returns the behaviour in place of the one that was picked: instances that are
+// gone misdirect, and calls with certain IDs are mostly refused.
 func (d *simulatedDriver) override(does behaviour, at, call string) behaviour {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	switch {
 	case d.gone[at]:
-		return isAnother
+		return misdirects
 	case strings.HasSuffix(call, "7") && does == behavesWell && d.random.IntN(10) > 0:
 		return refuses
 	}
 	return does
 }
 
-// begin notes a run.
+// begin records the start of a run.
 func (d *simulatedDriver) begin(id, at string, until time.Time) *simulatedRun {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.gone[at] { // since it was picked
+	if d.gone[at] { // gone since the behaviour was picked
 		until = time.Now()
 	}
 	run := &simulatedRun{instance: at, until: until}
@@ -96,11 +97,11 @@
 			working[other.instance] = true
 		}
 	}
-	d.most[id] = max(d.most[id], len(working))
+	d.maxConcurrent[id] = max(d.maxConcurrent[id], len(working))
 	return run
 }
 
-// end notes that an instance works on a call no more, or cannot be reached.
+// end records that an instance no longer works on a call, or cannot be reached.
 func (d *simulatedDriver) end(id, at string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// replace notes that an instance is no more, and ends its runs.
+// replace marks an instance as gone and ends its runs.
 func (d *simulatedDriver) replace(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -131,27 +132,27 @@
 	return d.gone[id]
 }
 
-func (d *simulatedDriver) ran(id string) (runs, most int) {
+func (d *simulatedDriver) ran(id string) (runs, maxConcurrent int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return len(d.runs[id]), d.most[id]
+	return len(d.runs[id]), d.maxConcurrent[id]
 }
 
-// story tells of all offers of a call, in order.
-func (d *simulatedDriver) story(id string) string {
+// offerLog describes all offers of a call, in order.
+func (d *simulatedDriver) offerLog(id string) string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return strings.Join(d.stories[id], ", ")
+	return strings.Join(d.offerLogs[id], ", ")
 }
 
-// tell adds to a call's story.
-func (d *simulatedDriver) tell(id string, does behaviour, at string) {
+// logOffer adds an offer to the log of a call.
+func (d *simulatedDriver) logOffer(id string, does behaviour, at string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.stories == nil {
-		d.stories = map[string][]string{}
+	if d.offerLogs == nil {
+		d.offerLogs = map[string][]string{}
 	}
-	d.stories[id] = append(d.stories[id], fmt.Sprintf("%s behaviour %v at %s", time.Now().Format("05.000"), does, at))
+	d.offerLogs[id] = append(d.offerLogs[id], fmt.Sprintf("%s behaviour %v at %s", time.Now().Format("05.000"), does, at))
 }
 
 // Send implements Driver.
@@ -163,14 +164,14 @@
 	case <-time.After(took / 4):
 	}
 	does = d.override(does, to.ID, outgoing.ID)
-	d.tell(outgoing.ID, does, to.ID)
+	d.logOffer(outgoing.ID, does, to.ID)
 	switch does {
-	case notReached:
+	case unreachable:
 		d.end(outgoing.ID, to.ID)
 		return nil, httpconn.ErrNotSent
 	case refuses:
 		return answerOf(http.StatusServiceUnavailable, "", true, false), nil
-	case isAnother:
+	case misdirects:
 		d.replace(to.ID)
 		return answerOf(http.StatusMisdirectedRequest, "", true, true), nil
 	case resetsBeforeRun:
@@ -212,7 +213,7 @@
 	return &Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), NotRun: notRun, Misdirected: other}
 }
 
-// event is the text of one event of a call's stream.
+// event returns the text of one event of a call's stream.
 func event(call string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", number, call, number)
 }
@@ -251,7 +252,8 @@
 	return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: reader}
 }
 
-// breakOff ends a run whose instance crashed; after a reset it goes on a while.
+// breakOff ends a run whose instance crashed; after a connection reset the run goes on for
+// a while.
 func (d *simulatedDriver) breakOff(run *simulatedRun, does behaviour) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/relay/simulation_check_test.go
+++ b/internal/relay/simulation_check_test.go
@@ -11,10 +11,10 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// checkCall compares what a caller heard with what the instances did.
+// checkCall compares what a caller got with what the instances did.
 func checkCall(t *testing.T, d *simulatedDriver, call *Call, heard *recorder) {
 	t.Helper()
-	runs, most := d.ran(call.ID)
+	runs, maxConcurrent := d.ran(call.ID)
 	kind := call.Route.Kind
 	if heard.endings != 1 {
 		t.Errorf("%s was ended %d times", call.ID, heard.endings)
@@ -25,8 +25,8 @@
 	if kind == route.KindRepeatable && runs > call.Route.MaxAttempts {
 		t.Errorf("%s ran %d times of %d", call.ID, runs, call.Route.MaxAttempts)
 	}
-	if most > call.Route.MaxAttempts {
-		t.Errorf("%s ran at %d instances at once, of %d: %s", call.ID, most, call.Route.MaxAttempts, d.story(call.ID))
+	if maxConcurrent > call.Route.MaxAttempts {
+		t.Errorf("%s ran at %d instances at once, of %d: %s", call.ID, maxConcurrent, call.Route.MaxAttempts, d.offerLog(call.ID))
 	}
 	if heard.refusal != nil && heard.refusal.Reason.PromisesNotRun() && runs > 0 {
 		t.Errorf("%s was refused as %s and ran %d times", call.ID, heard.refusal.Reason, runs)
@@ -40,8 +40,8 @@
 	}
 }
 
-// checkStream: a caller gets a stream's events in order, each once, and an end
-// only after the last.
+// checkStream checks that the caller got the stream's events in order, each once, and its
+// end only after the last.
 func checkStream(t *testing.T, call *Call, heard *recorder) {
 	t.Helper()
 	if heard.status != http.StatusOK {
@@ -53,14 +53,14 @@
 	}
 	got := heard.body.String()
 	if !strings.HasPrefix(whole, got) {
-		t.Errorf("%s got other events than it should:\n%s", call.ID, got)
+		t.Errorf("%s got unexpected events:\n%s", call.ID, got)
 	}
 	if heard.ended && got != whole {
 		t.Errorf("%s ended after %q", call.ID, got)
 	}
 }
 
-// checkSettled: every turn that was granted is settled once, with what its
+// checkSettled checks that every granted turn was settled once, with the tokens that its
 // caller got.
 func checkSettled(t *testing.T, l *fakeLedger, call *Call, heard *recorder) {
 	t.Helper()
@@ -82,34 +82,34 @@
 	if heard.status != http.StatusOK {
 		got = 0
 	}
-	// An event on its way when the caller left counts as his.
+	// An event in transit when the caller disconnected counts as received.
 	if granted > 1 || settled != granted || used < got || used > got+perEventTokens {
 		t.Errorf("%s was granted %d times and settled %d, with %d tokens; its caller got %d", call.ID, granted, settled, used, got)
 	}
 }
 
-// simulatedEnd is when a call ended, and why its context had, if it had.
+// simulatedEnd is when a call ended, and why its context had ended, if it had.
 type simulatedEnd struct {
-	at   time.Time
-	left error
+	at           time.Time
+	contextCause error
 }
 
-// checkEnding compares what is told of a call's ending with what its caller heard and did,
-// and with what instances did.
+// checkEnding compares a call's logged ending with what its caller got and did, and with
+// what the instances did.
 func checkEnding(t *testing.T, d *simulatedDriver, call *Call, heard *recorder, end simulatedEnd, told []loggedEnding) {
 	t.Helper()
 	wasAnswered := heard.status != 0 && !heard.aborted
-	if wasAnswered && !heard.gone {
+	if wasAnswered && !heard.disconnected {
 		if len(told) != 0 {
-			t.Errorf("%s was answered, told: %+v", call.ID, told)
+			t.Errorf("%s was answered, but its logged endings are: %+v", call.ID, told)
 		}
 		return
 	}
 	if len(told) != 1 {
-		t.Errorf("%s has %d endings: %+v", call.ID, len(told), told)
+		t.Errorf("%s has %d logged endings: %+v", call.ID, len(told), told)
 		return
 	}
-	ending, story := told[0], d.story(call.ID)
+	ending, offerLog := told[0], d.offerLog(call.ID)
 	got := 0
 	if call.Route.Kind == route.KindStream && heard.status == http.StatusOK {
 		got = strings.Count(heard.body.String(), "\n\n")
@@ -117,25 +117,26 @@
 	runs, _ := d.ran(call.ID)
 	isOverdue := slices.Contains([]Cause{CauseTimeOver, Cause(ReasonTimeout), Cause(ReasonNotInTime)}, ending.Cause)
 	for fault, is := range map[string]bool{
-		"left by a caller that was there":        ending.By == PartyCaller && !heard.gone && end.left != errCut,
-		"broken off by no back end":              ending.By == PartyBackEnd && !brokeOff(story),
-		"at the bound of no stop":                ending.Cause == CauseShutdownDeadline && end.left != ErrShutdownDeadline,
-		"over before its time":                   isOverdue && call.Deadline.Sub(end.at) > leastTime,
-		"said not to have run":                   !ending.MayHaveRun && runs > 0,
-		"said to have other events":              ending.Events != got,
-		"told a refusal and broken off":          ending.Ending == EndingRefused && heard.refusal == nil,
-		"closed, and the log tells of a refusal": ending.Ending == EndingRefused && heard.aborted,
+		"logged as left by a caller that had not disconnected":        ending.By == PartyCaller && !heard.disconnected && end.contextCause != errCut,
+		"logged as ended by a back end that did not break off":        ending.By == PartyBackEnd && !brokeOff(offerLog),
+		"logged as ended at a shutdown deadline that was not reached": ending.Cause == CauseShutdownDeadline && end.contextCause != ErrShutdownDeadline,
+		"logged as timed out before its deadline":                     isOverdue && call.Deadline.Sub(end.at) > minTimeLeft,
+		"logged as not run although it ran":                           !ending.MayHaveRun && runs > 0,
+		"logged with a wrong number of events":                        ending.Events != got,
+		"logged as refused although its caller got no refusal":        ending.Ending == EndingRefused && heard.refusal == nil,
+		"logged as refused although its connection was closed":        ending.Ending == EndingRefused && heard.aborted,
 	} {
 		if is {
-			t.Errorf("%s was %s: %+v; events %d, runs %d, %v: %s", call.ID, fault, ending, got, runs, end.left, story)
+			t.Errorf("%s was %s: %+v; events %d, runs %d, %v: %s", call.ID, fault, ending, got, runs, end.contextCause, offerLog)
 		}
 	}
 }
 
-// brokeOff tells whether an instance in a story lost or broke off what it was sent.
-func brokeOff(story string) bool {
+// brokeOff reports whether, according to an offer log, an instance lost or broke off what
+// it was sent.
+func brokeOff(offerLog string) bool {
 	for _, does := range []behaviour{resetsBeforeRun, losesAnswer, fails, crashesMidway, resetsMidway} {
-		if strings.Contains(story, fmt.Sprintf("behaviour %v ", does)) {
+		if strings.Contains(offerLog, fmt.Sprintf("behaviour %v ", does)) {
 			return true
 		}
 	}
--- a/internal/relay/simulation_test.go
+++ b/internal/relay/simulation_test.go
@@ -18,28 +18,29 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// The simulation carries many calls of every kind past instances that refuse,
-// break off, lose answers, hang and change, on a virtual clock, and compares
-// what callers heard with what the instances did.
+// The simulation sends many calls of every kind to instances that refuse, break off, lose
+// answers, hang and restart, on a virtual clock, and checks what callers got against what
+// the instances did.
 
-// go test ./internal/relay -run TestCallersHearWhatInstancesDid -seeds 500
-var relaySeeds = flag.Int("seeds", 12, "how many courses the simulation plays")
+// go test ./internal/relay -run TestSimulatedCallersGetWhatInstancesDid -seeds 500
+var relaySeeds = flag.Int("seeds", 12, "number of seeds that the simulation runs with")
 
 const (
 	simulatedCalls = 400
 
 	streamEvents   = 6
 	perEventTokens = 4 // as in newHarness
-	// simulatedInstances serve, and are listed anew after listPause.
+	// simulatedInstances is the number of instances, and listPause how often the pool gets
+	// their list.
 	simulatedInstances = 6
 	listPause          = 100 * time.Millisecond
-	// recordTime is how long the record of a kept turn takes, and recordBytes bounds the
-	// text that waits for that: some three turns', so that it is reached.
+	// recordTime is how long storing a kept turn takes. recordBytes bounds the text of
+	// turns that are being stored: about three turns, so that the limit is reached.
 	recordTime  = 200 * time.Millisecond
 	recordBytes = 200
 )
 
-// simulatedCall is a call of a random kind.
+// simulatedCall returns a call of a random kind.
 func simulatedCall(number int, random *rand.Rand) *Call {
 	kinds := []route.Kind{route.KindRepeatable, route.KindOnce, route.KindStream, route.KindStream}
 	r := newRoute(kinds[random.IntN(len(kinds))])
@@ -55,16 +56,16 @@
 	return call
 }
 
-func TestCallersHearWhatInstancesDid(t *testing.T) {
+func TestSimulatedCallersGetWhatInstancesDid(t *testing.T) {
 	for seed := range uint64(*relaySeeds) {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playCalls(t, seed+1) })
+			synctest.Test(t, func(t *testing.T) { runSimulation(t, seed+1) })
 		})
 	}
 }
 
-// relist lets the pool hear of all instances again and again; one that is gone
-// comes back under a new name.
+// relist updates the pool's list of instances periodically; one that is gone comes back
+// under a new ID.
 func (h *harness) relist(ctx context.Context, d *simulatedDriver) {
 	var runs [simulatedInstances]int
 	for ctx.Err() == nil {
@@ -84,8 +85,8 @@
 	}
 }
 
-// course is one run of the simulation: its calls, what their callers heard, and how each ended.
-type course struct {
+// simulation is one run: its calls, what their callers got, and how each ended.
+type simulation struct {
 	*harness
 	driver *simulatedDriver
 	lines  *bytes.Buffer
@@ -94,8 +95,8 @@
 	ended  []simulatedEnd
 }
 
-func newCourse(t *testing.T, seed uint64) *course {
-	c := &course{
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	c := &simulation{
 		harness: newHarness(t), driver: newSimulatedDriver(t, seed), lines: &bytes.Buffer{},
 		calls: make([]*Call, simulatedCalls), heard: make([]*recorder, simulatedCalls), ended: make([]simulatedEnd, simulatedCalls),
 	}
@@ -107,28 +108,28 @@
 	return c
 }
 
-// playCalls plays a course and checks it.
-func playCalls(t *testing.T, seed uint64) {
-	c := newCourse(t, seed)
+// runSimulation runs a simulation and checks it.
+func runSimulation(t *testing.T, seed uint64) {
+	c := newSimulation(t, seed)
 	listing, stop := context.WithCancel(t.Context())
 	var lister sync.WaitGroup
 	lister.Go(func() { c.relist(listing, c.driver) })
 	defer lister.Wait()
 	defer stop()
-	time.Sleep(5 * time.Second) // the harness's own instances are forgotten
+	time.Sleep(5 * time.Second) // until the pool has dropped the harness's own instances
 	c.serveAll(rand.New(rand.NewPCG(seed, 3)))
 	stop()
-	time.Sleep(2 * time.Hour) // nothing runs later
-	c.judge()
+	time.Sleep(2 * time.Hour) // until all runs are over
+	c.check()
 }
 
-// serveAll serves all calls, some of which are cut off or meet the bound of a stop, and waits
-// until their turns are settled.
-func (c *course) serveAll(random *rand.Rand) {
+// serveAll serves all calls, some of which are canceled by their caller or reach the
+// shutdown deadline, and waits until their turns are settled.
+func (c *simulation) serveAll(random *rand.Rand) {
 	var callers sync.WaitGroup
 	for i := range c.calls {
 		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
-		c.calls[i], c.heard[i] = simulatedCall(i, random), &recorder{gone: random.IntN(20) == 0}
+		c.calls[i], c.heard[i] = simulatedCall(i, random), &recorder{disconnected: random.IntN(20) == 0}
 		ctx, end := context.WithCancelCause(c.t.Context())
 		if cause := []error{errCut, ErrShutdownDeadline}[random.IntN(2)]; random.IntN(5) == 0 {
 			time.AfterFunc(time.Duration(random.IntN(300))*time.Millisecond, func() { end(cause) })
@@ -136,15 +137,15 @@
 		callers.Go(func() {
 			defer end(nil)
 			c.relay.Serve(ctx, c.calls[i], c.heard[i])
-			c.ended[i] = simulatedEnd{at: time.Now(), left: context.Cause(ctx)}
+			c.ended[i] = simulatedEnd{at: time.Now(), contextCause: context.Cause(ctx)}
 		})
 	}
 	callers.Wait()
 	c.relay.Wait(c.t.Context())
 }
 
-// judge checks every call, and that most were answered.
-func (c *course) judge() {
+// check checks every call, and that most were answered.
+func (c *simulation) check() {
 	c.t.Helper()
 	endings := endingsIn(c.t, c.lines)
 	if counted := sumOf(c.relay.Metrics.endings); counted != simulatedCalls {
--- a/internal/relay/split.go
+++ b/internal/relay/split.go
@@ -6,8 +6,9 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// splits deals the requests of routes that have several services, smoothly by
-// weight: after any number of requests each service is within one of its share.
+// splits distributes the requests of routes with several services by smooth weighted
+// round-robin: at any time each service has received its share of the requests to within
+// one.
 type splits struct {
 	mutex  sync.Mutex
 	routes map[string]*split
@@ -18,7 +19,7 @@
 	credit  []float64
 }
 
-// choose returns the service that gets the next request of a route.
+// choose returns the service for the next request of a route.
 func (s *splits) choose(r *route.Route) string {
 	if len(r.Services) == 0 {
 		return ""
@@ -28,7 +29,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.routes = withRoom(s.routes)
+	s.routes = ensureCapacity(s.routes)
 	state := s.routes[r.Name]
 	if state == nil || state.version != r {
 		state = &split{version: r, credit: make([]float64, len(r.Services))}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -15,29 +15,29 @@
 
 const statusOK = http.StatusOK
 
-// streamState is what was passed on of a stream so far.
+// streamState is the progress of a stream.
 type streamState struct {
 	turn *turnState
-	// prompt is the text that an instance gets: a turn's history and its input.
+	// prompt is the body that an instance gets: for a turn, its history and its input.
 	prompt []byte
-	// hasHead: the caller has the head of the answer.
+	// hasHead is set once the head of the answer was sent to the caller.
 	hasHead bool
-	// firstAfter is how long the caller waited for the first event.
-	firstAfter time.Duration
-	// servedAfter is how long after the latest offer its first event came.
-	servedAfter time.Duration
-	// lastID is the last event that the caller has.
+	// firstEventAfter is the time from receiving the request to the first event.
+	firstEventAfter time.Duration
+	// firstEventLatency is the time from the latest offer to its first event.
+	firstEventLatency time.Duration
+	// lastID is the ID of the last event that the caller received.
 	lastID string
 	events int64
 	output []byte
-	// instance ran the stream to its end, "" while none did.
+	// instance is the one that completed the stream, "" while none has.
 	instance string
 }
 
-// carryStream carries a request that is answered by a stream of events. Events
-// are passed on whole as they come; a stream that breaks is taken up behind
-// the last one, if its route allows that.
-func (c *carrier) carryStream(ctx context.Context) {
+// handleStream handles a request that is answered by a stream of events. Complete events
+// are passed on as they arrive; a stream that breaks is resumed after the last of them, if
+// its route allows that.
+func (c *callHandler) handleStream(ctx context.Context) {
 	state := &streamState{lastID: c.call.ResumeAfter, prompt: c.call.Body}
 	c.stream = state
 	if c.isTurn() {
@@ -47,7 +47,7 @@
 		}
 		state.turn = turn
 		state.prompt = slices.Concat(turn.History, c.call.Body)
-		turn.History = nil // it is held once
+		turn.History = nil // the prompt contains it
 	}
 	c.preferred = c.sessionInstance(state.turn)
 	for c.runStream(ctx, state) {
@@ -55,48 +55,47 @@
 	}
 }
 
-// sessionInstance returns the instance that has most of the prompt in its
-// cache, "" if that is not known. The program's record knows it also after the
-// session came from another daemon, or all were killed.
-func (c *carrier) sessionInstance(turn *turnState) string {
+// sessionInstance returns the instance that has most of the prompt in its cache, "" if
+// unknown. The program's record also knows it if another daemon served the session before.
+func (c *callHandler) sessionInstance(turn *turnState) string {
 	if turn != nil && turn.Instance != "" {
 		return turn.Instance
 	}
 	return c.relay.sessions.find(c.call.Program)
 }
 
-// runStream runs the stream once. It returns true when the stream broke and
-// may be taken up.
-func (c *carrier) runStream(ctx context.Context, state *streamState) bool {
+// runStream offers the stream to an instance and forwards its events. It returns true if
+// the stream broke and may be resumed.
+func (c *callHandler) runStream(ctx context.Context, state *streamState) bool {
 	answer, target := c.offerStream(ctx, state)
 	if answer == nil {
 		return false
 	}
 	if answer.Status != statusOK {
-		c.passFailure(ctx, answer, target, state)
+		c.forwardNonStream(ctx, answer, target, state)
 		return false
 	}
 	defer func() { _ = answer.Body.Close() }()
-	err := c.passEvents(answer, target, state)
+	err := c.forwardEvents(answer, target, state)
 	if errors.Is(err, io.EOF) {
-		_ = answer.Body.Close() // the connection serves others while the record is waited for
+		_ = answer.Body.Close() // frees the connection while the turn is being stored
 		c.release(target, instance.OutcomeAnswered)
 		c.relay.sessions.note(c.call.Program, target.ID)
-		c.relay.serving.note(c.call.Route.Name, servingTime{first: state.servedAfter, whole: time.Since(c.latest.beganAt)})
+		c.relay.serving.observe(c.call.Route.Name, servingTime{untilFirst: state.firstEventLatency, total: time.Since(c.latest.beganAt)})
 		state.instance = target.ID
-		state.prompt = nil // it is sent no more, and the record may be waited for
+		state.prompt = nil // frees the memory while the turn is being stored
 		c.endStream(ctx, answer, target, state)
 		return false
 	}
 	if errors.Is(err, errCallerLeft) || ctx.Err() != nil {
-		c.release(target, c.outcomeOfGivingUp())
+		c.release(target, c.canceledOutcome())
 		c.breakOff(ctx, state, CauseWriteFailed)
 		return false
 	}
-	return c.takeUp(target, state, err)
+	return c.canResume(target, state, err)
 }
 
-func (c *carrier) offerStream(ctx context.Context, state *streamState) (*Answer, instance.Instance) {
+func (c *callHandler) offerStream(ctx context.Context, state *streamState) (*Answer, instance.Instance) {
 	return c.offer(ctx, OutgoingCall{
 		Call:        c.call,
 		Body:        state.prompt,
@@ -106,33 +105,32 @@
 	})
 }
 
-// passFailure passes an answer on that is no stream.
-func (c *carrier) passFailure(ctx context.Context, answer *Answer, target instance.Instance, state *streamState) {
+// forwardNonStream passes on an answer that is not a stream.
+func (c *callHandler) forwardNonStream(ctx context.Context, answer *Answer, target instance.Instance, state *streamState) {
 	body, err := readWhole(answer.Body)
 	switch {
 	case err == nil:
 		c.release(target, instance.OutcomeAnswered)
-	case ctx.Err() != nil: // the caller left, or the daemon stops
-		c.release(target, c.outcomeOfGivingUp())
+	case ctx.Err() != nil: // the caller disconnected, or the daemon is shutting down
+		c.release(target, c.canceledOutcome())
 	default:
-		c.fail(target)
+		c.releaseFailed(target)
 	}
 	switch {
 	case state.hasHead:
 		c.breakOff(ctx, state, CauseBackEndFailed)
 	case err != nil:
-		c.refuseFor(brokenOff, causeOf(ctx, CauseBackEndBroke))
+		c.refuseFor(brokenOffRefusal, causeOf(ctx, CauseBackEndBroke))
 	default:
-		c.answerOrBreak(answer, body, target)
+		c.answerUnlessFalsePromise(answer, body, target)
 	}
 }
 
 var errCallerLeft = errors.New("relay: the caller left")
 
-// passEvents passes events on until the stream ends; io.EOF means that it is
-// complete.
-func (c *carrier) passEvents(answer *Answer, target instance.Instance, state *streamState) error {
-	reader := eventstream.NewReader(answer.Body, eventLimit)
+// forwardEvents passes events on until the stream ends. io.EOF means that it is complete.
+func (c *callHandler) forwardEvents(answer *Answer, target instance.Instance, state *streamState) error {
+	reader := eventstream.NewReader(answer.Body, maxEventBytes)
 	for passed := 0; ; passed++ {
 		event, err := reader.Next()
 		if err != nil {
@@ -141,21 +139,21 @@
 		if passed > 0 {
 			c.relay.Pool.NotePace(target.ID, c.call.Route.Name, time.Since(c.latest.heardAt))
 		} else {
-			state.servedAfter = time.Since(c.latest.beganAt)
+			state.firstEventLatency = time.Since(c.latest.beganAt)
 		}
 		c.latest.heardAt = time.Now()
-		c.relay.monitor.noteProgress(c.latest.watched, c.latest.heardAt)
+		c.relay.monitor.noteProgress(c.latest.pending, c.latest.heardAt)
 		if !state.hasHead {
 			c.responder.Head(answer.Status, answer.Header)
 			state.hasHead = true
-			state.firstAfter = time.Since(c.call.Received)
+			state.firstEventAfter = time.Since(c.call.Received)
 			c.relay.Metrics.firstEvent(c.call)
 		}
 		state.note(event)
 		if err := c.responder.Event(event.Raw); err != nil {
 			return errCallerLeft
 		}
-		c.relay.monitor.restartWait(c.latest.watched)
+		c.relay.monitor.restartWait(c.latest.pending)
 	}
 }
 
@@ -170,55 +168,54 @@
 	}
 }
 
-// takeUp tells whether a stream that broke may be taken up; if not, the call
-// is ended.
-func (c *carrier) takeUp(target instance.Instance, state *streamState, err error) bool {
-	c.fail(target)
+// canResume reports whether a stream that broke may be resumed. If not, the call is ended.
+func (c *callHandler) canResume(target instance.Instance, state *streamState, err error) bool {
+	c.releaseFailed(target)
 	c.logger.Info().Str("instance", target.ID).Int64("events", state.events).Int("runs", c.runs).Err(err).Msg("Stream broke off.")
-	if c.call.Route.Resumable && c.runs < streamRuns && c.hasTime() {
+	if c.call.Route.Resumable && c.runs < maxStreamRuns && c.hasTime() {
 		c.excluded = append(c.excluded[:0], target.ID)
-		c.bind()
+		c.bindToLastInstance()
 		return true
 	}
 	if state.hasHead {
 		c.responder.abort(c.causeOfBreak())
 		return false
 	}
-	c.refuse(brokenOff)
+	c.refuse(brokenOffRefusal)
 	return false
 }
 
-// causeOfBreak is why the latest offer broke off.
-func (c *carrier) causeOfBreak() Cause {
+// causeOfBreak returns why the latest offer broke off.
+func (c *callHandler) causeOfBreak() Cause {
 	if c.wasGivenUp() {
 		return CauseBackEndGivenUp
 	}
 	return CauseBackEndBroke
 }
 
-// breakOff ends a stream that can not be completed, for a cause unless its context ended.
-func (c *carrier) breakOff(ctx context.Context, state *streamState, cause Cause) {
+// breakOff ends a stream that cannot be completed, for the given cause unless ctx ended.
+func (c *callHandler) breakOff(ctx context.Context, state *streamState, cause Cause) {
 	if state.hasHead {
 		c.responder.abort(causeOf(ctx, cause))
 		return
 	}
-	c.refuseLate(ctx)
+	c.refuseEnded(ctx)
 }
 
-// endStream ends a complete stream, once its turn is on record.
-func (c *carrier) endStream(ctx context.Context, answer *Answer, target instance.Instance, state *streamState) {
+// endStream ends a complete stream, after its turn was stored.
+func (c *callHandler) endStream(ctx context.Context, answer *Answer, target instance.Instance, state *streamState) {
 	if !state.hasHead {
 		c.responder.Head(answer.Status, answer.Header)
 		state.hasHead = true
 	}
 	if state.turn != nil {
 		if err := c.settle(ctx, state, true); err != nil {
-			c.responder.abort(state.turn.unrecordedFor)
+			c.responder.abort(state.turn.unrecordedCause)
 			return
 		}
 	}
 	c.relay.Metrics.answered(c.call, answer.Status)
-	c.noteForecast(heldUpServed)
+	c.countHeldUp(heldUpServed)
 	c.logAnswered("Stream ended.", target, answer.Status, state)
 	c.responder.End()
 }
--- a/internal/relay/tenant_metrics.go
+++ b/internal/relay/tenant_metrics.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// tenantLimit bounds the tenants that have figures of their own, so that operators
-	// who add tenants all the time do not make a daemon's memory grow: three counters
-	// each take some 200 bytes.
-	tenantLimit = 256
-	// otherTenants is what all further ones are counted under.
+	// maxTenantLabels bounds the tenants with time series of their own, so that adding
+	// tenants does not grow a daemon's memory without limit: three counters take about 200
+	// bytes each.
+	maxTenantLabels = 256
+	// otherTenants is the label under which all further tenants are counted.
 	otherTenants = "other"
 )
 
@@ -19,9 +19,9 @@
 const (
 	// tenantAnswered: a back end's answer was passed on.
 	tenantAnswered = "answered"
-	// tenantLimited: the tenant's own limit had no room.
+	// tenantLimited: the tenant's own limit was exhausted.
 	tenantLimited = "limited"
-	// tenantRefused: the system ended the request for any other reason.
+	// tenantRefused: the system refused the request for any other reason.
 	tenantRefused = "refused"
 )
 
@@ -34,34 +34,34 @@
 
 func newTenantMetrics() tenantMetrics {
 	return tenantMetrics{
-		requests: counters("tenant_requests_total", "Requests of tenants that ended, by tenant and outcome.", "tenant", "outcome"),
+		requests: newCounterVec("tenant_requests_total", "Requests of tenants that ended, by tenant and outcome.", "tenant", "outcome"),
 		labelled: map[string]struct{}{},
 	}
 }
 
-// count takes a request that ended. Those of no tenant are left out.
+// count counts a request that ended. Requests without a tenant are not counted.
 func (m *tenantMetrics) count(call *Call, outcome string) {
 	if call.Tenant != nil {
 		m.requests.WithLabelValues(m.label(call.Tenant.Name), outcome).Inc()
 	}
 }
 
-// label returns what a tenant is counted under.
+// label returns the label under which a tenant is counted.
 func (m *tenantMetrics) label(name string) string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if _, known := m.labelled[name]; known {
 		return name
 	}
-	if len(m.labelled) >= tenantLimit {
+	if len(m.labelled) >= maxTenantLabels {
 		return otherTenants
 	}
 	m.labelled[name] = struct{}{}
 	return name
 }
 
-// outcomeOf is what a refusal is to its tenant.
-func outcomeOf(reason Reason) string {
+// tenantOutcome returns the outcome of a refusal for its tenant.
+func tenantOutcome(reason Reason) string {
 	if reason == ReasonQuota {
 		return tenantLimited
 	}
--- a/internal/relay/tenant_metrics_test.go
+++ b/internal/relay/tenant_metrics_test.go
@@ -11,11 +11,11 @@
 	"github.com/mintpulley/mintpulley/internal/tenant"
 )
 
-func callOf(name string) *Call {
+func callOfTenant(name string) *Call {
 	return &Call{Route: &route.Route{}, Tenant: &tenant.Tenant{Name: name}}
 }
 
-// tenantCounts returns the figures by tenant and outcome.
+// tenantCounts returns the counters by tenant and outcome.
 func tenantCounts(t *testing.T, registry *prometheus.Registry) map[string]float64 {
 	t.Helper()
 	families, err := registry.Gather()
@@ -41,28 +41,28 @@
 func TestTenantsAreCountedByOutcome(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	m := NewMetrics(registry)
-	m.answered(callOf("a"), 200)
-	m.answered(callOf("a"), 200)
-	m.refused(callOf("a"), ReasonQuota)
-	m.refused(callOf("b"), ReasonFull)
-	m.refused(&Call{Route: &route.Route{}}, ReasonFull) // of no tenant
+	m.answered(callOfTenant("a"), 200)
+	m.answered(callOfTenant("a"), 200)
+	m.refused(callOfTenant("a"), ReasonQuota)
+	m.refused(callOfTenant("b"), ReasonFull)
+	m.refused(&Call{Route: &route.Route{}}, ReasonFull) // without a tenant
 	want := map[string]float64{"a answered": 2, "a limited": 1, "b refused": 1}
 	if diff := cmp.Diff(want, tenantCounts(t, registry)); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 }
 
-func TestTenantsFiguresAreBounded(t *testing.T) {
+func TestTenantMetricsAreBounded(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	m := NewMetrics(registry)
-	for i := range 3 * tenantLimit {
-		m.answered(callOf(fmt.Sprint("tenant-", i)), 200)
+	for i := range 3 * maxTenantLabels {
+		m.answered(callOfTenant(fmt.Sprint("tenant-", i)), 200)
 	}
 	counts := tenantCounts(t, registry)
-	if len(counts) != tenantLimit+1 {
-		t.Errorf("%d series, want %d", len(counts), tenantLimit+1)
+	if len(counts) != maxTenantLabels+1 {
+		t.Errorf("%d series, want %d", len(counts), maxTenantLabels+1)
 	}
-	if got := counts[otherTenants+" "+tenantAnswered]; got != 2*tenantLimit {
-		t.Errorf("%v requests are counted under %q, want %d", got, otherTenants, 2*tenantLimit)
+	if got := counts[otherTenants+" "+tenantAnswered]; got != 2*maxTenantLabels {
+		t.Errorf("%v requests are counted under %q, want %d", got, otherTenants, 2*maxTenantLabels)
 	}
 }
--- a/internal/relay/turned_down.go
+++ b/internal/relay/turned_down.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// leastRefusals is how many offers of a call must have been turned down for that
-	// to be the call's own matter, and leastTaken how many other calls must have been
-	// taken meanwhile.
-	leastRefusals = 4
-	leastTaken    = 3
-	// turnedDownOdds is the chance that a call which is like the others is taken for
-	// one that is turned down: one in a thousand.
-	turnedDownOdds = 0.001
-	// roundOffers bounds the instances that are offered a call in one round. Where one
-	// instance in five has a place, twelve find one in 93 of 100 rounds.
-	roundOffers = 12
-	// drainLimit is the longest answer that is read to its end for its connection to
-	// be kept, in bytes: a refusal has some words.
-	drainLimit = 4 << 10
+	// minRefusals is how many offers of a call must have been turned down, and
+	// minOthersTaken how many other calls accepted meanwhile, to attribute the refusals to
+	// the call itself.
+	minRefusals    = 4
+	minOthersTaken = 3
+	// maxFalsePositiveRate is the probability that an ordinary call is mistaken for one
+	// that all instances turn down.
+	maxFalsePositiveRate = 0.001
+	// maxOffersPerRound bounds the instances that are offered a call in one round. If one
+	// instance in five has a free slot, twelve offers find one in 93% of the rounds.
+	maxOffersPerRound = 12
+	// maxDrainBytes bounds an answer that is read to its end to keep its connection.
+	// Refusals are short.
+	maxDrainBytes = 4 << 10
 )
 
-// offerCounts counts the offers to a service, and those that were taken.
+// offerCounts holds the number of offers to a service, and of those that were accepted.
 type offerCounts struct{ offered, taken int64 }
 
-// offerTally keeps the counts of all services. The zero value is ready.
-type offerTally struct {
+// offerCounters keeps the counts of all services. The zero value is ready to use.
+type offerCounters struct {
 	mutex    sync.Mutex
 	services map[string]offerCounts
 }
 
-func (t *offerTally) of(service string) offerCounts {
+func (t *offerCounters) get(service string) offerCounts {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.services[service]
 }
 
-func (t *offerTally) note(service string, taken bool) {
+func (t *offerCounters) add(service string, taken bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.services = withRoom(t.services)
+	t.services = ensureCapacity(t.services)
 	counts := t.services[service]
 	counts.offered++
 	if taken {
@@ -50,38 +50,37 @@
 	t.services[service] = counts
 }
 
-// belongsToCall tells whether that a call was turned down so often is the call's own
-// matter: since its first offer others were taken so readily that a call like them
-// would have been, too. A full service takes nobody, or few of many; what every
-// instance refuses for its content is offered 21 times at most, among 200 calls a second
-// at 20 instances, where it was 1,720 times in three seconds.
-func belongsToCall(refusals int, others offerCounts) bool {
-	if refusals < leastRefusals || others.taken < leastTaken {
+// isCallAtFault reports whether a call's refusals are due to the call itself: since its
+// first offer so many other calls were accepted that an ordinary call would have been, too.
+// At a full service few or no calls are accepted, so the call is not to blame. Without this
+// check a call that every instance rejects would be offered again until its deadline.
+func isCallAtFault(refusals int, others offerCounts) bool {
+	if refusals < minRefusals || others.taken < minOthersTaken {
 		return false
 	}
 	rate := float64(others.taken) / float64(others.offered)
-	return float64(refusals)*math.Log1p(-min(rate, 1-turnedDownOdds)) < math.Log(turnedDownOdds)
+	return float64(refusals)*math.Log1p(-min(rate, 1-maxFalsePositiveRate)) < math.Log(maxFalsePositiveRate)
 }
 
-// others returns the counts of the other calls' offers since the call's first.
-func (c *carrier) others() offerCounts {
-	now := c.relay.offered.of(c.service)
+// others returns the counts of other calls' offers since the call's first offer.
+func (c *callHandler) others() offerCounts {
+	now := c.relay.offered.get(c.service)
 	return offerCounts{
 		offered: now.offered - c.offeredBefore.offered - int64(c.offers),
 		taken:   now.taken - c.offeredBefore.taken,
 	}
 }
 
-// refuseTurnedDown ends a call that instances turn down while they take others.
-func (c *carrier) refuseTurnedDown() {
+// refuseTurnedDown ends a call that instances turn down while they accept others.
+func (c *callHandler) refuseTurnedDown() {
 	others := c.others()
 	c.logger.Warn().Int("refusals", c.refusals).Int64("others_taken", others.taken).Int64("others_offered", others.offered).
-		Msg("Back ends turn this request down and take others.")
-	c.refuse(Refusal{Reason: ReasonTurnedDown, RetryAfter: stoppingPause, Detail: "The back ends turn this request down, though they take others."})
+		Msg("Back ends turn this request down and accept others.")
+	c.refuse(Refusal{Reason: ReasonTurnedDown, RetryAfter: shortRetryAfter, Detail: "The back ends turn this request down, though they take others."})
 }
 
-// drainAndClose reads a short answer to its end, so that its connection is kept.
+// drainAndClose reads a short answer to its end, so that its connection can be reused.
 func drainAndClose(body io.ReadCloser) {
-	_, _ = io.CopyN(io.Discard, body, drainLimit) // what fails here only costs the connection
-	_ = body.Close()                              // the refusal was understood by its head
+	_, _ = io.CopyN(io.Discard, body, maxDrainBytes) // an error only costs the connection
+	_ = body.Close()                                 // the status and header have been read
 }
--- a/internal/relay/turned_down_test.go
+++ b/internal/relay/turned_down_test.go
@@ -15,9 +15,9 @@
 	"github.com/mintpulley/mintpulley/internal/instance"
 )
 
-// pickyDriver has instances that turn down what its ID begins with, and work on all
-// else for a while, a few requests each at once.
-type pickyDriver struct {
+// rejectingDriver simulates instances that reject calls whose ID begins with refused, and
+// process a few other calls at once.
+type rejectingDriver struct {
 	refused string
 	work    time.Duration
 	slots   int
@@ -28,8 +28,8 @@
 }
 
 // Send implements Driver.
-func (d *pickyDriver) Send(_ context.Context, to instance.Instance, outgoing *OutgoingCall) (*Answer, error) {
-	time.Sleep(time.Millisecond) // the way there
+func (d *rejectingDriver) Send(_ context.Context, to instance.Instance, outgoing *OutgoingCall) (*Answer, error) {
+	time.Sleep(time.Millisecond) // network delay
 	d.mutex.Lock()
 	d.offers[outgoing.ID]++
 	takes := !strings.HasPrefix(outgoing.ID, d.refused) && d.busy[to.ID] < d.slots
@@ -47,25 +47,25 @@
 	return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("x"))}, nil
 }
 
-// loadOutcome is what callers got.
+// loadOutcome sums up what callers got.
 type loadOutcome struct {
 	served, refused int
-	// total is how long those that were served waited together.
+	// total is the summed waiting time of the served calls.
 	total time.Duration
-	// mostOffers is the most offers that one refused call cost.
+	// mostOffers is the largest number of offers of a refused call.
 	mostOffers int
 }
 
-// playLoad lets calls come for ten seconds at a mean distance; one in every oneIn is
-// of a kind that all instances refuse.
-func playLoad(t *testing.T, slots int, work, distance time.Duration, oneIn int) loadOutcome {
+// runLoad sends calls for ten seconds at a mean interval; one in every oneIn is rejected by
+// all instances.
+func runLoad(t *testing.T, slots int, work, distance time.Duration, oneIn int) loadOutcome {
 	h := newHarness(t)
 	var list []instance.Instance
 	for i := range 20 {
 		list = append(list, instance.Instance{ID: fmt.Sprint("i", i), Service: "s", Address: fmt.Sprint("a:", i), Zone: "z", Slots: slots, State: instance.StateReady})
 	}
 	h.pool.Replace(list)
-	driver := &pickyDriver{refused: "bad", work: work, slots: slots, busy: map[string]int{}, offers: map[string]int{}}
+	driver := &rejectingDriver{refused: "bad", work: work, slots: slots, busy: map[string]int{}, offers: map[string]int{}}
 	h.relay.Driver = driver
 	random := rand.New(rand.NewPCG(1, 2))
 	var outcome loadOutcome
@@ -99,32 +99,31 @@
 	return outcome
 }
 
-// TestRequestThatAllTurnDownCostsOthersNothing: one in twenty is refused by every
-// instance. Before that was noticed it was offered 1,720 times in three seconds.
-func TestRequestThatAllTurnDownCostsOthersNothing(t *testing.T) {
+// Guards against requests that every instance rejects being offered again and again, which
+// slows down the others.
+func TestRequestTurnedDownByAllDoesNotSlowOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		without := playLoad(t, 4, 20*time.Millisecond, 5*time.Millisecond, 0)
-		with := playLoad(t, 4, 20*time.Millisecond, 5*time.Millisecond, 20)
+		without := runLoad(t, 4, 20*time.Millisecond, 5*time.Millisecond, 0)
+		with := runLoad(t, 4, 20*time.Millisecond, 5*time.Millisecond, 20)
 		t.Logf("without: %+v, with: %+v", without, with)
 		before, after := without.total/time.Duration(without.served), with.total/time.Duration(with.served)
 		if after > before+before/20 || with.mostOffers > 40 || without.refused > 0 {
-			t.Errorf("others take %s in place of %s; a refused call costs %d offers", after, before, with.mostOffers)
+			t.Errorf("other calls take %s instead of %s; a refused call takes %d offers", after, before, with.mostOffers)
 		}
 	})
 }
 
-// TestCallsOfAFullServiceAreNotTakenForTurnedDown: 30% more than the instances work
-// off. Who comes when all places are taken waits for one like all others, and is
-// refused only when it is hardly served in time.
-func TestCallsOfAFullServiceAreNotTakenForTurnedDown(t *testing.T) {
+// Under a load of 1.25 times the instances' capacity, calls wait for a free slot, and are
+// refused only if they are unlikely to be served in time.
+func TestCallsToFullServiceAreNotTakenForTurnedDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got := playLoad(t, 2, 200*time.Millisecond, 4*time.Millisecond, 0) // 200 a second are worked off
+		got := runLoad(t, 2, 200*time.Millisecond, 4*time.Millisecond, 0) // the capacity is 200 a second
 		t.Logf("%+v", got)
 		if share := float64(got.served) / float64(got.served+got.refused); share < 0.7 {
-			t.Errorf("%.2f of the calls were served, of a load of 1.25 times what the instances work off", share)
+			t.Errorf("%.2f of the calls were served at 1.25 times the capacity", share)
 		}
 	})
 }
 
 // Connect implements Driver.
-func (d *pickyDriver) Connect(context.Context, instance.Instance, int) error { return nil }
+func (d *rejectingDriver) Connect(context.Context, instance.Instance, int) error { return nil }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds the operators' routes in force: which service answers a
-// caller's request, under which promises and bounds. A table is immutable; a
-// newer version replaces it whole.
+// Package route holds the operators' configured routes: which services answer a caller's
+// request, and with which run guarantees and limits. A Table is immutable; a newer version
+// replaces it as a whole.
 package route
 
 import (
@@ -12,110 +12,112 @@
 	"github.com/mintpulley/mintpulley/internal/tenant"
 )
 
-// Kind tells what may be done again for a request.
+// Kind states whether a request may run more than once, and the form of its answer.
 type Kind string
 
 // Kinds of route.
 const (
-	// KindRepeatable requests may run more than once.
+	// KindRepeatable: a request may run more than once.
 	KindRepeatable Kind = "repeatable"
-	// KindOnce requests run at most once.
+	// KindOnce: a request runs at most once.
 	KindOnce Kind = "once"
-	// KindStream requests are answered by a stream of events.
+	// KindStream: a request is answered by a stream of events.
 	KindStream Kind = "stream"
 )
 
-// Weighted is one part of a route that is split over services.
+// WeightedService is a service that gets a weighted share of a route's requests.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// Route is one route.
+// Route maps a host and a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a request is held; 0 sets no bound.
+	// Timeout bounds how long a request is held; 0 means no bound.
 	Timeout time.Duration
-	// Target is the time within which an answer is worth most.
+	// LatencyTarget is the target for the time to an answer.
 	LatencyTarget time.Duration
-	// GapTarget is the longest pause between events that is in time.
+	// EventGapTarget is the target for the longest pause between two events of a stream.
 	EventGapTarget time.Duration
-	// MaxAttempts is on how many back ends one request may run; at least 1.
+	// MaxAttempts is the number of back ends that one request may run on; at least 1.
 	MaxAttempts int
 	// Priority ranks requests, 0 highest.
 	Priority int
-	// Sticky: a back end that lately saw the same object works faster.
+	// Sticky: requests for the same object prefer the back end that recently served it,
+	// which has it cached.
 	Sticky bool
-	// Resumable streams may be taken up at another back end.
+	// Resumable: a stream that breaks may be resumed at another back end.
 	Resumable bool
-	// RetainContext: a turn brings its new input alone; the system keeps the
-	// chain of turns before it.
+	// RetainContext: a turn sends only its new input; the system stores the turns before it
+	// and supplies them to the back end.
 	RetainContext bool
-	// Retention is how long turns and programs are kept after their last use.
+	// Retention is how long turns and programs are stored after their last use.
 	Retention time.Duration
-	// Public: requests need no key.
+	// Public: requests need no API key.
 	Public bool
-	// Services answer the route, each with its weight.
+	// Services are the services that answer the route, with their weights.
 	Services []WeightedService
-	// AllowedRegions are those in which requests may be served and their text kept,
-	// nil for all.
+	// AllowedRegions are the regions where requests may be served and their text stored;
+	// nil means all.
 	AllowedRegions []string
 }
 
-// Repeatable tells whether a request of the route may run again.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindRepeatable || (r.Kind == KindStream && r.Resumable)
 }
 
-// Service is a group of like back ends.
+// Service is a group of interchangeable back ends.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections of all callers to one back end.
+	// MaxConnections bounds the connections of all daemons to one back end; 0 means no
+	// bound.
 	MaxConnections int
-	// ColdStart is how long a back end is cold that starts while it has callers.
+	// ColdStart is how long a back end that starts under load counts as cold.
 	ColdStart time.Duration
-	// ColdPerSecond is how many requests a second a cold back end bears; 0 sets no
+	// ColdRequestsPerSecond is the request rate that a cold back end is sent; 0 means no
 	// bound.
 	ColdRequestsPerSecond float64
-	// Model describes the model engines of the service, nil for plain ones.
+	// Model describes the model engines of the service; nil for other services.
 	Model *Model
 }
 
 // Model describes the model engines of a service.
 type Model struct {
-	// Slots is how many requests an engine works on at once.
+	// Slots is the number of requests that an engine processes concurrently.
 	Slots int
-	// CapacityTokens is an engine's memory.
+	// CapacityTokens is the capacity of an engine's KV cache in tokens.
 	CapacityTokens int64
-	// TokensPerEvent is how many tokens each event of a stream carries.
+	// TokensPerEvent is the number of tokens in each event of a stream.
 	TokensPerEvent int64
 }
 
-// Limits bound what callers may send; 0 sets no bound.
+// Limits bound callers' requests and connections; 0 means no bound.
 type Limits struct {
-	// HeadBytes is the longest head of a request, and BodyBytes its longest body.
+	// MaxHeaderBytes bounds a request's header, and MaxBodyBytes its body.
 	MaxHeaderBytes int64
 	MaxBodyBytes   int64
-	// HeadTime is how long a request's head may take from its first byte on, and
-	// IdleTime how long a connection may rest between requests.
+	// HeaderTimeout bounds how long a request's header may take from its first byte, and
+	// IdleTimeout how long a connection may be idle between requests.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// Table is one version of all routes, services and tenants.
+// Table is one version of the configuration: routes, services, tenants and limits.
 type Table struct {
 	Version  int64
 	Services map[string]*Service
-	// Tenants are those whose keys callers bear, nil where there are none.
+	// Tenants are the tenants that callers authenticate as; nil if there are none.
 	Tenants *tenant.Directory
 	Limits  Limits
 	hosts   map[string][]*Route
 }
 
-// NewTable returns a table of routes and services.
+// NewTable returns a table of the given routes and services.
 func NewTable(version int64, routes []*Route, services []*Service) *Table {
 	t := &Table{Version: version, Services: map[string]*Service{}, hosts: map[string][]*Route{}}
 	for _, service := range services {
@@ -130,7 +132,8 @@
 	return t
 }
 
-// IsBound tells whether requests of any route or tenant are bound to regions.
+// RestrictsRegions reports whether any route or tenant restricts the regions of its
+// requests.
 func (t *Table) RestrictsRegions() bool {
 	for _, list := range t.hosts {
 		if slices.ContainsFunc(list, func(r *Route) bool { return len(r.AllowedRegions) > 0 }) {
@@ -140,8 +143,8 @@
 	return t.Tenants.RestrictsRegions()
 }
 
-// Lookup returns the route with the longest prefix of the path at a host, or
-// nil. The host may carry a port.
+// Lookup returns the route at host whose prefix is the longest that matches path, or nil.
+// The host may include a port.
 func (t *Table) Lookup(host, path string) *Route {
 	if name, _, found := strings.Cut(host, ":"); found {
 		host = name
--- a/internal/tracelog/tracelog.go
+++ b/internal/tracelog/tracelog.go
@@ -1,5 +1,5 @@
-// Package tracelog finds the lines of one request or program in the logs of
-// many processes and puts them in order.
+// Package tracelog collects the log lines of one request or program from the logs of many
+// processes and orders them by time.
 package tracelog
 
 import (
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// lineLimit is the longest line that is read, in bytes.
-const lineLimit = 1 << 20
+// maxLineBytes is the longest log line that is read.
+const maxLineBytes = 1 << 20
 
-// Names of fields that every line may have.
+// Fields of log lines that are printed in columns or first.
 const (
 	fieldTime    = "time"
 	fieldMachine = "machine"
@@ -31,7 +31,7 @@
 	fieldShard   = "shard"
 )
 
-// Line is one log line.
+// Line is a parsed log line.
 type Line struct {
 	Time    time.Time
 	Machine string
@@ -40,59 +40,59 @@
 	Part    string
 	// Fields holds all other fields.
 	Fields map[string]any
-	// number counts the lines of all sources: those of one machine keep their
-	// order, whatever its clock says.
-	number int
+	// sequence numbers the lines in the order of reading: lines of one machine keep their
+	// order even if its clock was set back.
+	sequence int
 }
 
-// Story is the lines about one request or program.
+// Trace holds the log lines of one request or program.
 type Trace struct {
 	lines []Line
-	// Skipped counts lines that are no JSON objects.
+	// Skipped counts the lines that mention the ID but could not be parsed as JSON.
 	Skipped int
 	id      string
 }
 
-// NewStory returns the story of a request or program, which Read fills.
+// NewTrace returns an empty trace of a request or program, which Read fills.
 func NewTrace(id string) *Trace { return &Trace{id: id} }
 
-// Read takes the lines about the request or program from a log. What precedes
-// an object on its line is passed over.
+// Read adds the lines of a log that mention the request or program. Any text before the
+// JSON object on a line, such as a prefix of the log collector, is ignored.
 func (s *Trace) Read(source io.Reader) error {
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), lineLimit)
+	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	for scanner.Scan() {
-		s.take(scanner.Bytes())
+		s.addLine(scanner.Bytes())
 	}
 	return scanner.Err()
 }
 
-func (s *Trace) take(text []byte) {
+func (s *Trace) addLine(text []byte) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 || !bytes.Contains(text, []byte(s.id)) {
 		return
 	}
 	var fields map[string]any
 	decoder := json.NewDecoder(bytes.NewReader(text[start:]))
-	decoder.UseNumber() // epochs are large
+	decoder.UseNumber() // epochs exceed the precision of float64
 	if err := decoder.Decode(&fields); err != nil {
 		s.Skipped++
 		return
 	}
-	if !s.isAbout(fields) {
+	if !s.matches(fields) {
 		return
 	}
-	line := Line{Fields: fields, number: len(s.lines)}
-	line.Time, _ = time.Parse(time.RFC3339Nano, take(fields, fieldTime)) // zero sorts first
-	line.Machine = take(fields, fieldMachine)
-	line.Message = take(fields, fieldMessage)
-	line.Level = take(fields, fieldLevel)
-	line.Part = take(fields, fieldPart)
+	line := Line{Fields: fields, sequence: len(s.lines)}
+	line.Time, _ = time.Parse(time.RFC3339Nano, removeText(fields, fieldTime)) // a line without a valid time sorts first
+	line.Machine = removeText(fields, fieldMachine)
+	line.Message = removeText(fields, fieldMessage)
+	line.Level = removeText(fields, fieldLevel)
+	line.Part = removeText(fields, fieldPart)
 	s.lines = append(s.lines, line)
 }
 
-// isAbout tells whether any field names the request or program.
-func (s *Trace) isAbout(fields map[string]any) bool {
+// matches reports whether any string field contains the ID of the request or program.
+func (s *Trace) matches(fields map[string]any) bool {
 	for _, value := range fields {
 		if text, isText := value.(string); isText && strings.Contains(text, s.id) {
 			return true
@@ -101,20 +101,20 @@
 	return false
 }
 
-func take(fields map[string]any, name string) string {
+func removeText(fields map[string]any, name string) string {
 	text, _ := fields[name].(string)
 	delete(fields, name)
 	return text
 }
 
-// Lines returns the lines in order of time, those of one machine in the order
-// in which it wrote them.
+// Lines returns the lines ordered by time. Lines of one machine keep the order in which it
+// wrote them.
 func (s *Trace) Lines() []Line {
 	latest := map[string]time.Time{}
 	lines := slices.Clone(s.lines)
 	for i := range lines {
-		// A clock that was set back must not put a line before its
-		// predecessors: it is ordered as if written at the same time.
+		// A line written after its machine's clock was set back gets the time of the line
+		// before it, so that it is not moved ahead.
 		line := &lines[i]
 		if line.Time.Before(latest[line.Machine]) {
 			line.Time = latest[line.Machine]
@@ -122,16 +122,16 @@
 		latest[line.Machine] = line.Time
 	}
 	slices.SortStableFunc(lines, func(a, b Line) int {
-		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.number, b.number))
+		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.sequence, b.sequence))
 	})
 	return lines
 }
 
-// Write prints the story.
+// Write prints the trace as text, one line per log line.
 func (s *Trace) Write(output io.Writer) error {
 	lines := s.Lines()
 	if len(lines) == 0 {
-		_, err := fmt.Fprintf(output, "no line is about %s\n", s.id)
+		_, err := fmt.Fprintf(output, "no log line mentions %s\n", s.id)
 		return err
 	}
 	first := lines[0].Time
@@ -146,7 +146,7 @@
 	return err
 }
 
-// details lists the fields, those that tell of ids and versions first.
+// details formats the remaining fields, those with IDs and epochs first.
 func (l Line) details() string {
 	names := slices.Collect(maps.Keys(l.Fields))
 	leading := []string{fieldRequest, fieldProgram, fieldShard, fieldEpoch}
--- a/internal/tracelog/tracelog_test.go
+++ b/internal/tracelog/tracelog_test.go
@@ -18,7 +18,7 @@
 {"machine":"b","message":"names it","error":"turn q1: gone","time":"2026-01-01T00:00:04.000Z"}
 `
 
-func read(t *testing.T, id string) *Trace {
+func readTrace(t *testing.T, id string) *Trace {
 	t.Helper()
 	s := NewTrace(id)
 	for _, text := range []string{logOfA, logOfB} {
@@ -29,8 +29,8 @@
 	return s
 }
 
-func TestStoryIsInOrderThoughClocksAreSet(t *testing.T) {
-	s := read(t, "q1")
+func TestTraceKeepsOrderWhenClocksAreSetBack(t *testing.T) {
+	s := readTrace(t, "q1")
 	var messages []string
 	for _, line := range s.Lines() {
 		messages = append(messages, line.Machine+" "+line.Message)
@@ -40,23 +40,23 @@
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	if s.Skipped != 1 {
-		t.Errorf("%d lines skipped, want the one that was cut", s.Skipped)
+		t.Errorf("%d lines skipped, want 1: the truncated one", s.Skipped)
 	}
 }
 
-func TestStoryIsPrinted(t *testing.T) {
+func TestTraceIsPrinted(t *testing.T) {
 	var output strings.Builder
-	if err := read(t, "p").Write(&output); err != nil {
+	if err := readTrace(t, "p").Write(&output); err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(output.String(), "between request=q1 program=p epoch=7") {
 		t.Errorf("got:\n%s", output.String())
 	}
 	output.Reset()
-	if err := read(t, "nobody").Write(&output); err != nil {
+	if err := readTrace(t, "nobody").Write(&output); err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(output.String(), "no line is about nobody") {
+	if !strings.Contains(output.String(), "no log line mentions nobody") {
 		t.Errorf("got:\n%s", output.String())
 	}
 }
