--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,9 +9,9 @@
 
 var start = time.Date(2026, time.December, 2, 18, 0, 0, 0, time.UTC)
 
-// storeOut returns a request that is held up because the store has been unavailable for
-// some time.
-func storeOut(lasted, left time.Duration) (HeldUpRequest, time.Time) {
+// heldUpByStore returns a request that is held up because the store has been unavailable
+// for some time.
+func heldUpByStore(lasted, left time.Duration) (HeldUpRequest, time.Time) {
 	now := start.Add(lasted)
 	return HeldUpRequest{Kind: StoreUnavailable, Since: start, LatestStart: now.Add(left)}, now
 }
@@ -31,7 +31,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var a Controller
-			wait, now := storeOut(c.lasted, c.left)
+			wait, now := heldUpByStore(c.lasted, c.left)
 			if got := a.Decide(wait, now).ShouldWait(now); got != c.waits {
 				t.Errorf("waits: %v", got)
 			}
@@ -107,7 +107,7 @@
 
 func BenchmarkDecide(b *testing.B) {
 	var a Controller
-	wait, now := storeOut(time.Second, 3*time.Second)
+	wait, now := heldUpByStore(time.Second, 3*time.Second)
 	for b.Loop() {
 		a.Decide(wait, now)
 	}
--- a/internal/relay/call_handler.go
+++ b/internal/relay/call_handler.go
@@ -83,7 +83,7 @@
 		}
 		target, found := c.pickInstance()
 		if !found && c.boundTo != "" && len(c.excluded) == 0 && c.relay.Pool.Count(c.query()).Temporary == 0 {
-			c.refuseBound()
+			c.refuseBoundCall()
 			return nil, instance.Instance{}
 		}
 		if !found {
@@ -171,7 +171,7 @@
 
 // release ends the latest offer and reports its outcome to the pool.
 func (c *callHandler) release(target instance.Instance, outcome instance.Outcome) {
-	c.endWatch()
+	c.stopTracking()
 	c.countedAt = nil
 	c.relay.Pool.Release(target.ID, outcome)
 	if outcome == instance.OutcomeAnswered {
@@ -179,8 +179,8 @@
 	}
 }
 
-// endWatch removes the latest offer from the monitor.
-func (c *callHandler) endWatch() {
+// stopTracking removes the latest offer from the monitor.
+func (c *callHandler) stopTracking() {
 	if c.latest.pending != nil {
 		c.relay.monitor.endOffer(c.latest.pending)
 		c.latest.pending = nil
@@ -215,8 +215,8 @@
 		Dur("silent", time.Since(c.latest.heardAt)).Dur("held", time.Since(c.call.Received)).Msg("Offer given up. Its back end cannot be reached.")
 }
 
-// serviceInForce returns a service of the current routes, nil if they do not contain it.
-func (r *Relay) serviceInForce(name string) *route.Service {
+// configuredService returns a service of the current routes, nil if they do not contain it.
+func (r *Relay) configuredService(name string) *route.Service {
 	table := r.Table()
 	if table == nil {
 		return nil
@@ -227,7 +227,7 @@
 // connectionLimit returns this daemon's share of an instance's connections; 0 means no
 // bound.
 func (r *Relay) connectionLimit(name string) int {
-	service := r.serviceInForce(name)
+	service := r.configuredService(name)
 	if service == nil || service.MaxConnections == 0 {
 		return 0
 	}
--- a/internal/relay/ending_test.go
+++ b/internal/relay/ending_test.go
@@ -247,7 +247,7 @@
 					t.Errorf("an offer is still counted: %v", loads)
 				}
 				if h.relay.pendingRecords.held != 0 {
-					t.Error("room for its record is still held")
+					t.Error("memory for its record is still held")
 				}
 				if len(kept.outcomes) != 1 || kept.outcomes[0].UsedTokens != test.events*4 {
 					t.Errorf("outcomes: %+v", kept.outcomes)
--- a/internal/relay/evacuated_test.go
+++ b/internal/relay/evacuated_test.go
@@ -166,7 +166,7 @@
 				e.driver.steps = []step{{body: "ok"}}
 				e.evacuate()
 				if back := e.serve(newCall(newRoute(route.KindOnce))); back.body.String() != "ok" {
-					t.Errorf("after the zones were taken back: %+v", back.refusal)
+					t.Errorf("after the evacuation ended: %+v", back.refusal)
 				}
 			})
 		})
--- a/internal/relay/offer_monitor_test.go
+++ b/internal/relay/offer_monitor_test.go
@@ -36,7 +36,7 @@
 	*harness
 	zones *zone.Reachability
 	// cut: nothing arrives from far. daemonsSilent: only the daemons of far do not answer.
-	cut, daemonsSilent, storeOut atomic.Bool
+	cut, daemonsSilent, storeUnavailable atomic.Bool
 }
 
 // farDriver answers at once in near. In far it sends an event every eventPause, and nothing
@@ -160,7 +160,7 @@
 			}
 		}
 		if plan.ProbeStore {
-			h.zones.StoreAsked(!h.storeOut.Load(), now, now)
+			h.zones.StoreAsked(!h.storeUnavailable.Load(), now, now)
 		}
 		for _, name := range plan.Connect {
 			h.relay.Try(name)
@@ -385,7 +385,7 @@
 // isolate cuts the relay's daemon off from the other zone and the store.
 func (h *zonesHarness) isolate(ctx context.Context) {
 	h.cut.Store(true)
-	h.storeOut.Store(true)
+	h.storeUnavailable.Store(true)
 	go h.watch(ctx)
 	go func() {
 		for ctx.Err() == nil {
@@ -435,7 +435,7 @@
 			t.Errorf("call without a program: refused with %+v", got.refusal)
 		}
 		h.cut.Store(false)
-		h.storeOut.Store(false)
+		h.storeUnavailable.Store(false)
 		time.Sleep(500 * time.Millisecond)
 		if got := h.serve(keptTurn()); !got.ended {
 			t.Errorf("turn after the cut: refused with %+v", got.refusal)
--- a/internal/relay/placeable.go
+++ b/internal/relay/placeable.go
@@ -56,10 +56,10 @@
 	return false
 }
 
-// refuseBound ends a call that only one instance may run again, if that instance may not
-// get it any more: it left the list, or its zone was evacuated. The instance may still run
-// the call to completion.
-func (c *callHandler) refuseBound() {
+// refuseBoundCall ends a call that only one instance may run again, if that instance may
+// not get it any more: it left the list, or its zone was evacuated. The instance may still
+// run the call to completion.
+func (c *callHandler) refuseBoundCall() {
 	if !c.refuseUnplaceable(c.relay.Pool.Count(c.query()), time.Now()) {
 		c.refuse(brokenOffRefusal)
 	}
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -46,7 +46,7 @@
 func (c *callHandler) answerUnlessFalsePromise(answer *Answer, body []byte, target instance.Instance) {
 	if answer.StatusMeansNotRun && !c.call.Route.Repeatable() {
 		c.logger.Info().Str("instance", target.ID).Int("status", answer.Status).Msg("Answer falsely implies that the request was not run. It is not passed on.")
-		c.refuseFor(brokenOffRefusal, CauseFalsePromise)
+		c.refuseWithCause(brokenOffRefusal, CauseFalsePromise)
 		return
 	}
 	c.answer(answer, body, target)
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -32,8 +32,8 @@
 func (q *scriptedQuota) Return(ask quota.Ask) { q.returned = append(q.returned, ask) }
 
 var (
-	room   = quota.Verdict{Admitted: true, Reason: quota.ReasonRoom}
-	noRoom = quota.Verdict{Reason: quota.ReasonSpent, AfterMS: 100}
+	admittedVerdict = quota.Verdict{Admitted: true, Reason: quota.ReasonRoom}
+	spentVerdict    = quota.Verdict{Reason: quota.ReasonSpent, AfterMS: 100}
 )
 
 // tenantTurn returns a turn of a tenant that has a limit.
@@ -50,10 +50,10 @@
 	for name, test := range map[string]struct {
 		previous string
 		served   bool
-	}{"under way": {"t0", true}, "first turn": {"", false}} {
+	}{"ongoing program": {"t0", true}, "first turn": {"", false}} {
 		synctest.Test(t, func(t *testing.T) {
 			h := newHarness(t, step{body: "id: 1\ndata: x\n\n"})
-			q := &scriptedQuota{verdicts: []quota.Verdict{noRoom, noRoom, room}}
+			q := &scriptedQuota{verdicts: []quota.Verdict{spentVerdict, spentVerdict, admittedVerdict}}
 			h.relay.Quota = q
 			started := time.Now()
 			r := h.serve(tenantTurn(test.previous))
@@ -71,7 +71,7 @@
 // A program that has spent its budget and keeps asking must not use up its tenant's limit.
 func TestQuotaIsReturnedForCallThatNeverRan(t *testing.T) {
 	h := newHarness(t, step{body: "id: 1\ndata: x\n\n"})
-	q := &scriptedQuota{verdicts: []quota.Verdict{room}}
+	q := &scriptedQuota{verdicts: []quota.Verdict{admittedVerdict}}
 	h.relay.Quota = q
 	h.serve(tenantTurn("t0"))
 	if len(q.returned) != 0 {
@@ -99,7 +99,7 @@
 // The ledger gets program and turn IDs that are scoped by tenant.
 func TestProgramAndTurnIDsAreScopedByTenant(t *testing.T) {
 	h := newHarness(t, step{body: "id: 1\ndata: x\n\n"})
-	h.relay.Quota = &scriptedQuota{verdicts: []quota.Verdict{room}}
+	h.relay.Quota = &scriptedQuota{verdicts: []quota.Verdict{admittedVerdict}}
 	h.serve(tenantTurn("t0"))
 	got := h.ledger.turns[0]
 	if got.Program != "north|p" || got.Previous != "north|t0" || got.ID != "north|q" || h.ledger.outcomes[0].Turn != "north|q" {
--- a/internal/relay/refuse.go
+++ b/internal/relay/refuse.go
@@ -42,12 +42,12 @@
 	if refusal.Reason == ReasonBroken && c.wasGivenUp() {
 		cause = CauseBackEndGivenUp
 	}
-	c.refuseFor(refusal, cause)
+	c.refuseWithCause(refusal, cause)
 }
 
-// refuseFor is refuse with a cause that is more specific than the refusal's reason. If the
-// call may have run, a reason that promises the contrary is replaced.
-func (c *callHandler) refuseFor(refusal Refusal, cause Cause) {
+// refuseWithCause is refuse with a cause that is more specific than the refusal's reason.
+// If the call may have run, a reason that promises the contrary is replaced.
+func (c *callHandler) refuseWithCause(refusal Refusal, cause Cause) {
 	if c.mayHaveRun() && refusal.Reason.PromisesNotRun() {
 		refusal = Refusal{Reason: ReasonBroken, Detail: refusal.Detail + " The request may have run before."}
 	}
--- a/internal/relay/simulation_check_test.go
+++ b/internal/relay/simulation_check_test.go
@@ -12,12 +12,12 @@
 )
 
 // checkCall compares what a caller got with what the instances did.
-func checkCall(t *testing.T, d *simulatedDriver, call *Call, heard *recorder) {
+func checkCall(t *testing.T, d *simulatedDriver, call *Call, recorded *recorder) {
 	t.Helper()
 	runs, maxConcurrent := d.ran(call.ID)
 	kind := call.Route.Kind
-	if heard.endings != 1 {
-		t.Errorf("%s was ended %d times", call.ID, heard.endings)
+	if recorded.endings != 1 {
+		t.Errorf("%s was ended %d times", call.ID, recorded.endings)
 	}
 	if kind == route.KindOnce && runs > 1 {
 		t.Errorf("%s may run once and ran %d times", call.ID, runs)
@@ -28,41 +28,41 @@
 	if maxConcurrent > call.Route.MaxAttempts {
 		t.Errorf("%s ran at %d instances at once, of %d: %s", call.ID, maxConcurrent, call.Route.MaxAttempts, d.offerLog(call.ID))
 	}
-	if heard.refusal != nil && heard.refusal.Reason.PromisesNotRun() && runs > 0 {
-		t.Errorf("%s was refused as %s and ran %d times", call.ID, heard.refusal.Reason, runs)
+	if recorded.refusal != nil && recorded.refusal.Reason.PromisesNotRun() && runs > 0 {
+		t.Errorf("%s was refused as %s and ran %d times", call.ID, recorded.refusal.Reason, runs)
 	}
 	if kind == route.KindStream {
-		checkStream(t, call, heard)
+		checkStream(t, call, recorded)
 		return
 	}
-	if got, want := heard.body.String(), "answer to "+call.ID; heard.status != 0 && got != want {
-		t.Errorf("%s got %q with status %d", call.ID, got, heard.status)
+	if got, want := recorded.body.String(), "answer to "+call.ID; recorded.status != 0 && got != want {
+		t.Errorf("%s got %q with status %d", call.ID, got, recorded.status)
 	}
 }
 
 // checkStream checks that the caller got the stream's events in order, each once, and its
 // end only after the last.
-func checkStream(t *testing.T, call *Call, heard *recorder) {
+func checkStream(t *testing.T, call *Call, recorded *recorder) {
 	t.Helper()
-	if heard.status != http.StatusOK {
+	if recorded.status != http.StatusOK {
 		return
 	}
 	whole := ""
 	for number := 1; number <= streamEvents; number++ {
 		whole += event(call.ID, number)
 	}
-	got := heard.body.String()
+	got := recorded.body.String()
 	if !strings.HasPrefix(whole, got) {
 		t.Errorf("%s got unexpected events:\n%s", call.ID, got)
 	}
-	if heard.ended && got != whole {
+	if recorded.ended && got != whole {
 		t.Errorf("%s ended after %q", call.ID, got)
 	}
 }
 
 // checkSettled checks that every granted turn was settled once, with the tokens that its
 // caller got.
-func checkSettled(t *testing.T, l *fakeLedger, call *Call, heard *recorder) {
+func checkSettled(t *testing.T, l *fakeLedger, call *Call, recorded *recorder) {
 	t.Helper()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -78,8 +78,8 @@
 			used = outcome.UsedTokens
 		}
 	}
-	got := int64(strings.Count(heard.body.String(), "\n\n")) * perEventTokens
-	if heard.status != http.StatusOK {
+	got := int64(strings.Count(recorded.body.String(), "\n\n")) * perEventTokens
+	if recorded.status != http.StatusOK {
 		got = 0
 	}
 	// An event in transit when the caller disconnected counts as received.
@@ -96,10 +96,10 @@
 
 // checkEnding compares a call's logged ending with what its caller got and did, and with
 // what the instances did.
-func checkEnding(t *testing.T, d *simulatedDriver, call *Call, heard *recorder, end simulatedEnd, told []loggedEnding) {
+func checkEnding(t *testing.T, d *simulatedDriver, call *Call, recorded *recorder, end simulatedEnd, told []loggedEnding) {
 	t.Helper()
-	wasAnswered := heard.status != 0 && !heard.aborted
-	if wasAnswered && !heard.disconnected {
+	wasAnswered := recorded.status != 0 && !recorded.aborted
+	if wasAnswered && !recorded.disconnected {
 		if len(told) != 0 {
 			t.Errorf("%s was answered, but its logged endings are: %+v", call.ID, told)
 		}
@@ -111,20 +111,20 @@
 	}
 	ending, offerLog := told[0], d.offerLog(call.ID)
 	got := 0
-	if call.Route.Kind == route.KindStream && heard.status == http.StatusOK {
-		got = strings.Count(heard.body.String(), "\n\n")
+	if call.Route.Kind == route.KindStream && recorded.status == http.StatusOK {
+		got = strings.Count(recorded.body.String(), "\n\n")
 	}
 	runs, _ := d.ran(call.ID)
 	isOverdue := slices.Contains([]Cause{CauseTimeOver, Cause(ReasonTimeout), Cause(ReasonNotInTime)}, ending.Cause)
 	for fault, is := range map[string]bool{
-		"logged as left by a caller that had not disconnected":        ending.By == PartyCaller && !heard.disconnected && end.contextCause != errCut,
+		"logged as left by a caller that had not disconnected":        ending.By == PartyCaller && !recorded.disconnected && end.contextCause != errCut,
 		"logged as ended by a back end that did not break off":        ending.By == PartyBackEnd && !brokeOff(offerLog),
 		"logged as ended at a shutdown deadline that was not reached": ending.Cause == CauseShutdownDeadline && end.contextCause != ErrShutdownDeadline,
 		"logged as timed out before its deadline":                     isOverdue && call.Deadline.Sub(end.at) > minTimeLeft,
 		"logged as not run although it ran":                           !ending.MayHaveRun && runs > 0,
 		"logged with a wrong number of events":                        ending.Events != got,
-		"logged as refused although its caller got no refusal":        ending.Ending == EndingRefused && heard.refusal == nil,
-		"logged as refused although its connection was closed":        ending.Ending == EndingRefused && heard.aborted,
+		"logged as refused although its caller got no refusal":        ending.Ending == EndingRefused && recorded.refusal == nil,
+		"logged as refused although its connection was closed":        ending.Ending == EndingRefused && recorded.aborted,
 	} {
 		if is {
 			t.Errorf("%s was %s: %+v; events %d, runs %d, %v: %s", call.ID, fault, ending, got, runs, end.contextCause, offerLog)
--- a/internal/relay/simulation_test.go
+++ b/internal/relay/simulation_test.go
@@ -88,17 +88,17 @@
 // simulation is one run: its calls, what their callers got, and how each ended.
 type simulation struct {
 	*harness
-	driver *simulatedDriver
-	lines  *bytes.Buffer
-	calls  []*Call
-	heard  []*recorder
-	ended  []simulatedEnd
+	driver   *simulatedDriver
+	lines    *bytes.Buffer
+	calls    []*Call
+	recorded []*recorder
+	ended    []simulatedEnd
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	c := &simulation{
 		harness: newHarness(t), driver: newSimulatedDriver(t, seed), lines: &bytes.Buffer{},
-		calls: make([]*Call, simulatedCalls), heard: make([]*recorder, simulatedCalls), ended: make([]simulatedEnd, simulatedCalls),
+		calls: make([]*Call, simulatedCalls), recorded: make([]*recorder, simulatedCalls), ended: make([]simulatedEnd, simulatedCalls),
 	}
 	c.relay.Driver = c.driver
 	records := &slowLedger{takes: recordTime}
@@ -129,14 +129,14 @@
 	var callers sync.WaitGroup
 	for i := range c.calls {
 		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
-		c.calls[i], c.heard[i] = simulatedCall(i, random), &recorder{disconnected: random.IntN(20) == 0}
+		c.calls[i], c.recorded[i] = simulatedCall(i, random), &recorder{disconnected: random.IntN(20) == 0}
 		ctx, end := context.WithCancelCause(c.t.Context())
 		if cause := []error{errCut, ErrShutdownDeadline}[random.IntN(2)]; random.IntN(5) == 0 {
 			time.AfterFunc(time.Duration(random.IntN(300))*time.Millisecond, func() { end(cause) })
 		}
 		callers.Go(func() {
 			defer end(nil)
-			c.relay.Serve(ctx, c.calls[i], c.heard[i])
+			c.relay.Serve(ctx, c.calls[i], c.recorded[i])
 			c.ended[i] = simulatedEnd{at: time.Now(), contextCause: context.Cause(ctx)}
 		})
 	}
@@ -153,12 +153,12 @@
 	}
 	answered := 0
 	for i, call := range c.calls {
-		checkCall(c.t, c.driver, call, c.heard[i])
-		checkEnding(c.t, c.driver, call, c.heard[i], c.ended[i], endings[call.ID])
+		checkCall(c.t, c.driver, call, c.recorded[i])
+		checkEnding(c.t, c.driver, call, c.recorded[i], c.ended[i], endings[call.ID])
 		if call.Program != nil {
-			checkSettled(c.t, c.ledger, call, c.heard[i])
+			checkSettled(c.t, c.ledger, call, c.recorded[i])
 		}
-		if c.heard[i].status == http.StatusOK {
+		if c.recorded[i].status == http.StatusOK {
 			answered++
 		}
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -120,7 +120,7 @@
 	case state.hasHead:
 		c.breakOff(ctx, state, CauseBackEndFailed)
 	case err != nil:
-		c.refuseFor(brokenOffRefusal, causeOf(ctx, CauseBackEndBroke))
+		c.refuseWithCause(brokenOffRefusal, causeOf(ctx, CauseBackEndBroke))
 	default:
 		c.answerUnlessFalsePromise(answer, body, target)
 	}
--- a/internal/relay/turn.go
+++ b/internal/relay/turn.go
@@ -105,7 +105,7 @@
 }
 
 func (c *callHandler) tokensPerEvent() int64 {
-	service := c.relay.serviceInForce(c.service)
+	service := c.relay.configuredService(c.service)
 	if service == nil || service.Model == nil {
 		return 1
 	}
