--- a/internal/instance/choice.go
+++ b/internal/instance/choice.go
@@ -7,46 +7,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// What counts for and against an instance when one is chosen; see cost.
+// Parts of the cost of an instance; see Pool.cost.
 const (
-	// randomCost bounds the random share that spreads equal loads, in requests.
+	// randomCost limits the random part that spreads requests over equally loaded
+	// instances, in requests.
 	randomCost = 0.25
-	// affinityGain is what having seen the request's object counts for an
-	// instance, as a share of its slots.
+	// affinityGain is subtracted for the preferred instance of a query, as a fraction of
+	// its slots.
 	affinityGain = 0.4
-	// lapsedCost is what a missing entry counts against an instance after an
-	// outage of the store, as a share of its slots: most of the missing ones are
-	// well.
-	lapsedCost = 0.3
-	// vanishedCost puts vanished instances behind all that are listed.
-	vanishedCost = 100
-	// pausedCost puts paused instances behind all others.
-	pausedCost = 1000
+	// possiblyExpiredCost is added for an instance that is missing from the list after an
+	// outage of the store, as a fraction of its slots: most of these are running.
+	possiblyExpiredCost = 0.3
+	// lastResortCost ranks unlisted instances behind all that are listed.
+	lastResortCost = 100
+	// backoffCost ranks instances in backoff behind all others.
+	backoffCost = 1000
 )
 
-// Query tells what a request needs of an instance.
+// Query describes the request for which an instance is chosen.
 type Query struct {
 	Service string
-	// Preferred is the instance that lately saw the request's object, "" for
+	// Preferred is the ID of the instance that recently handled the affinity key, "" for
 	// none.
 	Preferred string
-	// Object names what the request concerns; each object has an instance of
-	// its own that it goes to if nothing is preferred. "" for none.
+	// AffinityKey identifies what the request is about. Without a preferred instance,
+	// requests with the same key go to the same instance, by rendezvous hashing. "" for
+	// none.
 	AffinityKey string
-	// Only restricts the choice to one instance, "" for no restriction.
+	// Only is the ID of the only instance that may be chosen, "" for no restriction.
 	Only string
-	// Regions are those that the request is bound to, nil for none.
+	// Regions are the regions to which the request is restricted, nil for no restriction.
 	Regions []string
-	// Excluded instances are passed over.
+	// Excluded holds the IDs of instances that must not be chosen.
 	Excluded []string
-	// Bytes are what is sent with the request, as far as it is known.
+	// Bytes is the size of the request, as far as it is known.
 	Bytes int
-	// ServiceTime is how long an instance usually takes to serve a request of the
-	// service, 0 if that is not known. Take sets it.
+	// ServiceTime is how long an instance typically takes to serve a request of the
+	// service, 0 if unknown. Take sets it.
 	ServiceTime time.Duration
 }
 
-// admits tells whether an instance comes into question for a query.
+// admits reports whether an instance may be chosen for a query.
 func (p *Pool) admits(q *Query, e *entry, now time.Time) bool {
 	if q.Only != "" && e.ID != q.Only {
 		return false
@@ -54,18 +55,17 @@
 	return p.mayServe(e, now) && !slices.Contains(q.Excluded, e.ID) && p.plugins.filteredBy(q, &e.Instance, now) == nil
 }
 
-// Take picks the instance with the lowest cost and counts the request there;
-// Release ends that. It returns false when the service has none that may take
-// the request.
-func (p *Pool) Take(asked Query) (Instance, bool) {
+// Take chooses the instance with the lowest cost and counts the request as in flight there
+// until Release. It returns false if no instance of the service may get the request.
+func (p *Pool) Take(requested Query) (Instance, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	p.asked = asked
-	query := &p.asked
+	p.currentQuery = requested
+	query := &p.currentQuery
 	query.ServiceTime = p.serviceTimes[query.Service]
 	if query.Preferred == "" && query.AffinityKey != "" {
-		query.Preferred = p.homeOf(query, now)
+		query.Preferred = p.rendezvousInstance(query, now)
 	}
 	for {
 		best := p.cheapest(query, now)
@@ -82,14 +82,14 @@
 	}
 }
 
-// HasReady tells whether an instance that a query admits takes requests now, and not as a last
-// resort: it is listed, not paused, and not in a zone that is left out.
-func (p *Pool) HasReady(query Query, isLeftOut func(zone string) bool) bool {
+// HasReady reports whether an instance that the query admits is more than a last resort: it
+// is listed, not in backoff, and not in an excluded zone.
+func (p *Pool) HasReady(query Query, isExcludedZone func(zone string) bool) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
 	return slices.ContainsFunc(p.byService[query.Service], func(e *entry) bool {
-		isLastResort := now.Before(e.paused) || p.unlistedCost(e, now) >= vanishedCost || isLeftOut(e.Zone)
+		isLastResort := now.Before(e.backoffUntil) || p.unlistedCost(e, now) >= lastResortCost || isExcludedZone(e.Zone)
 		return !isLastResort && p.admits(&query, e, now)
 	})
 }
@@ -110,23 +110,24 @@
 	return best
 }
 
-// homeOf returns the instance with the highest hash of itself and the object,
-// so that only the objects of instances that come or go move.
-func (p *Pool) homeOf(query *Query, now time.Time) string {
-	home, highest := "", uint64(0)
+// rendezvousInstance returns the ID of the instance that rendezvous hashing selects for the
+// query's affinity key. When an instance is added or removed, only the keys that it gains
+// or loses move.
+func (p *Pool) rendezvousInstance(query *Query, now time.Time) string {
+	best, highest := "", uint64(0)
 	for _, e := range p.byService[query.Service] {
 		if !p.mayServe(e, now) || p.plugins.filteredBy(query, &e.Instance, now) != nil {
 			continue
 		}
-		if hash := xxhash.Sum64String(e.ID + "/" + query.AffinityKey); home == "" || hash > highest {
-			home, highest = e.ID, hash
+		if hash := xxhash.Sum64String(e.ID + "/" + query.AffinityKey); best == "" || hash > highest {
+			best, highest = e.ID, hash
 		}
 	}
-	return home
+	return best
 }
 
-// cost is an instance's load per slot, corrected by what speaks for and
-// against it, in shares of its slots.
+// cost returns an instance's load per slot plus all corrections, as a fraction of its
+// slots.
 func (p *Pool) cost(e *entry, query *Query, now time.Time) float64 {
 	slots := float64(max(e.Slots, 1))
 	cost := float64(e.inFlight) / slots
@@ -135,21 +136,21 @@
 		cost -= affinityGain
 	}
 	cost += e.health.cost(now)
-	if now.Before(e.paused) {
-		cost += pausedCost
+	if now.Before(e.backoffUntil) {
+		cost += backoffCost
 	}
 	cost += p.unlistedCost(e, now)
 	return cost + p.plugins.cost(query, &e.Instance, now)
 }
 
-// unlistedCost is what counts against an instance that is missing on the list.
+// unlistedCost returns the part of the cost for an instance that is missing from the list.
 func (p *Pool) unlistedCost(e *entry, now time.Time) float64 {
 	switch {
-	case e.vanished.IsZero():
+	case e.unlistedSince.IsZero():
 		return 0
-	case p.mayHaveLapsed(e, now):
-		return lapsedCost
+	case p.mayHaveExpired(e, now):
+		return possiblyExpiredCost
 	default:
-		return vanishedCost
+		return lastResortCost
 	}
 }
--- a/internal/instance/distance/distance.go
+++ b/internal/instance/distance/distance.go
@@ -1,14 +1,14 @@
-// Package distance weighs how far an instance is against the wait for a nearer one.
+// Package distance weighs the distance to an instance against the wait for a nearer one.
 //
-// The unit is time. A request to another zone or region costs the latency there and back,
-// and the price of its bytes as the wait that it is worth to save them:
+// The unit is time. A request to another zone or region costs the round trip, and a price
+// for its bytes, expressed as the wait that is worth avoiding them:
 //
 //	penalty = 2 x latency + kilobytes x time per kilobyte
 //
-// The pool reckons cost in shares of an instance's slots. A request that comes to an
-// instance without a free slot waits for about the service time, and for longer the more
-// requests are ahead of it. So the cost is the penalty divided by the service time, and a
-// request goes to another region once its wait in its own would exceed the penalty.
+// The pool expresses cost as a fraction of an instance's slots. A request to an instance
+// without a free slot waits for about the service time, and longer with more requests
+// queued before it. So the cost is the penalty divided by the service time, and requests
+// spill over to another region once the wait in their own would exceed the penalty.
 package distance
 
 import (
@@ -19,30 +19,28 @@
 )
 
 const (
-	// zoneLatency and regionLatency are the one-way latencies to another zone of the
-	// region and to another region: those of buildings in one town, and of places some
-	// hundred kilometres apart.
+	// zoneLatency and regionLatency are the one-way latencies to another zone of the region
+	// and to another region: typical of sites in one city, and of sites some hundred
+	// kilometres apart.
 	zoneLatency   = time.Millisecond
 	regionLatency = 8 * time.Millisecond
-	// zonePerKilobyte is how long a request may rather wait than send a kilobyte to
-	// another zone, and regionPerKilobyte the same for another region, where operators pay
-	// four times as much (1,000 a gigabyte in place of 250). For a request of 20 KB that is
-	// 4 ms between zones: with the latency 6 ms, or a third of one request more at an
-	// instance of sixteen slots whose service time is 300 ms. That breaks ties. More would
-	// fill the zone with most callers while others have free slots, as a daemon knows its
-	// own requests only.
+	// zonePerKilobyte is the penalty for sending a kilobyte to another zone, and
+	// regionPerKilobyte that for another region, where traffic costs four times as much.
+	// For a request of 20 KB it is 4 ms between zones: with the latency 6 ms, or a third of
+	// a request in flight at an instance with sixteen slots and a service time of 300 ms.
+	// That is enough to break ties. A higher penalty would overload the zone with the most
+	// clients while others have free slots, as a daemon knows only its own requests.
 	zonePerKilobyte   = 200 * time.Microsecond
 	regionPerKilobyte = 4 * zonePerKilobyte
-	// kilobyte is in bytes.
-	kilobyte = 1000
-	// defaultServiceTime is used until a service's is known.
+	kilobyte          = 1000
+	// defaultServiceTime applies until the service time is known.
 	defaultServiceTime = 250 * time.Millisecond
-	// minServiceTime is used for a shorter one: the load of an instance is not known more
-	// exactly than that.
+	// minServiceTime replaces shorter service times: the load of an instance is not known
+	// more precisely than that.
 	minServiceTime = 20 * time.Millisecond
 )
 
-// Scorer counts the distance to an instance against it. It implements instance.Scorer.
+// Scorer adds the cost of the distance to an instance. It implements instance.Scorer.
 type Scorer struct{ Topology zone.Topology }
 
 // Cost implements instance.Scorer.
@@ -58,17 +56,19 @@
 	return float64(penalty) / float64(max(serviceTime, minServiceTime))
 }
 
-// Penalty is how long a request of some bytes may rather wait than go a distance.
+// Penalty returns how long a request of the given size may wait rather than be sent over
+// the distance.
 func Penalty(distance zone.Distance, bytes int) time.Duration {
 	switch distance {
 	case zone.SameRegion:
-		return 2*zoneLatency + price(zonePerKilobyte, bytes)
+		return 2*zoneLatency + transferPenalty(zonePerKilobyte, bytes)
 	case zone.OtherRegion:
-		return 2*regionLatency + price(regionPerKilobyte, bytes)
+		return 2*regionLatency + transferPenalty(regionPerKilobyte, bytes)
 	}
 	return 0
 }
 
-func price(perKilobyte time.Duration, bytes int) time.Duration {
+// transferPenalty returns the part of the penalty for the size of a request.
+func transferPenalty(perKilobyte time.Duration, bytes int) time.Duration {
 	return time.Duration(float64(perKilobyte) * float64(bytes) / kilobyte)
 }
--- a/internal/instance/health.go
+++ b/internal/instance/health.go
@@ -6,105 +6,105 @@
 )
 
 const (
-	// failurePause is how long an instance that failed is passed over where
-	// another can be had. It doubles with each failure that follows within
-	// failureMemory, up to longestFailurePause: an instance that fails a part of
-	// its requests goes on to fail them.
-	failurePause        = 700 * time.Millisecond
-	longestFailurePause = 6 * time.Second
-	failureMemory       = 15 * time.Second
+	// failureBackoff is for how long a failed instance is only a last resort. It doubles
+	// with each failure within failureWindow of the one before, up to maxFailureBackoff: an
+	// instance that fails some of its requests is likely to go on failing them.
+	failureBackoff    = 700 * time.Millisecond
+	maxFailureBackoff = 6 * time.Second
+	failureWindow     = 15 * time.Second
 
-	// paceWeight is the weight of the newest sample in an instance's slowness,
-	// and kindWeight the same in the usual pace of a kind of work.
-	paceWeight = 0.25
-	kindWeight = 0.02
-	// serviceTimeWeight is the weight of the newest request in a service's mean service time.
+	// slownessWeight is the weight of a new sample in an instance's slowness, and
+	// latencyWeight its weight in the typical latency of the kind.
+	slownessWeight = 0.25
+	latencyWeight  = 0.02
+	// serviceTimeWeight is the weight of a new request in the mean service time of its
+	// service.
 	serviceTimeWeight = 0.05
-	// paceLife is for how long samples count after the newest: an instance that
-	// gets nothing any more must be tried again some time.
-	paceLife = 4 * time.Second
-	// mostSlowness bounds one sample: e times slower counts one.
-	mostSlowness = 2.0
-	// slownessTolerated is what counts as chance. The work of single requests
-	// differs by as much.
-	slownessTolerated = 0.6
-	// slownessCost is what slowness beyond that counts against an instance, as a
-	// share of its slots.
+	// slownessTTL is for how long after the latest sample slowness counts: an instance that
+	// gets no requests must be tried again some time.
+	slownessTTL = 4 * time.Second
+	// maxSlowness limits a sample. Slowness is the natural logarithm of the ratio to the
+	// typical latency.
+	maxSlowness = 2.0
+	// toleratedSlowness is the slowness that costs nothing, as single requests vary by as
+	// much.
+	toleratedSlowness = 0.6
+	// slownessCost is the cost of one unit of slowness beyond the tolerated, as a fraction
+	// of the slots.
 	slownessCost = 0.8
-	// kindLimit bounds the kinds of work, and the services, whose pace is remembered.
-	kindLimit = 4096
+	// maxKinds limits the kinds, and the services, for which a latency is kept.
+	maxKinds = 4096
 )
 
-// health is what this daemon's own requests tell of an instance.
+// health holds what this daemon's own requests show of an instance.
 type health struct {
-	// failures counts those of which each came within failureMemory of the one
-	// before.
+	// failures counts consecutive failures, each within failureWindow of the one before.
 	failures int
 	failedAt time.Time
-	// slowness is the smoothed logarithm of how much longer the instance takes
-	// than its service usually does.
-	slowness float64
-	pacedAt  time.Time
+	// slowness is the smoothed logarithm of the ratio between the instance's latency and
+	// the typical one.
+	slowness  float64
+	sampledAt time.Time
 }
 
-// fail takes note of a failure and returns for how long to pass the instance
-// over.
-func (h *health) fail(now time.Time) time.Duration {
-	if now.Sub(h.failedAt) > failureMemory {
+// recordFailure records a failure and returns the backoff for it.
+func (h *health) recordFailure(now time.Time) time.Duration {
+	if now.Sub(h.failedAt) > failureWindow {
 		h.failures = 0
 	}
 	h.failures++
 	h.failedAt = now
-	pause := failurePause
+	pause := failureBackoff
 	for range h.failures - 1 {
-		pause = min(2*pause, longestFailurePause)
+		pause = min(2*pause, maxFailureBackoff)
 	}
 	return pause
 }
 
-// pace takes a sample of the slowness.
-func (h *health) pace(slowness float64, now time.Time) {
-	if now.Sub(h.pacedAt) > paceLife {
+// recordSlowness adds a sample to the smoothed slowness.
+func (h *health) recordSlowness(slowness float64, now time.Time) {
+	if now.Sub(h.sampledAt) > slownessTTL {
 		h.slowness = 0
 	}
-	h.pacedAt = now
-	h.slowness += paceWeight * (slowness - h.slowness)
+	h.sampledAt = now
+	h.slowness += slownessWeight * (slowness - h.slowness)
 }
 
-// cost is what the instance's slowness counts against it.
+// cost returns the cost of the instance's slowness.
 func (h *health) cost(now time.Time) float64 {
-	if now.Sub(h.pacedAt) > paceLife {
+	if now.Sub(h.sampledAt) > slownessTTL {
 		return 0
 	}
-	return slownessCost * max(h.slowness-slownessTolerated, 0)
+	return slownessCost * max(h.slowness-toleratedSlowness, 0)
 }
 
-// paces keeps the usual pace of each kind of work, as a logarithm.
-type paces map[string]float64
+// typicalLatencies holds the typical latency of each kind, as the natural logarithm of
+// seconds.
+type typicalLatencies map[string]float64
 
-// slowness returns how much slower than usual a piece of work was, as a
-// logarithm, and takes note of it.
-func (p paces) slowness(kind string, took time.Duration) float64 {
+// observe records the latency of an operation and returns its slowness: the logarithm of
+// the ratio to the typical latency of its kind.
+func (p typicalLatencies) observe(kind string, took time.Duration) float64 {
 	sample := math.Log(max(took, time.Microsecond).Seconds())
 	usual, known := p[kind]
 	if !known {
-		if len(p) >= kindLimit {
+		if len(p) >= maxKinds {
 			clear(p)
 		}
 		p[kind] = sample
 		return 0
 	}
-	slowness := min(max(sample-usual, -mostSlowness), mostSlowness)
-	p[kind] = usual + kindWeight*slowness
+	slowness := min(max(sample-usual, -maxSlowness), maxSlowness)
+	p[kind] = usual + latencyWeight*slowness
 	return slowness
 }
 
-// Pace returns how long an instance usually takes for a piece of work of a kind; 0 if
-// that is not known.
+// TypicalLatency returns the typical latency of an instance for operations of a kind; 0 if
+// unknown.
 func (p *Pool) TypicalLatency(id, kind string) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	usual, known := p.paces[kind]
+	usual, known := p.typicalLatencies[kind]
 	if !known {
 		return 0
 	}
@@ -114,14 +114,13 @@
 	return time.Duration(math.Exp(usual) * float64(time.Second))
 }
 
-// NoteServiceTime takes note of how long an instance took to serve a request that it
-// answered.
+// RecordServiceTime records how long an instance took to serve a request of a service.
 func (p *Pool) RecordServiceTime(service string, took time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	usual, known := p.serviceTimes[service]
 	if !known {
-		if len(p.serviceTimes) >= kindLimit {
+		if len(p.serviceTimes) >= maxKinds {
 			clear(p.serviceTimes)
 		}
 		p.serviceTimes[service] = took
@@ -130,9 +129,9 @@
 	p.serviceTimes[service] = usual + time.Duration(serviceTimeWeight*float64(took-usual))
 }
 
-// NotePace takes note of how long an instance took for a piece of work that is
-// alike for all requests of a kind: to answer, or between two events of a
-// stream.
+// RecordLatency records how long an instance took for an operation of a kind. Operations of
+// a kind are comparable over all requests: the time to an answer, or between two events of
+// a stream.
 func (p *Pool) RecordLatency(id, kind string, took time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -140,5 +139,5 @@
 	if e == nil {
 		return
 	}
-	e.health.pace(p.paces.slowness(kind, took), time.Now())
+	e.health.recordSlowness(p.typicalLatencies.observe(kind, took), time.Now())
 }
--- a/internal/instance/health_test.go
+++ b/internal/instance/health_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// share returns how many of 100 requests, one at a time, each instance gets.
-func share(p *Pool) map[string]int {
+// requestCounts returns how many of 100 consecutive requests each instance gets.
+func requestCounts(p *Pool) map[string]int {
 	counts := map[string]int{}
 	for range 100 {
 		got, found := p.Take(Query{Service: "s"})
@@ -21,120 +21,120 @@
 	return counts
 }
 
-func TestInstanceThatFailsAgainIsPassedOverLonger(t *testing.T) {
+func TestBackoffGrowsWithRepeatedFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b")
 		p.Release("a", OutcomeFailed)
-		time.Sleep(failurePause + time.Millisecond)
-		if share(p)["a"] == 0 {
-			t.Error("an instance that failed once got nothing after its pause")
+		time.Sleep(failureBackoff + time.Millisecond)
+		if requestCounts(p)["a"] == 0 {
+			t.Error("an instance that failed once got no request after its backoff")
 		}
 		for range 3 {
 			p.Release("a", OutcomeFailed)
 		}
-		time.Sleep(4 * failurePause)
-		if got := share(p)["a"]; got != 0 {
-			t.Errorf("an instance that failed four times got %d of 100 after %v", got, 4*failurePause)
+		time.Sleep(4 * failureBackoff)
+		if got := requestCounts(p)["a"]; got != 0 {
+			t.Errorf("an instance that failed four times got %d of 100 requests after %v", got, 4*failureBackoff)
 		}
-		time.Sleep(longestFailurePause)
-		if share(p)["a"] == 0 {
-			t.Error("an instance that failed was given up")
+		time.Sleep(maxFailureBackoff)
+		if requestCounts(p)["a"] == 0 {
+			t.Error("an instance got no request after the longest backoff")
 		}
-		time.Sleep(failureMemory)
+		time.Sleep(failureWindow)
 		p.Release("a", OutcomeFailed)
-		time.Sleep(failurePause + time.Millisecond)
-		if share(p)["a"] == 0 {
-			t.Error("failures of long ago lengthen the pause")
+		time.Sleep(failureBackoff + time.Millisecond)
+		if requestCounts(p)["a"] == 0 {
+			t.Error("failures before the failure window lengthen the backoff")
 		}
 	})
 }
 
-func TestSilentInstanceIsPassedOver(t *testing.T) {
+func TestTimeoutBacksOff(t *testing.T) {
 	p := newTestPool("a", "b")
 	p.Release("a", OutcomeTimeout)
-	if got := share(p)["a"]; got != 0 {
-		t.Errorf("an instance that said nothing got %d of 100", got)
+	if got := requestCounts(p)["a"]; got != 0 {
+		t.Errorf("an instance that timed out got %d of 100 requests", got)
 	}
 }
 
-// work lets instances do ten pieces of work of one kind each, by turns.
-func work(p *Pool, kind string, took map[string]time.Duration) {
+// recordLatencies records ten latencies of a kind for each instance, in turn.
+func recordLatencies(p *Pool, kind string, took map[string]time.Duration) {
 	for range 10 {
-		for id, length := range took {
-			p.RecordLatency(id, kind, length)
+		for id, latency := range took {
+			p.RecordLatency(id, kind, latency)
 		}
 	}
 }
 
-func TestSlowInstanceGetsLessUntilItsSamplesAreOld(t *testing.T) {
+func TestSlowInstanceIsAvoidedUntilItsSamplesExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b", "c", "d")
 		usual := 30 * time.Millisecond
-		work(p, "k", map[string]time.Duration{"a": usual, "b": usual, "c": usual, "d": usual})
-		work(p, "k", map[string]time.Duration{"a": 6 * usual, "b": usual, "c": usual, "d": usual})
-		if got := share(p); got["a"] != 0 || got["b"] == 0 || got["c"] == 0 || got["d"] == 0 {
-			t.Errorf("got %v, want nothing at a", got)
+		recordLatencies(p, "k", map[string]time.Duration{"a": usual, "b": usual, "c": usual, "d": usual})
+		recordLatencies(p, "k", map[string]time.Duration{"a": 6 * usual, "b": usual, "c": usual, "d": usual})
+		if got := requestCounts(p); got["a"] != 0 || got["b"] == 0 || got["c"] == 0 || got["d"] == 0 {
+			t.Errorf("requests by instance: %v, want none at a", got)
 		}
-		time.Sleep(paceLife + time.Second)
-		if share(p)["a"] == 0 {
-			t.Error("an instance that was slow long ago gets nothing")
+		time.Sleep(slownessTTL + time.Second)
+		if requestCounts(p)["a"] == 0 {
+			t.Error("an instance gets no request after its samples expired")
 		}
 	})
 }
 
-func TestKindsOfWorkHaveTheirOwnPace(t *testing.T) {
+func TestEachKindHasItsOwnTypicalLatency(t *testing.T) {
 	p := newTestPool("a", "b")
 	for range 20 {
 		p.RecordLatency("a", "long", 900*time.Millisecond)
 		p.RecordLatency("b", "short", 10*time.Millisecond)
 	}
-	if got := share(p); got["a"] == 0 {
-		t.Error("an instance got nothing because it does the longer kind of work")
+	if got := requestCounts(p); got["a"] == 0 {
+		t.Error("an instance got no request because its operations are of a slower kind")
 	}
 }
 
-func TestInstancesThatAreAllSlowAreAllUsed(t *testing.T) {
+func TestUniformlySlowInstancesAreAllUsed(t *testing.T) {
 	p := newTestPool("a", "b")
-	work(p, "k", map[string]time.Duration{"a": time.Millisecond, "b": time.Millisecond})
-	work(p, "k", map[string]time.Duration{"a": time.Second, "b": time.Second})
-	if got := share(p); got["a"] == 0 || got["b"] == 0 {
-		t.Errorf("got %v", got)
+	recordLatencies(p, "k", map[string]time.Duration{"a": time.Millisecond, "b": time.Millisecond})
+	recordLatencies(p, "k", map[string]time.Duration{"a": time.Second, "b": time.Second})
+	if got := requestCounts(p); got["a"] == 0 || got["b"] == 0 {
+		t.Errorf("requests by instance: %v, want some at each", got)
 	}
 }
 
-func TestPacesAreBounded(t *testing.T) {
-	p := paces{}
-	for i := range 2 * kindLimit {
-		p.slowness(string(rune(i+1))+"-kind", time.Second)
+func TestTypicalLatenciesAreBounded(t *testing.T) {
+	p := typicalLatencies{}
+	for i := range 2 * maxKinds {
+		p.observe(string(rune(i+1))+"-kind", time.Second)
 	}
-	if len(p) > kindLimit {
-		t.Errorf("%d kinds are remembered", len(p))
+	if len(p) > maxKinds {
+		t.Errorf("%d kinds are kept", len(p))
 	}
-	if got := p.slowness("new", 0); got != 0 || math.IsNaN(got) {
-		t.Errorf("the first of a kind is as slow as usual, got %v", got)
+	if got := p.observe("new", 0); got != 0 || math.IsNaN(got) {
+		t.Errorf("slowness %v of the first operation of a kind, want 0", got)
 	}
 }
 
-func TestAgeOfTheListIsThatOfItsLastConfirmation(t *testing.T) {
+func TestListAgeCountsFromTheLastConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPool(nil, Plugins{})
 		p.ConfirmList(time.Now())
 		if p.HasList() || p.ListAge() != 0 {
-			t.Error("a list counts as known before there was one")
+			t.Error("a list was confirmed before there was one")
 		}
 		p.Replace(listOf(StateReady, "a"))
 		time.Sleep(20 * time.Second)
 		if got := p.ListAge(); got != 20*time.Second {
-			t.Errorf("age %v", got)
+			t.Errorf("age %v, want 20s", got)
 		}
 		p.ConfirmList(time.Now())
 		time.Sleep(time.Second)
 		if got := p.ListAge(); got != time.Second {
-			t.Errorf("age %v after the store confirmed the list", got)
+			t.Errorf("age %v 1s after the list was confirmed", got)
 		}
 		p.ConfirmList(time.Now().Add(-2 * time.Second))
 		if got := p.ListAge(); got != time.Second {
-			t.Errorf("age %v after an older reading", got)
+			t.Errorf("age %v after a confirmation with an older time", got)
 		}
 	})
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,6 +1,5 @@
-// Package instance keeps what a daemon believes of the back ends' running
-// instances: which there are, how full they are, and which one the next
-// request should go to.
+// Package instance keeps a daemon's view of the running instances of the back ends: which
+// there are, how loaded they are, and which one the next request goes to.
 package instance
 
 import (
@@ -9,52 +8,51 @@
 	"time"
 )
 
-// State is what an instance last said of itself.
+// State is the state that an instance last reported.
 type State string
 
-// States of an instance.
 const (
-	// StateReady instances take requests.
+	// StateReady instances accept requests.
 	StateReady State = "ready"
-	// StateLeaving instances finish what they have and get no new request.
+	// StateDraining instances finish the requests they have and get no new ones.
 	StateDraining State = "leaving"
 )
 
-// Instance is one run of one back end.
+// Instance is one run of a back end, from its start to its exit.
 type Instance struct {
-	// ID names the run; a restart has another. Whatever is remembered of an instance is
-	// remembered under it, so that nothing of it is believed of a later run; see RunID.
+	// ID identifies the run; a restarted back end gets another ID. All state about an
+	// instance is keyed by it, so that none is carried over to a later run; see RunID.
 	ID      string
 	Service string
-	// Address is "IP:PORT"; it may pass to another instance later.
+	// Address is "IP:PORT"; another instance may get it later.
 	Address string
 	Zone    string
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests the instance processes concurrently.
 	Slots int
 	State State
-	// Sequence rises with every change of what it says of itself.
+	// Sequence increases with every change of the instance's entry.
 	Sequence int64
-	// ColdFor is how much longer it said that it stays cold, if ReportsCold: slow, or
-	// able to take few requests.
+	// ColdFor is for how much longer the instance reported that it stays cold, which means
+	// slow or able to take few requests. It is valid only if HasColdFor.
 	ColdFor    time.Duration
 	HasColdFor bool
-	// HeardAt is when what it says of itself was first heard, which is some time after
-	// it was said. NewAt is when it was first heard of at all, zero if it was there
-	// before this daemon.
+	// ReceivedAt is when this daemon first read the current entry, some time after the
+	// instance wrote it. FirstSeenAt is when the instance was first listed; zero if it was
+	// in the first list that the daemon read.
 	ReceivedAt  time.Time
 	FirstSeenAt time.Time
-	// SendBy is until when the request may be sent that it was chosen for; zero sets
-	// no bound. It is set in what Pool.Take returns alone.
+	// SendBy is the time by which the request must have begun to be sent to the chosen
+	// instance; zero means no limit. Only Pool.Take sets it.
 	SendBy time.Time
 }
 
-// RunSeparator stands between a back end's name and its incarnation in an ID. No name may hold
-// it.
+// RunSeparator separates a back end's name from its incarnation in an ID. No name may
+// contain it.
 const RunSeparator = "#"
 
-// RunID returns the ID of a run of a back end: of the name that it gives itself, which may stay
-// the same over a restart, and of the incarnation that tells its runs apart, which is higher for
-// a later run; 0 if it does not tell.
+// RunID returns the ID of a run of a back end. The name may stay the same over a restart;
+// the incarnation tells the runs apart and increases with each. It is 0 if the back end
+// does not report one.
 func RunID(name string, incarnation int64) string {
 	if incarnation == 0 {
 		return name
@@ -68,18 +66,18 @@
 	return name
 }
 
-// incarnation returns the run's incarnation.
+// incarnation returns the run's incarnation; 0 if the ID has none.
 func (i *Instance) incarnation() int64 {
-	_, text, told := strings.Cut(i.ID, RunSeparator)
-	if !told {
+	_, text, found := strings.Cut(i.ID, RunSeparator)
+	if !found {
 		return 0
 	}
 	incarnation, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return 0 // no RunID
+		return 0 // the ID was not built by RunID
 	}
 	return incarnation
 }
 
-// ColdUntil is until when it stays cold at most by what it said.
+// ColdUntil returns the time until which the instance stays cold according to its entry.
 func (i *Instance) ColdUntil() time.Time { return i.ReceivedAt.Add(i.ColdFor) }
--- a/internal/instance/listing.go
+++ b/internal/instance/listing.go
@@ -5,46 +5,46 @@
 )
 
 const (
-	// vanishedLife is how long an instance is a last resort that is not on the
-	// list any more, from when its entry was last confirmed. While the store is down
-	// entries lapse of instances that are well, and they are written anew only after
-	// it is back. It must stay below the time that instances serve on after they
-	// were taken off: a reading that comes late must not add to it.
-	vanishedLife = 1200 * time.Millisecond
-	// lapsedLife is how long after the store's return instances are still tried
-	// that are missing on the list: entries of those that are well lapse in an
-	// outage and are written anew within about two seconds of its end.
-	lapsedLife = 2200 * time.Millisecond
-	// shortestLapse is the shortest time without a confirmed list in which an entry of
-	// an instance that is well can lapse: entries are written every 1.2 s and go after
-	// three of these without a write, of which the first may have been due when the
-	// outage began. A shorter time is a late reading of our own, and what is missing
-	// after it has left.
-	shortestLapse = 2400 * time.Millisecond
+	// unlistedTTL is for how long an instance that is missing from the list is still a last
+	// resort, counted from when its entry was last confirmed. Entries of running instances
+	// expire while the store is unavailable and are written again only after it is back. It
+	// must stay below the time for which instances keep serving after their entries were
+	// removed: a late read must not extend it.
+	unlistedTTL = 1200 * time.Millisecond
+	// recoveryTime is for how long after the store's return missing instances are still
+	// used: entries of running instances expire in an outage and are written again within
+	// about two seconds of its end.
+	recoveryTime = 2200 * time.Millisecond
+	// minOutage is the shortest time without a confirmed list in which the entry of a
+	// running instance can expire: entries are written every 1.2 s and expire after three
+	// missed writes, the first of which may have been due when the outage began. After a
+	// shorter time the daemon's own read was late, and an instance that is missing has
+	// left.
+	minOutage = 2400 * time.Millisecond
 )
 
-// mayServe tells whether an instance may get requests.
+// mayServe reports whether an instance may get requests.
 func (p *Pool) mayServe(e *entry, now time.Time) bool {
 	switch {
 	case e.State != StateReady:
 		return false
-	case e.vanished.IsZero(), p.mayHaveLapsed(e, now):
+	case e.unlistedSince.IsZero(), p.mayHaveExpired(e, now):
 		return true
 	}
-	return now.Sub(e.vanished) < vanishedLife
+	return now.Sub(e.unlistedSince) < unlistedTTL
 }
 
-// mayHaveLapsed tells whether an instance that is missing on the list may be
-// well: its entry may have lapsed in an outage. One that was taken off before is
+// mayHaveExpired reports whether a missing instance may still be running, as its entry may
+// have expired in an outage. One that was removed from the list before the outage is
 // leaving.
-func (p *Pool) mayHaveLapsed(e *entry, now time.Time) bool {
-	return p.isListUncertain(now) && !e.vanished.Before(p.lapsedSince)
+func (p *Pool) mayHaveExpired(e *entry, now time.Time) bool {
+	return p.listMayBeIncomplete(now) && !e.unlistedSince.Before(p.outageSince)
 }
 
-// isListUncertain tells whether instances that are well may be missing on the
-// list: nobody can know while it cannot be read and shortly after.
-func (p *Pool) isListUncertain(now time.Time) bool {
-	return p.lost || now.Before(p.lapsedUntil)
+// listMayBeIncomplete reports whether running instances may be missing from the list: while
+// it cannot be read, and for recoveryTime after an outage.
+func (p *Pool) listMayBeIncomplete(now time.Time) bool {
+	return p.listUnavailable || now.Before(p.recoveryUntil)
 }
 
 // AddressesIn returns the addresses of the instances in a zone.
@@ -60,8 +60,9 @@
 	return addresses
 }
 
-// AnyIn returns an instance in a zone that may serve, chosen at random; false if there is
-// none. It is of a service that is named: whoever lists others may be no back end of ours.
+// AnyIn returns a random instance in a zone that may serve; false if there is none. Only
+// services for which isNamed returns true count: the store may list instances that do not
+// belong to this fleet.
 func (p *Pool) AnyIn(zone string, isNamed func(service string) bool) (Instance, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -80,46 +81,46 @@
 	return chosen, found > 0
 }
 
-// IsUncertain tells whether instances may be running that this daemon does not
-// know of: before the first list, while none can be read, and shortly after.
+// MayBeIncomplete reports whether instances may be running that this daemon does not know
+// of: before the first list, while the list cannot be read, and shortly after.
 func (p *Pool) MayBeIncomplete() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	isNew := now.Sub(p.firstListedAt) < lapsedLife // the first list may have followed an outage
-	return isNew || p.isListUncertain(now)
+	isNew := now.Sub(p.firstListedAt) < recoveryTime // the first list may have followed an outage
+	return isNew || p.listMayBeIncomplete(now)
 }
 
-// NoteLost takes note that the list cannot be read any more. It may have changed ever since
-// it was last confirmed.
+// MarkListUnavailable records that the list can no longer be read. It may have changed at
+// any time since it was last confirmed.
 func (p *Pool) MarkListUnavailable() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if !time.Now().Before(p.lapsedUntil) {
-		p.lapsedSince = p.listedAt
+	if !time.Now().Before(p.recoveryUntil) {
+		p.outageSince = p.listedAt
 	}
-	p.lost = true
+	p.listUnavailable = true
 }
 
-// NoteReturned takes note that the list can be read again.
+// MarkListAvailable records that the list can be read again.
 func (p *Pool) MarkListAvailable() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	p.lost = false
-	if now.Sub(p.lapsedSince) >= shortestLapse {
-		p.lapsedUntil = now.Add(lapsedLife)
+	p.listUnavailable = false
+	if now.Sub(p.outageSince) >= minOutage {
+		p.recoveryUntil = now.Add(recoveryTime)
 	}
 }
 
-// Listed tells whether a list was ever taken.
+// HasList reports whether a list was ever received.
 func (p *Pool) HasList() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return !p.firstListedAt.IsZero()
 }
 
-// Confirm takes note that the last list was the newest as of a time.
+// ConfirmList records that the last list was current as of the given time.
 func (p *Pool) ConfirmList(asOf time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -129,7 +130,7 @@
 	p.listedAt = asOf
 }
 
-// Age tells how long ago the list was known to be the newest.
+// ListAge returns the time since the list was last known to be current.
 func (p *Pool) ListAge() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/instance/outcome.go
+++ b/internal/instance/outcome.go
@@ -4,30 +4,31 @@
 	"time"
 )
 
-// fullPause is how long an instance that said it is full is passed over
-// where another can be had.
-const fullPause = 60 * time.Millisecond
+// fullBackoff is for how long an instance that refused a request for lack of capacity is
+// chosen only if no other is available.
+const fullBackoff = 60 * time.Millisecond
 
-// Outcome is what became of a request at an instance.
+// Outcome is the result of a request to an instance.
 type Outcome int
 
-// Outcomes.
 const (
-	// OutcomeAnswered: it answered as it should.
+	// OutcomeAnswered: the instance answered as expected.
 	OutcomeAnswered Outcome = iota
-	// OutcomeFull: it took no more requests.
+	// OutcomeFull: the instance has no capacity for the request.
 	OutcomeFull
-	// OutcomeFailed: it could not be reached or broke off.
+	// OutcomeFailed: the instance could not be reached, or the connection broke.
 	OutcomeFailed
-	// OutcomeGone: another instance has its address, or it is leaving.
+	// OutcomeGone: another instance has the address, or the instance is draining.
 	OutcomeGone
-	// OutcomeSilent: it said nothing for all the time that the request had.
+	// OutcomeTimeout: the instance had been silent for long when this side ended the
+	// request.
 	OutcomeTimeout
-	// OutcomeGivenUp: this side ended the request.
+	// OutcomeCanceled: this side ended the request, or its failure does not count against
+	// the instance.
 	OutcomeCanceled
 )
 
-// Release ends a request that Take counted.
+// Release ends a request that was counted by Take.
 func (p *Pool) Release(id string, outcome Outcome) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -39,26 +40,27 @@
 	now := time.Now()
 	switch outcome {
 	case OutcomeFull:
-		e.pauseUntil(now.Add(fullPause))
+		e.extendBackoff(now.Add(fullBackoff))
 	case OutcomeFailed, OutcomeTimeout:
-		e.pauseUntil(now.Add(e.health.fail(now)))
+		e.extendBackoff(now.Add(e.health.recordFailure(now)))
 	case OutcomeGone:
 		e.State = StateDraining
 	}
 }
 
-// PassOver passes an instance over for a while where another can be had.
+// BackOff makes an instance a last resort for failureBackoff.
 func (p *Pool) BackOff(id string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if e := p.byID[id]; e != nil {
-		e.pauseUntil(time.Now().Add(failurePause))
+		e.extendBackoff(time.Now().Add(failureBackoff))
 	}
 }
 
-// pauseUntil passes the instance over until then, or later if it is anyhow.
-func (e *entry) pauseUntil(until time.Time) {
-	if until.After(e.paused) {
-		e.paused = until
+// extendBackoff makes the instance a last resort until the given time, or longer if it
+// already is.
+func (e *entry) extendBackoff(until time.Time) {
+	if until.After(e.backoffUntil) {
+		e.backoffUntil = until
 	}
 }
--- a/internal/instance/plugin.go
+++ b/internal/instance/plugin.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// Filter keeps instances from getting requests. It is asked under the pool's lock
-// for each instance of a request's service: it must not block, allocate or call the
-// pool.
+// Filter excludes instances from requests. It is called with the pool's lock held, for each
+// instance of a request's service: it must not block, allocate or call the pool.
 type Filter interface {
-	// Reason names in logs why the filter turns instances down.
+	// Reason returns a short word for logs that says why the filter rejects instances.
 	Reason() string
-	// Admits tells whether an instance may get a request.
+	// Admits reports whether an instance may get a request.
 	Admits(query *Query, candidate *Instance, now time.Time) bool
 }
 
-// TemporaryFilter is a Filter that turns an instance down for some seconds at most. A
-// service all of whose instances it turns down is full, not gone.
+// TemporaryFilter is a Filter that rejects an instance only for some seconds. A service
+// whose instances it all rejects is at capacity rather than unavailable.
 type TemporaryFilter interface {
 	Filter
 	// IsTemporary marks the filter; it does nothing.
 	IsTemporary()
 }
 
-// Scorer weighs instances that may get a request. It is asked like a Filter.
+// Scorer rates instances that may get a request. The constraints on a Filter apply.
 type Scorer interface {
-	// Cost is what counts against an instance, or for it if it is negative, as a share
-	// of its slots: 1 is as much as all slots taken.
+	// Cost returns the cost of choosing an instance, as a fraction of its slots: 1 counts
+	// as much as all slots in use. A negative cost makes the instance more likely to be
+	// chosen.
 	Cost(query *Query, candidate *Instance, now time.Time) float64
 }
 
-// Reserver has the last word on the instance that was chosen. It is asked like a
-// Filter, once for each choice.
+// Reserver confirms the chosen instance. It is called once for each choice. The constraints
+// on a Filter apply.
 type Reserver interface {
-	// Reserve takes what sending a request to the instance needs, or returns false:
-	// then the instance is passed over and another is chosen. The request must have
-	// begun to be sent by sendBy, unless that is zero.
+	// Reserve reserves what sending a request to the instance requires. If it returns
+	// false, another instance is chosen. The request must have begun to be sent by sendBy,
+	// unless that is zero.
 	Reserve(candidate *Instance, now time.Time) (sendBy time.Time, reserved bool)
 }
 
-// Plugins are the parts that take part in the choice of instances. Any may be empty.
+// Plugins are the extensions that take part in the choice of an instance. Each list may be
+// empty.
 type Plugins struct {
 	Filters   []Filter
 	Scorers   []Scorer
 	Reservers []Reserver
 }
 
-// filteredBy returns the filter that turns an instance down, nil if none does.
+// filteredBy returns the filter that rejects an instance, nil if none does.
 func (p *Plugins) filteredBy(query *Query, candidate *Instance, now time.Time) Filter {
 	for _, filter := range p.Filters {
 		if !filter.Admits(query, candidate, now) {
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// cost is the sum of what all scorers say.
+// cost returns the sum of all scorers' costs.
 func (p *Plugins) cost(query *Query, candidate *Instance, now time.Time) float64 {
 	sum := 0.0
 	for _, scorer := range p.Scorers {
@@ -62,8 +63,7 @@
 	return sum
 }
 
-// reserve asks all reservers; the first that says no ends it. sendBy is the earliest of
-// theirs.
+// reserve calls all reservers until one refuses. sendBy is the earliest that they return.
 func (p *Plugins) reserve(candidate *Instance, now time.Time) (sendBy time.Time, reserved bool) {
 	for _, reserver := range p.Reservers {
 		bound, reserved := reserver.Reserve(candidate, now)
--- a/internal/instance/pool.go
+++ b/internal/instance/pool.go
@@ -8,63 +8,66 @@
 	"time"
 )
 
-// Pool keeps the instances of all services. It is safe for concurrent use.
+// Pool keeps the instances of all services and chooses among them. It is safe for
+// concurrent use.
 type Pool struct {
 	plugins Plugins
 	mutex   sync.Mutex
 	random  *rand.Rand
 	byID    map[string]*entry
-	// latestRuns are by name.
+	// latestRuns holds the latest known run of each back end, by name.
 	latestRuns map[string]*latestRun
-	// byService holds the instances of each service, in order of ID.
-	byService map[string][]*entry
-	paces     paces
-	// serviceTimes is, by service, how long instances take to serve a request: a moving
-	// average over those that were answered.
+	// byService holds the instances of each service, ordered by ID.
+	byService        map[string][]*entry
+	typicalLatencies typicalLatencies
+	// serviceTimes holds, by service, a moving average of how long instances take to serve
+	// a request.
 	serviceTimes map[string]time.Duration
-	// asked is the query that Take is working on. It is a field, as a local variable whose
-	// address the plug-ins get would be allocated for each request.
-	asked Query
-	// listedAt is as of when the list was last known to be the newest.
+	// currentQuery is the query that Take is processing. It is a field because a local
+	// variable whose address is passed to the plug-ins would be allocated for each request.
+	currentQuery Query
+	// listedAt is the time as of which the list was last known to be current.
 	listedAt time.Time
-	// firstListedAt is when the first list was taken; zero if there was none.
+	// firstListedAt is when the first list was received; zero if none was.
 	firstListedAt time.Time
-	// lost: the list cannot be read.
-	lost bool
-	// lapsedUntil is until when instances may be missing on the list because
-	// their entries lapsed while it could not be read, and lapsedSince when that
-	// time began; outages that follow soon on each other are one.
-	lapsedUntil time.Time
-	lapsedSince time.Time
+	// listUnavailable is set while the list cannot be read.
+	listUnavailable bool
+	// recoveryUntil is the time until which instances may be missing because their entries
+	// expired while the list could not be read. outageSince is when that period began;
+	// outages that follow soon on each other count as one.
+	recoveryUntil time.Time
+	outageSince   time.Time
 }
 
+// entry is an instance with this daemon's own observations of it.
 type entry struct {
 	Instance
-	// inFlight counts this daemon's requests there.
+	// inFlight counts this daemon's requests to the instance.
 	inFlight int
 	health   health
-	paused   time.Time
-	// vanished is when the instance was last confirmed to be on the list, if it is
-	// missing there now; zero while it is listed.
-	vanished time.Time
+	// backoffUntil is the time until which the instance is only a last resort.
+	backoffUntil time.Time
+	// unlistedSince is when the instance was last confirmed to be listed; zero while it is
+	// listed.
+	unlistedSince time.Time
 }
 
 // NewPool returns an empty pool.
 func NewPool(random *rand.Rand, plugins Plugins) *Pool {
 	return &Pool{
-		plugins:      plugins,
-		random:       random,
-		byID:         map[string]*entry{},
-		latestRuns:   map[string]*latestRun{},
-		byService:    map[string][]*entry{},
-		paces:        paces{},
-		serviceTimes: map[string]time.Duration{},
+		plugins:          plugins,
+		random:           random,
+		byID:             map[string]*entry{},
+		latestRuns:       map[string]*latestRun{},
+		byService:        map[string][]*entry{},
+		typicalLatencies: typicalLatencies{},
+		serviceTimes:     map[string]time.Duration{},
 	}
 }
 
-// Replace takes the list of all instances there are; an instance that is not
-// on it is a last resort for vanishedLife, and then gone. It returns the
-// addresses that no instance has any more, or that a later run has.
+// Replace sets the list of all instances. An instance that is missing from it is a last
+// resort for unlistedTTL and then removed. Replace returns the addresses that no instance
+// has any more or that a later run has taken over; connections to them are stale.
 func (p *Pool) Replace(list []Instance) (gone []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -79,34 +82,34 @@
 	for _, instance := range list {
 		addresses[instance.Address] = true
 		instance.ReceivedAt, instance.FirstSeenAt = now, newAt
-		id, left := p.update(instance)
+		id, formerAddresses := p.update(instance)
 		seen[id] = true
-		gone = append(gone, left...)
+		gone = append(gone, formerAddresses...)
 	}
 	for _, address := range p.dropUnlisted(seen, now) {
 		if !addresses[address] {
 			gone = append(gone, address)
 		}
 	}
-	p.index()
+	p.rebuildIndex()
 	return gone
 }
 
-// update takes a listed instance, unless something newer is known of it. It returns the ID of
-// the run that it counts as, and the addresses that were left.
-func (p *Pool) update(instance Instance) (id string, left []string) {
-	id, ended := p.noteRun(&instance)
+// update applies a listed entry, unless a newer one is known. It returns the ID of the run
+// that the entry counts for, and the addresses that are no longer in use.
+func (p *Pool) update(instance Instance) (id string, formerAddresses []string) {
+	id, ended := p.resolveRun(&instance)
 	if ended != nil {
-		left = append(left, ended.Address)
+		formerAddresses = append(formerAddresses, ended.Address)
 	}
 	known := p.byID[id]
 	if known == nil {
 		known = &entry{}
 		p.byID[id] = known
 	}
-	known.vanished = time.Time{}
+	known.unlistedSince = time.Time{}
 	if instance.ID != id || instance.Sequence < known.Sequence {
-		return id, left
+		return id, formerAddresses
 	}
 	if known.ID != "" {
 		instance.FirstSeenAt = known.FirstSeenAt
@@ -114,22 +117,22 @@
 			instance.ReceivedAt = known.ReceivedAt
 		}
 		if instance.Address != known.Address {
-			left = append(left, known.Address)
+			formerAddresses = append(formerAddresses, known.Address)
 		}
 	}
 	known.Instance = instance
-	return id, left
+	return id, formerAddresses
 }
 
-// dropUnlisted forgets the instances that are missing on the list and may not
-// serve any more, and returns their addresses.
+// dropUnlisted removes the instances that are missing from the list and may no longer
+// serve, and returns their addresses.
 func (p *Pool) dropUnlisted(listed map[string]bool, now time.Time) (addresses []string) {
 	for id, known := range p.byID {
 		if listed[id] {
 			continue
 		}
-		if known.vanished.IsZero() {
-			known.vanished = p.listedAt
+		if known.unlistedSince.IsZero() {
+			known.unlistedSince = p.listedAt
 		}
 		if !p.mayServe(known, now) {
 			delete(p.byID, id)
@@ -140,8 +143,8 @@
 	return addresses
 }
 
-// index sorts the instances by service.
-func (p *Pool) index() {
+// rebuildIndex rebuilds byService.
+func (p *Pool) rebuildIndex() {
 	clear(p.byService)
 	for _, e := range p.byID {
 		p.byService[e.Service] = append(p.byService[e.Service], e)
@@ -151,7 +154,7 @@
 	}
 }
 
-// Loads returns the requests of this daemon at each instance that has any.
+// Loads returns the number of this daemon's requests at each instance that has any.
 func (p *Pool) Loads() map[string]int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -164,7 +167,7 @@
 	return loads
 }
 
-// InFlight counts this daemon's requests at the instances of a zone.
+// InFlight returns the number of this daemon's requests at the instances of a zone.
 func (p *Pool) InFlight(zone string) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -177,18 +180,19 @@
 	return count
 }
 
-// Census tells how many instances of a service there are for a request.
+// Counts holds how many instances of a service may or may not get a request.
 type Counts struct {
-	// Admitted instances may get the request.
+	// Admitted is the number of instances that may get the request.
 	Admitted int
-	// Filtered counts those that could serve, by why a filter turns them down.
+	// Filtered counts the instances that could serve but are rejected by a filter, by its
+	// Reason.
 	Filtered map[string]int
-	// Temporary counts those of them that are turned down for some seconds at most.
+	// TemporarilyFiltered is the number of these that a TemporaryFilter rejects.
 	TemporarilyFiltered int
 }
 
-// Count returns how many instances of a request's service may get it, those that are
-// excluded included. A request that is kept to one instance has that one alone.
+// Count counts the instances of a query's service, including those that the query excludes.
+// If the query is restricted to one instance, only that one counts.
 func (p *Pool) Count(query Query) Counts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/instance/pool_test.go
+++ b/internal/instance/pool_test.go
@@ -24,7 +24,7 @@
 	return list
 }
 
-func TestLoadIsSpread(t *testing.T) {
+func TestRequestsAreSpreadEvenly(t *testing.T) {
 	p := newTestPool("a", "b", "c")
 	counts := map[string]int{}
 	for range 30 {
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestPreferredInstanceUnlessItIsBusy(t *testing.T) {
+func TestPreferredInstanceIsUsedUnlessItIsBusy(t *testing.T) {
 	p := newTestPool("a", "b")
 	first, _ := p.Take(Query{Service: "s", Preferred: "b"})
 	if first.ID != "b" {
@@ -49,26 +49,26 @@
 		p.Take(Query{Service: "s", Preferred: "b"})
 	}
 	if p.Loads()["a"] == 0 {
-		t.Errorf("all went to a busy instance: %v", p.Loads())
+		t.Errorf("all requests went to a busy instance: %v", p.Loads())
 	}
 }
 
-func TestObjectsKeepTheirInstanceWhenAnotherGoes(t *testing.T) {
+func TestAffinityKeysKeepTheirInstanceWhenAnotherIsRemoved(t *testing.T) {
 	p := newTestPool("a", "b", "c", "d")
 	homes := map[string]string{}
 	for i := range 50 {
 		object := fmt.Sprint("object-", i)
-		homes[object] = p.homeOf(&Query{Service: "s", AffinityKey: object}, time.Now())
+		homes[object] = p.rendezvousInstance(&Query{Service: "s", AffinityKey: object}, time.Now())
 	}
 	p.Replace(listOf(StateReady, "a", "b", "c"))
 	for object, home := range homes {
-		if got := p.homeOf(&Query{Service: "s", AffinityKey: object}, time.Now()); home != "d" && got != home {
+		if got := p.rendezvousInstance(&Query{Service: "s", AffinityKey: object}, time.Now()); home != "d" && got != home {
 			t.Errorf("%s moved from %s to %s", object, home, got)
 		}
 	}
 }
 
-func TestLeavingAndExcludedInstancesGetNothing(t *testing.T) {
+func TestDrainingAndExcludedInstancesAreNotChosen(t *testing.T) {
 	p := newTestPool("a", "b")
 	p.Replace(append(listOf(StateReady, "a"), listOf(StateDraining, "b")...))
 	if got, _ := p.Take(Query{Service: "s"}); got.ID != "a" {
@@ -78,22 +78,22 @@
 		t.Errorf("got %s", got.ID)
 	}
 	if p.Count(Query{Service: "s"}).Admitted != 1 {
-		t.Errorf("%d ready", p.Count(Query{Service: "s"}).Admitted)
+		t.Errorf("%d instances admitted, want 1", p.Count(Query{Service: "s"}).Admitted)
 	}
 }
 
-func TestOlderWordOfAnInstanceIsIgnored(t *testing.T) {
+func TestOlderSequenceIsIgnored(t *testing.T) {
 	p := newTestPool("a")
 	leaving := listOf(StateDraining, "a")
 	leaving[0].Sequence = 5
 	p.Replace(leaving)
 	p.Replace(listOf(StateReady, "a"))
 	if got, found := p.Take(Query{Service: "s"}); found {
-		t.Errorf("got %s, which said since that it leaves", got.ID)
+		t.Errorf("got %s, whose newer entry says that it drains", got.ID)
 	}
 }
 
-func TestFailedInstanceIsPassedOverButNotGivenUp(t *testing.T) {
+func TestFailedInstanceIsUsedOnlyAsALastResort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b")
 		p.Release("a", OutcomeFailed)
@@ -103,44 +103,44 @@
 			}
 		}
 		if got, found := p.Take(Query{Service: "s", Excluded: []string{"b"}}); !found || got.ID != "a" {
-			t.Error("the last instance was given up")
+			t.Error("the only other instance, in backoff, was not chosen")
 		}
 	})
 }
 
-func TestGoneInstanceGetsNothing(t *testing.T) {
+func TestGoneInstanceIsNotChosen(t *testing.T) {
 	p := newTestPool("a", "b")
 	p.Release("a", OutcomeGone)
 	if _, found := p.Take(Query{Service: "s", Excluded: []string{"b"}}); found {
-		t.Error("an instance whose address another has got a request")
+		t.Error("an instance whose address another one has was chosen")
 	}
 }
 
-func TestReplaceTellsAddressesThatNobodyHas(t *testing.T) {
+func TestReplaceReturnsUnusedAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b")
 		next := listOf(StateReady, "c")
 		next[0].Address = "a-a"
 		p.Replace(next)
-		p.forget(t, "a", "b")
+		p.expireUnlisted(t, "a", "b")
 		if diff := cmp.Diff([]string{"a-b"}, p.Replace(next)); diff != "" {
 			t.Errorf("(-want +got):\n%s", diff)
 		}
 	})
 }
 
-// forget lets the time pass for which vanished instances are a last resort.
-func (p *Pool) forget(t *testing.T, ids ...string) {
+// expireUnlisted sets unlisted instances back by more than unlistedTTL.
+func (p *Pool) expireUnlisted(t *testing.T, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
-		if p.byID[id] == nil || p.byID[id].vanished.IsZero() {
-			t.Fatalf("%s is not a last resort", id)
+		if p.byID[id] == nil || p.byID[id].unlistedSince.IsZero() {
+			t.Fatalf("%s is listed or unknown", id)
 		}
-		p.byID[id].vanished = time.Now().Add(-2 * vanishedLife)
+		p.byID[id].unlistedSince = time.Now().Add(-2 * unlistedTTL)
 	}
 }
 
-func TestVanishedInstancesAreALastResort(t *testing.T) {
+func TestUnlistedInstancesAreALastResort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b")
 		p.Replace(listOf(StateReady, "a"))
@@ -151,20 +151,20 @@
 		}
 		p.Replace(nil)
 		if _, found := p.Take(Query{Service: "s"}); !found {
-			t.Error("no instance, though all lapsed only now")
+			t.Error("no instance was found right after all were unlisted")
 		}
-		p.forget(t, "a", "b")
+		p.expireUnlisted(t, "a", "b")
 		if got, found := p.Take(Query{Service: "s"}); found {
-			t.Errorf("got %s long after it vanished", got.ID)
+			t.Errorf("got %s after unlistedTTL", got.ID)
 		}
 		p.Replace(listOf(StateReady, "a"))
 		if got, found := p.Take(Query{Service: "s"}); !found || got.ID != "a" {
-			t.Error("an instance that is listed again gets nothing")
+			t.Error("an instance that is listed again was not chosen")
 		}
 	})
 }
 
-func TestLeavingInstanceThatVanishesIsNoLastResort(t *testing.T) {
+func TestUnlistedDrainingInstanceIsNotChosen(t *testing.T) {
 	p := newTestPool("a")
 	p.Replace(listOf(StateDraining, "a"))
 	p.Replace(nil)
@@ -173,62 +173,62 @@
 	}
 }
 
-func TestInstancesWhoseEntriesLapsedInAnOutageServeUntilTheyAreBack(t *testing.T) {
+func TestInstancesServeAfterTheirEntriesExpiredInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b")
 		serves := func(want bool, when string) {
 			t.Helper()
 			if _, found := p.Take(Query{Service: "s"}); found != want {
-				t.Errorf("%s: an instance was found: %v", when, found)
+				t.Errorf("%s: an instance was found: %v, want the opposite", when, found)
 			}
 		}
 		p.MarkListUnavailable()
 		time.Sleep(5 * time.Second)
-		serves(true, "in an outage")
+		serves(true, "during an outage")
 		p.MarkListAvailable()
-		p.Replace(nil) // all entries lapsed
-		time.Sleep(vanishedLife + 100*time.Millisecond)
-		serves(true, "before the entries must be back")
-		// The next outage begins: nothing is heard until its end.
+		p.Replace(nil) // all entries expired
+		time.Sleep(unlistedTTL + 100*time.Millisecond)
+		serves(true, "before recoveryTime is over")
+		// A second outage begins before recoveryTime is over.
 		p.MarkListUnavailable()
 		time.Sleep(5 * time.Second)
-		serves(true, "in the next outage")
+		serves(true, "during the second outage")
 		p.MarkListAvailable()
 		p.Replace(nil)
-		serves(true, "after the next outage")
-		time.Sleep(lapsedLife)
-		serves(false, "when the entries must be back")
+		serves(true, "after the second outage")
+		time.Sleep(recoveryTime)
+		serves(false, "after recoveryTime")
 		p.Replace(nil)
 		if len(p.byID) != 0 {
-			t.Errorf("%d instances are kept that are gone", len(p.byID))
+			t.Errorf("%d removed instances are still kept", len(p.byID))
 		}
 	})
 }
 
-func TestInstanceTakenOffBeforeAnOutageIsNotKeptByIt(t *testing.T) {
+func TestInstanceRemovedBeforeAnOutageIsNotKeptByIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b")
 		time.Sleep(time.Second)
 		p.Replace(listOf(StateReady, "a"))
-		p.ConfirmList(time.Now()) // as after each reading
-		time.Sleep(vanishedLife / 2)
+		p.ConfirmList(time.Now()) // as after each read
+		time.Sleep(unlistedTTL / 2)
 		p.MarkListUnavailable()
-		time.Sleep(vanishedLife)
+		time.Sleep(unlistedTTL)
 		for range 50 {
 			if got, _ := p.Take(Query{Service: "s", Excluded: []string{"a"}}); got.ID == "b" {
-				t.Fatal("an instance that was taken off while the list was read got a request after its time")
+				t.Fatal("an instance that was removed before the outage was chosen after unlistedTTL")
 			}
 		}
 	})
 }
 
-func TestInstancesThatMayHaveLapsedShareTheLoad(t *testing.T) {
+func TestInstancesWithPossiblyExpiredEntriesShareTheLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b", "c")
 		p.MarkListUnavailable()
 		time.Sleep(5 * time.Second)
 		p.MarkListAvailable()
-		p.Replace(listOf(StateReady, "a")) // the first entry is back
+		p.Replace(listOf(StateReady, "a")) // the first entry is written again
 		taken := map[string]int{}
 		for range 12 {
 			got, _ := p.Take(Query{Service: "s"})
@@ -240,57 +240,58 @@
 	})
 }
 
-// usable tells whether an instance may be chosen at all.
-func (p *Pool) usable(id string) bool {
+// isUsable reports whether an instance may be chosen at all.
+func (p *Pool) isUsable(id string) bool {
 	_, found := p.Take(Query{Service: "s", Only: id})
 	return found
 }
 
-// TestVanishedInstanceCountsFromItsLastConfirmation: instances that leave without a word serve
-// on for some time after their entry went. What users saw was a request at one past that time.
-// The entry may have gone right after the last reading that showed it, so a next one that came
-// late must not add to the time for which the instance is a last resort.
-func TestVanishedInstanceCountsFromItsLastConfirmation(t *testing.T) {
+// TestUnlistedTTLStartsAtTheLastConfirmedList guards against requests to an instance that
+// has already exited. Instances serve only for some time after their entry is removed. The
+// entry may have been removed right after the last read that showed it, so a late read must
+// not extend unlistedTTL.
+func TestUnlistedTTLStartsAtTheLastConfirmedList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b")
 		p.ConfirmList(time.Now())
-		time.Sleep(vanishedLife - 100*time.Millisecond) // the next reading is late
+		time.Sleep(unlistedTTL - 100*time.Millisecond) // the next read is late
 		p.Replace(listOf(StateReady, "a"))
 		p.ConfirmList(time.Now())
-		if !p.usable("b") {
-			t.Error("no last resort within its time")
+		if !p.isUsable("b") {
+			t.Error("an unlisted instance is not usable within unlistedTTL")
 		}
 		time.Sleep(150 * time.Millisecond)
-		if p.usable("b") {
-			t.Error("an instance is chosen that may have left longer ago than it may be used")
+		if p.isUsable("b") {
+			t.Error("an instance is usable that may have been unlisted for longer than unlistedTTL")
 		}
 	})
 }
 
-// TestLateReadingIsNoOutage: what is missing after it has left, as no entry of an instance that
-// is well lapses in that time. It was taken for lapsed, and used for 2.2 s more.
-func TestLateReadingIsNoOutage(t *testing.T) {
+// TestLateReadIsNotAnOutage guards against using removed instances for recoveryTime after a
+// late read: no entry of a running instance expires in less than minOutage.
+func TestLateReadIsNotAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool("a", "b")
 		p.ConfirmList(time.Now())
 		time.Sleep(500 * time.Millisecond)
 		p.MarkListUnavailable()
-		time.Sleep(shortestLapse - 600*time.Millisecond)
+		time.Sleep(minOutage - 600*time.Millisecond)
 		p.MarkListAvailable()
 		p.Replace(listOf(StateReady, "a"))
 		p.ConfirmList(time.Now())
-		if p.usable("b") {
-			t.Error("an instance that left beside a late reading is taken for one whose entry lapsed")
+		if p.isUsable("b") {
+			t.Error("an instance that was removed during a late read is usable")
 		}
 	})
 }
 
-// TestNobodyConnectsToWhatNoRouteNames: an entry may be another writer's.
-func TestNobodyConnectsToWhatNoRouteNames(t *testing.T) {
+// The store may list instances that do not belong to this fleet; no connection to them is
+// opened.
+func TestAnyInReturnsOnlyNamedServices(t *testing.T) {
 	p := newTestPool("a")
 	for service, want := range map[string]bool{"s": true, "t": false} {
 		if _, found := p.AnyIn("z", func(name string) bool { return name == service }); found != want {
-			t.Errorf("service %s is named: found %t", service, found)
+			t.Errorf("only service %s is named: found %t", service, found)
 		}
 	}
 }
--- a/internal/instance/runs.go
+++ b/internal/instance/runs.go
@@ -1,51 +1,52 @@
 package instance
 
-// A back end may start again under the name that it had. Its entry then tells a higher
-// incarnation, and the run before is over: nothing is held there any more, its sequence says
-// nothing of the new one, and what it was working on is lost. An entry that tells a lower
-// incarnation than the one known is a write of an earlier run that was done late, or that of a
-// run whose machine's clock went back. Only the second one writes again.
+// A back end may restart under the same name. Its entry then has a higher incarnation and
+// the former run is over: its requests are lost, and its sequence numbers do not compare
+// with those of the new run. An entry with a lower incarnation than the known one is either
+// a delayed write of a former run, or from a run on a host whose clock was set back. Only
+// the latter is followed by further writes.
 
-// latestRun is the latest run that is known of a name.
+// latestRun is the latest known run of a back end's name.
 type latestRun struct {
 	id          string
 	incarnation int64
-	// doubted is the entry of a lower incarnation that was read last; its incarnation is
-	// noIncarnation if there was none.
-	doubted, doubtedSequence int64
+	// lowerIncarnation and lowerSequence are those of the last rejected entry with a lower
+	// incarnation; noIncarnation if there was none.
+	lowerIncarnation, lowerSequence int64
 }
 
+// newLatestRun returns the latestRun for an entry.
 func newLatestRun(instance *Instance) latestRun {
-	return latestRun{id: instance.ID, incarnation: instance.incarnation(), doubted: noIncarnation}
+	return latestRun{id: instance.ID, incarnation: instance.incarnation(), lowerIncarnation: noIncarnation}
 }
 
-// noIncarnation is that of no run.
+// noIncarnation is a value that no run has.
 const noIncarnation = -1
 
-// supersedes tells whether an entry is that of the latest run, or of a later one.
-func (r *latestRun) supersedes(instance *Instance) bool {
+// accepts reports whether an entry belongs to the latest run or replaces it.
+func (r *latestRun) accepts(instance *Instance) bool {
 	incarnation := instance.incarnation()
 	if incarnation >= r.incarnation {
 		return true
 	}
-	if incarnation == r.doubted && instance.Sequence > r.doubtedSequence {
-		return true // it goes on to write
+	if incarnation == r.lowerIncarnation && instance.Sequence > r.lowerSequence {
+		return true // the run keeps writing
 	}
-	r.doubted, r.doubtedSequence = incarnation, instance.Sequence
+	r.lowerIncarnation, r.lowerSequence = incarnation, instance.Sequence
 	return false
 }
 
-// noteRun takes note of the run that an entry is of. It returns the run's ID, whose entry it
-// counts as, and the run that ended with that, nil if none did. An entry that is not believed
-// counts as one of the latest run.
-func (p *Pool) noteRun(instance *Instance) (id string, ended *entry) {
+// resolveRun returns the ID of the run that an entry counts for. If the entry starts a new
+// run, it also returns the entry of the run that ended. A rejected entry counts for the
+// latest run.
+func (p *Pool) resolveRun(instance *Instance) (id string, ended *entry) {
 	latest := p.latestRuns[instance.Name()]
 	if latest == nil {
 		first := newLatestRun(instance)
 		p.latestRuns[instance.Name()] = &first
 		return instance.ID, nil
 	}
-	if instance.ID == latest.id || !latest.supersedes(instance) {
+	if instance.ID == latest.id || !latest.accepts(instance) {
 		return latest.id, nil
 	}
 	ended = p.byID[latest.id]
@@ -54,9 +55,10 @@
 	return instance.ID, ended
 }
 
-// HasEnded tells whether another run of a run's name is believed. That is an entry's word, and no
-// proof: a run that leaves goes on with what it has while its successor begins elsewhere, and of two
-// that both write, the one that wrote last may be believed.
+// IsSuperseded reports whether another run of the same back end is known as the latest.
+// This is no proof that the run is over: a draining run finishes its requests while its
+// successor starts elsewhere, and if two runs keep writing, the one that wrote last is
+// taken as the latest.
 func (p *Pool) IsSuperseded(id string) bool {
 	run := Instance{ID: id}
 	p.mutex.Lock()
@@ -65,7 +67,7 @@
 	return latest != nil && latest.id != id
 }
 
-// IsReplaced tells whether a run is over for certain: a later one has its address.
+// IsReplaced reports whether a run is certainly over: a later one has its address.
 func (p *Pool) IsReplaced(run Instance) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -77,7 +79,7 @@
 	return successor != nil && successor.Address == run.Address
 }
 
-// forgetRun forgets that an instance is the latest run of its name.
+// forgetRun removes an instance from latestRuns if it is the latest run of its name.
 func (p *Pool) forgetRun(known *entry) {
 	if latest := p.latestRuns[known.Name()]; latest != nil && latest.id == known.ID {
 		delete(p.latestRuns, known.Name())
--- a/internal/instance/runs_test.go
+++ b/internal/instance/runs_test.go
@@ -8,72 +8,71 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// runOf returns a run's entry as a back end writes it.
-func runOf(name string, incarnation, sequence int64) Instance {
+// runEntry returns the entry of a run as a back end writes it.
+func runEntry(name string, incarnation, sequence int64) Instance {
 	run := listOf(StateReady, RunID(name, incarnation))[0]
 	run.Address, run.Sequence = "a-"+name, sequence
 	return run
 }
 
-// TestBackEndThatStartsAgainIsAnother: what users saw was that a back end which had started again
-// under its name got no requests for minutes, or not those that it could serve: its sequence
-// begins anew, so that its entries were taken for old ones, and all that was known of the run
-// before was believed of this one.
-func TestBackEndThatStartsAgainIsAnother(t *testing.T) {
+// TestRestartedInstanceInheritsNoState guards against a restarted back end that gets no
+// requests for minutes: its sequence starts again, so its entries would be taken for old
+// ones, and failures of the former run would count against it.
+func TestRestartedInstanceInheritsNoState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool()
-		p.Replace([]Instance{runOf("b", 100, 900)})
+		p.Replace([]Instance{runEntry("b", 100, 900)})
 		first, _ := p.Take(Query{Service: "s"})
 		p.Release(first.ID, OutcomeFailed)
 		p.Take(Query{Service: "s"})
-		leaving := runOf("b", 100, 901)
+		leaving := runEntry("b", 100, 901)
 		leaving.State = StateDraining
 		p.Replace([]Instance{leaving})
 		time.Sleep(time.Minute)
-		gone := p.Replace([]Instance{runOf("b", 200, 1)})
+		gone := p.Replace([]Instance{runEntry("b", 200, 1)})
 		second, found := p.Take(Query{Service: "s"})
 		if !found || second.ID == first.ID || second.Name() != first.Name() {
 			t.Fatalf("got %q, found %t, after %q", second.ID, found, first.ID)
 		}
 		if !second.FirstSeenAt.Equal(time.Now()) {
-			t.Errorf("first heard of %s ago, want now: it may be cold", time.Since(second.FirstSeenAt))
+			t.Errorf("first seen %s ago, want now, as it may be cold", time.Since(second.FirstSeenAt))
 		}
 		if loads := p.Loads(); loads[second.ID] != 1 || len(loads) != 1 {
 			t.Errorf("requests in flight: %v", loads)
 		}
-		if e := p.byID[second.ID]; e.health.failures > 0 || !e.paused.IsZero() {
-			t.Error("failures of the run before count against this one")
+		if e := p.byID[second.ID]; e.health.failures > 0 || !e.backoffUntil.IsZero() {
+			t.Error("failures of the former run count against the new one")
 		}
 		if diff := cmp.Diff([]string{"a-b"}, gone); diff != "" {
-			t.Errorf("connections to the run before are kept (-want +got): %s", diff)
+			t.Errorf("addresses with stale connections (-want +got): %s", diff)
 		}
 		if !p.IsSuperseded(first.ID) || p.IsSuperseded(second.ID) || p.IsSuperseded("unknown") {
-			t.Error("it is not known which run is over")
+			t.Error("wrong run is reported as superseded")
 		}
-		p.Release(first.ID, OutcomeAnswered) // its last answer comes late
+		p.Release(first.ID, OutcomeAnswered) // a late answer of the former run
 		if loads := p.Loads(); loads[second.ID] != 1 {
-			t.Errorf("an answer of the run before counts for this one: %v", loads)
+			t.Errorf("an answer of the former run counts for the new one: %v", loads)
 		}
 	})
 }
 
-// TestEntryOfAnEarlierRun: one that is done late changes nothing; a run whose clock went back
-// writes again, and is believed then.
-func TestEntryOfAnEarlierRun(t *testing.T) {
+// A delayed write of a former run is ignored; an entry of a run on a host whose clock was
+// set back is accepted once it is written again.
+func TestEntriesWithALowerIncarnation(t *testing.T) {
 	for name, test := range map[string]struct {
 		entries []Instance
 		want    string
 	}{
-		"done late":                       {[]Instance{runOf("b", 100, 950), runOf("b", 200, 2)}, "b#200"},
-		"read twice":                      {[]Instance{runOf("b", 100, 950), runOf("b", 100, 950)}, "b#200"},
-		"of a clock that went back":       {[]Instance{runOf("b", 50, 1), runOf("b", 50, 2)}, "b#50"},
-		"that does not tell its run":      {[]Instance{runOf("b", 0, 5)}, "b#200"},
-		"of software that does not tell":  {[]Instance{runOf("b", 0, 5), runOf("b", 0, 6)}, "b"},
-		"of the same run, an older state": {[]Instance{runOf("b", 200, 0)}, "b#200"},
+		"delayed write":                 {[]Instance{runEntry("b", 100, 950), runEntry("b", 200, 2)}, "b#200"},
+		"same entry read twice":         {[]Instance{runEntry("b", 100, 950), runEntry("b", 100, 950)}, "b#200"},
+		"clock set back":                {[]Instance{runEntry("b", 50, 1), runEntry("b", 50, 2)}, "b#50"},
+		"no incarnation":                {[]Instance{runEntry("b", 0, 5)}, "b#200"},
+		"no incarnation, written again": {[]Instance{runEntry("b", 0, 5), runEntry("b", 0, 6)}, "b"},
+		"same run, older sequence":      {[]Instance{runEntry("b", 200, 0)}, "b#200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newTestPool()
-			p.Replace([]Instance{runOf("b", 200, 1)})
+			p.Replace([]Instance{runEntry("b", 200, 1)})
 			for _, entry := range test.entries {
 				p.Replace([]Instance{entry})
 			}
@@ -84,22 +83,23 @@
 	}
 }
 
-// TestRunIsOverOnceALaterOneHasItsAddress: of any other, an entry is no proof.
-func TestRunIsOverOnceALaterOneHasItsAddress(t *testing.T) {
-	elsewhere := runOf("b", 300, 1)
+// An entry of a later run is no proof that the former run is over unless it has the same
+// address.
+func TestRunIsReplacedOnceALaterOneHasItsAddress(t *testing.T) {
+	elsewhere := runEntry("b", 300, 1)
 	elsewhere.Address = "elsewhere"
 	for name, test := range map[string]struct {
 		entries    []Instance
 		isReplaced bool
 	}{
-		"a later run":                   {[]Instance{runOf("b", 300, 1)}, true},
-		"a later run, another address":  {[]Instance{elsewhere}, false},
-		"an earlier run that writes on": {[]Instance{runOf("b", 100, 1), runOf("b", 100, 2)}, false},
-		"itself":                        {[]Instance{runOf("b", 200, 2)}, false},
+		"a later run":                       {[]Instance{runEntry("b", 300, 1)}, true},
+		"a later run, another address":      {[]Instance{elsewhere}, false},
+		"an earlier run that keeps writing": {[]Instance{runEntry("b", 100, 1), runEntry("b", 100, 2)}, false},
+		"itself":                            {[]Instance{runEntry("b", 200, 2)}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newTestPool()
-			run := runOf("b", 200, 1)
+			run := runEntry("b", 200, 1)
 			p.Replace([]Instance{run})
 			for _, entry := range test.entries {
 				p.Replace([]Instance{entry})
@@ -111,11 +111,10 @@
 	}
 }
 
-// TestConnectionsToAFormerAddressAreForgotten: the run goes on elsewhere.
-func TestConnectionsToAFormerAddressAreForgotten(t *testing.T) {
+func TestReplaceReturnsTheFormerAddressOfAMovedRun(t *testing.T) {
 	p := newTestPool()
-	p.Replace([]Instance{runOf("b", 100, 1)})
-	moved := runOf("b", 100, 2)
+	p.Replace([]Instance{runEntry("b", 100, 1)})
+	moved := runEntry("b", 100, 2)
 	moved.Address = "elsewhere"
 	if diff := cmp.Diff([]string{"a-b"}, p.Replace([]Instance{moved})); diff != "" {
 		t.Errorf("(-want +got): %s", diff)
--- a/internal/residency/ledger_test.go
+++ b/internal/residency/ledger_test.go
@@ -10,18 +10,18 @@
 	"github.com/mintpulley/mintpulley/internal/ledger"
 )
 
-// forgetful is a ledger that keeps no turn.
-type forgetful struct{ Service }
+// emptyLedger is a ledger that has no turns.
+type emptyLedger struct{ Service }
 
-func (forgetful) End(context.Context, ledger.Outcome) error { return ledger.ErrUnknownTurn }
+func (emptyLedger) End(context.Context, ledger.Outcome) error { return ledger.ErrUnknownTurn }
 
-func (forgetful) Find(context.Context, string, string) (*ledger.KeptTurn, error) {
+func (emptyLedger) Find(context.Context, string, string) (*ledger.KeptTurn, error) {
 	return nil, ledger.ErrUnknownTurn
 }
 
-// TestEndIsTriedUntilItIsRefusedForGood: an unknown chain stays unknown, and a region whose
-// daemons are all away may have one again as long as the caller waits.
-func TestEndIsTriedUntilItIsRefusedForGood(t *testing.T) {
+// An unknown previous turn is a permanent error. A region without daemons may get one again
+// while the client waits.
+func TestEndRetriesOnlyTransientErrors(t *testing.T) {
 	const patience = 5 * time.Second
 	for want, test := range map[error]struct {
 		hasDaemons bool
@@ -35,8 +35,8 @@
 			ctx, cancel := context.WithTimeout(t.Context(), patience)
 			defer cancel()
 			l := &Ledger{
-				Common: forgetful{}, Regions: []string{"north"},
-				Regional:   func(string) (Service, bool) { return forgetful{}, true },
+				Common: emptyLedger{}, Regions: []string{"north"},
+				Regional:   func(string) (Service, bool) { return emptyLedger{}, true },
 				HasDaemons: func(string) bool { return test.hasDaemons },
 			}
 			err := l.End(ctx, ledger.Outcome{Regions: l.Regions, Kept: &ledger.KeptTurn{ID: "q", Previous: "before"}})
--- a/internal/residency/regions.go
+++ b/internal/residency/regions.go
@@ -1,9 +1,9 @@
 // Package residency keeps requests and the text of turns in the regions that operators
 // allow for them.
 //
-// A route and a tenant may each name regions; where both do, a request is bound to
-// those that both name. A bound request runs on back ends in its regions alone, and its
-// text goes to no daemon outside of them but the one that its caller reached.
+// A route and a tenant may each name regions; where both do, a request is restricted to the
+// intersection. A restricted request runs only on back ends in its regions, and its text is
+// sent to no daemon outside of them except the one that the client is connected to.
 package residency
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// ReasonRegion is why back ends in other regions get nothing of a bound request.
+// ReasonRegion is the reason of Filter.
 const ReasonRegion = "region"
 
-// Regions are those that a request is bound to. Nil means that any region may serve it,
-// and an empty list that none may.
+// Regions are the regions to which a request is restricted. Nil means that any region may
+// serve it, and an empty list that none may.
 type Regions []string
 
-// Bound returns the regions to which a request is bound by those that its route and its
-// tenant name; one that names none allows all.
+// AllowedRegions returns the regions to which a request is restricted by its route and its
+// tenant; an empty argument allows all regions.
 func AllowedRegions(route, tenant []string) Regions {
 	switch {
 	case len(route) == 0 && len(tenant) == 0:
@@ -41,14 +41,14 @@
 	return both
 }
 
-// IsBound tells whether the request is bound to regions.
+// IsRestricted reports whether the request is restricted to regions.
 func (r Regions) IsRestricted() bool { return r != nil }
 
-// IsNowhere tells whether no region at all may serve the request.
+// AllowsNone reports whether no region may serve the request.
 func (r Regions) AllowsNone() bool { return r != nil && len(r) == 0 }
 
-// Filter keeps bound requests from the back ends of other regions. One in a zone that
-// the settings do not name is in no region that anybody knows.
+// Filter rejects back ends outside of the regions to which a request is restricted. A back
+// end in a zone that the settings do not name is in no known region.
 type Filter struct{ Topology zone.Topology }
 
 // Reason implements instance.Filter.
--- a/internal/tcpoption/tcpoption_linux.go
+++ b/internal/tcpoption/tcpoption_linux.go
@@ -1,5 +1,5 @@
-// Package tcpoption sets options of TCP connections that the standard library
-// has no names for.
+// Package tcpoption sets options of TCP connections that the standard library does not
+// support.
 package tcpoption
 
 import (
@@ -9,10 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// LimitUnacknowledged returns a function for net.Dialer.Control that makes the
-// system close a connection whose data stays unacknowledged for a time. Left
-// alone it would send again at ever longer pauses, and a healed cut would go
-// unnoticed for a minute.
+// ControlUserTimeout returns a function for net.Dialer.Control that sets TCP_USER_TIMEOUT:
+// the kernel closes the connection if sent data stays unacknowledged for the limit. By
+// default it retransmits at growing intervals, and takes up to a minute to notice that a
+// partition has healed.
 func ControlUserTimeout(limit time.Duration) func(network, address string, connection syscall.RawConn) error {
 	return func(_, _ string, connection syscall.RawConn) error {
 		var failure error
@@ -27,7 +27,8 @@
 	}
 }
 
-// SetUnacknowledgedLimit changes the limit of an open connection; 0 is the system's own.
+// SetUserTimeout sets TCP_USER_TIMEOUT of an open connection; 0 restores the kernel's
+// default.
 func SetUserTimeout(connection syscall.Conn, limit time.Duration) error {
 	raw, err := connection.SyscallConn()
 	if err != nil {
--- a/internal/tcpoption/tcpoption_other.go
+++ b/internal/tcpoption/tcpoption_other.go
@@ -1,7 +1,7 @@
 //go:build !linux
 
-// Package tcpoption sets options of TCP connections that the standard library
-// has no names for.
+// Package tcpoption sets options of TCP connections that the standard library does not
+// support.
 package tcpoption
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// LimitUnacknowledged does nothing on this system.
+// ControlUserTimeout does nothing on this system.
 func LimitUnacknowledged(time.Duration) func(network, address string, connection syscall.RawConn) error {
 	return nil
 }
 
-// SetUnacknowledgedLimit does nothing on this system.
+// SetUserTimeout does nothing on this system.
 func SetUnacknowledgedLimit(syscall.Conn, time.Duration) error { return nil }
--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -1,25 +1,25 @@
-// Package tokenbucket counts what may be spent at a rate and in bursts. What a token is,
-// a byte or a request, is the caller's matter.
+// Package tokenbucket implements a token bucket. The caller defines what a token stands
+// for, such as a byte or a request.
 package tokenbucket
 
 import "time"
 
-// Bucket fills at a rate up to a capacity. It has no clock, and is not safe for
-// concurrent use.
+// Bucket fills at a rate up to a capacity. It has no clock, and is not safe for concurrent
+// use.
 type Bucket struct {
-	// Rate is in tokens a second, Capacity in tokens.
+	// Rate is in tokens per second, Capacity in tokens.
 	Rate, Capacity float64
-	// Tokens is what was left at At, when it was last brought up to date.
+	// Tokens is the fill level as of UpdatedAt.
 	Tokens    float64
 	UpdatedAt time.Time
 }
 
-// Full returns a full bucket; rate is in tokens a second.
+// NewFull returns a full bucket; rate is in tokens per second.
 func NewFull(rate, capacity float64) Bucket {
 	return Bucket{Rate: rate, Capacity: capacity, Tokens: capacity}
 }
 
-// Refill brings Tokens up to date.
+// Refill updates Tokens to the given time.
 func (b *Bucket) Refill(now time.Time) {
 	if passed := now.Sub(b.UpdatedAt).Seconds(); passed > 0 {
 		b.Tokens = min(b.Tokens+b.Rate*passed, b.Capacity)
@@ -27,7 +27,8 @@
 	}
 }
 
-// Take takes up to so many whole tokens, 0 or more, and returns how many there were.
+// Take removes up to the wanted number of tokens, 0 or more, and returns the whole number
+// of tokens removed.
 func (b *Bucket) Take(now time.Time, wanted int) int {
 	b.Refill(now)
 	taken := min(float64(wanted), b.Tokens)
@@ -35,7 +36,7 @@
 	return int(taken)
 }
 
-// TimeToFill is how long the bucket takes for so many tokens; Rate must be above 0.
+// TimeToFill returns how long the bucket takes to gain the tokens; Rate must be above 0.
 func (b *Bucket) TimeToFill(tokens float64) time.Duration {
 	return time.Duration(tokens / b.Rate * float64(time.Second))
 }
--- a/internal/warmup/fleet_test.go
+++ b/internal/warmup/fleet_test.go
@@ -38,40 +38,40 @@
 	return &instance.Instance{ID: id, Service: "s", Zone: "z", HasColdFor: true, ColdFor: time.Hour, ReceivedAt: testStart}
 }
 
-// machine is a machine of the fleet, with the daemon that runs on it, if one does.
+// machine is a host of the fleet, and the daemon on it if one runs.
 type machine struct {
-	address     string
-	limiter     *Limiter
-	startedAt   time.Time
-	frozenUntil time.Time
-	cutUntil    time.Time
-	// read is the number of the last change that it has read of.
+	address          string
+	limiter          *Limiter
+	startedAt        time.Time
+	frozenUntil      time.Time
+	partitionedUntil time.Time
+	// read is the number of registry changes that the daemon has read.
 	read int
-	// pending are requests that were chosen and are not sent yet.
+	// pending are requests whose instance was chosen and that are not sent yet.
 	pending []pendingRequest
 }
 
 type pendingRequest struct{ due, sendBy time.Time }
 
-// fleet is a record of daemons in a store, and machines that read it each for itself.
+// fleet is a registry of daemons and the machines that read it, each independently.
 type fleet struct {
-	random   *rand.Rand
-	onRecord map[string]bool
-	// changes counts those of the record.
+	random     *rand.Rand
+	registered map[string]bool
+	// changes counts the changes of the registry.
 	changes  int
 	machines []*machine
 	sent     []time.Time
 }
 
 func newFleet(seed uint64, size int) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), onRecord: map[string]bool{}}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), registered: map[string]bool{}}
 	for i := range size {
 		f.machines = append(f.machines, &machine{address: fmt.Sprint("machine-", i)})
 	}
 	return f
 }
 
-func (f *fleet) upTo(longest time.Duration) time.Duration {
+func (f *fleet) randomDuration(longest time.Duration) time.Duration {
 	return time.Duration(f.random.Int64N(int64(longest)))
 }
 
@@ -85,8 +85,8 @@
 }
 
 func (f *fleet) write(m *machine, present bool) {
-	if f.onRecord[m.address] != present {
-		f.onRecord[m.address] = present
+	if f.registered[m.address] != present {
+		f.registered[m.address] = present
 		f.changes++
 	}
 }
@@ -94,7 +94,7 @@
 func (f *fleet) read(m *machine, now time.Time) {
 	m.read = f.changes
 	var addresses []string
-	for address, present := range f.onRecord {
+	for address, present := range f.registered {
 		if present {
 			addresses = append(addresses, address)
 		}
@@ -103,7 +103,7 @@
 	m.limiter.ConfirmDaemons(now, now)
 }
 
-// step lets a machine do what it does in testStep, with a caller at any moment.
+// step simulates one testStep of a machine whose clients always have a request.
 func (f *fleet) step(m *machine, cold *instance.Instance, now time.Time) {
 	if m.limiter == nil || now.Before(m.frozenUntil) {
 		return
@@ -117,17 +117,17 @@
 		}
 		return true
 	})
-	if !now.Before(m.cutUntil) {
+	if !now.Before(m.partitionedUntil) {
 		if now.Sub(m.startedAt) > 200*time.Millisecond {
 			f.write(m, true)
 		}
-		asked := false
+		requested := false
 		select {
 		case <-m.limiter.RefreshRequests():
-			asked = true
+			requested = true
 		default:
 		}
-		if asked || (m.read != f.changes && f.random.IntN(20) == 0) { // it hears of changes late
+		if requested || (m.read != f.changes && f.random.IntN(20) == 0) { // changes are read with a delay
 			f.read(m, now)
 		}
 	}
@@ -135,24 +135,25 @@
 		return
 	}
 	if sendBy, reserved := m.limiter.Reserve(cold, now); reserved {
-		m.pending = append(m.pending, pendingRequest{due: now.Add(f.upTo(600 * time.Millisecond)), sendBy: sendBy})
+		m.pending = append(m.pending, pendingRequest{due: now.Add(f.randomDuration(600 * time.Millisecond)), sendBy: sendBy})
 	}
 }
 
-func (f *fleet) run(from, to time.Duration, cold *instance.Instance, trouble func(m *machine, now time.Time)) {
+func (f *fleet) run(from, to time.Duration, cold *instance.Instance, fault func(m *machine, now time.Time)) {
 	for at := from; at < to; at += testStep {
 		now := testStart.Add(at)
 		for _, m := range f.machines {
-			if trouble != nil {
-				trouble(m, now)
+			if fault != nil {
+				fault(m, now)
 			}
 			f.step(m, cold, now)
 		}
 	}
 }
 
-// most returns the most that were sent within one second, both ends included.
-func (f *fleet) most() int {
+// maxPerSecond returns the maximum number of requests sent within any second, both ends
+// included.
+func (f *fleet) maxPerSecond() int {
 	slices.SortFunc(f.sent, time.Time.Compare)
 	most, first := 0, 0
 	for last, at := range f.sent {
@@ -164,15 +165,15 @@
 	return most
 }
 
-// TestColdInstanceGetsNoMoreThanItBears: whatever becomes of machines and of what they
-// read, no second brings a cold instance more than its rate from all of them.
-func TestColdInstanceGetsNoMoreThanItBears(t *testing.T) {
+// Whatever happens to the machines and their reads, in no second may all daemons together
+// send a cold instance more than its rate.
+func TestRateOfAColdInstanceIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 110).Draw(t, "machines"))
-		each := rapid.IntRange(50, 3000).Draw(t, "steps between troubles of a machine")
-		together := rapid.IntRange(0, 20000).Draw(t, "ms at which many troubles come")
+		each := rapid.IntRange(50, 3000).Draw(t, "steps between faults of a machine")
+		together := rapid.IntRange(0, 20000).Draw(t, "ms at which many faults occur")
 		for _, m := range f.machines {
-			f.start(m, testStart.Add(f.upTo(time.Second)))
+			f.start(m, testStart.Add(f.randomDuration(time.Second)))
 		}
 		f.run(0, 25*time.Second, coldInstance("i"), func(m *machine, now time.Time) {
 			isTogether := now.Sub(testStart).Truncate(testStep) == (time.Duration(together) * time.Millisecond).Truncate(testStep)
@@ -181,28 +182,27 @@
 			}
 			switch f.random.IntN(5) {
 			case 0:
-				f.start(m, now) // killed, and started at once
+				f.start(m, now) // killed and restarted at once
 			case 1:
 				f.withdraw(m)
 			case 2:
-				m.frozenUntil = now.Add(f.upTo(8 * time.Second))
+				m.frozenUntil = now.Add(f.randomDuration(8 * time.Second))
 			case 3:
-				m.cutUntil = now.Add(f.upTo(12 * time.Second))
+				m.partitionedUntil = now.Add(f.randomDuration(12 * time.Second))
 			case 4:
 				if m.limiter == nil {
 					f.start(m, now)
 				}
 			}
 		})
-		if most := f.most(); most > testRate {
+		if most := f.maxPerSecond(); most > testRate {
 			t.Fatalf("%d requests in a second, want %d at most", most, testRate)
 		}
 	})
 }
 
-// TestColdInstanceIsFilledAsFastAsItBears: the bound is made use of, by any number of
-// daemons.
-func TestColdInstanceIsFilledAsFastAsItBears(t *testing.T) {
+// Fleets of any size must make use of most of the rate.
+func TestRateOfAColdInstanceIsUsed(t *testing.T) {
 	for _, size := range []int{1, 5, 20, 30, 74, 300} {
 		f := newFleet(7, size)
 		for _, m := range f.machines {
@@ -217,14 +217,14 @@
 		}
 		windows := float64(20*time.Second) / float64(window)
 		if share := float64(got) / (windows * testRate); share < 0.7 {
-			t.Errorf("%d daemons send %.2f of what a cold instance bears", size, share)
+			t.Errorf("%d daemons use %.2f of the rate of a cold instance, want 0.7 at least", size, share)
 		}
 	}
 }
 
-// TestWokenDaemonSendsNothingItSavedUp: neither what it chose before it stood still nor
-// what it would have sent meanwhile.
-func TestWokenDaemonSendsNothingItSavedUp(t *testing.T) {
+// A daemon that resumes after a pause must send neither requests chosen before it nor a
+// backlog.
+func TestResumedDaemonSendsNoBacklog(t *testing.T) {
 	f := newFleet(3, 1)
 	m := f.machines[0]
 	f.start(m, testStart)
@@ -232,35 +232,34 @@
 	f.run(0, 10*time.Second, cold, nil)
 	m.frozenUntil = testStart.Add(15 * time.Second)
 	if len(m.pending) == 0 {
-		t.Fatal("nothing was under way")
+		t.Fatal("no request was pending")
 	}
 	f.sent = nil
 	f.run(15*time.Second, 15*time.Second+testStep, cold, nil)
 	if len(f.sent) > 0 {
-		t.Errorf("%d requests were sent as it woke", len(f.sent))
+		t.Errorf("%d requests were sent when it resumed", len(f.sent))
 	}
 	f.run(15*time.Second+testStep, 20*time.Second, cold, nil)
-	if most := f.most(); most == 0 || most > testRate {
-		t.Errorf("%d requests in a second after it woke, want some, and %d at most", most, testRate)
+	if most := f.maxPerSecond(); most == 0 || most > testRate {
+		t.Errorf("%d requests in a second after it resumed, want some, and %d at most", most, testRate)
 	}
 }
 
-// TestDaemonsThatStartTogetherWaitForEachOther: the first to read finds nobody but itself
-// on record.
-func TestDaemonsThatStartTogetherWaitForEachOther(t *testing.T) {
+// The first daemon to read the registry finds only itself there.
+func TestDaemonsThatStartTogetherCountEachOther(t *testing.T) {
 	f := newFleet(5, 100)
 	for _, m := range f.machines {
 		f.start(m, testStart)
 	}
 	f.run(0, 12*time.Second, coldInstance("i"), nil)
-	if most := f.most(); most == 0 || most > testRate {
+	if most := f.maxPerSecond(); most == 0 || most > testRate {
 		t.Errorf("%d requests in a second, want some, and %d at most", most, testRate)
 	}
 }
 
-// TestDaemonsThatReadNothingLeaveColdInstancesToOthers: daemons that were cut off know
-// nothing of those that came meanwhile, and would send their old shares besides these.
-func TestDaemonsThatReadNothingLeaveColdInstancesToOthers(t *testing.T) {
+// Partitioned daemons do not know those that joined meanwhile, and must not use their
+// former shares in addition to these.
+func TestPartitionedDaemonsSendNothingToColdInstances(t *testing.T) {
 	f := newFleet(11, 200)
 	joined := testStart.Add(10 * time.Second)
 	for i, m := range f.machines {
@@ -272,44 +271,44 @@
 		switch {
 		case !now.Equal(joined):
 		case m.limiter != nil:
-			m.cutUntil = now.Add(time.Hour)
+			m.partitionedUntil = now.Add(time.Hour)
 		default:
 			f.start(m, now)
 		}
 	})
-	if most := f.most(); most == 0 || most > testRate {
+	if most := f.maxPerSecond(); most == 0 || most > testRate {
 		t.Errorf("%d requests in a second, want some, and %d at most", most, testRate)
 	}
 }
 
-// TestShareOfOneThatLeftIsTakenOverLater: it may have used its share just before.
-func TestShareOfOneThatLeftIsTakenOverLater(t *testing.T) {
+// A removed daemon may have used its share just before.
+func TestShareOfARemovedDaemonIsReassignedLater(t *testing.T) {
 	first, second := newTestLimiter("a"), newTestLimiter("b")
 	now := testStart
-	tell := func(addresses ...string) {
+	setDaemons := func(addresses ...string) {
 		for _, l := range []*Limiter{first, second} {
 			l.SetDaemons(addresses, now)
 			l.ConfirmDaemons(now, now)
 		}
 	}
-	tell("a", "b")
-	now = now.Add(countedAfter)
-	tell("a", "b")
-	spend := func(l *Limiter) (count int) {
+	setDaemons("a", "b")
+	now = now.Add(membershipDelay)
+	setDaemons("a", "b")
+	useShare := func(l *Limiter) (count int) {
 		for _, reserved := l.Reserve(coldInstance("i"), now); reserved; _, reserved = l.Reserve(coldInstance("i"), now) {
 			count++
 		}
 		return count
 	}
-	before := spend(first)
+	before := useShare(first)
 	now = now.Add(100 * time.Millisecond)
-	tell("b")
-	if after := spend(second); before == 0 || before+after > testRate {
-		t.Errorf("one sent %d and left, the other sent %d, want %d at most", before, after, testRate)
+	setDaemons("b")
+	if after := useShare(second); before == 0 || before+after > testRate {
+		t.Errorf("the removed daemon sent %d, the other %d, want %d at most", before, after, testRate)
 	}
-	now = now.Add(countedAfter + time.Second)
-	tell("b")
-	if later := spend(second); later != testRate {
-		t.Errorf("the last one sends %d, want %d", later, testRate)
+	now = now.Add(membershipDelay + time.Second)
+	setDaemons("b")
+	if later := useShare(second); later != testRate {
+		t.Errorf("the remaining daemon sends %d, want %d", later, testRate)
 	}
 }
--- a/internal/warmup/limiter.go
+++ b/internal/warmup/limiter.go
@@ -1,23 +1,23 @@
-// Package warmup limits the rate of requests that the whole fleet sends to a cold
-// instance: one that has just started, or lost its caches, fails at a rate that it serves
-// with ease once it is warm.
+// Package warmup limits the rate of requests that the whole fleet sends to a cold instance.
+// An instance that has just started or lost its caches fails at a rate that it serves with
+// ease once it is warm.
 //
 // Each daemon decides by itself, without messages. For each cold instance some of the
-// daemons on record in the store are chosen by rendezvous hashing. Each of these sends it
-// at most a fixed share; all others pass it over while it is cold. The bound rests on three
-// rules, for daemons that are cut off, frozen, killed or just started alike:
+// daemons in the store's registry are chosen by rendezvous hashing. Each of these sends it
+// at most a fixed share; all others skip it while it is cold. The limit also holds for
+// daemons that are partitioned, paused, killed or just started, by three rules:
 //
-//   - A daemon sends only on a reading of the record that is at most freshFor old, and
-//     only if it has found itself there for countedAfter. So all who send within one second
-//     have read of each other, and rank each other alike: no more than there are seats
-//     count themselves in, and those that know more daemons take smaller shares.
-//   - A share is counted in the times of the last requests, over a window that is longer
-//     than a second by permitLife: nothing is saved up, and windows may slide.
-//   - A request that is not sent within permitLife of its choice is not sent on it: a
-//     daemon that stood still chooses anew.
+//   - A daemon sends only if its read of the registry is at most maxRosterAge old and it
+//     has found itself there for membershipDelay. So all daemons that send within one
+//     second know of each other and rank each other alike: their shares add up to at
+//     most the rate, and those that know more daemons take smaller shares.
+//   - A share is counted by the times of the last requests, over a sliding window that is
+//     longer than a second by permitTTL. Unused shares do not accumulate.
+//   - A request that is not sent within permitTTL of the choice of its instance is not
+//     sent there: a daemon that was paused chooses again.
 //
-// What daemons send that have yet to hear that an instance became cold is not bounded
-// here: they learn it from its entry, which is some 2 s old at most.
+// Requests from daemons that do not know yet that an instance became cold are not limited
+// here: they learn it from its entry, which is about 2 s old at most.
 package warmup
 
 import (
@@ -33,59 +33,59 @@
 )
 
 const (
-	// maxEntryAge is how old an instance's entry may be when it is read: entries
-	// are written every 1.2 s at least, and read twice a second.
+	// maxEntryAge is the maximum age of an instance's entry when it is read: entries are
+	// written at least every 1.2 s, and read twice a second.
 	maxEntryAge = 2 * time.Second
-	// unboundedCost is what counts against a cold instance of a service without a rate
-	// limit, in requests of its load: it is slow. With a rate limit nothing more counts
-	// against it: each daemon knows its own load only, which in a large fleet is less than
-	// one request at most instances, so that none would send any to a zone that came back.
-	unboundedCost = 1.0
-	// refreshPause is the least time between requests to read the record early.
-	refreshPause = 300 * time.Millisecond
-	// maxShares is the number of shares kept from which on unused ones are dropped; it
-	// is above the number of instances of a service that can be cold at once.
+	// coldCost is the cost of a cold instance of a service without a rate limit, in
+	// requests in flight, as the instance is slow. With a rate limit nothing is added: each
+	// daemon knows only its own load, which in a large fleet is below one request at most
+	// instances, so that no daemon would send any to a zone that returned.
+	coldCost = 1.0
+	// minRefreshInterval is the minimum time between triggered reads of the registry.
+	minRefreshInterval = 300 * time.Millisecond
+	// maxShares is the number of shares from which on unused ones are dropped; it exceeds
+	// the number of instances of a service that can be cold at once.
 	maxShares = 2048
 )
 
-// Returns tells when evacuated zones were taken back; zone.Evacuations is one.
+// ZoneReturns tells when the evacuations of zones ended. zone.Evacuations implements it.
 type ZoneReturns interface {
-	// ReturnedAt returns when that was last heard of a zone, false if it was not. It must
-	// not block.
+	// ReturnedAt returns when a zone's evacuation was last known to end; false if none is
+	// remembered. It must not block.
 	ReturnedAt(zone string) (time.Time, bool)
 }
 
-// Options are what a Limiter works with.
+// Options holds the configuration and dependencies of a Limiter.
 type Options struct {
 	Tolerance Tolerance
-	// Own is the address under which this daemon is on record.
+	// OwnAddress is the address of this daemon in the registry.
 	OwnAddress string
-	// Returns may be nil: then no zone is ever evacuated.
+	// ZoneReturns may be nil if no zone is ever evacuated.
 	ZoneReturns ZoneReturns
 	Logger      zerolog.Logger
 	// Metrics may be nil.
 	Metrics *Metrics
 }
 
-// Limiter decides whether this daemon may send a cold instance a request. It is a
+// Limiter decides whether this daemon may send a request to a cold instance. It is a
 // plug-in of instance.Pool, and safe for concurrent use.
 type Limiter struct {
 	options Options
-	// limits are those of the services that have one; nil if none has.
+	// limits holds the limits by service, only of services that have one; nil if none has.
 	limits atomic.Pointer[map[string]limit]
-	// hurry asks for the record to be read at once.
-	hurry *clock.PacedSignal
+	// refresh triggers an immediate read of the registry.
+	refresh *clock.PacedSignal
 
 	mutex  sync.Mutex
 	roster *roster
 	shares map[string]*share
 }
 
-// NewLimiter returns a limiter that knows no services and no daemons yet.
+// NewLimiter returns a limiter without services and daemons.
 func NewLimiter(options Options) *Limiter {
 	return &Limiter{
 		options: options,
-		hurry:   clock.NewPacedSignal(refreshPause),
+		refresh: clock.NewPacedSignal(minRefreshInterval),
 		roster:  newRoster(options.OwnAddress),
 		shares:  map[string]*share{},
 	}
@@ -101,27 +101,28 @@
 	l.limits.Store(&limits)
 }
 
-// SetDaemons replaces the addresses of the daemons on record.
+// SetDaemons replaces the registered daemons' addresses.
 func (l *Limiter) SetDaemons(addresses []string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.roster.take(addresses, now)
+	l.roster.update(addresses, now)
 }
 
-// ConfirmDaemons takes note that the addresses set last were the newest as of a time.
+// ConfirmDaemons records that the addresses set last were current as of the given time.
 func (l *Limiter) ConfirmDaemons(asOf, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.roster.confirm(asOf, now)
 }
 
-// Hurry returns a channel that asks for the record to be read at once.
-func (l *Limiter) RefreshRequests() <-chan struct{} { return l.hurry.Asked() }
+// RefreshRequests returns a channel that requests an immediate read of the registry.
+func (l *Limiter) RefreshRequests() <-chan struct{} { return l.refresh.Asked() }
 
 // Reason implements instance.Filter.
 func (l *Limiter) Reason() string { return "cold" }
 
-// IsTemporary implements instance.TemporaryFilter: an instance is cold for some seconds.
+// IsTemporary implements instance.TemporaryFilter: an instance is cold for some seconds
+// only.
 func (l *Limiter) IsTemporary() {}
 
 // Admits implements instance.Filter.
@@ -154,7 +155,7 @@
 		return time.Time{}, false
 	}
 	s.sentAt = append(s.sentAt, now)
-	return now.Add(permitLife), true
+	return now.Add(permitTTL), true
 }
 
 // Cost implements instance.Scorer.
@@ -167,10 +168,10 @@
 			return 0
 		}
 	}
-	return unboundedCost / float64(max(candidate.Slots, 1))
+	return coldCost / float64(max(candidate.Slots, 1))
 }
 
-// limitIfCold returns the limit of an instance and until when it applies, and false if the
+// limitIfCold returns the limit of an instance and until when it applies; false if the
 // instance is not cold or its service has no limit.
 func (l *Limiter) limitIfCold(candidate *instance.Instance, now time.Time) (limit, time.Time, bool) {
 	limits := l.limits.Load()
@@ -185,11 +186,12 @@
 	return bound, until, now.Before(until)
 }
 
-// coldUntil is until when an instance is taken to be cold: until when its entry says so,
-// or, if that says nothing, for the service's cold start from when the instance was first
-// heard of. An instance in a zone that was taken back may have become cold after its entry
-// was written: until one is read that cannot be older than the zone's return, it is also
-// taken to be cold for the service's cold start from then on.
+// coldUntil returns the time until which an instance is considered cold: as its entry
+// reports, or, if it reports nothing, for the service's cold start from when the instance
+// was first seen. An instance in a zone whose evacuation ended may have become cold after
+// its entry was written. Until an entry is read that cannot be older than the zone's
+// return, the instance is also considered cold for the service's cold start from the
+// return.
 func (l *Limiter) coldUntil(candidate *instance.Instance, bound limit) time.Time {
 	var until time.Time
 	if candidate.HasColdFor {
@@ -210,7 +212,7 @@
 	return until
 }
 
-// decide tells whether a share has a request left now, or why not.
+// decide returns outcomeTaken if the share permits a request now, else the reason why not.
 func (l *Limiter) decide(s *share, now time.Time) string {
 	switch {
 	case s.allowed == 0:
@@ -221,17 +223,17 @@
 		return outcomeSpent
 	}
 	age := l.roster.age(now)
-	if age > renewAfter {
-		l.hurry.Ask(now)
+	if age > refreshAge {
+		l.refresh.Ask(now)
 	}
-	if age > freshFor {
+	if age > maxRosterAge {
 		return outcomeUnconfirmed
 	}
 	return outcomeTaken
 }
 
-// shareOf returns this daemon's share of a cold instance, for the roster and rate in
-// force. It logs when an instance becomes cold.
+// shareOf returns this daemon's share of a cold instance for the current roster and rate.
+// It logs when an instance becomes cold.
 func (l *Limiter) shareOf(candidate *instance.Instance, bound limit, until, now time.Time) *share {
 	s := l.shares[candidate.ID]
 	if s == nil {
@@ -250,8 +252,8 @@
 	return s
 }
 
-// dropUnusedShares makes room for another share. A share without requests in the last
-// window is the same as a new one.
+// dropUnusedShares removes unused shares once there are maxShares. A share without requests
+// in the last window equals a new one.
 func (l *Limiter) dropUnusedShares(now time.Time) {
 	if len(l.shares) < maxShares {
 		return
@@ -268,7 +270,7 @@
 		Dur("for", until.Sub(now)).Dur("entry_age", now.Sub(candidate.ReceivedAt)).
 		Int("per_second", s.rate).Int("share", s.allowed).Int("daemons", len(l.roster.others)+1).
 		Dur("record_age", min(l.roster.age(now), time.Hour)).Bool("counted", l.roster.isCounted(now)).
-		Msg("Back end is cold. It is sent this daemon's share alone.")
+		Msg("Back end is cold. Its request rate is limited.")
 }
 
 var (
--- a/internal/warmup/limiter_test.go
+++ b/internal/warmup/limiter_test.go
@@ -11,20 +11,19 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// zoneReturns are zones that were given back.
+// zoneReturns holds when the evacuations of zones ended.
 type zoneReturns map[string]time.Time
 
-// ReturnedAt implements Returns.
+// ReturnedAt implements ZoneReturns.
 func (z zoneReturns) ReturnedAt(zone string) (time.Time, bool) {
 	at, returned := z[zone]
 	return at, returned
 }
 
-// TestWhatCountsAsCold: the instance's own word, as old as it may be.
-func TestWhatCountsAsCold(t *testing.T) {
+func TestColdUntil(t *testing.T) {
 	at := func(seconds float64) time.Time { return testStart.Add(time.Duration(seconds * float64(time.Second))) }
 	returns := zoneReturns{"returned": at(10)}
-	tells := func(zone string, heard, coldFor float64) instance.Instance {
+	reported := func(zone string, heard, coldFor float64) instance.Instance {
 		return instance.Instance{
 			Service: "s", Zone: zone, HasColdFor: true, ReceivedAt: at(heard), FirstSeenAt: at(0),
 			ColdFor: time.Duration(coldFor * float64(time.Second)),
@@ -32,17 +31,17 @@
 	}
 	for name, test := range map[string]struct {
 		instance instance.Instance
-		from, to float64 // cold in between, seconds; equal: never
+		from, to float64 // the instance is cold in between, in seconds; never if they are equal
 	}{
-		"it says so":                             {tells("z", 1, 2), 1, 3},
-		"it says that it is warm":                {tells("z", 1, 0), 0, 0},
-		"it says nothing and is new":             {instance.Instance{Service: "s", FirstSeenAt: at(1), ReceivedAt: at(1)}, 1, 4},
-		"it says nothing and was there":          {instance.Instance{Service: "s", ReceivedAt: at(1)}, 0, 0},
-		"its service has no limit":               {instance.Instance{Service: "t", HasColdFor: true, ReceivedAt: at(0), ColdFor: time.Hour}, 0, 0},
-		"its zone returned after its word":       {tells("returned", 9, 0), 10, 13},
-		"its word may be from before the return": {tells("returned", 11.9, 0), 11.9, 13},
-		"its word is newer than the return":      {tells("returned", 12, 0), 0, 0},
-		"its word is longer than the return":     {tells("returned", 9, 5), 10, 14},
+		"reports cold":                               {reported("z", 1, 2), 1, 3},
+		"reports warm":                               {reported("z", 1, 0), 0, 0},
+		"reports nothing, new":                       {instance.Instance{Service: "s", FirstSeenAt: at(1), ReceivedAt: at(1)}, 1, 4},
+		"reports nothing, listed at the start":       {instance.Instance{Service: "s", ReceivedAt: at(1)}, 0, 0},
+		"service without a limit":                    {instance.Instance{Service: "t", HasColdFor: true, ReceivedAt: at(0), ColdFor: time.Hour}, 0, 0},
+		"entry before the return of the zone":        {reported("returned", 9, 0), 10, 13},
+		"entry possibly before the return":           {reported("returned", 11.9, 0), 11.9, 13},
+		"entry after the return":                     {reported("returned", 12, 0), 0, 0},
+		"reported cold time ends after the return's": {reported("returned", 9, 5), 10, 14},
 	} {
 		l := newTestLimiter("a")
 		l.options.ZoneReturns = returns
@@ -59,14 +58,15 @@
 	}
 }
 
-func pluggedIn(l *Limiter) instance.Plugins {
+func pluginsOf(l *Limiter) instance.Plugins {
 	return instance.Plugins{
 		Filters: []instance.Filter{l}, Scorers: []instance.Scorer{l}, Reservers: []instance.Reserver{l},
 	}
 }
 
-// limitedPools returns the pools of daemons that know each other for long.
-func limitedPools(count int, plugIn bool) []*instance.Pool {
+// newLimitedPools returns the pools of daemons that have been registered for
+// membershipDelay.
+func newLimitedPools(count int, plugIn bool) []*instance.Pool {
 	var pools []*instance.Pool
 	var limiters []*Limiter
 	var addresses []string
@@ -75,7 +75,7 @@
 		limiter := newTestLimiter(address)
 		var plugins instance.Plugins
 		if plugIn {
-			plugins = pluggedIn(limiter)
+			plugins = pluginsOf(limiter)
 		}
 		addresses = append(addresses, address)
 		limiters = append(limiters, limiter)
@@ -84,15 +84,15 @@
 	for _, limiter := range limiters {
 		limiter.SetDaemons(addresses, time.Now())
 	}
-	time.Sleep(countedAfter)
+	time.Sleep(membershipDelay)
 	for _, limiter := range limiters {
 		limiter.ConfirmDaemons(time.Now(), time.Now())
 	}
 	return pools
 }
 
-// engines lists instances, the first of which are cold for so long.
-func engines(count, cold int, coldFor time.Duration) []instance.Instance {
+// newInstances returns instances, the first of which report to be cold for coldFor.
+func newInstances(count, cold int, coldFor time.Duration) []instance.Instance {
 	var list []instance.Instance
 	for i := range count {
 		listed := instance.Instance{
@@ -107,17 +107,17 @@
 	return list
 }
 
-// playReturn lets 74 daemons have 44 instances, of which a quarter came back cold, for
-// one and a half seconds, in which each daemon begins a request each so often. It returns
-// the requests of each cold instance, the most of them in any second, and how many found
-// no instance.
-func playReturn(plugIn bool, cold int, each time.Duration) (counts []int, most, unserved int) {
+// simulateReturn runs 74 daemons and 44 instances for one and a half seconds; the first
+// instances are cold. Each daemon starts a request after every interval. It returns the
+// number of requests of each cold instance, the maximum of these in any second, and the
+// number of requests for which no instance was found.
+func simulateReturn(plugIn bool, cold int, interval time.Duration) (counts []int, maxPerSecond, unserved int) {
 	const lasts = 1500 * time.Millisecond
-	pools := limitedPools(74, plugIn)
+	pools := newLimitedPools(74, plugIn)
 	sent := map[string][]time.Time{}
 	began := time.Now()
 	for _, pool := range pools {
-		pool.Replace(engines(44, cold, lasts))
+		pool.Replace(newInstances(44, cold, lasts))
 	}
 	for time.Since(began) < lasts {
 		for _, pool := range pools {
@@ -129,21 +129,21 @@
 			sent[taken.ID] = append(sent[taken.ID], time.Now())
 			time.AfterFunc(300*time.Millisecond, func() { pool.Release(taken.ID, instance.OutcomeAnswered) })
 		}
-		time.Sleep(each)
+		time.Sleep(interval)
 	}
 	for i := range cold {
 		f := &fleet{sent: sent[fmt.Sprint("engine-", i)]}
 		counts = append(counts, len(f.sent))
-		most = max(most, f.most())
+		maxPerSecond = max(maxPerSecond, f.maxPerSecond())
 	}
-	return counts, most, unserved
+	return counts, maxPerSecond, unserved
 }
 
-// TestZoneThatReturnsColdIsFilledEvenly: by a herd of daemons, while callers of all are
-// served by the instances that are warm.
-func TestZoneThatReturnsColdIsFilledEvenly(t *testing.T) {
+// Many daemons fill the cold instances evenly, and all requests are served, by the warm
+// ones if need be.
+func TestReturnedColdZoneIsFilledEvenly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		counts, most, unserved := playReturn(true, 11, 10*time.Millisecond)
+		counts, most, unserved := simulateReturn(true, 11, 10*time.Millisecond)
 		if most > testRate {
 			t.Errorf("%d requests in a second for one cold instance, want %d at most", most, testRate)
 		}
@@ -159,11 +159,10 @@
 	})
 }
 
-// TestColdFleetIsFilledAsFastAsItBears: with no instance warm, what is more than they all
-// bear finds none.
-func TestColdFleetIsFilledAsFastAsItBears(t *testing.T) {
+// With no warm instance, requests beyond the limit find none.
+func TestColdFleetReceivesItsFullRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		counts, most, unserved := playReturn(true, 44, 10*time.Millisecond)
+		counts, most, unserved := simulateReturn(true, 44, 10*time.Millisecond)
 		total := 0
 		for _, count := range counts {
 			total += count
@@ -174,11 +173,10 @@
 	})
 }
 
-// TestServiceOfColdInstancesIsFullNotGone tells the two apart in the census.
-func TestServiceOfColdInstancesIsFullNotGone(t *testing.T) {
+func TestColdInstancesAreTemporarilyFiltered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pool := limitedPools(1, true)[0]
-		pool.Replace(engines(1, 1, time.Hour))
+		pool := newLimitedPools(1, true)[0]
+		pool.Replace(newInstances(1, 1, time.Hour))
 		for found := true; found; {
 			_, found = pool.Take(instance.Query{Service: "s"})
 		}
@@ -188,11 +186,11 @@
 	})
 }
 
-// TestEntryThatRisesMakesAnInstanceColdAgain: and one that is heard again is as old as
-// when it was heard first.
-func TestEntryThatRisesMakesAnInstanceColdAgain(t *testing.T) {
+// An instance that becomes cold again is limited until the reported time is over; reading
+// the same entry again must not extend it.
+func TestNewerEntryMakesAnInstanceColdAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pool := limitedPools(100, true)[0]
+		pool := newLimitedPools(100, true)[0]
 		takesAll := func() bool {
 			for range 2 * testRate {
 				if _, found := pool.Take(instance.Query{Service: "s"}); !found {
@@ -201,21 +199,21 @@
 			}
 			return true
 		}
-		list := engines(1, 0, 0)
+		list := newInstances(1, 0, 0)
 		pool.Replace(list)
 		if !takesAll() {
-			t.Error("a warm instance is held back")
+			t.Error("a warm instance is limited")
 		}
 		list[0].Sequence, list[0].ColdFor = 2, 2*time.Second
 		pool.Replace(list)
 		if takesAll() {
-			t.Error("a cold instance gets all")
+			t.Error("a cold instance is not limited")
 		}
 		time.Sleep(1500 * time.Millisecond)
 		pool.Replace(list)
 		time.Sleep(time.Second)
 		if !takesAll() {
-			t.Error("it is held back for longer than it said")
+			t.Error("the instance is limited for longer than it reported")
 		}
 	})
 }
@@ -227,14 +225,14 @@
 	}
 	limiter := newTestLimiter(addresses[0])
 	limiter.SetServices(services)
-	limiter.SetDaemons(addresses, time.Now().Add(-countedAfter))
+	limiter.SetDaemons(addresses, time.Now().Add(-membershipDelay))
 	limiter.ConfirmDaemons(time.Now().Add(time.Hour), time.Now())
 	var plugins instance.Plugins
 	if plugIn {
-		plugins = pluggedIn(limiter)
+		plugins = pluginsOf(limiter)
 	}
 	pool := instance.NewPool(rand.New(rand.NewPCG(1, 1)), plugins)
-	pool.Replace(engines(50, cold, time.Hour))
+	pool.Replace(newInstances(50, cold, time.Hour))
 	b.ReportAllocs()
 	for b.Loop() {
 		if taken, found := pool.Take(instance.Query{Service: "s"}); found {
@@ -252,14 +250,14 @@
 	b.Run("all cold", func(b *testing.B) { benchmarkTake(b, testServices, true, 50) })
 }
 
-// BenchmarkShare is what each cold instance costs once after a change of the record.
+// BenchmarkShare measures the cost of each cold instance after a change of the registry.
 func BenchmarkShare(b *testing.B) {
 	r := newRoster("machine-0")
 	var addresses []string
 	for i := range 300 {
 		addresses = append(addresses, fmt.Sprint("machine-", i))
 	}
-	r.take(addresses, time.Now())
+	r.update(addresses, time.Now())
 	instances := uint64(0)
 	for b.Loop() {
 		instances++
--- a/internal/warmup/metrics.go
+++ b/internal/warmup/metrics.go
@@ -2,20 +2,20 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// What became of a cold instance when one was chosen for a request.
+// Outcomes for a cold instance in the choice for a request, as values of a metric's label.
 const (
 	outcomeTaken = "taken"
-	// outcomeOthers: other daemons send it requests.
+	// outcomeOthers: only other daemons send requests to the instance.
 	outcomeOthers = "others_share"
-	// outcomeSpent: this daemon's share of the last window is used up.
+	// outcomeSpent: this daemon's share for the window is used up.
 	outcomeSpent = "share_spent"
-	// outcomeUnconfirmed: which daemons there are was not read lately.
+	// outcomeUnconfirmed: the registry of daemons was not read lately.
 	outcomeUnconfirmed = "roster_unconfirmed"
-	// outcomeNew: this daemon is on record for too short a time.
+	// outcomeNew: this daemon has not been registered for long enough.
 	outcomeNew = "daemon_new"
 )
 
-// Metrics counts what became of cold instances. A nil one counts nothing.
+// Metrics counts the outcomes for cold instances. A nil Metrics counts nothing.
 type Metrics struct{ considered map[string]prometheus.Counter }
 
 // NewMetrics registers the metrics.
--- a/internal/warmup/roster.go
+++ b/internal/warmup/roster.go
@@ -7,55 +7,56 @@
 )
 
 const (
-	// permitLife is how long a request may take from its choice to its first byte; one
-	// that takes longer is chosen anew. A connection takes 400 ms at most.
-	permitLife = 500 * time.Millisecond
-	// window is the time in which a daemon sends a cold instance no more than its
-	// share: any second of sendings was chosen within it.
-	window = time.Second + permitLife
-	// freshFor is how old a daemon's reading of the record may be for it to send a cold
-	// instance anything: time for two early readings, each with refreshPause and a slow
-	// answer.
-	freshFor = 3 * time.Second
-	// renewAfter is the age from which a request makes the record be read again.
-	renewAfter = freshFor / 2
-	// countedAfter is how long a daemon must have been on the record until it sends, and
-	// for how long the others count one that is missing there. It is above freshFor +
-	// permitLife + 1 s, so that all who send within one second count each other.
-	countedAfter = 5 * time.Second
+	// permitTTL is how long a request may take from the choice of its instance to its first
+	// byte; after that another choice is made. Connecting takes 400 ms at most.
+	permitTTL = 500 * time.Millisecond
+	// window is the time in which a daemon sends a cold instance at most its share. It is
+	// longer than a second by permitTTL, so that requests sent within any one second were
+	// all chosen within one window.
+	window = time.Second + permitTTL
+	// maxRosterAge is the maximum age of a daemon's read of the registry at which it sends
+	// requests to cold instances: enough for two early reads, each after minRefreshInterval
+	// and with a slow answer.
+	maxRosterAge = 3 * time.Second
+	// refreshAge is the age from which a request triggers a read of the registry.
+	refreshAge = maxRosterAge / 2
+	// membershipDelay is how long a daemon must have been registered before it sends, and
+	// for how long the others count one that is missing. It exceeds maxRosterAge +
+	// permitTTL + 1 s, so that all daemons that send within one second count each other.
+	membershipDelay = 5 * time.Second
 )
 
-// roster is which daemons are on record in the store, as one of them has read.
+// roster holds the daemons in the store's registry, as last read by one of them.
 type roster struct {
-	own uint64
-	// others are the hashes of the other daemons' addresses, those included that are
-	// not on record any more and still count.
+	ownHash uint64
+	// others holds the hashes of the other daemons' addresses, including missing ones that
+	// still count.
 	others []uint64
-	// missingSince is, by address, since when a daemon is missing on the record; zero
-	// while it is there.
+	// missingSince holds, by address, since when a daemon has been missing from the
+	// registry; zero while it is there.
 	missingSince map[string]time.Time
-	// listedSince is when this daemon was first found on the record, zero if it is not
-	// there.
-	listedSince time.Time
-	// asOf is when the record is known to have been the newest.
+	// registeredSince is when this daemon was first found in the registry; zero if it is
+	// not there.
+	registeredSince time.Time
+	// asOf is the time as of which the registry is known to have been read.
 	asOf time.Time
-	// revision counts changes.
+	// revision is incremented with each change.
 	revision uint64
 
 	ownAddress string
 }
 
-// newRoster returns the roster of a daemon that has read nothing yet.
+// newRoster returns the roster of a daemon that has not read the registry yet.
 func newRoster(ownAddress string) *roster {
-	return &roster{ownAddress: ownAddress, own: hashOf(ownAddress), missingSince: map[string]time.Time{}}
+	return &roster{ownAddress: ownAddress, ownHash: hashOf(ownAddress), missingSince: map[string]time.Time{}}
 }
 
 func hashOf(name string) uint64 { return xxhash.Sum64String(name) }
 
-// take takes the addresses on record.
-func (r *roster) take(onRecord []string, now time.Time) {
-	listed := make(map[string]bool, len(onRecord))
-	for _, address := range onRecord {
+// update sets the registered addresses.
+func (r *roster) update(registered []string, now time.Time) {
+	listed := make(map[string]bool, len(registered))
+	for _, address := range registered {
 		listed[address] = true
 		r.missingSince[address] = time.Time{}
 	}
@@ -66,33 +67,33 @@
 	}
 	switch {
 	case !listed[r.ownAddress]:
-		r.listedSince = time.Time{}
-	case r.listedSince.IsZero():
-		r.listedSince = now
+		r.registeredSince = time.Time{}
+	case r.registeredSince.IsZero():
+		r.registeredSince = now
 	}
 	r.rebuild(now)
 }
 
-// confirm takes note that the record taken last was the newest as of a time.
+// confirm records that the registered addresses were current as of the given time.
 func (r *roster) confirm(asOf, now time.Time) {
 	if asOf.After(r.asOf) {
 		r.asOf = asOf
 	}
 	for _, since := range r.missingSince {
-		if !since.IsZero() && now.Sub(since) > countedAfter {
+		if !since.IsZero() && now.Sub(since) > membershipDelay {
 			r.rebuild(now)
 			return
 		}
 	}
 }
 
-// rebuild drops the daemons that have been missing for longer than countedAfter, and
-// lists the others anew.
+// rebuild removes the daemons that have been missing for longer than membershipDelay, and
+// rebuilds others.
 func (r *roster) rebuild(now time.Time) {
 	r.revision++
 	r.others = r.others[:0]
 	for address, since := range r.missingSince {
-		if !since.IsZero() && now.Sub(since) > countedAfter {
+		if !since.IsZero() && now.Sub(since) > membershipDelay {
 			delete(r.missingSince, address)
 			continue
 		}
@@ -102,22 +103,23 @@
 	}
 }
 
-// isCounted tells whether the other daemons count this one.
+// isCounted reports whether the other daemons count this one.
 func (r *roster) isCounted(now time.Time) bool {
-	return !r.listedSince.IsZero() && now.Sub(r.listedSince) >= countedAfter
+	return !r.registeredSince.IsZero() && now.Sub(r.registeredSince) >= membershipDelay
 }
 
+// age returns the time since the roster was known to be current.
 func (r *roster) age(now time.Time) time.Duration { return now.Sub(r.asOf) }
 
-// share returns how many requests this daemon may send a cold instance in each window,
-// so that all daemons together send no more than rate. 0: others do.
+// share returns how many requests this daemon may send a cold instance in each window, so
+// that all daemons together send at most rate; 0 if its rank is too low.
 //
-// The requests of a window, 0 to rate-1, are dealt out to the daemons in the order of
-// their rank, in turns. A daemon that knows others which do not send ranks itself no
-// higher among more, and counts on fewer than are dealt to it.
+// The requests of a window, 0 to rate-1, are dealt out to the daemons in the order of their
+// rank, round-robin. Further daemons in the roster that do not send can only lower this
+// daemon's rank and its share.
 func (r *roster) share(instance uint64, rate int) int {
 	rank, daemons := 0, len(r.others)+1
-	own := mix(r.own ^ instance)
+	own := mix(r.ownHash ^ instance)
 	for _, other := range r.others {
 		if mix(other^instance) < own {
 			continue
@@ -129,7 +131,7 @@
 	return max(rate-rank+daemons-1, 0) / daemons
 }
 
-// mix spreads a hash over all bits; it is the last step of SplitMix64.
+// mix spreads a hash over all bits; it is the finalizer of SplitMix64.
 func mix(h uint64) uint64 {
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
--- a/internal/warmup/share.go
+++ b/internal/warmup/share.go
@@ -8,19 +8,19 @@
 // share is this daemon's part of the requests to one cold instance.
 type share struct {
 	hash uint64
-	// allowed is how many requests it is in each window, for this revision of the roster
-	// and this rate of the service.
+	// allowed is the number of requests per window, for the given revision of the roster
+	// and rate of the service.
 	allowed  int
 	revision uint64
 	rate     int
-	// sentAt are the times of the requests of the last window, the oldest first.
+	// sentAt holds the times of the requests in the last window, the oldest first.
 	sentAt []time.Time
-	// coldUntil is until when the instance was last found to be cold; the next time is
-	// logged again once that is over.
+	// coldUntil is until when the instance was last found to be cold. Once it is over, the
+	// next cold period is logged.
 	coldUntil time.Time
 }
 
-// sentInWindow drops the requests before the last window, and returns how many are left.
+// sentInWindow drops the requests before the last window, and returns the number left.
 func (s *share) sentInWindow(now time.Time) int {
 	old := 0
 	for old < len(s.sentAt) && now.Sub(s.sentAt[old]) >= window {
--- a/internal/warmup/terms.go
+++ b/internal/warmup/tolerance.go
@@ -7,12 +7,12 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// maxRate bounds a rate, in requests per second, so that it fits an int: no instance
-// bears more.
+// maxRate limits a rate, in requests per second, so that it fits an int; no instance serves
+// more.
 const maxRate = 1e6
 
-// Terms are the operators' bounds for all cold instances: one gets in each second at most
-// the rate of its service times Overage, plus Slack.
+// Tolerance is by how much the operators allow the rate of a cold instance to be exceeded:
+// in any second it gets at most the rate of its service times Overage, plus Slack.
 type Tolerance struct {
 	// Overage is a factor of at least 1.
 	Overage float64
@@ -20,13 +20,13 @@
 	Slack float64
 }
 
-// limit is what the instances of one service bear while they are cold.
+// limit is the rate limit of the cold instances of a service.
 type limit struct {
-	// coldFor is how long one is cold from its start.
+	// coldFor is how long an instance is cold after its start.
 	coldFor time.Duration
-	// rate is how many requests the daemons together send one in a second. Slack is not
-	// part of it: that is for daemons which have yet to hear that the instance is cold.
-	// But where the rate would be 0 without it, slack may raise it to 1.
+	// rate is the number of requests per second that all daemons together send one
+	// instance. Slack is left for daemons that do not know yet that the instance is cold,
+	// except that it may raise a rate of 0 to 1.
 	rate int
 }
 
--- a/internal/zone/evacuation.go
+++ b/internal/zone/evacuation.go
@@ -10,60 +10,61 @@
 )
 
 const (
-	// maxNewsOrders bounds the orders in one message, to some 4 KB. While more zones are
-	// evacuated, daemons send each other no news, and learn of orders from the store alone.
-	maxNewsOrders = 64
-	// returnMemory is for how long it is kept that a zone was taken back: longer than back
+	// maxUpdateOrders limits the orders in one update, to about 4 KB. While more zones are
+	// evacuated, daemons send each other no updates and learn of orders from the store
+	// alone.
+	maxUpdateOrders = 64
+	// returnTTL is for how long the end of an evacuation is remembered: longer than back
 	// ends take to warm up.
-	returnMemory = 10 * time.Minute
+	returnTTL = 10 * time.Minute
 )
 
-// Order is the operators' order to send nothing to the back ends of a zone. It is in
-// force until they take the zone back.
+// EvacuationOrder is an operator's order to send no requests to the back ends of a zone. It
+// is in force until an operator ends the evacuation.
 type EvacuationOrder struct {
 	Zone string
-	// Offset is that of the order's record among the operators' records. A repeated order
-	// has a higher one.
+	// Offset is the offset of the order's record among the operators' records. A repeated
+	// order has a higher one.
 	Offset int64
 }
 
-// Reading is the orders that were read from the operators' records.
+// OrderSnapshot is the set of orders as of an offset in the operators' records.
 type OrderSnapshot struct {
-	// End is the offset after the last record that was read. The reading with the higher
-	// End is the newer of two.
+	// End is the offset after the last record that was read. Of two snapshots the one with
+	// the higher End is newer.
 	End int64
-	// Orders are those in force.
+	// Orders are the orders in force.
 	Orders []EvacuationOrder
-	// Partial: the reading may lack orders that are in force.
+	// Partial is set if orders in force may be missing from the snapshot.
 	Partial bool
 }
 
-// Change is a zone that was evacuated or taken back.
+// EvacuationChange is the start or the end of a zone's evacuation.
 type EvacuationChange struct {
 	EvacuationOrder
-	// Evacuated: the zone was evacuated; otherwise it was taken back.
+	// Evacuated is set if the evacuation started; otherwise it ended.
 	Evacuated bool
-	// Lasted is for how long an order that was taken back was in force.
+	// Lasted is how long an evacuation that ended was in force.
 	Lasted time.Duration
 }
 
-// Evacuations keeps which zones the operators evacuated, by the newest reading of this
-// daemon's own or of another's news. It is a last-writer-wins register: its value is the
-// whole set of orders, and its version the End of the reading. So an older reading or news
-// changes nothing, and all daemons agree once each has the newest. The zero value is ready
-// to use. It is safe for concurrent use.
+// Evacuations tracks which zones are evacuated, from the newest of this daemon's own
+// snapshots and other daemons' updates. It is a last-writer-wins register: the value is the
+// whole set of orders, and the version the End of the snapshot. An older snapshot or update
+// has no effect, and all daemons agree once each has the newest. The zero value is ready to
+// use. It is safe for concurrent use.
 type Evacuations struct {
-	// writing is held while the state is replaced. It is read without a lock, as that is
-	// done for each choice of an instance.
-	writing sync.Mutex
-	state   atomic.Pointer[evacuationState]
+	// writeMutex is held while the state is replaced. Reads take no lock, as each choice of
+	// an instance does one.
+	writeMutex sync.Mutex
+	state      atomic.Pointer[evacuationState]
 }
 
-// evacuationState is immutable once it is in place.
+// evacuationState is immutable once stored.
 type evacuationState struct {
 	end int64
-	// evacuated are the orders in force, and returned is when zones were last taken
-	// back.
+	// evacuated holds the orders in force, and returned when other zones' evacuations
+	// ended, both by zone.
 	evacuated map[string]timedOrder
 	returned  map[string]time.Time
 }
@@ -82,21 +83,21 @@
 	return noEvacuations
 }
 
-// Since tells whether a zone is evacuated, and since when as far as is known here.
+// EvacuatedSince returns since when a zone is known to be evacuated; false if it is not.
 func (e *Evacuations) EvacuatedSince(zone string) (since time.Time, evacuated bool) {
 	order, evacuated := e.load().evacuated[zone]
 	return order.since, evacuated
 }
 
-// ReturnedAt returns when this daemon heard that a zone was taken back; false if the zone
-// is evacuated, or was not taken back within some returnMemory.
+// ReturnedAt returns when this daemon learned that a zone's evacuation ended; false if the
+// zone is evacuated, or its evacuation ended longer ago than is remembered.
 func (e *Evacuations) ReturnedAt(zone string) (at time.Time, returned bool) {
 	at, returned = e.load().returned[zone]
 	return at, returned
 }
 
-// LastOrderedAt returns when the latest of the orders in force was first known; false if
-// none is in force.
+// LastOrderedAt returns when the latest of the orders in force became known; false if none
+// is in force.
 func (e *Evacuations) LastOrderedAt() (at time.Time, ordered bool) {
 	for _, order := range e.load().evacuated {
 		if order.since.After(at) {
@@ -107,7 +108,7 @@
 	return at, ordered
 }
 
-// InForce returns the orders in force, by zone.
+// InForce returns the orders in force, sorted by zone.
 func (e *Evacuations) InForce() []EvacuationOrder {
 	var orders []EvacuationOrder
 	for _, order := range e.load().evacuated {
@@ -117,31 +118,31 @@
 	return orders
 }
 
-// Take takes this daemon's own reading, and returns what it changed. A reading that is not
-// newer than what is known changes nothing.
-func (e *Evacuations) ApplySnapshot(reading OrderSnapshot, now time.Time) []EvacuationChange {
+// ApplySnapshot applies a snapshot that this daemon read, and returns the changes. A
+// snapshot that is not newer than the known state has no effect.
+func (e *Evacuations) ApplySnapshot(snapshot OrderSnapshot, now time.Time) []EvacuationChange {
 	orders := map[string]timedOrder{}
-	for _, order := range reading.Orders {
+	for _, order := range snapshot.Orders {
 		orders[order.Zone] = timedOrder{EvacuationOrder: order, since: now}
 	}
-	return e.replace(reading.End, orders, reading.Partial, now)
+	return e.replace(snapshot.End, orders, snapshot.Partial, now)
 }
 
-// replace puts a newer set of orders in place. An order that was in force before keeps the
-// time since when it is known.
+// replace stores a newer set of orders. An order for a zone that is already evacuated keeps
+// the time at which the evacuation became known.
 func (e *Evacuations) replace(end int64, orders map[string]timedOrder, partial bool, now time.Time) []EvacuationChange {
-	e.writing.Lock()
-	defer e.writing.Unlock()
+	e.writeMutex.Lock()
+	defer e.writeMutex.Unlock()
 	before := e.load()
 	if end <= before.end {
 		return nil
 	}
 	if partial {
-		end = before.end // a whole reading up to the same offset is newer
+		end = before.end // so that a complete snapshot with the same end still applies
 	}
 	after := &evacuationState{end: end, evacuated: orders, returned: map[string]time.Time{}}
 	for zone, at := range before.returned {
-		if now.Sub(at) < returnMemory {
+		if now.Sub(at) < returnTTL {
 			after.returned[zone] = at
 		}
 	}
@@ -171,24 +172,24 @@
 	return changes
 }
 
-// News is what daemons tell each other of evacuations. It is part of messages that are
+// EvacuationUpdate carries the known orders to another daemon, as part of messages that are
 // sent for other reasons.
 type EvacuationUpdate struct {
-	// End is that of the reading which the orders come from.
+	// End is the End of the snapshot that the orders come from.
 	End    int64       `json:"end"`
 	Orders []AgedOrder `json:"orders,omitempty"`
 }
 
-// ToldOrder is one order in force.
+// AgedOrder is an order in force with its age.
 type AgedOrder struct {
 	Zone   string `json:"zone"`
 	Offset int64  `json:"offset"`
-	// AgeMS is for how many milliseconds the order has been known to the teller.
+	// AgeMS is for how many milliseconds the sender has known the order.
 	AgeMS int64 `json:"age_ms"`
 }
 
-// Asking returns the End that is sent along with a request to another daemon, so that only
-// newer news comes back: 0 while no zone is evacuated or was taken back lately.
+// KnownEnd returns the End to send along with a request to another daemon, which returns
+// only a newer update: 0 while no zone is evacuated and none was lately.
 func (e *Evacuations) KnownEnd() int64 {
 	if state := e.load(); len(state.evacuated)+len(state.returned) > 0 {
 		return state.end
@@ -196,29 +197,30 @@
 	return 0
 }
 
-// Tell returns the news for a daemon that asked with an End; nil if there is none.
-func (e *Evacuations) UpdateAfter(asked int64, now time.Time) *EvacuationUpdate {
+// UpdateAfter returns the update for a daemon that sent its known End; nil if there is
+// none.
+func (e *Evacuations) UpdateAfter(knownEnd int64, now time.Time) *EvacuationUpdate {
 	state := e.load()
-	if asked >= state.end || (asked == 0 && e.KnownEnd() == 0) || len(state.evacuated) > maxNewsOrders {
+	if knownEnd >= state.end || (knownEnd == 0 && e.KnownEnd() == 0) || len(state.evacuated) > maxUpdateOrders {
 		return nil
 	}
-	news := &EvacuationUpdate{End: state.end}
+	update := &EvacuationUpdate{End: state.end}
 	for _, zone := range slices.Sorted(maps.Keys(state.evacuated)) {
 		order := state.evacuated[zone]
-		news.Orders = append(news.Orders, AgedOrder{Zone: zone, Offset: order.Offset, AgeMS: now.Sub(order.since).Milliseconds()})
+		update.Orders = append(update.Orders, AgedOrder{Zone: zone, Offset: order.Offset, AgeMS: now.Sub(order.since).Milliseconds()})
 	}
-	return news
+	return update
 }
 
-// Hear takes another daemon's news, and returns what it changed.
-func (e *Evacuations) ApplyUpdate(news *EvacuationUpdate, now time.Time) []EvacuationChange {
-	if news == nil || news.End <= e.load().end {
+// ApplyUpdate applies another daemon's update, and returns the changes.
+func (e *Evacuations) ApplyUpdate(update *EvacuationUpdate, now time.Time) []EvacuationChange {
+	if update == nil || update.End <= e.load().end {
 		return nil
 	}
 	orders := map[string]timedOrder{}
-	for _, told := range news.Orders {
-		age := time.Duration(max(told.AgeMS, 0)) * time.Millisecond
-		orders[told.Zone] = timedOrder{EvacuationOrder: EvacuationOrder{Zone: told.Zone, Offset: told.Offset}, since: now.Add(-age)}
+	for _, aged := range update.Orders {
+		age := time.Duration(max(aged.AgeMS, 0)) * time.Millisecond
+		orders[aged.Zone] = timedOrder{EvacuationOrder: EvacuationOrder{Zone: aged.Zone, Offset: aged.Offset}, since: now.Add(-age)}
 	}
-	return e.replace(news.End, orders, false, now)
+	return e.replace(update.End, orders, false, now)
 }
--- a/internal/zone/placement.go
+++ b/internal/zone/placement.go
@@ -8,20 +8,20 @@
 	"github.com/mintpulley/mintpulley/internal/instance"
 )
 
-// ReasonEvacuated is why back ends of an evacuated zone get nothing.
+// ReasonEvacuated is the reason of EvacuationFilter.
 const ReasonEvacuated = "evacuated"
 
 const (
-	// returnTime is within how long requests return to the back ends of a zone that was
-	// taken back. It is several times what a turn takes: if back ends are slow or refuse,
-	// the first requests show it before all daemons send there.
-	returnTime = 2 * time.Second
-	// returnCost counts against a back end that this daemon has not opened yet, as a share
-	// of its slots: it is chosen when all slots elsewhere are taken.
+	// returnRampTime is the time over which requests return to the back ends of a zone
+	// after its evacuation ended. It is several times as long as a turn: if the back ends
+	// are slow or refuse requests, the first ones show it before all daemons send there.
+	returnRampTime = 2 * time.Second
+	// returnCost is the cost of a back end to which this daemon does not send yet, as a
+	// fraction of its slots: it is chosen once all slots elsewhere are in use.
 	returnCost = 1.0
 )
 
-// EvacuationFilter keeps requests from the back ends of evacuated zones.
+// EvacuationFilter rejects the back ends of evacuated zones.
 type EvacuationFilter struct{ Evacuations *Evacuations }
 
 // Reason implements instance.Filter.
@@ -33,12 +33,13 @@
 	return !evacuated
 }
 
-// ReturnScorer lets the back ends of a zone that was taken back fill up within
-// returnTime. They are empty: by load alone every daemon would send them all requests. Each daemon opens them one after the other, in an order of its own: the
-// share of daemons that send to a back end, and with it its load, rises evenly.
+// ReturnScorer ramps up the load of a zone's back ends over returnRampTime after its
+// evacuation ended. They are idle then, and by load alone every daemon would choose them at
+// once. Each daemon starts to send to them one after the other, in an order of its own, so
+// the number of daemons that send to a back end, and with it the load, rises evenly.
 type ReturnScorer struct {
 	Evacuations *Evacuations
-	// Seed differs between daemons.
+	// Seed must differ between daemons.
 	Seed uint64
 }
 
@@ -49,15 +50,16 @@
 		return 0
 	}
 	at, known := returned[candidate.Zone]
-	if !known || now.Sub(at) >= s.opensAfter(candidate.ID) {
+	if !known || now.Sub(at) >= s.openDelay(candidate.ID) {
 		return 0
 	}
 	return returnCost
 }
 
-// opensAfter is how long after the zone's return this daemon sends to a back end.
-func (s ReturnScorer) opensAfter(id string) time.Duration {
+// openDelay returns how long after the zone's return this daemon starts to send to a back
+// end.
+func (s ReturnScorer) openDelay(id string) time.Duration {
 	const parts = 1 << 16
-	mixed := (xxhash.Sum64String(id) ^ s.Seed) * 0x9e3779b97f4a7c15 // the golden ratio: spreads what differs in few bits
-	return returnTime * time.Duration(mixed>>48) / parts
+	mixed := (xxhash.Sum64String(id) ^ s.Seed) * 0x9e3779b97f4a7c15 // golden-ratio multiplier: spreads inputs that differ in few bits
+	return returnRampTime * time.Duration(mixed>>48) / parts
 }
--- a/internal/zone/placement_test.go
+++ b/internal/zone/placement_test.go
@@ -9,11 +9,10 @@
 	"github.com/mintpulley/mintpulley/internal/instance"
 )
 
-// TestZoneThatIsTakenBackFillsEvenly: 74 daemons and eleven empty back ends. Without the
-// scorer all send there from the first moment; with it the share of daemons that do rises
-// in a line, at each back end alike.
-func TestZoneThatIsTakenBackFillsEvenly(t *testing.T) {
-	const daemons, engines = 74, 11
+// The number of daemons that send to a returned back end must rise linearly, at each back
+// end alike; without ReturnScorer all 74 daemons would send at once.
+func TestReturnedZoneFillsEvenly(t *testing.T) {
+	const daemons, instances = 74, 11
 	var scorers []ReturnScorer
 	random := rand.New(rand.NewPCG(1, 2))
 	for range daemons {
@@ -22,9 +21,9 @@
 		e.ApplySnapshot(OrderSnapshot{End: 2}, start)
 		scorers = append(scorers, ReturnScorer{Evacuations: e, Seed: random.Uint64()})
 	}
-	for _, after := range []time.Duration{0, returnTime / 4, returnTime / 2, returnTime} {
-		want := float64(daemons) * float64(after) / float64(returnTime)
-		for i := range engines {
+	for _, after := range []time.Duration{0, returnRampTime / 4, returnRampTime / 2, returnRampTime} {
+		want := float64(daemons) * float64(after) / float64(returnRampTime)
+		for i := range instances {
 			candidate := &instance.Instance{ID: fmt.Sprintf("i-%08x", i*7919), Zone: "c"}
 			open := 0
 			for _, s := range scorers {
@@ -33,7 +32,7 @@
 				}
 			}
 			if diff := float64(open) - want; diff < -16 || diff > 16 { // four standard deviations
-				t.Errorf("%s after: %d of %d daemons send to %s, want about %.0f", after, open, daemons, candidate.ID, want)
+				t.Errorf("after %s: %d of %d daemons send to %s, want about %.0f", after, open, daemons, candidate.ID, want)
 			}
 		}
 	}
@@ -42,8 +41,8 @@
 	}
 }
 
-// BenchmarkPlacement: 50 back ends of eight zones, of which one is evacuated and one
-// was taken back.
+// BenchmarkPlacement evaluates 50 back ends in eight zones, of which one is evacuated and
+// one has returned.
 func BenchmarkPlacement(b *testing.B) {
 	var e Evacuations
 	e.ApplySnapshot(OrderSnapshot{End: 1, Orders: []EvacuationOrder{{Zone: "z1"}, {Zone: "z2"}}}, start)
--- a/internal/zone/probing.go
+++ b/internal/zone/probing.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// StepInterval is the time between two calls of Reachability.Step.
+// StepInterval is the interval between calls of Reachability.Step.
 const StepInterval = 50 * time.Millisecond
 
 const (
-	// firstProbes daemons of a zone are probed at first, and as many more each
-	// probeInterval, up to maxProbes: a daemon that runs answers within some milliseconds,
-	// which tells a failed rack or a few busy machines apart from a zone.
+	// firstProbes daemons of a zone are probed at first, and as many more after each
+	// probeInterval, up to maxProbes. A running daemon answers within milliseconds, so a
+	// few probes tell a failed rack or some busy machines from a zone that is cut off.
 	firstProbes   = 3
 	probeInterval = 100 * time.Millisecond
 	maxProbes     = 9
-	// controlProbes daemons of each other zone are probed at the same time: where these
-	// do not answer either, it may be this daemon that is cut off.
+	// controlProbes daemons of each other zone are probed at the same time: if these do not
+	// answer either, this daemon itself may be isolated.
 	controlProbes = 1
-	// probePause is how long a zone is not probed again: a burst makes back ends slow
-	// everywhere, and is no time for many probes.
+	// probePause is the minimum time between two rounds of probes to a zone: a burst of
+	// load slows back ends down everywhere, and must not cause many probes.
 	probePause = 500 * time.Millisecond
-	// maxProbing bounds how long a zone is probed that is not found cut off.
+	// maxProbing limits how long a zone is probed that is not found cut off.
 	maxProbing = time.Second
-	// reprobes daemons of a zone are probed each reprobeInterval once maxProbes were sent or
-	// the zone was found cut off, so that the end of a cut is noticed as soon.
-	// storeProbeInterval is how often the store is called meanwhile.
+	// reprobes daemons of a zone are probed after each reprobeInterval once maxProbes were
+	// sent or the zone was found cut off, so that its return is noticed soon.
+	// storeProbeInterval is the interval between calls to the store meanwhile.
 	reprobes           = 2
 	reprobeInterval    = 200 * time.Millisecond
 	storeProbeInterval = 300 * time.Millisecond
-	// connectInterval is how often a back end of a zone that is cut off is connected to. The
-	// daemons there tell of the end of the cut sooner, but it may have none that runs.
+	// connectInterval is the interval between connection attempts to a back end of a zone
+	// that is cut off. Its daemons show its return sooner, but none may be running.
 	connectInterval = time.Second
-	// suspicionTTL is for how long a reason to suspect a zone counts.
+	// suspicionTTL is for how long a suspicion or report counts.
 	suspicionTTL = time.Second
-	// maxStepDelay is how late a step may come. After a longer pause of this daemon all
-	// others seem to have been silent.
+	// maxStepDelay is the accepted delay of a step. If this daemon was paused for longer,
+	// all others seem to have been silent.
 	maxStepDelay = 100 * time.Millisecond
 )
 
-// Plan is what a step asks for.
+// Plan lists the actions that a step requires.
 type Plan struct {
-	// Probe is how many daemons of each zone are to be probed, those first that were not
-	// probed lately.
+	// Probe is the number of daemons to probe in each zone, starting with those that were
+	// not probed lately.
 	Probe map[string]int
-	// Suspected are the zones of which nobody answers yet: other daemons had better probe
-	// them, too.
+	// Suspected are the zones from which no reply has come yet; other daemons are to be
+	// told, so that they probe them, too.
 	Suspected []string
-	// Connect are the zones of which a back end is to be connected to.
+	// Connect are the zones in which to connect to a back end.
 	Connect []string
-	// ProbeStore: the store is to be called.
+	// ProbeStore requests a call to the store.
 	ProbeStore bool
 	Changes    []ReachabilityChange
 }
@@ -58,16 +58,16 @@
 	p.Probe[zone] += count
 }
 
-// Step takes what this daemon's requests tell of each zone, updates what is believed,
-// and returns what is to be probed.
-func (r *Reachability) Step(waiting map[string]UnresponsiveBackends, now time.Time) Plan {
+// Step updates the state of all zones and of this daemon from the counts of unresponsive
+// back ends, and returns the actions to take.
+func (r *Reachability) Step(unresponsive map[string]UnresponsiveBackends, now time.Time) Plan {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var plan Plan
 	paused := !r.steppedAt.IsZero() && now.Sub(r.steppedAt) > StepInterval+maxStepDelay
 	r.steppedAt = now
 	for name, p := range r.paths {
-		p.waiting = waiting[name]
+		p.unresponsive = unresponsive[name]
 		p.stopProbingIfDone(paused, r.isolation.cutSince, now)
 	}
 	for _, name := range r.otherZones {
@@ -89,31 +89,32 @@
 }
 
 // stopProbingIfDone ends the probing of a zone once a probe was answered. It also ends it,
-// without a result, if neither the zone nor this daemon was found cut off and this daemon
-// was paused or maxProbing is over.
+// without a result, if neither the zone is cut off nor this daemon isolated, and this
+// daemon was paused or maxProbing is over.
 func (p *path) stopProbingIfDone(paused bool, isolatedSince, now time.Time) {
 	if p.probingSince.IsZero() {
 		return
 	}
-	foundCut := p.isCut() || !isolatedSince.IsZero()
-	noResult := !foundCut && (paused || now.Sub(p.probingSince) >= maxProbing)
-	if p.isSilent() && !noResult {
+	foundCutOff := p.isCutOff() || !isolatedSince.IsZero()
+	noResult := !foundCutOff && (paused || now.Sub(p.probingSince) >= maxProbing)
+	if p.isUnanswered() && !noResult {
 		return
 	}
 	p.probingSince, p.probes, p.suspicionSent = time.Time{}, 0, false
 	p.probingEndedAt = now
 }
 
-// isSilent tells whether the zone is being probed and no daemon there has answered since.
-func (p *path) isSilent() bool {
+// isUnanswered reports whether the zone is being probed and no daemon there has answered
+// yet.
+func (p *path) isUnanswered() bool {
 	return !p.probingSince.IsZero() && !p.answeredAt.After(p.probingSince)
 }
 
 func (p *path) isSuspect(now time.Time) bool {
-	return p.waiting.Overdue > 0 || now.Sub(p.suspectedAt) < suspicionTTL || now.Sub(p.reportedAt) < suspicionTTL
+	return p.unresponsive.Overdue > 0 || now.Sub(p.suspectedAt) < suspicionTTL || now.Sub(p.reportedAt) < suspicionTTL
 }
 
-// startProbing begins to probe a zone, and some daemons of all others.
+// startProbing starts to probe a zone, and sends control probes to all others.
 func (r *Reachability) startProbing(zone string, now time.Time, plan *Plan) {
 	for name, p := range r.paths {
 		count := controlProbes
@@ -126,13 +127,13 @@
 		if p.probingSince.IsZero() {
 			p.probingSince = now
 		}
-		if !p.isCut() {
+		if !p.isCutOff() {
 			p.probe(name, count, now, plan)
 		}
 	}
 }
 
-// probe probes more daemons of a zone.
+// probe adds probes of a zone's daemons to the plan.
 func (p *path) probe(name string, count int, now time.Time, plan *Plan) {
 	count = min(count, maxProbes-p.probes)
 	p.probes += count
@@ -140,23 +141,23 @@
 	plan.addProbes(name, count)
 }
 
-// continueProbing sends further probes while nobody answers, and reports that to other
-// daemons once. While the zone is cut off it also asks for connections to back ends.
+// continueProbing sends further probes while none is answered, and reports that to other
+// daemons once. While the zone is cut off it also requests connections to its back ends.
 func (p *path) continueProbing(name string, now time.Time, plan *Plan) {
 	if p.probingSince.IsZero() {
 		return
 	}
-	if !p.suspicionSent && p.waiting.Overdue > 0 && p.isSilent() && now.Sub(p.probingSince) >= probeInterval {
+	if !p.suspicionSent && p.unresponsive.Overdue > 0 && p.isUnanswered() && now.Sub(p.probingSince) >= probeInterval {
 		p.suspicionSent = true
 		plan.Suspected = append(plan.Suspected, name)
 	}
-	isCut := p.isCut()
-	if isCut && now.Sub(p.connectedAt) >= connectInterval {
+	isCutOff := p.isCutOff()
+	if isCutOff && now.Sub(p.connectedAt) >= connectInterval {
 		p.connectedAt = now
 		plan.Connect = append(plan.Connect, name)
 	}
 	switch waited := now.Sub(p.probedAt); {
-	case isCut || p.probes >= maxProbes:
+	case isCutOff || p.probes >= maxProbes:
 		if waited >= reprobeInterval {
 			p.probedAt = now
 			plan.addProbes(name, reprobes)
--- a/internal/zone/reach/messages.go
+++ b/internal/zone/reach/messages.go
@@ -2,21 +2,21 @@
 
 import "github.com/mintpulley/mintpulley/internal/peer"
 
-// Probe asks a daemon for a ProbeReply. On the wire they are a question and an answer.
+// Probe asks a daemon for a ProbeReply.
 type Probe struct{}
 
 // ProbeReply answers a Probe.
 type ProbeReply struct {
-	// Zone is where the daemon that answers stands.
+	// Zone is the zone of the daemon that replies.
 	Zone string `json:"z"`
 }
 
-// Finding tells that the sender has just found a zone cut off.
+// CutOffReport reports that the sender has just found a zone cut off.
 type CutOffReport struct {
 	Zone string `json:"z"`
 }
 
-// Suspicion tells that the sender hears nothing of a zone, and probes its daemons.
+// Suspicion reports that the sender gets no replies from a zone that it probes.
 type Suspicion struct {
 	Zone string `json:"z"`
 }
--- a/internal/zone/reach/metrics.go
+++ b/internal/zone/reach/metrics.go
@@ -11,24 +11,24 @@
 	subsystem = "zone"
 )
 
-// Metrics tell which zones are taken to be cut off. Their labels are the zones that the
-// settings name.
+// Metrics shows which zones are cut off. The values of the zone label are the zones that
+// the settings name.
 type Metrics struct {
-	cut      *prometheus.GaugeVec
+	cutOff   *prometheus.GaugeVec
 	found    *prometheus.CounterVec
 	isolated prometheus.Gauge
-	asked    prometheus.Counter
+	probes   prometheus.Counter
 }
 
 // NewMetrics registers the metrics.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	m := &Metrics{
-		cut:      prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Subsystem: subsystem, Name: "cut_off", Help: "1 while the daemon takes itself to be cut off from the zone."}, []string{"zone"}),
+		cutOff:   prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Subsystem: subsystem, Name: "cut_off", Help: "1 while the daemon takes itself to be cut off from the zone."}, []string{"zone"}),
 		found:    prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: "found_cut_off_total", Help: "How often the zone was found cut off."}, []string{"zone"}),
 		isolated: prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Subsystem: subsystem, Name: "isolated", Help: "1 while the daemon takes itself to be cut off from the store and most of the fleet."}),
-		asked:    prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: "questions_total", Help: "Daemons asked whether they can be reached."}),
+		probes:   prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: "questions_total", Help: "Daemons asked whether they can be reached."}),
 	}
-	registry.MustRegister(m.cut, m.found, m.isolated, m.asked)
+	registry.MustRegister(m.cutOff, m.found, m.isolated, m.probes)
 	return m
 }
 
@@ -41,7 +41,7 @@
 		m.isolated.Set(value)
 		return
 	}
-	m.cut.WithLabelValues(change.Zone).Set(value)
+	m.cutOff.WithLabelValues(change.Zone).Set(value)
 	if change.CutOff {
 		m.found.WithLabelValues(change.Zone).Inc()
 	}
--- a/internal/zone/reach/watch_test.go
+++ b/internal/zone/reach/monitor_test.go
@@ -20,40 +20,41 @@
 )
 
 const (
-	zones      = 4
-	perZone    = 8
-	wayBetween = 2 * time.Millisecond
-	// mostFind is within how long three quarters of the daemons find a zone cut off.
-	mostFind = 650 * time.Millisecond
+	zones        = 4
+	perZone      = 8
+	networkDelay = 2 * time.Millisecond
+	// detectionTime is the time within which three quarters of the daemons must detect a
+	// zone that is cut off.
+	detectionTime = 650 * time.Millisecond
 )
 
-// network carries messages between the daemons of a fleet. Zones may be cut off from
-// all others, in one direction or both.
+// network carries messages between the daemons of a fleet. Zones may be cut off from all
+// others in one direction or both.
 type network struct {
-	mutex   sync.Mutex
-	watches map[string]*Monitor
-	zoneOf  map[string]string
-	members []membership.Member
-	// lost tells whether what goes from one zone to another is lost.
-	lost func(from, to string) bool
-	// dead daemons neither hear nor say anything.
+	mutex    sync.Mutex
+	monitors map[string]*Monitor
+	zoneOf   map[string]string
+	members  []membership.Member
+	// isDropped reports whether messages from one zone to another are dropped.
+	isDropped func(from, to string) bool
+	// dead daemons neither receive nor send messages.
 	dead map[string]bool
 	// sent counts messages between daemons.
 	sent atomic.Int64
-	// found counts how often a daemon found a zone cut off.
-	found atomic.Int64
-	// storeCut zones do not reach the store.
+	// cutOffsFound counts how often a daemon found a zone cut off.
+	cutOffsFound atomic.Int64
+	// storeCut holds the zones from which the store cannot be reached.
 	storeCut map[string]bool
 }
 
 func (n *network) deliver(from, to string, message peer.Message) {
 	n.sent.Add(1)
 	n.mutex.Lock()
-	w := n.watches[to]
-	dropped := n.dead[from] || n.dead[to] || n.lost(n.zoneOf[from], n.zoneOf[to])
+	w := n.monitors[to]
+	dropped := n.dead[from] || n.dead[to] || n.isDropped(n.zoneOf[from], n.zoneOf[to])
 	n.mutex.Unlock()
 	if w != nil && !dropped {
-		time.AfterFunc(wayBetween, func() { w.Receive(structs.NewDaemonID(from, 1), message) })
+		time.AfterFunc(networkDelay, func() { w.Receive(structs.NewDaemonID(from, 1), message) })
 	}
 }
 
@@ -63,36 +64,37 @@
 	change()
 }
 
-// end is one daemon's side of the network.
-type end struct {
+// endpoint is one daemon's access to the network and its back ends.
+type endpoint struct {
 	n    *network
 	self string
-	// busy daemons have a request at a back end of each zone.
+	// busy daemons have a request at a back end in each zone.
 	busy bool
-	// silentSince is since when back ends of a zone send nothing.
+	// silentSince is since when the back ends of a zone have sent nothing.
 	silentSince map[string]time.Time
 	zones       *zone.Reachability
 	suspected   func(membership.Member)
-	// isNew: it has just started and knows nobody but itself.
+	// isNew daemons know no members yet.
 	isNew atomic.Bool
 }
 
-func (e *end) Send(to structs.DaemonID, message peer.Message) {
+func (e *endpoint) Send(to structs.DaemonID, message peer.Message) {
 	e.n.deliver(e.self, to.Address(), message)
 }
 
-func (e *end) Members() []membership.Member {
+func (e *endpoint) Members() []membership.Member {
 	if e.isNew.Load() {
 		return nil
 	}
 	return e.n.members
 }
 
-func (e *end) State(structs.DaemonID) membership.State       { return membership.StateAlive }
-func (e *end) Subscribe(suspected func(m membership.Member)) { e.suspected = suspected }
+func (e *endpoint) State(structs.DaemonID) membership.State       { return membership.StateAlive }
+func (e *endpoint) Subscribe(suspected func(m membership.Member)) { e.suspected = suspected }
 
-// Waiting plays requests at back ends that send something each moment, unless cut off.
-func (e *end) UnresponsiveBackends(now time.Time) map[string]zone.UnresponsiveBackends {
+// UnresponsiveBackends simulates requests to back ends that send continuously unless cut
+// off.
+func (e *endpoint) UnresponsiveBackends(now time.Time) map[string]zone.UnresponsiveBackends {
 	waiting := map[string]zone.UnresponsiveBackends{}
 	if !e.busy {
 		return waiting
@@ -100,7 +102,7 @@
 	for i := range zones {
 		name := zoneName(i)
 		e.n.mutex.Lock()
-		reached := !e.n.lost(e.n.zoneOf[e.self], name) && !e.n.lost(name, e.n.zoneOf[e.self])
+		reached := !e.n.isDropped(e.n.zoneOf[e.self], name) && !e.n.isDropped(name, e.n.zoneOf[e.self])
 		e.n.mutex.Unlock()
 		switch silent := now.Sub(e.silentSince[name]); {
 		case reached:
@@ -115,13 +117,13 @@
 	return waiting
 }
 
-func (e *end) GiveUpSilent(time.Time) {}
+func (e *endpoint) GiveUpSilent(time.Time) {}
 
-// Try plays a back end that can be connected to unless its zone is cut off.
-func (e *end) TryConnect(name string) {
+// TryConnect succeeds unless the zone is cut off.
+func (e *endpoint) TryConnect(name string) {
 	e.n.mutex.Lock()
 	home := e.n.zoneOf[e.self]
-	lost := e.n.lost(home, name) || e.n.lost(name, home)
+	lost := e.n.isDropped(home, name) || e.n.isDropped(name, home)
 	e.n.mutex.Unlock()
 	if !lost {
 		e.zones.RecordActivity(name, time.Now())
@@ -130,32 +132,32 @@
 
 func zoneName(i int) string { return string(rune('a' + i)) }
 
-// newFleet starts a fleet of which one daemon in three is busy.
-func newFleet(ctx context.Context) (*network, []*end) {
+// newFleet starts a fleet in which one daemon in three is busy.
+func newFleet(ctx context.Context) (*network, []*endpoint) {
 	n := &network{
-		watches: map[string]*Monitor{}, zoneOf: map[string]string{}, dead: map[string]bool{}, storeCut: map[string]bool{},
-		lost: func(string, string) bool { return false },
+		monitors: map[string]*Monitor{}, zoneOf: map[string]string{}, dead: map[string]bool{}, storeCut: map[string]bool{},
+		isDropped: func(string, string) bool { return false },
 	}
 	regions := map[string]string{}
 	for i := range zones {
 		regions[zoneName(i)] = ""
 	}
-	var ends []*end
+	var endpoints []*endpoint
 	for i := range zones * perZone {
 		self, home := fmt.Sprintf("10.0.0.%d:1", i), zoneName(i%zones)
 		n.zoneOf[self] = home
 		n.members = append(n.members, membership.Member{
 			Daemon: structs.Daemon{ID: structs.NewDaemonID(self, 1), Zone: structs.ZoneName(home)}, State: membership.StateAlive,
 		})
-		ends = append(ends, &end{
+		endpoints = append(endpoints, &endpoint{
 			n: n, self: self, busy: i%3 == 0, silentSince: map[string]time.Time{},
 			zones: zone.NewReachability(zone.NewTopology(home, "", regions)),
 		})
 	}
-	for i, e := range ends {
+	for i, e := range endpoints {
 		w := New(Options{
 			Self: structs.NewDaemonID(e.self, 1), Zone: n.zoneOf[e.self], Reachability: e.zones, Connections: e,
-			Transport: e, View: e, OnCutOff: func(string) { n.found.Add(1) }, OnIsolated: func() {}, Random: rand.New(rand.NewPCG(1, uint64(i))),
+			Transport: e, View: e, OnCutOff: func(string) { n.cutOffsFound.Add(1) }, OnIsolated: func() {}, Random: rand.New(rand.NewPCG(1, uint64(i))),
 			Logger: zerolog.Nop(), Metrics: NewMetrics(prometheus.NewRegistry()),
 			ProbeStore: func(asking context.Context) bool {
 				n.mutex.Lock()
@@ -167,132 +169,132 @@
 				return !out
 			},
 		})
-		n.watches[e.self] = w
+		n.monitors[e.self] = w
 		go w.Run(ctx)
 	}
-	return n, ends
+	return n, endpoints
 }
 
-// cutOff cuts zones off from the others and from the store.
+// cutOff cuts zones off from the other zones and from the store.
 func (n *network) cutOff(names ...string) {
 	inside := map[string]bool{}
 	for _, name := range names {
 		inside[name] = true
 	}
 	n.set(func() {
-		n.lost = func(from, to string) bool { return inside[from] != inside[to] }
+		n.isDropped = func(from, to string) bool { return inside[from] != inside[to] }
 		n.storeCut = inside
 	})
 }
 
 func (n *network) heal() {
 	n.set(func() {
-		n.lost = func(string, string) bool { return false }
+		n.isDropped = func(string, string) bool { return false }
 		n.storeCut = map[string]bool{}
 	})
 }
 
-// run plays a fleet for a while, then a trouble, and its end.
-func run(t *testing.T, trouble func(*network), check func(n *network, ends []*end)) {
+// runFleet runs a fleet for a while, injects a fault, and calls check.
+func runFleet(t *testing.T, fault func(*network), check func(n *network, endpoints []*endpoint)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		n, ends := newFleet(ctx)
+		n, endpoints := newFleet(ctx)
 		time.Sleep(3 * time.Second)
-		trouble(n)
-		check(n, ends)
+		fault(n)
+		check(n, endpoints)
 	})
 }
 
-func TestWholeFleetFindsAZoneCutOffWithinASecond(t *testing.T) {
-	run(t, func(n *network) { n.cutOff("d") }, func(n *network, ends []*end) {
+func TestFleetDetectsACutOffZoneWithinASecond(t *testing.T) {
+	runFleet(t, func(n *network) { n.cutOff("d") }, func(n *network, endpoints []*endpoint) {
 		before := n.sent.Load()
-		time.Sleep(mostFind)
+		time.Sleep(detectionTime)
 		found := 0
-		for _, e := range ends {
+		for _, e := range endpoints {
 			if e.zones.IsCutOff("d") {
 				found++
 			}
 		}
-		if outside := len(ends) - perZone; found < outside*3/4 {
-			t.Errorf("%d of %d found it within %s", found, outside, mostFind)
+		if outside := len(endpoints) - perZone; found < outside*3/4 {
+			t.Errorf("%d of %d daemons detected it within %s", found, outside, detectionTime)
 		}
-		time.Sleep(time.Second - mostFind)
-		for _, e := range ends {
+		time.Sleep(time.Second - detectionTime)
+		for _, e := range endpoints {
 			_, isolated := e.zones.IsolatedSince()
 			inside := n.zoneOf[e.self] == "d"
 			if e.zones.IsCutOff("d") == inside || isolated != inside {
 				t.Errorf("%s in %s (busy: %v): cut off %v, isolated %v", e.self, n.zoneOf[e.self], e.busy, e.zones.IsCutOff("d"), isolated)
 			}
 		}
-		t.Logf("%.1f messages a daemon in the first second of the cut", float64(n.sent.Load()-before)/float64(len(ends)))
+		t.Logf("%.1f messages a daemon in the first second of the cut", float64(n.sent.Load()-before)/float64(len(endpoints)))
 		time.Sleep(5 * time.Second)
 		n.heal()
 		time.Sleep(500 * time.Millisecond)
-		for _, e := range ends {
+		for _, e := range endpoints {
 			if _, isolated := e.zones.IsolatedSince(); isolated || e.zones.IsCutOff("d") {
-				t.Errorf("%s still takes something for cut off", e.self)
+				t.Errorf("%s is still isolated or still has zone d as cut off", e.self)
 			}
 		}
 	})
 }
 
-// TestDaemonThatHasJustStartedFindsItselfCutOffLikeTheOthers: it hears of the members
-// from its own zone after the cut.
-func TestDaemonThatHasJustStartedFindsItselfCutOffLikeTheOthers(t *testing.T) {
+// A daemon that learns of the members only after the partition must detect its isolation as
+// the other daemons do.
+func TestNewDaemonDetectsIsolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		n, ends := newFleet(ctx)
-		var young []*end
-		for _, e := range ends {
+		n, endpoints := newFleet(ctx)
+		var newEndpoints []*endpoint
+		for _, e := range endpoints {
 			if n.zoneOf[e.self] == "d" && !e.busy {
 				e.isNew.Store(true)
-				young = append(young, e)
+				newEndpoints = append(newEndpoints, e)
 			}
 		}
 		time.Sleep(3 * time.Second)
 		n.cutOff("d")
 		time.Sleep(600 * time.Millisecond)
-		for _, e := range young {
+		for _, e := range newEndpoints {
 			e.isNew.Store(false)
 		}
 		time.Sleep(900 * time.Millisecond)
-		for _, e := range young {
+		for _, e := range newEndpoints {
 			if _, isolated := e.zones.IsolatedSince(); !isolated {
-				t.Errorf("%s is ready still", e.self)
+				t.Errorf("%s is not isolated", e.self)
 			}
 		}
 	})
 }
 
-func TestHalfCuts(t *testing.T) {
+func TestPartialPartitions(t *testing.T) {
 	oneWay := func(from, to string) bool { return from != "d" && to == "d" }
 	cases := map[string]struct {
-		trouble func(*network)
-		// isolated are the zones whose daemons are to take themselves for cut off, and
-		// cut tells whether those of zone a take d to be cut off.
+		fault func(*network)
+		// isolated are the zones whose daemons must be isolated, and cut is whether the
+		// daemons of zone a must find d cut off.
 		isolated string
 		cut      bool
 	}{
 		"two zones together": {func(n *network) { n.cutOff("c", "d") }, "cd", true},
 		"one way": {func(n *network) {
-			n.set(func() { n.lost, n.storeCut = oneWay, map[string]bool{"d": true} })
+			n.set(func() { n.isDropped, n.storeCut = oneWay, map[string]bool{"d": true} })
 		}, "d", true},
 		"the store reached from inside": {func(n *network) {
 			n.cutOff("d")
 			n.set(func() { n.storeCut = map[string]bool{} })
 		}, "", true},
-		"only the store": {func(n *network) { n.set(func() { n.storeCut = map[string]bool{"d": true} }) }, "", false},
-		"the store, for all": {func(n *network) {
+		"only the store, from one zone": {func(n *network) { n.set(func() { n.storeCut = map[string]bool{"d": true} }) }, "", false},
+		"only the store, from all zones": {func(n *network) {
 			n.set(func() { n.storeCut = map[string]bool{"a": true, "b": true, "c": true, "d": true} })
 		}, "", false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			run(t, c.trouble, func(n *network, ends []*end) {
+			runFleet(t, c.fault, func(n *network, endpoints []*endpoint) {
 				time.Sleep(1500 * time.Millisecond)
-				for _, e := range ends {
+				for _, e := range endpoints {
 					home := n.zoneOf[e.self]
 					_, isolated := e.zones.IsolatedSince()
 					want := len(c.isolated) > 0 && (home == c.isolated[:1] || home == c.isolated[len(c.isolated)-1:])
@@ -300,7 +302,7 @@
 						t.Errorf("%s in %s: isolated %v", e.self, home, isolated)
 					}
 					if home == "a" && e.zones.IsCutOff("d") != c.cut {
-						t.Errorf("%s: d cut off %v", e.self, e.zones.IsCutOff("d"))
+						t.Errorf("%s: zone d cut off %v", e.self, e.zones.IsCutOff("d"))
 					}
 				}
 			})
@@ -308,33 +310,33 @@
 	}
 }
 
-// TestDeadDaemonsAreNoCut: those of a zone all die, while its back ends serve.
-func TestDeadDaemonsAreNoCut(t *testing.T) {
-	run(t, func(n *network) {
+// All daemons of a zone fail while its back ends serve.
+func TestDeadDaemonsAreNotACutOff(t *testing.T) {
+	runFleet(t, func(n *network) {
 		n.set(func() {
 			for address, home := range n.zoneOf {
 				n.dead[address] = home == "d"
 			}
 		})
-	}, func(n *network, ends []*end) {
-		for _, e := range ends {
+	}, func(n *network, endpoints []*endpoint) {
+		for _, e := range endpoints {
 			e.suspected(membership.Member{Daemon: structs.Daemon{Zone: "d"}, State: membership.StateSuspect})
 		}
 		time.Sleep(3 * time.Second)
-		for _, e := range ends {
+		for _, e := range endpoints {
 			_, isolated := e.zones.IsolatedSince()
 			if n.zoneOf[e.self] != "d" && (isolated || e.zones.IsCutOff("d")) {
 				t.Errorf("%s: isolated %v, cut off %v", e.self, isolated, e.zones.IsCutOff("d"))
 			}
 		}
-		if found := n.found.Load(); found != 0 {
+		if found := n.cutOffsFound.Load(); found != 0 {
 			t.Errorf("zones were found cut off %d times", found)
 		}
 	})
 }
 
-func TestCalmFleetAsksNothing(t *testing.T) {
-	run(t, func(*network) {}, func(n *network, _ []*end) {
+func TestHealthyFleetSendsNoMessages(t *testing.T) {
+	runFleet(t, func(*network) {}, func(n *network, _ []*endpoint) {
 		time.Sleep(10 * time.Second)
 		if sent := n.sent.Load(); sent != 0 {
 			t.Errorf("%d messages", sent)
--- a/internal/zone/reachability.go
+++ b/internal/zone/reachability.go
@@ -6,102 +6,103 @@
 	"time"
 )
 
-// RampTime is how long after a cut's end the zone gets less than its share.
+// RampTime is the time over which a zone's weight rises to 1 after it is reached again.
 const RampTime = time.Second
 
-// Waiting is what a daemon's own requests tell of the back ends of a zone.
+// UnresponsiveBackends counts the back ends of a zone that keep this daemon's requests
+// waiting.
 type UnresponsiveBackends struct {
-	// Overdue back ends keep a request waiting for somewhat longer than they usually
-	// do, and Silent ones for much longer.
+	// Overdue back ends exceed their usual time by some margin, and Silent ones by a larger
+	// one.
 	Overdue, Silent int
 }
 
-// Reachability is a daemon's belief which zones it is cut off from, and whether it
-// is cut off itself.
+// Reachability tracks which zones a daemon is cut off from, and whether the daemon is
+// itself isolated.
 //
-// A zone is taken to be cut off when none of the daemons that were probed there
-// answers, its back ends keep requests waiting and send nothing on any connection,
-// and somebody elsewhere does answer. Neither machines that died nor back ends that
-// fail, hang or are slow look like that: in these cases somebody of the zone answers.
+// A zone is cut off if none of its probed daemons replies, its back ends keep requests
+// waiting and send nothing on any connection, and somebody elsewhere does reply. Crashed
+// machines and back ends that fail, hang or are slow do not look like that: somebody in the
+// zone still replies.
 //
-// A daemon takes itself to be cut off when the daemons of half of the fleet are
-// silent, and the store does not answer in any way, whether or not back ends can be
-// reached: it has no programs' records. Where the store answers, the others may as well
-// have died, and somebody has to serve.
+// A daemon is isolated if at least half of the fleet's daemons do not reply and the store
+// does not answer, directly or through other daemons. Whether back ends can be reached does
+// not matter, as the daemon cannot reach the programs' records. As long as the store
+// answers, the others may just as well have failed, and this daemon has to serve.
 //
-// It is pure: it sends nothing and has no clock. It is safe for concurrent use.
+// Reachability does no I/O and has no clock. It is safe for concurrent use.
 type Reachability struct {
 	own     string
-	beliefs atomic.Pointer[beliefs]
+	current atomic.Pointer[snapshot]
 
-	// mutex guards all below.
+	// mutex guards all fields below.
 	mutex sync.Mutex
 	paths map[string]*path
-	// otherZones are the names of the paths but the daemon's own, in order.
+	// otherZones holds the names of all zones but the daemon's own, sorted.
 	otherZones []string
 	steppedAt  time.Time
 	store      storePath
-	// isolation is the belief that this daemon is cut off.
-	isolation belief
+	// isolation is the state of this daemon itself.
+	isolation cutState
 }
 
-// beliefs is what readers see. It is replaced as a whole.
-type beliefs struct {
-	zones         map[string]belief
+// snapshot is the state that readers see. It is immutable and replaced as a whole.
+type snapshot struct {
+	zones         map[string]cutState
 	isolatedSince time.Time
-	// changed is closed when it is replaced.
+	// changed is closed when the snapshot is replaced.
 	changed chan struct{}
 }
 
-// belief is since when a zone, or this daemon, has been cut off, zero if it is not, and when it
-// last was.
-type belief struct{ cutSince, endedAt time.Time }
+// cutState is since when a zone has been cut off, or this daemon isolated; zero if it is
+// not. restoredAt is when it last ceased to be.
+type cutState struct{ cutSince, restoredAt time.Time }
 
-func (b *belief) isCut() bool { return !b.cutSince.IsZero() }
+func (b *cutState) isCutOff() bool { return !b.cutSince.IsZero() }
 
-// become changes the belief, and tells whether that is a change, and for how long the contrary
-// was believed.
-func (b *belief) become(cut bool, now time.Time) (lasted time.Duration, changed bool) {
+// set sets the state and reports whether that is a change, and for how long the former
+// state lasted.
+func (b *cutState) set(cut bool, now time.Time) (lasted time.Duration, changed bool) {
 	switch {
-	case cut == b.isCut():
+	case cut == b.isCutOff():
 		return 0, false
 	case cut:
 		b.cutSince = now
-		return since(b.endedAt, now), true
+		return elapsed(b.restoredAt, now), true
 	}
-	lasted = since(b.cutSince, now)
-	b.cutSince, b.endedAt = time.Time{}, now
+	lasted = elapsed(b.cutSince, now)
+	b.cutSince, b.restoredAt = time.Time{}, now
 	return lasted, true
 }
 
-// path is what is known of the way to one zone.
+// path is what is known of the reachability of one zone.
 type path struct {
-	belief
-	// daemons is how many there are.
+	cutState
+	// daemons is the number of daemons in the zone.
 	daemons int
-	// heardAt is when a back end sent something last, and answeredAt when a daemon
-	// answered a probe.
-	heardAt, answeredAt time.Time
+	// activeAt is when a back end last sent something or accepted a connection, and
+	// answeredAt when a daemon last answered a probe.
+	activeAt, answeredAt time.Time
 	// suspectedAt is when there was last a reason to probe the zone, and reportedAt when
-	// another daemon found it cut off.
+	// another daemon last found it cut off.
 	suspectedAt, reportedAt time.Time
-	waiting                 UnresponsiveBackends
-	// probingSince is since when daemons of the zone are being probed; zero if none is.
-	// probes counts the probes sent since then, and probedAt is when the latest was sent.
+	unresponsive            UnresponsiveBackends
+	// probingSince is since when daemons of the zone are being probed; zero if they are
+	// not. probes is the number of probes since then, and probedAt the time of the latest.
 	probingSince, probedAt time.Time
 	probes                 int
-	// suspicionSent: other daemons were told that no probe was answered.
+	// suspicionSent is set once other daemons were told that no probe was answered.
 	suspicionSent bool
-	// probingEndedAt is when the zone was last probed before.
+	// probingEndedAt is when the former round of probes ended.
 	probingEndedAt time.Time
-	// connectedAt is when a connection to a back end of the zone was last asked for.
+	// connectedAt is when a connection to a back end of the zone was last requested.
 	connectedAt time.Time
 }
 
-// storePath is what is known of the way to the store.
+// storePath holds when the store was last called, and when calls failed and were answered.
 type storePath struct{ probedAt, failedAt, answeredAt time.Time }
 
-// NewReachability returns the belief of a daemon that is cut off from no zone.
+// NewReachability returns the Reachability of a daemon that is cut off from no zone.
 func NewReachability(topology Topology) *Reachability {
 	r := &Reachability{own: topology.OwnZone(), paths: map[string]*path{}}
 	for _, name := range topology.Zones() {
@@ -114,38 +115,37 @@
 	return r
 }
 
-// IsCut tells whether this daemon is taken to be cut off from a zone.
+// IsCutOff reports whether this daemon is cut off from a zone.
 func (r *Reachability) IsCutOff(zone string) bool {
-	return !r.beliefs.Load().zones[zone].cutSince.IsZero()
+	return !r.current.Load().zones[zone].cutSince.IsZero()
 }
 
-// Share is which part of its share of requests a zone is to get: 0 while it is cut
-// off, rising to 1 within RampTime after.
+// Weight returns the fraction of its usual traffic that a zone is to get: 0 while it is cut
+// off, then rising to 1 over RampTime.
 func (r *Reachability) Weight(zone string, now time.Time) float64 {
-	known := r.beliefs.Load().zones[zone]
+	known := r.current.Load().zones[zone]
 	switch {
 	case !known.cutSince.IsZero():
 		return 0
-	case known.endedAt.IsZero():
+	case known.restoredAt.IsZero():
 		return 1
 	}
-	return min(max(float64(now.Sub(known.endedAt))/float64(RampTime), 0), 1)
+	return min(max(float64(now.Sub(known.restoredAt))/float64(RampTime), 0), 1)
 }
 
-// Isolated tells since when this daemon takes itself to be cut off from the store
-// and most of the fleet; false if it does not.
+// IsolatedSince returns since when this daemon has been isolated; false if it is not.
 func (r *Reachability) IsolatedSince() (since time.Time, isolated bool) {
-	since = r.beliefs.Load().isolatedSince
+	since = r.current.Load().isolatedSince
 	return since, !since.IsZero()
 }
 
-// Zones returns how many zones there are, this daemon's own included.
+// ZoneCount returns the number of zones, including this daemon's own.
 func (r *Reachability) ZoneCount() int { return len(r.otherZones) + 1 }
 
-// Changed returns a channel that is closed at the next change of a belief.
-func (r *Reachability) Changed() <-chan struct{} { return r.beliefs.Load().changed }
+// Changed returns a channel that is closed at the next change of state.
+func (r *Reachability) Changed() <-chan struct{} { return r.current.Load().changed }
 
-// update changes the path to a zone under the mutex, if the zone is known.
+// update calls change on the path to a zone with the mutex held, if the zone is known.
 func (r *Reachability) update(zone string, change func(*path)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -154,30 +154,30 @@
 	}
 }
 
-// Heard takes note that a back end of a zone sent something, or could be connected to.
+// RecordActivity records that a back end of a zone sent something or accepted a connection.
 func (r *Reachability) RecordActivity(zone string, now time.Time) {
-	r.update(zone, func(p *path) { p.heardAt = now })
+	r.update(zone, func(p *path) { p.activeAt = now })
 }
 
-// Answered takes note that a daemon of a zone answered a probe.
+// RecordProbeReply records that a daemon of a zone answered a probe.
 func (r *Reachability) RecordProbeReply(zone string, now time.Time) {
 	r.update(zone, func(p *path) { p.answeredAt = now })
 }
 
-// Suspect takes note of a reason to probe a zone's daemons, such as that one of them
-// is suspected to have failed, or that other daemons hear nothing of them.
+// Suspect records a reason to probe a zone's daemons: one of them is suspected to have
+// failed, or other daemons get no replies from there.
 func (r *Reachability) Suspect(zone string, now time.Time) {
 	r.update(zone, func(p *path) { p.suspectedAt = now })
 }
 
-// Told takes another daemon's word of some age that a zone is cut off. It
-// stands for the silence of the back ends there, not for that of the daemons: this
-// daemon probes these itself.
+// RecordCutOffReport records another daemon's report, of the given age, that a zone is cut
+// off. It replaces the evidence of unresponsive back ends, but not that of the daemons,
+// which this daemon probes itself.
 func (r *Reachability) RecordCutOffReport(zone string, age time.Duration, now time.Time) {
 	r.update(zone, func(p *path) { p.reportedAt = now.Add(-age) })
 }
 
-// StoreAsked takes the outcome of a call to the store that began at a time.
+// RecordStoreCall records the outcome of a call to the store that began at the given time.
 func (r *Reachability) RecordStoreCall(answered bool, began, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -188,9 +188,9 @@
 	}
 }
 
-// NoteDaemons sets how many daemons a zone has, and tells whether the number was taken:
-// that of a zone that is being probed may only grow, as its daemons may be taken for
-// dead by now.
+// SetDaemonCount sets the number of daemons in a zone and reports whether the value was
+// accepted. During probing it may only increase, as the zone's daemons may be taken for
+// dead by then.
 func (r *Reachability) SetDaemonCount(zone string, count int) bool {
 	taken := false
 	r.update(zone, func(p *path) {
@@ -201,13 +201,13 @@
 	return taken
 }
 
-// publish makes the beliefs known to readers; the mutex must be held.
+// publish makes the current state visible to readers; the mutex must be held.
 func (r *Reachability) publish() {
-	next := &beliefs{zones: map[string]belief{}, isolatedSince: r.isolation.cutSince, changed: make(chan struct{})}
+	next := &snapshot{zones: map[string]cutState{}, isolatedSince: r.isolation.cutSince, changed: make(chan struct{})}
 	for name, p := range r.paths {
-		next.zones[name] = p.belief
+		next.zones[name] = p.cutState
 	}
-	if former := r.beliefs.Swap(next); former != nil {
-		close(former.changed)
+	if previous := r.current.Swap(next); previous != nil {
+		close(previous.changed)
 	}
 }
