--- a/internal/zone/reachability_test.go
+++ b/internal/zone/reachability_test.go
@@ -9,26 +9,26 @@
 
 var begin = time.Date(2026, time.December, 2, 22, 0, 0, 0, time.UTC)
 
-// fleet plays what one daemon sees of a fleet of four zones, in steps.
+// fleet simulates what one daemon observes of a fleet of four zones.
 type fleet struct {
 	r   *Reachability
 	now time.Time
-	// daemons that answer, of daemonsEach, and back ends that send something: what
-	// each is in each zone.
+	// answering is how many of the daemonsEach daemons of a zone answer probes, and active
+	// whether its back ends send anything; both by zone.
 	answering map[string]int
-	sending   map[string]bool
-	// silentSince is since when back ends of a zone send nothing, and hanging counts
-	// those that hang while others send.
+	active    map[string]bool
+	// silentSince is since when the back ends of a zone have sent nothing, and hanging how
+	// many of them hang while others send; both by zone.
 	silentSince map[string]time.Time
 	hanging     map[string]int
-	// instances is how many back ends this daemon has requests at, in each zone.
+	// instances is the number of back ends of a zone at which this daemon has requests.
 	instances map[string]int
 	storeUp   bool
-	// asked counts the questions in each zone since its daemons were last left alone.
-	asked map[string]int
-	// questions counts all.
-	questions int
-	changes   []ReachabilityChange
+	// probed is the number of probes in a zone since one was last answered.
+	probed map[string]int
+	// totalProbes is the number of all probes.
+	totalProbes int
+	changes     []ReachabilityChange
 }
 
 const daemonsEach = 19
@@ -42,27 +42,27 @@
 	}
 	f := &fleet{
 		r: NewReachability(NewTopology(own, "r", regions)), now: begin, storeUp: true,
-		answering: map[string]int{}, sending: map[string]bool{}, silentSince: map[string]time.Time{},
-		hanging: map[string]int{}, instances: map[string]int{}, asked: map[string]int{},
+		answering: map[string]int{}, active: map[string]bool{}, silentSince: map[string]time.Time{},
+		hanging: map[string]int{}, instances: map[string]int{}, probed: map[string]int{},
 	}
 	for _, name := range zoneNames {
-		f.answering[name], f.sending[name], f.instances[name] = daemonsEach, true, 1
+		f.answering[name], f.active[name], f.instances[name] = daemonsEach, true, 1
 		f.r.SetDaemonCount(name, daemonsEach)
 	}
 	f.run(time.Second)
 	return f
 }
 
-// silence ends all that comes from a zone.
+// silence makes all daemons and back ends of zones silent.
 func (f *fleet) silence(names ...string) {
 	for _, name := range names {
-		f.answering[name], f.sending[name] = 0, false
+		f.answering[name], f.active[name] = 0, false
 	}
 }
 
 func (f *fleet) restore(names ...string) {
 	for _, name := range names {
-		f.answering[name], f.sending[name] = daemonsEach, true
+		f.answering[name], f.active[name] = daemonsEach, true
 	}
 }
 
@@ -72,42 +72,42 @@
 	}
 }
 
-// Overdue and silent from when a daemon's requests count as such in this test.
+// Times of silence after which back ends count as overdue and as silent.
 const (
 	overdueAfter = 150 * time.Millisecond
 	silentAfter  = 350 * time.Millisecond
 )
 
 func (f *fleet) step() {
-	waiting := map[string]UnresponsiveBackends{}
+	unresponsive := map[string]UnresponsiveBackends{}
 	for _, name := range zoneNames {
-		if f.sending[name] {
+		if f.active[name] {
 			delete(f.silentSince, name)
 			f.r.RecordActivity(name, f.now)
-			waiting[name] = UnresponsiveBackends{Overdue: f.hanging[name], Silent: f.hanging[name]}
+			unresponsive[name] = UnresponsiveBackends{Overdue: f.hanging[name], Silent: f.hanging[name]}
 			continue
 		}
 		if f.silentSince[name].IsZero() {
 			f.silentSince[name] = f.now
 		}
-		length := f.now.Sub(f.silentSince[name])
-		w := UnresponsiveBackends{}
-		if length >= overdueAfter {
-			w.Overdue = f.instances[name]
+		silentFor := f.now.Sub(f.silentSince[name])
+		backends := UnresponsiveBackends{}
+		if silentFor >= overdueAfter {
+			backends.Overdue = f.instances[name]
 		}
-		if length >= silentAfter {
-			w.Silent = f.instances[name]
+		if silentFor >= silentAfter {
+			backends.Silent = f.instances[name]
 		}
-		waiting[name] = w
+		unresponsive[name] = backends
 	}
-	plan := f.r.Step(waiting, f.now)
+	plan := f.r.Step(unresponsive, f.now)
 	for name, count := range plan.Probe {
-		f.questions += count
-		f.asked[name] += count
-		// Those that died are asked first: the worst case.
-		if count > 0 && f.answering[name] > 0 && f.asked[name] > daemonsEach-f.answering[name] {
+		f.totalProbes += count
+		f.probed[name] += count
+		// Probes reach failed daemons first, which is the worst case.
+		if count > 0 && f.answering[name] > 0 && f.probed[name] > daemonsEach-f.answering[name] {
 			f.r.RecordProbeReply(name, f.now.Add(5*time.Millisecond))
-			f.asked[name] = 0
+			f.probed[name] = 0
 		}
 	}
 	if plan.ProbeStore {
@@ -116,13 +116,13 @@
 	f.changes = append(f.changes, plan.Changes...)
 }
 
-// isolated tells whether the daemon takes itself to be cut off.
+// isolated reports whether the daemon considers itself isolated.
 func (f *fleet) isolated() bool {
 	_, isolated := f.r.IsolatedSince()
 	return isolated
 }
 
-func (f *fleet) cut() []string {
+func (f *fleet) cutOffZones() []string {
 	var cut []string
 	for _, name := range zoneNames {
 		if f.r.IsCutOff(name) {
@@ -132,82 +132,82 @@
 	return cut
 }
 
-func TestZoneIsFoundCutOffAndBack(t *testing.T) {
+func TestZoneIsCutOffAndReachedAgain(t *testing.T) {
 	f := newFleet("a")
 	f.silence("d")
 	f.run(600 * time.Millisecond)
-	if got := f.cut(); len(got) != 1 || got[0] != "d" {
-		t.Fatalf("cut off after 0.6 s: %v", got)
+	if got := f.cutOffZones(); len(got) != 1 || got[0] != "d" {
+		t.Fatalf("zones cut off after 0.6 s: %v, want d", got)
 	}
 	if f.r.Weight("d", f.now) != 0 || f.r.Weight("b", f.now) != 1 {
-		t.Error("shares do not follow")
+		t.Error("wrong weights of the zones")
 	}
 	f.run(5 * time.Second)
 	if len(f.changes) != 1 || f.isolated() {
-		t.Fatalf("changes: %+v", f.changes)
+		t.Fatalf("changes: %+v, want one; isolated or not", f.changes)
 	}
 	f.restore("d")
 	f.run(300 * time.Millisecond)
-	if len(f.cut()) != 0 {
-		t.Fatal("still cut off 0.3 s after the end")
+	if len(f.cutOffZones()) != 0 {
+		t.Fatal("zone is still cut off 0.3 s after its return")
 	}
 	if share := f.r.Weight("d", f.now); share <= 0 || share >= 1 {
-		t.Errorf("share %v on the ramp", share)
+		t.Errorf("weight %v during the ramp, want between 0 and 1", share)
 	}
 	f.run(RampTime)
 	if f.r.Weight("d", f.now) != 1 {
-		t.Error("the ramp does not end")
+		t.Error("weight is below 1 after the ramp")
 	}
 }
 
-func TestQuietDaemonBelievesWhatItIsToldAndFindsItself(t *testing.T) {
+func TestReportIsAcceptedOnlyIfProbesFail(t *testing.T) {
 	f := newFleet("a")
-	f.instances["d"] = 0 // it has no request there
+	f.instances["d"] = 0 // the daemon has no request there
 	f.silence("d")
 	f.run(300 * time.Millisecond)
 	f.r.RecordCutOffReport("d", 0, f.now)
 	f.run(350 * time.Millisecond)
 	if !f.r.IsCutOff("d") {
-		t.Error("not believed")
+		t.Error("a report was not accepted for a zone without probe replies")
 	}
 	g := newFleet("a")
 	g.r.RecordCutOffReport("d", 0, g.now)
 	g.run(2 * time.Second)
 	if len(g.changes) != 0 {
-		t.Errorf("believed of a zone whose daemons answer: %+v", g.changes)
+		t.Errorf("a report was accepted for a zone whose daemons answer: %+v", g.changes)
 	}
 }
 
-func TestDaemonInsideFindsItselfCutOff(t *testing.T) {
+func TestDaemonInACutOffZoneIsIsolated(t *testing.T) {
 	for name, silent := range map[string][]string{
 		"its zone": {"a", "b", "c"}, "its zone and another": {"a", "b"}, "alone": {"a", "b", "c", "d"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet("d")
 			f.silence(silent...)
-			f.sending["d"] = true
+			f.active["d"] = true
 			f.storeUp = false
 			f.run(900 * time.Millisecond)
 			if !f.isolated() {
-				t.Fatalf("not after 0.9 s; cut off: %v", f.cut())
+				t.Fatalf("not isolated after 0.9 s; zones cut off: %v", f.cutOffZones())
 			}
 			f.run(5 * time.Second)
 			if !f.isolated() {
-				t.Fatal("believed no longer")
+				t.Fatal("no longer isolated while the partition lasts")
 			}
 			f.restore(zoneNames...)
 			f.storeUp = true
 			f.run(500 * time.Millisecond)
-			if f.isolated() || len(f.cut()) != 0 {
-				t.Errorf("0.5 s after the end: isolated %v, cut off %v", f.isolated(), f.cut())
+			if f.isolated() || len(f.cutOffZones()) != 0 {
+				t.Errorf("0.5 s after the return: isolated %v, zones cut off %v", f.isolated(), f.cutOffZones())
 			}
 		})
 	}
 }
 
-// TestMachineThatReachesOnlyBackEndsIsCutOff: it has no programs' records, but it may
-// serve what needs none.
-func TestMachineThatReachesOnlyBackEndsIsCutOff(t *testing.T) {
+// A daemon that reaches back ends, but neither other daemons nor the store, is isolated: it
+// cannot reach the programs' records.
+func TestDaemonThatReachesOnlyBackEndsIsIsolated(t *testing.T) {
 	f := newFleet("a")
 	for _, name := range zoneNames {
 		f.answering[name] = 0
@@ -215,21 +215,21 @@
 	f.storeUp = false
 	f.r.Suspect("b", f.now)
 	f.run(900 * time.Millisecond)
-	if !f.isolated() || len(f.cut()) != 0 {
-		t.Errorf("isolated %v, zones cut off %v", f.isolated(), f.cut())
+	if !f.isolated() || len(f.cutOffZones()) != 0 {
+		t.Errorf("isolated %v, zones cut off %v", f.isolated(), f.cutOffZones())
 	}
 	f.run(3 * time.Second)
 	f.restore(zoneNames...)
 	f.storeUp = true
 	f.run(500 * time.Millisecond)
 	if f.isolated() {
-		t.Error("0.5 s after the end still")
+		t.Error("still isolated 0.5 s after the return")
 	}
 }
 
-// TestWhatOnlyLooksLikeACut draws troubles in which somebody of each zone shows
-// himself, one after another.
-func TestWhatOnlyLooksLikeACut(t *testing.T) {
+// Draws a sequence of faults in each of which some daemon or back end of each zone stays
+// reachable, or the daemon itself is paused.
+func TestOtherFaultsAreNotTakenForACutOff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.SampledFrom(zoneNames).Draw(t, "own"))
 		for range rapid.IntRange(1, 6).Draw(t, "troubles") {
@@ -239,9 +239,9 @@
 			f.instances[name] = rapid.IntRange(1, 11).Draw(t, "instances")
 			switch rapid.SampledFrom([]string{"rack", "back ends hang", "daemons killed", "burst", "paused"}).Draw(t, "trouble") {
 			case "rack": // a third of the daemons, and all back ends that this daemon uses
-				f.answering[name], f.sending[name] = daemonsEach-daemonsEach/3, false
+				f.answering[name], f.active[name] = daemonsEach-daemonsEach/3, false
 			case "back ends hang":
-				f.sending[name] = false
+				f.active[name] = false
 			case "daemons killed":
 				for _, each := range zoneNames {
 					if each != f.r.own {
@@ -249,16 +249,16 @@
 					}
 				}
 				f.hanging[name] = rapid.IntRange(0, 3).Draw(t, "hanging")
-				f.storeUp = true // with neither the others nor the store it is cut off
+				f.storeUp = true // without the other daemons and the store it would be isolated
 			case "burst":
 				for _, each := range zoneNames {
-					f.sending[each] = false
+					f.active[each] = false
 				}
-			case "paused": // all others are silent to one that does not run
+			case "paused": // all others seem silent to a paused daemon
 				f.now = f.now.Add(time.Duration(rapid.IntRange(200, 5000).Draw(t, "pause")) * time.Millisecond)
 			}
 			f.run(time.Duration(rapid.IntRange(1, 60).Draw(t, "steps")) * StepInterval)
-			if !f.storeUp { // its return is noticed before all others die
+			if !f.storeUp { // the store's return must be noticed before all others fail
 				f.storeUp = true
 				f.run(storeProbeInterval)
 			}
@@ -269,55 +269,54 @@
 	})
 }
 
-func TestOthersThatDiedAreNoIsolation(t *testing.T) {
+func TestOtherZonesFailingIsNotIsolation(t *testing.T) {
 	f := newFleet("d")
-	f.silence("a", "b", "c") // all power is lost there; the store answers
+	f.silence("a", "b", "c") // a power failure there; the store answers
 	f.run(3 * time.Second)
 	if f.isolated() {
-		t.Error("the only zone that runs takes itself to be cut off")
+		t.Error("a daemon of the only running zone is isolated")
 	}
 }
 
-func TestStoreOutageIsNoIsolation(t *testing.T) {
+func TestStoreOutageIsNotIsolation(t *testing.T) {
 	f := newFleet("d")
-	f.silence("a") // one zone of four is cut off, too
+	f.silence("a") // one zone of four is cut off as well
 	for range 60 {
 		f.r.RecordStoreCall(false, f.now, f.now)
 		f.run(StepInterval)
 		if f.isolated() {
-			t.Fatal("an outage of the store for all is taken for a cut of this daemon")
+			t.Fatal("an outage of the store isolates the daemon")
 		}
 	}
 }
 
-// TestDaemonsThatRestartAreHeard: all of a zone are killed, and back by the time at which
-// its back ends turn silent for another reason.
-func TestDaemonsThatRestartAreHeard(t *testing.T) {
+// All daemons of a zone restart before its back ends become silent for another reason.
+func TestReplyOfARestartedDaemonCounts(t *testing.T) {
 	f := newFleet("a")
 	f.answering["d"], f.hanging["d"] = 0, 1
 	f.run(400 * time.Millisecond)
-	f.answering["d"], f.sending["d"] = daemonsEach, false
+	f.answering["d"], f.active["d"] = daemonsEach, false
 	f.run(2 * time.Second)
 	if len(f.changes) != 0 {
 		t.Errorf("changes: %+v", f.changes)
 	}
 }
 
-// TestPausedDaemonMissesNobody: a daemon that stood still finds questions unanswered
-// whose answers wait at its door.
-func TestPausedDaemonMissesNobody(t *testing.T) {
+// After a pause of this daemon, probes seem unanswered although the replies are waiting in
+// its receive buffers.
+func TestLateStepChangesNothing(t *testing.T) {
 	f := newFleet("a")
-	waiting := map[string]UnresponsiveBackends{"b": {Overdue: 5, Silent: 5}}
-	f.r.Step(waiting, f.now)
+	unresponsive := map[string]UnresponsiveBackends{"b": {Overdue: 5, Silent: 5}}
+	f.r.Step(unresponsive, f.now)
 	f.now = f.now.Add(2 * probeTimeout)
-	f.r.RecordProbeReply("c", f.now) // the first of them was read
-	if plan := f.r.Step(waiting, f.now); len(plan.Changes) != 0 {
+	f.r.RecordProbeReply("c", f.now) // the first reply to be read
+	if plan := f.r.Step(unresponsive, f.now); len(plan.Changes) != 0 {
 		t.Errorf("changes: %+v", plan.Changes)
 	}
 }
 
-// TestDaemonThatHearsNobodyBlamesNoZone: it may be its own link.
-func TestDaemonThatHearsNobodyBlamesNoZone(t *testing.T) {
+// If nothing is received from any zone, this daemon's own link may be down.
+func TestNoZoneIsCutOffWhenNobodyIsHeard(t *testing.T) {
 	f := newFleet("a")
 	f.silence(zoneNames...)
 	f.run(3 * time.Second)
@@ -326,7 +325,7 @@
 	}
 }
 
-func TestOneZoneAloneIsNeverCutOff(t *testing.T) {
+func TestSingleZoneIsNeverCutOff(t *testing.T) {
 	r := NewReachability(NewTopology("z", "r", nil))
 	r.SetDaemonCount("z", daemonsEach)
 	for step := range 100 {
@@ -338,7 +337,7 @@
 	}
 }
 
-func TestNobodyIsMissedAtTheStart(t *testing.T) {
+func TestZoneWithUnknownDaemonsIsNotCutOff(t *testing.T) {
 	regions := map[string]string{"a": "r", "b": "r"}
 	r := NewReachability(NewTopology("a", "r", regions))
 	r.SetDaemonCount("a", 1)
@@ -352,42 +351,44 @@
 	}
 }
 
-func TestQuestionsAreFewInABurst(t *testing.T) {
+func TestProbesAreBoundedInABurst(t *testing.T) {
 	f := newFleet("a")
 	for _, name := range zoneNames {
-		f.sending[name] = false
+		f.active[name] = false
 	}
-	before := f.questions
+	before := f.totalProbes
 	f.run(10 * time.Second)
-	// Each askRest at most all zones once, with three or one daemon asked.
-	if asked := f.questions - before; asked > 20*(3*firstProbes+controlProbes) {
-		t.Errorf("%d questions in 10 s", asked)
+	// Each probePause at most one round of probes, with firstProbes in one zone and
+	// controlProbes elsewhere.
+	if probes := f.totalProbes - before; probes > 20*(3*firstProbes+controlProbes) {
+		t.Errorf("%d probes in 10 s", probes)
 	}
 }
 
-// TestZoneWithoutDaemonsComesBackByItsBackEnds: none of its daemons runs any more.
-func TestZoneWithoutDaemonsComesBackByItsBackEnds(t *testing.T) {
+// Once no daemon of a zone runs, only a connection to a back end shows that it can be
+// reached.
+func TestZoneWithoutDaemonsIsReachedThroughItsBackEnds(t *testing.T) {
 	f := newFleet("a")
 	f.silence("d")
 	f.run(time.Second)
-	tries := 0
+	connects := 0
 	for range 60 {
 		for _, name := range f.r.Step(map[string]UnresponsiveBackends{}, f.now).Connect {
-			tries++
-			if tries == 3 {
+			connects++
+			if connects == 3 {
 				f.r.RecordActivity(name, f.now.Add(1))
 			}
 		}
 		f.now = f.now.Add(StepInterval)
 	}
-	if tries != 3 || f.r.IsCutOff("d") {
-		t.Errorf("%d tries, cut off %v", tries, f.r.IsCutOff("d"))
+	if connects != 3 || f.r.IsCutOff("d") {
+		t.Errorf("%d connects, cut off %v; want 3, false", connects, f.r.IsCutOff("d"))
 	}
 }
 
-// BenchmarkBelief asks what a choice among 50 instances does, in a fleet of 300 daemons
-// in 8 zones, one of which is cut off.
-func BenchmarkBelief(b *testing.B) {
+// BenchmarkReachability measures the calls for a choice among 50 instances, in a fleet of
+// 300 daemons in 8 zones, one of which is cut off.
+func BenchmarkReachability(b *testing.B) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	regions := map[string]string{}
 	for _, name := range names {
--- a/internal/zone/topology.go
+++ b/internal/zone/topology.go
@@ -1,10 +1,9 @@
-// Package zone tells where machines and back ends stand, and what is known of
-// each zone: which region it is in, whether operators emptied it, whether it can
-// be reached.
+// Package zone keeps what a daemon knows of zones: the region of each, whether operators
+// evacuated it, and whether it can be reached.
 //
-// A zone is what is lost or cut off together, and a region is some zones that
-// are near each other. The parts that place requests, hold shards or pass calls
-// on ask this package; none of them decides by itself what a zone is good for.
+// A zone is a failure domain: its machines fail or are cut off together. A region is a
+// group of zones that are close to each other. The parts that place requests, hold shards
+// or forward calls get their view of zones from this package.
 package zone
 
 import (
@@ -12,16 +11,16 @@
 	"slices"
 )
 
-// Distance is how far another zone is.
+// Distance is the class of distance to another zone.
 type Distance int
 
-// Distances, in rising order.
+// Distances, in ascending order.
 const (
-	// SameZone is this daemon's own zone.
+	// SameZone is the daemon's own zone.
 	SameZone Distance = iota
-	// SameRegion is another zone near by.
+	// SameRegion is another zone of the daemon's region.
 	SameRegion
-	// OtherRegion is far away.
+	// OtherRegion is a zone of another region.
 	OtherRegion
 )
 
@@ -38,17 +37,16 @@
 	return "unknown"
 }
 
-// Topology is which zones there are and which region each is in, as seen from one
-// of them. It does not change once it is made. The zero value knows no zones: then
-// all but its own, "", are in its region.
+// Topology is the immutable mapping of zones to regions, as seen from one zone. The zero
+// value knows no zones: its own zone is "", and all others are in the same region.
 type Topology struct {
 	own     string
 	region  string
 	regions map[string]string
 }
 
-// NewTopology returns the topology of a daemon in a zone and region; regions names
-// the region of each zone.
+// NewTopology returns the topology of a daemon in the zone own of a region; regions maps
+// each zone to its region.
 func NewTopology(own, region string, regions map[string]string) Topology {
 	known := maps.Clone(regions)
 	if known == nil {
@@ -58,28 +56,28 @@
 	return Topology{own: own, region: region, regions: known}
 }
 
-// Own returns the daemon's own zone.
+// OwnZone returns the daemon's own zone.
 func (t Topology) OwnZone() string { return t.own }
 
 // OwnRegion returns the daemon's own region.
 func (t Topology) OwnRegion() string { return t.region }
 
-// Zones returns the zones that are known, in order.
+// Zones returns the known zones, sorted.
 func (t Topology) Zones() []string { return slices.Sorted(maps.Keys(t.regions)) }
 
-// Regions returns the regions that are known, in order.
+// Regions returns the known regions, sorted.
 func (t Topology) Regions() []string {
 	return slices.Compact(slices.Sorted(maps.Values(t.regions)))
 }
 
-// RegionOf returns a zone's region, and false if the zone is not known.
+// RegionOf returns a zone's region, and false if the zone is unknown.
 func (t Topology) RegionOf(zone string) (string, bool) {
 	region, known := t.regions[zone]
 	return region, known
 }
 
-// DistanceTo returns how far a zone is. One that is not known counts as near: the
-// settings of a fleet in one region may name no zones.
+// DistanceTo returns the distance to a zone. An unknown zone counts as SameRegion, as the
+// settings of a fleet in one region need not name its zones.
 func (t Topology) DistanceTo(zone string) Distance {
 	if zone == t.own {
 		return SameZone
