--- a/internal/instance/distance/distance.go
+++ b/internal/instance/distance/distance.go
@@ -1,7 +1,7 @@
 // Package distance weighs the distance to an instance against the wait for a nearer one.
 //
-// The unit is time. A request to another zone or region costs the round trip, and a price
-// for its bytes, expressed as the wait that is worth avoiding them:
+// The unit is time. A request to another zone or region costs the round trip, and the time
+// that it may rather wait in order not to send its bytes there:
 //
 //	penalty = 2 x latency + kilobytes x time per kilobyte
 //
--- a/internal/instance/distance/distance_test.go
+++ b/internal/instance/distance/distance_test.go
@@ -31,9 +31,9 @@
 
 func TestRequestsSpillOverOnceTheWaitExceedsThePenalty(t *testing.T) {
 	for name, c := range map[string]struct {
-		stay  time.Duration
-		slots int
-		bytes int
+		serviceTime time.Duration
+		slots       int
+		bytes       int
 		// least and most bound the number of requests that stay in the region before the
 		// first one leaves it: the penalty in requests, plus or minus the random cost.
 		least, most int
@@ -45,7 +45,7 @@
 		"no bytes, penalty 16 ms, unknown service time":       {0, 8, 0, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newTestPool(c.stay, c.slots, "north-a", "south-a")
+			p := newTestPool(c.serviceTime, c.slots, "north-a", "south-a")
 			local := 0
 			for ; local < 100; local++ {
 				if taken, _ := p.Take(instance.Query{Service: "s", Bytes: c.bytes}); taken.Zone == "south-a" {
--- a/internal/instance/health.go
+++ b/internal/instance/health.go
@@ -54,11 +54,11 @@
 	}
 	h.failures++
 	h.failedAt = now
-	pause := failureBackoff
+	backoff := failureBackoff
 	for range h.failures - 1 {
-		pause = min(2*pause, maxFailureBackoff)
+		backoff = min(2*backoff, maxFailureBackoff)
 	}
-	return pause
+	return backoff
 }
 
 // recordSlowness adds a sample to the smoothed slowness.
@@ -84,18 +84,18 @@
 
 // observe records the latency of an operation and returns its slowness: the logarithm of
 // the ratio to the typical latency of its kind.
-func (p typicalLatencies) observe(kind string, took time.Duration) float64 {
+func (l typicalLatencies) observe(kind string, took time.Duration) float64 {
 	sample := math.Log(max(took, time.Microsecond).Seconds())
-	usual, known := p[kind]
+	typical, known := l[kind]
 	if !known {
-		if len(p) >= maxKinds {
-			clear(p)
+		if len(l) >= maxKinds {
+			clear(l)
 		}
-		p[kind] = sample
+		l[kind] = sample
 		return 0
 	}
-	slowness := min(max(sample-usual, -maxSlowness), maxSlowness)
-	p[kind] = usual + latencyWeight*slowness
+	slowness := min(max(sample-typical, -maxSlowness), maxSlowness)
+	l[kind] = typical + latencyWeight*slowness
 	return slowness
 }
 
@@ -104,21 +104,21 @@
 func (p *Pool) TypicalLatency(id, kind string) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	usual, known := p.typicalLatencies[kind]
+	typical, known := p.typicalLatencies[kind]
 	if !known {
 		return 0
 	}
 	if e := p.byID[id]; e != nil {
-		usual += max(e.health.slowness, 0)
+		typical += max(e.health.slowness, 0)
 	}
-	return time.Duration(math.Exp(usual) * float64(time.Second))
+	return time.Duration(math.Exp(typical) * float64(time.Second))
 }
 
 // RecordServiceTime records how long an instance took to serve a request of a service.
 func (p *Pool) RecordServiceTime(service string, took time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	usual, known := p.serviceTimes[service]
+	mean, known := p.serviceTimes[service]
 	if !known {
 		if len(p.serviceTimes) >= maxKinds {
 			clear(p.serviceTimes)
@@ -126,7 +126,7 @@
 		p.serviceTimes[service] = took
 		return
 	}
-	p.serviceTimes[service] = usual + time.Duration(serviceTimeWeight*float64(took-usual))
+	p.serviceTimes[service] = mean + time.Duration(serviceTimeWeight*float64(took-mean))
 }
 
 // RecordLatency records how long an instance took for an operation of a kind. Operations of
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -33,7 +33,7 @@
 	// Sequence increases with every change of the instance's entry.
 	Sequence int64
 	// ColdFor is for how much longer the instance reported that it stays cold, which means
-	// slow or able to take few requests. It is valid only if HasColdFor.
+	// slow or able to take few requests. HasColdFor is set if the entry reports it.
 	ColdFor    time.Duration
 	HasColdFor bool
 	// ReceivedAt is when this daemon first read the current entry, some time after the
--- a/internal/instance/plugin.go
+++ b/internal/instance/plugin.go
@@ -66,12 +66,12 @@
 // reserve calls all reservers until one refuses. sendBy is the earliest that they return.
 func (p *Plugins) reserve(candidate *Instance, now time.Time) (sendBy time.Time, reserved bool) {
 	for _, reserver := range p.Reservers {
-		bound, reserved := reserver.Reserve(candidate, now)
+		deadline, reserved := reserver.Reserve(candidate, now)
 		if !reserved {
 			return time.Time{}, false
 		}
-		if sendBy.IsZero() || (!bound.IsZero() && bound.Before(sendBy)) {
-			sendBy = bound
+		if sendBy.IsZero() || (!deadline.IsZero() && deadline.Before(sendBy)) {
+			sendBy = deadline
 		}
 	}
 	return sendBy, true
--- a/internal/instance/pool.go
+++ b/internal/instance/pool.go
@@ -72,16 +72,16 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	newAt := now
+	firstSeenAt := now
 	if p.firstListedAt.IsZero() {
 		p.firstListedAt, p.listedAt = now, now
-		newAt = time.Time{}
+		firstSeenAt = time.Time{}
 	}
 	seen := map[string]bool{}
 	addresses := map[string]bool{}
 	for _, instance := range list {
 		addresses[instance.Address] = true
-		instance.ReceivedAt, instance.FirstSeenAt = now, newAt
+		instance.ReceivedAt, instance.FirstSeenAt = now, firstSeenAt
 		id, formerAddresses := p.update(instance)
 		seen[id] = true
 		gone = append(gone, formerAddresses...)
@@ -196,20 +196,20 @@
 func (p *Pool) Count(query Query) Counts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	census := Counts{Filtered: map[string]int{}}
+	counts := Counts{Filtered: map[string]int{}}
 	now := time.Now()
 	for _, e := range p.byService[query.Service] {
 		if !p.mayServe(e, now) || (query.Only != "" && e.ID != query.Only) {
 			continue
 		}
 		if filter := p.plugins.filteredBy(&query, &e.Instance, now); filter != nil {
-			census.Filtered[filter.Reason()]++
+			counts.Filtered[filter.Reason()]++
 			if _, temporary := filter.(TemporaryFilter); temporary {
-				census.TemporarilyFiltered++
+				counts.TemporarilyFiltered++
 			}
 			continue
 		}
-		census.Admitted++
+		counts.Admitted++
 	}
-	return census
+	return counts
 }
--- a/internal/instance/pool_test.go
+++ b/internal/instance/pool_test.go
@@ -55,15 +55,15 @@
 
 func TestAffinityKeysKeepTheirInstanceWhenAnotherIsRemoved(t *testing.T) {
 	p := newTestPool("a", "b", "c", "d")
-	homes := map[string]string{}
+	former := map[string]string{}
 	for i := range 50 {
-		object := fmt.Sprint("object-", i)
-		homes[object] = p.rendezvousInstance(&Query{Service: "s", AffinityKey: object}, time.Now())
+		key := fmt.Sprint("object-", i)
+		former[key] = p.rendezvousInstance(&Query{Service: "s", AffinityKey: key}, time.Now())
 	}
 	p.Replace(listOf(StateReady, "a", "b", "c"))
-	for object, home := range homes {
-		if got := p.rendezvousInstance(&Query{Service: "s", AffinityKey: object}, time.Now()); home != "d" && got != home {
-			t.Errorf("%s moved from %s to %s", object, home, got)
+	for key, want := range former {
+		if got := p.rendezvousInstance(&Query{Service: "s", AffinityKey: key}, time.Now()); want != "d" && got != want {
+			t.Errorf("%s moved from %s to %s", key, want, got)
 		}
 	}
 }
@@ -84,9 +84,9 @@
 
 func TestOlderSequenceIsIgnored(t *testing.T) {
 	p := newTestPool("a")
-	leaving := listOf(StateDraining, "a")
-	leaving[0].Sequence = 5
-	p.Replace(leaving)
+	draining := listOf(StateDraining, "a")
+	draining[0].Sequence = 5
+	p.Replace(draining)
 	p.Replace(listOf(StateReady, "a"))
 	if got, found := p.Take(Query{Service: "s"}); found {
 		t.Errorf("got %s, whose newer entry says that it drains", got.ID)
--- a/internal/instance/runs_test.go
+++ b/internal/instance/runs_test.go
@@ -25,9 +25,9 @@
 		first, _ := p.Take(Query{Service: "s"})
 		p.Release(first.ID, OutcomeFailed)
 		p.Take(Query{Service: "s"})
-		leaving := runEntry("b", 100, 901)
-		leaving.State = StateDraining
-		p.Replace([]Instance{leaving})
+		draining := runEntry("b", 100, 901)
+		draining.State = StateDraining
+		p.Replace([]Instance{draining})
 		time.Sleep(time.Minute)
 		gone := p.Replace([]Instance{runEntry("b", 200, 1)})
 		second, found := p.Take(Query{Service: "s"})
--- a/internal/residency/ledger.go
+++ b/internal/residency/ledger.go
@@ -128,12 +128,12 @@
 
 // retryEnd attempts to end a turn until that succeeds, fails permanently, or ctx ends.
 func retryEnd(ctx context.Context, try func() error) error {
-	for pause := endRetryDelay; ; pause = min(2*pause, maxEndRetryDelay) {
+	for delay := endRetryDelay; ; delay = min(2*delay, maxEndRetryDelay) {
 		err := try()
 		if err == nil || errors.Is(err, ledger.ErrUnknownTurn) {
 			return err
 		}
-		clock.Sleep(ctx, pause)
+		clock.Sleep(ctx, delay)
 		if ctx.Err() != nil {
 			return err
 		}
--- a/internal/tcpoption/tcpoption_other.go
+++ b/internal/tcpoption/tcpoption_other.go
@@ -10,9 +10,9 @@
 )
 
 // ControlUserTimeout does nothing on this system.
-func LimitUnacknowledged(time.Duration) func(network, address string, connection syscall.RawConn) error {
+func ControlUserTimeout(time.Duration) func(network, address string, connection syscall.RawConn) error {
 	return nil
 }
 
 // SetUserTimeout does nothing on this system.
-func SetUnacknowledgedLimit(syscall.Conn, time.Duration) error { return nil }
+func SetUserTimeout(syscall.Conn, time.Duration) error { return nil }
--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Take removes up to the wanted number of tokens, 0 or more, and returns the whole number
-// of tokens removed.
+// Take removes up to the wanted number of tokens, 0 or more, and returns the number removed,
+// rounded down.
 func (b *Bucket) Take(now time.Time, wanted int) int {
 	b.Refill(now)
 	taken := min(float64(wanted), b.Tokens)
--- a/internal/warmup/fleet_test.go
+++ b/internal/warmup/fleet_test.go
@@ -43,7 +43,7 @@
 	address          string
 	limiter          *Limiter
 	startedAt        time.Time
-	frozenUntil      time.Time
+	pausedUntil      time.Time
 	partitionedUntil time.Time
 	// read is the number of registry changes that the daemon has read.
 	read int
@@ -79,7 +79,7 @@
 	m.limiter, m.startedAt, m.read, m.pending = newTestLimiter(m.address), now, -1, nil
 }
 
-func (f *fleet) withdraw(m *machine) {
+func (f *fleet) deregister(m *machine) {
 	m.limiter = nil
 	f.write(m, false)
 }
@@ -105,7 +105,7 @@
 
 // step simulates one testStep of a machine whose clients always have a request.
 func (f *fleet) step(m *machine, cold *instance.Instance, now time.Time) {
-	if m.limiter == nil || now.Before(m.frozenUntil) {
+	if m.limiter == nil || now.Before(m.pausedUntil) {
 		return
 	}
 	m.pending = slices.DeleteFunc(m.pending, func(p pendingRequest) bool {
@@ -184,9 +184,9 @@
 			case 0:
 				f.start(m, now) // killed and restarted at once
 			case 1:
-				f.withdraw(m)
+				f.deregister(m)
 			case 2:
-				m.frozenUntil = now.Add(f.randomDuration(8 * time.Second))
+				m.pausedUntil = now.Add(f.randomDuration(8 * time.Second))
 			case 3:
 				m.partitionedUntil = now.Add(f.randomDuration(12 * time.Second))
 			case 4:
@@ -230,7 +230,7 @@
 	f.start(m, testStart)
 	cold := coldInstance("i")
 	f.run(0, 10*time.Second, cold, nil)
-	m.frozenUntil = testStart.Add(15 * time.Second)
+	m.pausedUntil = testStart.Add(15 * time.Second)
 	if len(m.pending) == 0 {
 		t.Fatal("no request was pending")
 	}
--- a/internal/warmup/limiter_test.go
+++ b/internal/warmup/limiter_test.go
@@ -23,9 +23,9 @@
 func TestColdUntil(t *testing.T) {
 	at := func(seconds float64) time.Time { return testStart.Add(time.Duration(seconds * float64(time.Second))) }
 	returns := zoneReturns{"returned": at(10)}
-	reported := func(zone string, heard, coldFor float64) instance.Instance {
+	reported := func(zone string, received, coldFor float64) instance.Instance {
 		return instance.Instance{
-			Service: "s", Zone: zone, HasColdFor: true, ReceivedAt: at(heard), FirstSeenAt: at(0),
+			Service: "s", Zone: zone, HasColdFor: true, ReceivedAt: at(received), FirstSeenAt: at(0),
 			ColdFor: time.Duration(coldFor * float64(time.Second)),
 		}
 	}
@@ -168,7 +168,7 @@
 			total += count
 		}
 		if most > testRate || total < 44*testRate*9/10 || unserved == 0 {
-			t.Errorf("%d in a second at one, %d in all, %d found none", most, total, unserved)
+			t.Errorf("%d requests in a second at one instance, %d in total, %d found no instance", most, total, unserved)
 		}
 	})
 }
@@ -180,8 +180,8 @@
 		for found := true; found; {
 			_, found = pool.Take(instance.Query{Service: "s"})
 		}
-		if census := pool.Count(instance.Query{Service: "s"}); census.Admitted != 0 || census.TemporarilyFiltered != 1 || census.Filtered["cold"] != 1 {
-			t.Errorf("got %+v", census)
+		if counts := pool.Count(instance.Query{Service: "s"}); counts.Admitted != 0 || counts.TemporarilyFiltered != 1 || counts.Filtered["cold"] != 1 {
+			t.Errorf("got %+v", counts)
 		}
 	})
 }
--- a/internal/zone/evacuation.go
+++ b/internal/zone/evacuation.go
@@ -54,8 +54,8 @@
 // has no effect, and all daemons agree once each has the newest. The zero value is ready to
 // use. It is safe for concurrent use.
 type Evacuations struct {
-	// writeMutex is held while the state is replaced. Reads take no lock, as each choice of
-	// an instance does one.
+	// writeMutex is held while the state is replaced. Reads take no lock, as they happen for
+	// each choice of an instance.
 	writeMutex sync.Mutex
 	state      atomic.Pointer[evacuationState]
 }
--- a/internal/zone/reach/monitor.go
+++ b/internal/zone/reach/monitor.go
@@ -26,9 +26,9 @@
 	// just started must not be the last of its zone to notice that it is isolated, as
 	// clients are routed to the zone as long as one of its daemons is ready.
 	firstRefreshInterval = 100 * time.Millisecond
-	// notifiedDaemons are told of each suspected zone and of each that was found cut off. A
-	// daemon without requests in the zone learns of it only from them: with this number,
-	// hardly one daemon of 300 is told by nobody.
+	// notifiedDaemons is the number of daemons that are notified of each suspected zone and
+	// of each that was found cut off. A daemon without requests in the zone learns of it
+	// only that way: with this number, hardly one daemon of 300 is notified by nobody.
 	notifiedDaemons = 8
 	// storeTimeout limits the call that checks whether the store answers: a store that is
 	// sixty times slower than usual still answers in time.
@@ -155,11 +155,11 @@
 
 // refreshDaemons renews the lists of daemons, except of zones that are being probed.
 func (m *Monitor) refreshDaemons(now time.Time) {
-	every := refreshInterval
+	interval := refreshInterval
 	if !m.knowsAllZones {
-		every = firstRefreshInterval
+		interval = firstRefreshInterval
 	}
-	if now.Sub(m.refreshedAt) < every {
+	if now.Sub(m.refreshedAt) < interval {
 		return
 	}
 	m.refreshedAt = now
--- a/internal/zone/reach/monitor_test.go
+++ b/internal/zone/reach/monitor_test.go
@@ -50,11 +50,11 @@
 func (n *network) deliver(from, to string, message peer.Message) {
 	n.sent.Add(1)
 	n.mutex.Lock()
-	w := n.monitors[to]
+	monitor := n.monitors[to]
 	dropped := n.dead[from] || n.dead[to] || n.isDropped(n.zoneOf[from], n.zoneOf[to])
 	n.mutex.Unlock()
-	if w != nil && !dropped {
-		time.AfterFunc(networkDelay, func() { w.Receive(structs.NewDaemonID(from, 1), message) })
+	if monitor != nil && !dropped {
+		time.AfterFunc(networkDelay, func() { monitor.Receive(structs.NewDaemonID(from, 1), message) })
 	}
 }
 
@@ -95,9 +95,9 @@
 // UnresponsiveBackends simulates requests to back ends that send continuously unless cut
 // off.
 func (e *endpoint) UnresponsiveBackends(now time.Time) map[string]zone.UnresponsiveBackends {
-	waiting := map[string]zone.UnresponsiveBackends{}
+	unresponsive := map[string]zone.UnresponsiveBackends{}
 	if !e.busy {
-		return waiting
+		return unresponsive
 	}
 	for i := range zones {
 		name := zoneName(i)
@@ -109,12 +109,12 @@
 			e.silentSince[name] = now
 			e.zones.RecordActivity(name, now)
 		case silent > 380*time.Millisecond:
-			waiting[name] = zone.UnresponsiveBackends{Overdue: 1, Silent: 1}
+			unresponsive[name] = zone.UnresponsiveBackends{Overdue: 1, Silent: 1}
 		case silent > 180*time.Millisecond:
-			waiting[name] = zone.UnresponsiveBackends{Overdue: 1}
+			unresponsive[name] = zone.UnresponsiveBackends{Overdue: 1}
 		}
 	}
-	return waiting
+	return unresponsive
 }
 
 func (e *endpoint) GiveUpSilent(time.Time) {}
@@ -122,10 +122,10 @@
 // TryConnect succeeds unless the zone is cut off.
 func (e *endpoint) TryConnect(name string) {
 	e.n.mutex.Lock()
-	home := e.n.zoneOf[e.self]
-	lost := e.n.isDropped(home, name) || e.n.isDropped(name, home)
+	ownZone := e.n.zoneOf[e.self]
+	dropped := e.n.isDropped(ownZone, name) || e.n.isDropped(name, ownZone)
 	e.n.mutex.Unlock()
-	if !lost {
+	if !dropped {
 		e.zones.RecordActivity(name, time.Now())
 	}
 }
@@ -144,33 +144,33 @@
 	}
 	var endpoints []*endpoint
 	for i := range zones * perZone {
-		self, home := fmt.Sprintf("10.0.0.%d:1", i), zoneName(i%zones)
-		n.zoneOf[self] = home
+		self, daemonZone := fmt.Sprintf("10.0.0.%d:1", i), zoneName(i%zones)
+		n.zoneOf[self] = daemonZone
 		n.members = append(n.members, membership.Member{
-			Daemon: structs.Daemon{ID: structs.NewDaemonID(self, 1), Zone: structs.ZoneName(home)}, State: membership.StateAlive,
+			Daemon: structs.Daemon{ID: structs.NewDaemonID(self, 1), Zone: structs.ZoneName(daemonZone)}, State: membership.StateAlive,
 		})
 		endpoints = append(endpoints, &endpoint{
 			n: n, self: self, busy: i%3 == 0, silentSince: map[string]time.Time{},
-			zones: zone.NewReachability(zone.NewTopology(home, "", regions)),
+			zones: zone.NewReachability(zone.NewTopology(daemonZone, "", regions)),
 		})
 	}
 	for i, e := range endpoints {
-		w := New(Options{
+		monitor := New(Options{
 			Self: structs.NewDaemonID(e.self, 1), Zone: n.zoneOf[e.self], Reachability: e.zones, Connections: e,
 			Transport: e, View: e, OnCutOff: func(string) { n.cutOffsFound.Add(1) }, OnIsolated: func() {}, Random: rand.New(rand.NewPCG(1, uint64(i))),
 			Logger: zerolog.Nop(), Metrics: NewMetrics(prometheus.NewRegistry()),
 			ProbeStore: func(asking context.Context) bool {
 				n.mutex.Lock()
-				out := n.storeCut[n.zoneOf[e.self]]
+				storeCut := n.storeCut[n.zoneOf[e.self]]
 				n.mutex.Unlock()
-				if out {
+				if storeCut {
 					<-asking.Done()
 				}
-				return !out
+				return !storeCut
 			},
 		})
-		n.monitors[e.self] = w
-		go w.Run(ctx)
+		n.monitors[e.self] = monitor
+		go monitor.Run(ctx)
 	}
 	return n, endpoints
 }
@@ -227,7 +227,7 @@
 				t.Errorf("%s in %s (busy: %v): cut off %v, isolated %v", e.self, n.zoneOf[e.self], e.busy, e.zones.IsCutOff("d"), isolated)
 			}
 		}
-		t.Logf("%.1f messages a daemon in the first second of the cut", float64(n.sent.Load()-before)/float64(len(endpoints)))
+		t.Logf("%.1f messages per daemon in the first second of the partition", float64(n.sent.Load()-before)/float64(len(endpoints)))
 		time.Sleep(5 * time.Second)
 		n.heal()
 		time.Sleep(500 * time.Millisecond)
@@ -295,13 +295,13 @@
 			runFleet(t, c.fault, func(n *network, endpoints []*endpoint) {
 				time.Sleep(1500 * time.Millisecond)
 				for _, e := range endpoints {
-					home := n.zoneOf[e.self]
+					daemonZone := n.zoneOf[e.self]
 					_, isolated := e.zones.IsolatedSince()
-					want := len(c.isolated) > 0 && (home == c.isolated[:1] || home == c.isolated[len(c.isolated)-1:])
+					want := len(c.isolated) > 0 && (daemonZone == c.isolated[:1] || daemonZone == c.isolated[len(c.isolated)-1:])
 					if isolated != want {
-						t.Errorf("%s in %s: isolated %v", e.self, home, isolated)
+						t.Errorf("%s in %s: isolated %v", e.self, daemonZone, isolated)
 					}
-					if home == "a" && e.zones.IsCutOff("d") != c.cut {
+					if daemonZone == "a" && e.zones.IsCutOff("d") != c.cut {
 						t.Errorf("%s: zone d cut off %v", e.self, e.zones.IsCutOff("d"))
 					}
 				}
@@ -314,8 +314,8 @@
 func TestDeadDaemonsAreNotACutOff(t *testing.T) {
 	runFleet(t, func(n *network) {
 		n.set(func() {
-			for address, home := range n.zoneOf {
-				n.dead[address] = home == "d"
+			for address, daemonZone := range n.zoneOf {
+				n.dead[address] = daemonZone == "d"
 			}
 		})
 	}, func(n *network, endpoints []*endpoint) {
@@ -339,7 +339,7 @@
 	runFleet(t, func(*network) {}, func(n *network, _ []*endpoint) {
 		time.Sleep(10 * time.Second)
 		if sent := n.sent.Load(); sent != 0 {
-			t.Errorf("%d messages", sent)
+			t.Errorf("%d messages, want none", sent)
 		}
 	})
 }
--- a/internal/zone/reachability.go
+++ b/internal/zone/reachability.go
@@ -58,20 +58,20 @@
 // not. restoredAt is when it last ceased to be.
 type cutState struct{ cutSince, restoredAt time.Time }
 
-func (b *cutState) isCutOff() bool { return !b.cutSince.IsZero() }
+func (s *cutState) isCutOff() bool { return !s.cutSince.IsZero() }
 
 // set sets the state and reports whether that is a change, and for how long the former
 // state lasted.
-func (b *cutState) set(cut bool, now time.Time) (lasted time.Duration, changed bool) {
+func (s *cutState) set(cut bool, now time.Time) (lasted time.Duration, changed bool) {
 	switch {
-	case cut == b.isCutOff():
+	case cut == s.isCutOff():
 		return 0, false
 	case cut:
-		b.cutSince = now
-		return elapsed(b.restoredAt, now), true
+		s.cutSince = now
+		return elapsed(s.restoredAt, now), true
 	}
-	lasted = elapsed(b.cutSince, now)
-	b.cutSince, b.restoredAt = time.Time{}, now
+	lasted = elapsed(s.cutSince, now)
+	s.cutSince, s.restoredAt = time.Time{}, now
 	return lasted, true
 }
 
@@ -192,13 +192,13 @@
 // accepted. During probing it may only increase, as the zone's daemons may be taken for
 // dead by then.
 func (r *Reachability) SetDaemonCount(zone string, count int) bool {
-	taken := false
+	accepted := false
 	r.update(zone, func(p *path) {
-		if taken = p.probingSince.IsZero() || count > p.daemons; taken {
+		if accepted = p.probingSince.IsZero() || count > p.daemons; accepted {
 			p.daemons = count
 		}
 	})
-	return taken
+	return accepted
 }
 
 // publish makes the current state visible to readers; the mutex must be held.
--- a/internal/zone/reachability_test.go
+++ b/internal/zone/reachability_test.go
@@ -144,15 +144,15 @@
 	}
 	f.run(5 * time.Second)
 	if len(f.changes) != 1 || f.isolated() {
-		t.Fatalf("changes: %+v, want one; isolated or not", f.changes)
+		t.Fatalf("changes: %+v, want one, and no isolation", f.changes)
 	}
 	f.restore("d")
 	f.run(300 * time.Millisecond)
 	if len(f.cutOffZones()) != 0 {
 		t.Fatal("zone is still cut off 0.3 s after its return")
 	}
-	if share := f.r.Weight("d", f.now); share <= 0 || share >= 1 {
-		t.Errorf("weight %v during the ramp, want between 0 and 1", share)
+	if weight := f.r.Weight("d", f.now); weight <= 0 || weight >= 1 {
+		t.Errorf("weight %v during the ramp, want between 0 and 1", weight)
 	}
 	f.run(RampTime)
 	if f.r.Weight("d", f.now) != 1 {
@@ -227,7 +227,7 @@
 	}
 }
 
-// Draws a sequence of faults in each of which some daemon or back end of each zone stays
+// The test draws a sequence of faults in each of which some daemon or back end of each zone stays
 // reachable, or the daemon itself is paused.
 func TestOtherFaultsAreNotTakenForACutOff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -358,8 +358,8 @@
 	}
 	before := f.totalProbes
 	f.run(10 * time.Second)
-	// Each probePause at most one round of probes, with firstProbes in one zone and
-	// controlProbes elsewhere.
+	// In each probePause at most one round of probes: firstProbes in each other zone, and
+	// controlProbes in its own.
 	if probes := f.totalProbes - before; probes > 20*(3*firstProbes+controlProbes) {
 		t.Errorf("%d probes in 10 s", probes)
 	}
