--- a/internal/warmup/limiter.go
+++ b/internal/warmup/limiter.go
@@ -48,7 +48,7 @@
 	maxShares = 2048
 )
 
-// ZoneReturns tells when the evacuations of zones ended. zone.Evacuations implements it.
+// ZoneReturns reports when the evacuations of zones ended. zone.Evacuations implements it.
 type ZoneReturns interface {
 	// ReturnedAt returns when a zone's evacuation was last known to end; false if none is
 	// remembered. It must not block.
