--- a/internal/instance/listing.go
+++ b/internal/instance/listing.go
@@ -82,7 +82,8 @@
 }
 
 // MayBeIncomplete reports whether instances may be running that this daemon does not know
-// of: before the first list, while the list cannot be read, and shortly after.
+// of: shortly after the first list, while the list cannot be read, and shortly after an
+// outage.
 func (p *Pool) MayBeIncomplete() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
