--- a/internal/ledger/account.go
+++ b/internal/ledger/account.go
@@ -1,56 +1,53 @@
 package ledger
 
 const (
-	// headroomDivisor is the part of what is left that is set aside.
+	// headroomDivisor limits headroom to this fraction of the remaining budget.
 	headroomDivisor = 2
-	// turnsSpared is how many turns fit in besides the headroom.
-	turnsSpared = 2
-	// nearTurns is how many turns the near headroom has at most: a program and its
-	// sub-agents take some at once, and each end of a turn sets it aside anew.
-	nearTurns = 3
-	// unboundedHeadroom is set aside for programs without a budget.
+	// spareTurns is how many turns must fit into the budget besides the headroom.
+	spareTurns = 2
+	// maxImmediateTurns bounds the immediate headroom, in turns. A program and its
+	// sub-agents take several at once, and the headroom is renewed at the end of each turn.
+	maxImmediateTurns = 3
+	// unboundedHeadroom is the headroom of programs without a budget.
 	unboundedHeadroom = 1 << 40
 )
 
-// instancesLimit bounds the sessions of a program whose instances are
-// remembered: sub-agents come and go, and each costs some 40 bytes of a record.
+// instancesLimit bounds the sessions of a program whose instances are remembered:
+// sub-agents come and go, and each adds about 40 bytes to the account's record.
 const instancesLimit = 12
 
-// account is what a program has spent and reserved. It is pure: the holder
+// account holds what a program has spent and reserved. It has no side effects: the holder
 // makes changes durable.
 type account struct {
 	// Spent counts the tokens of settled turns.
 	Spent int64 `json:"spent"`
-	// Reserved holds the most that each unsettled turn may generate. The
-	// reservation of a turn whose daemon died stays: its caller may have got
-	// as much.
+	// Reserved holds the most tokens that each unsettled turn may generate. The reservation
+	// of a turn whose daemon died stays, since its caller may have received that many.
 	Reserved map[string]int64 `json:"reserved,omitempty"`
-	// BudgetTokens bounds what is spent and reserved, 0 for no bound.
+	// BudgetTokens bounds the sum of spent and reserved tokens, 0 for no bound.
 	BudgetTokens int64 `json:"budget,omitempty"`
-	// MaxTokens is the most of the program's latest turn.
+	// MaxTokens is the most tokens that the program's latest turn may generate.
 	MaxTokens int64 `json:"most,omitempty"`
-	// Headroom is what the holder may grant without telling the store: whoever
-	// reads the record later must count it as spent.
+	// Headroom is what the holder may grant without an append. Whoever reads the record
+	// later must count it as spent.
 	Headroom int64 `json:"headroom,omitempty"`
-	// Further is what it may grant so besides, once it has sent the store nothing for
-	// firstTurnTime.
-	Further int64 `json:"further,omitempty"`
-	// Forfeited is the part of what is spent that was headroom of a holder that
-	// lost the shard.
+	// OutageHeadroom may be granted in addition once the holder has sent the store nothing
+	// for singleTurnPeriod.
+	OutageHeadroom int64 `json:"further,omitempty"`
+	// Forfeited is the part of Spent that was headroom of a holder that lost the shard.
 	Forfeited int64 `json:"forfeited,omitempty"`
-	// Instances names the back end's instance that ran the latest turn of each
-	// session, and under "" that of the program.
+	// Instances maps each session to the back-end instance that ran its latest turn, and ""
+	// to that of the program's latest turn.
 	Instances map[string]string `json:"instances,omitempty"`
-	// RetentionMS is how long the account is kept after its last use, in
-	// milliseconds.
+	// RetentionMS is how long the account is kept after its last use, in milliseconds.
 	RetentionMS int64 `json:"retention_ms,omitempty"`
-	// UsedAtMS is what the shard's clock showed when the account was last used,
-	// in milliseconds; 0 if that is not known.
+	// UsedAtMS is the reading of the shard's clock when the account was last used, in
+	// milliseconds; 0 if it is not known.
 	UsedAtMS int64 `json:"used_at_ms,omitempty"`
 }
 
-// reserve takes a turn's most from the budget. It returns false, and changes
-// nothing, if there is no room. A turn that was reserved before stays so.
+// reserve reserves the most tokens that a turn may generate. It returns false, and changes
+// nothing, if the budget has no room. Reserving a turn again has no effect.
 func (a *account) reserve(turn Turn) bool {
 	if _, already := a.Reserved[turn.ID]; already {
 		return true
@@ -68,8 +65,8 @@
 	return true
 }
 
-// settle replaces a turn's reservation by what it used. It returns false if
-// there is no such reservation.
+// settle replaces a turn's reservation with the tokens it used. It returns false if there
+// is no reservation.
 func (a *account) settle(turn string, used int64) bool {
 	if _, reserved := a.Reserved[turn]; !reserved {
 		return false
@@ -79,36 +76,35 @@
 	return true
 }
 
-// forfeit counts the headroom as spent: near alone, or all of it.
-func (a *account) forfeit(nearOnly bool) {
+// forfeit counts the headroom as spent: the immediate headroom only, or all of it.
+func (a *account) forfeit(immediateOnly bool) {
 	lost := a.Headroom
-	if !nearOnly {
-		lost += a.Further
+	if !immediateOnly {
+		lost += a.OutageHeadroom
 	}
 	if a.BudgetTokens > 0 {
 		a.Spent += lost
 		a.Forfeited += lost
 	}
-	a.Headroom, a.Further = 0, 0
+	a.Headroom, a.OutageHeadroom = 0, 0
 }
 
-// nextHeadroom is what may be set aside for the program's next turns: at most half of
-// what is left, and so little that some turns still fit in if the holder dies: one
-// that was cut, and the one that replaces it. Near has some turns of it, and far the
-// rest. With a turn more for short programs, more of them would have their budget spent
-// after losses than could go on in outages.
-func (a *account) nextHeadroom() (near, far int64) {
+// nextHeadroom returns the headroom for the program's next turns. It is at most half of the
+// remaining budget and leaves room for spareTurns if the holder dies: the turn that was cut
+// off and the one that replaces it. Immediate headroom covers a few turns; the rest may be
+// granted in outages of the store only.
+func (a *account) nextHeadroom() (immediate, outageOnly int64) {
 	if a.BudgetTokens == 0 {
 		return unboundedHeadroom, 0
 	}
-	left := a.left()
-	total := max(min(left/headroomDivisor, left-turnsSpared*a.MaxTokens), 0)
-	near = min(total, nearTurns*a.MaxTokens)
-	return near, total - near
+	remaining := a.remaining()
+	total := max(min(remaining/headroomDivisor, remaining-spareTurns*a.MaxTokens), 0)
+	immediate = min(total, maxImmediateTurns*a.MaxTokens)
+	return immediate, total - immediate
 }
 
-// left is what is neither spent nor reserved.
-func (a *account) left() int64 { return a.BudgetTokens - a.committed() }
+// remaining returns the tokens that are neither spent nor reserved.
+func (a *account) remaining() int64 { return a.BudgetTokens - a.committed() }
 
 func (a *account) committed() int64 {
 	total := a.Spent
@@ -127,8 +123,8 @@
 	a.Instances[""] = instance
 }
 
-// instanceOf returns the instance that ran the session's latest turn, or else
-// the program's.
+// instanceOf returns the instance that ran the session's latest turn or, if that is not
+// known, the program's.
 func (a *account) instanceOf(session string) string {
 	if instance := a.Instances[session]; instance != "" {
 		return instance
--- a/internal/ledger/allowance.go
+++ b/internal/ledger/allowance.go
@@ -7,75 +7,75 @@
 	"github.com/rotisserie/eris"
 )
 
-// An allowance is headroom for programs that the store has no account of. Its
-// record tells that the shard's holder may grant each such program a part of its
-// budget without an append, so that programs begin at once, also while the store
-// is out. Who takes the shard over without the holder's word counts that part as
-// spent by each program that it does not know: it may have begun there. That ends
-// once a program that began there is past its retention.
+// The allowance is headroom for programs that have no account in the store yet. Its record
+// lets the shard's holder grant each such program a part of its budget without an append,
+// so that programs can begin at once, even while the store is out. A daemon that takes the
+// shard over without an answer from the former holder counts that part as spent for every
+// program that it does not know, because the program may have begun at the former holder.
+// This ends once any program that began there is past its retention.
 //
-// Most holders are lost while the store answers: then every program that began has its
-// record within some milliseconds. So the allowance grants each program one turn alone
-// until the latest append was sent firstTurnTime ago; from then on the store is out, or
-// nothing went on. A daemon that is started again on the same machine knows by the
-// machine's steady clock whether its former run can have come that far, and counts
-// one turn, or else all that the allowance may have granted. A fleet that was killed
-// whole then begins programs in an outage that follows, too.
+// Most holders are lost while the store answers, when every program that began has its
+// record within milliseconds. The allowance therefore grants each program only one turn
+// until singleTurnPeriod has passed since the latest append was sent; after that the store
+// is out, or the shard was idle. A daemon that restarts on the same machine knows from the
+// machine's monotonic clock whether its former process can have reached that point, and
+// counts either one turn or the whole allowance as lost. So a fleet that was killed as a
+// whole can still begin programs in an outage that follows.
 //
-// Most programs begin after the loss and have spent nothing before it. So that
-// those whose budget has room for a turn or two are not ended by it, a part of one
-// turn's most is not counted: a program that did begin before the loss may pass
-// its budget by that much. It is the one case in which a budget is passed at all;
-// users' rules bound it by the most of one turn.
+// Most programs begin after the loss and have spent nothing before it. To keep programs
+// whose budget has room for only a turn or two running, a fraction of one turn's tokens is
+// not counted as lost: a program that did begin before the loss may exceed its budget by
+// that much. This is the only case in which a budget is exceeded, and never by more than
+// the tokens of one turn.
 
 const (
 	// allowanceKey is the key of the allowance's record.
 	allowanceKey = "allowance"
-	// allowanceShare is the part of a program's budget that is granted at most without
-	// a record of the program. Users' budgets are one and a half times the most of all
-	// turns, of which they use a third: nine programs in ten end within half.
+	// allowanceShare is the largest part of a program's budget that is granted without a
+	// record of the program. Most programs end within it: budgets are usually one and a
+	// half times the most of all turns, of which a third is used.
 	allowanceShare = 0.5
-	// keptShare is the part of a program's budget that no allowance takes: it is for
-	// programs that begin after the last loss, of which so much ends eight in ten.
-	keptShare = 0.42
-	// uncountedShare is the part of a turn's most that is not counted of what was lost.
-	uncountedShare = 0.5
-	// firstTurnTime is how long after the latest append was sent the allowance grants
-	// one turn alone. A process that was killed is started again within a second or
-	// two; in an outage, programs of several turns are held up for so long.
-	firstTurnTime = 2 * time.Second
-	// turnLossesBorne is how many losses of one turn each may count at a time. After
-	// so many, or one of all, the shard has no allowance until they are over.
-	turnLossesBorne = 2
-	// allowanceLife is how long a holder may grant from the allowance after the
-	// store last confirmed that it holds the shard: longer than the outages that
-	// fleets are to last through, and as short as that allows, as a lost allowance
-	// counts for so long in addition to the programs' retention.
-	allowanceLife = 30 * time.Second
+	// budgetReserveShare is the part of a program's budget that no allowance takes. It
+	// remains for programs that begin after the last loss.
+	budgetReserveShare = 0.42
+	// lossToleranceShare is the part of a turn's most tokens that is not counted as lost.
+	lossToleranceShare = 0.5
+	// singleTurnPeriod is how long after the latest append was sent the allowance grants
+	// only one turn. It covers the restart of a killed process; in an outage, it delays
+	// programs of several turns.
+	singleTurnPeriod = 2 * time.Second
+	// maxTurnLosses is how many losses of one turn each may count at a time. After that
+	// many, or one loss of a whole allowance, the shard has no allowance until they expire.
+	maxTurnLosses = 2
+	// allowanceTTL is how long a holder may grant from the allowance after the store last
+	// confirmed that it holds the shard. It must exceed the outages that a fleet should
+	// bridge, but a lost allowance counts for this long in addition to the programs'
+	// retention.
+	allowanceTTL = 30 * time.Second
 )
 
-// allowanceRecord is the value under allowanceKey.
+// allowanceRecord is the value of the record with allowanceKey.
 type allowanceRecord struct {
-	// Holder is who held the shard when the record was written, whether it grants from the
-	// allowance or not: its successor asks it what it granted. The directory may still name
-	// one before it.
+	// Holder is the shard's holder when the record was written, whether it has an allowance
+	// or not. Its successor asks it what it granted. The directory may still name an
+	// earlier holder.
 	Holder holderRecord `json:"holder,omitzero"`
 	// Epoch is that of the holder that grants from the allowance, 0 if none does.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// LostAtMS is what the shard's clock showed when an allowance was last lost, in
-	// milliseconds; 0 if none counts any more.
+	// LostAtMS is the reading of the shard's clock when an allowance was last lost, in
+	// milliseconds; 0 if no loss counts any more.
 	LostAtMS int64 `json:"lost_at_ms,omitempty"`
 	losses
-	// Boot and Uptime tell by which machine's steady clock, and when, the record was
-	// written.
+	// Boot and Uptime identify the machine's boot and the monotonic clock's reading when
+	// the record was written.
 	Boot   string        `json:"boot,omitempty"`
 	Uptime time.Duration `json:"uptime,omitempty"`
-	// RetentionMS is the longest retention of programs that may begin from it.
+	// RetentionMS is the longest retention of programs that may begin from the allowance.
 	RetentionMS int64 `json:"retention_ms,omitempty"`
 }
 
-// holderEpoch is the epoch of the holder that wrote the record. Records of before holders
-// were named in it tell that of an allowance alone.
+// holderEpoch returns the epoch of the holder that wrote the record. Older records do not
+// name the holder, only the epoch of its allowance.
 func (r *allowanceRecord) holderEpoch() uint64 {
 	if r.Holder.Epoch != 0 {
 		return r.Holder.Epoch
@@ -85,42 +85,42 @@
 
 // losses counts lost allowances.
 type losses struct {
-	// OfOneTurn are those that granted each program one turn at most, and OfAll the
+	// OfOneTurn counts those that granted each program one turn at most, and OfAll the
 	// others, which came after them.
 	OfOneTurn int `json:"turn_losses,omitempty"`
 	OfAll     int `json:"losses,omitempty"`
 }
 
-// areBorne tells whether another allowance may be opened beside them.
-func (l losses) areBorne() bool { return l.OfAll == 0 && l.OfOneTurn < turnLossesBorne }
+// allowAnother reports whether an allowance may be opened in spite of these losses.
+func (l losses) allowAnother() bool { return l.OfAll == 0 && l.OfOneTurn < maxTurnLosses }
 
-// allowance is a shard's allowance as its holder keeps it.
+// allowance is a shard's allowance as kept by its holder.
 type allowance struct {
-	// allowanceRecord is what is to stand in the store.
+	// allowanceRecord is the state that should be in the store.
 	allowanceRecord
-	// confirmed stands there by the store's word, and appending is on its way, nil
-	// if nothing is.
+	// confirmed is the record that is known to be in the store, and appending the one under
+	// way, nil if there is none.
 	confirmed allowanceRecord
 	appending *allowanceRecord
-	// usableUntil is when the holder stops granting from it unless the store
+	// usableUntil is when the holder stops granting from the allowance unless the store
 	// confirms another append.
 	usableUntil time.Time
-	// sentAt is when the latest record of it was sent.
+	// sentAt is when the latest record of the allowance was sent.
 	sentAt time.Time
 }
 
-// loadAllowance takes the record that was read from the store.
+// loadAllowance loads the record that was read from the store.
 func (s *state) loadAllowance(value []byte) error {
-	return eris.Wrap(json.Unmarshal(value, &s.allowance.allowanceRecord), "ledger: the allowance")
+	return eris.Wrap(json.Unmarshal(value, &s.allowance.allowanceRecord), "ledger: decode the allowance's record")
 }
 
-// openAllowance counts the former holder's allowance as lost, if it did not give
-// it back, and opens one for a holder unless too many count. It counts
-// from its record on, which goes along with the next append. former is what was
-// granted before, nil if that is not known.
+// openAllowance counts the former holder's allowance as lost if it was not returned, and
+// opens one for the new holder unless there are too many losses. The allowance takes effect
+// with its record, which goes with the next append. former is the state reported by the
+// former holder, nil if it is not known.
 func (s *state) openAllowance(holder holderRecord, former *formerState, now time.Time) {
-	s.touch(allowanceKey)
-	restored := s.restoreFormer(former, now) // looks at the holder before this one
+	s.markDirty(allowanceKey)
+	restored := s.restoreFormer(former, now) // needs the former holder's epoch
 	s.allowance.Holder = holder
 	if restored {
 		if s.allowance.Epoch != 0 {
@@ -128,20 +128,20 @@
 		}
 		return
 	}
-	if !s.isAllowanceLost(now) {
+	if !s.hasLostAllowance(now) {
 		s.allowance.LostAtMS = 0
 		s.allowance.losses = losses{}
 	}
 	if s.allowance.Epoch != 0 {
-		s.loseAllowance(now)
+		s.countLostAllowance(now)
 	}
-	if s.allowance.areBorne() {
+	if s.allowance.allowAnother() {
 		s.allowance.Epoch = holder.Epoch
 	}
 }
 
-// loseAllowance counts the former holder's allowance as lost.
-func (s *state) loseAllowance(now time.Time) {
+// countLostAllowance counts the former holder's allowance as lost.
+func (s *state) countLostAllowance(now time.Time) {
 	if s.machine.isSoonAfter(s.allowance.allowanceRecord) {
 		s.allowance.OfOneTurn++
 	} else {
@@ -149,69 +149,67 @@
 	}
 	s.allowance.LostAtMS = s.clock.showMS(now)
 	s.allowance.Epoch = 0
-	s.touch(allowanceKey)
+	s.markDirty(allowanceKey)
 }
 
-// isAllowanceLost tells whether a program that is not known may have begun from an
-// allowance that was lost.
-func (s *state) isAllowanceLost(now time.Time) bool {
+// hasLostAllowance reports whether an unknown program may have begun from a lost allowance.
+func (s *state) hasLostAllowance(now time.Time) bool {
 	if s.allowance.LostAtMS == 0 {
 		return false
 	}
-	lostFor := now.Sub(s.clock.timeOf(s.allowance.LostAtMS)) - allowanceLife
-	return !isOver(lostFor, s.allowance.RetentionMS)
+	lostFor := now.Sub(s.clock.timeOf(s.allowance.LostAtMS)) - allowanceTTL
+	return !isExpired(lostFor, s.allowance.RetentionMS)
 }
 
-// newAccount returns the account of a program that is not known: what a lost
-// allowance may have granted counts as spent, and what this holder's allowance
-// grants is headroom.
+// newAccount returns the account of an unknown program. What lost allowances may have
+// granted counts as spent, and what this holder's allowance grants is headroom.
 func (s *state) newAccount(turn Turn, now time.Time) *accountEntry {
 	entry := &accountEntry{}
-	if turn.BudgetTokens > 0 && s.isAllowanceLost(now) {
-		lost := turn.lostTo(s.allowance.losses)
-		entry.Spent = max(lost-turn.uncounted(), 0)
+	if turn.BudgetTokens > 0 && s.hasLostAllowance(now) {
+		lost := turn.lostGrants(s.allowance.losses)
+		entry.Spent = max(lost-turn.lossTolerance(), 0)
 		entry.Forfeited = entry.Spent
 	}
 	s.raiseAllowance(entry, turn, now)
 	return entry
 }
 
-// allowanceFor is what the allowance grants a program that is not known.
+// allowanceFor returns the tokens that the allowance grants an unknown program.
 func (s *state) allowanceFor(turn Turn, now time.Time) int64 {
 	confirmed := s.allowance.confirmed
 	switch {
-	case s.returning, confirmed.Epoch == 0, !now.Before(s.allowance.usableUntil):
+	case s.returningHeadroom, confirmed.Epoch == 0, !now.Before(s.allowance.usableUntil):
 		return 0
 	case turn.Retention.Milliseconds() > confirmed.RetentionMS:
 		return 0
 	}
-	lost := turn.lostTo(confirmed.losses)
-	if !s.isOut(now) {
-		return turn.nextTurn(lost)
+	lost := turn.lostGrants(confirmed.losses)
+	if !s.storeMayBeOut(now) {
+		return turn.nextSingleTurn(lost)
 	}
 	return turn.nextAllowance(lost)
 }
 
-// raiseAllowance gives an account that the store does not know what the allowance
-// grants by now.
+// raiseAllowance adds to an account without a record whatever the allowance grants in
+// addition by now.
 func (s *state) raiseAllowance(entry *accountEntry, turn Turn, now time.Time) {
 	if entry.isOnRecord {
 		return
 	}
-	if more := s.allowanceFor(turn, now) - entry.allowed; more > 0 {
-		entry.allowed += more
-		entry.headroom.near += more
+	if more := s.allowanceFor(turn, now) - entry.allowanceGranted; more > 0 {
+		entry.allowanceGranted += more
+		entry.headroom.immediate += more
 	}
 }
 
-// lostTo is what lost allowances may have granted the turn's program.
-func (t Turn) lostTo(l losses) int64 {
+// lostGrants returns the tokens that lost allowances may have granted the turn's program.
+func (t Turn) lostGrants(l losses) int64 {
 	if t.BudgetTokens == 0 {
 		return 0
 	}
 	lost := int64(0)
 	for range l.OfOneTurn {
-		lost += t.nextTurn(lost)
+		lost += t.nextSingleTurn(lost)
 	}
 	for range l.OfAll {
 		lost += t.nextAllowance(lost)
@@ -219,14 +217,14 @@
 	return lost
 }
 
-// nextAllowance is what may be granted to the turn's program without a record of it,
-// after others were lost; 0 if there is no room for a turn.
+// nextAllowance returns the tokens that may be granted to the turn's program without a
+// record of it, after others were lost; 0 if there is no room for a turn.
 func (t Turn) nextAllowance(lost int64) int64 {
 	if t.BudgetTokens == 0 {
 		return unboundedHeadroom
 	}
-	kept := max(int64(keptShare*float64(t.BudgetTokens)), t.MaxTokens)
-	left := t.BudgetTokens + t.uncounted() - lost - kept
+	kept := max(int64(budgetReserveShare*float64(t.BudgetTokens)), t.MaxTokens)
+	left := t.BudgetTokens + t.lossTolerance() - lost - kept
 	next := min(max(int64(allowanceShare*float64(t.BudgetTokens)), t.MaxTokens), left, t.BudgetTokens)
 	if next < t.MaxTokens {
 		return 0
@@ -234,8 +232,8 @@
 	return next
 }
 
-// nextTurn is the same where one turn alone is granted.
-func (t Turn) nextTurn(lost int64) int64 {
+// nextSingleTurn is nextAllowance limited to one turn.
+func (t Turn) nextSingleTurn(lost int64) int64 {
 	next := t.nextAllowance(lost)
 	if t.BudgetTokens == 0 {
 		return next
@@ -243,18 +241,19 @@
 	return min(next, t.MaxTokens)
 }
 
-// uncounted is what is not counted of what lost allowances may have granted.
-func (t Turn) uncounted() int64 { return int64(uncountedShare * float64(t.MaxTokens)) }
+// lossTolerance returns the tokens that are not counted of what lost allowances may have
+// granted.
+func (t Turn) lossTolerance() int64 { return int64(lossToleranceShare * float64(t.MaxTokens)) }
 
-// coverRetention makes the allowance's record cover a program's retention.
+// coverRetention extends the allowance's record to a program's retention.
 func (s *state) coverRetention(retention time.Duration) {
 	if retention.Milliseconds() > s.allowance.RetentionMS {
 		s.allowance.RetentionMS = retention.Milliseconds()
-		s.touch(allowanceKey)
+		s.markDirty(allowanceKey)
 	}
 }
 
-// encodeAllowance returns the record as it is to be appended.
+// encodeAllowance returns the record to append.
 func (s *state) encodeAllowance(now time.Time) ([]byte, error) {
 	s.allowance.Boot, s.allowance.Uptime = s.machine.Boot, 0
 	if s.machine.Now != nil {
@@ -266,21 +265,21 @@
 	return json.Marshal(appending)
 }
 
-// confirmAllowance takes note that an append that began at a time has arrived with
-// all that went along.
+// confirmAllowance marks the appended record as durable, for an append that was sent at a
+// time.
 func (s *state) confirmAllowance(sentAt time.Time) {
 	if s.allowance.appending != nil {
 		s.allowance.confirmed = *s.allowance.appending
 		s.allowance.appending = nil
 	}
-	s.allowance.usableUntil = sentAt.Add(allowanceLife)
+	s.allowance.usableUntil = sentAt.Add(allowanceTTL)
 }
 
-// returnAllowance makes the allowance be given back with the next append: nothing
-// is granted from it any more.
+// returnAllowance makes the next append return the allowance; nothing is granted from it
+// any more.
 func (s *state) returnAllowance() {
 	if s.allowance.Epoch != 0 {
 		s.allowance.Epoch = 0
-		s.touch(allowanceKey)
+		s.markDirty(allowanceKey)
 	}
 }
--- a/internal/ledger/allowance_test.go
+++ b/internal/ledger/allowance_test.go
@@ -27,8 +27,8 @@
 	return Turn{ID: id, Program: program, BudgetTokens: 1000, MaxTokens: most, Retention: time.Minute}
 }
 
-// newWarmFleet returns a fleet, one of its services, and programs of one shard. The
-// first of them has begun, so that the shard's holder has an allowance.
+// newWarmFleet returns a fleet, one of its services, and programs of one shard. The first
+// program has begun, so that the shard's holder has an allowance.
 func newWarmFleet(t *testing.T, daemons, programs int) (*testFleet, *Service, []string) {
 	t.Helper()
 	f := newTestFleet(t, daemons)
@@ -38,7 +38,7 @@
 	return f, s, names
 }
 
-// warmUp lets a program begin in a shard, so that its holder has an allowance.
+// warmUp begins a turn of a program in a shard, so that its holder has an allowance.
 func warmUp(t *testing.T, s *Service, program string) {
 	t.Helper()
 	begin(t, s, allowanceTurn(program, "warm-up-"+program, 10))
@@ -48,7 +48,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, s, names := newWarmFleet(t, 2, 2)
 		f.store.SetDown(true)
-		time.Sleep(firstTurnTime)
+		time.Sleep(singleTurnPeriod)
 		started := time.Now()
 		for i := range 5 {
 			if _, err := s.Begin(testContext(t), allowanceTurn(names[1], fmt.Sprint("new-", i), 100)); err != nil {
@@ -76,19 +76,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, s, names := newWarmFleet(t, 2, 4)
 		f.store.SetDown(true)
-		time.Sleep(firstTurnTime)
+		time.Sleep(singleTurnPeriod)
 		if _, err := s.Begin(testContext(t), allowanceTurn(names[1], "out", 500)); err != nil {
 			t.Fatal(err)
 		}
 		f.killAll()
 		f.store.SetDown(false)
 		s = f.start(daemonID(0, 2))
-		begin(t, s, allowanceTurn(names[1], "after", 100)) // 500 were granted, less half of this one
+		begin(t, s, allowanceTurn(names[1], "after", 100)) // 500 were granted; half of this turn's tokens are tolerated
 		refusedWith(t, s, allowanceTurn(names[1], "too-much", 451), ErrBudgetSpent)
 		begin(t, s, allowanceTurn(names[1], "rest", 450))
 		refusedWith(t, s, allowanceTurn(names[1], "more", 1), ErrBudgetSpent)
 
-		// What was lost counts once, however often the shard is lost.
+		// A loss counts once, however often the shard is lost afterwards.
 		for run := uint64(3); run < 6; run++ {
 			f.killAll()
 			s = f.start(daemonID(0, run))
@@ -104,11 +104,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, _, names := newWarmFleet(t, 2, 3)
 		f.killAll()
-		time.Sleep(firstTurnTime)
+		time.Sleep(singleTurnPeriod)
 		s := f.start(daemonID(0, 2))
 		begin(t, s, allowanceTurn(names[1], "early", 100))
 		refusedWith(t, s, allowanceTurn(names[1], "early-rest", 451), ErrBudgetSpent)
-		time.Sleep(allowanceLife + time.Minute + keepMargin + time.Second)
+		time.Sleep(allowanceTTL + time.Minute + retentionMargin + time.Second)
 		begin(t, s, allowanceTurn(names[2], "late", 100))
 		begin(t, s, allowanceTurn(names[2], "late-rest", 900))
 	})
@@ -131,7 +131,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, s, names := newWarmFleet(t, 1, 3)
 		f.store.SetDown(true)
-		time.Sleep(allowanceLife - time.Second)
+		time.Sleep(allowanceTTL - time.Second)
 		if _, err := s.Begin(testContext(t), allowanceTurn(names[1], "in-time", 10)); err != nil {
 			t.Fatal(err)
 		}
@@ -177,15 +177,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, s, names := newWarmFleet(t, 2, 2)
 		f.store.SetDown(true)
-		time.Sleep(firstTurnTime)
-		for i := range 9 { // of 500 tokens, each wants 100 and uses 50
+		time.Sleep(singleTurnPeriod)
+		for i := range 9 { // of 500 tokens, each turn reserves 100 and uses 50
 			turn := allowanceTurn(names[1], fmt.Sprint("turn-", i), 100)
 			if _, err := s.Begin(testContext(t), turn); err != nil {
 				t.Fatalf("turn %d: %v", i, err)
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			_ = s.End(ctx, Outcome{Turn: turn.ID, Program: turn.Program, UsedTokens: 50}) // it is not on record
+			_ = s.End(ctx, Outcome{Turn: turn.ID, Program: turn.Program, UsedTokens: 50}) // it cannot be recorded
 		}
 		if _, err := s.Begin(testContext(t), allowanceTurn(names[1], "beyond", 100)); !errors.Is(err, ErrUnavailable) {
 			t.Errorf("a turn beyond the allowance: got %v, want %v", err, ErrUnavailable)
@@ -228,18 +228,18 @@
 	})
 }
 
-// usualTurn is a turn of a program of three, with a budget of one and a half times the
-// most of its turns.
+// usualTurn returns a turn of a program of three turns, with a budget of one and a half
+// times the most of its turns.
 func usualTurn(program string, number int) Turn {
 	return Turn{ID: fmt.Sprint(program, "-", number), Program: program, BudgetTokens: 2700, MaxTokens: 600, Retention: time.Minute}
 }
 
-// runUsual lets a program take its three turns of 200 tokens, and returns how many it
-// took. Their ends need not be on record.
+// runUsual runs the three turns of a program, of 200 tokens each, and returns how many were
+// granted. Their ends do not have to be recorded.
 func runUsual(t *testing.T, s *Service, program string) (turns int) {
 	for number := range 3 {
 		turn := usualTurn(program, number)
-		waiting, cancel := context.WithTimeout(t.Context(), 2*firstTurnTime)
+		waiting, cancel := context.WithTimeout(t.Context(), 2*singleTurnPeriod)
 		_, err := s.Begin(waiting, turn)
 		cancel()
 		if err != nil {
@@ -253,10 +253,9 @@
 	return turns
 }
 
-// TestProgramsRunInAnOutageThatFollowsALoss: all daemons were killed while the store
-// answered, and it is out some seconds later. Programs begin all the same, with one
-// turn at once and the others after firstTurnTime. After a second such loss programs
-// still have room for their turns; after one in the outage the shard waits for the store.
+// TestProgramsRunInAnOutageThatFollowsALoss: after all daemons were killed, programs must
+// still begin in an outage of the store: one turn at once and the others after
+// singleTurnPeriod. The same holds for programs after a second loss.
 func TestProgramsRunInAnOutageThatFollowsALoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, s, names := newWarmFleet(t, 1, 8)
@@ -270,13 +269,13 @@
 		warmUp(t, s, names[0])
 		s = restart(2)
 		f.store.SetDown(true)
-		go func() { _, _ = s.Begin(testContext(t), allowanceTurn(names[4], "long", 1000)) }() // it waits for an append
+		go func() { _, _ = s.Begin(testContext(t), allowanceTurn(names[4], "long", 1000)) }() // waits for an append
 		time.Sleep(time.Millisecond)
 		started := time.Now()
 		if got := runUsual(t, s, names[1]); got != 3 {
 			t.Errorf("%d turns of three ran in the outage", got)
 		}
-		if took := time.Since(started); took > firstTurnTime+troublePause+200*time.Millisecond {
+		if took := time.Since(started); took > singleTurnPeriod+slowAppendInterval+200*time.Millisecond {
 			t.Errorf("they took %s", took)
 		}
 		f.store.SetDown(false)
@@ -288,8 +287,9 @@
 	})
 }
 
-// TestDaemonKnowsWhatItsFormerRunMayHaveGranted: one turn if it ended soon after a
-// record on the same machine, or else all.
+// TestDaemonKnowsWhatItsFormerRunMayHaveGranted: only one turn counts as lost if the former
+// process on the same machine ended soon after its last record, otherwise the whole
+// allowance.
 func TestDaemonKnowsWhatItsFormerRunMayHaveGranted(t *testing.T) {
 	record := allowanceRecord{Epoch: 1, Boot: "boot", Uptime: time.Minute, RetentionMS: 60_000}
 	for name, test := range map[string]struct {
@@ -311,13 +311,12 @@
 		if got := s.allowance.losses; got != test.want {
 			t.Errorf("%s: got %+v, want %+v", name, got, test.want)
 		}
-		if opened := s.allowance.Epoch == 2; opened != test.want.areBorne() {
+		if opened := s.allowance.Epoch == 2; opened != test.want.allowAnother() {
 			t.Errorf("%s: another allowance was opened: %v", name, opened)
 		}
 	}
 }
 
-// TestAllowanceGrantsOneTurnUntilTheStoreIsOut.
 func TestAllowanceGrantsOneTurnUntilTheStoreIsOut(t *testing.T) {
 	now := time.Now()
 	s := newState(now)
@@ -334,16 +333,17 @@
 		}
 	}
 	s.allowance.sentAt = now
-	if !s.takeHeadroom(first, now) || s.takeHeadroom(second, now.Add(firstTurnTime-1)) {
-		t.Error("not one turn was granted")
+	if !s.takeHeadroom(first, now) || s.takeHeadroom(second, now.Add(singleTurnPeriod-1)) {
+		t.Error("not exactly one turn was granted")
 	}
-	if !s.takeHeadroom(second, now.Add(firstTurnTime)) {
-		t.Error("the second turn was not granted after firstTurnTime")
+	if !s.takeHeadroom(second, now.Add(singleTurnPeriod)) {
+		t.Error("the second turn was not granted after singleTurnPeriod")
 	}
 }
 
-// TestDaemonThatLosesItsShardForAMomentLosesNoAllowance: an append failed, and the
-// same daemon claims the shard again. It knows which programs began without a record.
+// TestDaemonThatLosesItsShardForAMomentLosesNoAllowance: a daemon that claims a shard again
+// after a failed append knows which programs began without a record, so nothing counts as
+// lost.
 func TestDaemonThatLosesItsShardForAMomentLosesNoAllowance(t *testing.T) {
 	now := time.Now()
 	before := newState(now)
@@ -374,18 +374,18 @@
 	}
 }
 
-// TestLostAllowancesAndWhatFollowsStayWithinTheBudget: whatever was granted before
-// each loss, and nothing of it is on record.
+// TestLostAllowancesAndWhatFollowsStayWithinTheBudget: a program stays within its budget
+// and lossTolerance even if the lost holders granted all they could.
 func TestLostAllowancesAndWhatFollowsStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		turn := Turn{MaxTokens: rapid.Int64Range(1, 1000).Draw(t, "most")}
 		turn.BudgetTokens = rapid.Int64Range(turn.MaxTokens, 50*turn.MaxTokens).Draw(t, "budget")
-		l := losses{OfOneTurn: rapid.IntRange(0, turnLossesBorne).Draw(t, "of one turn")}
-		if l.areBorne() {
+		l := losses{OfOneTurn: rapid.IntRange(0, maxTurnLosses).Draw(t, "of one turn")}
+		if l.allowAnother() {
 			l.OfAll = rapid.IntRange(0, 1).Draw(t, "of all")
 		}
-		lost := turn.lostTo(l)
-		spent := max(lost-turn.uncounted(), 0)
+		lost := turn.lostGrants(l)
+		spent := max(lost-turn.lossTolerance(), 0)
 		if most := lost + turn.BudgetTokens - spent; most > turn.BudgetTokens+turn.MaxTokens/2 {
 			t.Errorf("%+v: %d tokens of a budget of %d", l, most, turn.BudgetTokens)
 		}
--- a/internal/ledger/append.go
+++ b/internal/ledger/append.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// troubleAfter is how long an append may take until the store counts as silent
-	// for its shard's holder, and troublePause separates looks at what the holder
-	// still can do.
-	troubleAfter = 700 * time.Millisecond
-	troublePause = 500 * time.Millisecond
-	// waitingLimit bounds the operations that wait for the store at one shard.
+	// slowAppendAfter is how long an append may take until the store counts as silent for
+	// the shard's holder. From then on the holder checks every slowAppendInterval what it
+	// can still grant.
+	slowAppendAfter    = 700 * time.Millisecond
+	slowAppendInterval = 500 * time.Millisecond
+	// waitingLimit bounds the operations of one shard that wait for the store.
 	waitingLimit = 4096
 )
 
-// appendQueue is what goes to the store, and who waits for it.
+// appendQueue holds the append under way and the operations that wait for it or the next
+// one.
 type appendQueue struct {
-	// pending is the append that is under way, nil for none, and news tells of it.
+	// pending is the append under way, nil if there is none; events report its progress.
 	pending *pendingAppend
-	news    chan appendNews
+	events  chan appendEvent
 	// waiting operations are answered once the next append is done.
-	waiting []answered
+	waiting []pendingReply
 	// barrier: the next append must take place even without a change.
 	barrier bool
-	// flush fires when changes that nobody waits for have waited for settleDelay.
+	// flush fires when changes that no caller waits for are due after settleDelay.
 	flush *time.Timer
 }
 
-// pendingAppend is an append that is under way, with the operations that wait for it.
+// pendingAppend is an append under way, with the operations that wait for it.
 type pendingAppend struct {
 	writer  store.Writer
 	records []store.Record
-	waiting []answered
+	waiting []pendingReply
 	// sentAt is when the first try began.
 	sentAt time.Time
 }
 
-// appendNews tells of an append: how it ended, or that it is still under way.
-type appendNews struct {
+// appendEvent reports that an append ended, with its error, or that it is still under way.
+type appendEvent struct {
 	append   *pendingAppend
 	err      error
 	underway bool
@@ -50,8 +51,7 @@
 	return store.Writer{Name: writerName, Epoch: h.epoch, Sequence: h.sequence}
 }
 
-// startAppend appends all changes, unless an append is under way: then they go with
-// the next one.
+// startAppend appends all changes. If an append is under way, they go with the next one.
 func (h *holder) startAppend(ctx context.Context) {
 	if h.state == nil || h.appends.pending != nil {
 		return
@@ -59,19 +59,19 @@
 	h.appends.flush.Stop()
 	records, err := h.takeChanges()
 	if err != nil {
-		h.logger.Error().Err(err).Msg("Changes not encoded.")
+		h.logger.Error().Err(err).Msg("Changes could not be encoded. The shard is dropped.")
 		h.drop()
 		return
 	}
 	h.appends.barrier = false
 	waiting := h.appends.waiting
 	h.appends.waiting = nil
-	if len(records) == 0 { // all is durable already
+	if len(records) == 0 { // everything is durable already
 		h.answerAll(waiting)
 		return
 	}
 	if !h.state.allowance.sentAt.IsZero() {
-		h.status.stampedAt.set(h.state.allowance.sentAt)
+		h.status.allowanceSentAt.set(h.state.allowance.sentAt)
 	}
 	h.sequence++
 	h.appends.pending = &pendingAppend{writer: h.writer(), records: records, waiting: waiting, sentAt: time.Now()}
@@ -79,8 +79,8 @@
 	go h.runAppend(ctx, h.appends.pending)
 }
 
-// takeChanges returns the records of all changes. If there are none and an append must
-// take place all the same, it is of this daemon's claim.
+// takeChanges returns the records of all changes. If there are none and an append must take
+// place nevertheless, it returns the record of this daemon's claim.
 func (h *holder) takeChanges() ([]store.Record, error) {
 	records, err := h.state.takeDirty()
 	if err == nil && len(records) == 0 && h.appends.barrier {
@@ -89,58 +89,59 @@
 	return records, err
 }
 
-// runAppend makes an append until the store answers for good: it keeps its number,
-// so it is done once. Now and then it tells that it is still under way.
+// runAppend appends records until the store gives a final answer. All tries have the same
+// sequence number, so the store applies the append once. Until then it reports regularly
+// that the append is still under way.
 func (h *holder) runAppend(ctx context.Context, current *pendingAppend) {
 	done := make(chan error, 1)
 	ctx = store.WithPurpose(ctx, store.PurposeChanges)
 	go func() { done <- h.records.append(ctx, h.partition, current.writer, current.records) }()
-	trouble := time.NewTimer(troubleAfter)
+	trouble := time.NewTimer(slowAppendAfter)
 	defer trouble.Stop()
 	for {
-		told := appendNews{append: current, underway: true}
+		event := appendEvent{append: current, underway: true}
 		select {
-		case told.err = <-done:
-			told.underway = false
+		case event.err = <-done:
+			event.underway = false
 		case <-trouble.C:
-			trouble.Reset(troublePause)
+			trouble.Reset(slowAppendInterval)
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case h.appends.news <- told:
+		case h.appends.events <- event:
 		case <-ctx.Done():
 		}
-		if !told.underway {
+		if !event.underway {
 			return
 		}
 	}
 }
 
-// noteAppend takes news of an append. While it is under way nothing else is
-// appended, and turns are granted only from headroom that the store counts as
-// spent already: if another daemon takes the shard, it counts it so, too.
-func (h *holder) noteAppend(ctx context.Context, news appendNews) {
-	current := news.append
+// handleAppendEvent handles the progress of an append. While one is under way nothing else
+// is appended, and turns are granted only from headroom that the store already counts as
+// spent, as a daemon that takes the shard over counts it too.
+func (h *holder) handleAppendEvent(ctx context.Context, event appendEvent) {
+	current := event.append
 	if current != h.appends.pending || h.state == nil {
-		return // the shard was lost meanwhile
+		return // the shard was lost in the meantime
 	}
 	switch {
-	case news.underway:
-		h.noteSlowAppend(ctx, current)
-	case news.err == nil:
-		h.noteAppended(ctx, current, time.Now())
+	case event.underway:
+		h.handleSlowAppend(ctx, current)
+	case event.err == nil:
+		h.completeAppend(ctx, current, time.Now())
 	default:
 		h.drop()
-		h.refuseAll(current.waiting, h.lose(ctx, news.err))
+		h.refuseAll(current.waiting, h.noteLoss(ctx, event.err))
 	}
 }
 
-// noteAppended takes note that an append is done.
-func (h *holder) noteAppended(ctx context.Context, done *pendingAppend, now time.Time) {
+// completeAppend handles a successful append.
+func (h *holder) completeAppend(ctx context.Context, done *pendingAppend, now time.Time) {
 	h.appends.pending = nil
 	h.status.appending.Store(false)
-	h.noteAnswered(now)
+	h.noteStoreAnswered(now)
 	h.appended.note(done.records, now)
 	h.trimHistory(ctx, now)
 	h.state.confirmHeadroom()
@@ -154,10 +155,11 @@
 	}
 }
 
-// noteSlowAppend takes note that the store does not answer. What waits for it goes on
-// to wait: it is answered as soon as the store does. Only a daemon that is cut
-// off from the store and from all that could help has its callers ask another daemon.
-func (h *holder) noteSlowAppend(ctx context.Context, current *pendingAppend) {
+// handleSlowAppend handles an append that the store does not answer. Operations keep
+// waiting and are answered as soon as the store is back. Only a daemon that is isolated
+// from the store and from all daemons that reach it refuses them, so that their callers ask
+// another daemon.
+func (h *holder) handleSlowAppend(ctx context.Context, current *pendingAppend) {
 	if _, known := h.status.silentSince.since(current.sentAt); !known {
 		h.status.silentSince.set(current.sentAt)
 		h.logger.Warn().Uint64("epoch", h.epoch).Int("waiting", len(current.waiting)+len(h.appends.waiting)).
@@ -166,7 +168,7 @@
 	}
 	now := time.Now()
 	if h.records.isFull(now) {
-		h.capacity.foundFull(now)
+		h.capacity.noteStoreFull(now)
 		h.clearHistory(ctx, now)
 	}
 	current.waiting = h.grantWaiting(current.waiting, now)
@@ -179,11 +181,11 @@
 	}
 }
 
-// grantWaiting answers the turns that wait for an append and can begin without one by
-// now: others gave headroom back, or the store has been out for so long that the
-// allowance grants more than one turn. It returns what goes on to wait.
-func (h *holder) grantWaiting(waiting []answered, now time.Time) []answered {
-	var left []answered
+// grantWaiting answers waiting turns that can now begin without an append: other turns
+// returned headroom, or the store has been out for long enough that the allowance grants
+// more than one turn. It returns the operations that keep waiting.
+func (h *holder) grantWaiting(waiting []pendingReply, now time.Time) []pendingReply {
+	var left []pendingReply
 	for _, a := range waiting {
 		if begin := a.request.Begin; begin != nil && a.answer.Result == resultOK && h.state.takeHeadroom(*begin, now) {
 			h.metrics.granted("headroom")
@@ -195,8 +197,8 @@
 	return left
 }
 
-// noteAnswered takes note that the store answered.
-func (h *holder) noteAnswered(now time.Time) {
+// noteStoreAnswered ends the period in which the store was silent.
+func (h *holder) noteStoreAnswered(now time.Time) {
 	if out := h.storeOutFor(now); out > 0 {
 		h.status.silentSince.clear()
 		h.logger.Info().Uint64("epoch", h.epoch).Dur("out", out).Int("waiting", len(h.appends.waiting)).
@@ -204,23 +206,25 @@
 	}
 }
 
-// allowedIn is when the allowance grants more than one turn, if the store does not
-// answer until then; 0 if it does already. It is looked at each troublePause.
-func (h *holder) allowedIn(now time.Time) time.Duration {
-	passed, stamped := h.status.stampedAt.since(now)
-	if !stamped || passed >= firstTurnTime+troublePause {
+// fullAllowanceIn returns the time until the allowance grants more than one turn if the
+// store does not answer; 0 if it already does. The holder checks this every
+// slowAppendInterval.
+func (h *holder) fullAllowanceIn(now time.Time) time.Duration {
+	passed, stamped := h.status.allowanceSentAt.since(now)
+	if !stamped || passed >= singleTurnPeriod+slowAppendInterval {
 		return 0
 	}
-	return firstTurnTime + troublePause - passed
+	return singleTurnPeriod + slowAppendInterval - passed
 }
 
-// isIsolated tells whether another daemon had better hold the shard.
+// isIsolated reports whether another daemon should hold the shard, because this one reaches
+// neither the store nor a daemon that does.
 func (h *holder) isIsolated() bool {
-	return h.storeOutFor(time.Now()) > 0 && h.records.contact.IsIsolated()
+	return h.storeOutFor(time.Now()) > 0 && h.records.connectivity.IsIsolated()
 }
 
-// storeOutFor tells for how long the store has not answered an append; 0 if none
-// has been under way for long.
+// storeOutFor returns for how long the store has not answered an append; 0 if no append has
+// been slow.
 func (h *holder) storeOutFor(now time.Time) time.Duration {
 	out, silent := h.status.silentSince.since(now)
 	if !silent {
--- a/internal/ledger/append_history_test.go
+++ b/internal/ledger/append_history_test.go
@@ -13,32 +13,21 @@
 	"github.com/mintpulley/mintpulley/internal/store"
 )
 
-// What callers saw: after some 65 s of a usual load, with no trouble at all, nearly every
-// answer was broken off when it was whole, and then all turns were refused.
-//
-// The order of events: each turn's record and each change of an account are appended; the
-// store keeps the newest record of each key, and besides it the history of all appends,
-// within a bound for both together. After 65 s they reached the bound, 400 MB, of which the
-// newest records were half. The store took no append any more, and no turn could be
-// recorded, so answers that were ready waited until their callers left.
-//
-// The cause: nobody trimmed the history, of which a holder's successor reads the last seconds
-// only. The evidence: the same day without any disturbance and without stops ends alike, each
-// append is refused for want of room from 65 s on, and the records that holders read back
-// came to half of the bound.
+// These tests guard against a store that fills up with the history of appends: then it
+// refuses all appends, and no turn can be recorded.
 
 const (
 	longDay     = 3 * time.Minute
 	longDayText = 1000
-	// longDayPause separates the turns of a long day, and longDayRetention is theirs.
+	// longDayPause separates the turns, and longDayRetention is their retention.
 	longDayPause     = 50 * time.Millisecond
 	longDayRetention = 20 * time.Second
-	// longDayCapacity is twice what the newest records of a long day take at most: 45 s of
-	// 20 turns a second, each with some 1,200 bytes.
+	// longDayCapacity is twice the most that the newest records use: 45 s of 20 turns a
+	// second, each of some 1,200 bytes.
 	longDayCapacity = 2_200_000
 )
 
-// takeLongTurns lets one program complete turns for a while, whose names begin with a prefix.
+// takeLongTurns runs turns of one program for a while, whose IDs begin with a prefix.
 func (f *testFleet) takeLongTurns(prefix string, length time.Duration) {
 	for started, turn := time.Now(), 0; time.Since(started) < length; turn++ {
 		s := f.service(f.ids()[0])
@@ -49,8 +38,8 @@
 	}
 }
 
-// TestLongDayFitsTheStore: what the store keeps does not grow with the day.
-func TestLongDayFitsTheStore(t *testing.T) {
+// TestHistoryIsTrimmedUnderSteadyLoad: usage of the store must not grow with time.
+func TestHistoryIsTrimmedUnderSteadyLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		f.store.SetCapacity(longDayCapacity)
@@ -61,8 +50,8 @@
 	})
 }
 
-// TestFullStoreIsServedAgainOnceItsHistoryIsTrimmed: the room that others took is found again.
-// All newest records fit, and history of other partitions does not.
+// TestFullStoreIsServedAgainOnceItsHistoryIsTrimmed: service must resume once room is freed
+// in a store that all newest records fit into, but not the whole history.
 func TestFullStoreIsServedAgainOnceItsHistoryIsTrimmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
@@ -83,8 +72,8 @@
 	})
 }
 
-// TestShardThatMovesOftenIsTrimmed: two daemons pass the shards to each other more often than
-// history is kept.
+// TestShardThatMovesOftenIsTrimmed: two daemons hand the shards to each other more often
+// than historyRetention.
 func TestShardThatMovesOftenIsTrimmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
@@ -104,13 +93,14 @@
 	})
 }
 
-// TestTurnThatCanNotBeKeptIsRefusedAtOnce: while the newest records alone fill the store, a turn
-// whose text must be kept begins nowhere, as its end could not be recorded; others do.
-func TestTurnThatCanNotBeKeptIsRefusedAtOnce(t *testing.T) {
+// TestTurnThatCannotBeKeptIsRefusedAtOnce: while the newest records alone fill the store,
+// turns whose text must be kept are refused, as their end could not be recorded. Others
+// begin.
+func TestTurnThatCannotBeKeptIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		s := f.service(f.ids()[0])
-		for turn := range 4 { // headroom is set aside for the program's next turns
+		for turn := range 4 { // sets headroom aside for the program's next turns
 			id := fmt.Sprint("turn-", turn)
 			begin(t, s, Turn{ID: id, Program: "p", Retention: time.Minute, MaxTokens: 10, BudgetTokens: 10_000})
 			end(t, s, Outcome{Turn: id, Program: "p", Kept: &KeptTurn{ID: id, Input: []byte("text")}})
@@ -131,24 +121,25 @@
 	})
 }
 
-// TestSuccessorThatReadsAheadFindsTheHistory: trimming leaves what a successor goes on from.
+// TestSuccessorThatReadsAheadFindsTheHistory: trimming must leave the history that a
+// successor continues from.
 func TestSuccessorThatReadsAheadFindsTheHistory(t *testing.T) {
 	h := newAppendHistory(10, 0, time.Time{})
 	now := time.Time{}
 	for range 300 {
 		now = now.Add(longDayPause)
-		h.note([]store.Record{{Key: "k", Value: bytes.Repeat([]byte("x"), trimBytes/10)}}, now)
-		before, due := h.due(historyKept, now)
+		h.note([]store.Record{{Key: "k", Value: bytes.Repeat([]byte("x"), minTrimBytes/10)}}, now)
+		before, due := h.due(historyRetention, now)
 		if !due {
 			continue
 		}
-		// the record that a successor read last was appended historyKept ago at most
-		if kept := time.Duration(h.end-before) * longDayPause; kept < historyKept {
+		// the successor's last record was appended at most historyRetention ago
+		if kept := time.Duration(h.end-before) * longDayPause; kept < historyRetention {
 			t.Fatalf("at %s: %s of history are left", now.Sub(time.Time{}), kept)
 		}
 		h.trimmed(before)
 	}
-	if h.end-h.first > int64(2*historyKept/longDayPause) {
+	if h.end-h.first > int64(2*historyRetention/longDayPause) {
 		t.Errorf("%d of %d records are left", h.end-h.first, h.end)
 	}
 }
--- a/internal/ledger/ask.go
+++ b/internal/ledger/ask.go
@@ -9,55 +9,55 @@
 )
 
 const (
-	// silence is how long a holder may say nothing before it is passed over.
-	silence = 300 * time.Millisecond
-	// answerWithin bounds how long a holder is waited for that said that a
-	// request takes a while.
-	answerWithin = 1500 * time.Millisecond
-	// answersKept bounds the answers to one request that were not taken yet: all
-	// but the last only say that it takes a while.
-	answersKept = 8
-	// candidateTries is how many daemons are asked for one request: beside a planned
-	// handover the former holder and its successor, some of them twice.
+	// silenceTimeout is how long a holder may not answer at all before it is passed over.
+	silenceTimeout = 300 * time.Millisecond
+	// pendingTimeout bounds the wait for a holder after it answered that a request is
+	// pending.
+	pendingTimeout = 1500 * time.Millisecond
+	// answerBuffer bounds the answers to one request that were not processed yet; all but
+	// the last are resultPending.
+	answerBuffer = 8
+	// candidateTries is how many daemons are asked for one request. During a planned
+	// handover the former holder and its successor may each be asked twice.
 	candidateTries = 6
-	// holderTries is how often a holder that lives is asked that says nothing,
-	// until another daemon is asked to take the shard: one message may be lost,
-	// and a takeover forfeits headroom.
+	// holderTries is how often a live but silent holder is asked before another daemon is
+	// asked to take the shard: a message may have been lost, and a takeover forfeits
+	// headroom.
 	holderTries = 2
-	// impairedTries is how many daemons must be unable to reach a shard's
-	// partition until it counts as out for all.
+	// impairedTries is how many daemons must fail to reach a shard's partition before it
+	// counts as unreachable for all.
 	impairedTries = 2
 )
 
-// ask sends a request to the daemon that holds the shard, as far as is known,
-// and to the one that should hold it if there is bad news of the holder.
+// ask sends a request to the presumed holder of the shard, or to the daemon that should
+// hold it if the holder was reported as failed.
 func (s *Service) ask(ctx context.Context, shard int, request Request) Response {
 	request.Shard = shard
 	last := Response{Result: resultMoved}
-	var asked []structs.DaemonID // they did not answer or could not
+	var asked []structs.DaemonID // did not answer or could not serve the request
 	var moved movedAnswers
 	select {
-	case <-s.settled:
+	case <-s.discovered:
 	case <-ctx.Done():
 		return last
 	}
 	impaired, silences := 0, 0
 	for range candidateTries {
 		known := s.known.get(shard)
-		target, failed := s.choose(shard, slices.Concat(asked, moved.about(known)), time.Now())
+		target, failedEpoch := s.chooseTarget(shard, slices.Concat(asked, moved.about(known)), time.Now())
 		if target == "" {
 			break
 		}
-		request.setFailed(failed, known)
+		request.setFailed(failedEpoch, known)
 		response := s.askOne(ctx, target, request)
-		if response.Result == resultSilent && failed == 0 && ctx.Err() == nil {
+		if response.Result == resultSilent && failedEpoch == 0 && ctx.Err() == nil {
 			if silences++; silences < holderTries {
 				last = response
 				continue
 			}
 		}
 		if ctx.Err() == nil {
-			s.avoided.note(shard, target, response.Result)
+			s.avoidList.note(shard, target, response.Result)
 		}
 		s.known.noteAnswer(shard, response)
 		s.capacity.estimate.Merge(response.StoreReports, time.Now())
@@ -81,17 +81,18 @@
 	return last
 }
 
-// setFailed tells of which claim there is bad news, 0 for none, and whose it is, if that
-// is known and was not given up.
-func (r *Request) setFailed(failed uint64, known knownHolder) {
-	r.FailedEpoch, r.FailedHolder = failed, ""
-	if failed != 0 && failed == known.Epoch && !known.released {
+// setFailed sets the epoch of the claim that failed to answer, 0 for none, and its holder
+// if that is known and has not released the shard.
+func (r *Request) setFailed(failedEpoch uint64, known knownHolder) {
+	r.FailedEpoch, r.FailedHolder = failedEpoch, ""
+	if failedEpoch != 0 && failedEpoch == known.Epoch && !known.released {
 		r.FailedHolder = known.Daemon
 	}
 }
 
-// knownTo returns what a daemon that answered knew of the holder: what is known here
-// by now, if it says the same, or else at most what was known when it was asked.
+// knownTo returns what an answering daemon knew about the holder: the current local
+// knowledge if it is the same, or otherwise at most what was known when the daemon was
+// asked.
 func (s *Service) knownTo(shard int, response Response, whenAsked knownHolder) knownHolder {
 	told := knownHolder{holderRecord: holderRecord{Epoch: response.Epoch, Daemon: response.Holder}, released: response.Released}
 	if now := s.known.get(shard); now.isSameClaim(told) {
@@ -100,7 +101,7 @@
 	return whenAsked
 }
 
-// movedAnswer is a daemon's word that it does not hold a shard, and what it knew of
+// movedAnswer is a daemon's answer that it does not hold a shard, with what it knew about
 // the shard's holder.
 type movedAnswer struct {
 	daemon structs.DaemonID
@@ -109,8 +110,8 @@
 
 type movedAnswers []movedAnswer
 
-// about returns the daemons whose word came while no more was known than now. What
-// is known may have come by another request: the word of a successor from before the
+// about returns the daemons that answered with the knowledge that is current now. Newer
+// knowledge may have come by another request: an answer that a successor gave before the
 // release must not send a third daemon to take the shard.
 func (m movedAnswers) about(known knownHolder) []structs.DaemonID {
 	var daemons []structs.DaemonID
@@ -122,41 +123,41 @@
 	return daemons
 }
 
-// askOne sends a request to one daemon and waits for its answer. A daemon that
-// says nothing counts as impaired.
+// askOne sends a request to one daemon and waits for its answer. A daemon that does not
+// answer counts as silent.
 func (s *Service) askOne(ctx context.Context, to structs.DaemonID, request Request) Response {
-	number, answers, forget := s.replies.Expect(answersKept)
+	number, answers, forget := s.replies.Expect(answerBuffer)
 	defer forget()
 	request.Number = number
 	if to == s.Self {
-		s.operate(&request, s.deliver)
+		s.dispatch(&request, s.deliver)
 	} else {
 		request.Ledger = s.Name
-		request.EvacuationsEnd = s.evacuationsEnd()
+		request.EvacuationsEnd = s.knownEvacuationsEnd()
 		s.Transport.Send(to, &request)
 	}
-	timer := time.NewTimer(request.patience())
+	timer := time.NewTimer(request.answerTimeout())
 	defer timer.Stop()
 	storeOut := false
-	var hopeless <-chan time.Time
+	var giveUp <-chan time.Time
 	for {
 		select {
 		case response := <-answers:
 			if response.Result != resultPending {
 				return response
 			}
-			timer.Reset(answerWithin)
+			timer.Reset(pendingTimeout)
 			storeOut = response.StoreOutMS > 0
 			if !storeOut {
 				continue
 			}
-			if until, bounded := s.boundOf(ctx, request, response); bounded {
-				hopeless = time.After(time.Until(until))
+			if until, bounded := s.waitLimit(ctx, request, response); bounded {
+				giveUp = time.After(time.Until(until))
 			}
 		case <-timer.C:
 			s.Metrics.silent()
 			return Response{Result: resultSilent}
-		case <-hopeless:
+		case <-giveUp:
 			return Response{Result: resultImpaired, gaveUp: true}
 		case <-ctx.Done():
 			if storeOut {
@@ -167,18 +168,19 @@
 	}
 }
 
-// boundOf is until when an asker waits for a holder that waits for the store. Only a
-// turn that is to begin is given up early: the end of one is an answer that is ready.
-func (s *Service) boundOf(ctx context.Context, request Request, pending Response) (until time.Time, bounded bool) {
-	worthless, hasDeadline := ctx.Deadline()
+// waitLimit returns how long to wait for a holder that waits for the store. Only the begin
+// of a turn is given up early: at its end the answer is complete and must still be
+// recorded.
+func (s *Service) waitLimit(ctx context.Context, request Request, pending Response) (until time.Time, bounded bool) {
+	latestStart, hasDeadline := ctx.Deadline()
 	if request.Begin == nil || !hasDeadline {
 		return time.Time{}, false
 	}
 	now := time.Now()
 	outFor := time.Duration(pending.StoreOutMS) * time.Millisecond
-	until = s.hopeUntil(request.Shard, outFor, worthless, now)
+	until = s.waitUntil(request.Shard, outFor, latestStart, now)
 	allowed := now.Add(time.Duration(pending.AllowedInMS) * time.Millisecond)
-	if pending.AllowedInMS > 0 && allowed.After(until) && allowed.Before(worthless) {
+	if pending.AllowedInMS > 0 && allowed.After(until) && allowed.Before(latestStart) {
 		return allowed, true // whether the store is back by then or not
 	}
 	return until, true
@@ -186,14 +188,14 @@
 
 func (s *Service) deliver(response Response) { s.replies.Deliver(response.Number, response) }
 
-// patience is how long the holder may say nothing to a request. One that
-// nobody waits for may ride along with others.
-func (r *Request) patience() time.Duration {
+// answerTimeout returns how long the holder may stay silent on a request. Requests that no
+// caller waits for may be batched with others.
+func (r *Request) answerTimeout() time.Duration {
 	if r.isUrgent() {
-		return silence
+		return silenceTimeout
 	}
-	return settleDelay + silence
+	return settleDelay + silenceTimeout
 }
 
-// isUrgent tells whether somebody waits for the answer.
+// isUrgent reports whether a caller waits for the answer.
 func (r *Request) isUrgent() bool { return r.End == nil || r.End.Kept != nil }
--- a/internal/ledger/candidates.go
+++ b/internal/ledger/candidates.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	// avoidSilent is how long a daemon that said nothing is not asked first.
-	avoidSilent = time.Second
-	// avoidImpaired is the same for one that could not reach the partition of
-	// a shard, for that shard.
-	avoidImpaired = time.Second
-	// hashBitsDropped of a hash do not fit into a float64 exactly.
+	// silentPenalty is how long a daemon that did not answer is not asked first.
+	silentPenalty = time.Second
+	// impairedPenalty is how long a daemon that could not reach a shard's partition is not
+	// asked first for that shard.
+	impairedPenalty = time.Second
+	// hashBitsDropped is the number of bits of a hash that a float64 cannot represent
+	// exactly.
 	hashBitsDropped = 11
 )
 
-// choose returns the daemon to ask for a shard, "" if there is none left. That
-// is the holder, unless it was asked already or there is bad news of it: then
-// failed is its epoch, and another daemon is asked to take the shard.
-func (s *Service) choose(shard int, asked []structs.DaemonID, now time.Time) (target structs.DaemonID, failed uint64) {
+// chooseTarget returns the daemon to ask for a shard, "" if there is none left. This is the
+// holder, unless it was asked already or failed to answer. Then failed is its epoch, and
+// the target is asked to take the shard.
+func (s *Service) chooseTarget(shard int, asked []structs.DaemonID, now time.Time) (target structs.DaemonID, failedEpoch uint64) {
 	holder := s.known.get(shard)
 	if holder.Daemon == "" {
 		return s.successor(shard, asked, now), 0
 	}
-	id, mayLive := s.runAt(structs.DaemonID(holder.Daemon))
-	isUsable := mayLive && !slices.Contains(asked, id) && !s.avoided.isSilent(id, holder.learnedAt, now)
+	id, mayBeAlive := s.incarnationAt(structs.DaemonID(holder.Daemon))
+	isUsable := mayBeAlive && !slices.Contains(asked, id) && !s.avoidList.isSilent(id, holder.learnedAt, now)
 	switch {
 	case isUsable && holder.released:
 		return id, holder.Epoch // it is to claim the shard
@@ -43,11 +44,11 @@
 	return s.successor(shard, append(slices.Clone(asked), id, structs.DaemonID(holder.Daemon)), now), holder.Epoch
 }
 
-// runAt returns the run to ask in place of a shard's holder, false if its daemon is
-// dead. That is the one at the holder's address: a daemon that was started again
-// takes its shards back, so that after the loss of all daemons all agree on who
-// takes what before they have heard of each other.
-func (s *Service) runAt(holder structs.DaemonID) (run structs.DaemonID, mayLive bool) {
+// incarnationAt returns the incarnation of a shard's holder to ask, false if its daemon is
+// dead. It is the one currently at the holder's address: a restarted daemon takes its
+// shards back. So after the loss of all daemons, they agree on who takes which shard before
+// they have discovered each other.
+func (s *Service) incarnationAt(holder structs.DaemonID) (run structs.DaemonID, mayBeAlive bool) {
 	address := holder.Address()
 	if address == s.Self.Address() {
 		return s.Self, true
@@ -62,18 +63,18 @@
 	return member.Daemon.ID, member.State != membership.StateDead
 }
 
-// successor returns the daemon that should hold a shard if some cannot: the
-// first by rendezvous among those of which there is no bad news, or else among
-// all others that live.
+// successor returns the daemon that should hold a shard if the excepted ones cannot: the
+// first by rendezvous hashing among those without a recent failure, or otherwise among all
+// others that are alive.
 func (s *Service) successor(shard int, except []structs.DaemonID, now time.Time) structs.DaemonID {
 	best, bestRank, bestScore := structs.DaemonID(""), 0, 0.0
 	for _, member := range s.View.Members() {
 		id := member.Daemon.ID
-		if !s.mayHold(member) || slices.Contains(except, id) {
+		if !s.canHold(member) || slices.Contains(except, id) {
 			continue
 		}
 		rank := 0
-		if member.State == membership.StateSuspect || s.avoided.isAvoided(shard, id, time.Time{}, now) {
+		if member.State == membership.StateSuspect || s.avoidList.isAvoided(shard, id, time.Time{}, now) {
 			rank = 1
 		}
 		score := rendezvousScore(shard, member.Daemon)
@@ -84,111 +85,111 @@
 	return best
 }
 
-// rendezvousScore is a daemon's claim on a shard; the highest should hold it.
-// Each daemon is first for as many shards as its capacity is of that of all
-// (weighted rendezvous hashing).
+// rendezvousScore returns a daemon's score for a shard; the one with the highest score
+// should hold it. A daemon's share of the shards is proportional to its capacity (weighted
+// rendezvous hashing).
 func rendezvousScore(shard int, daemon structs.Daemon) float64 {
 	hash := xxhash.Sum64String(daemon.ID.Address() + "/" + strconv.Itoa(shard))
 	fraction := (float64(hash>>hashBitsDropped) + 0.5) / (1 << (64 - hashBitsDropped))
 	return float64(max(daemon.Capacity, 1)) / -math.Log(fraction)
 }
 
-// mayHold tells whether a member may hold shards.
-func (s *Service) mayHold(member membership.Member) bool {
+// canHold reports whether a member may hold shards.
+func (s *Service) canHold(member membership.Member) bool {
 	if member.Daemon.ID == s.Self {
 		return !s.isLeaving()
 	}
 	return member.State == membership.StateAlive || member.State == membership.StateSuspect
 }
 
-// mayLive implements fleet. A daemon that is leaving holds its shards until it
-// has passed them on, and one that was not heard of yet may hold one, too: daemons
-// that start together hear of each other little by little.
-func (s *Service) mayLive(daemon string) bool {
+// mayBeAlive implements fleet. It is true for a leaving daemon, which holds its shards
+// until it has passed them on, and for one that was not discovered yet, as daemons that
+// start together discover each other gradually.
+func (s *Service) mayBeAlive(daemon string) bool {
 	id := structs.DaemonID(daemon)
-	run, lives := s.runAt(id)
+	run, lives := s.incarnationAt(id)
 	return lives && (run == id || run.Incarnation() == structs.AnyIncarnation)
 }
 
-// preferred implements fleet.
-func (s *Service) preferred(shard int, except ...structs.DaemonID) string {
+// preferredHolder implements fleet.
+func (s *Service) preferredHolder(shard int, except ...structs.DaemonID) string {
 	return string(s.successor(shard, except, time.Now()))
 }
 
-// avoided remembers bad news about daemons. The zero value is ready.
-type avoided struct {
+// avoidList remembers recent failures of daemons to answer. The zero value is ready.
+type avoidList struct {
 	mutex   sync.Mutex
-	shards  map[avoidedShard]badNews
-	daemons map[structs.DaemonID]badNews
-	// lookedAt is when what is over was last dropped.
-	lookedAt time.Time
+	shards  map[daemonShard]failureReport
+	daemons map[structs.DaemonID]failureReport
+	// sweptAt is when expired failures were last dropped.
+	sweptAt time.Time
 }
 
-type avoidedShard struct {
+type daemonShard struct {
 	shard  int
 	daemon structs.DaemonID
 }
 
-// badNews holds for a while, and only against who held the shard when it came:
-// a daemon that claimed a shard since can be asked again.
-type badNews struct {
+// failureReport applies until it expires, and only to claims older than itself: a daemon
+// that claimed a shard afterwards may be asked again.
+type failureReport struct {
 	at    time.Time
 	until time.Time
 }
 
-func (b badNews) holds(since, now time.Time) bool {
+func (b failureReport) applies(since, now time.Time) bool {
 	return now.Before(b.until) && !b.at.Before(since)
 }
 
-// avoidedLook separates looks at which bad news is over: daemons that start again have other names
-// each time, so nobody asks for what is known of their former runs.
-const avoidedLook = 10 * time.Second
+// avoidSweepInterval separates sweeps of expired failures. They are needed because
+// restarted daemons have new IDs, so nothing else removes the entries of their former
+// incarnations.
+const avoidSweepInterval = 10 * time.Second
 
-// forget drops bad news that is over.
-func (a *avoided) forget(now time.Time) {
-	if now.Sub(a.lookedAt) < avoidedLook {
+// forget drops expired failures.
+func (a *avoidList) forget(now time.Time) {
+	if now.Sub(a.sweptAt) < avoidSweepInterval {
 		return
 	}
-	a.lookedAt = now
-	maps.DeleteFunc(a.shards, func(_ avoidedShard, news badNews) bool { return !now.Before(news.until) })
-	maps.DeleteFunc(a.daemons, func(_ structs.DaemonID, news badNews) bool { return !now.Before(news.until) })
+	a.sweptAt = now
+	maps.DeleteFunc(a.shards, func(_ daemonShard, report failureReport) bool { return !now.Before(report.until) })
+	maps.DeleteFunc(a.daemons, func(_ structs.DaemonID, report failureReport) bool { return !now.Before(report.until) })
 }
 
-// note takes a daemon's answer.
-func (a *avoided) note(shard int, daemon structs.DaemonID, answer result) {
+// note records the result of asking a daemon.
+func (a *avoidList) note(shard int, daemon structs.DaemonID, answer result) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	now := time.Now()
 	if a.shards == nil {
-		a.shards = map[avoidedShard]badNews{}
-		a.daemons = map[structs.DaemonID]badNews{}
+		a.shards = map[daemonShard]failureReport{}
+		a.daemons = map[structs.DaemonID]failureReport{}
 	}
 	a.forget(now)
-	key := avoidedShard{shard, daemon}
+	key := daemonShard{shard, daemon}
 	switch {
 	case answer == resultSilent:
-		a.daemons[daemon] = badNews{at: now, until: now.Add(avoidSilent)}
+		a.daemons[daemon] = failureReport{at: now, until: now.Add(silentPenalty)}
 		return
 	case answer == resultImpaired:
-		a.shards[key] = badNews{at: now, until: now.Add(avoidImpaired)}
+		a.shards[key] = failureReport{at: now, until: now.Add(impairedPenalty)}
 	case answer.isFinal():
 		delete(a.shards, key)
 	}
 	delete(a.daemons, daemon)
 }
 
-// isSilent tells whether a daemon said nothing lately, and since a time. A
-// holder that only cannot reach the store is asked first all the same: it may
-// have headroom.
-func (a *avoided) isSilent(daemon structs.DaemonID, since, now time.Time) bool {
+// isSilent reports whether a daemon recently did not answer, after a given time. A holder
+// that answers but cannot reach the store is still asked first, as it may have headroom.
+func (a *avoidList) isSilent(daemon structs.DaemonID, since, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.daemons[daemon].holds(since, now)
+	return a.daemons[daemon].applies(since, now)
 }
 
-// isAvoided tells whether there is bad news of a daemon that came since a time.
-func (a *avoided) isAvoided(shard int, daemon structs.DaemonID, since, now time.Time) bool {
+// isAvoided reports whether a daemon recently failed for a shard, after a given time.
+func (a *avoidList) isAvoided(shard int, daemon structs.DaemonID, since, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.daemons[daemon].holds(since, now) || a.shards[avoidedShard{shard, daemon}].holds(since, now)
+	return a.daemons[daemon].applies(since, now) || a.shards[daemonShard{shard, daemon}].applies(since, now)
 }
--- a/internal/ledger/candidates_test.go
+++ b/internal/ledger/candidates_test.go
@@ -9,7 +9,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// TestShardsGoToDaemonsByTheirCapacity: a machine that can do more holds more.
+// TestShardsGoToDaemonsByTheirCapacity: a daemon's share of the shards is proportional to
+// its capacity.
 func TestShardsGoToDaemonsByTheirCapacity(t *testing.T) {
 	const small, large, shards = 8, 2, 20000
 	var daemons []structs.Daemon
@@ -40,11 +41,11 @@
 	}
 }
 
-// TestBadNewsOfRunsThatAreOverIsForgotten: daemons start again all day long, each time under another
-// name; what was heard of their former runs must not add up.
-func TestBadNewsOfRunsThatAreOverIsForgotten(t *testing.T) {
+// TestFailuresOfFormerIncarnationsAreForgotten: failures of former incarnations must not
+// accumulate when daemons restart often.
+func TestFailuresOfFormerIncarnationsAreForgotten(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
-		var a avoided
+		var a avoidList
 		most := 0
 		for run := range uint64(3600) {
 			a.note(int(run%48), daemonID(0, run), resultSilent)
@@ -52,15 +53,15 @@
 			time.Sleep(time.Second)
 			most = max(most, len(a.daemons), len(a.shards))
 		}
-		if bound := int((avoidedLook + avoidSilent) / time.Second); most > bound {
-			t.Errorf("bad news of %d runs was remembered, want %d at most", most, bound)
+		if bound := int((avoidSweepInterval + silentPenalty) / time.Second); most > bound {
+			t.Errorf("failures of %d incarnations are kept, want %d at most", most, bound)
 		}
 	})
 }
 
-// TestWhatWasKnownOfALostShardIsForgotten: a daemon that lost a shard keeps its accounts for as long
-// as a successor may ask for them.
-func TestWhatWasKnownOfALostShardIsForgotten(t *testing.T) {
+// TestFormerStateIsForgotten: the accounts of a lost shard are kept only as long as a
+// successor may ask for them.
+func TestFormerStateIsForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		s := f.service(daemonID(0, 1))
@@ -74,13 +75,13 @@
 		look(h.drop)
 		look(func() {
 			if h.former == nil {
-				t.Error("not known right after the loss")
+				t.Error("the former state is not known right after the loss")
 			}
 		})
-		time.Sleep(formerLife + time.Second)
+		time.Sleep(formerStateTTL + time.Second)
 		look(func() {
 			if h.former != nil {
-				t.Error("known for ever")
+				t.Error("the former state is kept after formerStateTTL")
 			}
 		})
 	})
--- a/internal/ledger/chains.go
+++ b/internal/ledger/chains.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// history joins the texts of a chain of turns, from the oldest on.
+// history concatenates the texts of a chain of turns, oldest first.
 func (s *state) history(last string, now time.Time) ([]byte, error) {
 	var chain []*turnEntry
 	size := 0
@@ -28,7 +28,7 @@
 	return text, nil
 }
 
-// hasChain tells whether a turn and all before it are known.
+// hasChain reports whether a turn and all turns before it are known.
 func (s *state) hasChain(last string) bool {
 	for count := 0; last != ""; count++ {
 		entry := s.turns[last]
@@ -40,9 +40,9 @@
 	return true
 }
 
-// restoreChains makes all turns before others be kept for as long as those are.
+// restoreChains keeps each turn for as long as the turns that continue it.
 func (s *state) restoreChains() {
 	for _, entry := range slices.Collect(maps.Values(s.turns)) {
-		s.keepChainOf(entry)
+		s.extendChainRetention(entry)
 	}
 }
--- a/internal/ledger/claim_test.go
+++ b/internal/ledger/claim_test.go
@@ -12,8 +12,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// expectHolderStays lets services begin turns by rotation: the shard's holder
-// stays, and no turn takes more than one append.
+// expectHolderStays begins turns at the services in rotation and expects that the shard
+// keeps its holder and that no turn takes more than one append.
 func expectHolderStays(t *testing.T, f *testFleet, services []*Service, holder structs.DaemonID, turns int) {
 	t.Helper()
 	before := f.store.Appends()
@@ -24,7 +24,7 @@
 		t.Errorf("the shard moved on from %s to %s", holder, got)
 	}
 	if got := f.store.Appends() - before; got > turns {
-		t.Errorf("%d appends for %d turns: the shard moves on and on", got, turns)
+		t.Errorf("%d appends for %d turns: the shard keeps moving", got, turns)
 	}
 }
 
@@ -37,12 +37,12 @@
 			begin(t, services[i], Turn{ID: fmt.Sprint("warm-", i), Program: "p"})
 		}
 		holder := f.holderOf("p")
-		// Some daemons have bad news of the holder from before it claimed, others
-		// would rather have another hold the shard.
+		// Some daemons know of failures of the holder from before its claim, others prefer
+		// another holder.
 		for i, s := range services {
 			if i%2 == 0 {
 				s.known.holders[s.shardOf("p")] = knownHolder{}
-				s.avoided.note(s.shardOf("p"), holder, resultImpaired)
+				s.avoidList.note(s.shardOf("p"), holder, resultImpaired)
 			}
 		}
 		expectHolderStays(t, f, services, holder, 50)
@@ -56,10 +56,10 @@
 		services := make([]*Service, 6)
 		for i := range services {
 			services[i] = f.service(daemonID(i, 1))
-			// Each daemon has bad news of all the others, so each asks itself.
+			// Each daemon knows of failures of all others, so each asks itself.
 			for j := range services {
 				if i != j {
-					services[i].avoided.note(services[i].shardOf("p"), daemonID(j, 1), resultSilent)
+					services[i].avoidList.note(services[i].shardOf("p"), daemonID(j, 1), resultSilent)
 				}
 			}
 		}
@@ -95,8 +95,8 @@
 		if err := f.store.Append(testContext(t), h.partition, store.Writer{Name: writerName, Epoch: epoch, Sequence: 1}, []store.Record{record}); err != nil {
 			t.Fatal(err)
 		}
-		if err := h.seize(testContext(t), 0, 0); !errors.Is(err, errHeld) {
-			t.Errorf("got %v, want %v", err, errHeld)
+		if err := h.seize(testContext(t), 0, 0); !errors.Is(err, errHeldElsewhere) {
+			t.Errorf("got %v, want %v", err, errHeldElsewhere)
 		}
 		if got := h.known.get(shard).Daemon; got != string(holder) {
 			t.Errorf("the claimant knows of holder %q, want %q", got, holder)
@@ -104,8 +104,8 @@
 	})
 }
 
-// TestLeavingDaemonPassesItsShardsOn: it serves until another daemon can, forfeits
-// no headroom, and claims nothing any more.
+// TestLeavingDaemonPassesItsShardsOn: a leaving daemon serves until another daemon can,
+// forfeits no headroom, and claims nothing any more.
 func TestLeavingDaemonPassesItsShardsOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
@@ -115,7 +115,7 @@
 		f.leave(holder)
 		turn.ID = "b"
 		begin(t, f.service(holder), turn)
-		time.Sleep(prepareTime + takeTime)
+		time.Sleep(prepareTimeout + takeTimeout)
 		successor := f.holderOf("p")
 		if successor == holder {
 			t.Fatalf("%s still holds the shard", holder)
@@ -142,7 +142,7 @@
 		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 100, MaxTokens: 20})
 		f.setDeaf(frozen, false)
 
-		// The former holder knows nothing of turn b, and would grant this one.
+		// The former holder does not know turn b, and would grant this one.
 		refusedWith(t, f.service(frozen), Turn{ID: "c", Program: "p", BudgetTokens: 100, MaxTokens: 30}, ErrBudgetSpent)
 	})
 }
@@ -184,7 +184,7 @@
 		f := newTestFleet(t, 2)
 		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 100, MaxTokens: 10})
 		holder := f.service(f.holderOf("p"))
-		if headroom := holder.holders[holder.shardOf("p")].state.accounts["p"].headroom; headroom != (setAside{near: 30, far: 15}) {
+		if headroom := holder.holders[holder.shardOf("p")].state.accounts["p"].headroom; headroom != (headroomBalance{immediate: 30, outageOnly: 15}) {
 			t.Errorf("%+v set aside, want three turns, and with the rest half of what is left", headroom)
 		}
 		holder.Leave()
@@ -192,7 +192,7 @@
 	})
 }
 
-// askHolder sends a request to one daemon alone, whoever holds the shard.
+// askHolder sends a request to one daemon only, whichever daemon holds the shard.
 func askHolder(t *testing.T, s *Service, request Request) result {
 	t.Helper()
 	request.Shard = s.shardOf("p")
@@ -206,15 +206,15 @@
 		holder, other := f.holderOf("p"), f.other("p")
 		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		f.setDeaf(holder, true)
-		time.AfterFunc(silence/2, func() { f.setDeaf(holder, false) })
+		time.AfterFunc(silenceTimeout/2, func() { f.setDeaf(holder, false) })
 		begin(t, other, Turn{ID: "c", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		if now := f.holderOf("p"); now != holder {
-			t.Errorf("the shard moved from %s, which lives, to %s", holder, now)
+			t.Errorf("the shard moved from the live holder %s to %s", holder, now)
 		}
-		f.setDeaf(holder, true) // it says nothing any more
+		f.setDeaf(holder, true) // it does not answer any more
 		started := time.Now()
 		begin(t, other, Turn{ID: "d", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
-		if took := time.Since(started); took > holderTries*silence+100*time.Millisecond {
+		if took := time.Since(started); took > holderTries*silenceTimeout+100*time.Millisecond {
 			t.Errorf("a silent holder was passed over after %s", took)
 		}
 	})
--- a/internal/ledger/asks_only_test.go
+++ b/internal/ledger/client_only_test.go
@@ -5,10 +5,10 @@
 	"testing/synctest"
 )
 
-// TestDaemonThatOnlyAsksHoldsNoShard: text of turns that are bound to a region must not
-// go to a daemon elsewhere, whoever asks it to take a shard, to read one ahead or to keep
-// a turn.
-func TestDaemonThatOnlyAsksHoldsNoShard(t *testing.T) {
+// TestClientOnlyDaemonHoldsNoShard: text of turns that are bound to a region must not reach
+// a daemon elsewhere, even if it is asked to take a shard, to read one ahead or to keep a
+// turn.
+func TestClientOnlyDaemonHoldsNoShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		begin(t, f.service(daemonID(0, 1)), Turn{ID: "first", Program: "p"})
@@ -29,8 +29,8 @@
 			}
 		}
 		if f.holderOf("p") != holder.Self || other.holders[shard].status.holding.Load() {
-			t.Error("the shard moved to a daemon that only asks")
+			t.Error("the shard moved to a client-only daemon")
 		}
-		complete(t, other, "p", "third", "") // it asks as any other
+		complete(t, other, "p", "third", "") // it can still send requests
 	})
 }
--- a/internal/ledger/confirm_test.go
+++ b/internal/ledger/confirm_test.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// staleView is a view in which some daemons are dead, whatever they are.
+// staleView is a view in which some daemons are dead, whatever their actual state.
 type staleView struct {
 	*testFleet
 	dead map[structs.DaemonID]bool
@@ -37,9 +37,8 @@
 	return member, known
 }
 
-// TestHolderThatAnswersKeepsItsShard: all others believe it dead. It keeps its shard,
-// turns are served by way of a daemon that asks it, and the directory is not read for
-// each of them.
+// TestHolderThatAnswersKeepsItsShard: a holder that all others believe dead keeps its
+// shard. Turns are forwarded to it without a read of the directory for each of them.
 func TestHolderThatAnswersKeepsItsShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 5)
@@ -58,16 +57,16 @@
 			begin(t, other, Turn{ID: fmt.Sprint("later-", i), Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		}
 		if now := f.holderOf("p"); now != holder || f.claims() != claims {
-			t.Errorf("the shard moved from %s, which lives, to %s", holder, now)
+			t.Errorf("the shard moved from the live holder %s to %s", holder, now)
 		}
-		if took := time.Since(started); took > silence {
+		if took := time.Since(started); took > silenceTimeout {
 			t.Errorf("20 turns took %s", took)
 		}
 	})
 }
 
-// TestDeadHolderIsReplacedAtOnce: a holder that is dead is not waited for, and a new
-// run at its address says at once that it holds nothing.
+// TestDeadHolderIsReplacedAtOnce: a claim does not wait for a dead holder, whether or not a
+// new incarnation answers at its address.
 func TestDeadHolderIsReplacedAtOnce(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -76,7 +75,7 @@
 			begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 			holder, other := f.holderOf("p"), f.other("p")
 			begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
-			time.Sleep(time.Second) // what they settled with is over
+			time.Sleep(time.Second) // lets earlier confirmations expire
 			f.kill(holder)
 			if restarted {
 				f.start(structs.NewDaemonID(holder.Address(), 2))
@@ -90,10 +89,10 @@
 	}
 }
 
-// TestIsolationIsToldFromDeaths: with most of the other zones lost and the own one
-// whole, or with all lost and the store, a daemon is cut off; not when many are killed at
-// once, or it is the only one that lives.
-func TestIsolationIsToldFromDeaths(t *testing.T) {
+// TestIsolationIsDistinguishedFromDeaths: a daemon is isolated if most of the other zones
+// are lost and its own is not, or if all daemons and the store are lost; not if many are
+// killed at once, or if it is the only one alive.
+func TestIsolationIsDistinguishedFromDeaths(t *testing.T) {
 	const zones, perZone = 4, 15
 	for _, c := range []struct {
 		name   string
@@ -130,17 +129,17 @@
 			t.Errorf("%s: isolated %v, want %v", c.name, isolated, c.isolated)
 		}
 		s.observe(daemonID(0, 1), members(true), false, now.Add(2*time.Second))
-		if back := now.Add(time.Second + isolationDoubt + time.Millisecond); s.wasIsolatedLately(back) {
-			t.Errorf("%s: still doubtful %s after it was back", c.name, isolationDoubt)
+		if back := now.Add(time.Second + isolationDoubtPeriod + time.Millisecond); s.wasIsolatedLately(back) {
+			t.Errorf("%s: still in doubt %s after it was back", c.name, isolationDoubtPeriod)
 		}
-		if isolated, _ := s.observe(daemonID(0, 1), members(false), false, now.Add(2*time.Second+lostLife+time.Millisecond)); isolated {
+		if isolated, _ := s.observe(daemonID(0, 1), members(false), false, now.Add(2*time.Second+lostDaemonTTL+time.Millisecond)); isolated {
 			t.Errorf("%s: those that are gone for long still count", c.name)
 		}
 	}
 }
 
-// TestZoneOfTwoThatDiesIsNoIsolation: it is if the store is lost as well.
-func TestZoneOfTwoThatDiesIsNoIsolation(t *testing.T) {
+// TestLossOfOneOfTwoZonesIsNoIsolation: it is if the store is lost as well.
+func TestLossOfOneOfTwoZonesIsNoIsolation(t *testing.T) {
 	members := func(zones int) []membership.Member {
 		var list []membership.Member
 		for i := range 20 {
@@ -161,9 +160,10 @@
 	}
 }
 
-// TestShardThatIsGivenUpWhileRequestsArePassedOnIsReleased: who passes requests on to a
-// holder learns from its answer that it gave the shard up, and to whom.
-func TestShardThatIsGivenUpWhileRequestsArePassedOnIsReleased(t *testing.T) {
+// TestShardThatIsGivenUpWhileRequestsAreForwardedIsReleased: a daemon that forwards
+// requests to a holder learns from its answer that it released the shard, and to which
+// daemon.
+func TestShardThatIsGivenUpWhileRequestsAreForwardedIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
@@ -177,7 +177,7 @@
 		giving.post(testContext(t), func(context.Context) {
 			giving.known.noteReleased(shard, held.Epoch, string(other.Self))
 			giving.drop()
-			giving.givenTo = string(other.Self)
+			giving.releasedTo = string(other.Self)
 		})
 		turn := Turn{ID: "b", Program: "p", BudgetTokens: 1000, MaxTokens: 10}
 		if got := askHolder(t, other, Request{Begin: &turn, FailedEpoch: held.Epoch, FailedHolder: held.Daemon}); got != resultMoved {
@@ -190,13 +190,13 @@
 	})
 }
 
-// TestDaemonIsSteadyOnceItIsBackForLong: a shard that could stay is not passed on to one
-// that others do not reach yet, or have for dead.
+// TestDaemonIsSteadyOnceItIsBackForLong: a shard that could stay must not be handed over to
+// a daemon that others do not reach yet, or believe dead.
 func TestDaemonIsSteadyOnceItIsBackForLong(t *testing.T) {
 	self, other := daemonID(0, 1), daemonID(1, 1)
 	s := &isolationDetector{}
 	began := time.Now()
-	// look tells whether the other daemon is steady after a look at a time.
+	// look observes the members at a time and reports whether the other daemon is steady.
 	look := func(at time.Duration, alive bool) bool {
 		members := []membership.Member{{Daemon: structs.Daemon{ID: self}, State: membership.StateAlive}}
 		if alive {
@@ -209,13 +209,13 @@
 		at            time.Duration
 		alive, steady bool
 	}{
-		{0, true, false}, // it was just heard of
-		{steadyTime - time.Second, true, false},
-		{steadyTime, true, true},
-		{steadyTime + time.Second, false, false}, // it is lost
-		{steadyTime + 2*time.Second, true, false},
-		{2*steadyTime + time.Second, true, false},
-		{2*steadyTime + 2*time.Second, true, true},
+		{0, true, false}, // it was just discovered
+		{steadyPeriod - time.Second, true, false},
+		{steadyPeriod, true, true},
+		{steadyPeriod + time.Second, false, false}, // it is lost
+		{steadyPeriod + 2*time.Second, true, false},
+		{2*steadyPeriod + time.Second, true, false},
+		{2*steadyPeriod + 2*time.Second, true, true},
 	} {
 		if got := look(step.at, step.alive); got != step.steady {
 			t.Errorf("after %s, alive %v: steady %v, want %v", step.at, step.alive, got, step.steady)
--- a/internal/ledger/settle_test.go
+++ b/internal/ledger/discovery_test.go
@@ -11,9 +11,9 @@
 	"github.com/mintpulley/mintpulley/internal/store"
 )
 
-// settledAfter returns how long a daemon that starts takes to settle beside
-// three others, by how many daemons are on record.
-func settledAfter(t *testing.T, expected func() int) time.Duration {
+// discoveryTime returns how long a daemon that starts takes to finish discovery with three
+// others, given the number of daemons on record.
+func discoveryTime(t *testing.T, expected func() int) time.Duration {
 	t.Helper()
 	f := newTestFleet(t, 3)
 	s := NewService(Options{
@@ -24,7 +24,7 @@
 	})
 	started := time.Now()
 	go s.Run(t.Context())
-	<-s.settled
+	<-s.discovered
 	return time.Since(started)
 }
 
@@ -34,15 +34,15 @@
 		expected func() int
 		want     time.Duration
 	}{
-		{"all of those on record were heard of", func() int { return 3 }, settledQuiet + settledLook},
+		{"all of those on record were heard of", func() int { return 3 }, discoveryQuietPeriod + discoveryPollInterval},
 		{"half of those on record were heard of", func() int { return 6 }, DefaultDiscoveryTimeout},
 		{"the record could not be read", func() int { return 0 }, DefaultDiscoveryTimeout},
 		{"there is no record", nil, DefaultDiscoveryTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				if got := settledAfter(t, c.expected); got > c.want || got < min(c.want, settledQuiet) {
-					t.Errorf("settled after %s, want %s", got, c.want)
+				if got := discoveryTime(t, c.expected); got > c.want || got < min(c.want, discoveryQuietPeriod) {
+					t.Errorf("discovery took %s, want %s", got, c.want)
 				}
 			})
 		})
--- a/internal/ledger/evacuations.go
+++ b/internal/ledger/evacuations.go
@@ -6,35 +6,35 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// Evacuations are a daemon's news of which zones the operators evacuated. A daemon
-// whom the store turns away hears of them from the holders that it asks. They are safe
-// for concurrent use.
+// Evacuations is a daemon's knowledge of the zones that operators evacuated. A daemon that
+// cannot reach the store learns of evacuations from the holders that it asks.
+// Implementations must be safe for concurrent use.
 type Evacuations interface {
-	// KnownEvacuationsEnd returns how new this daemon's news is, 0 if it knows none.
+	// KnownEvacuationsEnd returns the end of the orders that this daemon knows, 0 if it
+	// knows none.
 	KnownEvacuationsEnd() (end int64)
-	// EvacuationUpdateAfter returns this daemon's news if it is newer than the asker's, or
-	// nil.
-	EvacuationUpdateAfter(asked int64, now time.Time) *zone.News
-	// ApplyEvacuationUpdate takes another daemon's news.
-	ApplyEvacuationUpdate(news *zone.News, now time.Time)
+	// EvacuationUpdateAfter returns this daemon's knowledge if it ends after known, or nil.
+	EvacuationUpdateAfter(known int64, now time.Time) *zone.News
+	// ApplyEvacuationUpdate applies another daemon's knowledge.
+	ApplyEvacuationUpdate(update *zone.News, now time.Time)
 }
 
-func (s *Service) evacuationsEnd() int64 {
+func (s *Service) knownEvacuationsEnd() int64 {
 	if s.Evacuations == nil {
 		return 0
 	}
 	return s.Evacuations.KnownEvacuationsEnd()
 }
 
-func (s *Service) tellEvacuations(asked int64) *zone.News {
+func (s *Service) evacuationUpdateAfter(known int64) *zone.News {
 	if s.Evacuations == nil {
 		return nil
 	}
-	return s.Evacuations.EvacuationUpdateAfter(asked, time.Now())
+	return s.Evacuations.EvacuationUpdateAfter(known, time.Now())
 }
 
-func (s *Service) hearEvacuations(news *zone.News) {
-	if s.Evacuations != nil && news != nil {
-		s.Evacuations.ApplyEvacuationUpdate(news, time.Now())
+func (s *Service) applyEvacuationUpdate(update *zone.News) {
+	if s.Evacuations != nil && update != nil {
+		s.Evacuations.ApplyEvacuationUpdate(update, time.Now())
 	}
 }
--- a/internal/ledger/evacuations_test.go
+++ b/internal/ledger/evacuations_test.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// testEvacuations are a daemon's news, and what it heard of others.
+// testEvacuations is a daemon's knowledge, with the changes that it learned from others.
 type testEvacuations struct {
 	zone.Evacuations
 	mutex sync.Mutex
@@ -29,9 +29,9 @@
 	e.heard = append(e.heard, e.Hear(news, now)...)
 }
 
-// TestDaemonThatDoesNotReachTheStoreHearsOfEvacuations: from the holders that it asks for
-// its callers' turns, with the age, and just as well that the zone was taken back.
-func TestDaemonThatDoesNotReachTheStoreHearsOfEvacuations(t *testing.T) {
+// TestDaemonThatDoesNotReachTheStoreLearnsOfEvacuations: it learns of them, with their age,
+// from the holders it sends requests to, and also that a zone was taken back.
+func TestDaemonThatDoesNotReachTheStoreLearnsOfEvacuations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		cut := f.ids()[0]
@@ -41,7 +41,7 @@
 			f.service(id).Evacuations = news[string(id)]
 		}
 		synctest.Wait()
-		tell := func(reading zone.Reading) { // what the store tells all others
+		tell := func(reading zone.Reading) { // what all others read from the store
 			for id, e := range news {
 				if id != string(cut) {
 					e.Take(reading, time.Now())
--- a/internal/ledger/find.go
+++ b/internal/ledger/find.go
@@ -6,8 +6,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Find returns a turn of a program with its whole chain as one turn. ErrUnknownTurn
-// means that every shard is sure not to keep it.
+// Find returns a turn of a program with its whole chain merged into one turn.
+// ErrUnknownTurn means that every shard confirmed that it does not keep the turn.
 func (s *Service) Find(ctx context.Context, program, turn string) (*KeptTurn, error) {
 	shard := s.shardOf(program)
 	response := s.ask(ctx, shard, Request{Find: &Find{Turn: turn}})
@@ -15,16 +15,16 @@
 	case response.Found != nil:
 		return response.Found, nil
 	case response.Result != resultUnknownTurn:
-		return nil, s.heldUp(shard, response.Result)
+		return nil, s.unavailableError(shard, response.Result)
 	}
 	return s.findInOtherShards(ctx, noShard, turn)
 }
 
-// noShard stands where no shard is left out.
+// noShard excludes no shard from a search.
 const noShard = -1
 
-// findInOtherShards looks for a turn in all other shards. ErrUnknownTurn means
-// that every one of them is sure not to keep it.
+// findInOtherShards looks for a turn in all other shards. ErrUnknownTurn means that every
+// one of them confirmed that it does not keep the turn.
 func (s *Service) findInOtherShards(ctx context.Context, except int, turn string) (*KeptTurn, error) {
 	if found, _ := s.findAll(ctx, except, Find{Turn: turn}); found != nil {
 		return found, nil
@@ -36,11 +36,11 @@
 	case sure:
 		return nil, ErrUnknownTurn
 	}
-	return nil, eris.Wrapf(ErrUnavailable, "turn %s: not all shards could be asked", turn)
+	return nil, eris.Wrapf(ErrUnavailable, "turn %s: not all shards answered", turn)
 }
 
-// findAll asks all shards but one for a turn. sure tells that each of them said that it
-// does not keep it.
+// findAll asks all shards but one for a turn. sure means that each of them answered that it
+// does not keep the turn.
 func (s *Service) findAll(ctx context.Context, except int, find Find) (found *KeptTurn, sure bool) {
 	responses := make(chan Response, len(s.holders))
 	asked := 0
--- a/internal/ledger/fleet_test.go
+++ b/internal/ledger/fleet_test.go
@@ -23,27 +23,28 @@
 // testShards is the number of shards in tests.
 const testShards = 4
 
-// testFleet is some daemons' services over one store, with a network that can
-// be told to lose what goes to a daemon.
+// testFleet is a fleet of services with one store, and a network that can drop what is sent
+// to a daemon.
 type testFleet struct {
 	t     *testing.T
 	store *memory.Store
 
-	// readTime is how long a reading takes a record, in nanoseconds.
+	// readTime is how long a read takes per record, in nanoseconds.
 	readTime atomic.Int64
-	// settleTime is that of daemons that start.
-	settleTime time.Duration
-	// blind: daemons that start have heard of no other.
+	// discoveryTimeout is that of daemons that start.
+	discoveryTimeout time.Duration
+	// blind: daemons that start have discovered no other.
 	blind bool
-	// shards is the number of shards, viewOf and storeOf what a daemon that starts sees
-	// and calls, and severed whether a message is lost; nil and 0 for the usual.
+	// shards is the number of shards; viewOf and storeOf return the view and the store of a
+	// daemon that starts, and severed reports whether a message is lost. nil and 0 select
+	// the defaults.
 	shards  int
 	viewOf  func(structs.DaemonID) View
 	storeOf func(structs.DaemonID) store.Store
 	severed func(from, to structs.DaemonID) bool
-	// storeBytes is how many bytes the store keeps, as daemons are told.
+	// storeBytes is the size of the store as told to daemons.
 	storeBytes float64
-	// readBytes is what the store reads in a second, as daemons are told.
+	// readBytes is the store's read capacity per second as told to daemons.
 	readBytes float64
 
 	mutex    sync.Mutex
@@ -95,7 +96,7 @@
 		View:             f.view(id),
 		Partitions:       partitions,
 		Directory:        store.Partition{Space: "holders"},
-		DiscoveryTimeout: f.settleTime,
+		DiscoveryTimeout: f.discoveryTimeout,
 
 		StoreReadBytes: f.readBytes,
 		StoreBytes:     f.storeBytes,
@@ -114,7 +115,8 @@
 	return s
 }
 
-// testMachine is the clock of the machine on which runs of a daemon follow each other.
+// testMachine is the clock of the machine on which the incarnations of a daemon run one
+// after the other.
 func testMachine(id structs.DaemonID) MachineClock {
 	uptime := func() time.Duration { return time.Since(time.Unix(0, 0)) }
 	return MachineClock{Boot: id.Address(), Now: uptime, Started: uptime()}
@@ -128,7 +130,7 @@
 	delete(f.services, id)
 }
 
-// leave lets a daemon begin its planned stop, as all others hear.
+// leave starts the planned shutdown of a daemon, which all others see.
 func (f *testFleet) leave(id structs.DaemonID) {
 	f.mutex.Lock()
 	f.leaving[id] = true
@@ -165,7 +167,7 @@
 	return f.offers
 }
 
-// setReadTime sets how long a reading takes a record: holders may be reading.
+// setReadTime sets how long a read takes per record. Holders may be reading.
 func (f *testFleet) setReadTime(d time.Duration) { f.readTime.Store(int64(d)) }
 
 // historySent returns how many bytes of histories daemons sent each other.
@@ -194,7 +196,7 @@
 		f.t.Fatal(err)
 	}
 	shard := f.service(f.ids()[0]).shardOf(program)
-	return structs.DaemonID(holderUnder(fmt.Sprint(shard), records).Daemon)
+	return structs.DaemonID(latestHolder(fmt.Sprint(shard), records).Daemon)
 }
 
 // other returns a daemon that does not hold a program's shard.
@@ -242,7 +244,7 @@
 	return membership.Member{Daemon: structs.Daemon{ID: latest}, State: f.State(latest)}, latest != ""
 }
 
-// blindView is the view of a daemon that has heard of no other yet.
+// blindView is the view of a daemon that has discovered no other yet.
 type blindView struct {
 	*testFleet
 	self structs.DaemonID
@@ -279,7 +281,7 @@
 // Subscribe implements membership.View.
 func (f *testFleet) Subscribe(func(membership.Member)) {}
 
-// testStore is a daemon's way to the fleet's store: readings take their time.
+// testStore is a daemon's access to the fleet's store, with slow reads.
 type testStore struct {
 	store.Store
 	fleet *testFleet
@@ -303,8 +305,8 @@
 	return records, next, err
 }
 
-// read lets the time pass that a reading takes; an error tells that it was
-// broken off before its end.
+// read waits for the duration of a read; an error means that it was canceled before its
+// end.
 func (f *testFleet) read(ctx context.Context, records int) error {
 	clock.Sleep(ctx, time.Duration(records)*time.Duration(f.readTime.Load()))
 	if ctx.Err() != nil {
@@ -338,7 +340,7 @@
 	}
 }
 
-// serviceAt returns the service that gets what is sent to a daemon.
+// serviceAt returns the service that receives what is sent to a daemon.
 func (f *testFleet) serviceAt(to structs.DaemonID) *Service {
 	if to.Incarnation() != structs.AnyIncarnation {
 		return f.services[to]
@@ -358,8 +360,8 @@
 	return ctx
 }
 
-// eventually tries until attempt succeeds: after a fault the first answers may
-// say that the record cannot be reached.
+// eventually repeats attempt until it succeeds, as the first answers after a fault may be
+// that the record cannot be reached.
 func eventually(t *testing.T, attempt func() error) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
--- a/internal/ledger/handover.go
+++ b/internal/ledger/handover.go
@@ -7,9 +7,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// A planned handover of a shard. Its records are megabytes, which take a small
-// machine up to a second to read, so the successor reads them ahead while the
-// holder goes on to serve:
+// A planned handover of a shard. Reading its megabytes of records takes up to a second, so
+// the successor reads them ahead while the holder keeps serving:
 //
 //	holder                     successor
 //	  prepare  ------------->  reads the shard ahead
@@ -18,31 +17,31 @@
 //	  take     ------------->  claims it, reads what came since
 //	           <-------------  ok, with its epoch
 //
-// Nothing rests on these messages but time: the claim is an ordinary one, and
-// fences the former holder. A holder that gets no answer gives the shard up all
-// the same if it is leaving, and keeps it if it is not.
+// These messages only save time. Safety does not depend on them: the claim is an ordinary
+// one and fences the former holder. A holder that gets no answer gives the shard up anyway
+// if it is leaving, and keeps it otherwise.
 
 const (
-	// prepareTime bounds how long a successor may read ahead: four shards one after
-	// the other on a small machine. A stopping daemon waits for it within its bound.
-	prepareTime = 4 * time.Second
-	// successorTries bounds the daemons that are asked to read a shard ahead: the
-	// first may be stopping, too.
+	// prepareTimeout bounds how long a successor may read ahead: four shards one after the
+	// other on a small machine. A stopping daemon waits for it within its own time limit.
+	prepareTimeout = 4 * time.Second
+	// successorTries bounds the daemons that are asked to read a shard ahead, as the first
+	// one may be stopping, too.
 	successorTries = 3
-	// takeTime bounds how long a former holder answers that the shard has moved, until it
-	// knows that the successor took it.
-	takeTime = time.Second
+	// takeTimeout bounds how long a former holder answers that the shard has moved while it
+	// does not know whether the successor took it.
+	takeTimeout = time.Second
 )
 
-// handover is a shard on its way to another daemon.
+// handover is the transfer of a shard to another daemon.
 type handover struct {
 	to string
 	// prepared: the successor has read the shard ahead.
 	prepared bool
 }
 
-// handOver passes the shard on, to a successor that is given time to read it
-// ahead.
+// handOver starts the transfer of the shard to a successor, which first gets time to read
+// it ahead.
 func (h *holder) handOver(ctx context.Context, successor string) {
 	if h.handover != nil {
 		return
@@ -54,18 +53,18 @@
 		successor, result := h.findSuccessor(ctx, successor)
 		h.post(ctx, func(ctx context.Context) {
 			current.to = successor
-			h.notePrepared(ctx, current, result, time.Since(started))
+			h.handlePrepared(ctx, current, result, time.Since(started))
 		})
 	}()
 }
 
-// findSuccessor lets a daemon read the shard ahead, and others if that cannot. It
-// returns the one that did, or the last that was asked.
+// findSuccessor asks a daemon to read the shard ahead, and then others if it cannot. It
+// returns the one that did, or the last one asked.
 func (h *holder) findSuccessor(ctx context.Context, first string) (successor string, answer result) {
-	ctx, cancel := context.WithTimeout(ctx, prepareTime)
+	ctx, cancel := context.WithTimeout(ctx, prepareTimeout)
 	defer cancel()
 	var asked []structs.DaemonID
-	for next := first; len(asked) < successorTries; next = h.fleet.preferred(h.shard, asked...) {
+	for next := first; len(asked) < successorTries; next = h.fleet.preferredHolder(h.shard, asked...) {
 		if next == "" || next == h.daemon {
 			break
 		}
@@ -85,16 +84,16 @@
 	return h.fleet.askOne(ctx, structs.DaemonID(to), request)
 }
 
-// notePrepared takes the successor's word. The holder keeps a shard for which
-// there is no successor: one that stays offers it again after a longer stay, one
-// that is leaving soon, and serves until then. Only a leaving holder gives the
-// shard to a successor that could not read it ahead.
-func (h *holder) notePrepared(ctx context.Context, current *handover, result result, took time.Duration) {
+// handlePrepared handles the successor's answer to the request to read ahead. A shard
+// without a successor stays with its holder, which serves it and offers it again: after a
+// longer tenure if it stays, soon if it is leaving. Only a leaving holder gives the shard
+// to a successor that could not read it ahead.
+func (h *holder) handlePrepared(ctx context.Context, current *handover, result result, took time.Duration) {
 	if h.handover != current || h.state == nil {
-		return // the shard was lost meanwhile
+		return // the shard was lost in the meantime
 	}
 	h.logger.Info().Uint64("epoch", h.epoch).Str("to", current.to).Str("result", string(result)).
-		Dur("took", took).Bool("leaving", h.isLeaving()).Msg("Successor answered.")
+		Dur("took", took).Bool("leaving", h.isLeaving()).Msg("Successor answered the request to read the shard ahead.")
 	h.metrics.handedOver(result)
 	if result != resultOK && (!h.isLeaving() || result == resultMoved) {
 		h.handover = nil
@@ -107,19 +106,19 @@
 	}
 }
 
-// passTo tells the successor to claim the shard that was given up. Until it has,
-// callers that come here are told that the shard has moved.
-func (h *holder) passTo(ctx context.Context, successor string, epoch uint64) {
-	h.givenTo = successor
+// requestTake tells the successor to claim the shard that was released. Until it has,
+// requests that arrive here are answered that the shard has moved.
+func (h *holder) requestTake(ctx context.Context, successor string, epoch uint64) {
+	h.releasedTo = successor
 	go func() {
-		asking, cancel := context.WithTimeout(ctx, takeTime)
+		asking, cancel := context.WithTimeout(ctx, takeTimeout)
 		defer cancel()
 		response := h.askSuccessor(asking, successor, Request{Take: true, FailedEpoch: epoch})
 		h.post(ctx, func(context.Context) {
-			h.givenTo = ""
+			h.releasedTo = ""
 			h.known.note(h.shard, holderRecord{Epoch: response.Epoch, Daemon: response.Holder})
 			h.logger.Info().Uint64("epoch", epoch).Str("to", successor).Str("result", string(response.Result)).
-				Msg("Shard given up.")
+				Msg("Shard released to its successor.")
 		})
 	}()
 }
--- a/internal/ledger/handover_test.go
+++ b/internal/ledger/handover_test.go
@@ -17,8 +17,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// scriptedTransport answers the requests to each daemon with what its script says
-// next.
+// scriptedTransport answers the requests to each daemon with the next response of its
+// script.
 type scriptedTransport struct {
 	service *Service
 	mutex   sync.Mutex
@@ -44,8 +44,8 @@
 	time.AfterFunc(s.delay, func() { s.service.Receive(to, &response) })
 }
 
-// newScriptedService returns the service of a fleet's first daemon whose requests
-// go by a script.
+// newScriptedService returns the service of a fleet's first daemon, with a scripted
+// transport.
 func newScriptedService(t *testing.T, f *testFleet, transport *scriptedTransport) *Service {
 	s := NewService(Options{
 		Self: daemonID(0, 1), Store: f.store, Transport: transport, View: f,
@@ -59,8 +59,8 @@
 	return s
 }
 
-// TestDaemonThatClaimedSinceItSaidMovedIsAskedAgain: an asker that comes to the
-// successor before its claim must neither take the shard from it nor send another.
+// TestDaemonThatClaimedSinceItSaidMovedIsAskedAgain: a caller that reaches the successor
+// before its claim must neither take the shard from it nor send another daemon to take it.
 func TestDaemonThatClaimedSinceItSaidMovedIsAskedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 5)
@@ -80,8 +80,8 @@
 	})
 }
 
-// TestLastDaemonsLeaveWithAnAppendUnderWay: where there is no successor, a leaving
-// daemon answers what it has and goes on to serve.
+// TestLastDaemonsLeaveWithAnAppendUnderWay: without a successor, a leaving daemon completes
+// the append and keeps serving.
 func TestLastDaemonsLeaveWithAnAppendUnderWay(t *testing.T) {
 	for _, daemons := range []int{1, 3} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
@@ -110,15 +110,15 @@
 	}
 }
 
-// endInTime ends a kept turn of program p as long as its caller waits.
+// endInTime ends a kept turn of program p within callersPatience.
 func endInTime(s *Service, turn string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callersPatience)
 	defer cancel()
 	return s.End(ctx, Outcome{Turn: turn, Program: "p", Kept: &KeptTurn{ID: turn, Input: []byte("x")}})
 }
 
-// TestShardThatCannotBeReadAheadIsOfferedRarely: a holder that stays must not let
-// others read megabytes every second.
+// TestShardThatCannotBeReadAheadIsOfferedRarely: a holder that stays must not make others
+// read megabytes every second.
 func TestShardThatCannotBeReadAheadIsOfferedRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
@@ -126,7 +126,7 @@
 		program := ""
 		for i := 1; program == ""; i++ { // a program whose shard another daemon should hold
 			f.start(daemonID(i, 1))
-			if candidate := fmt.Sprint("p-", i); holder.preferred(holder.shardOf(candidate)) != string(holder.Self) {
+			if candidate := fmt.Sprint("p-", i); holder.preferredHolder(holder.shardOf(candidate)) != string(holder.Self) {
 				program = candidate
 			}
 		}
@@ -146,9 +146,9 @@
 	})
 }
 
-// TestRunThatEndedWhileItReadAheadFallsSilent: it must not tell askers for ever
-// that it is busy.
-func TestRunThatEndedWhileItReadAheadFallsSilent(t *testing.T) {
+// TestDaemonThatStoppedWhileItReadAheadIsNotBusy: it must not keep telling callers that
+// their requests are pending.
+func TestDaemonThatStoppedWhileItReadAheadIsNotBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRollingFleet(t, 1)
 		f.fillHistory(t)
@@ -170,12 +170,12 @@
 		f.kill(reader.Self)
 		time.Sleep(time.Minute)
 		if reader.holders[shard].status.isBusy() {
-			t.Error("a run that ended a minute ago says that it is busy")
+			t.Error("a daemon that stopped a minute ago is busy")
 		}
 	})
 }
 
-// TestStopWaitsUntilShardsArePassedOn: the process must not end before.
+// TestStopWaitsUntilShardsArePassedOn: the process must not end before that.
 func TestStopWaitsUntilShardsArePassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRollingFleet(t, 1)
@@ -186,26 +186,26 @@
 		f.leave(former.Self)
 		started := time.Now()
 		former.WaitForHandover(testContext(t))
-		if took := time.Since(started); took < rollingHistory*rollingReadTime || took > prepareTime {
-			t.Errorf("waited %s for a reading that takes %s", took, rollingHistory*rollingReadTime)
+		if took := time.Since(started); took < rollingHistory*rollingReadTime || took > prepareTimeout {
+			t.Errorf("waited %s for a read that takes %s", took, rollingHistory*rollingReadTime)
 		}
-		time.Sleep(takeTime) // the successor's claim may be under way
+		time.Sleep(takeTimeout) // the successor's claim may be under way
 		if f.holderOf("p") == former.Self {
 			t.Error("the shard was not passed on")
 		}
 	})
 }
 
-// TestFormerHolderNamesItsSuccessor: who asks between a release and the claim must
-// not choose a daemon by itself.
+// TestFormerHolderNamesItsSuccessor: a caller between a release and the claim must not
+// choose a daemon by itself.
 func TestFormerHolderNamesItsSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p"})
 		former := f.service(f.holderOf("p"))
 		shard := former.shardOf("p")
-		successor := former.preferred(shard, former.Self)
-		f.setDeaf(structs.DaemonID(successor), true) // it hears nothing of the release
+		successor := former.preferredHolder(shard, former.Self)
+		f.setDeaf(structs.DaemonID(successor), true) // it does not learn of the release
 		h := former.holders[shard]
 		h.post(t.Context(), func(ctx context.Context) {
 			h.handover = &handover{to: successor, prepared: true}
@@ -213,7 +213,7 @@
 		})
 		got := former.askOne(testContext(t), former.Self, Request{Shard: shard, Find: &Find{Turn: "a"}})
 		if got.Result != resultMoved || !got.Released || got.Holder != successor {
-			t.Errorf("the former holder says %+v, want that %s is to claim the shard", got, successor)
+			t.Errorf("the former holder answered %+v, want that %s is to claim the shard", got, successor)
 		}
 	})
 }
--- a/internal/ledger/headroom.go
+++ b/internal/ledger/headroom.go
@@ -2,52 +2,51 @@
 
 import "time"
 
-// Headroom lets turns begin without waiting for the store. With each record of
-// an account the holder sets a part of what is left aside and may grant it
-// later without an append. Whoever takes the shard over counts all of it as
-// spent, so a holder that is cut off, or does not know yet that it lost the
-// shard, grants nothing twice.
+// Headroom lets turns begin without waiting for the store. With each record of an account
+// the holder sets aside a part of the remaining budget, which it may grant later without an
+// append. A daemon that takes the shard over counts all of it as spent. So a holder that is
+// isolated, or does not know yet that it lost the shard, grants nothing twice.
 //
-// While a record is on its way it is not known whether the store has the old or
-// the new one, so a grant must fit into the headroom of both.
+// While a record is under way it is not known whether the store has the old or the new one,
+// so a grant must fit into the headroom of both.
 
-// setAside is what is left of the headroom that stands in one version of an account's
-// record: near may be granted at any time, and far only once the shard's latest append
-// was sent firstTurnTime ago. A holder that is lost while the store answers leaves near
-// alone behind it (see MachineClock), so near is small: a program that ends because of
-// a loss has cost all that it used. In an outage programs have both.
-type setAside struct{ near, far int64 }
+// headroomBalance is the rest of the headroom in one version of an account's record.
+// immediate may be granted at any time, outageOnly only once singleTurnPeriod has passed
+// since the shard's latest append was sent. If a holder is lost while the store answers,
+// only the immediate part may have been granted (see MachineClock). It is small, because
+// what is forfeited may end a program. In an outage programs may use both.
+type headroomBalance struct{ immediate, outageOnly int64 }
 
-// room is what may be granted, in an outage of the store or else.
-func (a setAside) room(isOut bool) int64 {
-	if isOut {
-		return a.near + a.far
+// available returns the tokens that may be granted, in an outage of the store or otherwise.
+func (a headroomBalance) available(inOutage bool) int64 {
+	if inOutage {
+		return a.immediate + a.outageOnly
 	}
-	return a.near
+	return a.immediate
 }
 
-// take takes a grant, or gives back what one did not use if tokens is negative.
-func (a *setAside) take(tokens int64) {
-	a.near -= tokens
-	if a.near < 0 {
-		a.far += a.near
-		a.near = 0
+// debit deducts a grant. Negative tokens return what a grant did not use.
+func (a *headroomBalance) debit(tokens int64) {
+	a.immediate -= tokens
+	if a.immediate < 0 {
+		a.outageOnly += a.immediate
+		a.immediate = 0
 	}
 }
 
 // setHeadroom sets headroom aside in an account whose record is being written.
 func (s *state) setHeadroom(entry *accountEntry) {
-	entry.Headroom, entry.Further = entry.nextHeadroom()
-	if s.returning {
-		entry.Headroom, entry.Further = 0, 0
+	entry.Headroom, entry.OutageHeadroom = entry.nextHeadroom()
+	if s.returningHeadroom {
+		entry.Headroom, entry.OutageHeadroom = 0, 0
 	}
-	entry.appending = setAside{entry.Headroom, entry.Further}
+	entry.appending = headroomBalance{entry.Headroom, entry.OutageHeadroom}
 	entry.isInAppend = true
 	clear(entry.unrecorded)
 	s.inAppend = append(s.inAppend, entry)
 }
 
-// confirmHeadroom takes note that all records on their way have arrived.
+// confirmHeadroom marks all records under way as durable.
 func (s *state) confirmHeadroom() {
 	for _, entry := range s.inAppend {
 		entry.headroom = entry.appending
@@ -57,36 +56,35 @@
 	s.inAppend = s.inAppend[:0]
 }
 
-// hasHeadroom tells whether an account's headroom has room for a turn.
-func (e *accountEntry) hasHeadroom(most int64, isOut bool) bool {
-	return e.headroom.room(isOut) >= most && (!e.isInAppend || e.appending.room(isOut) >= most)
+// hasHeadroom reports whether an account's headroom has room for a turn.
+func (e *accountEntry) hasHeadroom(most int64, inOutage bool) bool {
+	return e.headroom.available(inOutage) >= most && (!e.isInAppend || e.appending.available(inOutage) >= most)
 }
 
-// isOut tells whether nothing has been sent to the store for so long that the store
-// may be out: by then a new holder counts all that is set aside as spent.
-func (s *state) isOut(now time.Time) bool {
-	return !s.allowance.sentAt.IsZero() && now.Sub(s.allowance.sentAt) >= firstTurnTime
+// storeMayBeOut reports whether nothing has been sent to the store for so long that it may
+// be out. From then on a new holder counts all headroom as spent.
+func (s *state) storeMayBeOut(now time.Time) bool {
+	return !s.allowance.sentAt.IsZero() && now.Sub(s.allowance.sentAt) >= singleTurnPeriod
 }
 
-// canGrant tells whether a turn can begin without an append. A chain that came
-// from another shard need not be on record for that: the turn's end brings it
-// along again.
+// canGrant reports whether a turn can begin without an append. A chain imported from
+// another shard does not have to be durable for that, since the turn's end brings it again.
 func (s *state) canGrant(turn Turn, now time.Time) bool {
 	entry := s.accounts[turn.Program]
 	if entry == nil {
 		return s.allowanceFor(turn, now) >= turn.MaxTokens
 	}
-	return entry.hasHeadroom(turn.MaxTokens, s.isOut(now))
+	return entry.hasHeadroom(turn.MaxTokens, s.storeMayBeOut(now))
 }
 
-// takeHeadroom grants a turn that was reserved from headroom, if there is room.
+// takeHeadroom grants a turn that is reserved from headroom, if there is room.
 func (s *state) takeHeadroom(turn Turn, now time.Time) bool {
 	entry := s.accounts[turn.Program]
 	s.raiseAllowance(entry, turn, now)
 	if _, granted := entry.unrecorded[turn.ID]; granted {
-		return true // it is asked for again
+		return true // it is a repeated request
 	}
-	if !entry.hasHeadroom(turn.MaxTokens, s.isOut(now)) {
+	if !entry.hasHeadroom(turn.MaxTokens, s.storeMayBeOut(now)) {
 		return false
 	}
 	entry.takeHeadroom(turn.MaxTokens)
@@ -97,10 +95,9 @@
 	return true
 }
 
-// creditHeadroom gives back what a turn that ended did not use of the headroom
-// that it was granted from, so that programs go on for longer while the store is
-// out. A turn that stands in a record is left out: whoever takes the shard over
-// may settle it, too.
+// creditHeadroom returns the tokens that a turn did not use to the headroom it was granted
+// from, so that programs can go on for longer in an outage. It leaves out turns with a
+// durable reservation: a daemon that takes the shard over may settle those as well.
 func (e *accountEntry) creditHeadroom(turn string, unused int64) {
 	if _, granted := e.unrecorded[turn]; granted {
 		delete(e.unrecorded, turn)
@@ -109,28 +106,28 @@
 }
 
 func (e *accountEntry) takeHeadroom(tokens int64) {
-	e.headroom.take(tokens)
+	e.headroom.debit(tokens)
 	if e.isInAppend {
-		e.appending.take(tokens)
+		e.appending.debit(tokens)
 	}
 }
 
-// returnHeadroom makes all accounts that have headroom be written without it.
+// returnHeadroom makes the next append remove the headroom from all accounts.
 func (s *state) returnHeadroom() {
-	s.returning = true
+	s.returningHeadroom = true
 	s.returnAllowance()
 	for id, entry := range s.accounts {
-		if entry.Headroom+entry.Further > 0 {
-			s.touch(accountPrefix + id)
+		if entry.Headroom+entry.OutageHeadroom > 0 {
+			s.markDirty(accountPrefix + id)
 		}
 	}
 }
 
-// forfeitHeadroom counts what the former holder may have granted of the headroom of
-// all accounts that were read as spent.
+// forfeitHeadroom counts as spent what the former holder may have granted from the headroom
+// of the accounts that were read.
 func (s *state) forfeitHeadroom() {
-	nearOnly := s.machine.isSoonAfter(s.allowance.allowanceRecord)
+	immediateOnly := s.machine.isSoonAfter(s.allowance.allowanceRecord)
 	for _, entry := range s.accounts {
-		entry.forfeit(nearOnly)
+		entry.forfeit(immediateOnly)
 	}
 }
--- a/internal/ledger/holder_operations.go
+++ b/internal/ledger/holder_operations.go
@@ -9,17 +9,18 @@
 // changes.
 const settleDelay = 400 * time.Millisecond
 
-// answered is an operation whose answer waits until it is durable.
-type answered struct {
+// pendingReply is an operation whose answer is sent once the changes it depends on are
+// durable.
+type pendingReply struct {
 	operation
 	answer Response
 }
 
-// begin grants a turn: at once from what the store already counts as spent, or
-// else with an append.
+// begin grants a turn: at once if the headroom has room for it, or otherwise with an
+// append.
 func (h *holder) begin(ctx context.Context, o operation, now time.Time) {
 	turn := *o.request.Begin
-	if !h.keepsTurn(o, turn, now) {
+	if !h.admitTurn(o, turn, now) {
 		return
 	}
 	if h.isIsolated() && !h.state.canGrant(turn, now) {
@@ -34,14 +35,14 @@
 		return
 	}
 	if outcome != resultOK {
-		h.appends.barrier = true // a final no must not rest on a state that another has gone on from
+		h.appends.barrier = true // a final refusal must not be based on the state of a superseded holder
 		h.logRefusal(turn, outcome)
 	}
 	h.metrics.granted("append")
 	h.await(ctx, o, answer)
 }
 
-// logRefusal tells what a refusal rests on.
+// logRefusal logs a refused turn with the state of its account.
 func (h *holder) logRefusal(turn Turn, outcome result) {
 	event := h.logger.Info().Str("request", turn.ID).Str("program", turn.Program).Str("result", string(outcome)).
 		Uint64("epoch", h.epoch).Dur("held_for", time.Since(h.tenure.since))
@@ -56,7 +57,7 @@
 func (h *holder) end(ctx context.Context, o operation, now time.Time) {
 	outcome := h.state.end(*o.request.End, now)
 	if h.isIsolated() {
-		h.refuse(o, resultImpaired) // it is settled here; the asker asks again until it is durable
+		h.refuse(o, resultImpaired) // settled in memory; the caller repeats the request until it is durable
 		return
 	}
 	if outcome != resultOK {
@@ -83,13 +84,13 @@
 	}
 }
 
-// await answers an operation once all changes so far are durable.
+// replyWhenDurable answers an operation once all changes so far are durable.
 func (h *holder) await(ctx context.Context, o operation, answer Response) {
 	if len(h.appends.waiting) >= waitingLimit {
 		h.refuse(o, resultImpaired)
 		return
 	}
-	h.appends.waiting = append(h.appends.waiting, answered{operation: o, answer: answer})
+	h.appends.waiting = append(h.appends.waiting, pendingReply{operation: o, answer: answer})
 	if o.urgent() {
 		h.startAppend(ctx)
 		return
@@ -102,7 +103,7 @@
 func (h *holder) answer(o operation, answer Response) {
 	answer.Number = o.request.Number
 	if o.request.Begin != nil {
-		answer.StoreReports = h.capacity.tell(h.shard, time.Now())
+		answer.StoreReports = h.capacity.reports(h.shard, time.Now())
 	}
 	answer.Epoch = h.epoch
 	answer.Holder = h.daemon
@@ -121,13 +122,13 @@
 	})
 }
 
-func (h *holder) refuseAll(list []answered, with result) {
+func (h *holder) refuseAll(list []pendingReply, with result) {
 	for _, a := range list {
 		h.refuse(a.operation, with)
 	}
 }
 
-func (h *holder) answerAll(list []answered) {
+func (h *holder) answerAll(list []pendingReply) {
 	for _, a := range list {
 		h.answer(a.operation, a.answer)
 	}
--- a/internal/ledger/holder_status.go
+++ b/internal/ledger/holder_status.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// holderStatus is what other goroutines read of a holder, without waiting for it.
+// holderStatus is the part of a holder's state that other goroutines read without waiting
+// for it.
 type holderStatus struct {
-	// holding tells whether the shard is held, and heldEpoch by which claim it is held or
-	// being read; 0 for none.
+	// holding reports whether the shard is held, and heldEpoch is the epoch of the claim by
+	// which it is held or being read; 0 for none.
 	holding   atomic.Bool
 	heldEpoch atomic.Uint64
-	// The holder works on something that askers wait for: an append, the reading of the
-	// turns' texts, a claim, or a reading ahead of one.
+	// What the holder is working on: an append, a read of the turns' texts, a claim, or a
+	// read ahead of one.
 	appending, reading, claiming, preparing atomic.Bool
-	// passing counts the requests that are being passed on to another holder.
-	passing atomic.Int32
-	// progressAt is when the reading of the shard last got on.
+	// forwarding counts the requests that are being forwarded to another holder.
+	forwarding atomic.Int32
+	// progressAt is when the read of the shard last made progress.
 	progressAt instant
-	// silentSince is when the append under way was first sent, if it has not been
-	// answered for long.
+	// silentSince is when the append under way was first sent, if it is slow.
 	silentSince instant
-	// stampedAt is when the latest record of the allowance was sent.
-	stampedAt instant
-	// promisedAt is when another holder was last told that the shard was read ahead here,
-	// until it was claimed.
+	// allowanceSentAt is when the latest record of the allowance was sent.
+	allowanceSentAt instant
+	// promisedAt is when another holder was last told that this daemon has read the shard
+	// ahead; it is cleared by the claim.
 	promisedAt instant
 }
 
-// isBusy tells whether the holder works on something that others wait for.
+// isBusy reports whether the holder works on something that callers wait for.
 func (s *holderStatus) isBusy() bool {
-	return s.appending.Load() || s.preparing.Load() || s.passing.Load() > 0 || s.reading.Load() ||
-		s.claiming.Load() && s.isGettingOn(time.Now())
+	return s.appending.Load() || s.preparing.Load() || s.forwarding.Load() > 0 || s.reading.Load() ||
+		s.claiming.Load() && s.isProgressing(time.Now())
 }
 
-// noteProgress takes note that the reading of the shard gets on.
+// noteProgress records that the read of the shard makes progress.
 func (s *holderStatus) noteProgress() { s.progressAt.set(time.Now()) }
 
-// isGettingOn tells whether the reading of the shard got on lately: a claimant
-// that is cut off from the store is not waited for.
-func (s *holderStatus) isGettingOn(now time.Time) bool {
+// isProgressing reports whether the read of the shard made progress recently. Callers do
+// not wait for a claimant that is cut off from the store.
+func (s *holderStatus) isProgressing(now time.Time) bool {
 	idle, begun := s.progressAt.since(now)
-	return begun && idle < answerWithin
+	return begun && idle < pendingTimeout
 }
 
-// isPromised tells whether another holder may count on this daemon to take the shard,
-// whether it leaves or not.
+// isPromised reports whether another holder relies on this daemon to take the shard, even
+// if it is leaving.
 func (s *holderStatus) isPromised(now time.Time) bool {
 	since, promised := s.promisedAt.since(now)
-	return promised && since <= promiseLife
+	return promised && since <= promiseTTL
 }
--- a/internal/ledger/holder_table.go
+++ b/internal/ledger/holder_table.go
@@ -9,14 +9,14 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// holderTable is what a daemon knows of who holds each shard.
+// holderTable holds the last known holder of each shard.
 type holderTable struct {
 	mutex   sync.Mutex
 	holders []knownHolder
 }
 
-// knownHolder is a holder and when this daemon heard of its claim: bad news
-// from before does not hold against it.
+// knownHolder is a holder, and when this daemon learned of its claim: earlier failures do
+// not count against it.
 type knownHolder struct {
 	holderRecord
 	learnedAt time.Time
@@ -24,8 +24,7 @@
 	released bool
 }
 
-// isSameClaim tells whether two states of knowledge are of the same claim, given up
-// in both or in neither.
+// isSameClaim reports whether both refer to the same claim, released in both or in neither.
 func (k knownHolder) isSameClaim(other knownHolder) bool {
 	return k.holderRecord == other.holderRecord && k.released == other.released
 }
@@ -40,7 +39,7 @@
 	return t.holders[shard]
 }
 
-// note takes news of a holder, if it is not older than what is known.
+// note records a holder unless a later claim is known.
 func (t *holderTable) note(shard int, holder holderRecord) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -55,7 +54,7 @@
 	known.holderRecord = holder
 }
 
-// noteAnswer takes what an answer tells of who holds a shard.
+// noteAnswer records the holder that an answer names.
 func (t *holderTable) noteAnswer(shard int, response Response) {
 	if response.Released {
 		t.noteReleased(shard, response.Epoch, response.Holder)
@@ -64,8 +63,8 @@
 	t.note(shard, holderRecord{Epoch: response.Epoch, Daemon: response.Holder})
 }
 
-// noteReleased takes news that the holder of an epoch gave the shard up for
-// another daemon to claim.
+// noteReleased records that the holder of an epoch gave the shard up for another daemon to
+// claim.
 func (t *holderTable) noteReleased(shard int, epoch uint64, successor string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -80,15 +79,15 @@
 	}
 }
 
-// isComplete tells whether a holder of each shard is known.
+// isComplete reports whether a holder of each shard is known.
 func (t *holderTable) isComplete() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return !slices.ContainsFunc(t.holders, func(h knownHolder) bool { return h.Daemon == "" })
 }
 
-// forget drops who holds a shard; the epoch stays, so that older news is not
-// taken up again.
+// forget drops the holder of a shard. The epoch stays, so that older information is not
+// accepted again.
 func (t *holderTable) forget(shard int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -96,17 +95,18 @@
 	t.holders[shard].released = false
 }
 
-// fleet is what a holder asks of membership.
+// fleet is a holder's view of the other daemons.
 type fleet interface {
-	// mayLive tells whether a daemon lives, as far as is known.
-	mayLive(daemon string) bool
-	// preferred returns the daemon that should hold a shard if some cannot.
-	preferred(shard int, except ...structs.DaemonID) string
-	// confirmWait returns how much longer than a directory's reading the answer of a
-	// holder is waited for that may live in spite of what is believed.
+	// mayBeAlive reports whether a daemon is alive, as far as is known.
+	mayBeAlive(daemon string) bool
+	// preferredHolder returns the daemon that should hold a shard if the excepted ones
+	// cannot.
+	preferredHolder(shard int, except ...structs.DaemonID) string
+	// confirmWait returns how much longer than the read of the directory to wait for the
+	// answer of a holder that may be alive although it is believed to be dead.
 	confirmWait(daemon string) time.Duration
-	// mayHandOver tells whether a shard of some bytes may be passed on to a successor now
-	// by a daemon that stays.
+	// mayHandOver reports whether a daemon that stays may now hand a shard of a given size
+	// over to a successor.
 	mayHandOver(successor string, shardBytes int) bool
 	// askOne sends a request to one daemon and waits for its answer.
 	askOne(ctx context.Context, to structs.DaemonID, request Request) Response
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -111,7 +111,7 @@
 		s = f.start(daemonID(0, 2))
 		f.start(daemonID(1, 2))
 
-		// 10 are spent and 900 reserved for good, of 1000.
+		// 10 of 1000 are spent, and 900 stay reserved.
 		refusedWith(t, s, Turn{ID: "big", Program: "p", BudgetTokens: 1000, MaxTokens: 91}, ErrBudgetSpent)
 		history := begin(t, s, Turn{ID: "three", Program: "p", BudgetTokens: 1000, MaxTokens: 90, Previous: "two"})
 		if diff := cmp.Diff("in-one out-one in-two out-two ", history); diff != "" {
@@ -192,7 +192,7 @@
 				t.Fatalf("turn %d: got %v, want %v", i, err, ErrStoreUnreachable)
 			}
 			if took := time.Since(started); took > patience {
-				t.Fatalf("told after %s", took)
+				t.Fatalf("the error was returned after %s", took)
 			}
 		}
 		if got := f.store.Appends() - before; got > turns {
@@ -227,11 +227,11 @@
 		f.store.SetDown(false)
 		returned = time.Now()
 		waiting.Wait()
-		if took := time.Since(returned); took > longestWait+100*time.Millisecond {
-			t.Errorf("they went on %s after the store's return", took)
+		if took := time.Since(returned); took > maxTryWait+100*time.Millisecond {
+			t.Errorf("they continued %s after the store was back", took)
 		}
 		if now := f.holderOf("p"); now != holder {
-			t.Errorf("the shard moved from %s, which lives, to %s", holder, now)
+			t.Errorf("the shard moved from the live holder %s to %s", holder, now)
 		}
 	})
 }
@@ -239,12 +239,12 @@
 func TestShortProgramsSurviveTheLossOfTheirHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
-		// Budgets are half as much again as the most of all turns, here two.
+		// Budgets are one and a half times the most of all turns, here two.
 		turn := Turn{Program: "p", BudgetTokens: 300, MaxTokens: 100}
 		for _, id := range []string{"one", "one again", "two"} {
 			turn.ID = id
 			begin(t, f.service(f.ids()[0]), turn)
-			if id == "one" { // it is cut
+			if id == "one" { // it is cut off
 				f.killAll()
 				f.start(daemonID(0, 2))
 				continue
@@ -291,11 +291,11 @@
 			}
 			return memory.FaultNone
 		})
-		// No other daemon hears of the turn, so that the holder's append is all
-		// there is of it.
+		// No other daemon learns of the turn, so that the holder's append is its only
+		// trace.
 		other := f.other("p")
 		f.setDeaf(other.Self, true)
-		ctx, cancel := context.WithTimeout(context.Background(), giveUpAfter/2)
+		ctx, cancel := context.WithTimeout(context.Background(), appendTimeout/2)
 		defer cancel()
 		if _, err := f.service(holder).Begin(ctx, Turn{ID: "late", Program: "p", BudgetTokens: 100, MaxTokens: 80}); err == nil {
 			t.Fatal("a turn was granted whose reservation was not acknowledged")
@@ -366,7 +366,7 @@
 		s := f.service(daemonID(0, 1))
 		for _, request := range []Request{{Shard: -1}, {Shard: testShards}, {Shard: 0}} {
 			answers := make(chan Response, 1)
-			s.operate(&request, func(response Response) { answers <- response })
+			s.dispatch(&request, func(response Response) { answers <- response })
 			if got := (<-answers).Result; got != resultMoved {
 				t.Errorf("%+v: got %q", request, got)
 			}
@@ -374,7 +374,7 @@
 	})
 }
 
-// inAnotherShard returns a program whose shard is not that of another.
+// inAnotherShard returns a program whose shard differs from that of another program.
 func inAnotherShard(s *Service, than string) string {
 	for i := 0; ; i++ {
 		if program := fmt.Sprint("far-", i); s.shardOf(program) != s.shardOf(than) {
@@ -400,8 +400,8 @@
 			}
 			return memory.FaultNone
 		})
-		// The holder confirms that it has no turn "one", gets a copy that it cannot
-		// append, grants the turn from headroom and dies.
+		// The holder confirms that it has no turn "one", gets a copy that it cannot append,
+		// grants the turn from headroom and dies.
 		turn := Turn{ID: "two", Program: program, BudgetTokens: 1000, MaxTokens: 10, Previous: "one"}
 		begin(t, f.service(holder), turn)
 		f.kill(holder)
@@ -471,10 +471,10 @@
 		s = f.start(daemonID(0, 2))
 		f.start(daemonID(1, 2))
 		if got := instanceOf(s, "c", "main"); got != "i-1" {
-			t.Errorf("the session goes on at %q, want i-1", got)
+			t.Errorf("the session continues at %q, want i-1", got)
 		}
 		if got := instanceOf(s, "d", "helper"); got != "i-2" {
-			t.Errorf("the sub-agent goes on at %q, want i-2", got)
+			t.Errorf("the sub-agent continues at %q, want i-2", got)
 		}
 		for i := range 3 * instancesLimit {
 			id := fmt.Sprint("many-", i)
--- a/internal/ledger/machine_clock.go
+++ b/internal/ledger/machine_clock.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// MachineClock is the steady clock of a machine. It outlasts processes.
+// MachineClock is a machine's monotonic clock, which keeps running across processes.
 type MachineClock struct {
-	// Boot names the machine's run, "" if it is not known.
+	// Boot identifies the machine's boot, "" if it is not known.
 	Boot string
-	// Now is the clock's time; nil where there is none.
+	// Now returns the clock's reading; nil if there is no clock.
 	Now func() time.Duration
-	// Started is what it showed when this process began: the one before had ended.
+	// Started is the clock's reading when this process began, after the end of the previous
+	// one.
 	Started time.Duration
 }
 
-// isSoonAfter tells whether the process before this one on the machine wrote a record
-// and ended within firstTurnTime of that.
+// isSoonAfter reports whether the previous process on this machine wrote a record and ended
+// within singleTurnPeriod of that.
 func (m MachineClock) isSoonAfter(record allowanceRecord) bool {
 	if m.Boot == "" || m.Boot != record.Boot {
 		return false
 	}
 	passed := m.Started - record.Uptime
-	return passed >= 0 && passed < firstTurnTime
+	return passed >= 0 && passed < singleTurnPeriod
 }
--- a/internal/ledger/metrics.go
+++ b/internal/ledger/metrics.go
@@ -9,28 +9,30 @@
 	"github.com/mintpulley/mintpulley/internal/storecapacity"
 )
 
-// Metrics counts what the ledger does.
+// Metrics are the ledger's metrics.
 type Metrics struct {
 	claims   prometheus.Histogram
 	losses   *prometheus.CounterVec
 	skipped  prometheus.Counter
 	silences prometheus.Counter
-	// confirms are shards that a claimant left to their holder by its word, and
-	// requests that were passed on to one.
+	// confirms counts shards that a claimant left to their confirmed holder, and requests
+	// that were forwarded to one.
 	confirms *prometheus.CounterVec
 	grants   *prometheus.CounterVec
-	// handovers are planned ones, by the successor's last word.
+	// handovers counts planned ones, by the successor's last answer.
 	handovers *prometheus.CounterVec
-	// verdicts are those on requests of limited tenants, by reason.
+	// verdicts counts those on requests of limited tenants, by reason.
 	verdicts *prometheus.CounterVec
 	trims    *prometheus.CounterVec
-	// unkept are turns that were refused as the store was full, and crowded programs that
-	// were as it is crowded.
-	unkept, crowded prometheus.Counter
-	// taken are the bytes that held shards take in the store, by purpose.
-	taken *prometheus.GaugeVec
-	// fill is what the whole fleet is taken to keep there, against its bound.
-	fill *prometheus.GaugeVec
+	// refusedTurns counts those refused because the store was full, and refusedPrograms
+	// those refused because it was nearly full.
+	refusedTurns, refusedPrograms prometheus.Counter
+	// storeBytes is the number of bytes that the shards held here use in the store, by
+	// purpose.
+	storeBytes *prometheus.GaugeVec
+	// storeFill is the estimated usage of the store by the whole fleet, and the store's
+	// bound.
+	storeFill *prometheus.GaugeVec
 }
 
 // NewMetrics registers the ledger's metrics.
@@ -73,23 +75,23 @@
 		Namespace: "mintpulley", Subsystem: "ledger", Name: "history_trims_total",
 		Help: "Calls to trim the history of shards in the store, by outcome.",
 	}, []string{"outcome"})
-	m.unkept = prometheus.NewCounter(prometheus.CounterOpts{
+	m.refusedTurns = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: "mintpulley", Subsystem: "ledger", Name: "turns_store_full_total",
 		Help: "Turns that were refused as the store was full.",
 	})
-	m.crowded = prometheus.NewCounter(prometheus.CounterOpts{
+	m.refusedPrograms = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: "mintpulley", Subsystem: "ledger", Name: "programs_store_crowded_total",
 		Help: "Programs that were turned away as the store has no room for what they leave behind.",
 	})
-	m.taken = prometheus.NewGaugeVec(prometheus.GaugeOpts{
+	m.storeBytes = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Namespace: "mintpulley", Subsystem: "ledger", Name: "store_bytes",
 		Help: "Bytes that the shards held here take in the store, by purpose.",
 	}, []string{"purpose"})
-	m.fill = prometheus.NewGaugeVec(prometheus.GaugeOpts{
+	m.storeFill = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Namespace: "mintpulley", Subsystem: "ledger", Name: "store_fill_bytes",
 		Help: "What the whole fleet keeps in the store as this daemon takes it (kept), the store's bound (bound), and what could be kept beside (spare; below 0 programs are held back).",
 	}, []string{"what"})
-	registry.MustRegister(m.crowded, m.taken, m.fill, m.unkept, m.claims, m.losses, m.skipped, m.silences, m.confirms, m.grants, m.handovers, m.verdicts, m.trims)
+	registry.MustRegister(m.refusedPrograms, m.storeBytes, m.storeFill, m.refusedTurns, m.claims, m.losses, m.skipped, m.silences, m.confirms, m.grants, m.handovers, m.verdicts, m.trims)
 	return m
 }
 
@@ -107,26 +109,26 @@
 
 func (m *Metrics) kept() { m.confirms.WithLabelValues("kept").Inc() }
 
-func (m *Metrics) passedOn() { m.confirms.WithLabelValues("passed_on").Inc() }
+func (m *Metrics) forwarded() { m.confirms.WithLabelValues("passed_on").Inc() }
 
 func (m *Metrics) silent() { m.silences.Inc() }
 
-func (m *Metrics) refusedFull() { m.unkept.Inc() }
+func (m *Metrics) refusedFull() { m.refusedTurns.Inc() }
 
-func (m *Metrics) refusedCrowded() { m.crowded.Inc() }
+func (m *Metrics) refusedCrowded() { m.refusedPrograms.Inc() }
 
-// tookBytes takes note that what a held shard takes in the store has changed.
-func (m *Metrics) tookBytes(before, now shardSizes) {
-	m.taken.WithLabelValues("turns").Add(float64(now.turns - before.turns))
-	m.taken.WithLabelValues("accounts").Add(float64(now.accounts - before.accounts))
-	m.taken.WithLabelValues("history").Add(float64(now.history - before.history))
+// updateStoreBytes records that the sizes of a held shard have changed.
+func (m *Metrics) updateStoreBytes(before, now shardSizes) {
+	m.storeBytes.WithLabelValues("turns").Add(float64(now.turns - before.turns))
+	m.storeBytes.WithLabelValues("accounts").Add(float64(now.accounts - before.accounts))
+	m.storeBytes.WithLabelValues("history").Add(float64(now.history - before.history))
 }
 
-// planned tells what the whole fleet keeps.
-func (m *Metrics) planned(kept storecapacity.Profile, bound float64, plan storecapacity.Plan) {
-	m.fill.WithLabelValues("kept").Set(float64(kept.Bytes()))
-	m.fill.WithLabelValues("bound").Set(bound)
-	m.fill.WithLabelValues("spare").Set(plan.Spare)
+// updateStoreFill records the estimated usage of the store by the whole fleet.
+func (m *Metrics) updateStoreFill(kept storecapacity.Profile, bound float64, plan storecapacity.Plan) {
+	m.storeFill.WithLabelValues("kept").Set(float64(kept.Bytes()))
+	m.storeFill.WithLabelValues("bound").Set(bound)
+	m.storeFill.WithLabelValues("spare").Set(plan.Spare)
 }
 
 func (m *Metrics) trimmed(err error) {
--- a/internal/ledger/options.go
+++ b/internal/ledger/options.go
@@ -13,58 +13,60 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// DefaultDiscoveryTimeout suits a fleet whose daemons hear of each other within
-// some probes.
+// DefaultDiscoveryTimeout suits a fleet whose daemons discover each other within some
+// probes.
 const DefaultDiscoveryTimeout = 800 * time.Millisecond
 
-// View is what the ledger sees of membership.
+// View is the ledger's view of membership.
 type View interface {
 	membership.View
-	// Lookup returns the latest run that was heard of at an address; false if none
-	// was.
+	// Lookup returns the latest known incarnation at an address; false if there is none.
 	Lookup(address string) (membership.Member, bool)
 }
 
-// Options give a Service what it works with.
+// Options are the settings and dependencies of a Service.
 type Options struct {
-	// Name tells the ledger apart from others in messages, "" for that of all daemons.
+	// Name distinguishes the ledger from others in messages, "" for the ledger of all
+	// daemons.
 	Name      string
 	Self      structs.DaemonID
 	Store     store.Store
 	Transport peer.Transport
 	View      View
-	// Connectivity tells when the store answers again; nil if nothing does.
+	// Connectivity signals when the store answers again; nil if nothing does.
 	Connectivity store.Contact
-	// Partitions names every shard's partition, the same in the whole fleet.
+	// Partitions contains the partition of each shard, the same in the whole fleet.
 	Partitions []store.Partition
-	// Directory is the partition that tells who holds each shard.
+	// Directory is the partition that names the holder of each shard.
 	Directory store.Partition
-	// DiscoveryTimeout is how long a daemon that started waits for news of the
-	// others before it asks for, or takes, any shard, unless the directory names a
-	// holder of each: it would take them all.
+	// DiscoveryTimeout is how long a daemon that started waits to discover the others
+	// before it asks for or takes any shard, unless the directory names a holder of each.
+	// Without it, the daemon would take all shards.
 	DiscoveryTimeout time.Duration
-	// Admission decides how long a turn waits to begin; nil for one of its own.
+	// Admission decides how long a turn waits to begin; nil for a separate one.
 	Admission *admission.Admission
-	// ExpectedDaemons returns how many daemons are on record, this one included, 0 if
-	// that is not known: one that heard of most of them settles early.
+	// ExpectedDaemons returns the number of daemons on record, including this one, 0 if it
+	// is not known. A daemon that discovered most of them stops waiting early.
 	ExpectedDaemons func() int
-	// Confirmations are of the routes, which daemons tell each other along with what
-	// they say of tenants' limits; nil if there are none.
+	// Confirmations track how recently the routes were known to be the newest. Daemons
+	// exchange them with verdicts on tenants' limits; nil if there are none.
 	Confirmations RouteConfirmations
-	// Evacuations are which zones the operators evacuated, which daemons tell each
-	// other along with all answers; nil if that is no matter.
+	// Evacuations track the zones that the operators evacuated. Daemons exchange them with
+	// all answers; nil if there are none.
 	Evacuations Evacuations
-	// StoreReadBytes is how many bytes the store reads in a second for the whole fleet;
-	// 0 if that is not known: then nothing is paced by it.
+	// StoreReadBytes is the number of bytes per second that the store can read for the
+	// whole fleet; 0 if it is not known, in which case planned handovers are not paced.
 	StoreReadBytes float64
-	// StoreBytes is how many bytes the store keeps at most for the whole fleet; 0 if that is
-	// not known: then nothing is refused to spare it, until it refuses an append itself.
+	// StoreBytes is the number of bytes that the store keeps at most for the whole fleet; 0
+	// if it is not known, in which case nothing is refused before the store itself refuses
+	// an append.
 	StoreBytes float64
-	// ClientOnly: the daemon holds no shard, whoever asks it to.
+	// ClientOnly: the daemon never holds a shard, even if asked to.
 	ClientOnly bool
-	// Machine is the steady clock of the machine that the daemon runs on.
+	// Machine is the monotonic clock of the machine that the daemon runs on.
 	Machine MachineClock
-	// Quota are the terms on which the holder of a tenant's shard owns its limit.
+	// Quota contains the terms on which the holder of a tenant's shard enforces the
+	// tenant's limit.
 	Quota   quota.Terms
 	Logger  zerolog.Logger
 	Metrics *Metrics
--- a/internal/ledger/pace.go
+++ b/internal/ledger/pace.go
@@ -8,16 +8,16 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Shards move back to the daemons that should hold them one after the other: each move
-// reads a whole shard of a store whose reading all daemons share. Each daemon spaces
-// its own planned handovers so that those of all together keep within a part of it;
-// nobody is asked. A daemon that stops passes its shards on at once.
+// Shards move back to the daemons that should hold them one after the other, as each move
+// reads a whole shard from the store that all daemons share. Each daemon spaces its own
+// planned handovers so that the whole fleet keeps within a part of the store's capacity,
+// without coordination. A daemon that stops hands its shards over at once.
 
 const (
-	// handoverShare is the part of the bytes that the store reads in a second which may go
-	// to planned handovers of daemons that stay. Shards that wait to move back are served where they are.
+	// handoverShare is the part of the store's read capacity available to planned handovers
+	// of daemons that stay. Shards that wait to move back are served where they are.
 	handoverShare = 0.1
-	// encodedShare is how many bytes the store sends for one of a listing's values.
+	// encodedShare is the number of bytes that the store sends per byte of a listed value.
 	encodedShare = 4.0 / 3
 )
 
@@ -25,13 +25,13 @@
 // the zero value is ready.
 type handoverPacer struct {
 	mutex sync.Mutex
-	// nextAt is when the next handover may begin; zero if none was wanted lately.
+	// nextAt is when the next handover may begin; zero if there was none recently.
 	nextAt time.Time
 }
 
-// handoverInterval is how far a daemon's planned handovers are apart on the mean, so
-// that daemons read at most handoverShare of what the store reads in a second; 0 if
-// that is not known.
+// handoverInterval returns the mean interval between a daemon's planned handovers at which
+// all daemons together read at most handoverShare of the store's read capacity; 0 if that
+// is not known.
 func handoverInterval(daemons, shardBytes int, readBytes float64) time.Duration {
 	if readBytes <= 0 {
 		return 0
@@ -40,8 +40,9 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// take tells whether a handover may begin now. Daemons that want to pass shards on
-// since the same moment begin at times spread over the interval; chance is from [0, 1).
+// take reports whether a handover may begin now. Daemons that start to hand shards over at
+// the same moment begin at times spread over the interval; chance returns a number in [0,
+// 1).
 func (p *handoverPacer) take(now time.Time, interval time.Duration, chance func() float64) bool {
 	if interval <= 0 {
 		return true
--- a/internal/ledger/pace_test.go
+++ b/internal/ledger/pace_test.go
@@ -12,9 +12,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// TestPlannedHandoversKeepWithinTheirShare: all daemons of a fleet want to pass shards
-// on from the same moment, for a minute. In no second do they read more than half of
-// what the store does, and over the minute no more than their share.
+// TestPlannedHandoversKeepWithinTheirShare: all daemons of a fleet want to hand shards over
+// from the same moment on, for a minute. In no second may they read more than half of the
+// store's read capacity, and over the minute no more than handoverShare.
 func TestPlannedHandoversKeepWithinTheirShare(t *testing.T) {
 	const daemons, shardBytes, readBytes, seconds = 76, 3_000_000, 80e6, 60
 	random := rand.New(rand.NewPCG(1, 2))
@@ -45,12 +45,12 @@
 		t.Errorf("%.0f MB were read in one second, want %.0f at most", worst/1e6, most/1e6)
 	}
 	if interval := handoverInterval(daemons, shardBytes, 0); interval != 0 {
-		t.Errorf("handovers are %s apart though the store's reading is not known", interval)
+		t.Errorf("handovers are %s apart though the store's read capacity is not known", interval)
 	}
 }
 
-// TestClaimsThatNobodyWaitsForAreSpread: turns that only have to be settled do not have
-// all shards of those that were lost read at once; a turn that begins has its at once.
+// TestClaimsThatNobodyWaitsForAreSpread: turns that only have to be settled must not make
+// daemons read all lost shards at once, whereas a turn that begins gets its shard at once.
 func TestClaimsThatNobodyWaitsForAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const shards = 40
@@ -77,7 +77,7 @@
 		}
 		started := time.Now()
 		begin(t, s, Turn{ID: "next", Program: programs[0], BudgetTokens: 1000, MaxTokens: 10})
-		if took := time.Since(started); took > silence {
+		if took := time.Since(started); took > silenceTimeout {
 			t.Errorf("a turn that begins waited for %s", took)
 		}
 		time.Sleep(claimDelay/10 - time.Since(started))
--- a/internal/ledger/promise_test.go
+++ b/internal/ledger/promise_test.go
@@ -9,10 +9,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// TestSuccessorThatBeginsToLeaveTakesWhatItReadAhead: the holder gives the shard up
-// to a successor that has read it ahead. If that begins to leave in between, it is
-// still the only one that can serve the shard at once: any other daemon reads it
-// from its start, which takes a second here, and callers wait for two.
+// TestSuccessorThatBeginsToLeaveTakesWhatItReadAhead: if the successor that has read a
+// shard ahead begins to leave before it claims the shard, it is still the only one that can
+// serve it at once. Any other daemon would have to read it from its start.
 func TestSuccessorThatBeginsToLeaveTakesWhatItReadAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRollingFleet(t, 1)
@@ -21,10 +20,10 @@
 		former := f.service(f.holderOf("p"))
 		shard := former.shardOf("p")
 		f.setReadTime(rollingReadTime)
-		successor := f.service(structs.DaemonID(former.preferred(shard, former.Self)))
+		successor := f.service(structs.DaemonID(former.preferredHolder(shard, former.Self)))
 		prepared := former.askOne(testContext(t), successor.Self, Request{Shard: shard, Prepare: true})
 		if prepared.Result != resultOK {
-			t.Fatalf("the successor says %q to the reading ahead", prepared.Result)
+			t.Fatalf("the successor answered %q to the request to read ahead", prepared.Result)
 		}
 		f.leave(successor.Self)
 		time.Sleep(10 * time.Millisecond) // it has begun to leave
@@ -32,17 +31,17 @@
 		started := time.Now()
 		taken := former.askOne(testContext(t), successor.Self, Request{Shard: shard, Take: true, FailedEpoch: epoch})
 		if taken.Result != resultOK || time.Since(started) > longestWithoutHolder {
-			t.Errorf("the successor says %q after %s, want %q within %s", taken.Result, time.Since(started), resultOK, longestWithoutHolder)
+			t.Errorf("the successor answered %q after %s, want %q within %s", taken.Result, time.Since(started), resultOK, longestWithoutHolder)
 		}
-		time.Sleep(prepareTime + takeTime) // it passes the shard on in its turn
+		time.Sleep(prepareTimeout + takeTimeout) // it hands the shard over in turn
 		if holder := f.holderOf("p"); holder == successor.Self {
 			t.Errorf("the shard stays at %s, which leaves", holder)
 		}
 	})
 }
 
-// TestStopWaitsForAShardThatWasReadAhead: the process must not end between its
-// answer to the reading ahead and the claim that it answered for.
+// TestStopWaitsForAShardThatWasReadAhead: the process must not end between its answer that
+// the shard was read ahead and the claim that may follow.
 func TestStopWaitsForAShardThatWasReadAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRollingFleet(t, 1)
@@ -50,22 +49,22 @@
 		begin(t, f.caller(), Turn{ID: "first", Program: "p"})
 		former := f.service(f.holderOf("p"))
 		shard := former.shardOf("p")
-		successor := f.service(structs.DaemonID(former.preferred(shard, former.Self)))
+		successor := f.service(structs.DaemonID(former.preferredHolder(shard, former.Self)))
 		if got := former.askOne(testContext(t), successor.Self, Request{Shard: shard, Prepare: true}); got.Result != resultOK {
-			t.Fatalf("the successor says %q to the reading ahead", got.Result)
+			t.Fatalf("the successor answered %q to the request to read ahead", got.Result)
 		}
 		f.leave(successor.Self)
 		started := time.Now()
 		successor.WaitForHandover(testContext(t))
-		if waited := time.Since(started); waited < promiseLife/2 || waited > 2*promiseLife {
-			t.Errorf("waited %s for a claim that may come within %s", waited, promiseLife)
+		if waited := time.Since(started); waited < promiseTTL/2 || waited > 2*promiseTTL {
+			t.Errorf("waited %s for a claim that may come within %s", waited, promiseTTL)
 		}
 	})
 }
 
-// TestReleaseThatAnotherRequestHeardOfCounts: two requests of one daemon come to the
-// successor before its claim. Only one of them is the first to hear of the release;
-// the other must not send a third daemon for the shard either.
+// TestReleaseThatAnotherRequestHeardOfCounts: two requests of one daemon reach the
+// successor before its claim, and only one of them learns of the release first. The other
+// must not send a third daemon to take the shard either.
 func TestReleaseThatAnotherRequestHeardOfCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 5)
--- a/internal/ledger/quota_test.go
+++ b/internal/ledger/quota_test.go
@@ -9,18 +9,18 @@
 	"github.com/mintpulley/mintpulley/internal/quota"
 )
 
-// testTerms let a tenant make 66.6 requests in five seconds that may make ten a second
-// and one at a time.
+// testTerms allow a tenant with a limit of ten requests a second and a burst of one 66.6
+// requests in five seconds.
 var testTerms = quota.Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 10.5}
 
-// admissions are the moments at which requests of one tenant were admitted.
+// admissions are the times at which requests of one tenant were admitted.
 type admissions struct {
 	mutex   sync.Mutex
 	moments []time.Time
 }
 
-// ask asks by way of a daemon, and notes what is admitted. While an owner is being
-// replaced no verdict may be had.
+// ask asks through a daemon, and records the time if the request is admitted. While an
+// owner is being replaced there may be no verdict.
 func (a *admissions) ask(t *testing.T, s *Service) {
 	ask := quota.Ask{Tenant: "north", Limit: quota.Limit{PerSecond: 10, Burst: 1}, Version: 1}
 	verdict, err := s.AskQuota(testContext(t), ask)
@@ -31,7 +31,7 @@
 	}
 }
 
-// mostWithin returns the most that were admitted in any span of a length.
+// mostWithin returns the most requests that were admitted in any span of a length.
 func (a *admissions) mostWithin(length time.Duration) int {
 	most, first := 0, 0
 	for i, moment := range a.moments {
@@ -43,8 +43,8 @@
 	return most
 }
 
-// TestLimitHoldsWhenItsOwnersAreLost: all daemons ask for five times the limit, and the
-// owner is killed every two seconds, once all daemons are.
+// TestLimitHoldsWhenItsOwnersAreLost: all daemons together ask for five times the limit,
+// while the owner is killed repeatedly, and once all daemons are.
 func TestLimitHoldsWhenItsOwnersAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 5)
--- a/internal/ledger/read_ahead.go
+++ b/internal/ledger/read_ahead.go
@@ -10,49 +10,50 @@
 )
 
 const (
-	// readAheadLife is how long what was read ahead is kept: the store keeps 20 s
-	// of history to go on from, and the records take memory.
-	readAheadLife = 5 * time.Second
-	// catchUpReadings follow the first reading of a shard: the first brings what
-	// came in a second or so, the second what came during that.
-	catchUpReadings = 2
-	// promiseLife is how long a daemon that has read a shard ahead takes it although
-	// it began to leave meanwhile: the holder has then given it up for this daemon,
-	// and any other would read it from its start. Until then its stop waits. It is
-	// the time that a former holder waits for the claim.
-	promiseLife = takeTime
-	// readOnLimit bounds the readings of what came since, each of a megabyte.
-	readOnLimit = 100
+	// readAheadTTL is how long the result of reading ahead is kept. It must stay below the
+	// time for which the store keeps the history to continue from, and the records use
+	// memory.
+	readAheadTTL = 5 * time.Second
+	// catchUpReads follow the first read of a shard: the first of them reads what was
+	// appended during about a second, the second what was appended during that.
+	catchUpReads = 2
+	// promiseTTL is how long a daemon that has read a shard ahead will take it although it
+	// began to leave in the meantime. The holder has released the shard to it, and any
+	// other daemon would have to read it from the start. A stopping daemon waits until
+	// then. It equals the time that a former holder waits for the claim.
+	promiseTTL = takeTimeout
+	// catchUpLimit bounds the reads of what was appended since, each of up to a megabyte.
+	catchUpLimit = 100
 )
 
-// readAhead is a shard's records as a successor reads them before its claim.
+// readAhead holds a shard's records that a successor reads before its claim.
 type readAhead struct {
-	// done is closed when the reading has ended; all else is set by then.
+	// done is closed when the read has ended; the other fields are final by then.
 	done   chan struct{}
 	err    error
 	newest map[string]store.Record
-	// next is the offset to go on from.
+	// next is the offset to continue from.
 	next int64
-	// bytes were read so far.
+	// bytes is the number of bytes read so far.
 	bytes int
 	at    time.Time
-	// waiting operations hear when the reading has ended. They belong to run.
+	// waiting operations are answered when the read has ended. They belong to run.
 	waiting []operation
 }
 
-// apply takes records that follow those before, and where to go on from.
+// apply adds the records that follow and the offset to continue from.
 func (a *readAhead) apply(records []store.Record, next int64) {
 	store.ApplyNewest(a.newest, records)
 	a.bytes += store.SizeOf(records)
 	a.next = next
 }
 
-// isFresh tells whether what was read ahead can be gone on from.
+// isFresh reports whether a claim can continue from what was read ahead.
 func (a *readAhead) isFresh(now time.Time) bool {
-	return a.err == nil && now.Sub(a.at) <= readAheadLife
+	return a.err == nil && now.Sub(a.at) <= readAheadTTL
 }
 
-// prepare reads the shard ahead, for a holder that wants to pass it on.
+// prepare reads the shard ahead, for a holder that wants to hand it over.
 func (h *holder) prepare(ctx context.Context, o operation) {
 	if h.state != nil || h.isLeaving() {
 		h.refuse(o, resultMoved)
@@ -73,13 +74,13 @@
 			AnErr("error", ahead.err).Msg("Shard read ahead.")
 		h.status.preparing.Store(false)
 		close(ahead.done)
-		h.post(ctx, func(context.Context) { h.noteReadAhead(ctx, ahead) })
+		h.post(ctx, func(context.Context) { h.finishReadAhead(ctx, ahead) })
 	}()
 }
 
-// noteReadAhead tells those that wait for a reading ahead that it has ended, and
-// keeps what it brought for a while.
-func (h *holder) noteReadAhead(ctx context.Context, ahead *readAhead) {
+// finishReadAhead answers the operations that wait for a read ahead, and keeps its result
+// for readAheadTTL.
+func (h *holder) finishReadAhead(ctx context.Context, ahead *readAhead) {
 	answer := resultOK
 	if ahead.err != nil {
 		answer = resultImpaired
@@ -92,7 +93,7 @@
 		o.reply(Response{Number: o.request.Number, Result: answer})
 	}
 	ahead.waiting = nil
-	time.AfterFunc(readAheadLife, func() {
+	time.AfterFunc(readAheadTTL, func() {
 		h.post(ctx, func(context.Context) {
 			if h.ahead == ahead {
 				h.ahead = nil
@@ -101,9 +102,9 @@
 	})
 }
 
-// readAheadOfClaim reads the shard, and then what came meanwhile, so that little
-// is left to read after the claim. A daemon reads one shard ahead at a time: then
-// the first can be passed on before the last was read.
+// readAheadOfClaim reads the shard, and then what was appended meanwhile, so that little is
+// left to read after the claim. A daemon reads one shard ahead at a time, so that the first
+// can be handed over before the last was read.
 func (h *holder) readAheadOfClaim(ctx context.Context, ahead *readAhead) error {
 	select {
 	case h.readingAhead <- struct{}{}:
@@ -117,7 +118,7 @@
 		return err
 	}
 	ahead.apply(records, next)
-	for range catchUpReadings {
+	for range catchUpReads {
 		records, next, err := h.records.read(ctx, h.partition, ahead.next)
 		if err != nil {
 			return err
@@ -127,8 +128,8 @@
 	return nil
 }
 
-// takeReadAhead returns what was read ahead, nil if nothing was, or too long ago.
-// A reading that is under way is waited for.
+// takeReadAhead returns the result of reading ahead, nil if there is none or it is too old.
+// It waits for a read that is under way.
 func (h *holder) takeReadAhead(ctx context.Context) *readAhead {
 	ahead := h.ahead
 	if ahead == nil {
@@ -146,17 +147,17 @@
 	return ahead
 }
 
-// readOn reads what came since the shard was read ahead, up to this daemon's
+// catchUp reads what was appended since the shard was read ahead, up to this daemon's
 // claim, and returns the newest record of each key.
-func (h *holder) readOn(ctx context.Context, ahead *readAhead) ([]store.Record, error) {
-	for range readOnLimit {
+func (h *holder) catchUp(ctx context.Context, ahead *readAhead) ([]store.Record, error) {
+	for range catchUpLimit {
 		records, next, err := h.records.read(ctx, h.partition, ahead.next)
 		if err != nil {
 			return nil, err
 		}
 		h.status.noteProgress()
 		ahead.apply(records, next)
-		claimed := holderUnder(holderKey, records).Epoch
+		claimed := latestHolder(holderKey, records).Epoch
 		switch {
 		case claimed > h.epoch:
 			return nil, store.ErrFenced
--- a/internal/ledger/receive.go
+++ b/internal/ledger/receive.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// pendingAfter is when a holder says that a request takes a while.
+	// pendingAfter is when a holder answers that a request is pending.
 	pendingAfter = 120 * time.Millisecond
-	// pendingPause separates further such answers while the holder is busy. It must stay
-	// below answerWithin, even if one is late.
-	pendingPause = 500 * time.Millisecond
+	// pendingInterval separates further such answers while the holder is busy. It must stay
+	// below pendingTimeout even if one is late.
+	pendingInterval = 500 * time.Millisecond
 )
 
-// Receive takes a message that arrived; false means it is another part's.
+// Receive handles a received message; false means that it is not for this ledger.
 func (s *Service) Receive(from structs.DaemonID, message peer.Message) bool {
 	if name, known := LedgerOf(message); !known || name != s.Name {
 		return false
 	}
 	switch message := message.(type) {
 	case *Request:
-		s.operate(message, func(response Response) {
+		s.dispatch(message, func(response Response) {
 			response.Ledger = s.Name
-			response.Evacuations = s.tellEvacuations(message.EvacuationsEnd)
+			response.Evacuations = s.evacuationUpdateAfter(message.EvacuationsEnd)
 			s.Transport.Send(from, &response)
 		})
 	case *Response:
-		s.hearEvacuations(message.Evacuations)
+		s.applyEvacuationUpdate(message.Evacuations)
 		s.deliver(*message)
 	default:
 		return false
@@ -37,10 +37,10 @@
 	return true
 }
 
-// operate hands a request to its shard's holder. If that takes a while, the
-// asker is told so, again and again while the holder is busy.
-func (s *Service) operate(request *Request, reply func(Response)) {
-	if s.ClientOnly || request.Shard < 0 || request.Shard >= len(s.holders) || !request.isWhole() {
+// dispatch passes a request to its shard's holder. If that takes a while, the caller
+// receives pending answers for as long as the holder is busy.
+func (s *Service) dispatch(request *Request, reply func(Response)) {
+	if s.ClientOnly || request.Shard < 0 || request.Shard >= len(s.holders) || !request.hasOperation() {
 		reply(Response{Number: request.Number, Result: resultMoved})
 		return
 	}
@@ -49,7 +49,7 @@
 		reply(holder.confirm(request.Number))
 		return
 	}
-	stop := tellPending(request, holder, reply)
+	stop := sendPending(request, holder, reply)
 	o := operation{request: request, reply: func(response Response) {
 		stop()
 		reply(response)
@@ -61,8 +61,8 @@
 	}
 }
 
-// tellPending tells the asker that its request takes a while, until stop.
-func tellPending(request *Request, holder *holder, reply func(Response)) (stop func()) {
+// sendPending sends pending answers to the caller until stop is called.
+func sendPending(request *Request, holder *holder, reply func(Response)) (stop func()) {
 	after := pendingAfter
 	if !request.isUrgent() {
 		after += settleDelay
@@ -80,10 +80,10 @@
 		reply(Response{
 			Number: request.Number, Result: resultPending,
 			StoreOutMS:  holder.storeOutFor(now).Milliseconds(),
-			AllowedInMS: holder.allowedIn(now).Milliseconds(),
+			AllowedInMS: holder.fullAllowanceIn(now).Milliseconds(),
 		})
 		if holder.status.isBusy() {
-			timer.Reset(pendingPause)
+			timer.Reset(pendingInterval)
 		}
 	}
 	mutex.Lock()
--- a/internal/ledger/record_append.go
+++ b/internal/ledger/record_append.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// giveUpAfter is how long an append is tried that a shard's holder waits for
-	// itself.
-	giveUpAfter = 700 * time.Millisecond
-	// shortestWait and longestWait bound how long a try is waited for until
-	// another is made beside it. The longest is how late the store's return may
-	// be noticed by an append that waits for it.
-	shortestWait = 30 * time.Millisecond
-	longestWait  = 400 * time.Millisecond
-	// waitFactor times the usual time of an answer is how long a first try waits.
+	// appendTimeout bounds an append that blocks a shard's holder.
+	appendTimeout = 700 * time.Millisecond
+	// minTryWait and maxTryWait bound how long a try may go unanswered until another is
+	// made in parallel. The maximum is how late a waiting append may notice that the store
+	// is back.
+	minTryWait = 30 * time.Millisecond
+	maxTryWait = 400 * time.Millisecond
+	// waitFactor times the average latency of an append is how long the first try may go
+	// unanswered.
 	waitFactor = 4
-	// tryTimeout bounds one try at an append: a store that is slow answers later
-	// than another try is made.
+	// tryTimeout bounds a single try. It exceeds the wait for the next try, as a slow store
+	// may answer later than that.
 	tryTimeout = 2 * time.Second
-	// triesAtOnce bounds the tries of one append that are under way. The store
-	// answers a repeated append alike while at most five have followed it.
-	triesAtOnce = 4
-	// averageWeight is the weight of the newest answer in the usual time.
+	// maxConcurrentTries bounds the concurrent tries of one append. The store recognizes a
+	// repeated append while at most five have followed it.
+	maxConcurrentTries = 4
+	// averageWeight is the weight of the newest sample in the average latency.
 	averageWeight = 0.2
 )
 
-// append appends records until the store answers for good or ctx ends. A try
-// that is not answered in time is not broken off: another is made beside it, on
-// another connection, and the first answer counts. So an append waits neither
-// for an answer that was lost nor, where the store is slow, from the start.
+// append appends records until the store gives a final answer or ctx ends. A try that is
+// not answered in time is not canceled: another is made in parallel on another connection,
+// and the first answer counts. This way an append neither waits for a lost answer nor
+// starts over when the store is slow.
 func (r *recordStore) append(ctx context.Context, partition store.Partition, writer store.Writer, records []store.Record) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results := make(chan error, triesAtOnce)
+	results := make(chan error, maxConcurrentTries)
 	underway := 0
 	try := func() {
-		if underway < triesAtOnce {
+		if underway < maxConcurrentTries {
 			underway++
 			go func() { results <- r.tryAppend(ctx, partition, writer, records) }()
 		}
@@ -56,11 +56,11 @@
 				return err
 			}
 			last = err
-		case <-r.contact.Returned():
+		case <-r.connectivity.Returned():
 			try()
 		case <-next.C:
 			try()
-			wait = min(2*wait, longestWait)
+			wait = min(2*wait, maxTryWait)
 			next.Reset(wait)
 		case <-ctx.Done():
 			return last
@@ -68,7 +68,7 @@
 	}
 }
 
-// appendWithin is append with a bound on its time.
+// appendWithin is append with a time limit.
 func (r *recordStore) appendWithin(ctx context.Context, limit time.Duration, partition store.Partition, writer store.Writer, records []store.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -88,20 +88,21 @@
 	return err
 }
 
-// firstWait is how long the first try at an append waits until another is made.
+// firstWait returns how long the first try at an append may go unanswered until another is
+// made.
 func (r *recordStore) firstWait() time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return min(max(waitFactor*r.usual, shortestWait), longestWait)
+	return min(max(waitFactor*r.latency, minTryWait), maxTryWait)
 }
 
-// note takes the time of an answer into the usual time.
+// note adds a sample to the average latency.
 func (r *recordStore) note(took time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.usual == 0 {
-		r.usual = took
+	if r.latency == 0 {
+		r.latency = took
 		return
 	}
-	r.usual += time.Duration(averageWeight * float64(took-r.usual))
+	r.latency += time.Duration(averageWeight * float64(took-r.latency))
 }
--- a/internal/ledger/record_store_test.go
+++ b/internal/ledger/record_store_test.go
@@ -10,8 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/store"
 )
 
-// resettingStore breaks every call off at once, as a store does that resets
-// connections.
+// resettingStore fails every call at once, like a store that resets connections.
 type resettingStore struct {
 	store.Store
 	calls int
@@ -27,19 +26,19 @@
 func TestStoreThatBreaksCallsOffIsNotCalledWithoutPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &resettingStore{}
-		r := &recordStore{Store: s, contact: store.NoContact{}}
-		err := r.appendWithin(t.Context(), giveUpAfter, store.Partition{}, store.Writer{}, nil)
+		r := &recordStore{Store: s, connectivity: store.NoContact{}}
+		err := r.appendWithin(t.Context(), appendTimeout, store.Partition{}, store.Writer{}, nil)
 		if !errors.Is(err, store.ErrOutcomeUnknown) {
 			t.Errorf("got %v, want %v", err, store.ErrOutcomeUnknown)
 		}
 		const most = 10
 		if s.calls > most {
-			t.Errorf("%d calls in %v, want %d at most", s.calls, giveUpAfter, most)
+			t.Errorf("%d calls in %v, want %d at most", s.calls, appendTimeout, most)
 		}
 	})
 }
 
-// slowPages is a store that gives a page late, and answers appends at once.
+// slowPages is a store that returns a page late, and answers appends at once.
 type slowPages struct {
 	store.Store
 	late  time.Duration
@@ -62,16 +61,16 @@
 	return nil
 }
 
-// TestSlowPageIsProgress: a page that comes slowly from a busy store is read once, and
+// TestSlowPageIsProgress: a page that arrives slowly from a busy store is read once, and
 // the store does not count as down meanwhile.
 func TestSlowPageIsProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &slowPages{late: 1800 * time.Millisecond}
-		r := &recordStore{Store: s, contact: store.NoContact{}}
+		r := &recordStore{Store: s, connectivity: store.NoContact{}}
 		go func() {
 			for range 20 {
 				time.Sleep(100 * time.Millisecond)
-				_ = r.appendWithin(t.Context(), giveUpAfter, store.Partition{}, store.Writer{}, nil)
+				_ = r.appendWithin(t.Context(), appendTimeout, store.Partition{}, store.Writer{}, nil)
 			}
 		}()
 		if _, err := r.page(t.Context(), store.Partition{}, "", func() {}); err != nil {
--- a/internal/ledger/return_world_test.go
+++ b/internal/ledger/recovery_world_test.go
@@ -11,20 +11,20 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// returnView is a daemon's view: of the other side of the cut it hears nothing.
-type returnView struct {
-	*returnFleet
+// returnView is a daemon's view, which receives nothing from the other side of the cut.
+type recoveryView struct {
+	*recoveryFleet
 	self structs.DaemonID
 }
 
 // State implements membership.View.
-func (v *returnView) State(id structs.DaemonID) membership.State {
-	if v.runAt(id.Address()) != id {
+func (v *recoveryView) State(id structs.DaemonID) membership.State {
+	if v.incarnationAt(id.Address()) != id {
 		return membership.StateDead
 	}
 	cut := v.isCutOff(id) != v.isCutOff(v.self) && v.isDuringCut(spreadOf("view", v.self, id, viewBack))
 	if cut || v.isKilled(id.Address()) && id.Incarnation() == 1 {
-		silent := v.now() - returnCutAt - spreadOf("dead", v.self, id, suspectAfter/2)
+		silent := v.now() - recoveryCutAt - spreadOf("dead", v.self, id, suspectAfter/2)
 		switch {
 		case silent >= deadAfter:
 			return membership.StateDead
@@ -35,9 +35,10 @@
 	return membership.StateAlive
 }
 
-// runAt returns the latest run at an address that this daemon has heard of.
-func (v *returnView) runAt(address string) structs.DaemonID {
-	heard := returnCutAt + restartAfter + spreadOf("run", v.self, structs.DaemonID(address), runHeard)
+// incarnationAt returns the latest incarnation at an address that this daemon has
+// discovered.
+func (v *recoveryView) incarnationAt(address string) structs.DaemonID {
+	heard := recoveryCutAt + restartAfter + spreadOf("run", v.self, structs.DaemonID(address), runHeard)
 	if v.isKilled(address) && (v.now() >= heard || v.self.Address() == address && v.self.Incarnation() == 2) {
 		return structs.NewDaemonID(address, 2)
 	}
@@ -45,7 +46,7 @@
 }
 
 // Members implements membership.View.
-func (v *returnView) Members() []membership.Member {
+func (v *recoveryView) Members() []membership.Member {
 	var members []membership.Member
 	for address := range zoneOfDaemon {
 		if member, _ := v.Lookup(address); member.State != membership.StateDead {
@@ -56,31 +57,31 @@
 }
 
 // Lookup implements View.
-func (v *returnView) Lookup(address string) (membership.Member, bool) {
-	id := v.runAt(address)
+func (v *recoveryView) Lookup(address string) (membership.Member, bool) {
+	id := v.incarnationAt(address)
 	zone := structs.ZoneName("zone-" + strconv.Itoa(zoneOfDaemon[address]))
 	return membership.Member{Daemon: structs.Daemon{ID: id, Zone: zone}, State: v.State(id)}, true
 }
 
-// returnStore is a daemon's way to the store, whose reading all share.
-type returnStore struct {
+// returnStore is a daemon's access to the store, whose read capacity all share.
+type recoveryStore struct {
 	store.Store
-	fleet *returnFleet
+	fleet *recoveryFleet
 	self  structs.DaemonID
 }
 
-// reach lets a call get to the store; an error tells that it does not.
-func (s *returnStore) reach(ctx context.Context) error {
+// reach waits until a call reaches the store; an error means that it does not.
+func (s *recoveryStore) reach(ctx context.Context) error {
 	if (s.fleet.outage || s.fleet.isCutOff(s.self)) && s.fleet.isDuringCut(spreadOf("store", s.self, "", storeBack)) {
 		<-ctx.Done()
 		return store.ErrOutcomeUnknown
 	}
-	clock.Sleep(ctx, 2*returnWay)
+	clock.Sleep(ctx, 2*recoveryWay)
 	return nil
 }
 
 // Append implements store.Store.
-func (s *returnStore) Append(ctx context.Context, partition store.Partition, by store.Writer, records []store.Record) error {
+func (s *recoveryStore) Append(ctx context.Context, partition store.Partition, by store.Writer, records []store.Record) error {
 	if err := s.reach(ctx); err != nil {
 		return err
 	}
@@ -92,7 +93,7 @@
 }
 
 // NewestPage implements store.Store.
-func (s *returnStore) NewestPage(ctx context.Context, partition store.Partition, after string) (store.Page, error) {
+func (s *recoveryStore) NewestPage(ctx context.Context, partition store.Partition, after string) (store.Page, error) {
 	if err := s.reach(ctx); err != nil {
 		return store.Page{}, err
 	}
@@ -102,7 +103,7 @@
 	}
 	size := 0
 	for i, record := range page.Records {
-		if size += len(record.Key) + len(record.Value); size > returnPage {
+		if size += len(record.Key) + len(record.Value); size > recoveryPage {
 			page.Records, page.More = page.Records[:i+1], i+1 < len(page.Records) || page.More
 			break
 		}
@@ -111,7 +112,7 @@
 }
 
 // Read implements store.Store.
-func (s *returnStore) Read(ctx context.Context, partition store.Partition, from int64, wait time.Duration) ([]store.Record, int64, error) {
+func (s *recoveryStore) Read(ctx context.Context, partition store.Partition, from int64, wait time.Duration) ([]store.Record, int64, error) {
 	if err := s.reach(ctx); err != nil {
 		return nil, from, err
 	}
@@ -120,22 +121,21 @@
 		return records, next, err
 	}
 	for i, size := 0, 0; i < len(records); i++ {
-		if size += len(records[i].Key) + len(records[i].Value); size > returnPage {
+		if size += len(records[i].Key) + len(records[i].Value); size > recoveryPage {
 			records, next = records[:i+1], from+int64(i+1)
 		}
 	}
 	return records, next, s.fleet.transfer(ctx, s.self, store.SizeOf(records))
 }
 
-// transfer lets the time pass that the store takes to read some bytes after all that
-// it was asked for before, and the daemon's link to carry them. What nobody waits for
-// any more is read all the same.
-func (f *returnFleet) transfer(ctx context.Context, to structs.DaemonID, size int) error {
+// transfer waits while the store serves all earlier reads and this one, and the daemon's
+// link carries the result. A read that was canceled still takes its time.
+func (f *recoveryFleet) transfer(ctx context.Context, to structs.DaemonID, size int) error {
 	f.mutex.Lock()
 	f.bytes[f.second()] += size
 	now := time.Now()
-	f.readBusyUntil = later(f.readBusyUntil, now).Add(time.Duration(size) * time.Second / returnReadRate)
-	f.linkBusyUntil[to] = later(f.linkBusyUntil[to], now).Add(time.Duration(size) * time.Second / returnLinkRate)
+	f.readBusyUntil = later(f.readBusyUntil, now).Add(time.Duration(size) * time.Second / recoveryReadRate)
+	f.linkBusyUntil[to] = later(f.linkBusyUntil[to], now).Add(time.Duration(size) * time.Second / recoveryLinkRate)
 	until := later(f.readBusyUntil, f.linkBusyUntil[to])
 	f.mutex.Unlock()
 	clock.Sleep(ctx, time.Until(until))
--- a/internal/ledger/restart_test.go
+++ b/internal/ledger/restart_test.go
@@ -24,7 +24,7 @@
 	return names
 }
 
-// beginEverywhere lets every daemon begin a turn in every shard at once.
+// beginEverywhere begins a turn in every shard at every daemon at once.
 func (f *testFleet) beginEverywhere(t *testing.T, label string) {
 	t.Helper()
 	var callers sync.WaitGroup
@@ -39,7 +39,7 @@
 	callers.Wait()
 }
 
-// holderAddresses returns the address of each shard's holder by the directory.
+// holderAddresses returns the address of each shard's holder according to the directory.
 func (f *testFleet) holderAddresses() [testShards]string {
 	var addresses [testShards]string
 	for shard, program := range programOfEachShard(f.service(f.ids()[0])) {
@@ -50,8 +50,8 @@
 
 const restartedDaemons = 12
 
-// Daemons that start together have heard of few others for a while. They must not
-// take shards from holders of whom they merely have not heard.
+// Daemons that start together have not discovered most others for a while. They must not
+// take shards from holders only because they have not discovered them.
 func TestDaemonsThatHaveNotHeardOfEachOtherClaimEachShardOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, restartedDaemons)
@@ -112,27 +112,27 @@
 func TestDaemonSettlesOnceItKnowsAllHolders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
-		f.settleTime = DefaultDiscoveryTimeout
+		f.discoveryTimeout = DefaultDiscoveryTimeout
 		f.beginEverywhere(t, "before")
 		s := f.start(daemonID(2, 1))
 		time.Sleep(DefaultDiscoveryTimeout / 10)
 		if !s.DiscoveryDone() {
-			t.Error("the directory names all holders, and more is waited for")
+			t.Error("discovery is not done although the directory names all holders")
 		}
 		f.store.SetDown(true)
 		s = f.start(daemonID(3, 1))
-		time.Sleep(DefaultDiscoveryTimeout - 2*settledLook)
+		time.Sleep(DefaultDiscoveryTimeout - 2*discoveryPollInterval)
 		if s.DiscoveryDone() {
-			t.Error("settled though it knows of nobody")
+			t.Error("discovery is done although no daemon was discovered")
 		}
-		time.Sleep(4 * settledLook)
+		time.Sleep(4 * discoveryPollInterval)
 		if !s.DiscoveryDone() {
-			t.Error("not settled after its time")
+			t.Error("discovery is not done after its timeout")
 		}
 	})
 }
 
-// A claim that the directory does not name yet is not taken for a dead one's.
+// A claim that the directory does not name yet must not count as that of a dead daemon.
 func TestClaimOfADaemonThatWasNotHeardOfIsLeftToIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 0)
@@ -145,7 +145,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if holder := holderUnder("0", records); holder.Daemon != string(daemonID(0, 1)) {
+		if holder := latestHolder("0", records); holder.Daemon != string(daemonID(0, 1)) {
 			t.Errorf("held by %s", holder.Daemon)
 		}
 	})
--- a/internal/ledger/retention_test.go
+++ b/internal/ledger/retention_test.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/store"
 )
 
-// keptTurns returns how many turns the store keeps of all shards.
+// keptTurns returns how many turns of all shards the store keeps.
 func (f *testFleet) keptTurns() int {
 	count := 0
 	for shard := range testShards {
@@ -27,8 +27,8 @@
 	return count
 }
 
-// takeKeptTurns lets one program complete turns with a retention for a while,
-// and returns how many a second. The turns' names begin with a prefix.
+// takeKeptTurns runs turns of one program with a retention for a while, and returns how
+// many per second. The IDs of the turns begin with a prefix.
 func (f *testFleet) takeKeptTurns(prefix string, retention, pause, length time.Duration) (perSecond float64) {
 	started := time.Now()
 	turns := 0
@@ -42,19 +42,19 @@
 	return float64(turns) / time.Since(started).Seconds()
 }
 
-// retentionSlack is how much longer than its retention a turn may be kept: the
-// margin, and some looks at what is over.
-const retentionSlack = keepMargin + 3*expireInterval
+// retentionSlack is how much longer than its retention a turn may be kept: the margin and
+// some sweeps.
+const retentionSlack = retentionMargin + 3*expireInterval
 
-// TestTakeoverDoesNotRestartRetention: a shard that moves more often than its
-// turns' retention must drop them all the same. Else its history grows, and with
-// it the time of each takeover.
+// TestTakeoverDoesNotRestartRetention: a shard that moves more often than its turns'
+// retention must still drop them. Otherwise its records, and with them the time of each
+// takeover, grow without bound.
 func TestTakeoverDoesNotRestartRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		const retention = 20 * time.Second
 		perSecond := 0.0
-		for run := range uint64(12) { // both daemons are replaced, over and over
+		for run := range uint64(12) { // both daemons are replaced repeatedly
 			perSecond = f.takeKeptTurns(fmt.Sprint("run-", run), retention, 50*time.Millisecond, 10*time.Second)
 			f.start(daemonID(int(run), 2))
 			for _, id := range f.ids() {
@@ -70,7 +70,7 @@
 	})
 }
 
-// TestExpiryKeepsPaceWithNewTurns: a shard drops as many turns as it takes.
+// TestExpiryKeepsPaceWithNewTurns: a shard drops turns as fast as it adds them.
 func TestExpiryKeepsPaceWithNewTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
--- a/internal/ledger/rolling_stop_test.go
+++ b/internal/ledger/rolling_stop_test.go
@@ -13,32 +13,32 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// The rolling stop of an incident: two fifths of the daemons are stopped one
-// after the other, several at a time. See
-// docs/incidents/answers-cut-under-rolling-stop.md.
+// A rolling shutdown: two fifths of the daemons are stopped one after the other, several at
+// a time. See docs/incidents/answers-cut-under-rolling-stop.md.
 const (
 	rollingDaemons = 20
 	rollingStops   = 8
 	rollingPause   = 270 * time.Millisecond
-	// rollingPrograms take turns all the time, at every shard.
+	// rollingPrograms is the number of programs that run turns all the time, at every
+	// shard.
 	rollingPrograms = 16
-	// rollingStopTime is how long a daemon takes to stop, and rollingRestart how
-	// long until it runs again.
+	// rollingStopTime is how long a daemon takes to stop, and rollingRestart how long until
+	// it runs again.
 	rollingStopTime = 4 * time.Second
 	rollingRestart  = time.Second
-	// rollingCallers is how long a daemon that stops goes on to get requests.
+	// rollingCallers is how long a stopping daemon keeps receiving requests.
 	rollingCallers = 1500 * time.Millisecond
-	// rollingHistory is how many records each shard has, and rollingReadTime what
-	// the reading of one takes on a small machine: 1,834 took 0.99 s.
+	// rollingHistory is the number of records in each shard, and rollingReadTime how long
+	// it takes to read one on a small machine.
 	rollingHistory  = 2000
 	rollingReadTime = 500 * time.Microsecond
-	// callersPatience is how long the callers of a stream hear nothing until they
-	// leave, and longestWithoutHolder what they should wait at most for a record.
+	// callersPatience is how long the callers of a stream wait without data before they
+	// leave, and longestWithoutHolder the most that they should wait for a record.
 	callersPatience      = 2 * time.Second
 	longestWithoutHolder = 300 * time.Millisecond
 )
 
-// recordWaits is what callers saw.
+// recordWaits are the waits that callers observed.
 type recordWaits struct {
 	mutex   sync.Mutex
 	calls   int
@@ -71,7 +71,7 @@
 	return f
 }
 
-// caller returns a daemon that gets requests.
+// caller returns a daemon that receives requests.
 func (f *rollingFleet) caller() *Service {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -93,7 +93,7 @@
 	f.callers = callers
 }
 
-// stopAndRestart is one daemon's planned stop.
+// stopAndRestart performs the planned shutdown of one daemon.
 func (f *rollingFleet) stopAndRestart(number int) {
 	id := daemonID(number, 1)
 	f.leave(id)
@@ -106,7 +106,7 @@
 	f.setCalled(daemonID(number, 2), true)
 }
 
-// fillHistory gives each shard records of turns that are kept.
+// fillHistory writes records of kept turns to each shard.
 func (f *rollingFleet) fillHistory(t *testing.T) {
 	for shard := range testShards {
 		var records []store.Record
@@ -124,7 +124,7 @@
 	}
 }
 
-// takeTurns lets a program's turns begin and end until stop.
+// takeTurns runs turns of a program until stop is closed.
 func (f *rollingFleet) takeTurns(program string, waits *recordWaits, stop <-chan struct{}) {
 	for i := 0; !isClosed(stop); i++ {
 		id := fmt.Sprint(program, "-", i)
@@ -149,7 +149,7 @@
 	}
 }
 
-// time makes a call as long as a caller waits for it, and notes how it went.
+// time makes a call with the time limit of a caller, and records its duration and error.
 func (w *recordWaits) time(call func(context.Context) error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callersPatience)
 	defer cancel()
@@ -158,15 +158,15 @@
 	w.note(time.Since(started), err)
 }
 
-// TestLongHistoryIsReadToItsEnd: a takeover that gets on is neither broken off by
-// limits of its own nor overtaken by another daemon's, however long it takes.
+// TestLongHistoryIsReadToItsEnd: a takeover that makes progress is neither canceled nor
+// superseded by another daemon's, however long it takes.
 func TestLongHistoryIsReadToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRollingFleet(t, 22)
 		f.fillHistory(t)
 		begin(t, f.caller(), Turn{ID: "first", Program: "p"})
 		former := f.holderOf("p")
-		f.setReadTime(2500 * time.Microsecond) // 1.25 s a page, 5 s in all
+		f.setReadTime(2500 * time.Microsecond) // 1.25 s per page, 5 s in total
 		f.setCalled(former, false)
 		f.kill(former)
 		directory := store.Partition{Space: "holders"}
@@ -189,12 +189,12 @@
 	})
 }
 
-// playRollingStop lets daemons stop one after the other while programs take turns
-// at all shards, and returns what callers saw.
+// playRollingStop stops daemons one after the other while programs run turns at all shards,
+// and returns what callers observed.
 func playRollingStop(t *testing.T, seed uint64, daemons int) *recordWaits {
 	f := newRollingFleet(t, seed)
 	f.fillHistory(t)
-	for i := range rollingPrograms { // each shard has its holder before
+	for i := range rollingPrograms { // each shard has a holder before the shutdowns
 		begin(t, f.caller(), Turn{ID: fmt.Sprint("first-", i), Program: fmt.Sprint("program-", i)})
 	}
 	f.setReadTime(rollingReadTime)
@@ -214,8 +214,8 @@
 	return waits
 }
 
-// TestRollingStopOfMostDaemonsCutsNoAnswer: four fifths of the daemons, so that
-// shards meet successors that stop, too, and askers that know no holder.
+// TestRollingStopOfMostDaemonsCutsNoAnswer: with four fifths of the daemons, some
+// successors are stopping too, and some callers know no holder.
 func TestRollingStopOfMostDaemonsCutsNoAnswer(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestRollingStopLeavesNoShardWithoutHolder: the incident. No answer may be cut,
-// and no record be out of reach for long, while daemons stop as planned.
+// TestRollingStopLeavesNoShardWithoutHolder: during planned shutdowns no answer may be cut
+// off, and no record may be out of reach for long.
 func TestRollingStopLeavesNoShardWithoutHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		waits := playRollingStop(t, 22, rollingStops)
