--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -15,51 +15,51 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// handoverLook separates looks at whether all shards were passed on.
-const handoverLook = 20 * time.Millisecond
+// handoverPollInterval separates checks whether all shards were handed over.
+const handoverPollInterval = 20 * time.Millisecond
 
-// Service is a daemon's way to the ledger: it asks the holders of shards, and
-// holds those that fall to this daemon. It is safe for concurrent use.
+// Service gives a daemon access to the ledger: it sends requests to the holders of shards,
+// and holds the shards assigned to this daemon. It is safe for concurrent use.
 type Service struct {
 	Options
 	holders []*holder
 	records *recordStore
 	known   *holderTable
-	// texts are those of chains that this daemon sent or was sent lately.
-	texts   textCache
-	avoided avoided
-	// isolation tells whether this daemon is cut off from the others.
+	// texts caches the texts of chains that this daemon recently sent or received.
+	texts     textCache
+	avoidList avoidList
+	// isolation detects whether this daemon is isolated from the others.
 	isolation isolationDetector
 	pace      handoverPacer
-	// troubles are those of shards that this daemon asked for.
-	troubles troubles
-	// capacity is what is known of the room in the store.
-	capacity *storeCapacity
-	leaving  chan struct{}
-	left     sync.Once
-	replies  peer.Replies[Response]
-	settled  chan struct{}
+	// episodes track the unavailability of shards that this daemon sent requests to.
+	episodes episodeTracker
+	// capacity estimates the space in the store.
+	capacity   *storeCapacity
+	leaving    chan struct{}
+	leaveOnce  sync.Once
+	replies    peer.Replies[Response]
+	discovered chan struct{}
 }
 
-// NewService returns a service; Run makes it work.
+// NewService returns a service; Run starts it.
 func NewService(options Options) *Service {
 	s := &Service{
-		Options:  options,
-		known:    newHolderTable(len(options.Partitions)),
-		settled:  make(chan struct{}),
-		leaving:  make(chan struct{}),
-		capacity: newStoreCapacity(options),
+		Options:    options,
+		known:      newHolderTable(len(options.Partitions)),
+		discovered: make(chan struct{}),
+		leaving:    make(chan struct{}),
+		capacity:   newStoreCapacity(options),
 	}
 	if s.Admission == nil {
 		s.Admission = &admission.Admission{}
 	}
-	contact := options.Connectivity
-	if contact == nil {
-		contact = store.NoContact{}
+	connectivity := options.Connectivity
+	if connectivity == nil {
+		connectivity = store.NoContact{}
 	}
 	s.records = &recordStore{
-		Store: options.Store, contact: contact,
-		pages: make(slots, pagesAtOnce), histories: make(slots, historiesAtOnce),
+		Store: options.Store, connectivity: connectivity,
+		pages: make(semaphore, maxConcurrentPages), textPages: make(semaphore, maxConcurrentTextPages),
 	}
 	s.holders = s.newHolders()
 	return s
@@ -88,35 +88,35 @@
 				leaving:       s.leaving,
 				readingAhead:  readingAhead,
 			},
-			operations: make(chan operation, operationQueue),
+			operations: make(chan operation, operationQueueSize),
 		}
 	}
 	return holders
 }
 
-// Run works until ctx ends.
+// Run runs the service until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	workers.Go(func() { s.watchIsolation(ctx) })
-	workers.Go(func() { s.settle(ctx) })
+	workers.Go(func() { s.discoverHolders(ctx) })
 	for _, h := range s.holders {
 		workers.Go(func() { h.run(ctx) })
 	}
 	workers.Wait()
 }
 
-// Leave stops holding shards: others take them over.
-func (s *Service) Leave() { s.left.Do(func() { close(s.leaving) }) }
+// Leave makes this daemon give up its shards, so that others take them over.
+func (s *Service) Leave() { s.leaveOnce.Do(func() { close(s.leaving) }) }
 
-// WaitForHandover waits, after Leave, until this daemon holds no shard any more and
-// is to take none that it read ahead, no other daemon could take one, or ctx ends.
+// WaitForHandover waits, after Leave, until this daemon holds no shard and is not expected
+// to take one that it read ahead, no other daemon could take one, or ctx ends.
 func (s *Service) WaitForHandover(ctx context.Context) {
-	for s.isNeeded(time.Now()) && s.successor(0, []structs.DaemonID{s.Self}, time.Now()) != "" && ctx.Err() == nil {
-		clock.Sleep(ctx, handoverLook)
+	for s.holdsOrPromised(time.Now()) && s.successor(0, []structs.DaemonID{s.Self}, time.Now()) != "" && ctx.Err() == nil {
+		clock.Sleep(ctx, handoverPollInterval)
 	}
 }
 
-func (s *Service) isNeeded(now time.Time) bool {
+func (s *Service) holdsOrPromised(now time.Time) bool {
 	return slices.ContainsFunc(s.holders, func(h *holder) bool { return h.status.holding.Load() || h.status.isPromised(now) })
 }
 
@@ -127,7 +127,7 @@
 	return int(xxhash.Sum64String(program) % uint64(len(s.holders)))
 }
 
-// isClosed tells whether a channel that carries nothing was closed.
+// isClosed reports whether a signal channel was closed.
 func isClosed(signal <-chan struct{}) bool {
 	select {
 	case <-signal:
--- /dev/null
+++ b/internal/ledger/shard_clock.go
@@ -0,0 +1,70 @@
+package ledger
+
+import "time"
+
+// Records are dropped once they were not used for their retention, regardless of which
+// daemon holds the shard. Daemons share no clock, so a shard has a logical clock of its
+// own: it advances while the shard is held, and each record contains its reading when the
+// record was last used. A daemon that takes the shard over continues from the latest
+// reading. So the shard's clock never runs ahead of real time, and nothing is dropped
+// early.
+
+// shardClock is a shard's logical clock as kept by its holder.
+type shardClock struct {
+	// shown is the clock's reading at since, when this holder took the shard.
+	shown time.Duration
+	since time.Time
+}
+
+// clockStart is the reading of a new shard's clock. It is not 0, because 0 in a record
+// means that its age is not known.
+const clockStart = time.Millisecond
+
+func newShardClock(now time.Time) shardClock { return shardClock{shown: clockStart, since: now} }
+
+// showMS returns the clock's reading at a time, in milliseconds.
+func (c shardClock) showMS(at time.Time) int64 {
+	return max(c.shown+at.Sub(c.since), clockStart).Milliseconds()
+}
+
+// timeOf returns the time of a reading in milliseconds. A record of unknown age counts as
+// used when this holder took the shard.
+func (c shardClock) timeOf(shownMS int64) time.Time {
+	if shownMS == 0 {
+		return c.since
+	}
+	return c.since.Add(time.Duration(shownMS)*time.Millisecond - c.shown)
+}
+
+// restoreAges sets the clock and the time when each record was last used, after all records
+// were loaded.
+func (s *state) restoreAges(now time.Time) {
+	latest := max(clockStart.Milliseconds(), s.allowance.LostAtMS)
+	for _, entry := range s.accounts {
+		latest = max(latest, entry.UsedAtMS)
+	}
+	for _, entry := range s.turns {
+		latest = max(latest, entry.UsedAtMS)
+	}
+	s.clock = shardClock{shown: time.Duration(latest) * time.Millisecond, since: now}
+	for _, entry := range s.accounts {
+		entry.usedAt = s.clock.timeOf(entry.UsedAtMS)
+	}
+	for _, entry := range s.turns {
+		entry.usedAt = s.clock.timeOf(entry.UsedAtMS)
+	}
+	for _, entry := range s.turns {
+		s.extendChainRetention(entry)
+	}
+}
+
+// extendChainRetention keeps the turns before a turn for as long as that turn, since their
+// own records do not show that they are still in use.
+func (s *state) extendChainRetention(entry *turnEntry) {
+	for before := s.turns[entry.Previous]; before != nil; before = s.turns[before.Previous] {
+		if !before.usedAt.Before(entry.usedAt) {
+			return
+		}
+		before.usedAt = entry.usedAt
+	}
+}
--- a/internal/ledger/simulation_programs_test.go
+++ b/internal/ledger/simulation_programs_test.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// beginTime is what the relay gives a turn's reservation, and recordTime how
-	// long a caller waits for the end of an answer.
+	// beginTime is the relay's time limit for a turn's reservation, and recordTime how long
+	// a caller waits for the end of an answer.
 	beginTime  = 1200 * time.Millisecond
 	recordTime = 3200 * time.Millisecond
 	settleTime = 20 * time.Second
 	retention  = time.Minute
-	// mostTokens is the most of one turn.
-	mostTokens = 100
-	// budgetExcess is by how much a program may pass its budget that began at a
-	// holder which was lost before its record: half of one turn's most.
-	budgetExcess = mostTokens / 2
-	// turnTries is how often a program sends a turn.
+	// maxTokens is the most tokens of one turn.
+	maxTokens = 100
+	// budgetExcess is by how much a program may exceed its budget if it began at a holder
+	// that was lost before it had a record: half of one turn's most tokens.
+	budgetExcess = maxTokens / 2
+	// turnTries is how often a program tries a turn.
 	turnTries = 12
 )
 
-// checker notes what callers saw and what must not have been.
+// checker records what callers observed, and violations of the guarantees.
 type checker struct {
-	// excess is by how much programs may pass their budgets.
+	// excess is by how much programs may exceed their budgets.
 	excess     int64
 	mutex      sync.Mutex
 	violations []string
 	tokens     map[string]int64
-	// completed holds each turn that was answered whole.
+	// completed contains each turn that was answered in full.
 	completed map[string]completedTurn
 	ids       []string
 	refused   int
 }
 
-// completedTurn is a turn that was answered whole: it is kept for retention.
+// completedTurn is a turn that was answered in full and must be kept for retention.
 type completedTurn struct {
 	history string
 	at      time.Time
@@ -56,7 +56,7 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
 }
 
-// gave notes tokens that a caller got.
+// gave records tokens that a caller received.
 func (c *checker) gave(program string, budget, tokens int64) {
 	c.mutex.Lock()
 	c.tokens[program] += tokens
@@ -67,7 +67,7 @@
 	}
 }
 
-// complete notes a turn that was answered whole.
+// complete records a turn that was answered in full.
 func (c *checker) complete(turn, history string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -97,7 +97,7 @@
 	return c.completed[turn].history
 }
 
-// mustBeKept tells whether a turn that was answered whole is still promised.
+// mustBeKept reports whether a completed turn is within its retention.
 func (c *checker) mustBeKept(turn string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -114,8 +114,8 @@
 	sent    int
 }
 
-// run sends turns one after another until the count is reached, the budget is
-// spent or a turn fails for good.
+// run runs turns one after another until the count is reached, the budget is spent or a
+// turn fails for good.
 func (p *program) run(turns int) {
 	for range turns {
 		if !p.turn() {
@@ -125,7 +125,7 @@
 	}
 }
 
-// turn sends one turn until it is answered whole. False ends the program.
+// turn tries one turn until it is answered in full. False ends the program.
 func (p *program) turn() bool {
 	for range turnTries {
 		done, over := p.try()
@@ -137,7 +137,7 @@
 	return false
 }
 
-// try sends one turn once, by way of any daemon.
+// try tries one turn once, through any daemon.
 func (p *program) try() (done, over bool) {
 	daemon, run, service := p.world.anyDaemon()
 	if daemon == nil {
@@ -146,7 +146,7 @@
 	p.sent++
 	turn := ledger.Turn{
 		ID: fmt.Sprintf("%s-%d", p.id, p.sent), Program: p.id,
-		BudgetTokens: p.budget, MaxTokens: mostTokens, Previous: p.last, Retention: retention,
+		BudgetTokens: p.budget, MaxTokens: maxTokens, Previous: p.last, Retention: retention,
 	}
 	grant, err := beginUntil(service, turn)
 	switch {
@@ -167,7 +167,7 @@
 	return p.answer(turn, daemon, run, service), false
 }
 
-// beginUntil asks for the reservation as the relay does.
+// beginUntil requests the reservation as the relay does.
 func beginUntil(service *ledger.Service, turn ledger.Turn) (ledger.Grant, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), beginTime)
 	defer cancel()
@@ -184,14 +184,14 @@
 	}
 }
 
-// answer lets the turn run; its daemon may die meanwhile.
+// answer runs the turn; its daemon may die meanwhile.
 func (p *program) answer(turn ledger.Turn, daemon *simulatedDaemon, run uint64, service *ledger.Service) (done bool) {
 	w := p.world
 	used := int64(0)
-	for used < mostTokens && w.isRunning(daemon, run) {
+	for used < maxTokens && w.isRunning(daemon, run) {
 		time.Sleep(w.between(0, 40*time.Millisecond))
-		used += mostTokens / 5
-		p.checker.gave(p.id, p.budget, mostTokens/5)
+		used += maxTokens / 5
+		p.checker.gave(p.id, p.budget, maxTokens/5)
 		if w.chance(0.2) {
 			break
 		}
@@ -223,7 +223,7 @@
 	return service.End(ctx, outcome)
 }
 
-// forge sends a turn that names one that never was.
+// forge tries a turn that continues from one that never existed.
 func forge(w *world, c *checker, number int) {
 	_, _, service := w.anyDaemon()
 	if service == nil {
@@ -231,7 +231,7 @@
 	}
 	turn := ledger.Turn{ID: fmt.Sprint("forged-", number), Program: fmt.Sprint("forger-", number), Previous: "none", Retention: retention}
 	if _, err := beginUntil(service, turn); err == nil {
-		c.violated("unasked: a turn was granted that goes on from one that never was")
+		c.violated("unasked: a turn was granted that continues from one that never existed")
 	}
 }
 
--- a/internal/ledger/simulation_store_test.go
+++ b/internal/ledger/simulation_store_test.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// wayToStore is the most that one way to the store takes.
+	// wayToStore is the highest one-way latency to the store.
 	wayToStore = 4 * time.Millisecond
-	// latestAppend is the most that an append is done late.
+	// latestAppend is the longest delay of an append that is applied late.
 	latestAppend = 6 * time.Second
 )
 
-// simulatedStore is one run's way to the store.
+// simulatedStore is one incarnation's access to the store.
 type simulatedStore struct {
 	world  *world
 	daemon *simulatedDaemon
 	run    uint64
 }
 
-// reach lets a call get to the store; an error tells that it does not.
+// reach waits until a call reaches the store; an error means that it does not.
 func (s *simulatedStore) reach(ctx context.Context) error {
 	w := s.world
 	w.awaitThaw(s.daemon)
@@ -52,7 +52,7 @@
 	switch {
 	case ctx.Err() != nil || !w.isRunning(s.daemon, s.run):
 		if w.chance(0.5) {
-			_ = do() // it was on its way
+			_ = do() // it was under way
 		}
 		return store.ErrOutcomeUnknown
 	case w.chance(f.doLate):
@@ -111,27 +111,28 @@
 	return s.world.store.Trim(ctx, partition, before)
 }
 
-// breakage is a protection that is switched off, to show that the checks see
-// what it protects from.
+// breakage is a protection that is disabled, to show that the checks detect what it
+// protects from.
 type breakage string
 
 const (
 	breakNothing breakage = ""
-	// breakFencing: the store takes appends of superseded holders.
+	// breakFencing: the store accepts appends of superseded holders.
 	breakFencing breakage = "fencing"
-	// breakDurability: the store acknowledges appends that it does not do.
+	// breakDurability: the store acknowledges appends that it does not apply.
 	breakDurability breakage = "durability"
-	// breakHeadroom: who takes a shard over does not count headroom as spent.
+	// breakHeadroom: a daemon that takes a shard over does not count headroom as spent.
 	breakHeadroom breakage = "headroom"
-	// breakAllowance: who takes a shard over does not count the allowance as spent.
+	// breakAllowance: a daemon that takes a shard over does not count the allowance as
+	// spent.
 	breakAllowance breakage = "allowance"
-	// breakReservations: who takes a shard over forgets what is reserved.
+	// breakReservations: a daemon that takes a shard over forgets reservations.
 	breakReservations breakage = "reservations"
-	// breakEarlyEnd: callers go on from turns that are not on record yet.
+	// breakEarlyEnd: callers continue from turns that are not recorded yet.
 	breakEarlyEnd breakage = "early-end"
 )
 
-// spoil takes from records what a broken protection would miss.
+// spoil removes from records the field that a disabled protection would not consider.
 func (b breakage) spoil(records []store.Record) []store.Record {
 	broken := map[breakage]struct{ keys, field string }{
 		breakHeadroom:     {"account/", "headroom"},
--- a/internal/ledger/simulation_test.go
+++ b/internal/ledger/simulation_test.go
@@ -12,46 +12,46 @@
 	"github.com/mintpulley/mintpulley/internal/ledger"
 )
 
-// The simulation lets programs take turns at a fleet of ledgers while daemons,
-// the network and the store fail, on a virtual clock. A seed fixes the course
-// of faults; the order of goroutines within an instant is the runtime's.
+// The simulation runs turns of programs at a fleet of ledgers while daemons, the network
+// and the store fail, on a virtual clock. A seed determines the sequence of faults; the
+// order of goroutines at the same instant is up to the runtime.
 //
 //	go test ./internal/ledger -run TestPromisesUnderFaults -seeds 200
 var simulationSeeds = flag.Int("seeds", 12, "how many courses of faults the simulation plays")
 
 const (
-	// courseLength is how long faults come, and recoveryTime how long the fleet
-	// has from then on until everything must be there again.
+	// courseLength is how long faults occur, and recoveryTime how long the fleet then has
+	// to recover.
 	courseLength = 20 * time.Second
 	recoveryTime = 6 * time.Second
-	// provocationSeeds is how many courses may be played until a broken
-	// protection must have been noticed.
+	// provocationSeeds is the number of courses in which a disabled protection must be
+	// detected at least once.
 	provocationSeeds = 150
-	// rollingPause separates the planned stops of daemons one after the other.
+	// rollingPause separates the planned shutdowns of daemons one after the other.
 	rollingPause = 270 * time.Millisecond
 )
 
-// fault is one kind of trouble; it returns what ends it.
+// fault starts one kind of fault; it returns the function that ends it.
 type fault func(w *world) (end func())
 
-// courseKind is what may happen in a course of faults.
+// courseKind determines what may happen in a course of faults.
 type courseKind struct {
 	breakage breakage
 	faults   []fault
-	// excess is by how much programs may pass their budgets.
+	// excess is by how much programs may exceed their budgets.
 	excess int64
 }
 
-// anyFaults is a course with all kinds of faults and with a protection broken.
+// anyFaults returns a course with all kinds of faults and with a protection disabled.
 func anyFaults(breakage breakage) courseKind {
 	return courseKind{breakage: breakage, faults: simulationFaults, excess: budgetExcess}
 }
 
-// simulationFaults are all kinds, in a fixed order, so that a seed gives one course.
+// simulationFaults are all kinds, in a fixed order, so that a seed determines the course.
 var simulationFaults = slices.Concat(lossFaults, outageFaults)
 
-// lossFaults take daemons away, so that shards may be lost with what their holders
-// had not recorded.
+// lossFaults stop daemons or cut them off, so that shards may be lost with what their
+// holders had not recorded.
 var lossFaults = []fault{
 	// kill one
 	func(w *world) func() {
@@ -88,7 +88,7 @@
 		w.change(func() { d.frozen = true })
 		return func() { w.change(func() { d.frozen = false }) }
 	},
-	// cut from store
+	// cut off from the store
 	func(w *world) func() {
 		d := w.daemons[w.intN(simulatedDaemons)]
 		w.change(func() { d.cut = true })
@@ -98,18 +98,18 @@
 	setFaults(func(f *faults) { f.loseMessage = 0.2 }, func(f *faults) { f.loseMessage = 0 }),
 }
 
-// outageFaults are those of the store for all daemons alike.
+// outageFaults are faults of the store that affect all daemons.
 var outageFaults = []fault{
-	// store refuses
+	// store refuses calls
 	setFaults(func(f *faults) { f.storeDown = true }, func(f *faults) { f.storeDown = false }),
-	// store silent
+	// store does not answer
 	setFaults(func(f *faults) { f.storeDown, f.storeSilent = true, true },
 		func(f *faults) { f.storeDown, f.storeSilent = false, false }),
 	// store slow
 	setFaults(func(f *faults) { f.slowness = 60 }, func(f *faults) { f.slowness = 1 }),
 	// answers lost
 	setFaults(func(f *faults) { f.loseAnswers = 0.35 }, func(f *faults) { f.loseAnswers = 0 }),
-	// appends late
+	// appends applied late
 	setFaults(func(f *faults) { f.doLate = 0.35 }, func(f *faults) { f.doLate = 0 }),
 }
 
@@ -128,7 +128,7 @@
 	}
 }
 
-// play plays one course and returns what was seen.
+// play plays one course and returns what was observed.
 func play(t *testing.T, seed uint64, kind courseKind) (seen *checker) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -145,12 +145,12 @@
 		for _, d := range w.daemons {
 			w.kill(d)
 		}
-		time.Sleep(time.Minute) // what still runs in the background ends
+		time.Sleep(time.Minute) // lets background work end
 	})
 	return seen
 }
 
-// playFaults lets faults come and go, some together.
+// playFaults starts and ends faults, some of them at the same time.
 func playFaults(w *world, kinds []fault, all *sync.WaitGroup) {
 	for start := time.Now(); time.Since(start) < courseLength; {
 		begin := kinds[w.intN(len(kinds))]
@@ -164,7 +164,7 @@
 	}
 }
 
-// startPrograms lets programs begin all the time.
+// startPrograms starts programs for courseLength.
 func startPrograms(w *world, c *checker, callers *sync.WaitGroup) {
 	start := time.Now()
 	for number := 0; time.Since(start) < courseLength; number++ {
@@ -173,10 +173,10 @@
 	}
 }
 
-// startProgram lets one program begin. Some go on from another's turn, some
-// loop until they are stopped, and some have a sub-agent.
+// startProgram starts one program. Some continue from another's turn, some run until they
+// are stopped, and some have a sub-agent.
 func startProgram(w *world, c *checker, callers *sync.WaitGroup, number int) {
-	p := &program{world: w, checker: c, id: fmt.Sprint("p", number), budget: int64(3+w.intN(8)) * mostTokens}
+	p := &program{world: w, checker: c, id: fmt.Sprint("p", number), budget: int64(3+w.intN(8)) * maxTokens}
 	turns := 1 + w.intN(6)
 	switch {
 	case w.chance(0.2):
@@ -193,7 +193,7 @@
 	}
 }
 
-// checkRecovered lets a new program go on from every turn that must be kept.
+// checkRecovered lets a new program continue from every turn that must be kept.
 func checkRecovered(w *world, c *checker) {
 	for i, id := range c.ids {
 		_, _, service := w.anyDaemon()
@@ -201,7 +201,7 @@
 		grant, err := beginUntil(service, turn)
 		switch {
 		case err != nil && c.mustBeKept(id):
-			c.violated("recovery: no turn goes on from %s: %v", id, err)
+			c.violated("recovery: no turn continues from %s: %v", id, err)
 		case err == nil && string(grant.History) != c.history(id):
 			c.violated("recovery: turn %s has history %q", id, grant.History)
 		}
@@ -213,7 +213,7 @@
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
 			seen := play(t, seed+1, anyFaults(breakNothing))
 			if len(seen.violations) > 0 {
-				t.Errorf("promises broken:\n%s", seen)
+				t.Errorf("guarantees violated:\n%s", seen)
 			}
 			if len(seen.ids) < 20 {
 				t.Errorf("only %d turns were completed", len(seen.ids))
@@ -223,13 +223,13 @@
 	}
 }
 
-// Where no holder is lost, nobody passes a budget by a single token.
+// Where no holder is lost, no budget is exceeded by a single token.
 func TestBudgetsAreExactWhileTheStoreFails(t *testing.T) {
 	for seed := range uint64(*simulationSeeds) {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
 			seen := play(t, seed+1, courseKind{faults: outageFaults})
 			if len(seen.violations) > 0 {
-				t.Errorf("promises broken:\n%s", seen)
+				t.Errorf("guarantees violated:\n%s", seen)
 			}
 		})
 	}
@@ -244,7 +244,7 @@
 					return
 				}
 			}
-			t.Errorf("%d courses broke no promise", provocationSeeds)
+			t.Errorf("%d courses violated no guarantee", provocationSeeds)
 		})
 	}
 }
--- a/internal/ledger/simulation_world_test.go
+++ b/internal/ledger/simulation_world_test.go
@@ -22,14 +22,14 @@
 const (
 	simulatedDaemons = 5
 	simulatedShards  = 4
-	// detectionTime is how long the others take to see that a daemon died.
+	// detectionTime is how long the others take to detect that a daemon died.
 	detectionTime = time.Second
-	// pollPause separates looks at whether a fault is over.
+	// pollPause separates checks whether a fault is over.
 	pollPause = 10 * time.Millisecond
 )
 
-// world is a fleet of ledgers over one store on the virtual clock of a
-// synctest bubble, with faults that its course switches on and off.
+// world is a fleet of ledgers with one store on the virtual clock of a synctest bubble,
+// with faults that its course switches on and off.
 type world struct {
 	breakage breakage
 	store    *memory.Store
@@ -40,7 +40,7 @@
 	faults  faults
 }
 
-// faults are those of the whole fleet that hold now.
+// faults are the current faults of the whole fleet.
 type faults struct {
 	storeDown   bool
 	storeSilent bool
@@ -50,7 +50,7 @@
 	loseMessage float64
 }
 
-// simulatedDaemon is one machine: its runs come and go.
+// simulatedDaemon is one machine, on which incarnations run one after the other.
 type simulatedDaemon struct {
 	number  int
 	run     uint64
@@ -58,9 +58,9 @@
 	service *ledger.Service
 	proxy   *proxy.Service
 	stop    context.CancelFunc
-	diedAt  time.Time // zero while it lives
+	diedAt  time.Time // zero while it is alive
 	frozen  bool
-	cut     bool // from the store
+	cut     bool // cut off from the store
 	leaving bool
 }
 
@@ -95,19 +95,19 @@
 	return w.random.IntN(n)
 }
 
-// between returns a random time.
+// between returns a random duration.
 func (w *world) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(w.float()*float64(most-least))
 }
 
-// change changes what holds in the world.
+// change modifies the state of the world.
 func (w *world) change(apply func()) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	apply()
 }
 
-// look reads what holds in the world.
+// look reads the state of the world.
 func look[T any](w *world, read func() T) T {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -152,7 +152,7 @@
 	go service.Run(ctx)
 }
 
-// leave is a daemon's planned stop.
+// leave performs the planned shutdown of a daemon.
 func (w *world) leave(d *simulatedDaemon, length time.Duration) {
 	var run uint64
 	var service *ledger.Service
@@ -176,7 +176,7 @@
 	})
 }
 
-// isRunning tells whether a run of a daemon lives.
+// isRunning reports whether an incarnation of a daemon is alive.
 func (w *world) isRunning(d *simulatedDaemon, run uint64) bool {
 	return look(w, func() bool { return d.run == run && d.diedAt.IsZero() })
 }
@@ -188,7 +188,7 @@
 	}
 }
 
-// anyDaemon returns a random daemon that lives, nil if there is none.
+// anyDaemon returns a random live daemon, nil if there is none.
 func (w *world) anyDaemon() (*simulatedDaemon, uint64, *ledger.Service) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -253,7 +253,7 @@
 // Subscribe implements membership.View.
 func (w *world) Subscribe(func(membership.Member)) {}
 
-// simulatedTransport carries one run's messages, encoded as on the wire.
+// simulatedTransport carries the messages of one incarnation, encoded as on the wire.
 type simulatedTransport struct {
 	world *world
 	from  *simulatedDaemon
@@ -280,7 +280,8 @@
 	}()
 }
 
-// receive takes a message, if it is meant for this daemon's run and that lives.
+// receive handles a message if it is addressed to this daemon's incarnation and that is
+// alive.
 func (d *simulatedDaemon) receive(w *world, to structs.DaemonID, line []byte) {
 	w.mutex.Lock()
 	service, way := d.service, d.proxy
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -9,47 +9,47 @@
 
 // Keys of a shard's records.
 const (
-	// holderKey is the key of the record that tells who holds the shard.
+	// holderKey is the key of the record that names the shard's holder.
 	holderKey = "holder"
 	// accountPrefix and turnPrefix precede the program's and the turn's ID.
 	accountPrefix = "account/"
 	turnPrefix    = "turn/"
-	// lastKey follows all others.
+	// lastKey sorts after all other keys.
 	lastKey = "~"
 )
 
 const (
-	// keepMargin is added to every retention: a turn that goes on from another
-	// just before the end of its retention ends some seconds after it.
-	keepMargin = 10 * time.Second
+	// retentionMargin is added to every retention: a turn that continues another just
+	// before the end of its retention ends some seconds later.
+	retentionMargin = 10 * time.Second
 	// chainLimit bounds the turns of one chain.
 	chainLimit = 10000
-	// endedLife is how long the end of a turn is remembered that was never
-	// reserved here, so that its reservation cannot come after it.
-	endedLife = 30 * time.Second
+	// endedTurnTTL is how long the end of a turn without a reservation is remembered, so
+	// that a delayed request cannot reserve it afterwards.
+	endedTurnTTL = 30 * time.Second
 )
 
-// errBrokenChain: a kept turn names one before it that is not kept.
+// errBrokenChain: a kept turn refers to a previous one that is not kept.
 var errBrokenChain = eris.New("ledger: a turn of the chain is not kept")
 
-// holderRecord is the value under holderKey.
+// holderRecord is the value of the record with holderKey.
 type holderRecord struct {
 	Epoch  uint64 `json:"epoch"`
 	Daemon string `json:"daemon"`
 }
 
-// state is a shard's records in the memory of its holder.
+// state holds a shard's records in the memory of its holder.
 type state struct {
 	accounts map[string]*accountEntry
 	turns    map[string]*turnEntry
 	ended    map[string]time.Time
 	dirty    map[string]struct{}
-	// inAppend are the accounts that are on their way to the store.
+	// inAppend are the accounts whose records are being appended.
 	inAppend []*accountEntry
-	// returning: no headroom is set aside any more.
-	returning bool
-	allowance allowance
-	clock     shardClock
+	// returningHeadroom: no headroom is set aside any more.
+	returningHeadroom bool
+	allowance         allowance
+	clock             shardClock
 	// machine is the clock of the machine that the holder runs on.
 	machine MachineClock
 }
@@ -57,25 +57,25 @@
 type accountEntry struct {
 	account
 	usedAt time.Time
-	// headroom is what is left of the headroom that the store knows of, and
-	// appending what is left of that which is on its way there.
-	headroom   setAside
-	appending  setAside
+	// headroom is the rest of the headroom in the durable record, and appending the rest of
+	// that in the record being appended.
+	headroom   headroomBalance
+	appending  headroomBalance
 	isInAppend bool
-	// isOnRecord: the store has a record of the account. Until it has, allowed is what
-	// the allowance granted in all.
-	isOnRecord bool
-	allowed    int64
-	// unrecorded turns were granted from headroom, and no record that was sent has
-	// their reservation.
+	// isOnRecord: the store has a record of the account. Until then, allowanceGranted is
+	// the total that the allowance has granted.
+	isOnRecord       bool
+	allowanceGranted int64
+	// unrecorded are turns that were granted from headroom and whose reservation is in no
+	// record that was sent.
 	unrecorded map[string]struct{}
 }
 
 type turnEntry struct {
 	KeptTurn
 	RetentionMS int64
-	// UsedAtMS is what the shard's clock showed when the turn was last used, as
-	// its record tells; 0 if that is not known.
+	// UsedAtMS is the reading of the shard's clock when the turn was last used, according
+	// to its record; 0 if it is not known.
 	UsedAtMS int64
 	usedAt   time.Time
 }
@@ -90,10 +90,10 @@
 	}
 }
 
-// begin reserves a turn's tokens and gathers its history.
+// begin reserves a turn's tokens and collects its history.
 func (s *state) begin(turn Turn, now time.Time) (Grant, result) {
 	if _, over := s.ended[turn.ID]; over {
-		return Grant{}, resultOver
+		return Grant{}, resultEnded
 	}
 	if turn.Imported != nil && s.turns[turn.Imported.ID] == nil {
 		s.keep(turn.Imported, turn.Retention.Milliseconds(), now)
@@ -111,12 +111,12 @@
 	entry.usedAt = now
 	if !entry.reserve(turn) {
 		if underway {
-			s.touch(accountPrefix + turn.Program)
+			s.markDirty(accountPrefix + turn.Program)
 		}
 		return Grant{}, resultBudgetSpent
 	}
 	s.accounts[turn.Program] = entry
-	s.touch(accountPrefix + turn.Program)
+	s.markDirty(accountPrefix + turn.Program)
 	grant := Grant{History: history, Underway: underway, Instance: entry.instanceOf(turn.Session)}
 	if turn.HistoryKnown {
 		grant.History, grant.HistoryOmitted = nil, true
@@ -124,14 +124,14 @@
 	return grant, resultOK
 }
 
-// end settles a turn, and keeps it if later ones may go on from it. A turn
-// whose chain is not known here is not kept: it may have been granted by a
-// former holder that died with its copy of the chain.
+// end settles a turn, and keeps it if later ones may continue from it. A turn whose chain
+// is not known here is not kept: it may have been granted by a former holder that died with
+// its copy of the chain.
 func (s *state) end(outcome Outcome, now time.Time) result {
 	entry := s.accounts[outcome.Program]
 	if entry != nil {
-		entry.usedAt = now // also if the turn was granted by a holder that died with its reservation
-		s.touch(accountPrefix + outcome.Program)
+		entry.usedAt = now // even if the turn was granted by a holder that died with its reservation
+		s.markDirty(accountPrefix + outcome.Program)
 	}
 	if entry == nil || !entry.settleTurn(outcome) {
 		s.ended[outcome.Turn] = now
@@ -171,11 +171,11 @@
 		return
 	}
 	s.turns[turn.ID] = &turnEntry{KeptTurn: *turn, RetentionMS: retentionMS, usedAt: now}
-	s.touch(turnPrefix + turn.ID)
-	_, _ = s.history(turn.Previous, now) // its chain is kept as long as it is
+	s.markDirty(turnPrefix + turn.ID)
+	_, _ = s.history(turn.Previous, now) // marks the chain as used
 }
 
-// find returns a turn with its whole chain as one turn, nil if it is not kept.
+// find returns a turn with its whole chain merged into one turn, nil if it is not kept.
 func (s *state) find(id string, now time.Time) *KeptTurn {
 	text, err := s.history(id, now)
 	if err != nil || id == "" {
@@ -184,27 +184,27 @@
 	return &KeptTurn{ID: id, Input: text}
 }
 
-// expire drops up to limit records that nobody used for their retention, and returns how many.
+// expire drops up to limit records that are past their retention, and returns how many.
 func (s *state) expire(now time.Time, limit int) (dropped int) {
-	maps.DeleteFunc(s.ended, func(_ string, at time.Time) bool { return now.Sub(at) > endedLife })
+	maps.DeleteFunc(s.ended, func(_ string, at time.Time) bool { return now.Sub(at) > endedTurnTTL })
 	for id, entry := range s.accounts {
-		if dropped < limit && isOver(now.Sub(entry.usedAt), entry.RetentionMS) {
+		if dropped < limit && isExpired(now.Sub(entry.usedAt), entry.RetentionMS) {
 			delete(s.accounts, id)
-			s.touch(accountPrefix + id)
+			s.markDirty(accountPrefix + id)
 			dropped++
 		}
 	}
 	for id, entry := range s.turns {
-		if dropped < limit && isOver(now.Sub(entry.usedAt), entry.RetentionMS) {
+		if dropped < limit && isExpired(now.Sub(entry.usedAt), entry.RetentionMS) {
 			delete(s.turns, id)
-			s.touch(turnPrefix + id)
+			s.markDirty(turnPrefix + id)
 			dropped++
 		}
 	}
 	return dropped
 }
 
-// isOver tells whether what was not used for so long is past its retention.
-func isOver(unusedFor time.Duration, retentionMS int64) bool {
-	return unusedFor > time.Duration(retentionMS)*time.Millisecond+keepMargin
+// isExpired reports whether a record that was not used for a time is past its retention.
+func isExpired(unusedFor time.Duration, retentionMS int64) bool {
+	return unusedFor > time.Duration(retentionMS)*time.Millisecond+retentionMargin
 }
--- a/internal/ledger/state_records.go
+++ b/internal/ledger/state_records.go
@@ -10,8 +10,8 @@
 	"github.com/mintpulley/mintpulley/internal/store"
 )
 
-// load takes a record that was read from the store; restoreAges must follow the
-// last one. Errors tell of records that cannot be understood; they change nothing.
+// load adds a record that was read from the store; restoreAges must be called after the
+// last one. It returns an error for a malformed record, which changes nothing.
 func (s *state) load(record store.Record) error {
 	switch {
 	case strings.HasPrefix(record.Key, accountPrefix):
@@ -34,12 +34,12 @@
 	return nil
 }
 
-func (s *state) touch(key string) { s.dirty[key] = struct{}{} }
+func (s *state) markDirty(key string) { s.dirty[key] = struct{}{} }
 
 // takeDirty returns the records of all changes since the last call.
 func (s *state) takeDirty() ([]store.Record, error) {
 	if len(s.dirty) > 0 {
-		s.touch(allowanceKey) // its age tells what a holder that is lost may have granted
+		s.markDirty(allowanceKey) // the age of the allowance tells what a lost holder may have granted
 	}
 	records := make([]store.Record, 0, len(s.dirty))
 	for key := range s.dirty {
@@ -53,7 +53,7 @@
 	return records, nil
 }
 
-// value encodes what stands under a key now; nil drops the key.
+// value encodes the current value of a key; nil deletes the key.
 func (s *state) value(key string) ([]byte, error) {
 	if key == allowanceKey {
 		return s.encodeAllowance(time.Now())
@@ -76,24 +76,24 @@
 }
 
 const (
-	// accountBytes is about what the record of an account takes, and turnHeadBytes what that
-	// of a turn takes besides its texts.
-	accountBytes  = 300
-	turnHeadBytes = 120
+	// accountBytes approximates the size of an account's record, and turnHeaderBytes that
+	// of a turn's record without its texts.
+	accountBytes    = 300
+	turnHeaderBytes = 120
 )
 
-// size is about how many bytes the shard's records take in the store.
+// size returns the approximate size of the shard's records in the store, in bytes.
 func (s *state) size() int {
 	size := len(s.accounts) * accountBytes
 	for _, turn := range s.turns {
-		size += len(turn.Input) + len(turn.Output) + turnHeadBytes
+		size += len(turn.Input) + len(turn.Output) + turnHeaderBytes
 	}
 	return size
 }
 
-// loadLater takes a turn's record that was read after the shard was taken. What was
-// written since stands.
-func (s *state) loadLater(record store.Record) error {
+// loadLate adds a turn's record that was read after the shard was taken, unless the turn
+// was written since.
+func (s *state) loadLate(record store.Record) error {
 	id, isTurn := strings.CutPrefix(record.Key, turnPrefix)
 	if _, isDirty := s.dirty[record.Key]; !isTurn || isDirty || s.turns[id] != nil {
 		return nil
--- a/internal/ledger/state_test.go
+++ b/internal/ledger/state_test.go
@@ -34,8 +34,8 @@
 	s := newState(time.Now())
 	now := time.Now()
 	s.end(Outcome{Turn: "a", Program: "p"}, now)
-	if _, got := s.begin(Turn{ID: "a", Program: "p", MaxTokens: 5}, now); got != resultOver {
-		t.Errorf("got %q, want %q", got, resultOver)
+	if _, got := s.begin(Turn{ID: "a", Program: "p", MaxTokens: 5}, now); got != resultEnded {
+		t.Errorf("got %q, want %q", got, resultEnded)
 	}
 }
 
@@ -45,11 +45,11 @@
 	s.begin(Turn{ID: "a", Program: "p", Retention: time.Minute}, start)
 	s.end(Outcome{Turn: "a", Program: "p", Kept: &KeptTurn{ID: "a", Input: []byte("x")}}, start)
 	s.begin(Turn{ID: "b", Program: "p", Previous: "a"}, start.Add(50*time.Second))
-	s.expire(start.Add(time.Minute+keepMargin+time.Second), 100)
+	s.expire(start.Add(time.Minute+retentionMargin+time.Second), 100)
 	if s.turns["a"] == nil || s.accounts["p"] == nil {
 		t.Fatal("a record was dropped that was used 21 s ago")
 	}
-	s.expire(start.Add(50*time.Second+time.Minute+keepMargin+time.Second), 100)
+	s.expire(start.Add(50*time.Second+time.Minute+retentionMargin+time.Second), 100)
 	if s.turns["a"] != nil || s.accounts["p"] != nil {
 		t.Error("a record was kept beyond its retention")
 	}
@@ -91,8 +91,8 @@
 	})
 }
 
-// TestAccountIsKeptFromTheEndOfATurnThatIsNotReservedThere: its holder may have died
-// with the reservation. The program's budget must not begin anew.
+// TestAccountIsKeptFromTheEndOfATurnThatIsNotReservedThere: the holder may have died with
+// the reservation. The program's budget must not start over.
 func TestAccountIsKeptFromTheEndOfATurnThatIsNotReservedThere(t *testing.T) {
 	s := newState(time.Now())
 	start := time.Now()
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestChainIsKeptAsLongAsItsLastTurn: the records of earlier turns do not tell that
-// a later one goes on from them.
+// TestChainIsKeptAsLongAsItsLastTurn: the records of earlier turns do not show that a later
+// one continues from them.
 func TestChainIsKeptAsLongAsItsLastTurn(t *testing.T) {
 	start := time.Now()
 	first := newState(start)
--- a/internal/ledger/store_capacity.go
+++ b/internal/ledger/store_capacity.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// planInterval is how long a plan counts: at three times the usual load of the busiest
-	// deployment measured, a four-hundredth of the store is kept meanwhile.
+	// planInterval is how long a plan is reused. It is short enough that little is written
+	// meanwhile.
 	planInterval = 100 * time.Millisecond
-	// notableShare is the part of the store's bound from which on daemons pass reports on, some
-	// 0.5 KB with each turn that begins: below it nothing is decided by them.
+	// notableShare is the fill level of the store from which on daemons pass on reports,
+	// about 0.5 KB with each turn that begins. Below it they do not matter.
 	notableShare = 0.1
-	// learnedShare is the part of what was kept when the store was found full that counts as
-	// its bound for learnedLife, if that is lower than the one in the settings. By then what
-	// was kept is dropped, and history that could not be trimmed has been.
-	learnedShare = 0.98
-	learnedLife  = time.Minute
+	// learnedShare is the part of the usage at the time when the store was found full that
+	// is used as its bound for learnedBoundTTL, if it is lower than the configured one. By
+	// then that content has expired, and history that could not be trimmed has been
+	// trimmed.
+	learnedShare    = 0.98
+	learnedBoundTTL = time.Minute
 )
 
-// capacitySteps are the parts of the store's bound of which a line tells that they were passed.
+// capacitySteps are the fill levels of the store that are logged when crossed.
 var capacitySteps = []float64{0.5, 0.75, 0.9, 1}
 
-// storeCapacity is what a daemon knows of the room in the store, by the reports of shards that it
-// holds or asked for. It is safe for concurrent use.
+// storeCapacity estimates the space in the store from the reports of shards that this
+// daemon holds or sent requests to. It is safe for concurrent use.
 type storeCapacity struct {
 	estimate *storecapacity.Estimate
 	shards   int
@@ -35,17 +36,17 @@
 	metrics  *Metrics
 
 	mutex sync.Mutex
-	// bound is the most that the store keeps, in bytes, by the settings; 0 if that is not
-	// known. learned is what was kept when it was last found full, at learnedAt.
+	// bound is the configured maximum of bytes in the store; 0 if it is not known. learned
+	// is derived from the usage when the store was last found full, at learnedAt.
 	bound     float64
 	learned   float64
 	learnedAt time.Time
 	// current is the latest plan, made at plannedAt.
 	current   storecapacity.Plan
 	plannedAt time.Time
-	// isNotable: so much is kept that daemons pass reports on.
-	isNotable bool
-	// step is how many of capacitySteps are passed.
+	// passesReports: the store is so full that daemons pass on reports.
+	passesReports bool
+	// step is how many of capacitySteps are reached.
 	step int
 }
 
@@ -59,23 +60,23 @@
 	}
 }
 
-// note takes the report of a shard.
+// note records the report of a shard.
 func (s *storeCapacity) note(shard int, kept storecapacity.Profile, now time.Time) {
 	s.estimate.Note(shard, kept, now)
 }
 
-// tell returns the report of a shard that this daemon holds, and once much is kept those of some
-// others; nothing where no bound is known.
-func (s *storeCapacity) tell(shard int, now time.Time) []storecapacity.Report {
+// reports returns the report of a shard that this daemon holds, and at a high fill level
+// those of some others; nothing if the bound is not known.
+func (s *storeCapacity) reports(shard int, now time.Time) []storecapacity.Report {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.bound <= 0 {
 		return nil
 	}
-	return s.estimate.Reports(shard, s.isNotable, now)
+	return s.estimate.Reports(shard, s.passesReports, now)
 }
 
-// plan returns what the store can still take.
+// plan returns how much the store can still take.
 func (s *storeCapacity) plan(now time.Time) storecapacity.Plan {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -91,27 +92,27 @@
 	bound := s.boundAt(now)
 	wasCrowded := s.current.IsCrowded
 	s.current = storecapacity.PlanFor(kept, bound)
-	s.isNotable = float64(kept.Bytes()) >= notableShare*bound
-	s.metrics.planned(kept, bound, s.current)
-	s.tellStep(kept, bound)
+	s.passesReports = float64(kept.Bytes()) >= notableShare*bound
+	s.metrics.updateStoreFill(kept, bound, s.current)
+	s.logStep(kept, bound)
 	if s.current.IsCrowded != wasCrowded {
 		s.logger.Info().Bool("crowded", s.current.IsCrowded).Int64("bytes", kept.Bytes()).Float64("bound", bound).
 			Int64("rate", kept.Rate).Float64("floor", s.current.BaseRate).Float64("pace", s.current.Rate).
-			Msg("Whether programs are held back for want of room in the store has changed.")
+			Msg("Admission of programs by the space in the store has changed.")
 	}
 	return s.current
 }
 
-// boundAt returns the bound that counts at a time. The mutex must be held.
+// boundAt returns the bound in effect at a time. The mutex must be held.
 func (s *storeCapacity) boundAt(now time.Time) float64 {
-	if s.learned > 0 && now.Sub(s.learnedAt) < learnedLife {
+	if s.learned > 0 && now.Sub(s.learnedAt) < learnedBoundTTL {
 		return min(s.learned, s.bound)
 	}
 	return s.bound
 }
 
-// tellStep logs that a step of the store's bound was passed, in either direction.
-func (s *storeCapacity) tellStep(kept storecapacity.Profile, bound float64) {
+// logStep logs that the fill level crossed one of capacitySteps, in either direction.
+func (s *storeCapacity) logStep(kept storecapacity.Profile, bound float64) {
 	step := 0
 	for step < len(capacitySteps) && float64(kept.Bytes()) >= capacitySteps[step]*bound {
 		step++
@@ -120,13 +121,13 @@
 		return
 	}
 	s.logger.Info().Int("step", step).Int("before", s.step).Int64("bytes", kept.Bytes()).Float64("bound", bound).
-		Int64("rate", kept.Rate).Dur("full_in", kept.TimeToFull(bound)).Msg("The store has passed a step of its bound.")
+		Int64("rate", kept.Rate).Dur("full_in", kept.TimeToFull(bound)).Msg("The fill level of the store has crossed a threshold.")
 	s.step = step
 }
 
-// foundFull takes note that the store refused an append as full: if less is kept than its bound,
-// something else fills it, or the bound is lower.
-func (s *storeCapacity) foundFull(now time.Time) {
+// noteStoreFull records that the store refused an append as full. If the estimated usage is
+// below the bound, something else fills the store, or the bound is lower than configured.
+func (s *storeCapacity) noteStoreFull(now time.Time) {
 	kept, known := s.estimate.Sum(now)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -135,6 +136,6 @@
 		return
 	}
 	s.logger.Warn().Int64("bytes", kept.Bytes()).Float64("bound", bound).Float64("learned", learned).
-		Msg("The store is full below its bound. What was kept counts as the bound for a while.")
+		Msg("The store is full below its bound. The estimated usage is used as the bound for a while.")
 	s.learned, s.learnedAt = learned, now
 }
--- a/internal/ledger/store_capacity_test.go
+++ b/internal/ledger/store_capacity_test.go
@@ -17,42 +17,34 @@
 	"github.com/mintpulley/mintpulley/internal/storecapacity"
 )
 
-// What callers saw: under a load that keeps more than the store holds, service ended within
-// seconds, for everybody. It did not come back when the load did, nor after all machines had
-// lost power and were back: 15 s later none of 320 requests was served.
-//
-// The order of events: turns were let in until the store took no append. Then no whole answer
-// could be recorded, no program that was under way could go on, and, as a claim and the dropping
-// of a record are appends, too, no shard could be claimed and nothing be dropped.
-//
-// The cause: nobody weighed what programs leave behind, which is kept for 70 s, against what the
-// store holds. The evidence: the same load with a store that holds twice as much is served, and
-// with the bound known to the daemons as much is let in as it can keep, and nothing refused later.
+// These tests guard against a load that fills the store: then no answer can be recorded, no
+// record dropped and no shard claimed, and service does not resume when the load ends.
 
 const (
-	// loadTurns is how many turns a program takes, each of loadText bytes.
+	// loadTurns is the number of turns of a program, each with loadText bytes.
 	loadTurns = 4
 	loadText  = 8000
-	// loadRetention is that of all turns, and loadPause passes between those of a program.
+	// loadRetention is the retention of all turns, and loadPause the pause between turns of
+	// a program.
 	loadRetention = time.Minute
 	loadPause     = time.Second
-	// usualPrograms is how many programs begin each second, and heavyFactor times as many
-	// are a load that keeps twice what the store holds.
+	// usualPrograms is the number of programs that begin each second. heavyFactor times as
+	// many write twice what the store holds.
 	usualPrograms = 6
 	heavyFactor   = 3
-	// loadedCapacity is 1.6 times what the usual load keeps: 24 turns a second of 8,500 bytes
-	// with their programs' accounts, newest for 70 s and as history for 10 s.
+	// loadedCapacity is 1.6 times the usage under the usual load: 24 turns a second of
+	// 8,500 bytes with their programs' accounts, newest for 70 s and as history for 10 s.
 	loadedCapacity = 26_000_000
 )
 
-// programLoad is a load of programs, and what became of them by the second they began in.
+// programLoad is a load of programs, with the outcomes by the second in which they began.
 type programLoad struct {
 	fleet   *testFleet
 	started time.Time
 	callers sync.WaitGroup
 	mutex   sync.Mutex
-	// ended are programs all of whose turns were served, refused those whose first turn was
-	// not granted, and broken those that were let in and did not end.
+	// ended counts programs all of whose turns were served, refused those whose first turn
+	// was not granted, and broken those that were admitted and did not end.
 	ended, refused, broken map[int]int
 	next                   atomic.Int64
 }
@@ -61,7 +53,7 @@
 	return &programLoad{fleet: f, started: time.Now(), ended: map[int]int{}, refused: map[int]int{}, broken: map[int]int{}}
 }
 
-// run lets programs begin for a while, so many each second.
+// run starts a number of programs per second for a while.
 func (l *programLoad) run(length time.Duration, perSecond int) {
 	for started := time.Now(); time.Since(started) < length; {
 		l.callers.Go(l.program)
@@ -69,7 +61,7 @@
 	}
 }
 
-// program runs one program, with the patience of a caller for each turn.
+// program runs one program, with a caller's time limit for each turn.
 func (l *programLoad) program() {
 	second := int(time.Since(l.started) / time.Second)
 	name := fmt.Sprint("program-", l.next.Add(1))
@@ -112,14 +104,14 @@
 	return s.End(ctx, Outcome{Turn: id, Program: program, Retention: loadRetention, UsedTokens: 1, Kept: kept}) == nil
 }
 
-// wait waits until all programs have ended, and what they abandoned is settled: on a virtual clock
-// nothing goes on after the test.
+// wait waits until all programs have ended and their abandoned turns are settled, as
+// nothing may run on after the test.
 func (l *programLoad) wait() {
 	l.callers.Wait()
-	time.Sleep(endedLife)
+	time.Sleep(endedTurnTTL)
 }
 
-// count adds an outcome up over the seconds from one to another.
+// count sums an outcome over the seconds from one time to another.
 func (l *programLoad) count(outcome map[int]int, from, to time.Duration) (count int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -129,9 +121,10 @@
 	return count
 }
 
-// TestLoadThatKeepsMoreThanTheStoreHolds: what can not be kept is refused at its first turn. The
-// store never fills, programs that were let in end, as much is served as the store can keep, and
-// the usual load is served at once when it is back, also after the loss of all daemons.
+// TestLoadThatKeepsMoreThanTheStoreHolds: programs that do not fit are refused at their
+// first turn. The store never fills, admitted programs end, as much is served as the store
+// can keep, and the usual load is served as soon as it is back, even after the loss of all
+// daemons.
 func TestLoadThatKeepsMoreThanTheStoreHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const usual, heavy, back, lost = 4 * time.Second, 70 * time.Second, 80 * time.Second, 100 * time.Second
@@ -163,7 +156,7 @@
 			t.Errorf("%d programs that were let in did not end", broken)
 		}
 		first, last := l.count(l.ended, usual, 40*time.Second), l.count(l.ended, 40*time.Second, heavy)
-		const halfBest = (heavy - 40*time.Second) / time.Second * loadedCapacity * 9 / 10 / 70 / (loadTurns*(loadText+turnHeadBytes) + accountBytes)
+		const halfBest = (heavy - 40*time.Second) / time.Second * loadedCapacity * 9 / 10 / 70 / (loadTurns*(loadText+turnHeaderBytes) + accountBytes)
 		if last < int(halfBest)*2/3 {
 			t.Errorf("%d programs ended in the second half of the heavy load, the store could keep %d", last, halfBest)
 		}
@@ -183,8 +176,8 @@
 	})
 }
 
-// TestShardIsClaimedFromAFullStore: all daemons are lost while the store is full. Who comes back
-// makes room by trimming history, which needs no claim, and serves.
+// TestShardIsClaimedFromAFullStore: after the loss of all daemons, a daemon makes room in a
+// full store by trimming history, which needs no claim, and serves.
 func TestShardIsClaimedFromAFullStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
@@ -209,7 +202,7 @@
 	})
 }
 
-// TestBoundIsLearnedFromAStoreThatIsFullBelowIt: the store holds less than the settings say.
+// TestBoundIsLearnedFromAStoreThatIsFullBelowIt: the store holds less than configured.
 func TestBoundIsLearnedFromAStoreThatIsFullBelowIt(t *testing.T) {
 	capacity := newStoreCapacity(Options{StoreBytes: 1000, Partitions: make([]store.Partition, 1), Metrics: NewMetrics(prometheus.NewRegistry())})
 	now := time.Now()
@@ -217,32 +210,33 @@
 	if plan := capacity.plan(now); plan.IsCrowded {
 		t.Errorf("crowded before: %+v", plan)
 	}
-	capacity.foundFull(now)
+	capacity.noteStoreFull(now)
 	if bound := capacity.boundAt(now); bound != 98 {
 		t.Errorf("bound %v", bound)
 	}
 	if plan := capacity.plan(now.Add(planInterval)); !plan.IsExhausted {
 		t.Errorf("more may be kept: %+v", plan)
 	}
-	capacity.note(0, profileOf(400), now.Add(time.Second)) // a bound does not rise by what is kept
-	capacity.foundFull(now.Add(time.Second))
+	capacity.note(0, profileOf(400), now.Add(time.Second)) // a higher usage must not raise the bound
+	capacity.noteStoreFull(now.Add(time.Second))
 	if bound := capacity.boundAt(now.Add(time.Second)); bound != 98 {
 		t.Errorf("bound %v", bound)
 	}
-	if bound := capacity.boundAt(now.Add(learnedLife)); bound != 1000 {
-		t.Errorf("bound %v after what was kept then is gone", bound)
+	if bound := capacity.boundAt(now.Add(learnedBoundTTL)); bound != 1000 {
+		t.Errorf("bound %v after what was kept then has expired", bound)
 	}
 }
 
-// profileOf is of bytes that are dropped in half a minute.
+// profileOf returns a profile of bytes that expire in half a minute.
 func profileOf(bytes int64) storecapacity.Profile {
 	profile := storecapacity.Profile{RetentionMS: 30_000}
 	profile.Add(bytes, 30*time.Second)
 	return profile
 }
 
-// TestShardTellsWhatItKeeps: by its records, also after they were read again, and what goes.
-func TestShardTellsWhatItKeeps(t *testing.T) {
+// TestShardReportsItsUsage: it reports all records, also after a takeover, until they
+// expire.
+func TestShardReportsItsUsage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		fill := func(s *Service, run string) {
@@ -254,7 +248,7 @@
 		}
 		mustKeep := func(s *Service, turns int64) {
 			t.Helper()
-			time.Sleep(time.Second) // texts are read behind a claim
+			time.Sleep(time.Second) // texts are read after a claim
 			told := make(chan int64)
 			sum := int64(0)
 			for _, h := range s.holders {
@@ -265,7 +259,7 @@
 				})
 				sum += <-told
 			}
-			if want := turns * (loadText + turnHeadBytes); sum != want {
+			if want := turns * (loadText + turnHeaderBytes); sum != want {
 				t.Errorf("%d bytes, want %d", sum, want)
 			}
 		}
@@ -276,19 +270,19 @@
 		s = f.start(daemonID(0, 2))
 		fill(s, "second")
 		mustKeep(s, 40)
-		time.Sleep(loadRetention + keepMargin)
+		time.Sleep(loadRetention + retentionMargin)
 		fill(s, "third")
 		mustKeep(s, 20)
 	})
 }
 
-// TestHeavyLoadIsServedOnThroughALossOfAll: at twice what is usual, in a fleet in which each daemon
-// hears of few shards itself, a loss of all daemons is followed by no time in which hardly any
-// program is let in: before, 8 to 13 a second were for five seconds, of 48.
-func TestHeavyLoadIsServedOnThroughALossOfAll(t *testing.T) {
+// TestHeavyLoadIsServedThroughALossOfAll: at twice the usual load, in a fleet in which each
+// daemon receives reports of few shards, a loss of all daemons must not be followed by
+// seconds in which hardly any program is admitted.
+func TestHeavyLoadIsServedThroughALossOfAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
-			fleet, scale = 48, 4 // of the other tests' store and load
+			fleet, scale = 48, 4 // relative to the other tests' store and load
 			lost, end    = 36 * time.Second, 70 * time.Second
 		)
 		f := newTestFleet(t, 1)
--- a/internal/ledger/superseded_test.go
+++ b/internal/ledger/superseded_test.go
@@ -10,17 +10,17 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// supersedeHolder lets a program begin from the allowance of a shard's holder while the
-// store is out, and lets the other daemon take the shard as soon as the store is back,
-// before the holder's records arrive. It returns the former and the new holder, and the
-// program that spent or reserved 500 of its 1000 tokens.
+// supersedeHolder begins a program from the allowance of a shard's holder while the store
+// is out. As soon as the store is back, before the holder's records arrive, the other
+// daemon takes the shard. It returns the former and the new holder, and the program, which
+// has reserved 500 of its 1000 tokens.
 func supersedeHolder(t *testing.T, before func(f *testFleet, holder structs.DaemonID)) (former, successor *Service, program string) {
 	t.Helper()
 	f, _, names := newWarmFleet(t, 2, 2)
 	holder := f.holderOf(names[0])
 	former, successor = f.service(holder), f.other(names[0])
 	f.store.SetDown(true)
-	time.Sleep(firstTurnTime)
+	time.Sleep(singleTurnPeriod)
 	if _, err := former.Begin(testContext(t), allowanceTurn(names[1], "out", 500)); err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 			f.setDeaf(holder, true)
 			started = time.Now()
 		})
-		if took := time.Since(started); took > formerAnswerTime+10*time.Millisecond {
+		if took := time.Since(started); took > formerAnswerTimeout+10*time.Millisecond {
 			t.Errorf("the claim took %s", took)
 		}
 		begin(t, successor, allowanceTurn(program, "after", 100))
@@ -60,23 +60,24 @@
 	})
 }
 
-// TestHolderThatToldItsSuccessorGrantsNothing: what it grants later would be in nobody's
-// account.
+// TestHolderThatToldItsSuccessorGrantsNothing: later grants would be missing from the
+// accounts.
 func TestHolderThatToldItsSuccessorGrantsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		former, _, program := supersedeHolder(t, func(*testFleet, structs.DaemonID) {})
 		late := allowanceTurn(programsOfOneShard(former, 3)[2], "late", 100)
 		request := Request{Shard: former.shardOf(program), Begin: &late}
 		if got := former.askOne(testContext(t), former.Self, request).Result; got != resultMoved {
-			t.Errorf("the former holder said %q", got)
+			t.Errorf("the former holder answered %q", got)
 		}
 	})
 }
 
-// claimTwice lets a program's holder die, and two daemons claim the shard one right after the
-// other: the second knows of the first only what the directory tells, which is nothing yet. It
-// returns both, and false if the second left the shard to the first, as it does where the store
-// tells it of a higher epoch. If isDead, the second takes the first for dead.
+// claimTwice kills a program's holder and lets two daemons claim the shard one right after
+// the other, the second of which knows no more of the first than the directory, which does
+// not name it yet. It returns both, and false if the second left the shard to the first, as
+// it does if the store rejects its epoch as too low. With isDead, the second believes that
+// the first is dead.
 func claimTwice(t *testing.T, isDead bool) (first, second *Service, program string, taken bool) {
 	t.Helper()
 	f := newTestFleet(t, 0)
@@ -117,7 +118,7 @@
 	return first, second, program, second.askOne(testContext(t), second.Self, take).Result == resultOK
 }
 
-// accountOf returns what a daemon knows, or knew when it lost the shard, of a program.
+// accountOf returns what a daemon knows of a program, or knew when it lost the shard.
 func (s *Service) accountOf(program string) account {
 	h := s.holders[s.shardOf(program)]
 	if h.state != nil {
@@ -126,20 +127,14 @@
 	return h.former.accounts[program].account
 }
 
-// TestFirstOfTwoClaimantsTellsTheSecondWhatItGranted plays how a program with room in its budget
-// was refused. What users saw: of the programs that ran while a zone was cut off, a few ended with
-// the word that their budget is spent, after they had spent a fifth of it.
-//
-// The order of events: a shard's holder is cut off, and two daemons claim the shard within a
-// second, the second as it is behind, or as it was cut off until now and takes all others for dead.
-// The first has granted headroom to the program again when the second supersedes it. The directory
-// still named the holder that was cut off, so the second asked that one, which is silent, and
-// counted what the first had set aside as spent, on top of what it had counted itself: 588 of 840
-// tokens. The first lived all the time and could have told.
+// TestFirstOfTwoClaimantsTellsTheSecondWhatItGranted: when two daemons claim a shard within
+// a second, the directory may still name the lost holder. The second claimant must ask the
+// first one what it granted. Otherwise it counts the first one's headroom as spent, and
+// programs with room in their budget are refused.
 func TestFirstOfTwoClaimantsTellsTheSecondWhatItGranted(t *testing.T) {
 	for name, isDead := range map[string]bool{"lives in the second's view": false, "dead in the second's view": true} {
 		t.Run(name, func(t *testing.T) {
-			const most = 20 // claims, each of which supersedes the first with one chance in two at least
+			const most = 20 // claims, each of which supersedes the first with a probability of at least one half
 			for range most {
 				taken := false
 				synctest.Test(t, func(t *testing.T) {
--- a/internal/ledger/text_cache.go
+++ b/internal/ledger/text_cache.go
@@ -5,24 +5,23 @@
 	"sync"
 )
 
-// textsLimit bounds the bytes of chains that an asker remembers: some tens of programs'
-// histories, which a daemon of a large fleet has under way.
+// textsLimit bounds the cached bytes of chains: enough for the programs that a daemon of a
+// large fleet has under way.
 const textsLimit = 512 << 10
 
-// textCache remembers the text of chains that this daemon sent or was sent lately, by their
-// last turn. Half of a program's turns come by the daemon that had the one before, and
-// their history is most of what a reservation carries, two thirds of it between regions
-// where there are three. The text of a turn never changes. Whether it is still kept is
-// for the holder to say, each time. The zero value is ready.
+// textCache caches the texts of chains that this daemon recently sent or received, by their
+// last turn. Many turns arrive at the daemon that had the previous one, and their history
+// is most of the size of a reservation. The text of a turn never changes, but each time the
+// holder decides whether it is still kept. The zero value is ready.
 type textCache struct {
 	mutex  sync.Mutex
 	byTurn map[string][]byte
-	// order holds the turns from the one remembered first.
+	// order holds the turns, oldest entry first.
 	order []string
 	bytes int
 }
 
-// get returns the text of a chain up to a turn; false if it is not remembered.
+// get returns the text of a chain up to a turn; false if it is not cached.
 func (t *textCache) get(turn string) ([]byte, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -30,7 +29,7 @@
 	return slices.Clip(text), known
 }
 
-// put remembers the text of a chain up to a turn; the oldest are forgotten.
+// put caches the text of a chain up to a turn and evicts the oldest entries.
 func (t *textCache) put(turn string, text []byte) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -50,8 +49,9 @@
 	}
 }
 
-// extend remembers the text of a chain up to a turn that was kept, if that of the turn
-// before it is remembered, and forgets the latter: few programs go on from a turn twice.
+// extend caches the text of a chain up to a turn that was kept, if the text up to the
+// previous turn is cached. It removes the latter, as few programs continue from the same
+// turn twice.
 func (t *textCache) extend(kept *KeptTurn) {
 	before, known := t.get(kept.Previous)
 	if !known && kept.Previous != "" {
--- a/internal/ledger/text_cache_test.go
+++ b/internal/ledger/text_cache_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// chainOf lets a service take some turns of one program, each on from the last, and
+// chainOf runs some turns of one program at a service, each continuing from the last, and
 // returns the last turn and the text of the chain.
 func chainOf(t *testing.T, s *Service, program string, turns int) (last string, text []byte) {
 	t.Helper()
@@ -29,8 +29,8 @@
 	return last, text
 }
 
-// TestHistoryIsSentOnceToTheDaemonThatGoesOn: what it had to do with it remembers, and
-// any other daemon gets it in full.
+// TestHistoryIsSentOnceToTheDaemonThatGoesOn: a daemon caches the texts that it sent or
+// received, and any other daemon receives the full text.
 func TestHistoryIsSentOnceToTheDaemonThatGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
@@ -46,7 +46,7 @@
 				other = f.service(id)
 			}
 		}
-		for i := range 2 { // the second time it has them from the first
+		for i := range 2 { // the second time it is cached
 			grant, err := other.Begin(testContext(t), Turn{ID: fmt.Sprint("on-", i), Program: "p", Previous: last, Retention: time.Minute})
 			if err != nil || !bytes.Equal(grant.History, text) {
 				t.Errorf("another daemon gets %q and %v, want %q", grant.History, err, text)
@@ -58,32 +58,32 @@
 	})
 }
 
-// TestRememberedTextIsNoGrant: whether a turn is still kept is for the holder to say.
-func TestRememberedTextIsNoGrant(t *testing.T) {
+// TestCachedTextIsNoGrant: the holder decides whether a turn is still kept.
+func TestCachedTextIsNoGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		s := f.service(daemonID(0, 1))
 		last, _ := chainOf(t, s, "p", 2)
-		time.Sleep(2*time.Minute + keepMargin)
-		chainOf(t, s, "q", 1) // the holder looks for what is over
+		time.Sleep(2*time.Minute + retentionMargin)
+		chainOf(t, s, "q", 1) // makes the holder sweep expired records
 		time.Sleep(expireInterval)
 		_, err := s.Begin(testContext(t), Turn{ID: "late", Program: "p", Previous: last, Retention: time.Minute})
 		if _, remembered := s.texts.get(last); !remembered || !errors.Is(err, ErrUnknownTurn) {
-			t.Errorf("remembered %v: got %v, want %v", remembered, err, ErrUnknownTurn)
+			t.Errorf("cached %v: got %v, want %v", remembered, err, ErrUnknownTurn)
 		}
 	})
 }
 
-// TestDaemonThatOnlyAsksRemembersNoText: it may be where the text may not be kept.
-func TestDaemonThatOnlyAsksRemembersNoText(t *testing.T) {
+// TestClientOnlyDaemonCachesNoText: it may be in a region where the text must not be kept.
+func TestClientOnlyDaemonCachesNoText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		s := f.service(daemonID(0, 1))
-		chainOf(t, f.service(daemonID(1, 1)), "warm", 1) // the other holds a shard
+		chainOf(t, f.service(daemonID(1, 1)), "warm", 1) // the other daemon holds a shard
 		s.ClientOnly = true
 		chainOf(t, s, "warm-too", 2)
 		if s.texts.bytes > 0 {
-			t.Errorf("%d bytes are remembered", s.texts.bytes)
+			t.Errorf("%d bytes are cached", s.texts.bytes)
 		}
 	})
 }
@@ -105,6 +105,6 @@
 		}
 	}
 	if _, known := remembered.get("999"); !known {
-		t.Error("the newest is forgotten")
+		t.Error("the newest text is not cached")
 	}
 }
--- a/internal/ledger/histories_test.go
+++ b/internal/ledger/text_load_test.go
@@ -12,8 +12,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// gatedStore gives listings in pages of two records, those of texts after the first
-// only once the gate is open.
+// gatedStore returns pages of two records. Pages of texts after the first are returned only
+// once the gate is open.
 type gatedStore struct {
 	store.Store
 	gate   chan struct{}
@@ -39,8 +39,8 @@
 	return page, err
 }
 
-// newGatedFleet is a fleet that lost the holder of a shard with a chain of turns, t-1
-// to t-last, and the gate to its texts.
+// newGatedFleet returns a fleet that lost the holder of a shard with a chain of turns, t-1
+// to t-last, and the store that gates their texts.
 func newGatedFleet(t *testing.T, last int) (*testFleet, *gatedStore) {
 	f := newTestFleet(t, 0)
 	gated := &gatedStore{Store: f.store, gate: make(chan struct{})}
@@ -59,8 +59,8 @@
 	return f, gated
 }
 
-// TestClaimServesBeforeTextsAreRead: a turn that begins a line waits for the accounts
-// alone; one that goes on from another waits for its text, and gets all of it.
+// TestClaimServesBeforeTextsAreRead: a turn that begins a chain waits for the accounts
+// only; one that continues from another waits for its text, and gets all of it.
 func TestClaimServesBeforeTextsAreRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, gated := newGatedFleet(t, 5)
@@ -78,13 +78,13 @@
 		}
 		close(gated.gate)
 		if got, want := <-goesOn, "in-t-1 out-t-1 in-t-2 out-t-2 in-t-3 out-t-3 in-t-4 out-t-4 in-t-5 out-t-5 "; got != want {
-			t.Errorf("the turn goes on from %q, want %q", got, want)
+			t.Errorf("the turn continues from %q, want %q", got, want)
 		}
 	})
 }
 
-// TestTextsThatAreNotReadAreNotUnknown: while the store does not give the rest of a
-// shard, a turn that may be there is neither found nor missing.
+// TestTextsThatAreNotReadAreNotUnknown: while the store does not return the rest of a
+// shard, a turn that may be there is neither found nor unknown.
 func TestTextsThatAreNotReadAreNotUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, gated := newGatedFleet(t, 5)
@@ -102,8 +102,8 @@
 		started := time.Now()
 		next := Turn{ID: "asked", Program: "p", BudgetTokens: 1000, MaxTokens: 10, Previous: "t-5"}
 		holder := f.service(f.holderOf("p"))
-		if got := askHolder(t, holder, Request{Begin: &next}); got != resultImpaired || time.Since(started) > 2*historiesRetryPause {
-			t.Errorf("who waits for a text hears %q after %s", got, time.Since(started))
+		if got := askHolder(t, holder, Request{Begin: &next}); got != resultImpaired || time.Since(started) > 2*textRetryInterval {
+			t.Errorf("an operation that waits for a text got %q after %s", got, time.Since(started))
 		}
 		gated.failed = false
 		close(gated.gate)
@@ -113,7 +113,7 @@
 }
 
 // TestChainsAreKeptWhoseTextsAreRead: the first turn of a chain is kept as long as its
-// last, though it is read long before.
+// last, even if it was read long before.
 func TestChainsAreKeptWhoseTextsAreRead(t *testing.T) {
 	now := time.Now()
 	s := newState(now)
@@ -126,7 +126,7 @@
 		return store.Record{Key: turnPrefix + id, Value: value}
 	}
 	for _, r := range []store.Record{record("a", "", time.Minute), record("b", "a", time.Hour)} {
-		if err := s.loadLater(r); err != nil {
+		if err := s.loadLate(r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -137,27 +137,28 @@
 	}
 }
 
-// TestTextsThatAreWantedGoFirst: they do not queue behind those that nobody waits for.
+// TestTextsThatAreWantedGoFirst: they do not queue behind texts that no operation waits
+// for.
 func TestTextsThatAreWantedGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bound := make(slots, 1)
-		release, err := bound.take(t.Context(), func() {})
+		bound := make(semaphore, 1)
+		release, err := bound.acquire(t.Context(), func() {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		wanted := make(chan struct{})
 		time.AfterFunc(100*time.Millisecond, func() { close(wanted) })
 		started := time.Now()
-		if _, err := bound.takeUnless(t.Context(), wanted, func() {}); err != nil || time.Since(started) != 100*time.Millisecond {
-			t.Errorf("texts that became wanted waited for %s, %v", time.Since(started), err)
+		if _, err := bound.acquireUnless(t.Context(), wanted, func() {}); err != nil || time.Since(started) != 100*time.Millisecond {
+			t.Errorf("texts that became urgent waited for %s, %v", time.Since(started), err)
 		}
 		release()
-		if _, err := bound.take(t.Context(), func() {}); err != nil {
-			t.Errorf("the slot was not given back: %v", err)
+		if _, err := bound.acquire(t.Context(), func() {}); err != nil {
+			t.Errorf("the slot was not released: %v", err)
 		}
 		ended, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := bound.take(ended, func() {}); !errors.Is(err, store.ErrUnavailable) {
+		if _, err := bound.acquire(ended, func() {}); !errors.Is(err, store.ErrUnavailable) {
 			t.Errorf("a second slot: %v, want %v", err, store.ErrUnavailable)
 		}
 	})
--- a/internal/ledger/turn_record.go
+++ b/internal/ledger/turn_record.go
@@ -7,9 +7,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// turnHead is the first line of a turn's record; the input and the output
-// follow as they are.
-type turnHead struct {
+// turnHeader is the first line of a turn's record; the input and the output follow
+// unencoded.
+type turnHeader struct {
 	Previous    string `json:"previous,omitempty"`
 	InputBytes  int    `json:"input"`
 	OutputBytes int    `json:"output"`
@@ -17,11 +17,11 @@
 	UsedAtMS    int64  `json:"used_at_ms,omitempty"`
 }
 
-// errTurnLength: a turn's record is not as long as its head says.
-var errTurnLength = eris.New("ledger: the length of a turn's record is wrong")
+// errTurnLength: the length of a turn's record does not match its header.
+var errTurnLength = eris.New("ledger: the length of the turn's record does not match its header")
 
 func encodeTurn(entry *turnEntry) ([]byte, error) {
-	head, err := json.Marshal(turnHead{
+	head, err := json.Marshal(turnHeader{
 		Previous:    entry.Previous,
 		InputBytes:  len(entry.Input),
 		OutputBytes: len(entry.Output),
@@ -29,7 +29,7 @@
 		UsedAtMS:    entry.UsedAtMS,
 	})
 	if err != nil {
-		return nil, eris.Wrap(err, "ledger: encode a turn")
+		return nil, eris.Wrap(err, "ledger: encode the header of a turn's record")
 	}
 	record := append(head, '\n')
 	record = append(record, entry.Input...)
@@ -38,9 +38,9 @@
 
 func decodeTurn(id string, record []byte) (*turnEntry, error) {
 	line, text, _ := bytes.Cut(record, []byte("\n"))
-	var head turnHead
+	var head turnHeader
 	if err := json.Unmarshal(line, &head); err != nil {
-		return nil, eris.Wrap(err, "ledger: a turn's head")
+		return nil, eris.Wrap(err, "ledger: decode the header of a turn's record")
 	}
 	if head.InputBytes < 0 || head.OutputBytes < 0 || head.InputBytes+head.OutputBytes != len(text) {
 		return nil, errTurnLength
--- a/internal/ledger/trouble_test.go
+++ b/internal/ledger/unavailability_test.go
@@ -8,8 +8,8 @@
 	"github.com/mintpulley/mintpulley/internal/admission"
 )
 
-// A turn that waits for a shard's reading meets a takeover: its length says nothing
-// of outages of the store.
+// The duration of a takeover that a turn waits for must not count as the duration of an
+// outage of the store.
 func TestTakeoverIsNotTakenForAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRollingFleet(t, 1)
@@ -24,7 +24,7 @@
 	})
 }
 
-// outageForecast is how long an outage that begins now is expected to last.
+// outageForecast returns how long an outage that begins now is expected to last.
 func outageForecast(s *Service) time.Duration {
 	now := time.Now()
 	return s.Admission.Decide(admission.Wait{Kind: admission.StoreOut, Since: now, Worthless: now}, now).Remaining
--- a/internal/ledger/long_day_test.go
+++ b/internal/ledger/uptime_test.go
@@ -12,26 +12,26 @@
 	// shortDay is longer than all retentions, and tenDays ten times as long.
 	shortDay = 3 * time.Minute
 	tenDays  = 10 * shortDay
-	// restartPause separates the restarts of a long day, each of the next daemon, and
-	// longPrograms begin each second.
+	// restartPause separates the restarts of daemons, one after the other, and longPrograms
+	// begin each second.
 	restartPause = 20 * time.Second
 	longPrograms = 2
 )
 
-// keptOf is what a fleet keeps, by name.
+// keptOf returns the sizes of what a fleet keeps, by name.
 func (f *testFleet) keptOf() map[string]int {
 	kept := map[string]int{"store": f.store.Kept(), "goroutines": runtime.NumGoroutine()}
 	for _, id := range f.ids() {
 		s := f.service(id)
-		s.avoided.mutex.Lock()
-		kept["bad news"] += len(s.avoided.shards) + len(s.avoided.daemons)
-		s.avoided.mutex.Unlock()
+		s.avoidList.mutex.Lock()
+		kept["failure reports"] += len(s.avoidList.shards) + len(s.avoidList.daemons)
+		s.avoidList.mutex.Unlock()
 		s.texts.mutex.Lock()
 		kept["texts"] += s.texts.bytes
 		s.texts.mutex.Unlock()
-		s.troubles.mutex.Lock()
-		kept["troubles"] += len(s.troubles.shards)
-		s.troubles.mutex.Unlock()
+		s.episodes.mutex.Lock()
+		kept["troubles"] += len(s.episodes.shards)
+		s.episodes.mutex.Unlock()
 		s.isolation.mutex.Lock()
 		kept["daemons seen"] += len(s.isolation.seen)
 		s.isolation.mutex.Unlock()
@@ -56,15 +56,15 @@
 	return kept
 }
 
-// TestTenTimesTheDayKeepsNoMore: at the same load, what the store and the daemons keep does not
-// depend on how long the day has lasted, whether daemons stay or start again all the time.
-func TestTenTimesTheDayKeepsNoMore(t *testing.T) {
+// TestUsageDoesNotGrowWithUptime: under a constant load, what the store and the daemons
+// keep does not depend on the uptime, whether or not daemons restart all the time.
+func TestUsageDoesNotGrowWithUptime(t *testing.T) {
 	for name, restarts := range map[string]bool{"daemons stay": false, "a daemon starts again each 20 s": true} {
-		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { testTenTimesTheDay(t, restarts) }) })
+		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { testUsageDoesNotGrow(t, restarts) }) })
 	}
 }
 
-func testTenTimesTheDay(t *testing.T, restarts bool) {
+func testUsageDoesNotGrow(t *testing.T, restarts bool) {
 	f := newTestFleet(t, 3)
 	f.storeBytes = loadedCapacity
 	l := newProgramLoad(f)
@@ -86,7 +86,8 @@
 	long := f.keptOf()
 	l.wait()
 	for what, before := range short {
-		// Loads differ by their programs' turn of the moment, and how long ago a restart was.
+		// The sizes vary with the stage that programs are in and the time since the last
+		// restart.
 		if after := long[what]; after > before+before/4+10 {
 			t.Errorf("%s: %d after %s, %d after %s", what, before, shortDay, after, tenDays)
 		}
@@ -94,7 +95,7 @@
 	t.Logf("kept after %s: %v, after %s: %v", shortDay, short, tenDays, long)
 }
 
-// restart starts a daemon again under its next run.
+// restart replaces a daemon by its next incarnation.
 func (f *testFleet) restart(number int, run uint64) {
 	for _, id := range f.ids() {
 		if id.Address() == daemonID(number, 1).Address() {
--- a/internal/storecapacity/capacity_test.go
+++ b/internal/storecapacity/capacity_test.go
@@ -13,7 +13,7 @@
 const (
 	testBound = 400e6
 	testLife  = 70 * time.Second
-	// programBytes are kept by a program, an equal part in each of the steps of programLength.
+	// A program writes programBytes, an equal part in each step of programLength.
 	programBytes  = 100_000
 	programLength = 4 * time.Second
 	programSteps  = int(programLength / step)
@@ -21,22 +21,23 @@
 	testParts     = 8
 )
 
-// model is a store with programs that begin at some rate, in one part of the fleet as in any
-// other: what it keeps is what all parts keep.
+// model is a store with programs that begin at some rate. It models one shard, whose usage
+// stands for that of the whole fleet.
 type model struct {
 	gate Gate
-	// kept holds the bytes that were kept in each step, and are to be by programs under way; now
-	// is the number of the current step.
+	// kept holds the bytes written in each step, including future ones of programs under
+	// way; now is the number of the current step.
 	kept []int64
 	now  int
-	// most are the most bytes that were kept at a time, and refused counts programs. The gate
-	// sees the profile of the second before the latest.
+	// most is the highest usage so far, and refused counts programs. The gate sees the
+	// profile of the second before the latest.
 	refused          int
 	most             int64
 	reported, second Profile
 }
 
-// profile returns what is kept now, and what is to come of programs under way.
+// profile returns the current usage and, if coming is set, the future one of programs under
+// way.
 func (m *model) profile(coming bool) Profile {
 	p := Profile{RetentionMS: testLife.Milliseconds(), ProgramBytes: programBytes}
 	for i, bytes := range m.kept {
@@ -48,7 +49,7 @@
 	return p
 }
 
-// begin lets a program begin now.
+// begin starts a program now.
 func (m *model) begin() {
 	for len(m.kept) < m.now+programSteps+1 {
 		m.kept = append(m.kept, 0)
@@ -58,8 +59,8 @@
 	}
 }
 
-// run offers bytes a second for a while, with a report each second that is a second old, and
-// returns the programs that began.
+// run offers a load in bytes per second for a while, with reports each second that are a
+// second old, and returns how many programs began.
 func (m *model) run(offered float64, length time.Duration) (begun int) {
 	due := 0.0
 	for range length / step {
@@ -74,7 +75,7 @@
 			case admitted:
 				m.begin()
 				begun++
-			case back < leastReturn || back > burstTime:
+			case back < minRetryAfter || back > burstTime:
 				panic(back)
 			default:
 				m.refused++
@@ -85,8 +86,8 @@
 	return begun
 }
 
-// TestStoreNeverFills: at any loads in any order less is kept than the store holds, with room for
-// what makes room, and programs begin at the floor's rate at least.
+// TestStoreNeverFills: under any sequence of loads the store keeps enough room to free
+// space, and programs begin at least at the base rate.
 func TestStoreNeverFills(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{}
@@ -95,21 +96,21 @@
 			length := time.Duration(rapid.IntRange(5, 60).Draw(t, "seconds")) * time.Second
 			before := m.refused
 			begun := m.run(offered, length)
-			floor := floorShare * (1 - reservedShare) * testBound / testLife.Seconds()
+			floor := baseRateShare * (1 - reservedShare) * testBound / testLife.Seconds()
 			least := 0.8 * min(offered, floor) * (length - 4*time.Second).Seconds() / programBytes
 			if float64(begun) < least {
 				t.Fatalf("%d programs began and %d were refused of %.1f MB/s in %s, floor %.1f MB/s", begun, m.refused-before, offered/1e6, length, floor/1e6)
 			}
 		}
-		if float64(m.most) > lastShare*testBound {
+		if float64(m.most) > exhaustedShare*testBound {
 			t.Fatalf("%d bytes were kept", m.most)
 		}
 	})
 }
 
-// TestLoadBeyondTheStoreIsServedAsTheStoreAllows: of three times what can be kept in the long run
-// nine tenths of that are served, and two thirds in each span of five seconds. The usual load is
-// served as soon as it is back.
+// TestLoadBeyondTheStoreIsServedAsTheStoreAllows: under three times the sustainable load,
+// nine tenths of the sustainable load are served, and two thirds in any span of five
+// seconds. Afterwards the usual load is served at once.
 func TestLoadBeyondTheStoreIsServedAsTheStoreAllows(t *testing.T) {
 	m := &model{}
 	m.run(3e6, 30*time.Second)
@@ -137,8 +138,8 @@
 	return m.refused - before
 }
 
-// TestUsualLoadAndBurstsAreLetIn: a load that the store can keep is never refused, nor one of
-// twice that for some seconds.
+// TestUsualLoadAndBurstsAreLetIn: a sustainable load and short bursts of twice that are
+// never refused.
 func TestUsualLoadAndBurstsAreLetIn(t *testing.T) {
 	m := &model{}
 	for range 4 {
@@ -180,19 +181,19 @@
 	if got := p.TimeToFull(1e9); got != 0 {
 		t.Errorf("full in %s", got)
 	}
-	p.RetentionMS = longestLife.Milliseconds()
+	p.RetentionMS = maxRetention.Milliseconds()
 	if got := p.TimeToFull(1e9); got != 0 || !p.IsValid() {
-		t.Errorf("full in %s where things are kept for a year", got)
+		t.Errorf("full in %s with a retention of a year", got)
 	}
 	if p.RetentionMS++; p.IsValid() {
-		t.Error("kept for longer than anything is")
+		t.Error("a retention above the limit is valid")
 	}
 }
 
 func TestEstimateSpeaksForPartsThatWereNotHeardOf(t *testing.T) {
 	e := NewEstimate(testParts)
 	if _, known := e.Sum(start); known {
-		t.Error("known from nothing")
+		t.Error("there is an estimate without reports")
 	}
 	e.Note(0, Profile{Expiring: []int64{0, 0, 100}, RetentionMS: 1}, start)
 	e.Note(0, Profile{Expiring: []int64{0, 0, 900}, RetentionMS: 1}, start.Add(-time.Second)) // older
@@ -203,13 +204,13 @@
 	if want := int64(testParts / 2 * 400); !known || sum.Bytes() != want {
 		t.Errorf("%d bytes, want %d", sum.Bytes(), want)
 	}
-	if _, known := e.Sum(start.Add(reportLife + time.Second)); known {
-		t.Error("reports count for ever")
+	if _, known := e.Sum(start.Add(reportTTL + time.Second)); known {
+		t.Error("reports count after reportTTL")
 	}
 }
 
-// TestWhatIsKeptForLongIsNotTakenToBeDropped: nothing is let in on the strength of what is only
-// dropped beyond the slots.
+// TestWhatIsKeptForLongIsNotTakenToBeDropped: bytes that expire beyond the last slot must
+// not count as freed.
 func TestWhatIsKeptForLongIsNotTakenToBeDropped(t *testing.T) {
 	p := Profile{RetentionMS: time.Hour.Milliseconds()}
 	p.Add(int64(0.82*testBound), time.Hour)
@@ -221,8 +222,8 @@
 	}
 }
 
-// heardOf returns how many of 48 parts a daemon has heard of, in the mean of 48 daemons that ask three
-// holders a second each, after three seconds.
+// heardOf returns the mean part of 48 shards of which a daemon has a report, if 48 daemons
+// each ask three holders per second, after three seconds.
 func heardOf(passOn bool) float64 {
 	const parts = 48
 	estimates := make([]*Estimate, parts)
@@ -246,17 +247,18 @@
 	return float64(heard) / parts
 }
 
-// TestReportsArePassedOn: a daemon that asks few holders itself hears of others from those.
+// TestReportsArePassedOn: a daemon that asks few holders receives reports of other shards
+// from them.
 func TestReportsArePassedOn(t *testing.T) {
 	with, without := heardOf(true), heardOf(false)
 	if with < 1.5*without {
-		t.Errorf("heard of %.1f parts, and of %.1f if reports are not passed on", with, without)
+		t.Errorf("reports of %.1f of all shards, and of %.1f if they are not passed on", with, without)
 	}
 	now := start
 	e := NewEstimate(2)
 	e.Merge([]Report{{Shard: 2, Profile: Profile{RetentionMS: 1}}, {Shard: -1, Profile: Profile{RetentionMS: 1}}, {Shard: 0, AgeMS: -5, Profile: Profile{RetentionMS: 1}}}, now)
 	if len(e.reports) != 0 {
-		t.Errorf("reports of no part were taken: %v", e.reports)
+		t.Errorf("invalid reports were merged: %v", e.reports)
 	}
 }
 
--- a/internal/storecapacity/estimate.go
+++ b/internal/storecapacity/estimate.go
@@ -6,96 +6,97 @@
 )
 
 const (
-	// reportLife is how long a report counts: what was kept since is only known by the rate of
-	// then, which is wrong for as long after the load has changed.
-	reportLife = 4 * time.Second
-	// passOnAge is how old a report may be that is passed on, and passOn how many are at a time.
-	// At the usual load of the busiest deployment measured, a daemon hears of 9 of 48 parts a
-	// second so, and of two without.
-	passOnAge = 2 * time.Second
-	passOn    = 4
+	// reportTTL is how long a report counts. What was written since is extrapolated from
+	// the reported rate, which stays wrong for that long after the load has changed.
+	reportTTL = 4 * time.Second
+	// maxPassOnAge is how old a report that is passed on may be, and maxPassedOn how many
+	// are passed on at a time. They let a daemon learn of more shards than those it sends
+	// requests to.
+	maxPassOnAge = 2 * time.Second
+	maxPassedOn  = 4
 )
 
-// Report is what one part of the fleet keeps. It travels between daemons.
+// Report is the usage of one shard. It is sent between daemons.
 type Report struct {
 	Shard int `json:"part"`
-	// AgeMS is how many milliseconds ago the part kept that.
+	// AgeMS is how many milliseconds ago the profile was taken.
 	AgeMS   int64   `json:"age_ms,omitempty"`
 	Profile Profile `json:"profile"`
 }
 
-// Estimate is what the whole fleet keeps, by the reports of some of its parts. It is safe for
-// concurrent use.
+// Estimate estimates the usage of the whole fleet from the reports of some shards. It is
+// safe for concurrent use.
 type Estimate struct {
-	parts   int
+	shards  int
 	mutex   sync.Mutex
 	reports map[int]timedProfile
 }
 
-// timedProfile is what one part kept at a time.
+// timedProfile is the profile of one shard at a time.
 type timedProfile struct {
 	profile Profile
 	at      time.Time
 }
 
-// NewEstimate returns the estimate of a fleet of so many parts, among which programs are
-// spread evenly.
-func NewEstimate(parts int) *Estimate {
-	return &Estimate{parts: parts, reports: map[int]timedProfile{}}
+// NewEstimate returns the estimate of a fleet with a number of shards, among which programs
+// are spread evenly.
+func NewEstimate(shards int) *Estimate {
+	return &Estimate{shards: shards, reports: map[int]timedProfile{}}
 }
 
-// Merge takes the valid ones of reports that came from another daemon.
+// Merge adds the valid ones of another daemon's reports.
 func (e *Estimate) Merge(reports []Report, now time.Time) {
 	for _, report := range reports {
-		if report.AgeMS >= 0 && report.Shard >= 0 && report.Shard < e.parts {
+		if report.AgeMS >= 0 && report.Shard >= 0 && report.Shard < e.shards {
 			e.Note(report.Shard, report.Profile, now.Add(-time.Duration(report.AgeMS)*time.Millisecond))
 		}
 	}
 }
 
-// Note takes a part's report, if it is valid.
-func (e *Estimate) Note(part int, profile Profile, at time.Time) {
+// Note records the report of a shard, if it is valid and newer than the known one.
+func (e *Estimate) Note(shard int, profile Profile, at time.Time) {
 	if !profile.IsValid() {
 		return
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if known, isKnown := e.reports[part]; !isKnown || known.at.Before(at) {
-		e.reports[part] = timedProfile{profile: profile, at: at}
+	if known, isKnown := e.reports[shard]; !isKnown || known.at.Before(at) {
+		e.reports[shard] = timedProfile{profile: profile, at: at}
 	}
 }
 
-// Reports returns the report of a part, and with others those of some that were heard of lately, each
-// time of different ones.
-func (e *Estimate) Reports(part int, others bool, now time.Time) []Report {
+// Reports returns the report of a shard and, if others is set, those of some other recently
+// reported shards, which differ each time.
+func (e *Estimate) Reports(shard int, others bool, now time.Time) []Report {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	var told []Report
-	if known, isKnown := e.reports[part]; isKnown {
-		told = append(told, known.reportOf(part, now))
+	if known, isKnown := e.reports[shard]; isKnown {
+		told = append(told, known.reportOf(shard, now))
 	}
-	for other, known := range e.reports { // in an order that differs each time
-		if others && len(told) <= passOn && other != part && now.Sub(known.at) <= passOnAge {
+	for other, known := range e.reports { // in random order
+		if others && len(told) <= maxPassedOn && other != shard && now.Sub(known.at) <= maxPassOnAge {
 			told = append(told, known.reportOf(other, now))
 		}
 	}
 	return told
 }
 
-func (t timedProfile) reportOf(part int, now time.Time) Report {
-	return Report{Shard: part, AgeMS: max(now.Sub(t.at), 0).Milliseconds(), Profile: t.profile}
+func (t timedProfile) reportOf(shard int, now time.Time) Report {
+	return Report{Shard: shard, AgeMS: max(now.Sub(t.at), 0).Milliseconds(), Profile: t.profile}
 }
 
-// Sum returns what the whole fleet keeps; false if no part was heard of lately.
+// Sum returns the estimated usage of the whole fleet; false if no shard was reported
+// recently.
 func (e *Estimate) Sum(now time.Time) (Profile, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	var sum Profile
 	heard, programs := 0, 0
-	for part, known := range e.reports {
+	for shard, known := range e.reports {
 		age := now.Sub(known.at)
-		if age > reportLife {
-			delete(e.reports, part)
+		if age > reportTTL {
+			delete(e.reports, shard)
 			continue
 		}
 		heard++
@@ -108,5 +109,5 @@
 		return Profile{}, false
 	}
 	sum.ProgramBytes /= int64(max(programs, 1))
-	return sum.times(float64(e.parts) / float64(heard)), true
+	return sum.times(float64(e.shards) / float64(heard)), true
 }
--- a/internal/storecapacity/gate.go
+++ b/internal/storecapacity/gate.go
@@ -4,98 +4,102 @@
 
 const (
 	// reservedShare is the part of the store that programs' newest records leave free: for
-	// claims, for the dropping of records, for history (two seconds of what is kept and 128 KB
-	// for each of 48 shards: 4 in 100), for what is let in by reports that are a second old, and
-	// for the error of the estimate (6% by 16 of 48 shards).
+	// claims, the dropping of records, history (two seconds of appends and 128 KB for each
+	// of 48 shards: 4 in 100), programs that are admitted by outdated reports, and the
+	// error of the estimate (6% with 16 of 48 shards).
 	reservedShare = 0.15
-	// tightShare is the part of the store from which on what is of least value goes at once: the
-	// usual load of the busiest deployment measured keeps just above that.
+	// tightShare is the fill level from which on data of the least value is dropped at
+	// once. The usual load of a busy deployment lies just above it.
 	tightShare = 0.5
-	// lastShare is the part of the store from which on nothing more is kept, also of programs
-	// that are under way: the rest is for what makes room.
-	lastShare = 0.96
-	// floorShare is the part of what the store can keep in the long run at which programs may
-	// always begin. More begin only while that can still be granted for as long as what is kept
-	// now stays: a quarter of the store is for bursts. A higher floor turns away in shorter
-	// bursts, a lower one more of a lasting load.
-	floorShare = 0.75
-	// correctionShare is by which part of the store what is kept may pass the plan until no
-	// program begins any more, and with how much less than that to spare it counts as crowded.
+	// exhaustedShare is the fill level from which on nothing more may be written, even by
+	// programs under way: the rest is for what makes room.
+	exhaustedShare = 0.96
+	// baseRateShare is the base rate, at which programs may always begin, as a part of the
+	// rate that the store can sustain. More programs may begin only while the base rate can
+	// still be granted until the current content has expired; the rest of the store is for
+	// bursts. A higher base rate leaves less for bursts, a lower one refuses more of a
+	// lasting load.
+	baseRateShare = 0.75
+	// correctionShare is by which part of the store the usage may exceed the plan until no
+	// program may begin any more. With less than that to spare the store counts as crowded.
 	correctionShare = 0.08
-	// spendTime is over what time the bytes beyond the floor may be kept: several times the age
-	// of reports. At once, loads beyond the floor would be let in and turned away by turns.
+	// spendTime is the time over which bytes beyond the base rate may be spent: several
+	// times the age of reports. If they were spent at once, admission would oscillate under
+	// a load beyond the base rate.
 	spendTime = 5 * time.Second
-	// burstTime is for how long the floor may be saved up by a part in which few programs begin.
+	// burstTime is for how long a shard in which few programs begin may accumulate the base
+	// rate.
 	burstTime = 4 * time.Second
-	// leastReturn is the least time after which a program that was turned away is told to come
-	// back: plans are some hundred milliseconds old.
-	leastReturn = 200 * time.Millisecond
+	// minRetryAfter is the least time after which a refused program is told to try again,
+	// as a plan is valid for some hundred milliseconds.
+	minRetryAfter = 200 * time.Millisecond
 )
 
-// Plan is what a store of a bound can still take beside what is kept.
+// Plan is what a store of a given size can still take in addition to its content.
 type Plan struct {
-	// Spare are the bytes that could be kept now beyond the floor, less than 0 if the floor
-	// could not be granted at some time to come.
+	// Spare is the number of bytes beyond the base rate that could be written now, negative
+	// if the base rate cannot be granted at all times to come.
 	Spare float64
-	// BaseRate is how many bytes a second may be kept at any time, and Rate how many now: more
-	// while there is something to spare, less if more was kept than planned.
+	// BaseRate is how many bytes per second may be written at any time, and Rate how many
+	// now: more while there is something to spare, fewer if more was written than planned.
 	BaseRate, Rate float64
 	// ProgramBytes is how many bytes a program usually leaves behind.
 	ProgramBytes float64
-	// IsTight: what can be done without goes. IsCrowded: not much more than the floor may be
-	// kept. IsExhausted: nothing at all.
+	// IsTight: dispensable data should be dropped. IsCrowded: not much more than the base
+	// rate may be written. IsExhausted: nothing may be written.
 	IsTight, IsCrowded, IsExhausted bool
 }
 
-// PlanFor weighs what is kept against the bound of the store, in bytes. Where nothing was ever
-// kept it plans nothing.
+// PlanFor derives a plan from the usage and the bound of the store, in bytes. Without any
+// usage it returns no plan.
 func PlanFor(kept Profile, bound float64) Plan {
 	if kept.RetentionMS <= 0 {
 		return Plan{}
 	}
 	usable := bound * (1 - reservedShare)
 	bytes := float64(kept.Bytes())
-	floor := floorShare * usable / kept.life().Seconds()
+	baseRate := baseRateShare * usable / kept.retention().Seconds()
 	spare := usable - bytes
 	left := spare
 	for _, leaving := range kept.Expiring[:min(len(kept.Expiring), slotsLimit-1)] {
-		left += float64(leaving) - floor*SlotLength.Seconds()
+		left += float64(leaving) - baseRate*SlotLength.Seconds()
 		spare = min(spare, left)
 	}
-	pace := floor + spare/spendTime.Seconds()
+	rate := baseRate + spare/spendTime.Seconds()
 	if spare < 0 {
-		pace = floor * max(1+spare/(correctionShare*usable), 0)
+		rate = baseRate * max(1+spare/(correctionShare*usable), 0)
 	}
 	return Plan{
-		Spare: spare, BaseRate: floor, Rate: pace, ProgramBytes: float64(kept.ProgramBytes),
-		IsTight: bytes >= tightShare*bound, IsCrowded: spare < correctionShare*usable, IsExhausted: bytes >= lastShare*bound,
+		Spare: spare, BaseRate: baseRate, Rate: rate, ProgramBytes: float64(kept.ProgramBytes),
+		IsTight: bytes >= tightShare*bound, IsCrowded: spare < correctionShare*usable, IsExhausted: bytes >= exhaustedShare*bound,
 	}
 }
 
-// Gate decides for one part of the fleet whether programs begin there. The zero value is ready.
+// Gate decides for one shard whether programs may begin there. It is a token bucket whose
+// rate follows the plan. The zero value is ready.
 type Gate struct {
-	// saved are the bytes that may be let in at once, less than 0 for a debt.
-	saved float64
-	at    time.Time
+	// balance is the number of bytes that may be admitted at once, negative for a debt.
+	balance float64
+	at      time.Time
 }
 
-// Admit tells whether a program may begin in one of so many parts, and if not, when it had
-// better come back. Without a plan all may.
-func (g *Gate) Admit(plan Plan, parts int, now time.Time) (admitted bool, back time.Duration) {
+// Admit reports whether a program may begin in one of a number of shards and, if not, when
+// it should be tried again. Without a plan all programs may begin.
+func (g *Gate) Admit(plan Plan, shards int, now time.Time) (admitted bool, retryAfter time.Duration) {
 	passed := now.Sub(g.at)
 	g.at = now
-	floor, pace := plan.BaseRate/float64(parts), plan.Rate/float64(parts)
-	if floor <= 0 {
+	baseRate, rate := plan.BaseRate/float64(shards), plan.Rate/float64(shards)
+	if baseRate <= 0 {
 		return true, 0
 	}
-	g.saved = min(g.saved+pace*passed.Seconds(), floor*burstTime.Seconds())
-	if g.saved >= 0 && pace > 0 {
-		g.saved -= plan.ProgramBytes
+	g.balance = min(g.balance+rate*passed.Seconds(), baseRate*burstTime.Seconds())
+	if g.balance >= 0 && rate > 0 {
+		g.balance -= plan.ProgramBytes
 		return true, 0
 	}
-	if pace <= 0 {
-		return false, burstTime // more was kept than planned, and some of it must be dropped first
+	if rate <= 0 {
+		return false, burstTime // more was written than planned, and some of it must expire first
 	}
-	wait := time.Duration(-g.saved / pace * float64(time.Second))
-	return false, min(max(wait, leastReturn), burstTime)
+	wait := time.Duration(-g.balance / rate * float64(time.Second))
+	return false, min(max(wait, minRetryAfter), burstTime)
 }
--- a/internal/storecapacity/profile.go
+++ b/internal/storecapacity/profile.go
@@ -1,12 +1,14 @@
-// Package storecapacity decides how much may be kept in a store that holds a bounded number of bytes.
+// Package storecapacity decides how much may be written to a store that holds a bounded
+// number of bytes.
 //
-// What programs leave behind is kept for a while and dropped then. Each part of the fleet
-// reports what it keeps and when that is dropped, a Profile; the profiles of some parts are an
-// estimate of the whole, an Estimate. From that a Gate decides whether a program may begin. The
-// rate at which programs begin at any load is never pressed below a floor, and programs that
-// were let in go on: a program is turned away before the store is full, and not after.
+// The records of programs are kept for a retention and then dropped. Each shard reports the
+// bytes it keeps and when they expire, a Profile. From the profiles of some shards an
+// Estimate derives the usage of the whole fleet, and from that a Gate decides whether a
+// program may begin. Programs can always begin at a base rate, whatever the load, and
+// admitted ones can finish: a program is refused before the store is full, not after it
+// began.
 //
-// The package is pure: it has no clock, no goroutine and no network.
+// The package has no clock, no goroutines and no network access of its own.
 package storecapacity
 
 import (
@@ -14,30 +16,30 @@
 	"time"
 )
 
-// SlotLength is the length of time that one entry of Profile.Expiring stands for: a twelfth of
-// the shortest retention that users ask for.
+// SlotLength is the duration that one entry of Profile.Expiring stands for: a twelfth of
+// the shortest usual retention.
 const SlotLength = 5 * time.Second
 
-// longestLife bounds for how long anything is said to be kept.
-const longestLife = 366 * 24 * time.Hour
+// maxRetention bounds the retention in a profile.
+const maxRetention = 366 * 24 * time.Hour
 
-// slotsLimit bounds the entries of Profile.Expiring. The last one stands for all that is dropped
-// later, of which PlanFor takes nothing to be dropped.
+// slotsLimit bounds the entries of Profile.Expiring. The last one stands for everything
+// that expires later, which PlanFor does not count on.
 const slotsLimit = 60
 
-// Profile is what is kept at some moment, and when it is dropped. It travels between daemons.
+// Profile is the bytes kept at some time, and when they expire. It is sent between daemons.
 type Profile struct {
-	// Expiring are the bytes that are dropped within each SlotLength from then on.
+	// Expiring are the bytes that expire in each following SlotLength.
 	Expiring []int64 `json:"leaving,omitempty"`
-	// Rate is how many bytes a second were kept lately, and RetentionMS for how many milliseconds
-	// such bytes are kept.
+	// Rate is how many bytes per second were written recently, and RetentionMS for how many
+	// milliseconds such bytes are kept.
 	Rate        int64 `json:"rate,omitempty"`
 	RetentionMS int64 `json:"life_ms,omitempty"`
-	// ProgramBytes is how many bytes a program usually leaves behind, 0 if that is not known.
+	// ProgramBytes is how many bytes a program usually leaves behind, 0 if it is not known.
 	ProgramBytes int64 `json:"program,omitempty"`
 }
 
-// Add adds bytes that are dropped after a while.
+// Add adds bytes that expire after a duration.
 func (p *Profile) Add(bytes int64, dropped time.Duration) {
 	slot := int(min(max(dropped, 0)/SlotLength, slotsLimit-1))
 	for len(p.Expiring) <= slot {
@@ -46,17 +48,17 @@
 	p.Expiring[slot] += bytes
 }
 
-// IsValid tells whether a profile that came from another daemon can be reckoned with.
+// IsValid reports whether a profile received from another daemon is within its bounds.
 func (p Profile) IsValid() bool {
 	return len(p.Expiring) <= slotsLimit && p.Rate >= 0 && p.ProgramBytes >= 0 &&
-		p.RetentionMS > 0 && p.RetentionMS <= longestLife.Milliseconds() &&
+		p.RetentionMS > 0 && p.RetentionMS <= maxRetention.Milliseconds() &&
 		!slices.ContainsFunc(p.Expiring, func(bytes int64) bool { return bytes < 0 })
 }
 
-// life is for how long bytes are kept.
-func (p Profile) life() time.Duration { return time.Duration(p.RetentionMS) * time.Millisecond }
+// retention returns how long bytes are kept.
+func (p Profile) retention() time.Duration { return time.Duration(p.RetentionMS) * time.Millisecond }
 
-// Bytes returns all bytes that are kept.
+// Bytes returns the total of bytes kept.
 func (p Profile) Bytes() int64 {
 	sum := int64(0)
 	for _, bytes := range p.Expiring {
@@ -65,11 +67,11 @@
 	return sum
 }
 
-// TimeToFull is when so many bytes are kept, if bytes are kept and dropped on as they were; 0 if that
-// is not within the life of what is kept now, or within all slots.
+// TimeToFull returns when so many bytes are kept, if bytes are written and expire as
+// before; 0 if that is not within the retention or the slots.
 func (p Profile) TimeToFull(bound float64) time.Duration {
-	life := min(p.life(), slotsLimit*SlotLength)
-	for passed := time.Duration(0); passed < life; passed += time.Second {
+	retention := min(p.retention(), slotsLimit*SlotLength)
+	for passed := time.Duration(0); passed < retention; passed += time.Second {
 		if float64(p.after(passed).Bytes()) >= bound {
 			return passed
 		}
@@ -77,8 +79,7 @@
 	return 0
 }
 
-// after returns the profile as it is some time later, if bytes are kept and dropped on as
-// they were.
+// after returns the profile some time later, if bytes are written and expire as before.
 func (p Profile) after(passed time.Duration) Profile {
 	later := p
 	later.Expiring = make([]int64, len(p.Expiring))
@@ -92,11 +93,11 @@
 			later.Expiring[to] += moved
 		}
 	}
-	later.Add(int64(float64(p.Rate)*passed.Seconds()), p.life())
+	later.Add(int64(float64(p.Rate)*passed.Seconds()), p.retention())
 	return later
 }
 
-// include adds another part's profile.
+// include adds another shard's profile.
 func (p *Profile) include(other Profile) {
 	for slot, bytes := range other.Expiring {
 		p.Add(bytes, time.Duration(slot)*SlotLength)
@@ -106,7 +107,7 @@
 	p.ProgramBytes += other.ProgramBytes
 }
 
-// times multiplies the bytes of all programs.
+// times scales the bytes by a factor, but not those per program.
 func (p Profile) times(factor float64) Profile {
 	scaled := p
 	scaled.Rate = int64(factor * float64(p.Rate))
