--- a/internal/ledger/append.go
+++ b/internal/ledger/append.go
@@ -96,15 +96,15 @@
 	done := make(chan error, 1)
 	ctx = store.WithPurpose(ctx, store.PurposeChanges)
 	go func() { done <- h.records.append(ctx, h.partition, current.writer, current.records) }()
-	trouble := time.NewTimer(slowAppendAfter)
-	defer trouble.Stop()
+	slow := time.NewTimer(slowAppendAfter)
+	defer slow.Stop()
 	for {
 		event := appendEvent{append: current, underway: true}
 		select {
 		case event.err = <-done:
 			event.underway = false
-		case <-trouble.C:
-			trouble.Reset(slowAppendInterval)
+		case <-slow.C:
+			slow.Reset(slowAppendInterval)
 		case <-ctx.Done():
 			return
 		}
@@ -210,8 +210,8 @@
 // store does not answer; 0 if it already does. The holder checks this every
 // slowAppendInterval.
 func (h *holder) fullAllowanceIn(now time.Time) time.Duration {
-	passed, stamped := h.status.allowanceSentAt.since(now)
-	if !stamped || passed >= singleTurnPeriod+slowAppendInterval {
+	passed, sent := h.status.allowanceSentAt.since(now)
+	if !sent || passed >= singleTurnPeriod+slowAppendInterval {
 		return 0
 	}
 	return singleTurnPeriod + slowAppendInterval - passed
--- a/internal/ledger/append_history_test.go
+++ b/internal/ledger/append_history_test.go
@@ -17,24 +17,24 @@
 // refuses all appends, and no turn can be recorded.
 
 const (
-	longDay     = 3 * time.Minute
-	longDayText = 1000
-	// longDayPause separates the turns, and longDayRetention is their retention.
-	longDayPause     = 50 * time.Millisecond
-	longDayRetention = 20 * time.Second
-	// longDayCapacity is twice the most that the newest records use: 45 s of 20 turns a
+	steadyLoadTime = 3 * time.Minute
+	steadyLoadText = 1000
+	// steadyLoadPause separates the turns, and steadyLoadRetention is their retention.
+	steadyLoadPause     = 50 * time.Millisecond
+	steadyLoadRetention = 20 * time.Second
+	// steadyLoadCapacity is twice the most that the newest records use: 45 s of 20 turns a
 	// second, each of some 1,200 bytes.
-	longDayCapacity = 2_200_000
+	steadyLoadCapacity = 2_200_000
 )
 
-// takeLongTurns runs turns of one program for a while, whose IDs begin with a prefix.
-func (f *testFleet) takeLongTurns(prefix string, length time.Duration) {
+// takeSteadyTurns runs turns of one program for a while, whose IDs begin with a prefix.
+func (f *testFleet) takeSteadyTurns(prefix string, length time.Duration) {
 	for started, turn := time.Now(), 0; time.Since(started) < length; turn++ {
 		s := f.service(f.ids()[0])
 		id := fmt.Sprint(prefix, "-", turn)
-		begin(f.t, s, Turn{ID: id, Program: "p", Retention: longDayRetention})
-		end(f.t, s, Outcome{Turn: id, Program: "p", Kept: &KeptTurn{ID: id, Input: bytes.Repeat([]byte("x"), longDayText)}})
-		time.Sleep(longDayPause)
+		begin(f.t, s, Turn{ID: id, Program: "p", Retention: steadyLoadRetention})
+		end(f.t, s, Outcome{Turn: id, Program: "p", Kept: &KeptTurn{ID: id, Input: bytes.Repeat([]byte("x"), steadyLoadText)}})
+		time.Sleep(steadyLoadPause)
 	}
 }
 
@@ -42,8 +42,8 @@
 func TestHistoryIsTrimmedUnderSteadyLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
-		f.store.SetCapacity(longDayCapacity)
-		f.takeLongTurns("turn", longDay)
+		f.store.SetCapacity(steadyLoadCapacity)
+		f.takeSteadyTurns("turn", steadyLoadTime)
 		if full := f.store.Full(); full > 0 {
 			t.Errorf("%d appends found the store full", full)
 		}
@@ -56,13 +56,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		s := f.service(f.ids()[0])
-		text := bytes.Repeat([]byte("x"), longDayText)
+		text := bytes.Repeat([]byte("x"), steadyLoadText)
 		for turn := range 100 {
 			id := fmt.Sprint("turn-", turn)
 			begin(t, s, Turn{ID: id, Program: "p", Retention: time.Minute})
 			end(t, s, Outcome{Turn: id, Program: "p", Kept: &KeptTurn{ID: id, Input: text}})
 		}
-		f.store.SetCapacity(250 * longDayText)
+		f.store.SetCapacity(250 * steadyLoadText)
 		waited := time.Now()
 		begin(t, s, Turn{ID: "last", Program: "p", Retention: time.Minute})
 		end(t, s, Outcome{Turn: "last", Program: "p", Kept: &KeptTurn{ID: "last", Input: text}})
@@ -77,9 +77,9 @@
 func TestShardThatMovesOftenIsTrimmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
-		f.store.SetCapacity(longDayCapacity)
-		for run := range uint64(longDay / (8 * time.Second)) {
-			f.takeLongTurns(fmt.Sprint("run-", run), 8*time.Second)
+		f.store.SetCapacity(steadyLoadCapacity)
+		for run := range uint64(steadyLoadTime / (8 * time.Second)) {
+			f.takeSteadyTurns(fmt.Sprint("run-", run), 8*time.Second)
 			f.start(daemonID(int(run), 2))
 			for _, id := range f.ids() {
 				if id != daemonID(int(run), 2) {
@@ -127,19 +127,19 @@
 	h := newAppendHistory(10, 0, time.Time{})
 	now := time.Time{}
 	for range 300 {
-		now = now.Add(longDayPause)
+		now = now.Add(steadyLoadPause)
 		h.note([]store.Record{{Key: "k", Value: bytes.Repeat([]byte("x"), minTrimBytes/10)}}, now)
 		before, due := h.due(historyRetention, now)
 		if !due {
 			continue
 		}
 		// the successor's last record was appended at most historyRetention ago
-		if kept := time.Duration(h.end-before) * longDayPause; kept < historyRetention {
+		if kept := time.Duration(h.end-before) * steadyLoadPause; kept < historyRetention {
 			t.Fatalf("at %s: %s of history are left", now.Sub(time.Time{}), kept)
 		}
 		h.trimmed(before)
 	}
-	if h.end-h.first > int64(2*historyRetention/longDayPause) {
+	if h.end-h.first > int64(2*historyRetention/steadyLoadPause) {
 		t.Errorf("%d of %d records are left", h.end-h.first, h.end)
 	}
 }
--- a/internal/ledger/ask.go
+++ b/internal/ledger/ask.go
@@ -44,7 +44,7 @@
 	impaired, silences := 0, 0
 	for range candidateTries {
 		known := s.known.get(shard)
-		target, failedEpoch := s.chooseTarget(shard, slices.Concat(asked, moved.about(known)), time.Now())
+		target, failedEpoch := s.chooseTarget(shard, slices.Concat(asked, moved.basedOn(known)), time.Now())
 		if target == "" {
 			break
 		}
@@ -110,10 +110,10 @@
 
 type movedAnswers []movedAnswer
 
-// about returns the daemons that answered with the knowledge that is current now. Newer
-// knowledge may have come by another request: an answer that a successor gave before the
-// release must not send a third daemon to take the shard.
-func (m movedAnswers) about(known knownHolder) []structs.DaemonID {
+// basedOn returns the daemons whose answers are based on the knowledge that is current now.
+// Newer knowledge may have come by another request: an answer that a successor gave before
+// the release must not send a third daemon to take the shard.
+func (m movedAnswers) basedOn(known knownHolder) []structs.DaemonID {
 	var daemons []structs.DaemonID
 	for _, answer := range m {
 		if answer.known.isSameClaim(known) {
--- a/internal/ledger/claim.go
+++ b/internal/ledger/claim.go
@@ -80,7 +80,7 @@
 	}
 	if answer == holderKeeps {
 		h.confirmed = holderConfirmation{holder: before, at: time.Now()}
-		h.metrics.kept()
+		h.metrics.leftToHolder()
 		h.logger.Info().Str("holder", before.Daemon).Uint64("epoch", before.Epoch).Uint64("failed", failedEpoch).Str("for", cause).
 			Dur("took", time.Since(started)).Msg("Shard left to its holder, which answers.")
 		return errHeldElsewhere
@@ -100,7 +100,7 @@
 	if read.former != nil {
 		h.former = read.former
 	}
-	h.take(read.records, before.Daemon == "", time.Now())
+	h.installState(read.records, before.Daemon == "", time.Now())
 	h.startTextLoad(ctx, read.after)
 	h.metrics.claimed(time.Since(started))
 	h.logger.Info().Uint64("epoch", h.epoch).Str("before", before.Daemon).Uint64("failed", failedEpoch).Str("for", cause).
@@ -119,8 +119,8 @@
 	asking, stop := context.WithCancel(ctx)
 	defer stop()
 	var asked <-chan holderAnswer
-	givenUp := known.released || cause == causeTake // as the holder itself said
-	if !givenUp {
+	isReleased := known.released || cause == causeTake // as the holder itself said
+	if !isReleased {
 		asked = h.askHolder(asking, known.holderRecord)
 	}
 	// A single try: a daemon that could not reach the store either must not, as soon as it
@@ -133,7 +133,7 @@
 	if h.mustYieldTo(before, failedEpoch) {
 		return before, holderSilent, errHeldElsewhere
 	}
-	if givenUp {
+	if isReleased {
 		return before, holderGone, nil
 	}
 	return before, h.awaitHolder(asking, before, known.holderRecord, asked), nil
@@ -152,14 +152,14 @@
 // writes the claim to the directory.
 func (h *holder) readSeized(ctx context.Context, before holderRecord, answer holderAnswer) (seizedShard, error) {
 	var read seizedShard
-	var beside sync.WaitGroup
-	beside.Go(func() { h.writeDirectory(ctx, h.epoch) })
+	var background sync.WaitGroup
+	background.Go(func() { h.writeDirectory(ctx, h.epoch) })
 	if answer == holderGone { // a silent holder would only time out again
-		beside.Go(func() { read.former = h.askFormerHolder(ctx, before) })
+		background.Go(func() { read.former = h.askFormerHolder(ctx, before) })
 	}
 	var err error
 	read.records, read.after, err = h.readClaimed(ctx)
-	beside.Wait()
+	background.Wait()
 	return read, err
 }
 
@@ -221,9 +221,9 @@
 	}
 }
 
-// take makes the records that were read the state of the shard. first means that no daemon
+// installState makes the records that were read the state of the shard. first means that no daemon
 // held it before.
-func (h *holder) take(records []store.Record, first bool, now time.Time) {
+func (h *holder) installState(records []store.Record, first bool, now time.Time) {
 	h.state = newState(now)
 	h.state.machine = h.machine
 	h.limiter = quota.NewLimiter(h.quotaTerms, first, now)
--- a/internal/ledger/claim_test.go
+++ b/internal/ledger/claim_test.go
@@ -138,9 +138,9 @@
 		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 100, MaxTokens: 60})
 		frozen := f.holderOf("p")
 		other := f.other("p")
-		f.setDeaf(frozen, true)
+		f.setDisconnected(frozen, true)
 		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 100, MaxTokens: 20})
-		f.setDeaf(frozen, false)
+		f.setDisconnected(frozen, false)
 
 		// The former holder does not know turn b, and would grant this one.
 		refusedWith(t, f.service(frozen), Turn{ID: "c", Program: "p", BudgetTokens: 100, MaxTokens: 30}, ErrBudgetSpent)
@@ -154,7 +154,7 @@
 		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: budget, MaxTokens: most})
 		former := f.service(f.holderOf("p"))
 		later := f.other("p")
-		f.setDeaf(former.Self, true)
+		f.setDisconnected(former.Self, true)
 		begin(t, later, Turn{ID: "b", Program: "p", BudgetTokens: budget, MaxTokens: most})
 		granted := int64(2 * most)
 		for i := range 2 * budget / most {
@@ -205,13 +205,13 @@
 		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		holder, other := f.holderOf("p"), f.other("p")
 		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
-		f.setDeaf(holder, true)
-		time.AfterFunc(silenceTimeout/2, func() { f.setDeaf(holder, false) })
+		f.setDisconnected(holder, true)
+		time.AfterFunc(silenceTimeout/2, func() { f.setDisconnected(holder, false) })
 		begin(t, other, Turn{ID: "c", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		if now := f.holderOf("p"); now != holder {
 			t.Errorf("the shard moved from the live holder %s to %s", holder, now)
 		}
-		f.setDeaf(holder, true) // it does not answer any more
+		f.setDisconnected(holder, true) // it does not answer any more
 		started := time.Now()
 		begin(t, other, Turn{ID: "d", Program: "p", BudgetTokens: 1000, MaxTokens: 10})
 		if took := time.Since(started); took > holderTries*silenceTimeout+100*time.Millisecond {
--- a/internal/ledger/discovery.go
+++ b/internal/ledger/discovery.go
@@ -27,17 +27,17 @@
 	reading, cancel := context.WithTimeout(ctx, s.DiscoveryTimeout)
 	defer cancel()
 	go s.readHolders(reading)
-	heard, heardAt := 0, started
+	count, countChangedAt := 0, started
 	for time.Since(started) < s.DiscoveryTimeout && ctx.Err() == nil && !s.known.isComplete() {
-		if members := len(s.View.Members()); members != heard {
-			heard, heardAt = members, time.Now()
+		if members := len(s.View.Members()); members != count {
+			count, countChangedAt = members, time.Now()
 		}
-		if s.hasDiscoveredMost(heard) && time.Since(heardAt) >= discoveryQuietPeriod {
+		if s.hasDiscoveredMost(count) && time.Since(countChangedAt) >= discoveryQuietPeriod {
 			break
 		}
 		clock.Sleep(ctx, min(discoveryPollInterval, s.DiscoveryTimeout-time.Since(started)))
 	}
-	s.Logger.Info().Int("members", heard).Bool("holders_known", s.known.isComplete()).
+	s.Logger.Info().Int("members", count).Bool("holders_known", s.known.isComplete()).
 		Dur("took", time.Since(started)).Msg("Discovery of the other daemons finished.")
 	close(s.discovered)
 }
@@ -55,12 +55,12 @@
 }
 
 // hasDiscoveredMost reports whether most daemons on record were discovered.
-func (s *Service) hasDiscoveredMost(heard int) bool {
+func (s *Service) hasDiscoveredMost(count int) bool {
 	if s.ExpectedDaemons == nil {
 		return false
 	}
 	expected := s.ExpectedDaemons()
-	return expected > 0 && float64(heard) >= discoveredShare*float64(expected)
+	return expected > 0 && float64(count) >= discoveredShare*float64(expected)
 }
 
 // DiscoveryDone reports whether the daemon had time to discover the others.
--- a/internal/ledger/fleet_test.go
+++ b/internal/ledger/fleet_test.go
@@ -47,13 +47,13 @@
 	// readBytes is the store's read capacity per second as told to daemons.
 	readBytes float64
 
-	mutex    sync.Mutex
-	services map[structs.DaemonID]*Service
-	stops    map[structs.DaemonID]context.CancelFunc
-	deaf     map[structs.DaemonID]bool
-	dead     map[structs.DaemonID]bool
-	leaving  map[structs.DaemonID]bool
-	offers   int
+	mutex        sync.Mutex
+	services     map[structs.DaemonID]*Service
+	stops        map[structs.DaemonID]context.CancelFunc
+	disconnected map[structs.DaemonID]bool
+	dead         map[structs.DaemonID]bool
+	leaving      map[structs.DaemonID]bool
+	offers       int
 	// history counts the bytes of histories that were sent.
 	history int
 }
@@ -61,13 +61,13 @@
 func newTestFleet(t *testing.T, daemons int) *testFleet {
 	t.Helper()
 	f := &testFleet{
-		t:        t,
-		store:    memory.New(),
-		services: map[structs.DaemonID]*Service{},
-		stops:    map[structs.DaemonID]context.CancelFunc{},
-		deaf:     map[structs.DaemonID]bool{},
-		dead:     map[structs.DaemonID]bool{},
-		leaving:  map[structs.DaemonID]bool{},
+		t:            t,
+		store:        memory.New(),
+		services:     map[structs.DaemonID]*Service{},
+		stops:        map[structs.DaemonID]context.CancelFunc{},
+		disconnected: map[structs.DaemonID]bool{},
+		dead:         map[structs.DaemonID]bool{},
+		leaving:      map[structs.DaemonID]bool{},
 	}
 	for i := range daemons {
 		f.start(daemonID(i, 1))
@@ -177,10 +177,10 @@
 	return f.history
 }
 
-func (f *testFleet) setDeaf(id structs.DaemonID, deaf bool) {
+func (f *testFleet) setDisconnected(id structs.DaemonID, disconnected bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.deaf[id] = deaf
+	f.disconnected[id] = disconnected
 }
 
 func (f *testFleet) service(id structs.DaemonID) *Service {
@@ -330,7 +330,7 @@
 	if response, isResponse := message.(*Response); isResponse {
 		t.fleet.history += len(response.Grant.History)
 	}
-	lost := target == nil || t.fleet.deaf[to] || t.fleet.deaf[t.self]
+	lost := target == nil || t.fleet.disconnected[to] || t.fleet.disconnected[t.self]
 	t.fleet.mutex.Unlock()
 	if severed := t.fleet.severed; severed != nil && severed(t.self, to) {
 		return
--- a/internal/ledger/pace.go
+++ b/internal/ledger/handover_pacer.go
@@ -40,10 +40,10 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// take reports whether a handover may begin now. Daemons that start to hand shards over at
+// allow reports whether a handover may begin now. Daemons that start to hand shards over at
 // the same moment begin at times spread over the interval; chance returns a number in [0,
 // 1).
-func (p *handoverPacer) take(now time.Time, interval time.Duration, chance func() float64) bool {
+func (p *handoverPacer) allow(now time.Time, interval time.Duration, chance func() float64) bool {
 	if interval <= 0 {
 		return true
 	}
@@ -65,5 +65,5 @@
 		return false
 	}
 	interval := handoverInterval(len(s.View.Members()), shardBytes, s.StoreReadBytes)
-	return s.pace.take(time.Now(), interval, rand.Float64)
+	return s.pacer.allow(time.Now(), interval, rand.Float64)
 }
--- a/internal/ledger/pace_test.go
+++ b/internal/ledger/handover_pacer_test.go
@@ -19,15 +19,15 @@
 	const daemons, shardBytes, readBytes, seconds = 76, 3_000_000, 80e6, 60
 	random := rand.New(rand.NewPCG(1, 2))
 	interval := handoverInterval(daemons, shardBytes, readBytes)
-	paces := make([]handoverPacer, daemons)
+	pacers := make([]handoverPacer, daemons)
 	began := time.Now()
 	read, worst := 0.0, 0.0
 	for second := range seconds {
 		inSecond := 0.0
 		for tick := range 10 {
 			now := began.Add(time.Duration(second)*time.Second + time.Duration(tick)*100*time.Millisecond)
-			for i := range paces {
-				if paces[i].take(now, interval, random.Float64) {
+			for i := range pacers {
+				if pacers[i].allow(now, interval, random.Float64) {
 					inSecond += encodedShare * shardBytes
 				}
 			}
--- a/internal/ledger/handover_test.go
+++ b/internal/ledger/handover_test.go
@@ -133,7 +133,7 @@
 		holder.known.note(holder.shardOf(program), holderRecord{Epoch: 1, Daemon: string(holder.Self)})
 		begin(t, holder, Turn{ID: "first", Program: program})
 		for _, id := range f.ids() {
-			f.setDeaf(id, id != holder.Self)
+			f.setDisconnected(id, id != holder.Self)
 		}
 		for i := range 600 {
 			begin(t, holder, Turn{ID: fmt.Sprint("later-", i), Program: program})
@@ -205,7 +205,7 @@
 		former := f.service(f.holderOf("p"))
 		shard := former.shardOf("p")
 		successor := former.preferredHolder(shard, former.Self)
-		f.setDeaf(structs.DaemonID(successor), true) // it does not learn of the release
+		f.setDisconnected(structs.DaemonID(successor), true) // it does not learn of the release
 		h := former.holders[shard]
 		h.post(t.Context(), func(ctx context.Context) {
 			h.handover = &handover{to: successor, prepared: true}
--- a/internal/ledger/holder_operations.go
+++ b/internal/ledger/holder_operations.go
@@ -39,7 +39,7 @@
 		h.logRefusal(turn, outcome)
 	}
 	h.metrics.granted("append")
-	h.await(ctx, o, answer)
+	h.replyWhenDurable(ctx, o, answer)
 }
 
 // logRefusal logs a refused turn with the state of its account.
@@ -63,7 +63,7 @@
 	if outcome != resultOK {
 		h.appends.barrier = true // as in begin
 	}
-	h.await(ctx, o, Response{Result: outcome})
+	h.replyWhenDurable(ctx, o, Response{Result: outcome})
 }
 
 // find looks for a turn.
@@ -80,12 +80,12 @@
 		h.refuse(o, resultImpaired)
 	default:
 		h.appends.barrier = true
-		h.await(ctx, o, answer)
+		h.replyWhenDurable(ctx, o, answer)
 	}
 }
 
 // replyWhenDurable answers an operation once all changes so far are durable.
-func (h *holder) await(ctx context.Context, o operation, answer Response) {
+func (h *holder) replyWhenDurable(ctx context.Context, o operation, answer Response) {
 	if len(h.appends.waiting) >= waitingLimit {
 		h.refuse(o, resultImpaired)
 		return
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -294,14 +294,14 @@
 		// No other daemon learns of the turn, so that the holder's append is its only
 		// trace.
 		other := f.other("p")
-		f.setDeaf(other.Self, true)
+		f.setDisconnected(other.Self, true)
 		ctx, cancel := context.WithTimeout(context.Background(), appendTimeout/2)
 		defer cancel()
 		if _, err := f.service(holder).Begin(ctx, Turn{ID: "late", Program: "p", BudgetTokens: 100, MaxTokens: 80}); err == nil {
 			t.Fatal("a turn was granted whose reservation was not acknowledged")
 		}
 		f.kill(holder)
-		f.setDeaf(other.Self, false)
+		f.setDisconnected(other.Self, false)
 		// Of 100, 10 are reserved and 45 were set aside; then 25 are reserved.
 		begin(t, other, Turn{ID: "b", Program: "p", BudgetTokens: 100, MaxTokens: 25})
 		f.store.DoLate()
--- a/internal/ledger/metrics.go
+++ b/internal/ledger/metrics.go
@@ -107,7 +107,7 @@
 
 func (m *Metrics) malformed() { m.skipped.Inc() }
 
-func (m *Metrics) kept() { m.confirms.WithLabelValues("kept").Inc() }
+func (m *Metrics) leftToHolder() { m.confirms.WithLabelValues("kept").Inc() }
 
 func (m *Metrics) forwarded() { m.confirms.WithLabelValues("passed_on").Inc() }
 
--- a/internal/ledger/record_append.go
+++ b/internal/ledger/record_append.go
@@ -36,10 +36,10 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan error, maxConcurrentTries)
-	underway := 0
+	inFlight := 0
 	try := func() {
-		if underway < maxConcurrentTries {
-			underway++
+		if inFlight < maxConcurrentTries {
+			inFlight++
 			go func() { results <- r.tryAppend(ctx, partition, writer, records) }()
 		}
 	}
@@ -51,7 +51,7 @@
 	for {
 		select {
 		case err := <-results:
-			underway--
+			inFlight--
 			if err == nil || isFinal(err) {
 				return err
 			}
--- a/internal/ledger/recovery_test.go
+++ b/internal/ledger/recovery_test.go
@@ -26,17 +26,17 @@
 	recoveryDaemons = 60
 	recoveryZones   = 4
 	recoveryShards  = 48
-	// returnHistory is the number of turns that each shard keeps, of returnTurn bytes.
+	// recoveryHistory is the number of turns that each shard keeps, of recoveryTurn bytes.
 	recoveryHistory = 75
 	recoveryTurn    = 4000
-	// returnReadRate is the store's read capacity per second, and returnLinkRate the
+	// recoveryReadRate is the store's read capacity per second, and recoveryLinkRate the
 	// capacity of a daemon's link, in bytes.
 	recoveryReadRate = 8 << 20
 	recoveryLinkRate = 2 << 20
-	// returnShare is the part of the store's read capacity that a recovery may use: some
+	// recoveryShare is the part of the store's read capacity that a recovery may use: some
 	// claims besides the share for planned handovers.
 	recoveryShare = 0.4
-	// returnPage bounds a page of newest records, in bytes.
+	// recoveryPage bounds a page of newest records, in bytes.
 	recoveryPage = 100 << 10
 	recoveryWay  = 1500 * time.Microsecond
 
@@ -62,16 +62,16 @@
 	recoveryPrograms = 2 * recoveryShards
 	recoveryThink    = 150 * time.Millisecond
 	recoveryMost     = 100
-	// returnTurns is the most turns of a program. Its budget is one and a half times the
+	// recoveryTurns is the most turns of a program. Its budget is one and a half times the
 	// most of all its turns, of which each uses a third.
 	recoveryTurns     = 10
 	recoveryRetention = 60 * time.Second
 )
 
-// returnTrouble is a fault that a fleet goes through from returnCutAt on.
-type recoveryTrouble struct {
+// recoveryFault is a fault that a fleet goes through from recoveryCutAt on.
+type recoveryFault struct {
 	name string
-	// zone: one zone is cut off from everything else, for returnCutFor.
+	// zone: one zone is cut off from everything else, for recoveryCutFor.
 	zone bool
 	// outage: the store does not answer any daemon for that time.
 	outage bool
@@ -81,10 +81,10 @@
 	calmIn time.Duration
 }
 
-// returnFleet is a fleet that goes through a fault.
+// recoveryFleet is a fleet that goes through a fault.
 type recoveryFleet struct {
 	*testFleet
-	recoveryTrouble
+	recoveryFault
 	began time.Time
 
 	mutex sync.Mutex
@@ -110,8 +110,8 @@
 	wrongOver []string
 }
 
-func newRecoveryFleet(t *testing.T, trouble recoveryTrouble) *recoveryFleet {
-	f := &recoveryFleet{testFleet: newTestFleet(t, 0), recoveryTrouble: trouble, began: time.Now(), linkBusyUntil: map[structs.DaemonID]time.Time{}}
+func newRecoveryFleet(t *testing.T, fault recoveryFault) *recoveryFleet {
+	f := &recoveryFleet{testFleet: newTestFleet(t, 0), recoveryFault: fault, began: time.Now(), linkBusyUntil: map[structs.DaemonID]time.Time{}}
 	f.shards, f.readBytes = recoveryShards, recoveryReadRate
 	f.holders, f.claimedAt = make([]structs.DaemonID, recoveryShards), make([]time.Duration, recoveryShards)
 	f.served = make([][]time.Duration, recoveryShards)
@@ -327,21 +327,21 @@
 // restart, no shard may be taken from a live holder, and the reads must stay within the
 // store's capacity.
 func TestRecoveryKeepsLiveHolders(t *testing.T) {
-	for _, trouble := range []recoveryTrouble{
+	for _, fault := range []recoveryFault{
 		{name: "zone cut off", zone: true, calmIn: 2 * time.Second},
 		{name: "store out", outage: true, calmIn: 2 * time.Second},
 		{name: "most killed", killed: 0.55},
 	} {
-		t.Run(trouble.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playRecovery(t, trouble) })
+		t.Run(fault.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { playRecovery(t, fault) })
 		})
 	}
 }
 
-func playRecovery(t *testing.T, trouble recoveryTrouble) {
-	f := newRecoveryFleet(t, trouble)
+func playRecovery(t *testing.T, fault recoveryFault) {
+	f := newRecoveryFleet(t, fault)
 	var callers sync.WaitGroup
-	if trouble.killed > 0 {
+	if fault.killed > 0 {
 		callers.Go(f.killAndRestart)
 	}
 	for number := range recoveryPrograms {
--- a/internal/ledger/recovery_world_test.go
+++ b/internal/ledger/recovery_world_test.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// returnView is a daemon's view, which receives nothing from the other side of the cut.
+// recoveryView is a daemon's view, which receives nothing from the other side of the cut.
 type recoveryView struct {
 	*recoveryFleet
 	self structs.DaemonID
@@ -63,7 +63,7 @@
 	return membership.Member{Daemon: structs.Daemon{ID: id, Zone: zone}, State: v.State(id)}, true
 }
 
-// returnStore is a daemon's access to the store, whose read capacity all share.
+// recoveryStore is a daemon's access to the store, whose read capacity all share.
 type recoveryStore struct {
 	store.Store
 	fleet *recoveryFleet
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -30,7 +30,7 @@
 	avoidList avoidList
 	// isolation detects whether this daemon is isolated from the others.
 	isolation isolationDetector
-	pace      handoverPacer
+	pacer     handoverPacer
 	// episodes track the unavailability of shards that this daemon sent requests to.
 	episodes episodeTracker
 	// capacity estimates the space in the store.
--- a/internal/ledger/simulation_test.go
+++ b/internal/ledger/simulation_test.go
@@ -134,10 +134,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(seed, kind.breakage)
 		seen = newChecker(kind.excess)
-		var callers, troubles sync.WaitGroup
-		troubles.Go(func() { playFaults(w, kind.faults, &troubles) })
+		var callers, faultRuns sync.WaitGroup
+		faultRuns.Go(func() { playFaults(w, kind.faults, &faultRuns) })
 		callers.Go(func() { startPrograms(w, seen, &callers) })
-		troubles.Wait()
+		faultRuns.Wait()
 		w.restartDead()
 		callers.Wait()
 		time.Sleep(recoveryTime)
--- a/internal/ledger/store_capacity.go
+++ b/internal/ledger/store_capacity.go
@@ -13,9 +13,9 @@
 	// planInterval is how long a plan is reused. It is short enough that little is written
 	// meanwhile.
 	planInterval = 100 * time.Millisecond
-	// notableShare is the fill level of the store from which on daemons pass on reports,
+	// reportSharingThreshold is the fill level of the store from which on daemons pass on reports,
 	// about 0.5 KB with each turn that begins. Below it they do not matter.
-	notableShare = 0.1
+	reportSharingThreshold = 0.1
 	// learnedShare is the part of the usage at the time when the store was found full that
 	// is used as its bound for learnedBoundTTL, if it is lower than the configured one. By
 	// then that content has expired, and history that could not be trimmed has been
@@ -24,8 +24,8 @@
 	learnedBoundTTL = time.Minute
 )
 
-// capacitySteps are the fill levels of the store that are logged when crossed.
-var capacitySteps = []float64{0.5, 0.75, 0.9, 1}
+// fillThresholds are the fill levels of the store that are logged when crossed.
+var fillThresholds = []float64{0.5, 0.75, 0.9, 1}
 
 // storeCapacity estimates the space in the store from the reports of shards that this
 // daemon holds or sent requests to. It is safe for concurrent use.
@@ -46,7 +46,7 @@
 	plannedAt time.Time
 	// passesReports: the store is so full that daemons pass on reports.
 	passesReports bool
-	// step is how many of capacitySteps are reached.
+	// step is how many of fillThresholds are reached.
 	step int
 }
 
@@ -92,7 +92,7 @@
 	bound := s.boundAt(now)
 	wasCrowded := s.current.IsCrowded
 	s.current = storecapacity.PlanFor(kept, bound)
-	s.passesReports = float64(kept.Bytes()) >= notableShare*bound
+	s.passesReports = float64(kept.Bytes()) >= reportSharingThreshold*bound
 	s.metrics.updateStoreFill(kept, bound, s.current)
 	s.logStep(kept, bound)
 	if s.current.IsCrowded != wasCrowded {
@@ -111,10 +111,10 @@
 	return s.bound
 }
 
-// logStep logs that the fill level crossed one of capacitySteps, in either direction.
+// logStep logs that the fill level crossed one of fillThresholds, in either direction.
 func (s *storeCapacity) logStep(kept storecapacity.Profile, bound float64) {
 	step := 0
-	for step < len(capacitySteps) && float64(kept.Bytes()) >= capacitySteps[step]*bound {
+	for step < len(fillThresholds) && float64(kept.Bytes()) >= fillThresholds[step]*bound {
 		step++
 	}
 	if step == s.step {
--- a/internal/ledger/superseded_test.go
+++ b/internal/ledger/superseded_test.go
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
 		_, successor, program := supersedeHolder(t, func(f *testFleet, holder structs.DaemonID) {
-			f.setDeaf(holder, true)
+			f.setDisconnected(holder, true)
 			started = time.Now()
 		})
 		if took := time.Since(started); took > formerAnswerTimeout+10*time.Millisecond {
--- a/internal/ledger/uptime_test.go
+++ b/internal/ledger/uptime_test.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// shortDay is longer than all retentions, and tenDays ten times as long.
-	shortDay = 3 * time.Minute
-	tenDays  = 10 * shortDay
+	// shortUptime is longer than all retentions, and longUptime ten times as long.
+	shortUptime = 3 * time.Minute
+	longUptime  = 10 * shortUptime
 	// restartPause separates the restarts of daemons, one after the other, and longPrograms
 	// begin each second.
 	restartPause = 20 * time.Second
@@ -30,7 +30,7 @@
 		kept["texts"] += s.texts.bytes
 		s.texts.mutex.Unlock()
 		s.episodes.mutex.Lock()
-		kept["troubles"] += len(s.episodes.shards)
+		kept["episodes"] += len(s.episodes.shards)
 		s.episodes.mutex.Unlock()
 		s.isolation.mutex.Lock()
 		kept["daemons seen"] += len(s.isolation.seen)
@@ -80,19 +80,19 @@
 		l.run(restartPause/2, longPrograms)
 		l.callers.Wait()
 	}
-	live(shortDay)
+	live(shortUptime)
 	short := f.keptOf()
-	live(tenDays - shortDay)
+	live(longUptime - shortUptime)
 	long := f.keptOf()
 	l.wait()
 	for what, before := range short {
 		// The sizes vary with the stage that programs are in and the time since the last
 		// restart.
 		if after := long[what]; after > before+before/4+10 {
-			t.Errorf("%s: %d after %s, %d after %s", what, before, shortDay, after, tenDays)
+			t.Errorf("%s: %d after %s, %d after %s", what, before, shortUptime, after, longUptime)
 		}
 	}
-	t.Logf("kept after %s: %v, after %s: %v", shortDay, short, tenDays, long)
+	t.Logf("kept after %s: %v, after %s: %v", shortUptime, short, longUptime, long)
 }
 
 // restart replaces a daemon by its next incarnation.
--- a/internal/storecapacity/estimate.go
+++ b/internal/storecapacity/estimate.go
@@ -109,5 +109,5 @@
 		return Profile{}, false
 	}
 	sum.ProgramBytes /= int64(max(programs, 1))
-	return sum.times(float64(e.shards) / float64(heard)), true
+	return sum.scaledBy(float64(e.shards) / float64(heard)), true
 }
--- a/internal/storecapacity/profile.go
+++ b/internal/storecapacity/profile.go
@@ -107,8 +107,8 @@
 	p.ProgramBytes += other.ProgramBytes
 }
 
-// times scales the bytes by a factor, but not those per program.
-func (p Profile) times(factor float64) Profile {
+// scaledBy scales the bytes by a factor, but not those per program.
+func (p Profile) scaledBy(factor float64) Profile {
 	scaled := p
 	scaled.Rate = int64(factor * float64(p.Rate))
 	scaled.Expiring = make([]int64, len(p.Expiring))
