--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -22,15 +22,15 @@
 	// written receives the result of writing the request.
 	written chan error
 	inline  bool
-	// unlimited: the connection has no limit on unacknowledged bytes.
-	unlimited bool
-	finished  sync.Once
+	// unlimitedUnacknowledged: the connection has no limit on unacknowledged bytes.
+	unlimitedUnacknowledged bool
+	finished                sync.Once
 }
 
 // start writes the request and reads the response header.
 func (e *exchange) start(request *http.Request) (*http.Response, error) {
-	e.inline = request.ContentLength <= inlineBody
-	if e.unlimited = request.ContentLength >= longBody; e.unlimited {
+	e.inline = request.ContentLength <= maxInlineBody
+	if e.unlimitedUnacknowledged = request.ContentLength >= minLongBody; e.unlimitedUnacknowledged {
 		e.conn.limitUnacknowledged(0)
 	}
 	if e.inline {
@@ -88,10 +88,10 @@
 			e.close()
 			return
 		}
-		if e.unlimited {
+		if e.unlimitedUnacknowledged {
 			e.conn.limitUnacknowledged(unacknowledgedTimeout)
 		}
-		e.pool.keep(e.address, e.conn, idle)
+		e.pool.putIdle(e.address, e.conn, idle)
 	})
 }
 
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	// defaultIdle is how long a connection may be reused after a response without a Keep-Alive
+	// defaultIdleTime is how long a connection may be reused after a response without a Keep-Alive
 	// timeout.
-	defaultIdle = 400 * time.Millisecond
+	defaultIdleTime = 400 * time.Millisecond
 	// idleShare is the share of the announced Keep-Alive timeout that is used.
 	idleShare = 0.7
 	// bufferSize is the size of read and write buffers in bytes.
 	bufferSize = 4 << 10
-	// inlineBody is the maximum size, in bytes, of a body that is written before the response is
+	// maxInlineBody is the maximum size, in bytes, of a body that is written before the response is
 	// read. A longer one is written in parallel, as a back end may respond without reading it.
-	inlineBody = 2 << 10
+	maxInlineBody = 2 << 10
 	// unacknowledgedTimeout is how long sent bytes may stay unacknowledged until the kernel closes
 	// the connection. It covers two keep-alive probes, one of which may be lost.
 	unacknowledgedTimeout = 2500 * time.Millisecond
@@ -43,10 +43,10 @@
 	// unansweredProbes is the number of unanswered probes that end a connection without a limit on
 	// unacknowledged bytes. It is the number that fit into unacknowledgedTimeout.
 	unansweredProbes = 2
-	// longBody is the size in bytes from which a body may exceed what the peer's kernel buffers
+	// minLongBody is the size in bytes from which a body may exceed what the peer's kernel buffers
 	// while its process does not read. Bytes that wait for a zero window to open count as
 	// unacknowledged, so such a request must have no limit on them.
-	longBody = 64 << 10
+	minLongBody = 64 << 10
 )
 
 // Pool keeps connections by address. It is safe for concurrent use.
@@ -79,10 +79,10 @@
 	return n, err
 }
 
-// closeFor closes the connection. If the cause is ErrPeerCutOff, unsent data is dropped: otherwise the
-// kernel would keep sending it, and an abandoned request could arrive once the peer is reachable
-// again.
-func (c *conn) closeFor(cause error) {
+// closeWithCause closes the connection. If the cause is ErrPeerCutOff, unsent data is dropped:
+// otherwise the kernel would keep sending it, and an abandoned request could arrive once the peer
+// is reachable again.
+func (c *conn) closeWithCause(cause error) {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && errors.Is(cause, ErrPeerCutOff) {
 		_ = tcp.SetLinger(0) // fails if the connection is already closed
 	}
@@ -159,7 +159,7 @@
 		return nil, ErrSendTooLate
 	}
 	e := &exchange{pool: p, address: name, conn: c, written: make(chan error, 1)}
-	e.stop = context.AfterFunc(ctx, func() { c.closeFor(context.Cause(ctx)) })
+	e.stop = context.AfterFunc(ctx, func() { c.closeWithCause(context.Cause(ctx)) })
 	response, err := e.start(request)
 	if err != nil {
 		e.discard()
@@ -173,7 +173,7 @@
 func (p *Pool) Connect(ctx context.Context, name string, bounds Bounds) error {
 	c, err := p.open(ctx, name, bounds)
 	if err == nil {
-		p.keep(name, c, defaultIdle)
+		p.putIdle(name, c, defaultIdleTime)
 	}
 	return err
 }
@@ -222,7 +222,7 @@
 		c := a.idle[len(a.idle)-1]
 		a.idle = a.idle[:len(a.idle)-1]
 		p.mutex.Unlock()
-		if now.Before(c.expires) && isQuiet(c.Conn) {
+		if now.Before(c.expires) && isReusable(c.Conn) {
 			return c
 		}
 		_ = c.Close()
@@ -259,7 +259,7 @@
 	}
 }
 
-func (p *Pool) keep(name string, c *conn, idle time.Duration) {
+func (p *Pool) putIdle(name string, c *conn, idle time.Duration) {
 	c.expires = time.Now().Add(idle)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -287,7 +287,7 @@
 			return time.Duration(float64(seconds) * idleShare * float64(time.Second))
 		}
 	}
-	return defaultIdle
+	return defaultIdleTime
 }
 
 // IsNotSent reports whether no byte of the request left this machine.
--- a/internal/httpconn/pool_test.go
+++ b/internal/httpconn/pool_test.go
@@ -81,7 +81,7 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=10\r\n\r\nok"
 
-func get(body string) *http.Request {
+func newRequest(body string) *http.Request {
 	request := &http.Request{Method: "POST", URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{}, ContentLength: int64(len(body))}
 	if body != "" {
 		request.Body = io.NopCloser(strings.NewReader(body))
@@ -91,7 +91,7 @@
 
 func exchangeBody(t *testing.T, p *Pool, address string, body string) (string, error) {
 	t.Helper()
-	response, err := p.Do(context.Background(), address, Bounds{}, get(body))
+	response, err := p.Do(context.Background(), address, Bounds{}, newRequest(body))
 	if err != nil {
 		return "", err
 	}
@@ -126,7 +126,7 @@
 				s.answers = s.answers[:1]
 				s.answers = append(s.answers, "")
 			}
-			response, err := p.Do(context.Background(), s.address, Bounds{}, get(""))
+			response, err := p.Do(context.Background(), s.address, Bounds{}, newRequest(""))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestDeadPortIsNotSent(t *testing.T) {
+func TestRequestToAClosedPortIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -173,15 +173,15 @@
 func TestConnectionsAreBounded(t *testing.T) {
 	s := newRawServer(t, okAnswer, okAnswer)
 	p := NewPool(time.Second)
-	first, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, get(""))
+	first, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, newRequest(""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, get("")); !errors.Is(err, ErrNoConnection) || !IsNotSent(err) {
+	if _, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, newRequest("")); !errors.Is(err, ErrNoConnection) || !IsNotSent(err) {
 		t.Errorf("got %v, want %v", err, ErrNoConnection)
 	}
 	_ = first.Body.Close()
-	second, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, get(""))
+	second, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, newRequest(""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,17 +209,17 @@
 	defer func() { _ = listener.Close() }()
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	if _, err := NewPool(time.Second).Do(ctx, listener.Addr().String(), Bounds{}, get("")); !errors.Is(err, ErrBroken) {
+	if _, err := NewPool(time.Second).Do(ctx, listener.Addr().String(), Bounds{}, newRequest("")); !errors.Is(err, ErrBroken) {
 		t.Errorf("got %v, want %v", err, ErrBroken)
 	}
 }
 
 func TestIdleTimeFollowsTheAnswer(t *testing.T) {
 	for value, want := range map[string]time.Duration{
-		"":                 defaultIdle,
+		"":                 defaultIdleTime,
 		"timeout=10":       7 * time.Second,
 		"max=5, timeout=2": 1400 * time.Millisecond,
-		"timeout=x":        defaultIdle,
+		"timeout=x":        defaultIdleTime,
 	} {
 		header := http.Header{}
 		header.Set("Keep-Alive", value)
@@ -234,10 +234,10 @@
 	s := newRawServer(t, okAnswer)
 	p := NewPool(time.Second)
 	late := Bounds{SendBy: time.Now().Add(-time.Millisecond)}
-	if _, err := p.Do(context.Background(), s.address, late, get("")); !errors.Is(err, ErrSendTooLate) || !IsNotSent(err) {
+	if _, err := p.Do(context.Background(), s.address, late, newRequest("")); !errors.Is(err, ErrSendTooLate) || !IsNotSent(err) {
 		t.Errorf("got %v, want %v", err, ErrSendTooLate)
 	}
-	response, err := p.Do(context.Background(), s.address, Bounds{Connections: 1, SendBy: time.Now().Add(time.Minute)}, get(""))
+	response, err := p.Do(context.Background(), s.address, Bounds{Connections: 1, SendBy: time.Now().Add(time.Minute)}, newRequest(""))
 	if err != nil {
 		t.Fatalf("the unused connection still counts: %v", err)
 	}
@@ -259,9 +259,9 @@
 	}
 }
 
-// TestRequestThatIsGivenUpIsDropped checks that the peer sees a reset, not a complete request that
-// it would serve.
-func TestRequestThatIsGivenUpIsDropped(t *testing.T) {
+// TestRequestToAPeerThatIsCutOffIsDropped checks that the peer sees a reset, not a complete request
+// that it would serve.
+func TestRequestToAPeerThatIsCutOffIsDropped(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -270,7 +270,7 @@
 	ctx, cancel := context.WithCancelCause(t.Context())
 	ended := make(chan error, 1)
 	go func() {
-		_, err := NewPool(time.Second).Do(ctx, listener.Addr().String(), Bounds{}, get("body"))
+		_, err := NewPool(time.Second).Do(ctx, listener.Addr().String(), Bounds{}, newRequest("body"))
 		ended <- err
 	}()
 	conn, err := listener.Accept()
--- a/internal/httpconn/reset_linux_test.go
+++ b/internal/httpconn/reset_linux_test.go
@@ -26,11 +26,11 @@
 	}
 	_ = accepted.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 	_ = accepted.Close()
-	for isQuiet(c.Conn) {
+	for isReusable(c.Conn) {
 		time.Sleep(time.Millisecond)
 	}
 	e := &exchange{pool: p, address: listener.Addr().String(), conn: c, written: make(chan error, 1)}
-	if _, err := e.start(get("")); !errors.Is(err, ErrResetUnused) || !IsNotSent(err) {
+	if _, err := e.start(newRequest("")); !errors.Is(err, ErrResetUnused) || !IsNotSent(err) {
 		t.Errorf("got %v, want %v", err, ErrResetUnused)
 	}
 }
--- a/internal/httpconn/silence_linux_test.go
+++ b/internal/httpconn/silence_linux_test.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// patience is the timeout of requests in these tests.
-const patience = 10 * time.Second
+// requestTimeout is the timeout of requests in these tests.
+const requestTimeout = 10 * time.Second
 
 // serveOnce calls serve with the first connection, after reading the header of its request.
 func serveOnce(t *testing.T, serve func(conn *net.TCPConn, request *http.Request)) (address string) {
@@ -39,9 +39,9 @@
 	return listener.Addr().String()
 }
 
-// goDark makes the kernel drop all packets that arrive on a connection, so that it acknowledges
-// nothing.
-func goDark(conn *net.TCPConn) error {
+// dropIncoming makes the kernel drop all packets that arrive on a connection, so that it
+// acknowledges nothing.
+func dropIncoming(conn *net.TCPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
@@ -68,13 +68,13 @@
 	address := serveOnce(t, func(conn *net.TCPConn, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart")
-		if err := goDark(conn); err != nil {
+		if err := dropIncoming(conn); err != nil {
 			t.Error(err)
 		}
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), requestTimeout)
 	defer cancel()
-	response, err := NewPool(time.Second).Do(ctx, address, Bounds{}, get(request))
+	response, err := NewPool(time.Second).Do(ctx, address, Bounds{}, newRequest(request))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpconn/socket_linux.go
+++ b/internal/httpconn/socket_linux.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// isQuiet reports whether an idle connection is open and has no bytes to read. Such bytes would
+// isReusable reports whether an idle connection is open and has no bytes to read. Such bytes would
 // belong to no request.
-func isQuiet(c net.Conn) bool {
+func isReusable(c net.Conn) bool {
 	system, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/httpconn/socket_other.go
+++ b/internal/httpconn/socket_other.go
@@ -4,4 +4,4 @@
 
 import "net"
 
-func isQuiet(net.Conn) bool { return true }
+func isReusable(net.Conn) bool { return true }
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -17,18 +17,18 @@
 
 const (
 	host = "127.0.0.1"
-	// anyPort is the loopback address with a port chosen by the kernel.
-	anyPort = host + ":0"
-	// freePorts is the number of ports below the kernel's ephemeral range from which FreeAddress
-	// chooses, and leastPort the lowest port that may be used.
-	freePorts = 10000
-	leastPort = 2000
-	// freeTries is the maximum number of attempts to find a free port.
-	freeTries = 100
-	// portRangeFile contains the kernel's ephemeral port range; usualFirstSystemPort is assumed if
+	// ephemeralAddress is the loopback address with a port chosen by the kernel.
+	ephemeralAddress = host + ":0"
+	// freePortCount is the number of ports below the kernel's ephemeral range from which
+	// FreeAddress chooses, and minPort the lowest port that may be used.
+	freePortCount = 10000
+	minPort       = 2000
+	// maxAttempts is the maximum number of attempts to find a free port.
+	maxAttempts = 100
+	// portRangeFile contains the kernel's ephemeral port range; defaultEphemeralStart is assumed if
 	// it cannot be read.
-	portRangeFile        = "/proc/sys/net/ipv4/ip_local_port_range"
-	usualFirstSystemPort = 32768
+	portRangeFile         = "/proc/sys/net/ipv4/ip_local_port_range"
+	defaultEphemeralStart = 32768
 )
 
 // headerTimeout is how long a client may take to send a request header.
@@ -41,10 +41,10 @@
 // range, and was not returned to this process before. It is not reserved: another process may
 // listen on it before the caller does. The error is ErrListen.
 func FreeAddress() (string, error) {
-	first := firstSystemPort() - freePorts
-	for range freeTries {
-		port := first + rand.IntN(freePorts)
-		if first < leastPort {
+	first := ephemeralStart() - freePortCount
+	for range maxAttempts {
+		port := first + rand.IntN(freePortCount)
+		if first < minPort {
 			port = 0 // there are not enough ports below
 		}
 		listener, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port)))
@@ -53,15 +53,15 @@
 		}
 		address := listener.Addr().String()
 		_ = listener.Close()
-		if given.add(address) {
+		if returnedAddresses.add(address) {
 			return address, nil
 		}
 	}
 	return "", eris.Wrap(ErrListen, "no port was free")
 }
 
-// given are the addresses returned so far.
-var given addressSet
+// returnedAddresses are the addresses returned so far.
+var returnedAddresses addressSet
 
 // addressSet is safe for concurrent use. The zero value is empty.
 type addressSet struct {
@@ -83,19 +83,19 @@
 	return true
 }
 
-// firstSystemPort returns the first port of the kernel's ephemeral range.
-func firstSystemPort() int {
+// ephemeralStart returns the first port of the kernel's ephemeral range.
+func ephemeralStart() int {
 	text, err := os.ReadFile(portRangeFile)
 	if err != nil {
-		return usualFirstSystemPort
+		return defaultEphemeralStart
 	}
 	fields := strings.Fields(string(text))
 	if len(fields) == 0 {
-		return usualFirstSystemPort
+		return defaultEphemeralStart
 	}
 	port, err := strconv.Atoi(fields[0])
 	if err != nil {
-		return usualFirstSystemPort
+		return defaultEphemeralStart
 	}
 	return port
 }
@@ -113,7 +113,7 @@
 }
 
 func listen() (net.Listener, error) {
-	listener, err := net.Listen("tcp", anyPort)
+	listener, err := net.Listen("tcp", ephemeralAddress)
 	if err != nil {
 		return nil, eris.Wrap(ErrListen, err.Error())
 	}
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -14,8 +14,8 @@
 	return resolved.Port
 }
 
-func TestFreeAddressesAreNotThoseThatTheSystemPicks(t *testing.T) {
-	hasRoom := firstSystemPort() >= freePorts+leastPort
+func TestFreeAddressesAreOutsideTheEphemeralRange(t *testing.T) {
+	hasRoom := ephemeralStart() >= freePortCount+minPort
 	given := map[int]bool{}
 	for range 200 {
 		address, err := FreeAddress()
@@ -27,13 +27,13 @@
 			t.Errorf("port %d was given twice", port)
 		}
 		given[port] = true
-		if hasRoom && port >= firstSystemPort() {
-			t.Fatalf("port %d is in the kernel's ephemeral range, which begins at %d", port, firstSystemPort())
+		if hasRoom && port >= ephemeralStart() {
+			t.Fatalf("port %d is in the kernel's ephemeral range, which begins at %d", port, ephemeralStart())
 		}
 	}
 }
 
-func TestFreeAddressIsNotOneThatIsListenedOn(t *testing.T) {
+func TestFreeAddressIsNotInUse(t *testing.T) {
 	for range 50 {
 		address, err := FreeAddress()
 		if err != nil {
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -82,7 +82,7 @@
 func (d *Decoder) Decode(line []byte) (from, to structs.DaemonID, message Message, err error) {
 	head, known := splitLine(line)
 	if !known {
-		return decodeAny(line)
+		return decodeGeneric(line)
 	}
 	entry, registered := lookup(head.kind)
 	if !registered {
@@ -90,7 +90,7 @@
 	}
 	message = entry.new()
 	if decodeBody(head.body, message) != nil {
-		return decodeAny(line)
+		return decodeGeneric(line)
 	}
 	if string(head.from) != string(d.from) {
 		d.from = structs.DaemonID(head.from)
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// decodeAny decodes a line in any form of JSON.
-func decodeAny(line []byte) (from, to structs.DaemonID, message Message, err error) {
+// decodeGeneric decodes a line in any form of JSON.
+func decodeGeneric(line []byte) (from, to structs.DaemonID, message Message, err error) {
 	var e envelope
 	if err := json.Unmarshal(line, &e); err != nil {
 		return "", "", nil, eris.Wrap(ErrMalformed, err.Error())
@@ -141,7 +141,7 @@
 }
 
 // splitLine splits a line in the form that Append encodes, without decoding the body. Lines whose
-// strings have escapes or non-ASCII characters are left to decodeAny.
+// strings have escapes or non-ASCII characters are left to decodeGeneric.
 func splitLine(line []byte) (lineHead, bool) {
 	var head lineHead
 	rest, found := bytes.CutPrefix(line, partFrom)
@@ -153,7 +153,7 @@
 		next []byte
 	}{{&head.from, partTo}, {&head.to, partKind}, {&head.kind, partBody}} {
 		end := bytes.IndexByte(rest, '"')
-		if end < 0 || !plain(rest[:end]) {
+		if end < 0 || !isPlain(rest[:end]) {
 			return head, false
 		}
 		*part.name = rest[:end]
@@ -166,8 +166,8 @@
 	return head, found && len(head.body) > 0
 }
 
-// plain reports whether a JSON string has neither escapes nor non-ASCII characters.
-func plain(text []byte) bool {
+// isPlain reports whether a JSON string has neither escapes nor non-ASCII characters.
+func isPlain(text []byte) bool {
 	for _, b := range text {
 		if b < ' ' || b == '\\' || b > '~' {
 			return false
--- a/internal/peer/replies_test.go
+++ b/internal/peer/replies_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestAnswersReachWhoWaitsAndNobodyElse(t *testing.T) {
+func TestAnswersReachOnlyTheirRequest(t *testing.T) {
 	var replies Replies[string]
 	first, firstAnswers, forgetFirst := replies.Expect(1)
 	second, secondAnswers, forgetSecond := replies.Expect(1)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestAskWaitsForTheAnswerAsLongAsItMay(t *testing.T) {
+func TestAskWaitsUpToItsTimeout(t *testing.T) {
 	const patience = time.Second
 	synctest.Test(t, func(t *testing.T) {
 		leaving, leave := context.WithTimeout(t.Context(), patience/2)
--- a/internal/peer/tcp/inbound.go
+++ b/internal/peer/tcp/inbound.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// acceptPause is the delay before accepting again after an error.
-	acceptPause = 50 * time.Millisecond
-	// lineLimit is the maximum size of a message in bytes.
-	lineLimit = 64 << 20
+	// acceptRetryDelay is the delay before accepting again after an error.
+	acceptRetryDelay = 50 * time.Millisecond
+	// maxLineSize is the maximum size of a message in bytes.
+	maxLineSize = 64 << 20
 )
 
 // acceptConnections accepts connections until the transport closes. It retries after an error, for
@@ -28,7 +28,7 @@
 		}
 		if err != nil {
 			t.logger.Warn().Err(err).Msg("Connection not accepted.")
-			t.sleep(acceptPause)
+			t.sleep(acceptRetryDelay)
 			continue
 		}
 		t.mutex.Lock()
@@ -37,7 +37,7 @@
 			_ = conn.Close() // the transport is closed
 			return
 		}
-		t.accept[conn] = struct{}{}
+		t.accepted[conn] = struct{}{}
 		t.workers.Add(1)
 		t.mutex.Unlock()
 		go t.readFrom(conn)
@@ -59,12 +59,12 @@
 	defer t.workers.Done()
 	defer func() {
 		t.mutex.Lock()
-		delete(t.accept, conn)
+		delete(t.accepted, conn)
 		t.mutex.Unlock()
 		_ = conn.Close() // its messages end here
 	}()
 	scanner := bufio.NewScanner(conn)
-	scanner.Buffer(make([]byte, 0, bufferSize), lineLimit)
+	scanner.Buffer(make([]byte, 0, bufferSize), maxLineSize)
 	var decoder peer.Decoder
 	for scanner.Scan() {
 		if !t.receive(&decoder, scanner.Bytes()) {
@@ -73,7 +73,7 @@
 	}
 	// Other errors are those of connections that end.
 	if errors.Is(scanner.Err(), bufio.ErrTooLong) {
-		t.logger.Warn().Str("from", conn.RemoteAddr().String()).Int("limit", lineLimit).Msg("Message refused. It is too long.")
+		t.logger.Warn().Str("from", conn.RemoteAddr().String()).Int("limit", maxLineSize).Msg("Message refused. It is too long.")
 	}
 }
 
--- a/internal/peer/tcp/link.go
+++ b/internal/peer/tcp/link.go
@@ -30,12 +30,12 @@
 	// that start together miss each other by a few milliseconds.
 	firstRedialPause   = 50 * time.Millisecond
 	longestRedialPause = 200 * time.Millisecond
-	// linkLife is how long a link without messages is kept: several rounds of membership, which
-	// contacts each live daemon about every 10 s. Without this limit, a daemon that was replaced at
-	// another address would be dialled five times a second for good.
-	linkLife = time.Minute
-	// idleLook is the interval at which a connection is checked for that.
-	idleLook = 10 * time.Second
+	// linkIdleTimeout is how long a link without messages is kept: several rounds of membership,
+	// which contacts each live daemon about every 10 s. Without this limit, a daemon that was
+	// replaced at another address would be dialled five times a second for good.
+	linkIdleTimeout = time.Minute
+	// idleCheckInterval is the interval at which a connection is checked for that.
+	idleCheckInterval = 10 * time.Second
 )
 
 // link is the outgoing connection to one address, with its queue.
@@ -46,10 +46,10 @@
 	usedAt time.Time
 }
 
-// dial opens a connection to a daemon.
-type dial func(ctx context.Context, address string) (net.Conn, error)
+// dialFunc opens a connection to a daemon.
+type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// dialTCP is a dial function that uses TCP.
+// dialTCP is a dialFunc that uses TCP.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Control: tcpoption.LimitUnacknowledged(unacknowledgedTimeout)}
 	return dialer.DialContext(ctx, "tcp", address)
@@ -58,28 +58,28 @@
 // lineBuffers is a pool of buffers for outgoing messages.
 var lineBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// keptBuffer is the maximum capacity, in bytes, of a buffer that is returned to the pool.
-const keptBuffer = 16 << 10
+// maxPooledBuffer is the maximum capacity, in bytes, of a buffer that is returned to the pool.
+const maxPooledBuffer = 16 << 10
 
 // recycle returns a buffer to the pool, unless it is large.
 func recycle(line *bytes.Buffer) {
-	if line.Cap() <= keptBuffer {
+	if line.Cap() <= maxPooledBuffer {
 		lineBuffers.Put(line)
 	}
 }
 
-// isIdle reports whether nothing was sent on a link for linkLife.
+// isIdle reports whether nothing was sent on a link for linkIdleTimeout.
 func (t *Transport) isIdle(l *link) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return l.isIdle()
 }
 
-func (l *link) isIdle() bool { return len(l.lines) == 0 && time.Since(l.usedAt) >= linkLife }
+func (l *link) isIdle() bool { return len(l.lines) == 0 && time.Since(l.usedAt) >= linkIdleTimeout }
 
-// endIdle removes a link if it is idle, and reports whether it did. The next message creates
+// removeIfIdle removes a link if it is idle, and reports whether it did. The next message creates
 // another.
-func (t *Transport) endIdle(l *link) bool {
+func (t *Transport) removeIfIdle(l *link) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if !l.isIdle() {
@@ -89,15 +89,15 @@
 	return true
 }
 
-// writeLink connects and writes messages until the transport closes or the link is idle.
-func (t *Transport) writeLink(l *link) {
+// runLink connects and writes messages until the transport closes or the link is idle.
+func (t *Transport) runLink(l *link) {
 	defer t.workers.Done()
 	pause := firstRedialPause
-	for t.context.Err() == nil && !t.endIdle(l) {
+	for t.context.Err() == nil && !t.removeIfIdle(l) {
 		started := time.Now()
 		conn, err := t.connect(l)
 		if err != nil {
-			t.dropFor(l, pause-time.Since(started))
+			t.discardFor(l, pause-time.Since(started))
 			pause = min(2*pause, longestRedialPause)
 			continue
 		}
@@ -114,9 +114,9 @@
 	return t.dial(ctx, l.address)
 }
 
-// dropFor discards messages for a while. An unreachable daemon would not get them now, and they
+// discardFor discards messages for a while. An unreachable daemon would not get them now, and they
 // would be outdated later.
-func (t *Transport) dropFor(l *link, pause time.Duration) {
+func (t *Transport) discardFor(l *link, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	for {
@@ -132,21 +132,21 @@
 
 // writeTo writes messages to a connection until it ends, the link is idle, or the transport closes.
 func (t *Transport) writeTo(l *link, conn net.Conn) {
-	gone := make(chan struct{})
-	go watchClosed(conn, gone)
+	closed := make(chan struct{})
+	go watchClosed(conn, closed)
 	writer := bufio.NewWriterSize(conn, bufferSize)
-	look := time.NewTicker(idleLook)
-	defer look.Stop()
+	check := time.NewTicker(idleCheckInterval)
+	defer check.Stop()
 	for {
 		select {
 		case <-t.context.Done():
-			writeRest(l, conn, writer)
+			flushQueue(l, conn, writer)
 			return
-		case <-look.C:
+		case <-check.C:
 			if t.isIdle(l) {
 				return
 			}
-		case <-gone:
+		case <-closed:
 			return
 		case line := <-l.lines:
 			_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // if that fails, so does the write
@@ -165,9 +165,9 @@
 	}
 }
 
-// writeRest writes the messages that were queued before the transport closed, such as the
+// flushQueue writes the messages that were queued before the transport closed, such as the
 // announcement that this daemon has left.
-func writeRest(l *link, conn net.Conn, writer *bufio.Writer) {
+func flushQueue(l *link, conn net.Conn, writer *bufio.Writer) {
 	_ = conn.SetWriteDeadline(time.Now().Add(closeTimeout)) // if that fails, so does the write
 	for len(l.lines) > 0 {
 		if _, err := writer.Write((<-l.lines).Bytes()); err != nil {
--- a/internal/peer/tcp/link_test.go
+++ b/internal/peer/tcp/link_test.go
@@ -16,12 +16,12 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// quietListener accepts nothing until it is closed.
-type quietListener struct{ closed chan struct{} }
+// blockedListener accepts nothing until it is closed.
+type blockedListener struct{ closed chan struct{} }
 
-func (l *quietListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
-func (l *quietListener) Close() error              { close(l.closed); return nil }
-func (l *quietListener) Addr() net.Addr            { return &net.TCPAddr{} }
+func (l *blockedListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
+func (l *blockedListener) Close() error              { close(l.closed); return nil }
+func (l *blockedListener) Addr() net.Addr            { return &net.TCPAddr{} }
 
 // cutNetwork drops the SYN packets of connections while it is cut; the kernel retransmits them
 // after a second.
@@ -62,7 +62,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			network := &cutNetwork{arrived: make(chan struct{}, 1)}
 			network.cut.Store(true)
-			transport := serve(&quietListener{closed: make(chan struct{})}, network.dial, structs.NewDaemonID("10.0.0.1:1", 1), &counting{}, nil, zerolog.Nop())
+			transport := serve(&blockedListener{closed: make(chan struct{})}, network.dial, structs.NewDaemonID("10.0.0.1:1", 1), &countingHandler{}, nil, zerolog.Nop())
 			defer transport.Close()
 			time.AfterFunc(length, func() { network.cut.Store(false) })
 			started := time.Now()
@@ -82,8 +82,8 @@
 	}
 }
 
-// linksOf returns the number of links of a transport.
-func linksOf(t *Transport) int {
+// linkCount returns the number of links of a transport.
+func linkCount(t *Transport) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return len(t.links)
@@ -95,13 +95,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		var dials atomic.Int64
 		gone := func(context.Context, string) (net.Conn, error) { dials.Add(1); return nil, net.ErrClosed }
-		transport := serve(&quietListener{closed: make(chan struct{})}, gone, structs.NewDaemonID("10.0.0.1:1", 1), &counting{}, nil, zerolog.Nop())
+		transport := serve(&blockedListener{closed: make(chan struct{})}, gone, structs.NewDaemonID("10.0.0.1:1", 1), &countingHandler{}, nil, zerolog.Nop())
 		defer transport.Close()
 		for number := range 50 {
 			transport.Send(structs.NewDaemonID(fmt.Sprintf("10.0.1.%d:1", number), 1), &membership.UpdatePush{})
 		}
-		time.Sleep(linkLife + time.Second)
-		if left := linksOf(transport); left != 0 {
+		time.Sleep(linkIdleTimeout + time.Second)
+		if left := linkCount(transport); left != 0 {
 			t.Errorf("%d links are left", left)
 		}
 		before := dials.Load()
@@ -122,18 +122,18 @@
 func TestConnectionThatIsNotUsedEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &cutNetwork{arrived: make(chan struct{}, 1)}
-		transport := serve(&quietListener{closed: make(chan struct{})}, network.dial, structs.NewDaemonID("10.0.0.1:1", 1), &counting{}, nil, zerolog.Nop())
+		transport := serve(&blockedListener{closed: make(chan struct{})}, network.dial, structs.NewDaemonID("10.0.0.1:1", 1), &countingHandler{}, nil, zerolog.Nop())
 		defer transport.Close()
 		for range 3 {
 			transport.Send(structs.NewDaemonID("10.0.0.2:1", 1), &membership.UpdatePush{})
 			<-network.arrived
-			time.Sleep(linkLife / 2)
-			if left := linksOf(transport); left != 1 {
+			time.Sleep(linkIdleTimeout / 2)
+			if left := linkCount(transport); left != 1 {
 				t.Fatalf("%d links while one is used", left)
 			}
 		}
-		time.Sleep(linkLife + idleLook)
-		if left := linksOf(transport); left != 0 {
+		time.Sleep(linkIdleTimeout + idleCheckInterval)
+		if left := linkCount(transport); left != 0 {
 			t.Errorf("%d links are left", left)
 		}
 	})
--- a/internal/peer/tcp/transport.go
+++ b/internal/peer/tcp/transport.go
@@ -37,15 +37,15 @@
 	logger  zerolog.Logger
 
 	listener net.Listener
-	dial     dial
+	dial     dialFunc
 	context  context.Context
 	cancel   context.CancelFunc
 	workers  sync.WaitGroup
 
-	mutex  sync.Mutex
-	links  map[string]*link
-	accept map[net.Conn]struct{}
-	closed bool
+	mutex    sync.Mutex
+	links    map[string]*link
+	accepted map[net.Conn]struct{}
+	closed   bool
 }
 
 // Listen starts a transport at the address of self. handler gets all messages for this process of
@@ -64,8 +64,8 @@
 	return serve(listener, dialTCP, self, handler, counter, logger), nil
 }
 
-// serve starts a transport with a listener and a dial function.
-func serve(listener net.Listener, dial dial, self structs.DaemonID, handler peer.Handler, counter Counter, logger zerolog.Logger) *Transport {
+// serve starts a transport with a listener and a dialFunc.
+func serve(listener net.Listener, dial dialFunc, self structs.DaemonID, handler peer.Handler, counter Counter, logger zerolog.Logger) *Transport {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &Transport{
 		self:     self,
@@ -77,7 +77,7 @@
 		context:  ctx,
 		cancel:   cancel,
 		links:    map[string]*link{},
-		accept:   map[net.Conn]struct{}{},
+		accepted: map[net.Conn]struct{}{},
 	}
 	t.workers.Add(1)
 	go t.acceptConnections()
@@ -88,7 +88,7 @@
 func (t *Transport) Close() {
 	t.mutex.Lock()
 	t.closed = true
-	for conn := range t.accept {
+	for conn := range t.accepted {
 		_ = conn.Close()
 	}
 	t.mutex.Unlock()
@@ -148,7 +148,7 @@
 		if address == t.self.Address() {
 			go t.loopBack(l)
 		} else {
-			go t.writeLink(l)
+			go t.runLink(l)
 		}
 	}
 	l.usedAt = time.Now()
--- a/internal/peer/tcp/transport_test.go
+++ b/internal/peer/tcp/transport_test.go
@@ -15,12 +15,12 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// counting counts the messages that arrive.
-type counting struct{ received atomic.Int64 }
+// countingHandler counts the messages that arrive.
+type countingHandler struct{ received atomic.Int64 }
 
-func (c *counting) Receive(structs.DaemonID, peer.Message) { c.received.Add(1) }
+func (c *countingHandler) Receive(structs.DaemonID, peer.Message) { c.received.Add(1) }
 
-func (c *counting) await(t *testing.T, want int64) {
+func (c *countingHandler) await(t *testing.T, want int64) {
 	t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
 	for c.received.Load() < want && time.Now().Before(deadline) {
@@ -47,10 +47,10 @@
 }
 
 func TestQueuedMessagesAreWrittenOnClose(t *testing.T) {
-	receiver := &counting{}
+	receiver := &countingHandler{}
 	to := listen(t, receiver)
 	defer to.Close()
-	from := listen(t, &counting{})
+	from := listen(t, &countingHandler{})
 	from.Send(to.self, &membership.UpdatePush{})
 	receiver.await(t, 1)
 	const messages = 500
@@ -61,10 +61,10 @@
 	receiver.await(t, 1+messages)
 }
 
-// TestOwnAnswersAreHandedOverAtOnce sends an immediate message to this daemon, and to an earlier
-// incarnation at its address, which must get nothing.
-func TestOwnAnswersAreHandedOverAtOnce(t *testing.T) {
-	receiver := &counting{}
+// TestImmediateMessageToSelfIsHandledAtOnce sends an immediate message to this daemon, and to an
+// earlier incarnation at its address, which must get nothing.
+func TestImmediateMessageToSelfIsHandledAtOnce(t *testing.T) {
+	receiver := &countingHandler{}
 	transport := listen(t, receiver)
 	defer transport.Close()
 	transport.Send(transport.self, &dispatch.Answer{})
@@ -98,11 +98,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	receiver := &counting{}
+	receiver := &countingHandler{}
 	self := structs.NewDaemonID(listener.Addr().String(), 1)
 	to := serve(&failingListener{Listener: listener}, dialTCP, self, receiver, nil, zerolog.Nop())
 	defer to.Close()
-	from := listen(t, &counting{})
+	from := listen(t, &countingHandler{})
 	defer from.Close()
 	from.Send(to.self, &membership.UpdatePush{})
 	receiver.await(t, 1)
--- a/internal/relaydaemon/capacity_test.go
+++ b/internal/relaydaemon/capacity_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestCapacityIsWhatProcessorAndLinkBear(t *testing.T) {
+func TestCapacityDependsOnProcessorAndLink(t *testing.T) {
 	small := Settings{ProcessorShare: 0.2, ProcessorSpeed: 1, LinkMegabits: 30}
 	large := Settings{ProcessorShare: 0.8, ProcessorSpeed: 1, LinkMegabits: 600}
 	slowLink := Settings{ProcessorShare: 0.8, ProcessorSpeed: 1, LinkMegabits: 5}
--- a/internal/relaydaemon/cold_test.go
+++ b/internal/relaydaemon/cold_test.go
@@ -13,10 +13,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// TestColdBackEndsAreSharedAmongDaemonsOnRecord checks that daemons share the rate of a cold back
+// TestColdBackEndsAreSharedAmongListedDaemons checks that daemons share the rate of a cold back
 // end, that a request causes the list of daemons to be read again, and that a cold back end gets no
 // requests while that list cannot be read.
-func TestColdBackEndsAreSharedAmongDaemonsOnRecord(t *testing.T) {
+func TestColdBackEndsAreSharedAmongListedDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
 		ctx, stop := context.WithCancel(t.Context())
@@ -24,7 +24,7 @@
 		var registries []*memberRegistry
 		for _, address := range []string{"a:1", "a:2"} {
 			registry := newTestRegistry(s, address)
-			registry.cold.SetServices(map[string]*route.Service{"s": {Name: "s", ColdPerSecond: 10}})
+			registry.coldLimiter.SetServices(map[string]*route.Service{"s": {Name: "s", ColdPerSecond: 10}})
 			registry.incarnation()
 			running.Go(func() { registry.run(ctx, func([]structs.Machine) {}) })
 			registries = append(registries, registry)
@@ -33,7 +33,7 @@
 		sent := func() (count int) {
 			for range 60 {
 				for _, registry := range registries {
-					if _, reserved := registry.cold.Reserve(cold, time.Now()); reserved {
+					if _, reserved := registry.coldLimiter.Reserve(cold, time.Now()); reserved {
 						count++
 					}
 				}
--- a/internal/relaydaemon/cutoff.go
+++ b/internal/relaydaemon/cutoff.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// cutCost is the cost of an instance in a zone that is cut off, as a share of its slots. It
+	// cutOffCost is the cost of an instance in a zone that is cut off, as a share of its slots. It
 	// exceeds all other costs, so that even an instance that failed recently is preferred.
-	cutCost = 10_000
+	cutOffCost = 10_000
 	// rampCost is the cost of an instance right after its zone became reachable again; it falls to
 	// 0 within zone.RampTime. During the first third of the ramp it exceeds the bonus of the
 	// instance that knows a session (0.4), so that the instance gets only requests which find no
@@ -31,14 +31,14 @@
 // Cost implements instance.Scorer.
 func (c cutOffZones) Cost(_ *instance.Query, candidate *instance.Instance, now time.Time) float64 {
 	if c.zones.IsCut(candidate.Zone) {
-		return cutCost
+		return cutOffCost
 	}
 	return rampCost * (1 - c.zones.Share(candidate.Zone, now))
 }
 
-// watchZones creates the watch for zones that this daemon is cut off from. A fleet of one zone has
-// none.
-func (d *Daemon) watchZones() {
+// prepareReachWatch creates the watch for zones that this daemon is cut off from. A fleet of one
+// zone has none.
+func (d *Daemon) prepareReachWatch() {
 	if d.zones == nil {
 		return
 	}
@@ -51,15 +51,15 @@
 		View:         d.membership,
 		ProbeStore:   d.probeStore,
 		OnCut:        func(zone string) { d.adapter.CloseIdle(d.pool.AddressesIn(zone)) },
-		OnIsolated:   d.expireRestingAfterReroute,
+		OnIsolated:   d.expireIdleAfterReroute,
 		Random:       newRandom(),
-		Logger:       part(d.logger, "zones"),
-		Metrics:      reach.NewMetrics(d.figures),
+		Logger:       componentLogger(d.logger, "zones"),
+		Metrics:      reach.NewMetrics(d.metrics),
 	})
 }
 
-// watchReach runs the watch until ctx ends.
-func (d *Daemon) watchReach(ctx context.Context) {
+// runReachWatch runs the watch until ctx ends.
+func (d *Daemon) runReachWatch(ctx context.Context) {
 	if d.reach == nil {
 		d.relay.WatchSilence(ctx)
 		return
@@ -67,13 +67,13 @@
 	d.reach.Run(ctx)
 }
 
-// expireRestingAfterReroute closes idle connections once the platform routes new ones to other
+// expireIdleAfterReroute closes idle connections once the platform routes new ones to other
 // daemons, if this daemon is still cut off by then. Their callers then reach a daemon that can
 // serve them without being refused first. Connections that their caller may still reuse stay open.
-func (d *Daemon) expireRestingAfterReroute() {
-	time.AfterFunc(noticeTime, func() {
+func (d *Daemon) expireIdleAfterReroute() {
+	time.AfterFunc(rerouteTime, func() {
 		if _, isCut := d.cutOffSince(); isCut {
-			d.front.expireResting(time.Now())
+			d.front.expireIdle(time.Now())
 		}
 	})
 }
--- a/internal/relaydaemon/cutoff_test.go
+++ b/internal/relaydaemon/cutoff_test.go
@@ -14,22 +14,22 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// cutZones returns the reachability as seen by a daemon in zone a from which the given zones are
-// cut off.
-func cutZones(cut ...string) *zone.Reachability {
+// reachabilityWithCut returns the reachability as seen by a daemon in zone a from which the given
+// zones are cut off.
+func reachabilityWithCut(cut ...string) *zone.Reachability {
 	zones := zone.NewReachability(zone.NewTopology("a", "", map[string]string{"b": "", "c": ""}))
 	for _, name := range []string{"a", "b", "c"} {
 		zones.NoteDaemons(name, 5)
 	}
-	hear(zones, 600*time.Millisecond, cut...)
+	simulateReach(zones, 600*time.Millisecond, cut...)
 	return zones
 }
 
-// hear simulates a span in which the cut zones do not answer while the others do. If any zone is
-// cut, the store does not answer either.
-func hear(zones *zone.Reachability, length time.Duration, cut ...string) {
+// simulateReach simulates a span in which the back ends of some zones do not answer while others
+// do. If there are silent zones, the store does not answer either.
+func simulateReach(zones *zone.Reachability, length time.Duration, silentZones ...string) {
 	waiting := map[string]zone.Waiting{}
-	for _, name := range cut {
+	for _, name := range silentZones {
 		waiting[name] = zone.Waiting{Overdue: 1, Silent: 1}
 	}
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(zone.StepInterval) {
@@ -41,13 +41,13 @@
 			}
 		}
 		if plan.ProbeStore {
-			zones.StoreAsked(len(cut) == 0, now, now)
+			zones.StoreAsked(len(silentZones) == 0, now, now)
 		}
 	}
 }
 
-// picks counts how often each instance is chosen.
-func picks(pool *instance.Pool, count int, excluded ...string) map[string]int {
+// countChoices counts how often each instance is chosen.
+func countChoices(pool *instance.Pool, count int, excluded ...string) map[string]int {
 	counts := map[string]int{}
 	for range count {
 		if chosen, found := pool.Take(instance.Query{Service: "s", Preferred: "i-b", Excluded: excluded}); found {
@@ -60,23 +60,23 @@
 
 func TestNoRequestGoesToAZoneThatIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &Daemon{zones: cutZones("b"), cold: warmup.NewLimiter(warmup.Options{})}
+		d := &Daemon{zones: reachabilityWithCut("b"), coldLimiter: warmup.NewLimiter(warmup.Options{})}
 		pool := instance.NewPool(rand.New(rand.NewPCG(1, 1)), d.placementPlugins())
 		near := instance.Instance{ID: "i-a", Service: "s", Zone: "a", Slots: 4, State: instance.StateReady}
 		there := instance.Instance{ID: "i-b", Service: "s", Zone: "b", Slots: 4, State: instance.StateReady}
 		pool.Replace([]instance.Instance{near, there})
-		if got := picks(pool, 50); got["i-b"] != 0 {
+		if got := countChoices(pool, 50); got["i-b"] != 0 {
 			t.Errorf("cut off: %v", got)
 		}
-		if got := picks(pool, 50, "i-a"); got["i-b"] != 50 {
+		if got := countChoices(pool, 50, "i-a"); got["i-b"] != 50 {
 			t.Errorf("no other instance: %v", got)
 		}
-		hear(d.zones, 250*time.Millisecond)
-		if got := picks(pool, 50); d.zones.IsCut("b") || got["i-b"] != 0 {
+		simulateReach(d.zones, 250*time.Millisecond)
+		if got := countChoices(pool, 50); d.zones.IsCut("b") || got["i-b"] != 0 {
 			t.Errorf("right after the cut, cut off %v: %v", d.zones.IsCut("b"), got)
 		}
 		time.Sleep(zone.RampTime)
-		if got := picks(pool, 50); got["i-b"] != 50 {
+		if got := countChoices(pool, 50); got["i-b"] != 50 {
 			t.Errorf("after the ramp: %v", got)
 		}
 	})
@@ -84,17 +84,17 @@
 
 func TestDaemonThatIsCutOffIsNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := keyDaemon(t, "key")
-		d.zones = cutZones()
+		d := newKeyDaemon(t, "key")
+		d.zones = reachabilityWithCut()
 		if d.RedirectsCallers() {
 			t.Fatal("redirects callers without a cut")
 		}
 		d.confirmRoutes(time.Now())
-		hear(d.zones, time.Second, "b", "c")
+		simulateReach(d.zones, time.Second, "b", "c")
 		if !d.RedirectsCallers() || d.isReady() {
 			t.Fatal("ready though it is cut off")
 		}
-		if !d.honours(t, "key") {
+		if !d.accepts(t, "key") {
 			t.Error("a recently confirmed key is not accepted")
 		}
 		time.Sleep(d.settings.revocationTime())
@@ -103,31 +103,31 @@
 		if refusal == nil || refusal.Reason != relay.ReasonKeysUnconfirmed || time.Since(asked) != 0 {
 			t.Errorf("refused after %s: %+v", time.Since(asked), refusal)
 		}
-		hear(d.zones, 600*time.Millisecond)
+		simulateReach(d.zones, 600*time.Millisecond)
 		if d.RedirectsCallers() {
 			t.Error("still redirects callers 0.6 s after the cut")
 		}
 	})
 }
 
-func TestRestingConnectionsAreClosedOnceCallersAreRedirected(t *testing.T) {
-	for name, cutFor := range map[string]time.Duration{"long": 2 * noticeTime, "short": noticeTime / 2} {
+func TestIdleConnectionsAreClosedOnceCallersAreRedirected(t *testing.T) {
+	for name, cutFor := range map[string]time.Duration{"long": 2 * rerouteTime, "short": rerouteTime / 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				front := newDrainTest(t)
 				caller := front.dial(t)
 				caller.send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
 				caller.expectAnswer("/a ")
-				d := &Daemon{front: front.server, zones: cutZones()}
-				hear(d.zones, time.Second, "b", "c")
-				d.expireRestingAfterReroute()
-				hear(d.zones, noticeTime/2, "b", "c")
+				d := &Daemon{front: front.server, zones: reachabilityWithCut()}
+				simulateReach(d.zones, time.Second, "b", "c")
+				d.expireIdleAfterReroute()
+				simulateReach(d.zones, rerouteTime/2, "b", "c")
 				if !d.RedirectsCallers() || front.server.count() != 1 {
 					t.Fatalf("cut off: %v, with %d connections", d.RedirectsCallers(), front.server.count())
 				}
-				hear(d.zones, cutFor-noticeTime/2, "b", "c")
-				hear(d.zones, 2*noticeTime)
-				if kept := front.server.count() == 1; kept != (cutFor < noticeTime) {
+				simulateReach(d.zones, cutFor-rerouteTime/2, "b", "c")
+				simulateReach(d.zones, 2*rerouteTime)
+				if kept := front.server.count() == 1; kept != (cutFor < rerouteTime) {
 					t.Errorf("kept: %v", kept)
 				}
 			})
@@ -135,9 +135,9 @@
 	}
 }
 
-func TestFleetOfOneZoneHasNoPartInIt(t *testing.T) {
+func TestFleetOfOneZoneDoesNotWatchForCuts(t *testing.T) {
 	d := &Daemon{}
-	d.watchZones()
+	d.prepareReachWatch()
 	inChoice := slices.ContainsFunc(d.placementPlugins().Scorers, func(s instance.Scorer) bool {
 		_, isPart := s.(cutOffZones)
 		return isPart
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -30,10 +30,10 @@
 const (
 	// memoryShare is the share of the machine's memory that is set as the runtime's soft limit.
 	memoryShare = 0.7
-	// heapGrowth is the garbage collector's target percentage. It is lower than the default of 100,
+	// gcPercent is the garbage collector's target percentage. It is lower than the default of 100,
 	// as memory costs operators more than the processor time of collecting.
-	heapGrowth = 30
-	megabyte   = 1 << 20
+	gcPercent = 30
+	megabyte  = 1 << 20
 )
 
 // Daemon is a running relay daemon.
@@ -60,14 +60,14 @@
 	zones    *zone.Reachability
 	reach    *reach.Watch
 	registry *memberRegistry
-	// cold limits the requests to cold instances.
-	cold *warmup.Limiter
+	// coldLimiter limits the requests to coldLimiter instances.
+	coldLimiter *warmup.Limiter
 	// store calls the store by way of other daemons where this one does not reach it.
 	store *proxy.Service
-	// records reads the operators' records: from the store, or from a neighbour while they are
-	// large.
-	records *fanout.Service
-	figures *prometheus.Registry
+	// operatorRecords reads the operators' operatorRecords: from the store, or from a neighbour
+	// while they are large.
+	operatorRecords *fanout.Service
+	metrics         *prometheus.Registry
 	// watchMetrics count the reads of watched partitions.
 	watchMetrics *store.WatchMetrics
 	// servers are all HTTP servers except front, which serves callers.
@@ -75,44 +75,45 @@
 	front   *frontServer
 
 	table atomic.Pointer[route.Table]
-	// refused is set while newer routes than those in force could not be parsed.
-	refused atomic.Bool
-	// keys is the time as of which the routes in force, keys included, are known to be the newest.
-	keys *confirmation
-	// hasTable is closed once routes are known.
-	hasTable  chan struct{}
-	startedAt time.Time
-	stopping  stopMark
-	stopOnce  sync.Once
-	cancel    context.CancelFunc
-	workers   sync.WaitGroup
+	// hasRefusedRoutes is set while newer routes than those in force could not be parsed.
+	hasRefusedRoutes atomic.Bool
+	// confirmation is the time as of which the routes in force, confirmation included, are known to
+	// be the newest.
+	confirmation *confirmation
+	// tableReady is closed once routes are known.
+	tableReady chan struct{}
+	startedAt  time.Time
+	stopping   stopMark
+	stopOnce   sync.Once
+	cancel     context.CancelFunc
+	workers    sync.WaitGroup
 }
 
 // Start opens the listeners and starts the daemon.
-func Start(settings Settings, logger zerolog.Logger, lost *DroppedLines) (*Daemon, error) {
-	boundMemory(settings)
+func Start(settings Settings, logger zerolog.Logger, dropped *DroppedLines) (*Daemon, error) {
+	limitMemory(settings)
 	newAdapter, err := Adapters.Lookup(settings.Adapter)
 	if err != nil {
 		return nil, err
 	}
-	figures := newFigures(lost)
+	registry := newMetricsRegistry(dropped)
 	d := &Daemon{
 		settings: settings,
 		logger:   logger,
-		figures:  figures,
+		metrics:  registry,
 
-		watchMetrics: store.NewWatchMetrics(figures),
+		watchMetrics: store.NewWatchMetrics(registry),
 
-		hasTable: make(chan struct{}),
-		keys:     newConfirmation(),
+		tableReady:   make(chan struct{}),
+		confirmation: newConfirmation(),
 
 		startedAt: time.Now(),
 		admission: &admission.Admission{},
 		topology:  settings.topology(),
 		adapter: newAdapter(AdapterOptions{
 			StoreAddress: settings.StoreAddress,
-			Logger:       part(logger, "adapter"),
-			Registry:     figures,
+			Logger:       componentLogger(logger, "adapter"),
+			Registry:     registry,
 		}),
 	}
 	d.preparePlacement()
@@ -128,26 +129,26 @@
 	return d, nil
 }
 
-// boundMemory configures the runtime for the settings' memory limit.
-func boundMemory(settings Settings) {
+// limitMemory configures the runtime for the settings' memory limit.
+func limitMemory(settings Settings) {
 	if settings.MemoryMegabytes > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryMegabytes) * megabyte))
 	}
-	debug.SetGCPercent(heapGrowth)
+	debug.SetGCPercent(gcPercent)
 }
 
-// newFigures returns a metrics registry with the metrics of the log.
-func newFigures(lost *DroppedLines) *prometheus.Registry {
-	figures := prometheus.NewRegistry()
-	figures.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
+// newMetricsRegistry returns a metrics registry with the metrics of the log.
+func newMetricsRegistry(dropped *DroppedLines) *prometheus.Registry {
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Namespace: "mintpulley", Subsystem: "log", Name: "lines_lost_total", Help: "Log lines that were dropped.",
-	}, func() float64 { return float64(lost.Count()) }))
-	return figures
+	}, func() float64 { return float64(dropped.Count()) }))
+	return registry
 }
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-func part(logger zerolog.Logger, name string) zerolog.Logger {
+func componentLogger(logger zerolog.Logger, name string) zerolog.Logger {
 	return logger.With().Str("part", name).Logger()
 }
 
@@ -161,7 +162,7 @@
 	d.regional.setRunner(func(service *ledger.Service) { d.workers.Go(func() { service.Run(ctx) }) })
 	d.workers.Go(func() { d.watchRoutes(ctx) })
 	d.workers.Go(func() { d.watchInstances(ctx) })
-	d.workers.Go(func() { d.watchReach(ctx) })
+	d.workers.Go(func() { d.runReachWatch(ctx) })
 }
 
 // Table implements Gateway. It waits for the first routes while they are likely to arrive before
@@ -175,7 +176,7 @@
 	timer := time.NewTimer(d.admission.Decide(wait, now).Until.Sub(now))
 	defer timer.Stop()
 	select {
-	case <-d.hasTable:
+	case <-d.tableReady:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/relaydaemon/front.go
+++ b/internal/relaydaemon/front.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// drainPoll is the interval at which a drain checks for idle connections.
-	drainPoll = 20 * time.Millisecond
+	// drainPollInterval is the interval at which a drain checks for idle connections.
+	drainPollInterval = 20 * time.Millisecond
 	// firstRequestTime is how long a new connection may take to send its first request during a
 	// drain. Callers allow a connection a second to be established.
 	firstRequestTime = time.Second
-	// lastAccept is how long a drain continues to accept connections that the kernel has already
-	// established: closing the listener resets them, and with them the requests that have arrived.
-	lastAccept = 50 * time.Millisecond
+	// finalAcceptTime is how long a drain continues to accept connections that the kernel has
+	// already established: closing the listener resets them, and with them the requests that have
+	// arrived.
+	finalAcceptTime = 50 * time.Millisecond
 )
 
 // frontServer serves callers and can be drained. http.Server.Shutdown does not suffice: it may
@@ -29,13 +30,13 @@
 type frontServer struct {
 	server   *http.Server
 	listener *frontListener
-	// served is closed once no more connections are accepted.
-	served chan struct{}
-	// bound is canceled by giveUp at the shutdown deadline: requests without a complete answer end.
-	// cut then cancels the contexts of all requests, with a cause.
-	bound  context.Context
-	giveUp context.CancelFunc
-	cut    context.CancelCauseFunc
+	// acceptEnded is closed once no more connections are accepted.
+	acceptEnded chan struct{}
+	// shutdownDeadline is a context that reachShutdownDeadline ends: requests without a complete
+	// answer then end. cancelAll cancels the contexts of all requests, with a cause.
+	shutdownDeadline      context.Context
+	reachShutdownDeadline context.CancelFunc
+	cancelAll             context.CancelCauseFunc
 	// redirects reports whether the platform routes new connections to other daemons.
 	redirects func() bool
 	draining  atomic.Bool
@@ -51,37 +52,37 @@
 // newFrontServer starts to serve on a listener. server must not set timeouts: the front server
 // enforces the operators' limits itself. No connection is kept while redirects returns true.
 func newFrontServer(server *http.Server, listener net.Listener, redirects func() bool) *frontServer {
-	bound, giveUp := context.WithCancel(context.Background())
-	callers, cut := context.WithCancelCause(context.Background())
+	shutdownDeadline, reachShutdownDeadline := context.WithCancel(context.Background())
+	callers, cancelAll := context.WithCancelCause(context.Background())
 	s := &frontServer{
-		bound:     bound,
-		giveUp:    giveUp,
-		cut:       cut,
-		redirects: redirects,
-		server:    server,
-		listener:  &frontListener{Listener: listener},
-		served:    make(chan struct{}),
-		limits:    route.Limits{HeadTime: headerTimeout, IdleTime: idleTimeout},
-		open:      map[*frontConnection]struct{}{},
+		shutdownDeadline:      shutdownDeadline,
+		reachShutdownDeadline: reachShutdownDeadline,
+		cancelAll:             cancelAll,
+		redirects:             redirects,
+		server:                server,
+		listener:              &frontListener{Listener: listener},
+		acceptEnded:           make(chan struct{}),
+		limits:                route.Limits{HeadTime: headerTimeout, IdleTime: idleTimeout},
+		open:                  map[*frontConnection]struct{}{},
 	}
-	server.Handler = s.serving(server.Handler)
+	server.Handler = s.wrap(server.Handler)
 	server.ConnContext = func(ctx context.Context, connection net.Conn) context.Context {
 		return context.WithValue(ctx, connectionKey{}, connection)
 	}
 	server.BaseContext = func(net.Listener) context.Context { return callers }
-	server.ConnState = s.noteState
+	server.ConnState = s.onConnState
 	go func() {
-		defer close(s.served)
+		defer close(s.acceptEnded)
 		_ = server.Serve(s.listener) // ends when the listener is closed
 	}()
 	return s
 }
 
-// serving wraps the handler: it records that a request's header was read, and adds the headers that
+// wrap wraps the handler: it records that a request's header was read, and adds the headers that
 // tell the caller how long it may reuse the connection.
-func (s *frontServer) serving(handler http.Handler) http.Handler {
+func (s *frontServer) wrap(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := relay.WithStopBound(r.Context(), s.bound)
+		ctx, cancel := relay.WithStopBound(r.Context(), s.shutdownDeadline)
 		defer cancel()
 		r = r.WithContext(ctx)
 		connection, known := r.Context().Value(connectionKey{}).(*frontConnection)
@@ -90,7 +91,7 @@
 			return
 		}
 		connection.enter(phaseServing, time.Now())
-		answer := &answerWriter{ResponseWriter: w, server: s, connection: connection}
+		answer := &reuseAnnouncer{ResponseWriter: w, server: s, connection: connection}
 		handler.ServeHTTP(answer, r)
 		answer.announceReuse() // an answer without a body may not have written its header yet
 	})
@@ -117,8 +118,8 @@
 func (s *frontServer) drain(ctx context.Context) error {
 	s.draining.Store(true)
 	s.stopAccepting()
-	for s.expireResting(time.Now()) > 0 {
-		clock.Sleep(ctx, drainPoll)
+	for s.expireIdle(time.Now()) > 0 {
+		clock.Sleep(ctx, drainPollInterval)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -128,26 +129,26 @@
 
 // stopAccepting closes the listener once no established connection waits to be accepted.
 func (s *frontServer) stopAccepting() {
-	s.listener.finish()
-	<-s.served
+	s.listener.acceptRemaining()
+	<-s.acceptEnded
 }
 
 // close closes the listener and all connections. The contexts are canceled first, so that requests
 // which are cut off end with ErrShutdownDeadline as their cause.
 func (s *frontServer) close() {
-	s.giveUp()
-	s.cut(relay.ErrStopBound)
+	s.reachShutdownDeadline()
+	s.cancelAll(relay.ErrStopBound)
 	_ = s.server.Close()
 }
 
-// endRests closes idle connections even if their callers may still reuse them, and returns the
-// number of others. It is called at the shutdown deadline, when the process is about to exit.
-func (s *frontServer) endRests() (busy int) {
+// forceExpireIdle closes idle connections even if their callers may still reuse them, and returns
+// the number of others. It is called at the shutdown deadline, when the process is about to exit.
+func (s *frontServer) forceExpireIdle() (busy int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
 	for connection := range s.open {
-		if !connection.endRest(now) {
+		if !connection.forceExpire(now) {
 			busy++
 		}
 	}
@@ -161,9 +162,9 @@
 	return len(s.open)
 }
 
-// expireResting closes idle connections that their callers may no longer reuse, and returns the
+// expireIdle closes idle connections that their callers may no longer reuse, and returns the
 // number of open connections.
-func (s *frontServer) expireResting(now time.Time) int {
+func (s *frontServer) expireIdle(now time.Time) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for connection := range s.open {
@@ -172,8 +173,8 @@
 	return len(s.open)
 }
 
-// noteState implements http.Server.ConnState.
-func (s *frontServer) noteState(connection net.Conn, state http.ConnState) {
+// onConnState implements http.Server.ConnState.
+func (s *frontServer) onConnState(connection net.Conn, state http.ConnState) {
 	c, known := connection.(*frontConnection)
 	if !known {
 		return
@@ -182,9 +183,9 @@
 	switch state {
 	case http.StateNew:
 		s.add(c)
-		c.restFor(firstRequestTime, now)
+		c.idleFor(firstRequestTime, now)
 	case http.StateIdle:
-		c.restAfterAnswer(now)
+		c.idleAfterAnswer(now)
 	case http.StateClosed, http.StateHijacked:
 		s.remove(c)
 	}
--- a/internal/relaydaemon/front_connection.go
+++ b/internal/relaydaemon/front_connection.go
@@ -12,10 +12,10 @@
 type phase int
 
 const (
-	// phaseResting lasts until the first byte of the next request.
-	phaseResting phase = iota
-	// phaseHead lasts until the request's header was read.
-	phaseHead
+	// phaseIdle lasts until the first byte of the next request.
+	phaseIdle phase = iota
+	// phaseHeader lasts until the request's header was read.
+	phaseHeader
 	// phaseServing lasts until the answer was written.
 	phaseServing
 )
@@ -42,7 +42,7 @@
 func (c *frontConnection) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if n > 0 {
-		c.noteArrived(time.Now())
+		c.onBytesArrived(time.Now())
 	}
 	return n, err
 }
@@ -62,13 +62,13 @@
 // mutex.
 func (c *frontConnection) phaseEnd() time.Time {
 	switch {
-	case c.phase == phaseResting && c.limits.IdleTime > 0:
+	case c.phase == phaseIdle && c.limits.IdleTime > 0:
 		end := c.since.Add(c.limits.IdleTime)
 		if end.Before(c.reusableUntil) {
 			return c.reusableUntil // a longer time was announced under an earlier limit
 		}
 		return end
-	case c.phase == phaseHead && c.limits.HeadTime > 0:
+	case c.phase == phaseHeader && c.limits.HeadTime > 0:
 		return c.since.Add(c.limits.HeadTime)
 	}
 	return time.Time{}
@@ -84,7 +84,7 @@
 // begin is enter for callers that hold the mutex.
 func (c *frontConnection) begin(next phase, now time.Time) {
 	c.phase, c.since = next, now
-	c.bound()
+	c.applyDeadline()
 }
 
 // setLimits applies limits, also to the current phase.
@@ -93,12 +93,12 @@
 	defer c.mutex.Unlock()
 	c.limits = limits
 	if !c.expired {
-		c.bound()
+		c.applyDeadline()
 	}
 }
 
-// bound sets the read deadline to the end of the phase. The caller must hold the mutex.
-func (c *frontConnection) bound() {
+// applyDeadline sets the read deadline to the end of the phase. The caller must hold the mutex.
+func (c *frontConnection) applyDeadline() {
 	_ = c.Conn.SetReadDeadline(c.phaseEnd()) // fails if the connection is closed
 }
 
@@ -111,41 +111,41 @@
 	return c.reuse
 }
 
-// restAfterAnswer starts phaseResting after an answer. It lasts at least as long as the caller may
+// idleAfterAnswer starts phaseIdle after an answer. It lasts at least as long as the caller may
 // reuse the connection.
-func (c *frontConnection) restAfterAnswer(now time.Time) {
+func (c *frontConnection) idleAfterAnswer(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	least := c.reuse
 	if least > 0 {
-		least += requestTravel
+		least += requestTransitTime
 	}
-	c.rest(least, now)
+	c.startIdle(least, now)
 }
 
-// restFor starts phaseResting with a minimum duration.
-func (c *frontConnection) restFor(least time.Duration, now time.Time) {
+// idleFor starts phaseIdle with a minimum duration.
+func (c *frontConnection) idleFor(least time.Duration, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.rest(least, now)
+	c.startIdle(least, now)
 }
 
-// rest is restFor for callers that hold the mutex.
-func (c *frontConnection) rest(least time.Duration, now time.Time) {
+// startIdle is idleFor for callers that hold the mutex.
+func (c *frontConnection) startIdle(least time.Duration, now time.Time) {
 	c.reusableUntil = now.Add(least)
-	c.begin(phaseResting, now)
+	c.begin(phaseIdle, now)
 }
 
-// noteArrived starts phaseHead when the first bytes of a request arrive, even if the connection has
-// just expired.
-func (c *frontConnection) noteArrived(now time.Time) {
+// onBytesArrived starts phaseHeader when the first bytes of a request arrive, even if the
+// connection has just expired.
+func (c *frontConnection) onBytesArrived(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.phase != phaseResting {
+	if c.phase != phaseIdle {
 		return
 	}
 	c.expired = false
-	c.begin(phaseHead, now)
+	c.begin(phaseHeader, now)
 }
 
 // expire makes the server close the connection if it is idle and its caller may no longer reuse it.
@@ -154,7 +154,7 @@
 func (c *frontConnection) expire(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.phase == phaseResting && !now.Before(c.reusableUntil) {
+	if c.phase == phaseIdle && !now.Before(c.reusableUntil) {
 		c.expireNow(now)
 	}
 }
@@ -165,12 +165,13 @@
 	_ = c.Conn.SetReadDeadline(now) // fails if the connection is closed
 }
 
-// endRest expires the connection even if its caller may still reuse it; false if it is not idle.
-func (c *frontConnection) endRest(now time.Time) bool {
+// forceExpire expires the connection even if its caller may still reuse it; false if it is not
+// idle.
+func (c *frontConnection) forceExpire(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.reusableUntil = now
-	if c.phase != phaseResting {
+	if c.phase != phaseIdle {
 		return false
 	}
 	c.expireNow(now)
--- a/internal/relaydaemon/front_limits_test.go
+++ b/internal/relaydaemon/front_limits_test.go
@@ -21,7 +21,7 @@
 	})
 }
 
-func TestRestingConnectionIsClosedAtTheOperatorsLimit(t *testing.T) {
+func TestIdleConnectionIsClosedAtTheOperatorsLimit(t *testing.T) {
 	limitsTest(t, func(t *testing.T, d *drainTest) {
 		c := d.dial(t)
 		for range 3 { // four fifths of the limit are allowed
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestSlowHeadIsClosedAtTheOperatorsLimit(t *testing.T) {
+func TestSlowHeaderIsClosedAtTheOperatorsLimit(t *testing.T) {
 	limitsTest(t, func(t *testing.T, d *drainTest) {
 		c := d.dial(t)
 		time.Sleep(testIdleTime / 2)
--- a/internal/relaydaemon/front_listener.go
+++ b/internal/relaydaemon/front_listener.go
@@ -12,25 +12,26 @@
 	SetDeadline(at time.Time) error
 }
 
-// frontListener accepts frontConnections until finish is called.
+// frontListener accepts frontConnections until acceptRemaining is called.
 type frontListener struct {
 	net.Listener
-	// isLastLook: the deadline has passed once, and Accept is called with a second one.
-	isLastLook bool
+	// isFinalDeadline: the deadline has passed once, and Accept is called with a second one.
+	isFinalDeadline bool
 }
 
-// finish makes Accept return the connections that are already established, and then close the
-// listener. A listener without deadlines is closed at once.
-func (l *frontListener) finish() {
-	if !l.limit() {
+// acceptRemaining makes Accept return the connections that are already established, and then close
+// the listener. A listener without deadlines is closed at once.
+func (l *frontListener) acceptRemaining() {
+	if !l.setDeadline() {
 		_ = l.Close() // fails if it is already closed
 	}
 }
 
-// limit sets the deadline of Accept to lastAccept from now; false if that is not supported.
-func (l *frontListener) limit() bool {
+// setDeadline sets the deadline of Accept to finalAcceptTime from now; false if that is not
+// supported.
+func (l *frontListener) setDeadline() bool {
 	limited, ok := l.Listener.(deadlineListener)
-	return ok && limited.SetDeadline(time.Now().Add(lastAccept)) == nil
+	return ok && limited.SetDeadline(time.Now().Add(finalAcceptTime)) == nil
 }
 
 // Accept implements net.Listener. After the deadline it accepts once more with a new deadline: a
@@ -45,10 +46,10 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
-		if l.isLastLook || !l.limit() {
+		if l.isFinalDeadline || !l.setDeadline() {
 			_ = l.Close()             // Accept already failed
 			return nil, net.ErrClosed // the server would retry after a timeout error
 		}
-		l.isLastLook = true
+		l.isFinalDeadline = true
 	}
 }
--- a/internal/relaydaemon/front_reuse.go
+++ b/internal/relaydaemon/front_reuse.go
@@ -9,18 +9,18 @@
 // HTTP/1.1 cannot close an idle connection safely while the caller's next request may be in flight:
 // that request is lost, and its caller may not be allowed to repeat it. Therefore each answer
 // announces how long the connection may be reused, or that it closes. Until that time is over, only
-// the caller or the exit of the process ends an idle connection: not the drain of a planned shutdown,
-// nor a lower limit of the operators, nor being cut off.
+// the caller or the exit of the process ends an idle connection: not the drain of a planned
+// shutdown, nor a lower limit of the operators, nor being cut off.
 
 const (
-	// reuseTime is how long callers may reuse a connection after an answer. Including requestTravel
-	// it is no longer than noticeTime. During a planned shutdown, answers announce from the beginning
-	// that the connection closes, so when noticeTime is over, only connections whose answer began
-	// before the shutdown may still be reused.
+	// reuseTime is how long callers may reuse a connection after an answer. Including
+	// requestTransitTime it is no longer than rerouteTime. During a planned shutdown, answers
+	// announce from the beginning that the connection closes, so when rerouteTime is over, only
+	// connections whose answer began before the shutdown may still be reused.
 	reuseTime = 2 * time.Second
-	// requestTravel is how long a request sent in time may take to arrive: it covers one or two
-	// lost packets or a delay in scheduling.
-	requestTravel = noticeTime - reuseTime
+	// requestTransitTime is how long a request sent in time may take to arrive: it covers one or
+	// two lost packets or a delay in scheduling.
+	requestTransitTime = rerouteTime - reuseTime
 )
 
 const (
@@ -34,11 +34,11 @@
 	if idleLimit <= 0 {
 		return reuseTime
 	}
-	return max(min(reuseTime, idleLimit-requestTravel), 0).Truncate(time.Second)
+	return max(min(reuseTime, idleLimit-requestTransitTime), 0).Truncate(time.Second)
 }
 
-// answerWriter adds the headers that announce how long the connection may be reused.
-type answerWriter struct {
+// reuseAnnouncer adds the headers that announce how long the connection may be reused.
+type reuseAnnouncer struct {
 	http.ResponseWriter
 	server     *frontServer
 	connection *frontConnection
@@ -47,7 +47,7 @@
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *answerWriter) WriteHeader(status int) {
+func (w *reuseAnnouncer) WriteHeader(status int) {
 	if status >= http.StatusOK {
 		w.announceReuse()
 	}
@@ -55,16 +55,16 @@
 }
 
 // Write implements http.ResponseWriter.
-func (w *answerWriter) Write(data []byte) (int, error) {
+func (w *reuseAnnouncer) Write(data []byte) (int, error) {
 	w.announceReuse()
 	return w.ResponseWriter.Write(data)
 }
 
 // Unwrap lets http.ResponseController use the underlying writer.
-func (w *answerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *reuseAnnouncer) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // announceReuse sets the headers once.
-func (w *answerWriter) announceReuse() {
+func (w *reuseAnnouncer) announceReuse() {
 	if w.isAnnounced {
 		return
 	}
--- a/internal/relaydaemon/front_reuse_test.go
+++ b/internal/relaydaemon/front_reuse_test.go
@@ -66,22 +66,22 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for rest := step; rest < testIdleTime; rest += step {
+			for idle := step; idle < testIdleTime; idle += step {
 				limitsTest(t, func(t *testing.T, d *drainTest) {
 					c := d.dial(t)
 					answer, err := c.exchangeAnswer("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
 					if err != nil {
 						t.Fatal(err)
 					}
-					if reuseBound(t, answer, testIdleTime) < rest {
+					if reuseBound(t, answer, testIdleTime) < idle {
 						return // the caller opens a new connection
 					}
-					time.Sleep(rest) // the caller then sends the next request, which takes linkDelay to arrive
+					time.Sleep(idle) // the caller then sends the next request, which takes linkDelay to arrive
 					time.Sleep(linkDelay / 2)
 					begin(t, d)
 					time.Sleep(linkDelay / 2)
 					if _, err := c.exchangeAnswer("GET /b HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
-						t.Errorf("after a rest of %s: no answer: %v", rest, err)
+						t.Errorf("after %s idle: no answer: %v", idle, err)
 					}
 				})
 			}
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestRestingConnectionIsNoRequestThatIsGivenUp checks that an idle connection that may still be
+// TestIdleConnectionIsNotAnUnfinishedRequest checks that an idle connection that may still be
 // reused is closed at the shutdown deadline and does not count as an unfinished request.
-func TestRestingConnectionIsNoRequestThatIsGivenUp(t *testing.T) {
+func TestIdleConnectionIsNotAnUnfinishedRequest(t *testing.T) {
 	limitsTest(t, func(t *testing.T, d *drainTest) {
 		c := d.dial(t)
 		if _, err := c.exchangeAnswer("GET /a HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
@@ -134,7 +134,7 @@
 		if err := <-d.drained; err == nil {
 			t.Fatal("the drain ended before the connection's time was over")
 		}
-		if busy := d.server.endRests(); busy != 0 {
+		if busy := d.server.forceExpireIdle(); busy != 0 {
 			t.Errorf("%d connections have a request", busy)
 		}
 		c.expectClosed()
@@ -150,7 +150,7 @@
 	}
 	gate := &gatedListener{Listener: listener, opened: make(chan struct{})}
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
-	server := newFrontServer(&http.Server{Handler: handler}, gate, keepsCallers)
+	server := newFrontServer(&http.Server{Handler: handler}, gate, neverRedirects)
 	defer server.close()
 	connection, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -192,7 +192,7 @@
 
 // SetDeadline implements deadlineListener.
 func (l *gatedListener) SetDeadline(at time.Time) error {
-	defer time.AfterFunc(2*lastAccept, l.openGate)
+	defer time.AfterFunc(2*finalAcceptTime, l.openGate)
 	limited, ok := l.Listener.(interface{ SetDeadline(at time.Time) error })
 	if !ok {
 		return errors.ErrUnsupported
--- a/internal/relaydaemon/front_test.go
+++ b/internal/relaydaemon/front_test.go
@@ -94,8 +94,8 @@
 	redirects bool
 }
 
-// keepsCallers is the redirects function of servers whose callers are never redirected.
-func keepsCallers() bool { return false }
+// neverRedirects is the redirects function of servers whose callers are never redirected.
+func neverRedirects() bool { return false }
 
 func newDrainTest(t *testing.T) *drainTest {
 	d := &drainTest{pipeListener: newPipeListener(), release: make(chan struct{}), drained: make(chan error, 1)}
@@ -160,16 +160,16 @@
 	})
 }
 
-func TestDrainClosesWhatRestsAndWaitsForWhatIsUnderWay(t *testing.T) {
+func TestDrainClosesIdleConnectionsAndWaitsForRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrainTest(t)
-		rests, silent, slow := d.dial(t), d.dial(t), d.dial(t)
-		rests.send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
-		rests.expectAnswer("/a ")
+		idle, silent, slow := d.dial(t), d.dial(t), d.dial(t)
+		idle.send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
+		idle.expectAnswer("/a ")
 		slow.send("GET /slow HTTP/1.1\r\nHost: h\r\n\r\n")
 		synctest.Wait()
 		d.drain(t.Context())
-		rests.expectClosed()
+		idle.expectClosed()
 		silent.expectClosed()
 		time.Sleep(drainTestTime)
 		select {
@@ -216,7 +216,7 @@
 	server := newFrontServer(&http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		taken.Add(1)
 		_, _ = io.Copy(w, r.Body)
-	})}, listener, keepsCallers)
+	})}, listener, neverRedirects)
 	defer server.close()
 	var running sync.WaitGroup
 	for range callers {
--- a/internal/relaydaemon/join.go
+++ b/internal/relaydaemon/join.go
@@ -23,10 +23,11 @@
 	ledgerSpace = "ledger-"
 	// ledgerDirectory is the store's space for the directory of the shards' holders.
 	ledgerDirectory = "ledger-holders"
-	// recordShare is the share of the memory that the text of turns being written to the ledger may
-	// take: a few hundred turns on the smallest machines. The same amount again may wait to be
-	// written. Finished turns hold less memory than running ones, as their histories are dropped.
-	recordShare = 0.1
+	// recordMemoryShare is the share of the memory that the text of turns being written to the
+	// ledger may take: a few hundred turns on the smallest machines. The same amount again may wait
+	// to be written. Finished turns hold less memory than running ones, as their histories are
+	// dropped.
+	recordMemoryShare = 0.1
 )
 
 // join makes the daemon a member of the fleet and creates its components. The order matters, as
@@ -39,14 +40,14 @@
 	d.joinStore()
 	d.joinLedger()
 	d.joinRelay()
-	d.watchZones()
+	d.prepareReachWatch()
 	receiver.daemon.Store(d)
 	return nil
 }
 
 // joinMembers creates the registry, the transport to other daemons, and the membership.
 func (d *Daemon) joinMembers(receiver peer.Handler) error {
-	d.registry = newMemberRegistry(d.adapter.Store(), d.settings, d.cold, part(d.logger, "members"))
+	d.registry = newMemberRegistry(d.adapter.Store(), d.settings, d.coldLimiter, componentLogger(d.logger, "members"))
 	self := structs.Daemon{
 		ID:     structs.NewDaemonID(d.settings.PeerAddress, d.registry.incarnation()),
 		Zone:   structs.ZoneName(d.settings.Zone),
@@ -54,8 +55,8 @@
 
 		Capacity: d.settings.capacity(),
 	}
-	sent := newTraffic(d.topology, d.figures)
-	transport, err := tcp.Listen(self.ID, receiver, sent.count, part(d.logger, "peer"))
+	sent := newTraffic(d.topology, d.metrics)
+	transport, err := tcp.Listen(self.ID, receiver, sent.count, componentLogger(d.logger, "peer"))
 	if err != nil {
 		return err
 	}
@@ -66,7 +67,7 @@
 		Random:    newRandom(),
 		Transport: transport,
 		Settings:  membershipSettings(),
-		Logger:    part(d.logger, "membership"),
+		Logger:    componentLogger(d.logger, "membership"),
 	})
 	sent.members = d.membership.Lookup
 	return nil
@@ -77,24 +78,24 @@
 	d.store = proxy.New(proxy.Options{
 		Self:      d.membership.Self.ID,
 		Region:    d.membership.Self.Region,
-		Direct:    store.NewMeter(d.adapter.Store(), d.figures, part(d.logger, "store")),
+		Direct:    store.NewMeter(d.adapter.Store(), d.metrics, componentLogger(d.logger, "store")),
 		Transport: d.transport,
 		View:      d.membership,
 		Random:    newRandom(),
 		MayHelp:   mayHelp,
-		Logger:    part(d.logger, "store"),
-		Metrics:   proxy.NewMetrics(d.figures),
+		Logger:    componentLogger(d.logger, "store"),
+		Metrics:   proxy.NewMetrics(d.metrics),
 	})
-	d.registry.store, d.registry.contact = d.store, d.store
-	d.records = fanout.New(fanout.Options{
+	d.registry.store, d.registry.connectivity = d.store, d.store
+	d.operatorRecords = fanout.New(fanout.Options{
 		Store:     d.store,
 		Partition: d.adapter.RoutesPartition(),
 		Self:      d.membership.Self,
 		View:      d.membership,
 		Transport: d.transport,
 		ReadRate:  d.settings.StoreReadMegabytes * 1e6,
-		Logger:    part(d.logger, "records"),
-		Metrics:   fanout.NewMetrics(d.figures),
+		Logger:    componentLogger(d.logger, "records"),
+		Metrics:   fanout.NewMetrics(d.metrics),
 	})
 }
 
@@ -120,8 +121,8 @@
 
 		Confirmations: d,
 		Evacuations:   d,
-		Logger:        part(d.logger, "ledger"),
-		Metrics:       ledger.NewMetrics(d.figures),
+		Logger:        componentLogger(d.logger, "ledger"),
+		Metrics:       ledger.NewMetrics(d.metrics),
 	}
 	d.ledger = ledger.NewService(options)
 	d.regional = newRegionalLedgers(d.topology, options)
@@ -132,7 +133,7 @@
 	d.relay = relay.New(relay.Options{
 		Pool:      d.pool,
 		Driver:    d.adapter.Driver(),
-		Ledger:    d.regional.ledgerWith(d.ledger),
+		Ledger:    d.regional.combinedLedger(d.ledger),
 		Quota:     quota.NewGate(d.ledger, d.settings.quotaTerms()),
 		Table:     d.table.Load,
 		RoutesAge: d.routesAge,
@@ -140,14 +141,14 @@
 
 		Evacuations: &d.evacuations,
 		Zones:       d.zones,
-		RerouteTime: noticeTime,
+		RerouteTime: rerouteTime,
 
 		StoppingSince: d.stopping.Since,
 
 		Admission:   d.admission,
-		RecordBytes: int64(recordShare * float64(d.settings.MemoryMegabytes) * megabyte),
-		Logger:      part(d.logger, "relay"),
-		Metrics:     relay.NewMetrics(d.figures),
+		RecordBytes: int64(recordMemoryShare * float64(d.settings.MemoryMegabytes) * megabyte),
+		Logger:      componentLogger(d.logger, "relay"),
+		Metrics:     relay.NewMetrics(d.metrics),
 	})
 }
 
@@ -180,7 +181,7 @@
 	if d == nil {
 		return
 	}
-	if !d.membership.Receive(from, message) && !d.store.Receive(from, message) && !d.records.Receive(from, message) &&
+	if !d.membership.Receive(from, message) && !d.store.Receive(from, message) && !d.operatorRecords.Receive(from, message) &&
 		!d.receiveReach(from, message) && !d.ledger.Receive(from, message) {
 		d.regional.receive(from, message)
 	}
--- a/internal/relaydaemon/keys.go
+++ b/internal/relaydaemon/keys.go
@@ -15,16 +15,16 @@
 	// revocationMargin is subtracted from the time within which a revoked key must be refused. It
 	// allows for monotonic clocks of machines that differ by up to one in 50.
 	revocationMargin = 100 * time.Millisecond
-	// unknownKeyAge is the maximum age of the confirmed keys for a key that is not among them to be
-	// refused. Operators expect a new key to be accepted within the time that routes take, at least
-	// three seconds. As a read takes routesWatch.Wait, an idle fleet confirms its keys within this
-	// time.
-	unknownKeyAge = 2 * time.Second
-	// hurryPause is the minimum time between reads on demand, so that callers without a key do not
-	// cause a call to the store for each request.
-	hurryPause = 100 * time.Millisecond
-	// unknownPatience is how long a caller without a deadline is assumed to wait.
-	unknownPatience = 2 * time.Second
+	// maxAgeForUnknownKey is the maximum age of the confirmed keys for a key that is not among them
+	// to be refused. Operators expect a new key to be accepted within the time that routes take, at
+	// least three seconds. As a read takes routesWatch.Wait, an idle fleet confirms its keys within
+	// this time.
+	maxAgeForUnknownKey = 2 * time.Second
+	// minRefreshInterval is the minimum time between reads on demand, so that callers without a key
+	// do not cause a call to the store for each request.
+	minRefreshInterval = 100 * time.Millisecond
+	// assumedPatience is how long a caller without a deadline is assumed to wait.
+	assumedPatience = 2 * time.Second
 )
 
 // confirmation is the time as of which the routes in force, tenants' keys included, are known to be
@@ -34,22 +34,22 @@
 	at    time.Time
 	// renewed is closed at the next confirmation.
 	renewed chan struct{}
-	// lostAt is when the store stopped answering, zero while it answers.
-	lostAt time.Time
-	// hurry makes the watcher of the routes read at once. newerRoutes tells it that newer routes
+	// unreachableSince is when the store stopped answering, zero while it answers.
+	unreachableSince time.Time
+	// refresh makes the watcher of the routes read at once. newerRoutes tells it that newer routes
 	// exist; this does not interrupt the read in flight, which will return them, and repeats it
 	// only if no answer begins to arrive.
-	hurry, newerRoutes *clock.PacedSignal
+	refresh, newerRoutes *clock.PacedSignal
 }
 
 func newConfirmation() *confirmation {
 	return &confirmation{
-		renewed: make(chan struct{}), hurry: clock.NewPacedSignal(hurryPause), newerRoutes: clock.NewPacedSignal(0),
+		renewed: make(chan struct{}), refresh: clock.NewPacedSignal(minRefreshInterval), newerRoutes: clock.NewPacedSignal(0),
 	}
 }
 
-// note records a confirmation as of a time. The store's answer must already be in force.
-func (c *confirmation) note(asOf time.Time) {
+// confirm records a confirmation as of a time. The store's answer must already be in force.
+func (c *confirmation) confirm(asOf time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !asOf.After(c.at) {
@@ -60,25 +60,25 @@
 	c.renewed = make(chan struct{})
 }
 
-// noteContact records that the store is unreachable, or with nil that it answers.
-func (c *confirmation) noteContact(err error) {
+// recordConnectivity records that the store is unreachable, or with nil that it answers.
+func (c *confirmation) recordConnectivity(err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lostAt = time.Time{}
+	c.unreachableSince = time.Time{}
 	if err != nil {
-		c.lostAt = time.Now()
+		c.unreachableSince = time.Now()
 	}
 }
 
-// troubledSince returns since when the store has not answered; now if it answers, as the keys are
+// outageStart returns since when the store has not answered; now if it answers, as the keys are
 // then confirmed within milliseconds.
-func (c *confirmation) troubledSince(now time.Time) time.Time {
+func (c *confirmation) outageStart(now time.Time) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.lostAt.IsZero() {
+	if c.unreachableSince.IsZero() {
 		return now
 	}
-	return c.lostAt
+	return c.unreachableSince
 }
 
 // last returns the last confirmation, and a channel that is closed at the next one.
@@ -88,20 +88,20 @@
 	return c.at, c.renewed
 }
 
-// await waits for a confirmation that is at most atMost old, until a deadline or until ctx ends,
+// await waits for a confirmation that is at most maxAge old, until a deadline or until ctx ends,
 // and reports whether there is one.
-func (c *confirmation) await(ctx context.Context, atMost time.Duration, until time.Time) bool {
+func (c *confirmation) await(ctx context.Context, maxAge time.Duration, until time.Time) bool {
 	for {
 		now := time.Now()
 		at, renewed := c.last()
-		if !at.IsZero() && now.Sub(at) <= atMost {
+		if !at.IsZero() && now.Sub(at) <= maxAge {
 			return true
 		}
 		if !now.Before(until) {
 			return false
 		}
-		c.hurry.Ask(now)
-		timer := time.NewTimer(min(until.Sub(now), hurryPause))
+		c.refresh.Ask(now)
+		timer := time.NewTimer(min(until.Sub(now), minRefreshInterval))
 		select {
 		case <-renewed:
 		case <-timer.C:
@@ -117,7 +117,7 @@
 // Confirmed implements ledger.Confirmations. It loads the routes after the confirmation, so that
 // they are at least as new.
 func (d *Daemon) Confirmed() (version int64, asOf time.Time) {
-	asOf, _ = d.keys.last()
+	asOf, _ = d.confirmation.last()
 	table := d.table.Load()
 	if table == nil {
 		return 0, time.Time{}
@@ -127,7 +127,7 @@
 
 // routesAge returns the age of the last confirmation that the routes in force are the newest.
 func (d *Daemon) routesAge() time.Duration {
-	asOf, _ := d.keys.last()
+	asOf, _ := d.confirmation.last()
 	return time.Since(asOf)
 }
 
@@ -139,9 +139,9 @@
 	switch {
 	case table == nil:
 	case table.Version >= version:
-		d.keys.note(asOf)
+		d.confirmation.confirm(asOf)
 	default:
-		d.keys.newerRoutes.Ask(time.Now())
+		d.confirmation.newerRoutes.Ask(time.Now())
 	}
 }
 
@@ -149,59 +149,59 @@
 // has been revoked in the meantime, so the age of its confirmation is checked. It is checked once
 // the request has arrived, and is thus at least the age at which it was sent. A delay of the
 // request after this check does not invalidate its key.
-func (d *Daemon) Identify(ctx context.Context, asked IdentifyQuery) (*tenant.Tenant, *relay.Refusal) {
+func (d *Daemon) Identify(ctx context.Context, query IdentifyQuery) (*tenant.Tenant, *relay.Refusal) {
 	table := d.table.Load()
 	switch {
 	case table.Tenants == nil:
 		return nil, nil
-	case asked.Route.Public:
-		return table.Tenants.Find(asked.Key), nil
-	case asked.Key == "":
-		return nil, d.refuseKey(asked, relay.Refusal{Reason: relay.ReasonUnknownKey, Detail: "The request bears no key."})
+	case query.Route.Public:
+		return table.Tenants.Find(query.Key), nil
+	case query.Key == "":
+		return nil, d.refuseKey(query, relay.Refusal{Reason: relay.ReasonUnknownKey, Detail: "The request bears no key."})
 	}
 	// A known key must be confirmed within the operators' limit. An unknown key is looked up in
 	// newer routes.
-	for _, atMost := range [...]time.Duration{d.settings.revocationTime() - revocationMargin, unknownKeyAge} {
-		if !d.awaitKeys(ctx, atMost, asked.Left) {
-			return nil, d.refuseUnconfirmed(asked)
+	for _, maxAge := range [...]time.Duration{d.settings.revocationTime() - revocationMargin, maxAgeForUnknownKey} {
+		if !d.awaitKeys(ctx, maxAge, query.Left) {
+			return nil, d.refuseUnconfirmed(query)
 		}
-		if known := d.table.Load().Tenants.Find(asked.Key); known != nil {
+		if known := d.table.Load().Tenants.Find(query.Key); known != nil {
 			return known, nil
 		}
 	}
-	return nil, d.refuseKey(asked, relay.Refusal{Reason: relay.ReasonUnknownKey, Detail: "No tenant has the key."})
+	return nil, d.refuseKey(query, relay.Refusal{Reason: relay.ReasonUnknownKey, Detail: "No tenant has the key."})
 }
 
 // awaitKeys waits for a confirmation of the keys while it is likely to arrive before the caller's
 // deadline.
-func (d *Daemon) awaitKeys(ctx context.Context, atMost, left time.Duration) bool {
+func (d *Daemon) awaitKeys(ctx context.Context, maxAge, left time.Duration) bool {
 	if left <= 0 {
-		left = unknownPatience
+		left = assumedPatience
 	}
 	now := time.Now()
 	if _, isCut := d.cutOffSince(); isCut {
-		return d.keys.await(ctx, atMost, now) // another daemon can answer at once
+		return d.confirmation.await(ctx, maxAge, now) // another daemon can answer at once
 	}
-	wait := admission.Wait{Kind: admission.StoreOut, Since: d.keys.troubledSince(now), Worthless: now.Add(left)}
-	return d.keys.await(ctx, atMost, d.admission.Decide(wait, now).Until)
+	wait := admission.Wait{Kind: admission.StoreOut, Since: d.confirmation.outageStart(now), Worthless: now.Add(left)}
+	return d.confirmation.await(ctx, maxAge, d.admission.Decide(wait, now).Until)
 }
 
-func (d *Daemon) refuseUnconfirmed(asked IdentifyQuery) *relay.Refusal {
+func (d *Daemon) refuseUnconfirmed(query IdentifyQuery) *relay.Refusal {
 	now := time.Now()
-	after := d.admission.Decide(admission.Wait{Kind: admission.StoreOut, Since: d.keys.troubledSince(now)}, now).Remaining
+	after := d.admission.Decide(admission.Wait{Kind: admission.StoreOut, Since: d.confirmation.outageStart(now)}, now).Remaining
 	if since, isCut := d.cutOffSince(); isCut {
-		after = relay.RetryAfterReroute(since, noticeTime)
+		after = relay.RetryAfterReroute(since, rerouteTime)
 	}
-	return d.refuseKey(asked, relay.Refusal{
+	return d.refuseKey(query, relay.Refusal{
 		Reason: relay.ReasonKeysUnconfirmed, RetryAfter: after,
 		Detail: "It was not confirmed lately which keys there are.",
 	})
 }
 
 // refuseKey logs why a request is refused because of its key.
-func (d *Daemon) refuseKey(asked IdentifyQuery, refusal relay.Refusal) *relay.Refusal {
-	asOf, _ := d.keys.last()
-	d.logger.Info().Str("part", "keys").Str("request", asked.Request).Str("route", asked.Route.Name).
+func (d *Daemon) refuseKey(query IdentifyQuery, refusal relay.Refusal) *relay.Refusal {
+	asOf, _ := d.confirmation.last()
+	d.logger.Info().Str("part", "keys").Str("request", query.Request).Str("route", query.Route.Name).
 		Str("reason", string(refusal.Reason)).Dur("keys_age", time.Since(asOf)).Int64("routes_version", d.table.Load().Version).
 		Dur("retry_after", refusal.RetryAfter).Msg("Request refused.")
 	return &refusal
--- a/internal/relaydaemon/keys_test.go
+++ b/internal/relaydaemon/keys_test.go
@@ -13,10 +13,10 @@
 	"github.com/mintpulley/mintpulley/internal/tenant"
 )
 
-// keyDaemon returns a daemon that has only routes and keys.
-func keyDaemon(t *testing.T, keys ...string) *Daemon {
+// newKeyDaemon returns a daemon that has only routes and keys.
+func newKeyDaemon(t *testing.T, keys ...string) *Daemon {
 	t.Helper()
-	d := &Daemon{settings: DefaultSettings(), keys: newConfirmation(), admission: &admission.Admission{}}
+	d := &Daemon{settings: DefaultSettings(), confirmation: newConfirmation(), admission: &admission.Admission{}}
 	d.setKeys(t, 1, keys...)
 	return d
 }
@@ -31,8 +31,8 @@
 	d.table.Store(table)
 }
 
-// honours reports whether a request with a key is accepted without waiting.
-func (d *Daemon) honours(t *testing.T, key string) bool {
+// accepts reports whether a request with a key is accepted without waiting.
+func (d *Daemon) accepts(t *testing.T, key string) bool {
 	t.Helper()
 	known, refusal := d.Identify(t.Context(), IdentifyQuery{Route: &route.Route{}, Key: key, Left: time.Millisecond})
 	return known != nil && refusal == nil
@@ -42,20 +42,20 @@
 // accepts no key past the revocation time, counted from when the store was asked.
 func TestKeysCountForAsLongAsTheyWereConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := keyDaemon(t, "key")
+		d := newKeyDaemon(t, "key")
 		askedAt := time.Now()
 		time.Sleep(time.Second) // the answer takes long
 		d.confirmRoutes(askedAt)
 		time.Sleep(d.settings.revocationTime() - revocationMargin - time.Second)
-		if !d.honours(t, "key") {
+		if !d.accepts(t, "key") {
 			t.Error("a key is not accepted within the revocation time")
 		}
 		time.Sleep(2 * time.Millisecond)
-		if d.honours(t, "key") {
+		if d.accepts(t, "key") {
 			t.Error("a key is accepted that was not confirmed in time")
 		}
 		d.confirmRoutes(time.Now())
-		if !d.honours(t, "key") {
+		if !d.accepts(t, "key") {
 			t.Error("a confirmed key is not accepted")
 		}
 	})
@@ -65,12 +65,12 @@
 // confirm the keys in force, as they may revoke some.
 func TestRoutesThatCannotBeUnderstoodConfirmNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := keyDaemon(t, "key")
+		d := newKeyDaemon(t, "key")
 		d.confirmRoutes(time.Now())
-		d.refused.Store(true)
+		d.hasRefusedRoutes.Store(true)
 		time.Sleep(d.settings.revocationTime())
 		d.confirmRoutes(time.Now())
-		if d.honours(t, "key") {
+		if d.accepts(t, "key") {
 			t.Error("a key is accepted although the newest routes could not be parsed")
 		}
 	})
@@ -80,7 +80,7 @@
 // some milliseconds after a suspended daemon resumes or the store is back.
 func TestRequestWaitsForTheConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := keyDaemon(t, "key")
+		d := newKeyDaemon(t, "key")
 		d.confirmRoutes(time.Now())
 		time.Sleep(time.Minute)
 		time.AfterFunc(10*time.Millisecond, func() { d.confirmRoutes(time.Now()) })
@@ -88,7 +88,7 @@
 		if known == nil || refusal != nil {
 			t.Errorf("got %v, %+v", known, refusal)
 		}
-		if len(d.keys.hurry.Asked()) == 0 {
+		if len(d.confirmation.refresh.Asked()) == 0 {
 			t.Error("no read was requested")
 		}
 	})
@@ -98,15 +98,15 @@
 // that repeated requests with unknown keys do not each cause a read.
 func TestKeyThatIsNotKnownIsLookedForOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := keyDaemon(t, "key")
+		d := newKeyDaemon(t, "key")
 		d.confirmRoutes(time.Now())
-		time.Sleep(unknownKeyAge + time.Millisecond)
+		time.Sleep(maxAgeForUnknownKey + time.Millisecond)
 		reads := 0
 		ended := make(chan struct{})
 		go func() {
 			for {
 				select {
-				case <-d.keys.hurry.Asked():
+				case <-d.confirmation.refresh.Asked():
 				case <-ended:
 					return
 				}
@@ -131,14 +131,14 @@
 	})
 }
 
-// TestHurriedWatchReadsAtOnce checks that a requested read confirms the routes as of when it was
+// TestRefreshedWatchReadsAtOnce checks that a requested read confirms the routes as of when it was
 // sent, not of when the answer came.
-func TestHurriedWatchReadsAtOnce(t *testing.T) {
+func TestRefreshedWatchReadsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		keys := newConfirmation()
 		watcher := store.Watcher{
 			Store: memory.New(), Partition: store.Partition{Space: "x"}, Settings: store.WatchSettings{Wait: time.Hour, AnswerTimeout: time.Minute},
-			OnChange: func(map[string]store.Record) {}, OnConnectivity: func(error) {}, OnRead: keys.note, Refresh: keys.hurry.Asked(),
+			OnChange: func(map[string]store.Record) {}, OnConnectivity: func(error) {}, OnRead: keys.confirm, Refresh: keys.refresh.Asked(),
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -151,7 +151,7 @@
 		if !keys.await(t.Context(), time.Second, began.Add(time.Second)) {
 			t.Error("no confirmation came")
 		}
-		if at, _ := keys.last(); at.Before(began) || time.Since(began) > hurryPause {
+		if at, _ := keys.last(); at.Before(began) || time.Since(began) > minRefreshInterval {
 			t.Errorf("confirmed as of %s after the request, %s later", at.Sub(began), time.Since(began))
 		}
 		stop()
@@ -159,28 +159,28 @@
 	})
 }
 
-// TestOtherDaemonsWordConfirmsKeys checks that a confirmation by a daemon with the same or older
-// routes counts, with its age, and that news of newer routes confirms nothing but makes this daemon
-// expect them.
-func TestOtherDaemonsWordConfirmsKeys(t *testing.T) {
+// TestConfirmationsOfOtherDaemonsCount checks that a confirmation by a daemon with the same or
+// older routes counts, with its age, and that news of newer routes confirms nothing but makes this
+// daemon expect them.
+func TestConfirmationsOfOtherDaemonsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := keyDaemon(t, "key")
+		d := newKeyDaemon(t, "key")
 		d.setKeys(t, 5, "key")
 		d.confirmRoutes(time.Now())
 		time.Sleep(time.Minute)
 		d.Hear(6, time.Now())
-		if d.honours(t, "key") {
+		if d.accepts(t, "key") {
 			t.Error("news of newer routes confirms older ones")
 		}
-		if len(d.keys.newerRoutes.Asked()) == 0 {
+		if len(d.confirmation.newerRoutes.Asked()) == 0 {
 			t.Error("newer routes are not expected")
 		}
 		d.Hear(5, time.Now().Add(-d.settings.revocationTime()))
-		if d.honours(t, "key") {
+		if d.accepts(t, "key") {
 			t.Error("a confirmation that is too old counts")
 		}
 		d.Hear(4, time.Now().Add(-time.Second))
-		if !d.honours(t, "key") {
+		if !d.accepts(t, "key") {
 			t.Error("a recent confirmation does not count")
 		}
 		if version, asOf := d.Confirmed(); version != 5 || time.Since(asOf) != time.Second {
--- a/internal/relaydaemon/listen.go
+++ b/internal/relaydaemon/listen.go
@@ -36,7 +36,7 @@
 		return nil
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET "+metricsPath, promhttp.HandlerFor(d.figures, promhttp.HandlerOpts{}))
+	mux.Handle("GET "+metricsPath, promhttp.HandlerFor(d.metrics, promhttp.HandlerOpts{}))
 	if err := d.serve(d.settings.MetricsAddress, mux); err != nil {
 		d.logger.Error().Err(err).Str("metrics_address", d.settings.MetricsAddress).Msg("Metrics address not available. Metrics are not served.")
 	}
@@ -48,7 +48,7 @@
 	if err != nil {
 		return eris.Wrap(err, "relaydaemon: listen")
 	}
-	server := newServer(d.adapter.Front(d), part(d.logger, "http"))
+	server := newServer(d.adapter.Front(d), componentLogger(d.logger, "http"))
 	server.ReadHeaderTimeout, server.IdleTimeout = 0, 0 // the front server enforces its own limits
 	d.front = newFrontServer(server, listener, d.RedirectsCallers)
 	return nil
@@ -59,7 +59,7 @@
 	if err != nil {
 		return eris.Wrap(err, "relaydaemon: listen")
 	}
-	server := newServer(handler, part(d.logger, "http"))
+	server := newServer(handler, componentLogger(d.logger, "http"))
 	d.servers = append(d.servers, server)
 	go func() { _ = server.Serve(listener) }() // ends when the server is closed
 	return nil
@@ -71,6 +71,6 @@
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    headerLimit,
-		ErrorLog:          log.New(serverLines{logger}, "", 0),
+		ErrorLog:          log.New(serverErrorLog{logger}, "", 0),
 	}
 }
--- a/internal/relaydaemon/logs.go
+++ b/internal/relaydaemon/logs.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// logQueue is the maximum number of lines that wait to be written; further lines are dropped
-	// and counted.
-	logQueue = 4096
-	// flushTime is how long Close waits for queued lines to be written, and flushPoll how often it
-	// checks.
-	flushTime = 100 * time.Millisecond
-	flushPoll = 100 * time.Microsecond
+	// logQueueSize is the maximum number of lines that wait to be written; further lines are
+	// dropped and counted.
+	logQueueSize = 4096
+	// flushTimeout is how long Close waits for queued lines to be written, and flushPollInterval
+	// how often it checks.
+	flushTimeout      = 100 * time.Millisecond
+	flushPollInterval = 100 * time.Microsecond
 )
 
 // timeFormat is RFC 3339 with milliseconds.
@@ -28,7 +28,7 @@
 func NewLogger(output io.Writer, level zerolog.Level, dropped func(lines int)) (zerolog.Logger, io.Closer) {
 	zerolog.TimeFieldFormat = timeFormat
 	queue := &lineQueue{}
-	queue.Writer = diode.NewWriter(lineOutput{output, queue}, logQueue, 0, func(lines int) {
+	queue.Writer = diode.NewWriter(lineOutput{output, queue}, logQueueSize, 0, func(lines int) {
 		queue.waiting.Add(-int64(lines))
 		dropped(lines)
 	})
@@ -51,9 +51,9 @@
 
 // Close implements io.Closer. The empty line wakes a reader that missed the signal of the last one.
 func (q *lineQueue) Close() error {
-	for end := time.Now().Add(flushTime); q.waiting.Load() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(flushTimeout); q.waiting.Load() > 0 && time.Now().Before(end); {
 		_, _ = q.Writer.Write(nil)
-		time.Sleep(flushPoll)
+		time.Sleep(flushPollInterval)
 	}
 	return q.Writer.Close()
 }
@@ -73,12 +73,12 @@
 	return o.Writer.Write(line)
 }
 
-// serverLines logs errors of net/http itself, such as a panic in a handler or a connection that
+// serverErrorLog logs errors of net/http itself, such as a panic in a handler or a connection that
 // could not be accepted.
-type serverLines struct{ logger zerolog.Logger }
+type serverErrorLog struct{ logger zerolog.Logger }
 
 // Write implements io.Writer.
-func (s serverLines) Write(line []byte) (int, error) {
+func (s serverErrorLog) Write(line []byte) (int, error) {
 	s.logger.Error().Str("fault", strings.TrimSpace(string(line))).Msg("HTTP server reported an error.")
 	return len(line), nil
 }
--- a/internal/relaydaemon/logs_test.go
+++ b/internal/relaydaemon/logs_test.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// TestLastLineIsWritten checks that the last line before Close, which reports a planned shutdown, is
-// not lost.
+// TestLastLineIsWritten checks that the last line before Close, which reports a planned shutdown,
+// is not lost.
 func TestLastLineIsWritten(t *testing.T) {
 	const processes = 5000
 	var lost DroppedLines
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestRequestThatPanicsIsTold checks that a panic in a handler is logged, since the caller gets no
+// TestPanicInHandlerIsLogged checks that a panic in a handler is logged, since the caller gets no
 // answer.
-func TestRequestThatPanicsIsTold(t *testing.T) {
+func TestPanicInHandlerIsLogged(t *testing.T) {
 	output := &bytes.Buffer{}
 	server := newServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		panic("fault at " + r.URL.Path)
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := newFrontServer(server, listener, keepsCallers)
+	front := newFrontServer(server, listener, neverRedirects)
 	if _, err := http.Get("http://" + listener.Addr().String() + "/a"); err == nil {
 		t.Error("a request that panicked was answered")
 	}
--- a/internal/relaydaemon/machine_linux.go
+++ b/internal/relaydaemon/machine_linux.go
@@ -10,14 +10,14 @@
 	"github.com/mintpulley/mintpulley/internal/ledger"
 )
 
-// bootFile contains an ID of the current boot.
-const bootFile = "/proc/sys/kernel/random/boot_id"
+// bootIDFile contains an ID of the current boot.
+const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
 // machineClock returns the monotonic clock that consecutive processes at an address share, together
 // with the ID of the boot, without which a time could be that of another machine. If the ID cannot
 // be read, it returns the zero value.
 func machineClock(address string) ledger.MachineClock {
-	boot, err := os.ReadFile(bootFile)
+	boot, err := os.ReadFile(bootIDFile)
 	if err != nil {
 		return ledger.MachineClock{}
 	}
--- a/internal/relaydaemon/members.go
+++ b/internal/relaydaemon/members.go
@@ -21,8 +21,8 @@
 	daemonsSpace = "daemons"
 	// registryTimeout is the timeout of one call for the registry.
 	registryTimeout = 600 * time.Millisecond
-	// registryRetry is the time between attempts to write this daemon's entry.
-	registryRetry = 300 * time.Millisecond
+	// registryRetryInterval is the time between attempts to write this daemon's entry.
+	registryRetryInterval = 300 * time.Millisecond
 )
 
 // registryWatch polls rarely: daemons seldom come and go, and gossip spreads such changes sooner.
@@ -33,19 +33,19 @@
 // memberRegistry is the list of daemons in the store, by which daemons find each other without
 // seeds.
 type memberRegistry struct {
-	store    store.Store
-	contact  store.Connectivity
-	settings Settings
-	logger   zerolog.Logger
-	own      memberRecord
-	// cold gets the list of daemons, which share the limits of cold back ends.
-	cold *warmup.Limiter
-	// known is the number of listed daemons at the last read.
-	known atomic.Int64
+	store        store.Store
+	connectivity store.Connectivity
+	settings     Settings
+	logger       zerolog.Logger
+	ownRecord    memberRecord
+	// coldLimiter gets the list of daemons, which share the limits of coldLimiter back ends.
+	coldLimiter *warmup.Limiter
+	// listedCount is the number of listed daemons at the last read.
+	listedCount atomic.Int64
 }
 
-// memberRecord is the value of a daemon's entry; its key is the peer address. After a planned shutdown
-// the entry remains with left set, since the next process at the address needs a higher
+// memberRecord is the value of a daemon's entry; its key is the peer address. After a planned
+// shutdown the entry remains with left set, since the next process at the address needs a higher
 // incarnation.
 type memberRecord struct {
 	Incarnation uint64 `json:"incarnation"`
@@ -54,8 +54,8 @@
 	Left        bool   `json:"left,omitempty"`
 }
 
-// present reports whether the daemon of an entry has not left.
-func present(value []byte) bool {
+// isPresent reports whether the daemon of an entry has not left.
+func isPresent(value []byte) bool {
 	var record memberRecord
 	return json.Unmarshal(value, &record) != nil || !record.Left
 }
@@ -64,15 +64,15 @@
 func presentAddresses(records iter.Seq[store.Record]) []string {
 	var addresses []string
 	for record := range records {
-		if present(record.Value) {
+		if isPresent(record.Value) {
 			addresses = append(addresses, record.Key)
 		}
 	}
 	return addresses
 }
 
-func newMemberRegistry(s store.Store, settings Settings, cold *warmup.Limiter, logger zerolog.Logger) *memberRegistry {
-	return &memberRegistry{store: s, settings: settings, cold: cold, logger: logger}
+func newMemberRegistry(s store.Store, settings Settings, coldLimiter *warmup.Limiter, logger zerolog.Logger) *memberRegistry {
+	return &memberRegistry{store: s, settings: settings, coldLimiter: coldLimiter, logger: logger}
 }
 
 func registryPartition() store.Partition { return store.Partition{Space: daemonsSpace} }
@@ -80,7 +80,7 @@
 // incarnation reads the registry and returns an incarnation above that of the former process at
 // this address, even if the wall clock was set back since.
 func (r *memberRegistry) incarnation() uint64 {
-	r.own = memberRecord{
+	r.ownRecord = memberRecord{
 		Incarnation: uint64(time.Now().UnixNano()),
 		Zone:        r.settings.Zone,
 		Region:      r.settings.Region,
@@ -90,48 +90,46 @@
 	records, _, err := store.Newest(ctx, r.store, registryPartition())
 	if err != nil {
 		r.logger.Warn().Err(err).Msg("Registry of daemons not read. The incarnation is the current time.")
-		return r.own.Incarnation
+		return r.ownRecord.Incarnation
 	}
-	r.known.Store(int64(len(presentAddresses(slices.Values(records)))))
+	r.listedCount.Store(int64(len(presentAddresses(slices.Values(records)))))
 	for _, record := range records {
 		var former memberRecord
 		if record.Key == r.settings.PeerAddress && json.Unmarshal(record.Value, &former) == nil {
-			r.own.Incarnation = max(r.own.Incarnation, former.Incarnation+1)
+			r.ownRecord.Incarnation = max(r.ownRecord.Incarnation, former.Incarnation+1)
 		}
 	}
-	return r.own.Incarnation
+	return r.ownRecord.Incarnation
 }
 
 // run writes this daemon's entry, and passes on the addresses of the others until ctx ends.
-func (r *memberRegistry) run(ctx context.Context, listed func([]structs.Machine)) {
-	listed(r.machines(nil))
+func (r *memberRegistry) run(ctx context.Context, onListed func([]structs.Machine)) {
+	onListed(r.machines(nil))
 	r.write(ctx)
 	watcher := store.Watcher{
 		Store:        r.store,
-		Connectivity: r.contact,
+		Connectivity: r.connectivity,
 		Partition:    registryPartition(),
 		Settings:     registryWatch,
 		OnChange: func(records map[string]store.Record) {
 			addresses := presentAddresses(maps.Values(records))
-			r.known.Store(int64(len(addresses)))
-			r.cold.SetDaemons(addresses, time.Now())
-			listed(r.machines(addresses))
-		},
-		OnRead:  func(asOf time.Time) { r.cold.ConfirmDaemons(asOf, time.Now()) },
-		Refresh: r.cold.Hurry(),
-		OnConnectivity: func(err error) {
-			r.logger.Debug().Err(err).Msg("Reachability of the store for the registry of daemons changed.")
+			r.listedCount.Store(int64(len(addresses)))
+			r.coldLimiter.SetDaemons(addresses, time.Now())
+			onListed(r.machines(addresses))
 		},
+		OnRead:         func(asOf time.Time) { r.coldLimiter.ConfirmDaemons(asOf, time.Now()) },
+		Refresh:        r.coldLimiter.Hurry(),
+		OnConnectivity: func(err error) { r.logger.Debug().Err(err).Msg("Store connectivity of the registry changed.") },
 	}
 	watcher.Run(ctx)
 }
 
 func (r *memberRegistry) write(ctx context.Context) {
 	for ctx.Err() == nil {
-		if r.append(ctx, r.own) == nil {
+		if r.append(ctx, r.ownRecord) == nil {
 			return
 		}
-		time.Sleep(registryRetry)
+		time.Sleep(registryRetryInterval)
 	}
 }
 
@@ -148,7 +146,7 @@
 
 // withdraw marks this daemon's entry as left.
 func (r *memberRegistry) withdraw(ctx context.Context) {
-	own := r.own
+	own := r.ownRecord
 	own.Left = true
 	if err := r.append(ctx, own); err != nil {
 		r.logger.Warn().Err(err).Msg("Entry in the registry of daemons not withdrawn.")
@@ -156,10 +154,10 @@
 }
 
 // count returns the number of listed daemons; 0 if unknown.
-func (r *memberRegistry) count() int { return int(r.known.Load()) }
+func (r *memberRegistry) count() int { return int(r.listedCount.Load()) }
 
 // machines returns the seeds and the listed daemons.
-func (r *memberRegistry) machines(onRecord []string) []structs.Machine {
+func (r *memberRegistry) machines(listed []string) []structs.Machine {
 	var machines []structs.Machine
 	add := func(address string) {
 		machines = append(machines, structs.Machine{
@@ -169,7 +167,7 @@
 	for _, seed := range r.settings.seedAddresses() {
 		add(seed)
 	}
-	for _, address := range onRecord {
+	for _, address := range listed {
 		add(address)
 	}
 	return machines
--- a/internal/relaydaemon/members_test.go
+++ b/internal/relaydaemon/members_test.go
@@ -20,17 +20,17 @@
 	return newMemberRegistry(s, Settings{PeerAddress: address, Zone: "z", Region: "r"}, cold, zerolog.Nop())
 }
 
-// TestRunAfterAPlannedStopIsNumberedAboveIt checks that a restarted daemon gets a higher
+// TestIncarnationAfterAPlannedStopIsHigher checks that a restarted daemon gets a higher
 // incarnation even if the wall clock went back; the others ignore a lower one.
-func TestRunAfterAPlannedStopIsNumberedAboveIt(t *testing.T) {
+func TestIncarnationAfterAPlannedStopIsHigher(t *testing.T) {
 	s := memory.New()
 	former := newTestRegistry(s, "a:1")
 	former.incarnation()
-	former.own.Incarnation += uint64(time.Hour) // its clock was ahead
+	former.ownRecord.Incarnation += uint64(time.Hour) // its clock was ahead
 	former.write(t.Context())
 	former.withdraw(t.Context())
-	if got := newTestRegistry(s, "a:1").incarnation(); got <= former.own.Incarnation {
-		t.Errorf("the incarnation after %d is %d", former.own.Incarnation, got)
+	if got := newTestRegistry(s, "a:1").incarnation(); got <= former.ownRecord.Incarnation {
+		t.Errorf("the incarnation after %d is %d", former.ownRecord.Incarnation, got)
 	}
 }
 
--- a/internal/relaydaemon/placement.go
+++ b/internal/relaydaemon/placement.go
@@ -14,12 +14,12 @@
 func (d *Daemon) placementPlugins() instance.Plugins {
 	plugins := instance.Plugins{
 		Filters: []instance.Filter{
-			residency.Filter{Topology: d.topology}, zone.EvacuationFilter{Evacuations: &d.evacuations}, d.cold,
+			residency.Filter{Topology: d.topology}, zone.EvacuationFilter{Evacuations: &d.evacuations}, d.coldLimiter,
 		},
 		Scorers: []instance.Scorer{
-			distance.Scorer{Topology: d.topology}, zone.ReturnScorer{Evacuations: &d.evacuations, Seed: rand.Uint64()}, d.cold,
+			distance.Scorer{Topology: d.topology}, zone.ReturnScorer{Evacuations: &d.evacuations, Seed: rand.Uint64()}, d.coldLimiter,
 		},
-		Reservers: []instance.Reserver{d.cold},
+		Reservers: []instance.Reserver{d.coldLimiter},
 	}
 	if d.zones != nil {
 		plugins.Scorers = append(plugins.Scorers, cutOffZones{d.zones})
@@ -29,16 +29,16 @@
 
 // preparePlacement creates the pool of instances and the plug-ins that choose from it.
 func (d *Daemon) preparePlacement() {
-	d.cold = warmup.NewLimiter(warmup.Options{
+	d.coldLimiter = warmup.NewLimiter(warmup.Options{
 		Terms:   d.settings.coldTerms(),
 		Own:     d.settings.PeerAddress,
 		Returns: &d.evacuations,
-		Logger:  part(d.logger, "warmup"),
-		Metrics: warmup.NewMetrics(d.figures),
+		Logger:  componentLogger(d.logger, "warmup"),
+		Metrics: warmup.NewMetrics(d.metrics),
 	})
 	if len(d.topology.Zones()) > 1 {
 		d.zones = zone.NewReachability(d.topology)
 	}
 	d.pool = instance.NewPool(newRandom(), d.placementPlugins())
-	d.registerZones(d.figures)
+	d.registerZones(d.metrics)
 }
--- a/internal/relaydaemon/regional.go
+++ b/internal/relaydaemon/regional.go
@@ -25,27 +25,27 @@
 	// regionalShards is the number of shards of a regional ledger, which only keeps the text of
 	// turns restricted to the region. One more partition is the directory of the shards' holders.
 	regionalShards = 8
-	// lookPause is the minimum time between checks whether regional ledgers were used before this
-	// daemon started. Each check calls the store once per region, and every unknown turn asks for
-	// one.
-	lookPause = time.Second
+	// usageCheckInterval is the minimum time between checks whether regional ledgers were used
+	// before this daemon started. Each check calls the store once per region, and every unknown
+	// turn asks for one.
+	usageCheckInterval = time.Second
 )
 
-// regionalLedgers are the ledgers of the regions, which keep the text of turns that operators restrict
-// to regions. Only daemons of a region hold its shards and call the store about them. The ledgers
-// are started when they are needed. It is safe for concurrent use.
+// regionalLedgers are the ledgers of the regions, which keep the text of turns that operators
+// restrict to regions. Only daemons of a region hold its shards and call the store about them. The
+// ledgers are started when they are needed. It is safe for concurrent use.
 type regionalLedgers struct {
 	regions []string
-	// own is this daemon's region.
-	own     string
-	options ledger.Options
-	ledger  *residency.Ledger
-	inUse   atomic.Bool
-	// looking is held while the directories are read; lookedAt is when they were last read, and
-	// lookErr the error.
-	looking  sync.Mutex
-	lookedAt time.Time
-	lookErr  error
+	// ownRegion is this daemon's region.
+	ownRegion string
+	options   ledger.Options
+	ledger    *residency.Ledger
+	inUse     atomic.Bool
+	// usageMutex is held while the directories are read. usageCheckedAt is when they were last
+	// read, and usageErr the error.
+	usageMutex     sync.Mutex
+	usageCheckedAt time.Time
+	usageErr       error
 
 	mutex sync.Mutex
 	// run runs a service in the background; nil until the daemon runs.
@@ -61,12 +61,12 @@
 	if len(regions) < 2 {
 		regions = nil
 	}
-	return &regionalLedgers{regions: regions, own: topology.OwnRegion(), options: options, services: map[string]*ledger.Service{}}
+	return &regionalLedgers{regions: regions, ownRegion: topology.OwnRegion(), options: options, services: map[string]*ledger.Service{}}
 }
 
-// ledgerWith returns the ledger of all turns, which combines the common ledger with the regional
-// ones for the text of restricted turns.
-func (r *regionalLedgers) ledgerWith(common *ledger.Service) *residency.Ledger {
+// combinedLedger returns the ledger of all turns, which combines the common ledger with the
+// regional ones for the text of restricted turns.
+func (r *regionalLedgers) combinedLedger(common *ledger.Service) *residency.Ledger {
 	r.ledger = &residency.Ledger{
 		Common:     common,
 		Regional:   r.serviceOf,
@@ -100,21 +100,21 @@
 	if r.inUse.Load() || len(r.regions) == 0 {
 		return r.inUse.Load(), nil
 	}
-	r.looking.Lock()
-	defer r.looking.Unlock()
+	r.usageMutex.Lock()
+	defer r.usageMutex.Unlock()
 	if r.inUse.Load() {
 		return true, nil
 	}
-	if time.Since(r.lookedAt) >= lookPause {
-		r.lookErr = r.look(ctx)
-		r.lookedAt = time.Now()
+	if time.Since(r.usageCheckedAt) >= usageCheckInterval {
+		r.usageErr = r.checkUsage(ctx)
+		r.usageCheckedAt = time.Now()
 	}
-	return r.inUse.Load(), r.lookErr
+	return r.inUse.Load(), r.usageErr
 }
 
-// look reads the directories of all regions, and starts the ledgers if any directory has entries.
-// If the store does not answer, callers that wait for the mutex get the same error.
-func (r *regionalLedgers) look(ctx context.Context) error {
+// checkUsage reads the directories of all regions, and starts the ledgers if any directory has
+// entries. If the store does not answer, callers that wait for the mutex get the same error.
+func (r *regionalLedgers) checkUsage(ctx context.Context) error {
 	for _, region := range r.regions {
 		page, err := r.options.Store.NewestPage(ctx, regionalDirectory(region), "")
 		if err != nil {
@@ -165,7 +165,7 @@
 	}
 	options.Directory = regionalDirectory(region)
 	options.Expected = nil
-	options.AsksOnly = r.own != region
+	options.AsksOnly = r.ownRegion != region
 	options.Confirmations, options.Evacuations = nil, nil
 	options.Logger = options.Logger.With().Str("region", region).Logger()
 	return options
--- a/internal/relaydaemon/regional_test.go
+++ b/internal/relaydaemon/regional_test.go
@@ -45,8 +45,8 @@
 	// caller reached.
 	allowed []string
 	front   structs.DaemonID
-	// read counts the messages that contain text.
-	read int
+	// messagesWithText counts the messages that contain text.
+	messagesWithText int
 }
 
 // regionalDaemon is one process of a daemon.
@@ -98,7 +98,7 @@
 	}
 	d.common = ledger.NewService(options)
 	d.regional = newRegionalLedgers(zone.NewTopology(string(d.Region)+"-a", string(d.Region), zones), options)
-	d.joined = d.regional.ledgerWith(d.common)
+	d.joined = d.regional.combinedLedger(d.common)
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
 	f.t.Cleanup(func() {
@@ -168,7 +168,7 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.read++
+	f.messagesWithText++
 	if f.allowed != nil && to.ID != f.front && !slices.Contains(f.allowed, string(to.Region)) {
 		f.t.Errorf("%T with text from %s (%s) to %s in %s; allowed: %v", message, from.ID, from.Region, to.ID, to.Region, f.allowed)
 	}
@@ -301,7 +301,7 @@
 		if !errors.Is(err, ledger.ErrUnavailable) || ctx.Err() != nil {
 			f.t.Fatalf("turn %s: %v", id, err)
 		}
-		time.Sleep(beginPauseOfTest)
+		time.Sleep(beginRetryInterval)
 	}
 	if string(grant.History) != want {
 		f.t.Fatalf("turn %s got the history %q, want %q", id, grant.History, want)
@@ -317,10 +317,10 @@
 	return want + input + output
 }
 
-const beginPauseOfTest = 50 * time.Millisecond
+const beginRetryInterval = 50 * time.Millisecond
 
-// TestTextOfTurnsStaysInItsRegions checks that the text of turns restricted to one or two regions does
-// not leave them, while turns enter anywhere, daemons are replaced and the store refuses some.
+// TestTextOfTurnsStaysInItsRegions checks that the text of turns restricted to one or two regions
+// does not leave them, while turns enter anywhere, daemons are replaced and the store refuses some.
 // Every turn must get the complete history.
 func TestTextOfTurnsStaysInItsRegions(t *testing.T) {
 	for seed := range uint64(12) {
@@ -344,8 +344,8 @@
 					f.allow([]string{}) // messages that are still sent have no text
 					time.Sleep(time.Second)
 				}
-				if f.read < 20 {
-					t.Errorf("only %d messages contained text", f.read)
+				if f.messagesWithText < 20 {
+					t.Errorf("only %d messages contained text", f.messagesWithText)
 				}
 			})
 		})
--- a/internal/relaydaemon/settings_test.go
+++ b/internal/relaydaemon/settings_test.go
@@ -13,7 +13,7 @@
 func TestSettingsNameEveryMistake(t *testing.T) {
 	_, err := ParseSettings("boot.yaml", []byte("front_address: nowhere\nunknown: 1\nstop_seconds: -1\nmemory_megabytes: x\n"))
 	if err == nil {
-		t.Fatal("invalid settings were accepted")
+		t.Fatal("accepted")
 	}
 	for _, want := range []string{"adapter", "front_address", "ready_address", "peer_address", "store_address", "zone", "unknown", "stop_seconds", "memory_megabytes"} {
 		if !strings.Contains(err.Error(), want) {
@@ -36,7 +36,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 3 * logQueue {
+		for range 3 * logQueueSize {
 			logger.Info().Msg("line")
 		}
 	}()
--- a/internal/relaydaemon/stop.go
+++ b/internal/relaydaemon/stop.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// noticeTime is how long the platform takes to route new connections to other daemons after
+	// rerouteTime is how long the platform takes to route new connections to other daemons after
 	// this one became unready; requests keep arriving until then.
-	noticeTime = 2500 * time.Millisecond
-	// handoverWait is how long a daemon that has answered all requests waits for the handover of
+	rerouteTime = 2500 * time.Millisecond
+	// handoverTimeout is how long a daemon that has answered all requests waits for the handover of
 	// its shards: a small successor reads some of them for seconds.
-	handoverWait = 2 * time.Second
-	// exitMargin is the time between the last answers of a planned shutdown and its deadline, at which
-	// the platform kills the process.
+	handoverTimeout = 2 * time.Second
+	// exitMargin is the time between the last answers of a planned shutdown and its deadline, at
+	// which the platform kills the process.
 	exitMargin = 700 * time.Millisecond
 	// refusalTime is the part of exitMargin in which waiting callers are refused, and complete
 	// answers still wait for their record.
@@ -40,7 +40,7 @@
 	d.ledger.Leave()
 	d.regional.leave()
 	d.membership.Leave()
-	clock.Sleep(ctx, noticeTime)
+	clock.Sleep(ctx, rerouteTime)
 	d.relay.Drain()
 	d.drainFront(ctx)
 	d.waitForHandover(ctx)
@@ -60,11 +60,11 @@
 // refusalTime is cut off.
 func (d *Daemon) drainFront(ctx context.Context) {
 	defer d.front.close()
-	if d.front.drain(ctx) == nil || d.front.endRests() == 0 {
+	if d.front.drain(ctx) == nil || d.front.forceExpireIdle() == 0 {
 		return
 	}
 	d.logger.Warn().Int("connections", d.front.count()).Msg("Shutdown deadline reached. Unfinished requests are refused or aborted.")
-	d.front.giveUp()
+	d.front.reachShutdownDeadline()
 	ctx, cancel := context.WithTimeout(context.Background(), refusalTime)
 	defer cancel()
 	if d.front.drain(ctx) != nil {
@@ -74,7 +74,7 @@
 
 // waitForHandover waits until successors have read the shards that this daemon still holds.
 func (d *Daemon) waitForHandover(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handoverWait)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	d.ledger.WaitForHandover(ctx)
 	d.regional.waitForHandover(ctx)
--- a/internal/relaydaemon/stop_mark.go
+++ b/internal/relaydaemon/stop_mark.go
@@ -24,9 +24,9 @@
 
 // Since returns since when the daemon stops, false if it does not.
 func (m *stopMark) Since() (at time.Time, stopping bool) {
-	begun := m.at.Load()
-	if begun == nil {
+	since := m.at.Load()
+	if since == nil {
 		return time.Time{}, false
 	}
-	return *begun, true
+	return *since, true
 }
--- a/internal/relaydaemon/traffic.go
+++ b/internal/relaydaemon/traffic.go
@@ -29,14 +29,14 @@
 	distance zone.Distance
 }
 
-func newTraffic(topology zone.Topology, figures prometheus.Registerer) *traffic {
+func newTraffic(topology zone.Topology, registry prometheus.Registerer) *traffic {
 	t := &traffic{topology: topology, bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: "mintpulley",
 		Subsystem: "peer",
 		Name:      "sent_bytes_total",
 		Help:      "Bytes sent to other daemons, by kind of message and distance.",
 	}, []string{"kind", "distance"})}
-	figures.MustRegister(t.bytes)
+	registry.MustRegister(t.bytes)
 	return t
 }
 
--- a/internal/relaydaemon/watch.go
+++ b/internal/relaydaemon/watch.go
@@ -7,12 +7,12 @@
 	"github.com/mintpulley/mintpulley/internal/store"
 )
 
-// shortestDrain is the shortest time that operators give daemons to stop sending requests to an
+// minInstanceDrain is the shortest time that operators give daemons to stop sending requests to an
 // instance that leaves.
-const shortestDrain = 2 * time.Second
+const minInstanceDrain = 2 * time.Second
 
 // Settings of the watchers of the operators' and back ends' records. A read whose connection goes
-// silent is sent again Wait + AnswerTimeout after it began. That stays below shortestDrain, with
+// silent is sent again Wait + AnswerTimeout after it began. That stays below minInstanceDrain, with
 // time left for a second read that hangs (2 x AnswerTimeout) and for a request in flight, and below
 // the two seconds within which operators expect new routes in force. Back ends write often, so
 // Pause batches their changes. Each read confirms the routes, and with them the keys.
@@ -29,43 +29,43 @@
 // watchRoutes follows the operators' records until ctx ends.
 func (d *Daemon) watchRoutes(ctx context.Context) {
 	watcher := store.Watcher{
-		Store:          d.records,
+		Store:          d.operatorRecords,
 		Connectivity:   d.store,
 		Partition:      d.adapter.RoutesPartition(),
 		Settings:       routesWatch,
-		OnAdvance:      d.takeOperators,
+		OnAdvance:      d.applyOperatorRecords,
 		OnRead:         d.confirmRoutes,
-		Refresh:        d.keys.hurry.Asked(),
-		ChangeExpected: d.keys.newerRoutes.Asked(),
+		Refresh:        d.confirmation.refresh.Asked(),
+		ChangeExpected: d.confirmation.newerRoutes.Asked(),
 		Metrics:        d.watchMetrics,
 		Logger:         &d.logger,
 		OnConnectivity: func(err error) {
-			d.keys.noteContact(err)
-			d.contact("routes")(err)
+			d.confirmation.recordConnectivity(err)
+			d.logConnectivity("routes")(err)
 		},
 	}
 	watcher.Run(ctx)
 }
 
-// takeOperators applies the operators' records. Evacuations come first: a daemon that starts sends
-// no request before it has routes.
-func (d *Daemon) takeOperators(records map[string]store.Record, end int64) {
-	d.takeEvacuations(d.adapter.Evacuations(records, end))
-	d.takeRoutes(records)
+// applyOperatorRecords applies the operators' records. Evacuations come first: a daemon that starts
+// sends no request before it has routes.
+func (d *Daemon) applyOperatorRecords(records map[string]store.Record, end int64) {
+	d.applyEvacuations(d.adapter.Evacuations(records, end))
+	d.applyRoutes(records)
 }
 
 // confirmRoutes records that the routes in force are the newest as of a time. While newer ones
 // could not be parsed, which may revoke keys, it records nothing.
 func (d *Daemon) confirmRoutes(asOf time.Time) {
-	if !d.refused.Load() && d.table.Load() != nil {
-		d.keys.note(asOf)
+	if !d.hasRefusedRoutes.Load() && d.table.Load() != nil {
+		d.confirmation.confirm(asOf)
 	}
 }
 
-// takeRoutes applies the newest routes. Routes that cannot be parsed or are older change nothing.
-func (d *Daemon) takeRoutes(records map[string]store.Record) {
+// applyRoutes applies the newest routes. Routes that cannot be parsed or are older change nothing.
+func (d *Daemon) applyRoutes(records map[string]store.Record) {
 	table, err := d.adapter.Routes(records)
-	d.refused.Store(err != nil)
+	d.hasRefusedRoutes.Store(err != nil)
 	if err != nil {
 		d.logger.Error().Err(err).Msg("Routes refused. The previous ones stay in force.")
 		return
@@ -77,14 +77,14 @@
 	if before != nil && table.Version <= before.Version {
 		return
 	}
-	d.cold.SetServices(table.Services)
+	d.coldLimiter.SetServices(table.Services)
 	if table.IsBound() {
 		d.regional.startAll()
 	}
 	d.table.Store(table)
 	d.front.setLimits(table.Limits)
 	if before == nil {
-		close(d.hasTable)
+		close(d.tableReady)
 	}
 	d.logger.Info().Int64("version", table.Version).Dur("head_time", table.Limits.HeadTime).
 		Dur("idle_time", table.Limits.IdleTime).Msg("Routes in force.")
@@ -109,15 +109,15 @@
 			} else {
 				d.pool.NoteReturned()
 			}
-			d.contact("instances")(err)
+			d.logConnectivity("instances")(err)
 		},
 	}
 	watcher.Run(ctx)
 }
 
-// contact returns a function that logs when the store becomes unreachable for a watcher, and when
-// it answers again.
-func (d *Daemon) contact(what string) func(error) {
+// logConnectivity returns a function that logs when the store becomes unreachable for a watcher,
+// and when it answers again.
+func (d *Daemon) logConnectivity(what string) func(error) {
 	return func(err error) {
 		if err != nil {
 			d.logger.Warn().Str("watch", what).Err(err).Msg("Store unreachable. The records read last stay in force.")
--- a/internal/relaydaemon/watch_test.go
+++ b/internal/relaydaemon/watch_test.go
@@ -27,10 +27,10 @@
 	return s.Store.Read(ctx, p, from, wait)
 }
 
-// TestLeavingInstanceIsKnownInTimeAlthoughAReadingHangs guards against requests to an instance that
+// TestLeavingInstanceIsKnownInTimeWhileAReadHangs guards against requests to an instance that
 // has left, because the read which should bring the news hangs on a silent connection. A read hangs
-// at each moment of a cycle, and the news must arrive within shortestDrain.
-func TestLeavingInstanceIsKnownInTimeAlthoughAReadingHangs(t *testing.T) {
+// at each moment of a cycle, and the news must arrive within minInstanceDrain.
+func TestLeavingInstanceIsKnownInTimeWhileAReadHangs(t *testing.T) {
 	const requestMargin = 100 * time.Millisecond // for a request in flight when the news arrives
 	for offset := time.Duration(0); offset < 3*time.Second; offset += 70 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -54,7 +54,7 @@
 			for known.Load() == 0 && time.Since(said) < 10*time.Second {
 				time.Sleep(10 * time.Millisecond)
 			}
-			if took := time.Since(said); took > shortestDrain-requestMargin {
+			if took := time.Since(said); took > minInstanceDrain-requestMargin {
 				t.Errorf("hang %s later: known after %s, %d reads hung", offset, took, s.hung.Load())
 			}
 			stop()
--- a/internal/relaydaemon/zones.go
+++ b/internal/relaydaemon/zones.go
@@ -16,10 +16,10 @@
 	sourceDaemon = "daemon"
 )
 
-// takeEvacuations applies the operators' orders that were read from the store.
-func (d *Daemon) takeEvacuations(reading zone.Reading) {
+// applyEvacuations applies the operators' orders that were read from the store.
+func (d *Daemon) applyEvacuations(reading zone.Reading) {
 	now := time.Now()
-	d.noteEvacuations(d.evacuations.Take(reading, now), reading.End, sourceStore, now)
+	d.reportEvacuations(d.evacuations.Take(reading, now), reading.End, sourceStore, now)
 }
 
 // AskEvacuations implements ledger.Evacuations.
@@ -32,13 +32,13 @@
 
 // HearEvacuations implements ledger.Evacuations.
 func (d *Daemon) HearEvacuations(news *zone.News, now time.Time) {
-	d.noteEvacuations(d.evacuations.Hear(news, now), news.End, sourceDaemon, now)
+	d.reportEvacuations(d.evacuations.Hear(news, now), news.End, sourceDaemon, now)
 }
 
-// noteEvacuations logs changes, and reports to admission how long ended evacuations lasted.
-func (d *Daemon) noteEvacuations(changes []zone.Change, end int64, from string, now time.Time) {
+// reportEvacuations logs changes, and reports to admission how long ended evacuations lasted.
+func (d *Daemon) reportEvacuations(changes []zone.Change, end int64, from string, now time.Time) {
 	for _, change := range changes {
-		logger := part(d.logger, "zones").With().Str("zone", change.Zone).Int64("order", change.Offset).
+		logger := componentLogger(d.logger, "zones").With().Str("zone", change.Zone).Int64("order", change.Offset).
 			Int64("as_of", end).Str("heard_from", from).Int("in_flight", d.pool.InFlight(change.Zone)).Logger()
 		if !change.Evacuated {
 			d.admission.Ended(admission.ServiceEvacuated, change.Lasted)
--- a/internal/relaydaemon/zones_test.go
+++ b/internal/relaydaemon/zones_test.go
@@ -82,10 +82,10 @@
 func newOperatorsTest(t *testing.T) *operatorsTest {
 	o := &operatorsTest{t: t, store: &trimmingStore{Store: memory.New(), trimmed: make(chan struct{}, 1)}, lines: &outputtest.Buffer{}}
 	o.Daemon = &Daemon{
-		settings: DefaultSettings(), keys: newConfirmation(), admission: &admission.Admission{}, logger: zerolog.New(o.lines),
-		adapter: &testAdapter{}, hasTable: make(chan struct{}), front: &frontServer{server: &http.Server{}},
+		settings: DefaultSettings(), confirmation: newConfirmation(), admission: &admission.Admission{}, logger: zerolog.New(o.lines),
+		adapter: &testAdapter{}, tableReady: make(chan struct{}), front: &frontServer{server: &http.Server{}},
 	}
-	o.cold = warmup.NewLimiter(warmup.Options{Returns: &o.evacuations, Logger: zerolog.Nop()})
+	o.coldLimiter = warmup.NewLimiter(warmup.Options{Returns: &o.evacuations, Logger: zerolog.Nop()})
 	o.pool = instance.NewPool(rand.New(rand.NewPCG(1, 1)), o.placementPlugins())
 	o.pool.Replace([]instance.Instance{
 		{ID: "a1", Service: "s", Zone: "a", State: instance.StateReady}, {ID: "c1", Service: "s", Zone: "c", State: instance.StateReady},
@@ -110,7 +110,7 @@
 		defer close(done)
 		watcher := store.Watcher{
 			Store: o.store, Partition: o.adapter.RoutesPartition(), Settings: routesWatch,
-			OnAdvance: o.takeOperators, OnConnectivity: func(error) {},
+			OnAdvance: o.applyOperatorRecords, OnConnectivity: func(error) {},
 		}
 		watcher.Run(ctx)
 	}()
@@ -189,9 +189,9 @@
 	})
 }
 
-// TestOrderComesIntoForceThoughAReadingHangs checks that an order is applied within the operators'
+// TestOrderComesIntoForceWhileAReadHangs checks that an order is applied within the operators'
 // limit although one read hangs for good, as on a connection cut silently.
-func TestOrderComesIntoForceThoughAReadingHangs(t *testing.T) {
+func TestOrderComesIntoForceWhileAReadHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOperatorsTest(t)
 		o.write("routes", "1")
@@ -210,8 +210,8 @@
 	})
 }
 
-// TestSeveralZones evacuates several zones, one of which the settings do not name.
-func TestSeveralZones(t *testing.T) {
+// TestSeveralZonesCanBeEvacuated evacuates several zones, one of which the settings do not name.
+func TestSeveralZonesCanBeEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOperatorsTest(t)
 		o.write("routes", "1")
--- a/internal/store/connectivity.go
+++ b/internal/store/connectivity.go
@@ -1,7 +1,7 @@
 package store
 
-// Connectivity reports whether the store can be reached, and when a caller should retry. Implementations
-// are safe for concurrent use.
+// Connectivity reports whether the store can be reached, and when a caller should retry.
+// Implementations are safe for concurrent use.
 type Connectivity interface {
 	// Recovered returns a channel that is closed when the store answers again after an outage, or
 	// when another daemon reports that it does.
--- a/internal/store/connectivity_test.go
+++ b/internal/store/connectivity_test.go
@@ -25,29 +25,29 @@
 	return s.Store.NewestPage(ctx, p, after)
 }
 
-// signal is a Connectivity whose recovery the test triggers by closing returned.
-type signal struct {
+// fakeConnectivity is a Connectivity whose recovery the test triggers by closing recovered.
+type fakeConnectivity struct {
 	store.UnknownConnectivity
-	returned chan struct{}
+	recovered chan struct{}
 }
 
-func (s *signal) Recovered() <-chan struct{} { return s.returned }
+func (s *fakeConnectivity) Recovered() <-chan struct{} { return s.recovered }
 
 func TestWatcherReadsAtOnceWhenTheStoreAnswersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &hangingStore{Store: memory.New(), hangs: true}
-		contact := &signal{returned: make(chan struct{})}
+		connectivity := &fakeConnectivity{recovered: make(chan struct{})}
 		ctx, stop := context.WithCancel(t.Context())
-		changes, losses, returns := 0, 0, 0
+		changes, losses, recoveries := 0, 0, 0
 		w := store.Watcher{
-			Store: s, Partition: store.Partition{Space: "x"}, Connectivity: contact,
+			Store: s, Partition: store.Partition{Space: "x"}, Connectivity: connectivity,
 			Settings: store.WatchSettings{Wait: time.Minute, AnswerTimeout: time.Second, RetryInterval: time.Minute},
 			OnChange: func(map[string]store.Record) { changes++ },
 			OnConnectivity: func(err error) {
 				if err != nil {
 					losses++
 				} else {
-					returns++
+					recoveries++
 				}
 			},
 		}
@@ -61,12 +61,12 @@
 			t.Errorf("%d changes and %d losses reported in 10 s without an answer, want 0 and 1", changes, losses)
 		}
 		s.hangs = false
-		before := contact.returned
-		contact.returned = make(chan struct{})
+		before := connectivity.recovered
+		connectivity.recovered = make(chan struct{})
 		close(before)
 		synctest.Wait()
-		if changes != 1 || losses != 1 || returns != 1 {
-			t.Errorf("%d changes, %d losses and %d recoveries reported after the recovery, want one each", changes, losses, returns)
+		if changes != 1 || losses != 1 || recoveries != 1 {
+			t.Errorf("%d changes, %d losses and %d recoveries reported after the recovery, want one each", changes, losses, recoveries)
 		}
 		stop()
 		<-done
--- a/internal/store/fanout/bundle.go
+++ b/internal/store/fanout/bundle.go
@@ -14,40 +14,39 @@
 )
 
 const (
-	// pieceBytes is the size of the pieces in which a bundle is sent: 44 KB on the wire, which take
+	// pieceSize is the size of the pieces in which a bundle is sent: 44 KB on the wire, which take
 	// 12 ms on a link of 30 Mbit/s. Other messages on the link are delayed by no more than that.
-	pieceBytes = 32 << 10
-	// bundleLimit is the maximum size of a bundle, and contentLimit that of its uncompressed
+	pieceSize = 32 << 10
+	// maxBundleSize is the maximum size of a bundle, and maxContentSize that of its uncompressed
 	// content: the maximum size of one answer of the store.
-	bundleLimit  = 8 << 20
-	contentLimit = 8 << 20
-	// codecWindow is the compression window. It bounds the memory that the codec holds; similar
+	maxBundleSize  = 8 << 20
+	maxContentSize = 8 << 20
+	// codecWindowSize is the compression window. It bounds the memory that the codec holds; similar
 	// records of routes lie within a few KB.
-	codecWindow = 256 << 10
+	codecWindowSize = 256 << 10
 )
 
-// errBundle: the bundle is malformed.
-var errBundle = eris.New("fanout: malformed bundle")
+// errMalformedBundle: the bundle is malformed.
+var errMalformedBundle = eris.New("fanout: malformed bundle")
 
 // bundle holds the newest records of all keys that changed in a range of offsets, compressed.
 type bundle struct {
-	// from is the first offset of the range, end the offset after the last. name is the hash of
-	// data.
+	// from is the first offset of the range, end the offset after the last. hash is that of data.
 	from, end int64
-	name      string
+	hash      string
 	data      []byte
 }
 
-// bundleHead is the first line of a bundle's content; the values of the records follow,
+// bundleHeader is the first line of a bundle's content; the values of the records follow,
 // concatenated.
-type bundleHead struct {
-	From    int64        `json:"from"`
-	End     int64        `json:"end"`
-	Records []recordHead `json:"records"`
+type bundleHeader struct {
+	From    int64          `json:"from"`
+	End     int64          `json:"end"`
+	Records []recordHeader `json:"records"`
 }
 
-// recordHead is a record without its value.
-type recordHead struct {
+// recordHeader is a record without its value.
+type recordHeader struct {
 	Key    string `json:"key"`
 	Offset int64  `json:"offset"`
 	Size   int    `json:"size"`
@@ -57,16 +56,16 @@
 // runs on machines with 112 MB of memory and a fifth of a core.
 var codec = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
 	encoder, _ := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(codecWindow), zstd.WithEncoderLevel(zstd.SpeedFastest)) // fails only for invalid options
-	decoder, _ := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(contentLimit))
+		zstd.WithWindowSize(codecWindowSize), zstd.WithEncoderLevel(zstd.SpeedFastest)) // fails only for invalid options
+	decoder, _ := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxContentSize))
 	return encoder, decoder
 })
 
 // packBundle compresses the records of a range of offsets into a bundle.
 func packBundle(from, end int64, records []store.Record) (*bundle, error) {
-	head := bundleHead{From: from, End: end}
+	head := bundleHeader{From: from, End: end}
 	for _, record := range records {
-		head.Records = append(head.Records, recordHead{record.Key, record.Offset, len(record.Value)})
+		head.Records = append(head.Records, recordHeader{record.Key, record.Offset, len(record.Value)})
 	}
 	content, err := json.Marshal(head)
 	if err != nil {
@@ -78,53 +77,53 @@
 	}
 	encoder, _ := codec()
 	data := encoder.EncodeAll(content, nil)
-	if len(content) > contentLimit || len(data) > bundleLimit {
-		return nil, eris.Wrapf(errBundle, "%d bytes exceed the limit", len(content))
+	if len(content) > maxContentSize || len(data) > maxBundleSize {
+		return nil, eris.Wrapf(errMalformedBundle, "%d bytes exceed the limit", len(content))
 	}
-	return &bundle{from: from, end: end, name: nameOf(data), data: data}, nil
+	return &bundle{from: from, end: end, hash: hashOf(data), data: data}, nil
 }
 
-func nameOf(data []byte) string {
+func hashOf(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
 // unpackBundle checks a bundle against its hash, and returns it together with its records.
-func unpackBundle(name string, data []byte) (*bundle, []store.Record, error) {
-	if nameOf(data) != name {
-		return nil, nil, eris.Wrap(errBundle, "the hash does not match the content")
+func unpackBundle(hash string, data []byte) (*bundle, []store.Record, error) {
+	if hashOf(data) != hash {
+		return nil, nil, eris.Wrap(errMalformedBundle, "the hash does not match the content")
 	}
 	_, decoder := codec()
 	content, err := decoder.DecodeAll(data, nil)
 	if err != nil {
-		return nil, nil, eris.Wrap(errBundle, err.Error())
+		return nil, nil, eris.Wrap(errMalformedBundle, err.Error())
 	}
 	line, values, found := bytes.Cut(content, []byte("\n"))
-	var head bundleHead
+	var head bundleHeader
 	if !found || json.Unmarshal(line, &head) != nil {
-		return nil, nil, eris.Wrap(errBundle, "the header line is missing or malformed")
+		return nil, nil, eris.Wrap(errMalformedBundle, "the header line is missing or malformed")
 	}
-	records, err := head.cut(values)
+	records, err := head.splitRecords(values)
 	if err != nil {
 		return nil, nil, err
 	}
-	return &bundle{from: head.From, end: head.End, name: name, data: data}, records, nil
+	return &bundle{from: head.From, end: head.End, hash: hash, data: data}, records, nil
 }
 
-// cut splits the values and returns the records. Their offsets must increase and lie in the
-// bundle's range.
-func (h *bundleHead) cut(values []byte) ([]store.Record, error) {
+// splitRecords splits the values and returns the records. Their offsets must increase and lie in
+// the bundle's range.
+func (h *bundleHeader) splitRecords(values []byte) ([]store.Record, error) {
 	records := make([]store.Record, 0, len(h.Records))
 	least := h.From
 	for _, r := range h.Records {
 		if r.Offset < least || r.Offset >= h.End || r.Size < 0 || r.Size > len(values) {
-			return nil, eris.Wrapf(errBundle, "invalid offset or size of the record at offset %d", r.Offset)
+			return nil, eris.Wrapf(errMalformedBundle, "invalid offset or size of the record at offset %d", r.Offset)
 		}
 		records = append(records, store.Record{Key: r.Key, Value: values[:r.Size:r.Size], Offset: r.Offset})
 		values, least = values[r.Size:], r.Offset+1
 	}
 	if len(values) > 0 || h.End < h.From {
-		return nil, eris.Wrap(errBundle, "the record sizes do not match the content, or the range is negative")
+		return nil, eris.Wrap(errMalformedBundle, "the record sizes do not match the content, or the range is negative")
 	}
 	return records, nil
 }
--- a/internal/store/fanout/fanout.go
+++ b/internal/store/fanout/fanout.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// busyTime is how long the reads of all daemons may keep the store busy: half of the 0.4 s
+	// maxBusyTime is how long the reads of all daemons may keep the store busy: half of the 0.4 s
 	// after which a read of the list of instances is late. Larger records are distributed between
 	// daemons; with 295 daemons and 80 MB/s that is above 54 KB.
-	busyTime = 200 * time.Millisecond
-	// assumedReadRate is the read rate of the store in bytes per second if it is not configured:
+	maxBusyTime = 200 * time.Millisecond
+	// defaultReadRate is the read rate of the store in bytes per second if it is not configured:
 	// low enough for a store with ordinary disks and links.
-	assumedReadRate = 80e6
+	defaultReadRate = 80e6
 )
 
 // Options configure a Service.
@@ -50,15 +50,15 @@
 // large. It is safe for concurrent use.
 type Service struct {
 	Options
-	replica replica
-	sources sources
-	replies peer.Replies[*Response]
+	replica    replica
+	neighbours neighbours
+	replies    peer.Replies[*Response]
 }
 
 // New returns a Service.
 func New(options Options) *Service {
 	if options.ReadRate <= 0 {
-		options.ReadRate = assumedReadRate
+		options.ReadRate = defaultReadRate
 	}
 	s := &Service{Options: options}
 	s.replica.sizes = map[string]int{}
@@ -69,7 +69,7 @@
 func (s *Service) NewestPage(ctx context.Context, partition store.Partition, after string) (store.Page, error) {
 	page, err := s.Store.NewestPage(ctx, partition, after)
 	if err == nil && partition == s.Partition {
-		s.replica.noteSizes(page.Records)
+		s.replica.recordSizes(page.Records)
 	}
 	return page, err
 }
@@ -83,7 +83,7 @@
 	began := time.Now()
 	if wait > 0 && !store.WantsFreshConnection(ctx) {
 		if neighbour, found := s.neighbour(began); found {
-			if got, brought := s.follow(ctx, neighbour, from, wait); brought {
+			if got, delivered := s.readFromNeighbour(ctx, neighbour, from, wait); delivered {
 				store.ProgressOf(ctx).SetAsOf(got.asOf)
 				return got.records, got.next, nil
 			}
@@ -100,7 +100,7 @@
 	if err == nil {
 		asOf := store.AsOf(began, wait, time.Now(), len(records) > 0)
 		store.ProgressOf(ctx).SetAsOf(asOf)
-		s.take(reading{records: records, from: from, next: next, asOf: asOf}, nil)
+		s.apply(readResult{records: records, from: from, next: next, asOf: asOf}, nil)
 	}
 	return records, next, err
 }
@@ -113,12 +113,12 @@
 		return "", false
 	}
 	members := s.View.Members()
-	if float64(size*len(members)) <= s.ReadRate*busyTime.Seconds() {
-		s.sources.note("", &s.Logger)
+	if float64(size*len(members)) <= s.ReadRate*maxBusyTime.Seconds() {
+		s.neighbours.logChange("", &s.Logger)
 		return "", false
 	}
-	parent, found := parentOf(s.Self, s.sources.usable(members, s.Self.ID, now), s.Partition)
-	s.sources.note(parent, &s.Logger)
+	parent, found := parentOf(s.Self, s.neighbours.usable(members, s.Self.ID, now), s.Partition)
+	s.neighbours.logChange(parent, &s.Logger)
 	return parent, found
 }
 
--- a/internal/store/fanout/faults_test.go
+++ b/internal/store/fanout/faults_test.go
@@ -9,11 +9,11 @@
 	"github.com/mintpulley/mintpulley/internal/store/fanout"
 )
 
-// spoiler returns what arrives of a message sent between two daemons, nil if it is lost.
-type spoiler func(from, to int, message peer.Message) peer.Message
+// tamperFunc returns what arrives of a message sent between two daemons, nil if it is lost.
+type tamperFunc func(from, to int, message peer.Message) peer.Message
 
-// onData applies a change to the pieces of bundles.
-func onData(change func(*fanout.Response)) spoiler {
+// tamperPieces applies a change to the pieces of bundles.
+func tamperPieces(change func(*fanout.Response)) tamperFunc {
 	return func(_, _ int, message peer.Message) peer.Message {
 		if response, is := message.(*fanout.Response); is && len(response.Data) > 0 {
 			changed := *response
@@ -25,7 +25,7 @@
 }
 
 // neighbourFaults are faults of neighbours by name.
-var neighbourFaults = map[string]spoiler{
+var neighbourFaults = map[string]tamperFunc{
 	"nothing arrives": func(int, int, peer.Message) peer.Message { return nil },
 	"a third is cut off": func(from, to int, message peer.Message) peer.Message {
 		if from%zones == 0 || to%zones == 0 {
@@ -39,11 +39,11 @@
 		}
 		return nil
 	},
-	"pieces are garbled":    onData(func(r *fanout.Response) { r.Data = append([]byte{'x'}, r.Data[1:]...) }),
-	"pieces are cut":        onData(func(r *fanout.Response) { r.Data = r.Data[:len(r.Data)/2] }),
-	"pieces never end":      onData(func(r *fanout.Response) { r.Size = 1 << 40 }),
-	"pieces are of no size": onData(func(r *fanout.Response) { r.Size = -1 }),
-	"each has its own hash": onData(func(r *fanout.Response) { r.Bundle += "0" }),
+	"pieces are garbled":    tamperPieces(func(r *fanout.Response) { r.Data = append([]byte{'x'}, r.Data[1:]...) }),
+	"pieces are cut":        tamperPieces(func(r *fanout.Response) { r.Data = r.Data[:len(r.Data)/2] }),
+	"pieces never end":      tamperPieces(func(r *fanout.Response) { r.Size = 1 << 40 }),
+	"pieces are of no size": tamperPieces(func(r *fanout.Response) { r.Size = -1 }),
+	"each has its own hash": tamperPieces(func(r *fanout.Response) { r.Bundle += "0" }),
 	"pieces but the first are lost": func(_, _ int, message peer.Message) peer.Message {
 		if response, is := message.(*fanout.Response); is && response.At > 0 {
 			return nil
@@ -58,14 +58,14 @@
 	// most covers a read that waits, a neighbour that is silent, and all daemons reading 1.2 MB
 	// from the store, some of them twice.
 	const daemons, most = 40, 10 * time.Second
-	for name, spoil := range neighbourFaults {
+	for name, tamper := range neighbourFaults {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(daemons)
 				f.store.put(t, routes, largeSize)
 				defer f.run(t)()
 				time.Sleep(20 * time.Second)
-				f.setSpoil(spoil)
+				f.setTamper(tamper)
 				f.store.put(t, routes, largeSize-1)
 				t.Logf("known to all after %s", f.awaitRoutes(2, most))
 				f.expectRoutes(t, 2, largeSize-1)
@@ -143,7 +143,8 @@
 		}
 		took := f.awaitRoutes(versions, 10*time.Second)
 		after, _ := f.store.count()
-		// Two daemons of each zone read each version, and some read it again together with the next.
+		// Two daemons of each zone read each version, and some read it again together with the
+		// next.
 		if most := 2 * 2 * zones * versions * largeSize; took > time.Second || after-before > most {
 			t.Errorf("known to all after %s, %.1f MB read, want 1s and %.1f", took, float64(after-before)/1e6, float64(most)/1e6)
 		}
--- a/internal/store/fanout/fleet_test.go
+++ b/internal/store/fanout/fleet_test.go
@@ -98,8 +98,8 @@
 	wentBack   bool
 }
 
-// noting wraps a function so that it runs under the mutex.
-func (f *follower) noting(note func(map[string]store.Record, int64)) func(map[string]store.Record, int64) {
+// locked wraps a function so that it runs under the mutex.
+func (f *follower) locked(note func(map[string]store.Record, int64)) func(map[string]store.Record, int64) {
 	return func(records map[string]store.Record, end int64) {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
@@ -126,7 +126,7 @@
 	settings := store.WatchSettings{Wait: 1200 * time.Millisecond, AnswerTimeout: 400 * time.Millisecond, RetryInterval: 150 * time.Millisecond}
 	watchRoutes := store.Watcher{
 		Store: routesStore, Partition: routes, Settings: settings, OnConnectivity: func(error) {},
-		OnAdvance: f.noting(func(records map[string]store.Record, end int64) {
+		OnAdvance: f.locked(func(records map[string]store.Record, end int64) {
 			f.wentBack = f.wentBack || end < f.end
 			f.end, f.size = end, len(records["k"].Value)
 		}),
@@ -135,7 +135,7 @@
 	settings.Wait, settings.Pause = 600*time.Millisecond, 500*time.Millisecond
 	watchInstances := store.Watcher{
 		Store: instancesStore, Partition: instances, Settings: settings, OnConnectivity: func(error) {},
-		OnAdvance: f.noting(func(_ map[string]store.Record, end int64) { f.lists = end }),
+		OnAdvance: f.locked(func(_ map[string]store.Record, end int64) { f.lists = end }),
 	}
 	go watchRoutes.Run(ctx)
 	go watchInstances.Run(ctx)
--- a/internal/store/fanout/main_test.go
+++ b/internal/store/fanout/main_test.go
@@ -6,7 +6,7 @@
 func TestMain(m *testing.M) {
 	if packed, err := packBundle(0, 0, nil); err != nil || packed == nil {
 		panic(err)
-	} else if _, _, err := unpackBundle(packed.name, packed.data); err != nil {
+	} else if _, _, err := unpackBundle(packed.hash, packed.data); err != nil {
 		panic(err)
 	}
 	m.Run()
--- a/internal/store/fanout/metrics.go
+++ b/internal/store/fanout/metrics.go
@@ -7,7 +7,7 @@
 
 const (
 	outcomeUnchanged outcome = "unchanged"
-	outcomeBrought   outcome = "brought"
+	outcomeDelivered outcome = "brought"
 	outcomeUnable    outcome = "unable"
 	outcomeSilent    outcome = "silent"
 	outcomeMalformed outcome = "malformed"
@@ -15,14 +15,14 @@
 
 // Metrics counts reads by way of a neighbour.
 type Metrics struct {
-	readings *prometheus.CounterVec
-	answers  *prometheus.CounterVec
+	reads   *prometheus.CounterVec
+	answers *prometheus.CounterVec
 }
 
 // NewMetrics registers the metrics.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	m := &Metrics{
-		readings: prometheus.NewCounterVec(prometheus.CounterOpts{
+		reads: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: "mintpulley", Subsystem: "store_fanout", Name: "readings_total",
 			Help: "Readings of large records that a neighbour was asked for, by outcome.",
 		}, []string{"outcome"}),
@@ -31,10 +31,10 @@
 			Help: "Answers to other daemons that asked for large records, by result.",
 		}, []string{"result"}),
 	}
-	registry.MustRegister(m.readings, m.answers)
+	registry.MustRegister(m.reads, m.answers)
 	return m
 }
 
-func (m *Metrics) asked(how outcome) { m.readings.WithLabelValues(string(how)).Inc() }
+func (m *Metrics) countRead(how outcome) { m.reads.WithLabelValues(string(how)).Inc() }
 
-func (m *Metrics) served(what result) { m.answers.WithLabelValues(string(what)).Inc() }
+func (m *Metrics) countAnswer(what result) { m.answers.WithLabelValues(string(what)).Inc() }
--- a/internal/store/fanout/neighbours.go
+++ b/internal/store/fanout/neighbours.go
@@ -11,21 +11,21 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// avoidTime is how long a neighbour that did not deliver is not asked: two reads, and longer than
-// the membership protocol takes to detect that it died (1.4 s).
-const avoidTime = 3 * time.Second
+// avoidDuration is how long a neighbour that did not deliver is not asked: two reads, and longer
+// than the membership protocol takes to detect that it died (1.4 s).
+const avoidDuration = 3 * time.Second
 
-// sources tracks which neighbours can be asked. It is safe for concurrent use.
-type sources struct {
+// neighbours tracks which neighbours can be asked. It is safe for concurrent use.
+type neighbours struct {
 	mutex sync.Mutex
 	// avoided are the neighbours that failed to deliver recently.
 	avoided peer.Avoided
-	// asked is the neighbour that was asked last, "" for the store.
-	asked structs.DaemonID
+	// current is the neighbour that was asked last, "" for the store.
+	current structs.DaemonID
 }
 
 // usable returns the members that are alive and did not fail recently, and always this daemon.
-func (s *sources) usable(members []membership.Member, self structs.DaemonID, now time.Time) []membership.Member {
+func (s *neighbours) usable(members []membership.Member, self structs.DaemonID, now time.Time) []membership.Member {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	usable := make([]membership.Member, 0, len(members))
@@ -38,21 +38,21 @@
 	return usable
 }
 
-// avoid excludes a neighbour for avoidTime.
-func (s *sources) avoid(neighbour structs.DaemonID, now time.Time) {
+// avoid excludes a neighbour for avoidDuration.
+func (s *neighbours) avoid(neighbour structs.DaemonID, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.avoided.Add(neighbour, now, avoidTime)
+	s.avoided.Add(neighbour, now, avoidDuration)
 }
 
-// note logs when another neighbour is asked than before.
-func (s *sources) note(neighbour structs.DaemonID, logger *zerolog.Logger) {
+// logChange logs when another neighbour is asked than before.
+func (s *neighbours) logChange(neighbour structs.DaemonID, logger *zerolog.Logger) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if neighbour == s.asked {
+	if neighbour == s.current {
 		return
 	}
-	s.asked = neighbour
+	s.current = neighbour
 	if neighbour == "" {
 		logger.Info().Msg("Large records are read from the store.")
 		return
--- a/internal/store/fanout/network_test.go
+++ b/internal/store/fanout/network_test.go
@@ -36,8 +36,8 @@
 	// freeAt is when each daemon's link has sent all messages queued so far.
 	freeAt []time.Time
 	sent   int
-	// spoil, if set, changes or drops messages.
-	spoil spoiler
+	// tamper, if set, changes or drops messages.
+	tamper tamperFunc
 }
 
 func newFleet(daemons int) *fleet {
@@ -85,10 +85,10 @@
 	return f.sent
 }
 
-func (f *fleet) setSpoil(spoil spoiler) {
+func (f *fleet) setTamper(tamper tamperFunc) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.spoil = spoil
+	f.tamper = tamper
 }
 
 // Members implements membership.View.
@@ -111,8 +111,8 @@
 	f, to := t.fleet, t.fleet.index[id]
 	f.mutex.Lock()
 	f.sent++
-	if f.spoil != nil {
-		message = f.spoil(t.self, to, message)
+	if f.tamper != nil {
+		message = f.tamper(t.self, to, message)
 	}
 	if message == nil {
 		f.mutex.Unlock()
--- a/internal/store/fanout/partial_bundle.go
+++ b/internal/store/fanout/partial_bundle.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// bundlesTried limits how many different bundles a neighbour may start to send in one fetch: a
-// newer bundle replaces the one before.
-const bundlesTried = 3
+// maxBundlesPerFetch limits how many different bundles a neighbour may start to send in one fetch:
+// a newer bundle replaces the one before.
+const maxBundlesPerFetch = 3
 
 // partialBundle is the received part of a bundle that arrives in pieces. The zero value waits for
 // the first piece.
@@ -24,7 +24,7 @@
 		b.first, b.askedAt, b.data = piece, askedAt, nil
 		b.begun++
 	}
-	if b.begun > bundlesTried || !piece.continues(b.first, len(b.data)) {
+	if b.begun > maxBundlesPerFetch || !piece.continues(b.first, len(b.data)) {
 		return false
 	}
 	b.data = append(b.data, piece.Data...)
@@ -38,5 +38,5 @@
 // to.
 func (r *Response) continues(first *Response, at int) bool {
 	return r.Result == resultPiece && r.At == at && len(r.Data) > 0 && r.Size == first.Size &&
-		r.Size <= bundleLimit && at+len(r.Data) <= r.Size
+		r.Size <= maxBundleSize && at+len(r.Data) <= r.Size
 }
--- a/internal/store/fanout/replica.go
+++ b/internal/store/fanout/replica.go
@@ -10,21 +10,21 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// waitersLimit limits the daemons that may wait for this one's answer: ten times the number of
+// maxWaiters limits the daemons that may wait for this one's answer: ten times the number of
 // children in the tree, since views of the membership may differ for a while.
-const waitersLimit = 10 * fanOut
+const maxWaiters = 10 * fanOut
 
-// leastWait is the minimum time that a request is held before it is answered with "unchanged".
+// minHoldTime is the minimum time that a request is held before it is answered with "unchanged".
 // Without it, a daemon that refreshes ten times a second would make all its descendants do the
-// same. It is less than silence, so that the answer is in time.
-const leastWait = 150 * time.Millisecond
+// same. It is less than neighbourTimeout, so that the answer is in time.
+const minHoldTime = 150 * time.Millisecond
 
-// bundlesKept is the number of bundles that are cached, as neighbours may still fetch one while
-// newer versions arrive.
-const bundlesKept = 4
+// maxCachedBundles is the number of bundles that are cached, as neighbours may still fetch one
+// while newer versions arrive.
+const maxCachedBundles = 4
 
-// reading is the result of a read: the records of a range of offsets, current as of a time.
-type reading struct {
+// readResult is the result of a read: the records of a range of offsets, current as of a time.
+type readResult struct {
 	records    []store.Record
 	from, next int64
 	asOf       time.Time
@@ -53,8 +53,8 @@
 	arrived time.Time
 }
 
-// noteSizes updates the sizes with the records of a listing.
-func (r *replica) noteSizes(records []store.Record) {
+// recordSizes updates the sizes with the records of a listing.
+func (r *replica) recordSizes(records []store.Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.setSizes(records)
@@ -77,9 +77,9 @@
 	return size
 }
 
-// take adds the result of a read, with the bundle that contained it if there is one, and returns
+// apply adds the result of a read, with the bundle that contained it if there is one, and returns
 // the requests that can now be answered.
-func (r *replica) take(got reading, packed *bundle) map[structs.DaemonID]waiter {
+func (r *replica) apply(got readResult, packed *bundle) map[structs.DaemonID]waiter {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if !r.hasRead || got.from > r.end { // the records in between are not known
@@ -91,19 +91,19 @@
 			r.newest[record.Key] = record
 		}
 		r.end = got.next
-		r.keep(packed)
+		r.cacheBundle(packed)
 	}
 	if got.asOf.After(r.asOf) {
 		r.asOf = got.asOf
 	}
-	return r.due(time.Now())
+	return r.takeDue(time.Now())
 }
 
-// due removes and returns the requests that are to be answered now, by sender.
-func (r *replica) due(now time.Time) map[structs.DaemonID]waiter {
+// takeDue removes and returns the requests that are to be answered now, by sender.
+func (r *replica) takeDue(now time.Time) map[structs.DaemonID]waiter {
 	due := map[structs.DaemonID]waiter{}
 	for from, w := range r.waiters {
-		if r.end > w.request.From || now.Sub(w.arrived) >= leastWait {
+		if r.end > w.request.From || now.Sub(w.arrived) >= minHoldTime {
 			due[from] = w
 			delete(r.waiters, from)
 		}
@@ -111,12 +111,12 @@
 	return due
 }
 
-// await holds a request until the next read. It returns false if newer records are available by now
+// hold holds a request until the next read. It returns false if newer records are available by now
 // or too many requests wait.
-func (r *replica) await(from structs.DaemonID, w waiter) (kept bool) {
+func (r *replica) hold(from structs.DaemonID, w waiter) (held bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if !r.hasRead || r.end > w.request.From || len(r.waiters) >= waitersLimit {
+	if !r.hasRead || r.end > w.request.From || len(r.waiters) >= maxWaiters {
 		return false
 	}
 	if r.waiters == nil {
@@ -126,9 +126,9 @@
 	return true
 }
 
-// since returns a bundle of the records from an offset on, nil if there are none; known is false if
-// this daemon does not know them.
-func (r *replica) since(from int64) (packed *bundle, asOf time.Time, known bool) {
+// bundleSince returns a bundle of the records from an offset on, nil if there are none; known is
+// false if this daemon does not know them.
+func (r *replica) bundleSince(from int64) (packed *bundle, asOf time.Time, known bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
@@ -156,26 +156,26 @@
 	if err != nil {
 		return nil, time.Time{}, false
 	}
-	r.keep(packed)
+	r.cacheBundle(packed)
 	return packed, r.asOf, true
 }
 
-// keep caches a bundle, if it is not nil, and drops the oldest if there are too many.
-func (r *replica) keep(packed *bundle) {
+// cacheBundle caches a bundle, if it is not nil, and drops the oldest if there are too many.
+func (r *replica) cacheBundle(packed *bundle) {
 	if packed == nil {
 		return
 	}
 	r.bundles = append(r.bundles, packed)
-	if len(r.bundles) > bundlesKept {
+	if len(r.bundles) > maxCachedBundles {
 		r.bundles = slices.Delete(r.bundles, 0, 1)
 	}
 }
 
-// bundleOf returns the cached bundle with a hash; false if there is none.
-func (r *replica) bundleOf(name string) (*bundle, bool) {
+// bundleByHash returns the cached bundle with a hash; false if there is none.
+func (r *replica) bundleByHash(hash string) (*bundle, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	i := slices.IndexFunc(r.bundles, func(packed *bundle) bool { return packed.name == name })
+	i := slices.IndexFunc(r.bundles, func(packed *bundle) bool { return packed.hash == hash })
 	if i < 0 {
 		return nil, false
 	}
--- a/internal/store/fanout/serve.go
+++ b/internal/store/fanout/serve.go
@@ -28,11 +28,11 @@
 		s.answer(from, w, &Response{Result: resultUnable})
 		return
 	}
-	if packed, has := s.replica.bundleOf(w.request.Bundle); has {
+	if packed, has := s.replica.bundleByHash(w.request.Bundle); has {
 		s.answer(from, w, pieceOf(packed, w.request.At))
 		return
 	}
-	if w.request.Bundle == "" && s.replica.await(from, w) {
+	if w.request.Bundle == "" && s.replica.hold(from, w) {
 		return
 	}
 	if response := s.responseTo(w); response.Result != resultUnchanged {
@@ -42,9 +42,9 @@
 	s.answer(from, w, &Response{Result: resultUnable}) // too many requests wait
 }
 
-// take stores the result of a read, and answers the requests that waited for it.
-func (s *Service) take(got reading, packed *bundle) {
-	due := s.replica.take(got, packed)
+// apply stores the result of a read, and answers the requests that waited for it.
+func (s *Service) apply(got readResult, packed *bundle) {
+	due := s.replica.apply(got, packed)
 	for _, from := range slices.Sorted(maps.Keys(due)) {
 		s.answer(from, due[from], s.responseTo(due[from]))
 	}
@@ -52,7 +52,7 @@
 
 // responseTo builds the answer to a request from what this daemon has read so far.
 func (s *Service) responseTo(w waiter) *Response {
-	packed, asOf, known := s.replica.since(w.request.From)
+	packed, asOf, known := s.replica.bundleSince(w.request.From)
 	switch {
 	case !known:
 		return &Response{Result: resultUnable}
@@ -68,13 +68,13 @@
 func pieceOf(packed *bundle, at int) *Response {
 	at = min(at, len(packed.data))
 	return &Response{
-		Result: resultPiece, Bundle: packed.name, Size: len(packed.data),
-		At: at, Data: packed.data[at:min(at+pieceBytes, len(packed.data))],
+		Result: resultPiece, Bundle: packed.hash, Size: len(packed.data),
+		At: at, Data: packed.data[at:min(at+pieceSize, len(packed.data))],
 	}
 }
 
 func (s *Service) answer(to structs.DaemonID, w waiter, response *Response) {
 	response.Number = w.request.Number
-	s.Metrics.served(response.Result)
+	s.Metrics.countAnswer(response.Result)
 	s.Transport.Send(to, response)
 }
--- a/internal/store/fanout/tree.go
+++ b/internal/store/fanout/tree.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// rootsOfZone is the number of daemons of a zone that read from the store: if one dies, the
+	// rootsPerZone is the number of daemons of a zone that read from the store: if one dies, the
 	// other still brings records to the zone.
-	rootsOfZone = 2
+	rootsPerZone = 2
 	// fanOut is the number of daemons that request from one neighbour. With 62 daemons in a zone,
 	// each is at most two steps from the store, and six bundles of 0.16 MB take a link of 30 Mbit/s
 	// 0.26 s.
 	fanOut = 6
 )
 
-// ranked is a daemon with its sort keys.
-type ranked struct {
+// rankedDaemon is a daemon with its sort keys.
+type rankedDaemon struct {
 	id       structs.DaemonID
 	capacity int
-	place    uint64
+	hash     uint64
 }
 
 // parentOf returns the neighbour that a daemon requests records from, or false if it reads from the
@@ -35,24 +35,24 @@
 // for each other.
 func parentOf(self structs.Daemon, members []membership.Member, partition store.Partition) (structs.DaemonID, bool) {
 	order := rank(self.Zone, members, partition)
-	own := slices.IndexFunc(order, func(r ranked) bool { return r.id == self.ID })
-	if own < rootsOfZone {
+	own := slices.IndexFunc(order, func(r rankedDaemon) bool { return r.id == self.ID })
+	if own < rootsPerZone {
 		return "", false
 	}
-	return order[(own-rootsOfZone)/fanOut].id, true
+	return order[(own-rootsPerZone)/fanOut].id, true
 }
 
 // rank returns the daemons of a zone in tree order.
-func rank(zone structs.ZoneName, members []membership.Member, partition store.Partition) []ranked {
-	var order []ranked
+func rank(zone structs.ZoneName, members []membership.Member, partition store.Partition) []rankedDaemon {
+	var order []rankedDaemon
 	for _, member := range members {
 		if member.Daemon.Zone == zone {
-			place := xxhash.Sum64String(partition.Space + "\n" + member.Daemon.ID.Address())
-			order = append(order, ranked{member.Daemon.ID, member.Daemon.Capacity, place})
+			hash := xxhash.Sum64String(partition.Space + "\n" + member.Daemon.ID.Address())
+			order = append(order, rankedDaemon{member.Daemon.ID, member.Daemon.Capacity, hash})
 		}
 	}
-	slices.SortFunc(order, func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.capacity, a.capacity), cmp.Compare(a.place, b.place), cmp.Compare(a.id, b.id))
+	slices.SortFunc(order, func(a, b rankedDaemon) int {
+		return cmp.Or(cmp.Compare(b.capacity, a.capacity), cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id))
 	})
 	return order
 }
--- a/internal/store/fanout/tree_test.go
+++ b/internal/store/fanout/tree_test.go
@@ -36,7 +36,7 @@
 				children[parent]++
 			}
 		}
-		if want := max(size-rootsOfZone, 0); len(parents) != want {
+		if want := max(size-rootsPerZone, 0); len(parents) != want {
 			t.Errorf("%d daemons: %d ask a neighbour, want %d", size, len(parents), want)
 		}
 		for id := range parents {
@@ -63,11 +63,11 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	_, got, err := unpackBundle(packed.name, packed.data)
+	_, got, err := unpackBundle(packed.hash, packed.data)
 	if diff := cmp.Diff(len(records), len(got)); diff != "" || err != nil || string(got[2].Value) != "33" || len(got[1].Value) != 0 {
 		f.Fatalf("%v, %v", got, err)
 	}
-	if _, _, err := unpackBundle(packed.name, packed.data[1:]); err == nil {
+	if _, _, err := unpackBundle(packed.hash, packed.data[1:]); err == nil {
 		f.Error("a bundle with a wrong hash is accepted")
 	}
 	f.Add([]byte(`{"from":3,"end":9,"records":[{"key":"a","offset":4,"size":1}]}` + "\n1"))
@@ -75,7 +75,7 @@
 	f.Fuzz(func(t *testing.T, content []byte) {
 		encoder, _ := codec()
 		data := encoder.EncodeAll(content, nil)
-		got, records, err := unpackBundle(nameOf(data), data)
+		got, records, err := unpackBundle(hashOf(data), data)
 		if err != nil {
 			return
 		}
--- a/internal/store/hedged_read.go
+++ b/internal/store/hedged_read.go
@@ -16,41 +16,41 @@
 // of changes after AnswerTimeout, and a busy store serves one extra read.
 
 const (
-	// lateGrowth is the factor by which the delay until the next hedge grows, up to longestLate.
-	// While the store does not answer, a call every 1.6 s notices when it is back.
-	lateGrowth  = 2
-	longestLate = 1600 * time.Millisecond
-	// lateCallsOfLostStore is the number of hedges without an answer after which the store counts
+	// hedgeDelayGrowth is the factor by which the delay until the next hedge grows, up to
+	// maxHedgeDelay. While the store does not answer, a call every 1.6 s notices when it is back.
+	hedgeDelayGrowth = 2
+	maxHedgeDelay    = 1600 * time.Millisecond
+	// hedgesUntilUnreachable is the number of hedges without an answer after which the store counts
 	// as unreachable. A single one may be due to a dead connection.
-	lateCallsOfLostStore = 2
-	// giveUpCall is how long a call may receive nothing until it is canceled: the longest time
+	hedgesUntilUnreachable = 2
+	// stallTimeout is how long a call may receive nothing until it is canceled: the longest time
 	// that the ledger waits for a page of a busy store.
-	giveUpCall = 4 * time.Second
+	stallTimeout = 4 * time.Second
 )
 
-// errLate: nothing of an answer arrived in time.
-var errLate = eris.Wrap(ErrOutcomeUnknown, "store: no answer in time")
+// errNoAnswer: nothing of an answer arrived in time.
+var errNoAnswer = eris.Wrap(ErrOutcomeUnknown, "store: no answer in time")
 
-// reading is one read of a Watcher, made by one or more parallel calls.
-type reading struct {
+// hedgedRead is one read of a Watcher, made by one or more parallel calls.
+type hedgedRead struct {
 	watcher *Watcher
 	// from is the offset to read from; negative for a listing of all keys.
-	from    int64
-	contact *watchContact
-	began   time.Time
+	from         int64
+	connectivity *connectivityState
+	began        time.Time
 	// calls are the calls in flight, oldest first.
-	calls   []*readingCall
-	answers chan readingAnswer
-	// late fires at lateAt, when nothing has arrived for patience. lateCalls counts how often it
-	// did without progress.
-	late      *time.Timer
-	lateAt    time.Time
-	patience  time.Duration
-	lateCalls int
+	calls   []*readCall
+	answers chan readAnswer
+	// hedgeTimer fires at hedgeAt, when nothing has arrived for hedgeDelay. hedges counts the calls
+	// that it started.
+	hedgeTimer *time.Timer
+	hedgeAt    time.Time
+	hedgeDelay time.Duration
+	hedges     int
 }
 
-// readingCall is one call of a reading.
-type readingCall struct {
+// readCall is one call of a hedgedRead.
+type readCall struct {
 	began time.Time
 	// wait is how long the store may wait for a change before it answers.
 	wait     time.Duration
@@ -62,9 +62,9 @@
 	progressAt time.Time
 }
 
-// readingAnswer is the result of a call.
-type readingAnswer struct {
-	call    *readingCall
+// readAnswer is the result of a call.
+type readAnswer struct {
+	call    *readCall
 	records []Record
 	// end is the offset to continue from; negative if the records that follow were trimmed.
 	end int64
@@ -75,10 +75,10 @@
 }
 
 // isChange reports whether the answer contains anything new.
-func (a *readingAnswer) isChange() bool { return a.listed || len(a.records) > 0 }
+func (a *readAnswer) isChange() bool { return a.listed || len(a.records) > 0 }
 
 // asOf returns the time as of which the answer is known to be current.
-func (a *readingAnswer) asOf() time.Time {
+func (a *readAnswer) asOf() time.Time {
 	if asOf, told := a.call.progress.AsOf(); told {
 		return asOf
 	}
@@ -96,54 +96,54 @@
 	return began
 }
 
-func newReading(w *Watcher, from int64, contact *watchContact) *reading {
-	return &reading{
-		watcher: w, from: from, contact: contact, answers: make(chan readingAnswer), patience: w.Settings.AnswerTimeout,
-		began: time.Now(), late: time.NewTimer(time.Hour),
+func newHedgedRead(w *Watcher, from int64, state *connectivityState) *hedgedRead {
+	return &hedgedRead{
+		watcher: w, from: from, connectivity: state, answers: make(chan readAnswer), hedgeDelay: w.Settings.AnswerTimeout,
+		began: time.Now(), hedgeTimer: time.NewTimer(time.Hour),
 	}
 }
 
 // run makes the read and returns the first answer, or the last error if all calls failed.
-func (r *reading) run(ctx context.Context, wait time.Duration) readingAnswer {
+func (r *hedgedRead) run(ctx context.Context, wait time.Duration) readAnswer {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	defer r.late.Stop()
+	defer r.hedgeTimer.Stop()
 	if r.from < 0 {
 		wait = 0 // a listing does not wait for a change
 	}
 	r.call(ctx, wait)
-	returned := r.watcher.contact().Recovered()
+	recovered := r.watcher.connectivity().Recovered()
 	for {
 		select {
 		case answer := <-r.answers:
-			r.calls = slices.DeleteFunc(r.calls, func(call *readingCall) bool { return call == answer.call })
+			r.calls = slices.DeleteFunc(r.calls, func(call *readCall) bool { return call == answer.call })
 			r.report(answer)
 			if answer.err == nil || len(r.calls) == 0 {
 				return answer
 			}
-		case <-r.late.C:
-			r.noteLate(ctx)
+		case <-r.hedgeTimer.C:
+			r.hedge(ctx)
 		case <-r.watcher.Refresh:
-			r.hurry(ctx)
+			r.refresh(ctx)
 		case <-r.watcher.ChangeExpected:
-			r.expect()
-		case <-returned:
-			returned = r.watcher.contact().Recovered()
+			r.expectChange()
+		case <-recovered:
+			recovered = r.watcher.connectivity().Recovered()
 			r.call(WithFreshConnection(ctx), 0)
 		case <-ctx.Done():
-			return readingAnswer{err: ctx.Err()}
+			return readAnswer{err: ctx.Err()}
 		}
 	}
 }
 
-// call starts a call, and sets the timer to when it is late: patience after the end of its wait.
-func (r *reading) call(ctx context.Context, wait time.Duration) {
+// call starts a call, and sets hedgeTimer to hedgeDelay after the end of its wait.
+func (r *hedgedRead) call(ctx context.Context, wait time.Duration) {
 	calling, progress := WithProgress(ctx)
 	calling, cancel := context.WithCancel(calling)
 	now := time.Now()
-	call := &readingCall{began: now, wait: wait, progress: progress, cancel: cancel, progressAt: now.Add(wait)}
+	call := &readCall{began: now, wait: wait, progress: progress, cancel: cancel, progressAt: now.Add(wait)}
 	r.calls = append(r.calls, call)
-	r.lateIn(wait + r.patience)
+	r.setHedgeTimer(wait + r.hedgeDelay)
 	go func() {
 		defer cancel()
 		answer := r.read(calling, wait)
@@ -155,52 +155,52 @@
 	}()
 }
 
-// lateIn sets the timer of late calls.
-func (r *reading) lateIn(left time.Duration) {
-	r.lateAt = time.Now().Add(left)
-	r.late.Reset(left)
+// setHedgeTimer lets hedgeTimer fire after the given time.
+func (r *hedgedRead) setHedgeTimer(left time.Duration) {
+	r.hedgeAt = time.Now().Add(left)
+	r.hedgeTimer.Reset(left)
 }
 
 // read calls the store.
-func (r *reading) read(ctx context.Context, wait time.Duration) readingAnswer {
+func (r *hedgedRead) read(ctx context.Context, wait time.Duration) readAnswer {
 	w := r.watcher
 	if r.from < 0 {
 		records, end, err := Newest(WithPurpose(ctx, Purpose("list_"+w.Partition.Space)), w.Store, w.Partition)
-		return readingAnswer{records: records, end: end, listed: true, err: err}
+		return readAnswer{records: records, end: end, listed: true, err: err}
 	}
 	records, end, err := w.Store.Read(WithPurpose(ctx, Purpose("watch_"+w.Partition.Space)), w.Partition, r.from, wait)
 	if errors.Is(err, ErrTrimmed) {
-		return readingAnswer{end: -1}
+		return readAnswer{end: -1}
 	}
-	return readingAnswer{records: records, end: end, err: err}
+	return readAnswer{records: records, end: end, err: err}
 }
 
-// noteLate handles the timer: it starts another call unless more of an answer has arrived since the
+// hedge handles hedgeTimer: it starts another call unless more of an answer has arrived since the
 // last check.
-func (r *reading) noteLate(ctx context.Context) {
+func (r *hedgedRead) hedge(ctx context.Context) {
 	now := time.Now()
-	if r.noteProgress(now) {
-		r.lateIn(r.patience)
+	if r.checkProgress(now) {
+		r.setHedgeTimer(r.hedgeDelay)
 		return
 	}
-	r.lateCalls++
+	r.hedges++
 	r.reportLate(now)
-	if r.lateCalls >= lateCallsOfLostStore {
-		r.contact.noteLost(errLate)
+	if r.hedges >= hedgesUntilUnreachable {
+		r.connectivity.setUnreachable(errNoAnswer)
 	}
-	r.patience = min(lateGrowth*r.patience, max(longestLate, r.patience))
+	r.hedgeDelay = min(hedgeDelayGrowth*r.hedgeDelay, max(maxHedgeDelay, r.hedgeDelay))
 	r.call(WithFreshConnection(ctx), 0)
 }
 
-// noteProgress reports whether more of an answer has arrived, and cancels calls that have received
-// nothing for giveUpCall.
-func (r *reading) noteProgress(now time.Time) (more bool) {
+// checkProgress reports whether more of an answer has arrived, and cancels calls that have received
+// nothing for stallTimeout.
+func (r *hedgedRead) checkProgress(now time.Time) (more bool) {
 	for _, call := range r.calls {
 		if bytes := call.progress.Bytes(); bytes > call.bytes {
 			call.bytes, call.progressAt = bytes, now
 			more = true
 		}
-		if now.Sub(call.progressAt) >= giveUpCall {
+		if now.Sub(call.progressAt) >= stallTimeout {
 			call.cancel()
 		}
 	}
@@ -208,27 +208,27 @@
 }
 
 // latest returns the call that was started last.
-func (r *reading) latest() *readingCall { return r.calls[len(r.calls)-1] }
+func (r *hedgedRead) latest() *readCall { return r.calls[len(r.calls)-1] }
 
 // isWaiting reports whether the latest call lets the store wait for a change and nothing of its
 // answer has arrived.
-func (r *reading) isWaiting() bool {
+func (r *hedgedRead) isWaiting() bool {
 	latest := r.latest()
 	return latest.wait > 0 && latest.progress.Bytes() == 0
 }
 
-// hurry starts a call that does not wait for a change, unless such a call is in flight or an answer
-// is arriving.
-func (r *reading) hurry(ctx context.Context) {
+// refresh starts a call that does not wait for a change, unless such a call is in flight or an
+// answer is arriving.
+func (r *hedgedRead) refresh(ctx context.Context) {
 	if r.isWaiting() {
 		r.call(ctx, 0)
 	}
 }
 
-// expect handles the news that there is a change: a call that waits for one should be answered now,
-// so it is late after patience rather than after its wait.
-func (r *reading) expect() {
-	if r.isWaiting() && time.Until(r.lateAt) > r.patience {
-		r.lateIn(r.patience)
+// expectChange handles the news that there is a change: a call that waits for one should be
+// answered now, so hedgeTimer fires after hedgeDelay rather than after the wait.
+func (r *hedgedRead) expectChange() {
+	if r.isWaiting() && time.Until(r.hedgeAt) > r.hedgeDelay {
+		r.setHedgeTimer(r.hedgeDelay)
 	}
 }
--- a/internal/store/memory/memory.go
+++ b/internal/store/memory/memory.go
@@ -16,8 +16,8 @@
 // pageRecords is the maximum number of records in one page of a listing.
 const pageRecords = 500
 
-// repeatsKept is the number of a writer's last appends that are recognized when they are repeated.
-const repeatsKept = 5
+// dedupWindow is the number of a writer's last appends that are recognized when they are repeated.
+const dedupWindow = 5
 
 // Fault is what happens to one call to Append.
 type Fault int
@@ -30,8 +30,8 @@
 	FaultRefused
 	// FaultAnswerLost: the append is applied, but the answer is lost.
 	FaultAnswerLost
-	// FaultDelayed: the answer is lost, and the append is applied when ApplyDelayed is called, unless
-	// its writer is fenced by then.
+	// FaultDelayed: the answer is lost, and the append is applied when ApplyDelayed is called,
+	// unless its writer is fenced by then.
 	FaultDelayed
 )
 
@@ -41,15 +41,15 @@
 	changed    *sync.Cond
 	partitions map[store.Partition]*partition
 	fault      func(store.Partition, store.Writer) Fault
-	late       []func()
+	delayed    []func()
 	down       bool
 	delay      time.Duration
 	appends    int
 	unfenced   bool
-	// capacity is the maximum number of bytes stored, 0 for no limit. full counts the appends
-	// refused because of it.
-	capacity int
-	full     int
+	// capacity is the maximum number of bytes stored, 0 for no limit. fullRefusals counts the
+	// appends refused because of it.
+	capacity     int
+	fullRefusals int
 }
 
 type partition struct {
@@ -86,8 +86,8 @@
 	s.delay = delay
 }
 
-// await sleeps for the delay of a call.
-func (s *Store) await() {
+// waitDelay sleeps for the delay of a call.
+func (s *Store) waitDelay() {
 	s.mutex.Lock()
 	delay := s.delay
 	s.mutex.Unlock()
@@ -96,8 +96,8 @@
 	}
 }
 
-// awaitReading sleeps for the delay of a read; false if ctx ended first.
-func (s *Store) awaitReading(ctx context.Context) bool {
+// waitReadDelay sleeps for the delay of a read; false if ctx ended first.
+func (s *Store) waitReadDelay(ctx context.Context) bool {
 	s.mutex.Lock()
 	delay := s.delay
 	s.mutex.Unlock()
@@ -124,10 +124,10 @@
 // ApplyDelayed applies the appends that FaultDelayed delayed.
 func (s *Store) ApplyDelayed() {
 	s.mutex.Lock()
-	late := s.late
-	s.late = nil
+	delayed := s.delayed
+	s.delayed = nil
 	s.mutex.Unlock()
-	for _, call := range late {
+	for _, call := range delayed {
 		call()
 	}
 }
@@ -152,18 +152,18 @@
 func (s *Store) FullRefusals() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.full
+	return s.fullRefusals
 }
 
 // StoredBytes returns the number of bytes that the store holds.
 func (s *Store) StoredBytes() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.kept()
+	return s.storedBytes()
 }
 
-// kept is StoredBytes for callers that hold the mutex.
-func (s *Store) kept() int {
+// storedBytes is StoredBytes for callers that hold the mutex.
+func (s *Store) storedBytes() int {
 	bytes := 0
 	for _, p := range s.partitions {
 		bytes += store.SizeOf(p.records[p.first:])
@@ -195,7 +195,7 @@
 
 // Append implements store.Store.
 func (s *Store) Append(_ context.Context, name store.Partition, by store.Writer, records []store.Record) error {
-	s.await()
+	s.waitDelay()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.appends++
@@ -213,7 +213,7 @@
 		_ = s.append(name, by, records)
 		return store.ErrOutcomeUnknown
 	case FaultDelayed:
-		s.late = append(s.late, func() {
+		s.delayed = append(s.delayed, func() {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
 			_ = s.append(name, by, records)
@@ -224,8 +224,8 @@
 }
 
 func (s *Store) append(name store.Partition, by store.Writer, records []store.Record) error {
-	if s.capacity > 0 && s.kept()+store.SizeOf(records) > s.capacity {
-		s.full++
+	if s.capacity > 0 && s.storedBytes()+store.SizeOf(records) > s.capacity {
+		s.fullRefusals++
 		return store.ErrFull
 	}
 	p := s.partition(name)
@@ -258,7 +258,7 @@
 	if by.Epoch < known.epoch {
 		return false, store.ErrFenced
 	}
-	if by.Sequence <= known.sequence && by.Sequence+repeatsKept > known.sequence {
+	if by.Sequence <= known.sequence && by.Sequence+dedupWindow > known.sequence {
 		return true, nil
 	}
 	if by.Sequence != known.sequence+1 {
@@ -279,7 +279,7 @@
 
 // NewestPage implements store.Store.
 func (s *Store) NewestPage(ctx context.Context, name store.Partition, after string) (store.Page, error) {
-	if !s.awaitReading(ctx) {
+	if !s.waitReadDelay(ctx) {
 		return store.Page{}, store.ErrOutcomeUnknown
 	}
 	s.mutex.Lock()
--- a/internal/store/memory/memory_test.go
+++ b/internal/store/memory/memory_test.go
@@ -41,7 +41,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p := store.Partition{Space: "x"}
 	changes := make(chan map[string]string, 100)
-	contact := make(chan error, 100)
+	connectivity := make(chan error, 100)
 	done := make(chan struct{})
 	watcher := store.Watcher{
 		Store: s, Partition: p,
@@ -53,7 +53,7 @@
 			}
 			changes <- values
 		},
-		OnConnectivity: func(err error) { contact <- err },
+		OnConnectivity: func(err error) { connectivity <- err },
 	}
 	go func() {
 		defer close(done)
@@ -75,11 +75,11 @@
 	put("a", "1")
 	expect(map[string]string{"a": "1"})
 	s.SetDown(true)
-	if err := <-contact; err == nil {
+	if err := <-connectivity; err == nil {
 		t.Error("the outage was not reported")
 	}
 	s.SetDown(false)
-	if err := <-contact; err != nil {
+	if err := <-connectivity; err != nil {
 		t.Errorf("the end of the outage was not reported: %v", err)
 	}
 	put("a", "")
--- a/internal/store/meter.go
+++ b/internal/store/meter.go
@@ -15,9 +15,9 @@
 const (
 	// meterWindow is the interval whose calls a Meter sums up in one log line.
 	meterWindow = time.Second
-	// meterBytes is the number of bytes read in a window from which the window is logged even if
-	// all calls were answered: a quarter of a page.
-	meterBytes = 256 << 10
+	// meterLogThreshold is the number of bytes read in a window from which the window is logged
+	// even if all calls were answered: a quarter of a page.
+	meterLogThreshold = 256 << 10
 )
 
 // Meter wraps a store and counts its calls and the bytes read, by purpose. It logs one line for
@@ -28,13 +28,13 @@
 	calls  *prometheus.CounterVec
 	bytes  *prometheus.CounterVec
 	mutex  sync.Mutex
-	// from is when the current window began, window its calls by purpose, and read the bytes read
-	// in it.
-	from   time.Time
-	window map[Purpose]*meterCount
-	read   int
-	// trouble is set if a call of the window was refused or not answered.
-	trouble bool
+	// windowStart is when the current window began, window its calls by purpose, and windowBytes
+	// the bytes read in it.
+	windowStart time.Time
+	window      map[Purpose]*meterCount
+	windowBytes int
+	// hasFailure is set if a call of the window was refused or not answered.
+	hasFailure bool
 }
 
 // callOutcome is how a call to the store ended, as a metric label.
@@ -44,9 +44,9 @@
 	outcomeAnswered   callOutcome = "answered"
 	outcomeRefused    callOutcome = "refused"
 	outcomeUnanswered callOutcome = "unanswered"
-	// outcomeGivenUp: the caller canceled the call, because another attempt was answered or the
+	// outcomeCanceled: the caller canceled the call, because another attempt was answered or the
 	// result was no longer needed.
-	outcomeGivenUp callOutcome = "given_up"
+	outcomeCanceled callOutcome = "given_up"
 )
 
 // outcomeOf classifies how a call made with ctx ended.
@@ -55,7 +55,7 @@
 	case errors.Is(err, ErrUnavailable):
 		return outcomeRefused
 	case errors.Is(err, ErrOutcomeUnknown) && errors.Is(ctx.Err(), context.Canceled):
-		return outcomeGivenUp
+		return outcomeCanceled
 	case errors.Is(err, ErrOutcomeUnknown):
 		return outcomeUnanswered
 	}
@@ -88,40 +88,40 @@
 // Append implements Store.
 func (m *Meter) Append(ctx context.Context, partition Partition, writer Writer, records []Record) error {
 	err := m.Store.Append(ctx, partition, writer, records)
-	m.note(ctx, nil, err)
+	m.record(ctx, nil, err)
 	return err
 }
 
 // NewestPage implements Store.
 func (m *Meter) NewestPage(ctx context.Context, partition Partition, after string) (Page, error) {
 	page, err := m.Store.NewestPage(ctx, partition, after)
-	m.note(ctx, page.Records, err)
+	m.record(ctx, page.Records, err)
 	return page, err
 }
 
 // Read implements Store.
 func (m *Meter) Read(ctx context.Context, partition Partition, from int64, wait time.Duration) ([]Record, int64, error) {
 	records, next, err := m.Store.Read(ctx, partition, from, wait)
-	m.note(ctx, records, err)
+	m.record(ctx, records, err)
 	return records, next, err
 }
 
 // Trim implements Store.
 func (m *Meter) Trim(ctx context.Context, partition Partition, before int64) error {
 	err := m.Store.Trim(ctx, partition, before)
-	m.note(ctx, nil, err)
+	m.record(ctx, nil, err)
 	return err
 }
 
-// note counts a finished call.
-func (m *Meter) note(ctx context.Context, records []Record, err error) {
+// record counts a finished call.
+func (m *Meter) record(ctx context.Context, records []Record, err error) {
 	purpose, now := PurposeOf(ctx), time.Now()
 	size := SizeOf(records)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if now.Sub(m.from) >= meterWindow {
-		m.tell()
-		m.from = now
+	if now.Sub(m.windowStart) >= meterWindow {
+		m.logWindow()
+		m.windowStart = now
 	}
 	count := m.window[purpose]
 	if count == nil {
@@ -130,27 +130,27 @@
 	}
 	outcome := outcomeOf(ctx, err)
 	count.calls[outcome]++
-	m.trouble = m.trouble || outcome == outcomeRefused || outcome == outcomeUnanswered
+	m.hasFailure = m.hasFailure || outcome == outcomeRefused || outcome == outcomeUnanswered
 	count.bytes += size
-	m.read += size
+	m.windowBytes += size
 	m.calls.WithLabelValues(string(purpose), string(outcome)).Inc()
 	m.bytes.WithLabelValues(string(purpose)).Add(float64(size))
 }
 
-// tell logs the finished window if it is worth a line, and resets the counters.
-func (m *Meter) tell() {
-	if m.read >= meterBytes || m.trouble {
-		event := m.logger.Info().Time("since", m.from).Int("bytes", m.read)
+// logWindow logs the finished window if it is worth a line, and resets the counters.
+func (m *Meter) logWindow() {
+	if m.windowBytes >= meterLogThreshold || m.hasFailure {
+		event := m.logger.Info().Time("since", m.windowStart).Int("bytes", m.windowBytes)
 		for _, purpose := range m.purposes() {
 			c := m.window[purpose]
 			event = event.Ints(string(purpose), []int{
-				c.calls[outcomeAnswered], c.calls[outcomeRefused], c.calls[outcomeUnanswered], c.calls[outcomeGivenUp], c.bytes,
+				c.calls[outcomeAnswered], c.calls[outcomeRefused], c.calls[outcomeUnanswered], c.calls[outcomeCanceled], c.bytes,
 			})
 		}
 		event.Msg("Calls to the store: answered, refused, unanswered, given up, bytes read.")
 	}
 	clear(m.window)
-	m.read, m.trouble = 0, false
+	m.windowBytes, m.hasFailure = 0, false
 }
 
 // purposes returns the purposes of the window in alphabetical order.
--- a/internal/store/meter_test.go
+++ b/internal/store/meter_test.go
@@ -15,9 +15,9 @@
 	"github.com/mintpulley/mintpulley/internal/store/memory"
 )
 
-// TestMeterTellsOfHeavyAndFailedSeconds checks that calls are counted by purpose, and that a window
-// is logged only if much was read in it or a call failed.
-func TestMeterTellsOfHeavyAndFailedSeconds(t *testing.T) {
+// TestMeterLogsWindowsWithManyBytesOrFailures checks that calls are counted by purpose, and that a
+// window is logged only if much was read in it or a call failed.
+func TestMeterLogsWindowsWithManyBytesOrFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
 		registry := prometheus.NewRegistry()
--- a/internal/store/progress.go
+++ b/internal/store/progress.go
@@ -58,17 +58,17 @@
 	return time.Time{}, false
 }
 
-// freshKey is the context key that marks calls which need a new connection.
-type freshKey struct{}
+// freshConnectionKey is the context key that marks calls which need a new connection.
+type freshConnectionKey struct{}
 
 // WithFreshConnection marks calls that must open a new connection, because an earlier call hangs
 // and other connections of that time may be dead, too.
 func WithFreshConnection(ctx context.Context) context.Context {
-	return context.WithValue(ctx, freshKey{}, true)
+	return context.WithValue(ctx, freshConnectionKey{}, true)
 }
 
 // WantsFreshConnection reports whether WithFreshConnection marked ctx.
 func WantsFreshConnection(ctx context.Context) bool {
-	fresh, _ := ctx.Value(freshKey{}).(bool)
+	fresh, _ := ctx.Value(freshConnectionKey{}).(bool)
 	return fresh
 }
