--- a/internal/store/proxy/connectivity.go
+++ b/internal/store/proxy/connectivity.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// probePause is the time between direct calls during an outage: few enough calls to cost
+	// probeInterval is the time between direct calls during an outage: few enough calls to cost
 	// little, and often enough for each daemon to notice the recovery by itself.
-	probePause = 200 * time.Millisecond
+	probeInterval = 200 * time.Millisecond
 	// isolatedAfter is how long neither the store nor a helper may have answered until a daemon
 	// considers itself isolated.
 	isolatedAfter = 1500 * time.Millisecond
 )
 
-// contact tracks whether the store answers direct calls.
-type contact struct {
+// connectivity tracks whether the store answers direct calls.
+type connectivity struct {
 	mutex sync.Mutex
 	// failingSince is when the first call since the last answered one failed; zero if none did.
 	failingSince time.Time
@@ -23,18 +23,18 @@
 	probeAt time.Time
 	// answeredAt is when a direct call was last answered.
 	answeredAt time.Time
-	// returned is closed when the store answers again after an outage of at least noticeAfter, or
-	// when another daemon reports that it does.
-	returned chan struct{}
+	// recovered is closed when the store answers again after an outage of at least
+	// minOutageForNotice, or when another daemon reports that it does.
+	recovered chan struct{}
 	// noticeAt is when a notice of a recovery was last sent or received.
 	noticeAt time.Time
 }
 
-func newContact() contact { return contact{returned: make(chan struct{})} }
+func newConnectivity() connectivity { return connectivity{recovered: make(chan struct{})} }
 
 // mayCall reports whether a direct call may be made: always while the store answers, and once per
-// probePause while it does not.
-func (c *contact) mayCall(now time.Time) bool {
+// probeInterval while it does not.
+func (c *connectivity) mayCall(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.failingSince.IsZero() {
@@ -43,33 +43,34 @@
 	if now.Before(c.probeAt) {
 		return false
 	}
-	c.probeAt = now.Add(probePause)
+	c.probeAt = now.Add(probeInterval)
 	return true
 }
 
-// fail records a call that was not answered, and reports whether it is the first of an outage.
-func (c *contact) fail(now time.Time) bool {
+// recordFailure records a call that was not answered, and reports whether it is the first of an
+// outage.
+func (c *connectivity) recordFailure(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.failingSince.IsZero() {
 		return false
 	}
 	c.failingSince = now
-	c.probeAt = now.Add(probePause)
+	c.probeAt = now.Add(probeInterval)
 	return true
 }
 
 // hasAnsweredSince reports whether the store has answered a direct call since a time. If so, a call
 // made then that hangs is late or its answer was lost, but the store is reachable.
-func (c *contact) hasAnsweredSince(at time.Time) bool {
+func (c *connectivity) hasAnsweredSince(at time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.answeredAt.After(at)
 }
 
-// answer records an answered call, and returns how long the outage lasted that it ends; 0 if there
-// was none.
-func (c *contact) answer(now time.Time) time.Duration {
+// recordAnswer records an answered call, and returns how long the outage lasted that it ends; 0 if
+// there was none.
+func (c *connectivity) recordAnswer(now time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.answeredAt = now
@@ -78,26 +79,26 @@
 	}
 	out := max(now.Sub(c.failingSince), 1)
 	c.failingSince = time.Time{}
-	if out >= noticeAfter {
-		c.wake()
+	if out >= minOutageForNotice {
+		c.signalRecovery()
 	}
 	return out
 }
 
 // mayNotify reports whether a notice of the recovery may be sent now.
-func (c *contact) mayNotify(now time.Time) bool {
+func (c *connectivity) mayNotify(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if now.Sub(c.noticeAt) < noticePause {
+	if now.Sub(c.noticeAt) < noticeInterval {
 		return false
 	}
 	c.noticeAt = now
 	return true
 }
 
-// hearOfReturn handles another daemon's notice that the store answers. It reports whether this
-// daemon was in an outage; if so, the callers that wait for the store retry at once.
-func (c *contact) hearOfReturn(now time.Time) bool {
+// recordRecoveryNotice handles another daemon's notice that the store answers. It reports whether
+// this daemon was in an outage; if so, the callers that wait for the store retry at once.
+func (c *connectivity) recordRecoveryNotice(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.noticeAt = now
@@ -105,22 +106,22 @@
 		return false
 	}
 	c.probeAt = now
-	c.wake()
+	c.signalRecovery()
 	return true
 }
 
-func (c *contact) wake() {
-	close(c.returned)
-	c.returned = make(chan struct{})
+func (c *connectivity) signalRecovery() {
+	close(c.recovered)
+	c.recovered = make(chan struct{})
 }
 
-func (c *contact) signal() <-chan struct{} {
+func (c *connectivity) recoverySignal() <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.returned
+	return c.recovered
 }
 
-func (c *contact) failingFor(now time.Time) time.Duration {
+func (c *connectivity) failingFor(now time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.failingSince.IsZero() {
--- a/internal/store/proxy/helper.go
+++ b/internal/store/proxy/helper.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// helperSilence is how long beyond the wait of the call a helper may take to answer until
+	// helperTimeout is how long beyond the wait of the call a helper may take to answer until
 	// another one is asked: a few round trips between zones and one answer of a slow store.
-	helperSilence = 600 * time.Millisecond
-	// pageShare is the share of the caller's remaining time that a helper may use to read a page of
-	// newest records, if that is more than helperSilence. A page may be a megabyte, and a second
-	// helper must still have time.
-	pageShare = 0.5
-	// avoidSilent is how long a helper that did not answer is not asked.
-	avoidSilent = 3 * time.Second
+	helperTimeout = 600 * time.Millisecond
+	// helperPageShare is the share of the caller's remaining time that a helper may use to read a
+	// page of newest records, if that is more than helperTimeout. A page may be a megabyte, and a
+	// second helper must still have time.
+	helperPageShare = 0.5
+	// silentHelperPause is how long a helper that did not answer is not asked.
+	silentHelperPause = 3 * time.Second
 	// otherRegionsTime is how long helpers of all regions may be asked after one of this daemon's
 	// region failed, since whatever keeps that one from the store may affect the whole region. A
 	// helper of another region answers a few one-way delays of 8 ms later.
 	otherRegionsTime = 5 * time.Second
-	// outPause is how long no helper is asked after one answered that it does not reach the store
-	// either, or that it is at its limit.
-	outPause = 250 * time.Millisecond
+	// noHelperPause is how long no helper is asked after one answered that it does not reach the
+	// store either, or that it is at its limit.
+	noHelperPause = 250 * time.Millisecond
 )
 
 // helpedPrefix is prepended to the purpose of calls made for another daemon.
@@ -46,8 +46,8 @@
 	chosen structs.DaemonID
 	// avoided are the helpers that did not answer recently.
 	avoided peer.Avoided
-	// outUntil is until when no helper is asked.
-	outUntil time.Time
+	// noHelperUntil is until when no helper is asked.
+	noHelperUntil time.Time
 	// unansweredSince is when a helper was first asked after the last answer of one; zero if none
 	// was.
 	unansweredSince time.Time
@@ -58,8 +58,8 @@
 // candidate is a daemon that may be asked to make a call.
 type candidate struct {
 	id structs.DaemonID
-	// near: it is in this daemon's region.
-	near bool
+	// sameRegion: it is in this daemon's region.
+	sameRegion bool
 }
 
 // choose returns the helper to ask. It is one of this daemon's region unless there is none or one
@@ -67,7 +67,7 @@
 func (h *helpers) choose(found []candidate, pick func(int) int, now time.Time) (structs.DaemonID, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if now.Before(h.outUntil) {
+	if now.Before(h.noHelperUntil) {
 		return "", false
 	}
 	candidates := h.usable(found, now.Before(h.otherRegionsUntil), now)
@@ -91,30 +91,30 @@
 func (h *helpers) usable(found []candidate, withOtherRegions bool, now time.Time) []structs.DaemonID {
 	var usable []structs.DaemonID
 	for _, c := range found {
-		if (withOtherRegions || c.near) && !h.avoided.Has(c.id, now) {
+		if (withOtherRegions || c.sameRegion) && !h.avoided.Has(c.id, now) {
 			usable = append(usable, c.id)
 		}
 	}
 	return usable
 }
 
-// note records an answer of a helper. helped is false if it did not reach the store either.
-func (h *helpers) note(helped bool, now time.Time) {
+// recordAnswer records an answer of a helper. helped is false if it did not reach the store either.
+func (h *helpers) recordAnswer(reachedStore bool, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.unansweredSince = time.Time{}
-	if !helped {
+	if !reachedStore {
 		h.chosen = ""
-		h.outUntil = now.Add(outPause)
+		h.noHelperUntil = now.Add(noHelperPause)
 		h.otherRegionsUntil = now.Add(otherRegionsTime)
 	}
 }
 
-// noteSilent excludes a helper that did not answer for a while.
-func (h *helpers) noteSilent(id structs.DaemonID, now time.Time) {
+// recordTimeout excludes a helper that did not answer for a while.
+func (h *helpers) recordTimeout(id structs.DaemonID, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.avoided.Add(id, now, avoidSilent)
+	h.avoided.Add(id, now, silentHelperPause)
 	h.otherRegionsUntil = now.Add(otherRegionsTime)
 	if h.chosen == id {
 		h.chosen = ""
@@ -137,7 +137,7 @@
 	for _, member := range s.View.Members() {
 		mayHelp := s.MayHelp == nil || s.MayHelp(partition, member.Daemon)
 		if member.Daemon.ID != s.Self && member.State == membership.StateAlive && mayHelp {
-			candidates = append(candidates, candidate{id: member.Daemon.ID, near: member.Daemon.Region == s.Region})
+			candidates = append(candidates, candidate{id: member.Daemon.ID, sameRegion: member.Daemon.Region == s.Region})
 		}
 	}
 	return candidates
@@ -159,30 +159,30 @@
 	now := time.Now()
 	if response == nil {
 		if ctx.Err() == nil {
-			s.helpers.noteSilent(helper, now)
-			s.Metrics.asked("silent")
+			s.helpers.recordTimeout(helper, now)
+			s.Metrics.countAsked("silent")
 		}
 		return outcome{next: request.From, err: eris.Wrapf(store.ErrOutcomeUnknown, "proxy: no answer from helper %s", helper)}
 	}
 	got := response.outcome()
-	s.helpers.note(isAnswered(got.err), now)
-	s.Metrics.asked(string(response.Result))
+	s.helpers.recordAnswer(isAnswered(got.err), now)
+	s.Metrics.countAsked(string(response.Result))
 	return got
 }
 
-// helperPatience returns how long a helper may take to answer.
-func helperPatience(ctx context.Context, request *Request) time.Duration {
-	patience := request.wait() + helperSilence
+// helperTimeoutFor returns how long a helper may take to answer.
+func helperTimeoutFor(ctx context.Context, request *Request) time.Duration {
+	patience := request.wait() + helperTimeout
 	deadline, bounded := ctx.Deadline()
 	if request.Call != callNewest || !bounded {
 		return patience
 	}
-	return max(patience, time.Duration(pageShare*float64(time.Until(deadline))))
+	return max(patience, time.Duration(helperPageShare*float64(time.Until(deadline))))
 }
 
 // ask sends a call to a helper and waits for the answer; nil if none arrived.
 func (s *Service) ask(ctx context.Context, helper structs.DaemonID, request *Request) *Response {
-	patience := helperPatience(ctx, request)
+	patience := helperTimeoutFor(ctx, request)
 	sent := *request
 	sent.Purpose = helpedPrefix + request.Purpose
 	sent.WithinMS = patience.Milliseconds()
--- a/internal/store/proxy/helper_test.go
+++ b/internal/store/proxy/helper_test.go
@@ -33,9 +33,9 @@
 // calls of the first daemon.
 func newRegionalFleet() *fleet {
 	f := newFleet(6)
-	f.ways[0].set(refused)
+	f.directStores[0].set(refused)
 	f.services[0] = New(Options{
-		Self: f.ids[0], Region: structs.RegionName("north"), Direct: f.ways[0], Transport: &transport{fleet: f, self: f.ids[0]},
+		Self: f.ids[0], Region: structs.RegionName("north"), Direct: f.directStores[0], Transport: &transport{fleet: f, self: f.ids[0]},
 		View: regionalView{f}, Random: rand.New(rand.NewPCG(1, 9)), Logger: zerolog.Nop(), Metrics: NewMetrics(prometheus.NewRegistry()),
 	})
 	return f
@@ -44,10 +44,10 @@
 // append makes calls one after the other and returns how many succeeded.
 func (f *fleet) append(t *testing.T, calls int) (done int) {
 	for range calls {
-		if f.services[0].Append(within(t, time.Second), partition, store.Writer{}, []store.Record{record}) == nil {
+		if f.services[0].Append(timeoutContext(t, time.Second), partition, store.Writer{}, []store.Record{record}) == nil {
 			done++
 		}
-		time.Sleep(outPause / 2)
+		time.Sleep(noHelperPause / 2)
 	}
 	return done
 }
@@ -62,7 +62,7 @@
 			}
 		}
 		for i := 3; i < 6; i++ {
-			if got := f.ways[i].count(); got > 0 {
+			if got := f.directStores[i].count(); got > 0 {
 				t.Errorf("daemon %d of the other region made %d calls", i, got)
 			}
 		}
@@ -73,8 +73,8 @@
 // asked if those of the own region are refused by the store or do not answer.
 func TestRegionThatDoesNotReachTheStoreIsHelpedByAnother(t *testing.T) {
 	for name, lose := range map[string]func(f *fleet, i int){
-		"refused": func(f *fleet, i int) { f.ways[i].set(refused) },
-		"silent":  func(f *fleet, i int) { f.setDeaf(f.ids[i]) },
+		"refused": func(f *fleet, i int) { f.directStores[i].set(refused) },
+		"silent":  func(f *fleet, i int) { f.disconnect(f.ids[i]) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/store/proxy/metrics.go
+++ b/internal/store/proxy/metrics.go
@@ -22,8 +22,8 @@
 	return m
 }
 
-func (m *Metrics) lateCall() { m.late.Inc() }
+func (m *Metrics) countLate() { m.late.Inc() }
 
-func (m *Metrics) asked(result string) { m.calls.WithLabelValues("asked", result).Inc() }
+func (m *Metrics) countAsked(result string) { m.calls.WithLabelValues("asked", result).Inc() }
 
-func (m *Metrics) served(result string) { m.calls.WithLabelValues("served", result).Inc() }
+func (m *Metrics) countServed(result string) { m.calls.WithLabelValues("served", result).Inc() }
--- a/internal/store/proxy/proxy.go
+++ b/internal/store/proxy/proxy.go
@@ -32,10 +32,10 @@
 	// megabyte, which takes 0.3 s on a link of 30 Mbit/s, and a second copy would load a busy store
 	// and two machines.
 	readOverdueAfter = 400 * time.Millisecond
-	// silentAfter is how long nothing of a direct call's answer may have arrived, nor any other
+	// silenceTimeout is how long nothing of a direct call's answer may have arrived, nor any other
 	// answer, until the store counts as unreachable: a few answers of a store that is sixty times
 	// slower than usual. It also detects outages for calls without a deadline.
-	silentAfter = 700 * time.Millisecond
+	silenceTimeout = 700 * time.Millisecond
 	// overdueFactor times the recent duration of pages of newest records of a space is how long the
 	// next page may take until a helper reads it, too. A page may be a megabyte, so a second copy
 	// is expensive.
@@ -43,13 +43,13 @@
 	// busyPageAfter is the minimum time that a page of a bulk read may take while the store answers
 	// other calls: the store is busy, and a second copy would make it busier.
 	busyPageAfter = 700 * time.Millisecond
-	// pageTimeFall is the factor by which the recorded duration of a page decays with each shorter
+	// pageTimeDecay is the factor by which the recorded duration of a page decays with each shorter
 	// page. The last page of a listing is short.
-	pageTimeFall = 0.9
-	// noticeAfter is the minimum length of an outage whose end is announced to the other daemons,
-	// and noticePause the minimum time between announcements.
-	noticeAfter = 300 * time.Millisecond
-	noticePause = time.Second
+	pageTimeDecay = 0.9
+	// minOutageForNotice is the minimum length of an outage whose end is announced to the other
+	// daemons, and noticeInterval the minimum time between announcements.
+	minOutageForNotice = 300 * time.Millisecond
+	noticeInterval     = time.Second
 )
 
 // Options configure a Service.
@@ -72,11 +72,11 @@
 // Service is a store.Store and a store.Connectivity. It is safe for concurrent use.
 type Service struct {
 	Options
-	contact contact
-	helpers helpers
+	connectivity connectivity
+	helpers      helpers
 	// serving limits the concurrent calls made for other daemons.
 	serving chan struct{}
-	served  served
+	helpLog helpLog
 	replies peer.Replies[*Response]
 	// mutex guards Options.Random and pageTimes, the recent duration of a page of newest records by
 	// space.
@@ -87,9 +87,9 @@
 // New returns a Service.
 func New(options Options) *Service {
 	return &Service{
-		Options: options,
-		contact: newContact(),
-		serving: make(chan struct{}, servingLimit),
+		Options:      options,
+		connectivity: newConnectivity(),
+		serving:      make(chan struct{}, maxServing),
 
 		pageTimes: map[string]time.Duration{},
 	}
@@ -131,25 +131,25 @@
 	return s.do(ctx, &Request{Call: callTrim, Partition: partition, From: before}).err
 }
 
-// callWays are the parallel attempts at one call, directly and by way of a helper.
-type callWays struct {
+// callAttempts are the parallel attempts at one call, directly and by way of a helper.
+type callAttempts struct {
 	request  *Request
 	answers  chan outcome
-	underway int
-	// helped: a helper was asked.
-	helped bool
+	inFlight int
+	// helperAsked: an attempt by way of a helper was started.
+	helperAsked bool
 }
 
 // start starts another attempt.
-func (w *callWays) start(ctx context.Context, call func(context.Context, *Request) outcome) {
-	w.underway++
+func (w *callAttempts) start(ctx context.Context, call func(context.Context, *Request) outcome) {
+	w.inFlight++
 	go func() { w.answers <- call(ctx, w.request) }()
 }
 
 // askHelper starts an attempt by way of a helper, unless there was one.
-func (s *Service) askHelper(ctx context.Context, w *callWays) {
-	if !w.helped {
-		w.helped = true
+func (s *Service) askHelper(ctx context.Context, w *callAttempts) {
+	if !w.helperAsked {
+		w.helperAsked = true
 		w.start(ctx, s.callHelper)
 	}
 }
@@ -160,11 +160,11 @@
 	ctx, progress := store.TrackProgress(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ways := &callWays{request: request, answers: make(chan outcome, 2)}
-	if s.contact.mayCall(time.Now()) {
-		ways.start(ctx, s.callDirect)
+	attempts := &callAttempts{request: request, answers: make(chan outcome, 2)}
+	if s.connectivity.mayCall(time.Now()) {
+		attempts.start(ctx, s.callDirect)
 	} else {
-		s.askHelper(ctx, ways)
+		s.askHelper(ctx, attempts)
 	}
 	started := time.Now()
 	overdue := time.NewTimer(s.overdueTime(request))
@@ -173,14 +173,14 @@
 	arrived := progress.Bytes()
 	for {
 		select {
-		case got := <-ways.answers:
-			ways.underway--
+		case got := <-attempts.answers:
+			attempts.inFlight--
 			if isAnswered(got.err) {
 				return got
 			}
-			failed.err = worse(failed.err, got.err)
-			s.askHelper(ctx, ways)
-			if ways.underway == 0 {
+			failed.err = mergeErrors(failed.err, got.err)
+			s.askHelper(ctx, attempts)
+			if attempts.inFlight == 0 {
 				return failed
 			}
 		case <-overdue.C:
@@ -190,7 +190,7 @@
 				overdue.Reset(overdueAfter)
 				continue
 			}
-			s.askHelper(ctx, ways)
+			s.askHelper(ctx, attempts)
 		case <-ctx.Done():
 			failed.err = store.ErrOutcomeUnknown
 			return failed
@@ -215,23 +215,23 @@
 // the store is only busy.
 func (s *Service) isBusyPage(request *Request, started time.Time) bool {
 	return request.Call == callNewest && request.Purpose.IsBulk() &&
-		time.Since(started) < busyPageAfter && s.contact.hasAnsweredSince(started)
+		time.Since(started) < busyPageAfter && s.connectivity.hasAnsweredSince(started)
 }
 
-// notePageTime records how long a page took.
-func (s *Service) notePageTime(request *Request, took time.Duration) {
+// recordPageTime records how long a page took.
+func (s *Service) recordPageTime(request *Request, took time.Duration) {
 	if request.Call != callNewest {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	fallen := time.Duration(pageTimeFall * float64(s.pageTimes[request.Partition.Space]))
-	s.pageTimes[request.Partition.Space] = max(took, fallen)
+	decayed := time.Duration(pageTimeDecay * float64(s.pageTimes[request.Partition.Space]))
+	s.pageTimes[request.Partition.Space] = max(took, decayed)
 }
 
-// worse merges the errors of two attempts at a call: the outcome is unknown if either attempt may
-// have taken effect.
-func worse(a, b error) error {
+// mergeErrors merges the errors of two attempts at a call: the outcome is unknown if either attempt
+// may have taken effect.
+func mergeErrors(a, b error) error {
 	if a == nil || errors.Is(b, store.ErrOutcomeUnknown) {
 		return b
 	}
@@ -241,56 +241,56 @@
 // callDirect makes a call without a helper, and records whether the store answered.
 func (s *Service) callDirect(ctx context.Context, request *Request) outcome {
 	started := time.Now()
-	watch := s.watchSilence(ctx, request, started)
+	silenceTimer := s.startSilenceTimer(ctx, request, started)
 	got := request.perform(ctx, s.Direct)
-	watch.Stop()
+	silenceTimer.Stop()
 	if got.err == nil {
-		s.notePageTime(request, time.Since(started))
+		s.recordPageTime(request, time.Since(started))
 	}
 	if !isAnswered(got.err) && errors.Is(ctx.Err(), context.Canceled) {
 		return got // the caller canceled the call
 	}
-	if errors.Is(got.err, store.ErrOutcomeUnknown) && s.contact.hasAnsweredSince(started) {
-		s.Metrics.lateCall()
+	if errors.Is(got.err, store.ErrOutcomeUnknown) && s.connectivity.hasAnsweredSince(started) {
+		s.Metrics.countLate()
 		return got
 	}
-	s.noteDirect(got.err)
+	s.recordOutcome(got.err)
 	return got
 }
 
-// watchSilence starts a timer that records an outage if nothing of a direct call's answer arrives
-// in time. The caller stops it.
-func (s *Service) watchSilence(ctx context.Context, request *Request, started time.Time) (watch *time.Timer) {
+// startSilenceTimer starts a timer that records an outage if nothing of a direct call's answer
+// arrives in time. The caller stops it.
+func (s *Service) startSilenceTimer(ctx context.Context, request *Request, started time.Time) (timer *time.Timer) {
 	progress := store.ProgressOf(ctx)
 	before := progress.Bytes()
 	due := started.Add(request.wait())
-	return time.AfterFunc(request.wait()+silentAfter, func() {
-		if ctx.Err() == nil && progress.Bytes() == before && !s.contact.hasAnsweredSince(due) {
-			s.noteDirect(store.ErrOutcomeUnknown)
+	return time.AfterFunc(request.wait()+silenceTimeout, func() {
+		if ctx.Err() == nil && progress.Bytes() == before && !s.connectivity.hasAnsweredSince(due) {
+			s.recordOutcome(store.ErrOutcomeUnknown)
 		}
 	})
 }
 
-// noteDirect records the outcome of a direct call, and logs the begin and the end of an outage.
-func (s *Service) noteDirect(err error) {
+// recordOutcome records the outcome of a direct call, and logs the begin and the end of an outage.
+func (s *Service) recordOutcome(err error) {
 	if !isAnswered(err) {
-		if s.contact.fail(time.Now()) {
+		if s.connectivity.recordFailure(time.Now()) {
 			s.Logger.Warn().Err(err).Msg("The store does not answer. Other daemons are asked to make calls, too.")
 		}
 		return
 	}
-	out := s.contact.answer(time.Now())
+	out := s.connectivity.recordAnswer(time.Now())
 	if out == 0 {
 		return
 	}
 	s.Logger.Info().Dur("out", out).Msg("The store answers again.")
-	if out >= noticeAfter && s.contact.mayNotify(time.Now()) {
-		s.notify()
+	if out >= minOutageForNotice && s.connectivity.mayNotify(time.Now()) {
+		s.announceRecovery()
 	}
 }
 
-// notify announces to the other daemons that the store answers again.
-func (s *Service) notify() {
+// announceRecovery announces to the other daemons that the store answers again.
+func (s *Service) announceRecovery() {
 	for _, member := range s.View.Members() {
 		if member.Daemon.ID != s.Self {
 			s.Transport.Send(member.Daemon.ID, &RecoveryNotice{})
@@ -299,12 +299,12 @@
 }
 
 // Recovered implements store.Connectivity.
-func (s *Service) Recovered() <-chan struct{} { return s.contact.signal() }
+func (s *Service) Recovered() <-chan struct{} { return s.connectivity.recoverySignal() }
 
 // IsIsolated implements store.Connectivity.
 func (s *Service) IsIsolated() bool {
 	now := time.Now()
-	return s.contact.failingFor(now) > isolatedAfter && s.helpers.silentFor(now) > isolatedAfter
+	return s.connectivity.failingFor(now) > isolatedAfter && s.helpers.silentFor(now) > isolatedAfter
 }
 
 // Receive handles a message; it returns false if the message belongs to another component.
@@ -315,7 +315,7 @@
 	case *Response:
 		s.replies.Deliver(message.Number, message)
 	case *RecoveryNotice:
-		if s.contact.hearOfReturn(time.Now()) {
+		if s.connectivity.recordRecoveryNotice(time.Now()) {
 			s.Logger.Info().Str("from", string(from)).Msg("Another daemon reports that the store answers again.")
 		}
 	default:
--- a/internal/store/proxy/proxy_test.go
+++ b/internal/store/proxy/proxy_test.go
@@ -21,42 +21,42 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// trouble is the fault of one daemon's direct connection to the store.
-type trouble int
+// directFault is the fault of one daemon's direct connection to the store.
+type directFault int
 
 const (
-	reaches trouble = iota
+	noFault directFault = iota
 	refused
 	silent
 )
 
-// way is one daemon's direct connection to the store.
-type way struct {
+// directStore is one daemon's direct connection to the store.
+type directStore struct {
 	*memory.Store
-	// arriving is how long the answers of reads take to arrive, piece by piece.
-	arriving time.Duration
-	mutex    sync.Mutex
-	trouble  trouble
-	calls    int
+	// arrivalTime is how long the answers of reads take to arrive, piece by piece.
+	arrivalTime time.Duration
+	mutex       sync.Mutex
+	fault       directFault
+	calls       int
 }
 
-func (w *way) set(to trouble) {
+func (w *directStore) set(to directFault) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.trouble = to
+	w.fault = to
 }
 
-func (w *way) count() int {
+func (w *directStore) count() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.calls
 }
 
-// pass counts a call and returns the error of the current fault, if there is one.
-func (w *way) pass(ctx context.Context) error {
+// checkFault counts a call and returns the error of the current fault, if there is one.
+func (w *directStore) checkFault(ctx context.Context) error {
 	w.mutex.Lock()
 	w.calls++
-	now := w.trouble
+	now := w.fault
 	w.mutex.Unlock()
 	time.Sleep(2 * time.Millisecond)
 	switch now {
@@ -69,25 +69,25 @@
 	return nil
 }
 
-func (w *way) Append(ctx context.Context, p store.Partition, by store.Writer, records []store.Record) error {
-	if err := w.pass(ctx); err != nil {
+func (w *directStore) Append(ctx context.Context, p store.Partition, by store.Writer, records []store.Record) error {
+	if err := w.checkFault(ctx); err != nil {
 		return err
 	}
 	return w.Store.Append(ctx, p, by, records)
 }
 
-func (w *way) NewestPage(ctx context.Context, p store.Partition, after string) (store.Page, error) {
-	if err := w.pass(ctx); err != nil {
+func (w *directStore) NewestPage(ctx context.Context, p store.Partition, after string) (store.Page, error) {
+	if err := w.checkFault(ctx); err != nil {
 		return store.Page{}, err
 	}
 	return w.Store.NewestPage(ctx, p, after)
 }
 
-func (w *way) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) ([]store.Record, int64, error) {
-	if err := w.pass(ctx); err != nil {
+func (w *directStore) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) ([]store.Record, int64, error) {
+	if err := w.checkFault(ctx); err != nil {
 		return nil, from, err
 	}
-	for began := time.Now(); time.Since(began) < w.arriving; time.Sleep(50 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < w.arrivalTime; time.Sleep(50 * time.Millisecond) {
 		store.ProgressOf(ctx).AddBytes(1)
 	}
 	return w.Store.Read(ctx, p, from, wait)
@@ -95,34 +95,34 @@
 
 // fleet is a set of daemons that share one store.
 type fleet struct {
-	store    *memory.Store
-	ids      []structs.DaemonID
-	ways     []*way
-	services []*Service
-
-	mutex sync.Mutex
-	deaf  map[structs.DaemonID]bool
-	sent  int
+	store        *memory.Store
+	ids          []structs.DaemonID
+	directStores []*directStore
+	services     []*Service
+
+	mutex        sync.Mutex
+	disconnected map[structs.DaemonID]bool
+	sent         int
 }
 
 func newFleet(daemons int) *fleet {
-	f := &fleet{store: memory.New(), deaf: map[structs.DaemonID]bool{}}
+	f := &fleet{store: memory.New(), disconnected: map[structs.DaemonID]bool{}}
 	for i := range daemons {
 		id := structs.NewDaemonID(fmt.Sprintf("10.0.0.%d:7000", i+1), 1)
 		f.ids = append(f.ids, id)
-		f.ways = append(f.ways, &way{Store: f.store})
+		f.directStores = append(f.directStores, &directStore{Store: f.store})
 		f.services = append(f.services, New(Options{
-			Self: id, Direct: f.ways[i], Transport: &transport{fleet: f, self: id}, View: f,
+			Self: id, Direct: f.directStores[i], Transport: &transport{fleet: f, self: id}, View: f,
 			Random: rand.New(rand.NewPCG(1, uint64(i))), Logger: zerolog.Nop(), Metrics: NewMetrics(prometheus.NewRegistry()),
 		}))
 	}
 	return f
 }
 
-func (f *fleet) setDeaf(id structs.DaemonID) {
+func (f *fleet) disconnect(id structs.DaemonID) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.deaf[id] = true
+	f.disconnected[id] = true
 }
 
 // Members implements membership.View.
@@ -154,7 +154,7 @@
 	}
 	t.fleet.mutex.Lock()
 	t.fleet.sent++
-	lost := t.fleet.deaf[to] || t.fleet.deaf[t.self]
+	lost := t.fleet.disconnected[to] || t.fleet.disconnected[t.self]
 	t.fleet.mutex.Unlock()
 	for i, id := range t.fleet.ids {
 		if id == to && !lost {
@@ -175,7 +175,7 @@
 	record    = store.Record{Key: "k", Value: []byte("v")}
 )
 
-func within(t *testing.T, limit time.Duration) context.Context {
+func timeoutContext(t *testing.T, limit time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	t.Cleanup(cancel)
@@ -183,19 +183,19 @@
 }
 
 func TestDaemonThatTheStoreDoesNotServeCallsItByWayOfAnother(t *testing.T) {
-	for name, how := range map[string]trouble{"refused": refused, "silent": silent} {
+	for name, how := range map[string]directFault{"refused": refused, "silent": silent} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(3)
-				f.ways[0].set(how)
+				f.directStores[0].set(how)
 				s := f.services[0]
 				for number := range uint64(4) {
 					writer := store.Writer{Name: "w", Epoch: 7, Sequence: number + 1}
-					if err := s.Append(within(t, 500*time.Millisecond), partition, writer, []store.Record{record}); err != nil {
+					if err := s.Append(timeoutContext(t, 500*time.Millisecond), partition, writer, []store.Record{record}); err != nil {
 						t.Fatalf("append %d: %v", number, err)
 					}
 				}
-				got, end, err := store.Newest(within(t, 500*time.Millisecond), s, partition)
+				got, end, err := store.Newest(timeoutContext(t, 500*time.Millisecond), s, partition)
 				if err != nil || end != 4 {
 					t.Fatalf("newest: end %d, %v", end, err)
 				}
@@ -203,7 +203,7 @@
 				if diff := cmp.Diff(want, got); diff != "" {
 					t.Errorf("newest (-want +got):\n%s", diff)
 				}
-				if got, next, err := s.Read(within(t, time.Second), partition, 2, 100*time.Millisecond); err != nil || len(got) != 2 || next != 4 {
+				if got, next, err := s.Read(timeoutContext(t, time.Second), partition, 2, 100*time.Millisecond); err != nil || len(got) != 2 || next != 4 {
 					t.Errorf("read: %d records, next %d, %v", len(got), next, err)
 				}
 				if s.IsIsolated() {
@@ -217,11 +217,11 @@
 func TestSupersededWriterIsFencedByWayOfAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
-		ctx := within(t, 10*time.Second)
+		ctx := timeoutContext(t, 10*time.Second)
 		if err := f.services[1].Append(ctx, partition, store.Writer{Name: "w", Epoch: 2, Sequence: 1}, nil); err != nil {
 			t.Fatal(err)
 		}
-		f.ways[0].set(refused)
+		f.directStores[0].set(refused)
 		err := f.services[0].Append(ctx, partition, store.Writer{Name: "w", Epoch: 1, Sequence: 1}, []store.Record{record})
 		if !errors.Is(err, store.ErrFenced) {
 			t.Errorf("got %v, want %v", err, store.ErrFenced)
@@ -236,12 +236,12 @@
 func TestSilentHelperIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(4)
-		f.ways[0].set(refused)
-		f.setDeaf(f.ids[1])
-		f.setDeaf(f.ids[2])
+		f.directStores[0].set(refused)
+		f.disconnect(f.ids[1])
+		f.disconnect(f.ids[2])
 		done := 0
 		for range 8 {
-			if f.services[0].Append(within(t, time.Second), partition, store.Writer{}, []store.Record{record}) == nil {
+			if f.services[0].Append(timeoutContext(t, time.Second), partition, store.Writer{}, []store.Record{record}) == nil {
 				done++
 			}
 		}
@@ -251,11 +251,11 @@
 	})
 }
 
-func TestOutageForAllCostsFewCallsAndItsEndIsToldToAll(t *testing.T) {
+func TestOutageForAllCostsFewCallsAndItsEndIsAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const daemons, length = 8, 10 * time.Second
 		f := newFleet(daemons)
-		for _, w := range f.ways {
+		for _, w := range f.directStores {
 			w.set(refused)
 		}
 		ctx, stop := context.WithCancel(t.Context())
@@ -274,10 +274,10 @@
 		stop()
 		callers.Wait()
 		calls := 0
-		for _, w := range f.ways {
+		for _, w := range f.directStores {
 			calls += w.count()
 		}
-		if most := daemons * int(length/probePause) * 2; calls > most {
+		if most := daemons * int(length/probeInterval) * 2; calls > most {
 			t.Errorf("%d calls in an outage of %s for %d daemons, want %d at most", calls, length, daemons, most)
 		}
 		if f.sent > calls*4 {
@@ -287,10 +287,10 @@
 		for _, s := range f.services {
 			heard = append(heard, s.Recovered())
 		}
-		for _, w := range f.ways {
-			w.set(reaches)
+		for _, w := range f.directStores {
+			w.set(noFault)
 		}
-		time.Sleep(probePause) // the next probe may be made
+		time.Sleep(probeInterval) // the next probe may be made
 		if err := f.services[3].Append(t.Context(), partition, store.Writer{}, []store.Record{record}); err != nil {
 			t.Fatal(err)
 		}
@@ -301,20 +301,20 @@
 			default:
 				t.Errorf("daemon %d does not know that the store answers again", i)
 			}
-			if err := f.services[i].Append(within(t, 50*time.Millisecond), partition, store.Writer{}, []store.Record{record}); err != nil {
+			if err := f.services[i].Append(timeoutContext(t, 50*time.Millisecond), partition, store.Writer{}, []store.Record{record}); err != nil {
 				t.Errorf("daemon %d: %v", i, err)
 			}
 		}
 	})
 }
 
-func TestDaemonThatReachesNobodyKnowsThatItIsCutOff(t *testing.T) {
+func TestDaemonThatReachesNobodyIsIsolated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3)
-		f.ways[0].set(silent)
-		f.setDeaf(f.ids[0])
+		f.directStores[0].set(silent)
+		f.disconnect(f.ids[0])
 		for range 6 {
-			_ = f.services[0].Append(within(t, 500*time.Millisecond), partition, store.Writer{}, []store.Record{record})
+			_ = f.services[0].Append(timeoutContext(t, 500*time.Millisecond), partition, store.Writer{}, []store.Record{record})
 		}
 		if !f.services[0].IsIsolated() {
 			t.Error("does not consider itself isolated")
@@ -324,11 +324,11 @@
 		}
 		// In an outage for all daemons there is nobody to hand work over to.
 		f = newFleet(3)
-		for _, w := range f.ways {
+		for _, w := range f.directStores {
 			w.set(refused)
 		}
 		for range 6 {
-			_ = f.services[0].Append(within(t, 500*time.Millisecond), partition, store.Writer{}, []store.Record{record})
+			_ = f.services[0].Append(timeoutContext(t, 500*time.Millisecond), partition, store.Writer{}, []store.Record{record})
 			time.Sleep(400 * time.Millisecond)
 		}
 		if f.services[0].IsIsolated() {
@@ -340,24 +340,24 @@
 func TestHelpIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
-		f.ways[0].set(refused)
-		f.ways[1].set(silent)
+		f.directStores[0].set(refused)
+		f.directStores[1].set(silent)
 		var callers sync.WaitGroup
-		for range 4 * servingLimit {
+		for range 4 * maxServing {
 			callers.Go(func() {
-				_, _, _ = store.Newest(within(t, 400*time.Millisecond), f.services[0], partition)
+				_, _, _ = store.Newest(timeoutContext(t, 400*time.Millisecond), f.services[0], partition)
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
-		if calls := f.ways[1].count(); calls > servingLimit {
-			t.Errorf("a daemon makes %d calls at a time for another, want %d at most", calls, servingLimit)
+		if calls := f.directStores[1].count(); calls > maxServing {
+			t.Errorf("a daemon makes %d calls at a time for another, want %d at most", calls, maxServing)
 		}
 		callers.Wait()
 		time.Sleep(2 * time.Second) // the helper's calls end
 	})
 }
 
-func TestCallsOfWhichNothingIsKnownAreRefused(t *testing.T) {
+func TestUnknownCallsAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
 		s := f.services[1]
@@ -374,19 +374,19 @@
 	})
 }
 
-// TestLongPageIsNotReadTwice checks that a page which takes as long as recent pages of its space is
+// TestSlowPageIsNotReadTwice checks that a page which takes as long as recent pages of its space is
 // not read by way of a helper, too.
-func TestLongPageIsNotReadTwice(t *testing.T) {
+func TestSlowPageIsNotReadTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
 		s := f.services[0]
 		for _, took := range []time.Duration{400, 400, 20, 400} { // the last page of a listing is short
 			f.store.SetDelay(took * time.Millisecond)
-			if _, err := s.NewestPage(within(t, 2*time.Second), partition, ""); err != nil {
+			if _, err := s.NewestPage(timeoutContext(t, 2*time.Second), partition, ""); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if got := f.ways[1].count(); got != 1 {
+		if got := f.directStores[1].count(); got != 1 {
 			t.Errorf("the helper made %d calls, want one, for the first page", got)
 		}
 	})
@@ -397,16 +397,16 @@
 func TestSilenceIsNoticedByCallsWithoutALimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
-		f.ways[0].set(silent)
-		f.setDeaf(f.ids[1])
+		f.directStores[0].set(silent)
+		f.disconnect(f.ids[1])
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			_, _, _ = f.services[0].Read(ctx, partition, 0, time.Second) // canceled below
 		}()
-		time.Sleep(time.Second + silentAfter + 10*time.Millisecond)
-		if f.services[0].contact.failingFor(time.Now()) == 0 {
+		time.Sleep(time.Second + silenceTimeout + 10*time.Millisecond)
+		if f.services[0].connectivity.failingFor(time.Now()) == 0 {
 			t.Error("the store counts as reachable although it did not answer")
 		}
 		cancel()
@@ -414,55 +414,55 @@
 	})
 }
 
-// TestReadingThatArrivesIsNotMadeTwice checks that a read whose answer is still arriving is not
+// TestReadThatArrivesIsNotRepeated checks that a read whose answer is still arriving is not
 // repeated by way of a helper: a large record takes small machines long.
-func TestReadingThatArrivesIsNotMadeTwice(t *testing.T) {
+func TestReadThatArrivesIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
-		f.ways[0].arriving = time.Second
-		if _, _, err := f.services[0].Read(within(t, 5*time.Second), partition, 0, 0); err != nil {
+		f.directStores[0].arrivalTime = time.Second
+		if _, _, err := f.services[0].Read(timeoutContext(t, 5*time.Second), partition, 0, 0); err != nil {
 			t.Fatal(err)
 		}
-		if got := f.ways[1].count(); got != 0 {
+		if got := f.directStores[1].count(); got != 0 {
 			t.Errorf("the helper made %d calls for a read whose answer was arriving", got)
 		}
 	})
 }
 
-// TestLongPageComesByWayOfAHelper checks that a helper has enough time for a slow page.
-func TestLongPageComesByWayOfAHelper(t *testing.T) {
+// TestSlowPageIsReadByWayOfAHelper checks that a helper has enough time for a slow page.
+func TestSlowPageIsReadByWayOfAHelper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
 		f.store.SetDelay(900 * time.Millisecond)
-		f.ways[0].set(refused)
-		if _, err := f.services[0].NewestPage(within(t, 3*time.Second), partition, ""); err != nil {
+		f.directStores[0].set(refused)
+		if _, err := f.services[0].NewestPage(timeoutContext(t, 3*time.Second), partition, ""); err != nil {
 			t.Errorf("a page that takes 0.9 s: %v", err)
 		}
 	})
 }
 
-// busyWay delays one kind of call while others are answered at once.
-type busyWay struct {
-	*way
+// busyDirectStore delays one kind of call while others are answered at once.
+type busyDirectStore struct {
+	*directStore
 	late time.Duration
 }
 
-func (w *busyWay) NewestPage(ctx context.Context, p store.Partition, after string) (store.Page, error) {
+func (w *busyDirectStore) NewestPage(ctx context.Context, p store.Partition, after string) (store.Page, error) {
 	select {
 	case <-time.After(w.late):
 	case <-ctx.Done():
 		return store.Page{}, store.ErrOutcomeUnknown
 	}
-	return w.way.NewestPage(ctx, p, after)
+	return w.directStore.NewestPage(ctx, p, after)
 }
 
-// TestBusyStoreIsNotTakenForALostOne checks that a late call neither goes to a helper nor counts as
-// an outage while the store answers other calls.
-func TestBusyStoreIsNotTakenForALostOne(t *testing.T) {
+// TestBusyStoreIsNotConsideredUnreachable checks that a late call neither goes to a helper nor
+// counts as an outage while the store answers other calls.
+func TestBusyStoreIsNotConsideredUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
 		s := f.services[0]
-		s.Direct = &busyWay{way: f.ways[0], late: 600 * time.Millisecond}
+		s.Direct = &busyDirectStore{directStore: f.directStores[0], late: 600 * time.Millisecond}
 		appending, stop := context.WithCancel(t.Context())
 		var workers sync.WaitGroup
 		workers.Go(func() {
@@ -482,13 +482,13 @@
 			_, _ = s.NewestPage(ctx, partition, "")
 			cancel()
 			time.Sleep(5 * time.Millisecond)
-			if failing := s.contact.failingFor(time.Now()); failing > 0 {
+			if failing := s.connectivity.failingFor(time.Now()); failing > 0 {
 				t.Errorf("the store counts as unreachable for %s", failing)
 			}
 		}
 		stop()
 		workers.Wait()
-		if got := f.ways[1].count(); got > 0 {
+		if got := f.directStores[1].count(); got > 0 {
 			t.Errorf("the helper made %d calls, want none", got)
 		}
 	})
--- a/internal/store/proxy/serve.go
+++ b/internal/store/proxy/serve.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// servingLimit is the maximum number of concurrent calls made for other daemons. It leaves most
+	// maxServing is the maximum number of concurrent calls made for other daemons. It leaves most
 	// of the machine to this daemon's own callers.
-	servingLimit = 32
-	// servedPause is the minimum time between log lines about help for the same daemon.
-	servedPause = 5 * time.Second
-	// servedLimit is the maximum number of daemons that are remembered for the log.
-	servedLimit = 1024
+	maxServing = 32
+	// helpLogInterval is the minimum time between log lines about help for the same daemon.
+	helpLogInterval = 5 * time.Second
+	// maxLoggedDaemons is the maximum number of daemons that are remembered for the log.
+	maxLoggedDaemons = 1024
 )
 
-// served limits the rate of log lines about help for other daemons.
-type served struct {
-	mutex  sync.Mutex
-	toldAt map[structs.DaemonID]time.Time
+// helpLog limits the rate of log lines about help for other daemons.
+type helpLog struct {
+	mutex    sync.Mutex
+	loggedAt map[structs.DaemonID]time.Time
 }
 
-// isNews reports whether help for a daemon should be logged now.
-func (s *served) isNews(daemon structs.DaemonID, now time.Time) bool {
+// mayLog reports whether help for a daemon should be logged now.
+func (s *helpLog) mayLog(daemon structs.DaemonID, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if now.Sub(s.toldAt[daemon]) < servedPause {
+	if now.Sub(s.loggedAt[daemon]) < helpLogInterval {
 		return false
 	}
-	if s.toldAt == nil || len(s.toldAt) >= servedLimit {
-		s.toldAt = map[structs.DaemonID]time.Time{}
+	if s.loggedAt == nil || len(s.loggedAt) >= maxLoggedDaemons {
+		s.loggedAt = map[structs.DaemonID]time.Time{}
 	}
-	s.toldAt[daemon] = now
+	s.loggedAt[daemon] = now
 	return true
 }
 
 // serve makes a call for another daemon. It never asks a third daemon.
 func (s *Service) serve(from structs.DaemonID, request *Request) {
-	if !request.isKnown() || !s.contact.mayCall(time.Now()) {
+	if !request.isKnown() || !s.connectivity.mayCall(time.Now()) {
 		s.reply(from, request, outcome{err: store.ErrUnavailable})
 		return
 	}
@@ -51,7 +51,7 @@
 		s.reply(from, request, outcome{err: store.ErrUnavailable})
 		return
 	}
-	if s.served.isNews(from, time.Now()) {
+	if s.helpLog.mayLog(from, time.Now()) {
 		s.Logger.Info().Str("for", string(from)).Str("call", string(request.Call)).
 			Msg("Calling the store for another daemon.")
 	}
@@ -65,7 +65,7 @@
 
 func (s *Service) reply(to structs.DaemonID, request *Request, got outcome) {
 	result := resultOf(got.err)
-	s.Metrics.served(string(result))
+	s.Metrics.countServed(string(result))
 	response := &Response{Number: request.Number, Result: result, Records: got.records, Next: got.next, More: got.more}
 	if got.err != nil {
 		response.Detail = got.err.Error()
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -13,8 +13,8 @@
 type WatchSettings struct {
 	// Wait is how long the store may wait for a change in one read.
 	Wait time.Duration
-	// AnswerTimeout is how long after Wait nothing of the answer may arrive until the read is sent a
-	// second time in parallel; see reading.
+	// AnswerTimeout is how long after Wait nothing of the answer may arrive until the read is sent
+	// a second time in parallel; see hedgedRead.
 	AnswerTimeout time.Duration
 	// Pause is the time between reads, so that frequent changes are read in one batch.
 	Pause time.Duration
@@ -37,16 +37,17 @@
 	// and after OnChange. asOf is the time as of which the records are known to be the newest; see
 	// AsOf.
 	OnRead func(asOf time.Time)
-	// OnConnectivity is called with the error when the store becomes unreachable, and with nil when it
-	// answers again.
+	// OnConnectivity is called with the error when the store becomes unreachable, and with nil when
+	// it answers again.
 	OnConnectivity func(err error)
-	// Connectivity, if set, signals when the store answers again. A read that hangs is then sent again
-	// in parallel.
+	// Connectivity, if set, signals when the store answers again. A read that hangs is then sent
+	// again in parallel.
 	Connectivity Connectivity
-	// Refresh, if set, requests a read that returns the current records without waiting for a change.
+	// Refresh, if set, requests a read that returns the current records without waiting for a
+	// change.
 	Refresh <-chan struct{}
-	// ChangeExpected, if set, signals that there are changes which were not read yet, so that a read
-	// which waits for changes should be answered now.
+	// ChangeExpected, if set, signals that there are changes which were not read yet, so that a
+	// read which waits for changes should be answered now.
 	ChangeExpected <-chan struct{}
 	// Metrics, if set, count the reads. Logger, if set, gets the reads that fail or are late.
 	Metrics *WatchMetrics
@@ -57,22 +58,22 @@
 func (w *Watcher) Run(ctx context.Context) {
 	known := map[string]Record{}
 	next := int64(-1)
-	contact := watchContact{tell: w.OnConnectivity}
+	state := connectivityState{onChange: w.OnConnectivity}
 	for ctx.Err() == nil {
 		wait := w.Settings.Wait
-		if contact.lost {
+		if state.unreachable {
 			wait = 0 // only check whether the store answers
 		}
-		answer := newReading(w, next, &contact).run(ctx, wait)
+		answer := newHedgedRead(w, next, &state).run(ctx, wait)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case answer.err != nil:
-			contact.noteLost(answer.err)
-			w.pause(ctx)
+			state.setUnreachable(answer.err)
+			w.waitForRetry(ctx)
 			continue
 		}
-		contact.noteAnswer()
+		state.setReachable()
 		next = answer.end
 		if next < 0 {
 			continue // the records that follow were trimmed: list all keys again
@@ -82,7 +83,7 @@
 		}
 		ApplyNewest(known, answer.records)
 		if answer.isChange() {
-			w.tell(known, next)
+			w.notify(known, next)
 		}
 		if w.OnRead != nil {
 			w.OnRead(answer.asOf())
@@ -91,8 +92,8 @@
 	}
 }
 
-// tell calls OnAdvance, or OnChange if OnAdvance is not set.
-func (w *Watcher) tell(known map[string]Record, end int64) {
+// notify calls OnAdvance, or OnChange if OnAdvance is not set.
+func (w *Watcher) notify(known map[string]Record, end int64) {
 	if w.OnAdvance != nil {
 		w.OnAdvance(known, end)
 		return
@@ -100,40 +101,40 @@
 	w.OnChange(known)
 }
 
-// pause waits until the next read is due or the store answers again.
-func (w *Watcher) pause(ctx context.Context) {
+// waitForRetry waits until the next read is due or the store answers again.
+func (w *Watcher) waitForRetry(ctx context.Context) {
 	retry := time.NewTimer(w.Settings.RetryInterval)
 	defer retry.Stop()
 	select {
 	case <-retry.C:
-	case <-w.contact().Recovered():
+	case <-w.connectivity().Recovered():
 	case <-ctx.Done():
 	}
 }
 
-func (w *Watcher) contact() Connectivity {
+func (w *Watcher) connectivity() Connectivity {
 	if w.Connectivity == nil {
 		return UnknownConnectivity{}
 	}
 	return w.Connectivity
 }
 
-// watchContact tracks whether a watcher considers the store unreachable.
-type watchContact struct {
-	lost bool
-	tell func(err error)
+// connectivityState tracks whether a watcher considers the store unreachable.
+type connectivityState struct {
+	unreachable bool
+	onChange    func(err error)
 }
 
-func (c *watchContact) noteLost(err error) {
-	if !c.lost {
-		c.lost = true
-		c.tell(err)
+func (c *connectivityState) setUnreachable(err error) {
+	if !c.unreachable {
+		c.unreachable = true
+		c.onChange(err)
 	}
 }
 
-func (c *watchContact) noteAnswer() {
-	if c.lost {
-		c.lost = false
-		c.tell(nil)
+func (c *connectivityState) setReachable() {
+	if c.unreachable {
+		c.unreachable = false
+		c.onChange(nil)
 	}
 }
--- a/internal/store/watch_busy_test.go
+++ b/internal/store/watch_busy_test.go
@@ -54,25 +54,25 @@
 
 // busyFleet is a number of daemons that follow one partition of a busy store.
 type busyFleet struct {
-	mutex    sync.Mutex
-	store    *busyStore
-	versions []int64
-	lost     int
-	hurries  []chan struct{}
+	mutex     sync.Mutex
+	store     *busyStore
+	versions  []int64
+	outages   int
+	refreshes []chan struct{}
 }
 
 func newBusyFleet(daemons, bytesPerSecond int) *busyFleet {
 	f := &busyFleet{store: &busyStore{Store: memory.New(), bytesPerSecond: bytesPerSecond}, versions: make([]int64, daemons)}
 	for range daemons {
-		f.hurries = append(f.hurries, make(chan struct{}, 1))
+		f.refreshes = append(f.refreshes, make(chan struct{}, 1))
 	}
 	return f
 }
 
 func (f *busyFleet) run(ctx context.Context, settings store.WatchSettings) {
-	for i, hurry := range f.hurries {
+	for i, refresh := range f.refreshes {
 		watcher := store.Watcher{
-			Store: f.store, Partition: store.Partition{Space: "routes"}, Settings: settings, Refresh: hurry,
+			Store: f.store, Partition: store.Partition{Space: "routes"}, Settings: settings, Refresh: refresh,
 			OnAdvance: func(_ map[string]store.Record, end int64) {
 				f.mutex.Lock()
 				defer f.mutex.Unlock()
@@ -82,7 +82,7 @@
 				f.mutex.Lock()
 				defer f.mutex.Unlock()
 				if err != nil {
-					f.lost++
+					f.outages++
 				}
 			},
 		}
@@ -90,9 +90,9 @@
 	}
 }
 
-// hurryThoseBehind requests an immediate read from each daemon that lacks a version, as news from
+// refreshThoseBehind requests an immediate read from each daemon that lacks a version, as news from
 // other daemons would, and returns how many lack it.
-func (f *busyFleet) hurryThoseBehind(version int64) (behind int) {
+func (f *busyFleet) refreshThoseBehind(version int64) (behind int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for i, known := range f.versions {
@@ -101,17 +101,17 @@
 		}
 		behind++
 		select {
-		case f.hurries[i] <- struct{}{}:
+		case f.refreshes[i] <- struct{}{}:
 		default:
 		}
 	}
 	return behind
 }
 
-// TestLargeRecordIsReadAlthoughItsNewsIsHeard guards against a fleet that never finishes reading a
-// large record because news of it cancels and restarts the reads in flight: the busy store goes on
-// with canceled reads, so its queue grows.
-func TestLargeRecordIsReadAlthoughItsNewsIsHeard(t *testing.T) {
+// TestRefreshesDoNotRestartTheReadOfALargeRecord guards against a fleet that never finishes reading
+// a large record because news of it cancels and restarts the reads in flight: the busy store goes
+// on with canceled reads, so its queue grows.
+func TestRefreshesDoNotRestartTheReadOfALargeRecord(t *testing.T) {
 	const (
 		daemons = 65
 		size    = 800 << 10
@@ -132,11 +132,11 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		began := time.Now()
-		for f.hurryThoseBehind(2) > 0 && time.Since(began) < 10*time.Second {
+		for f.refreshThoseBehind(2) > 0 && time.Since(began) < 10*time.Second {
 			time.Sleep(100 * time.Millisecond)
 		}
 		took := time.Since(began)
-		behind := f.hurryThoseBehind(2)
+		behind := f.refreshThoseBehind(2)
 		stop()
 		synctest.Wait()
 		if behind > 0 || took > 2*time.Second {
@@ -145,8 +145,8 @@
 		if most := 2 * 2 * daemons * size; f.store.served > most {
 			t.Errorf("the store served %d MB, of which %d MB were needed", f.store.served>>20, 2*daemons*size>>20)
 		}
-		if f.lost > 0 {
-			t.Errorf("%d daemons considered the store unreachable although it answered all the time", f.lost)
+		if f.outages > 0 {
+			t.Errorf("%d daemons considered the store unreachable although it answered all the time", f.outages)
 		}
 	})
 }
@@ -155,8 +155,8 @@
 // that do not wait.
 type silentStore struct {
 	*memory.Store
-	silent bool
-	urgent int
+	silent    bool
+	immediate int
 }
 
 func (s *silentStore) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) ([]store.Record, int64, error) {
@@ -165,15 +165,15 @@
 		return nil, from, store.ErrOutcomeUnknown
 	}
 	if wait == 0 {
-		s.urgent++
+		s.immediate++
 	}
 	return s.Store.Read(ctx, p, from, wait)
 }
 
-// TestExpectedChangeIsReadAlthoughTheReadingHangs checks that news of a change does not have to
+// TestExpectedChangeIsReadWhileAReadHangs checks that news of a change does not have to
 // wait until the end of a read that hangs, and that no extra read is made if the one in flight
 // returns the change.
-func TestExpectedChangeIsReadAlthoughTheReadingHangs(t *testing.T) {
+func TestExpectedChangeIsReadWhileAReadHangs(t *testing.T) {
 	for name, isSilent := range map[string]bool{"the read hangs": true, "the read returns it": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -205,8 +205,8 @@
 				if took := time.Since(began); took > 500*time.Millisecond {
 					t.Errorf("read after %s", took)
 				}
-				if want := map[bool]int{true: 1, false: 0}[isSilent]; s.urgent != want {
-					t.Errorf("%d parallel reads, want %d", s.urgent, want)
+				if want := map[bool]int{true: 1, false: 0}[isSilent]; s.immediate != want {
+					t.Errorf("%d parallel reads, want %d", s.immediate, want)
 				}
 			})
 		})
--- a/internal/store/watch_test.go
+++ b/internal/store/watch_test.go
@@ -11,11 +11,11 @@
 	"github.com/mintpulley/mintpulley/internal/store/memory"
 )
 
-func TestWatcherTellsChangesContactAndHowFreshItsNewsIs(t *testing.T) {
+func TestWatcherReportsChangesConnectivityAndFreshness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
 		partition := store.Partition{Space: "x"}
-		var changes, reads, losses, returns int
+		var changes, reads, losses, recoveries int
 		var value string
 		w := store.Watcher{
 			Store: s, Partition: partition,
@@ -29,7 +29,7 @@
 				if err != nil {
 					losses++
 				} else {
-					returns++
+					recoveries++
 				}
 			},
 		}
@@ -59,8 +59,8 @@
 		}
 		s.SetDown(false)
 		time.Sleep(3 * time.Second)
-		if returns != 1 || reads == before {
-			t.Errorf("%d recoveries reported, %d reads since", returns, reads-before)
+		if recoveries != 1 || reads == before {
+			t.Errorf("%d recoveries reported, %d reads since", recoveries, reads-before)
 		}
 		stop()
 		<-done
@@ -81,18 +81,18 @@
 	return s.Store.Read(ctx, p, from, wait)
 }
 
-// TestReadingTellsAsOfWhenItIsTheNewest checks that a read is current as of the end of its wait if
+// TestReadReportsAsOfWhenItIsCurrent checks that a read is current as of the end of its wait if
 // no record arrived, or else as of when it was sent, and that a trimmed offset confirms nothing.
-func TestReadingTellsAsOfWhenItIsTheNewest(t *testing.T) {
+func TestReadReportsAsOfWhenItIsCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &trimmedStore{Store: memory.New()}
 		partition := store.Partition{Space: "x"}
-		var told []time.Duration
+		var reported []time.Duration
 		began := time.Now()
 		w := store.Watcher{
 			Store: s, Partition: partition, Settings: store.WatchSettings{Wait: time.Second, AnswerTimeout: time.Second},
 			OnChange: func(map[string]store.Record) {}, OnConnectivity: func(error) {},
-			OnRead: func(asOf time.Time) { told = append(told, asOf.Sub(began)) },
+			OnRead: func(asOf time.Time) { reported = append(reported, asOf.Sub(began)) },
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -107,8 +107,8 @@
 		synctest.Wait()
 		stop()
 		<-done
-		if want := []time.Duration{0, 0, time.Second, time.Second}; !slices.Equal(told, want) {
-			t.Errorf("reported as of %v, want %v", told, want)
+		if want := []time.Duration{0, 0, time.Second, time.Second}; !slices.Equal(reported, want) {
+			t.Errorf("reported as of %v, want %v", reported, want)
 		}
 	})
 }
