--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -60,12 +60,12 @@
 	zones    *zone.Reachability
 	reach    *reach.Watch
 	registry *memberRegistry
-	// coldLimiter limits the requests to coldLimiter instances.
+	// coldLimiter limits the requests to cold instances.
 	coldLimiter *warmup.Limiter
 	// store calls the store by way of other daemons where this one does not reach it.
 	store *proxy.Service
-	// operatorRecords reads the operators' operatorRecords: from the store, or from a neighbour
-	// while they are large.
+	// operatorRecords reads the operators' records: from the store, or from a neighbour while they
+	// are large.
 	operatorRecords *fanout.Service
 	metrics         *prometheus.Registry
 	// watchMetrics count the reads of watched partitions.
@@ -77,9 +77,9 @@
 	table atomic.Pointer[route.Table]
 	// hasRefusedRoutes is set while newer routes than those in force could not be parsed.
 	hasRefusedRoutes atomic.Bool
-	// confirmation is the time as of which the routes in force, confirmation included, are known to
+	// routesConfirmation is the time as of which the routes in force, keys included, are known to
 	// be the newest.
-	confirmation *confirmation
+	routesConfirmation *confirmation
 	// tableReady is closed once routes are known.
 	tableReady chan struct{}
 	startedAt  time.Time
@@ -96,16 +96,16 @@
 	if err != nil {
 		return nil, err
 	}
-	registry := newMetricsRegistry(dropped)
+	metrics := newMetricsRegistry(dropped)
 	d := &Daemon{
 		settings: settings,
 		logger:   logger,
-		metrics:  registry,
+		metrics:  metrics,
 
-		watchMetrics: store.NewWatchMetrics(registry),
+		watchMetrics: store.NewWatchMetrics(metrics),
 
-		tableReady:   make(chan struct{}),
-		confirmation: newConfirmation(),
+		tableReady:         make(chan struct{}),
+		routesConfirmation: newConfirmation(),
 
 		startedAt: time.Now(),
 		admission: &admission.Admission{},
@@ -113,7 +113,7 @@
 		adapter: newAdapter(AdapterOptions{
 			StoreAddress: settings.StoreAddress,
 			Logger:       componentLogger(logger, "adapter"),
-			Registry:     registry,
+			Registry:     metrics,
 		}),
 	}
 	d.preparePlacement()
--- a/internal/relaydaemon/keys.go
+++ b/internal/relaydaemon/keys.go
@@ -117,7 +117,7 @@
 // Confirmed implements ledger.Confirmations. It loads the routes after the confirmation, so that
 // they are at least as new.
 func (d *Daemon) Confirmed() (version int64, asOf time.Time) {
-	asOf, _ = d.confirmation.last()
+	asOf, _ = d.routesConfirmation.last()
 	table := d.table.Load()
 	if table == nil {
 		return 0, time.Time{}
@@ -127,7 +127,7 @@
 
 // routesAge returns the age of the last confirmation that the routes in force are the newest.
 func (d *Daemon) routesAge() time.Duration {
-	asOf, _ := d.confirmation.last()
+	asOf, _ := d.routesConfirmation.last()
 	return time.Since(asOf)
 }
 
@@ -139,9 +139,9 @@
 	switch {
 	case table == nil:
 	case table.Version >= version:
-		d.confirmation.confirm(asOf)
+		d.routesConfirmation.confirm(asOf)
 	default:
-		d.confirmation.newerRoutes.Ask(time.Now())
+		d.routesConfirmation.newerRoutes.Ask(time.Now())
 	}
 }
 
@@ -180,15 +180,15 @@
 	}
 	now := time.Now()
 	if _, isCut := d.cutOffSince(); isCut {
-		return d.confirmation.await(ctx, maxAge, now) // another daemon can answer at once
+		return d.routesConfirmation.await(ctx, maxAge, now) // another daemon can answer at once
 	}
-	wait := admission.Wait{Kind: admission.StoreOut, Since: d.confirmation.outageStart(now), Worthless: now.Add(left)}
-	return d.confirmation.await(ctx, maxAge, d.admission.Decide(wait, now).Until)
+	wait := admission.Wait{Kind: admission.StoreOut, Since: d.routesConfirmation.outageStart(now), Worthless: now.Add(left)}
+	return d.routesConfirmation.await(ctx, maxAge, d.admission.Decide(wait, now).Until)
 }
 
 func (d *Daemon) refuseUnconfirmed(query IdentifyQuery) *relay.Refusal {
 	now := time.Now()
-	after := d.admission.Decide(admission.Wait{Kind: admission.StoreOut, Since: d.confirmation.outageStart(now)}, now).Remaining
+	after := d.admission.Decide(admission.Wait{Kind: admission.StoreOut, Since: d.routesConfirmation.outageStart(now)}, now).Remaining
 	if since, isCut := d.cutOffSince(); isCut {
 		after = relay.RetryAfterReroute(since, rerouteTime)
 	}
@@ -200,7 +200,7 @@
 
 // refuseKey logs why a request is refused because of its key.
 func (d *Daemon) refuseKey(query IdentifyQuery, refusal relay.Refusal) *relay.Refusal {
-	asOf, _ := d.confirmation.last()
+	asOf, _ := d.routesConfirmation.last()
 	d.logger.Info().Str("part", "keys").Str("request", query.Request).Str("route", query.Route.Name).
 		Str("reason", string(refusal.Reason)).Dur("keys_age", time.Since(asOf)).Int64("routes_version", d.table.Load().Version).
 		Dur("retry_after", refusal.RetryAfter).Msg("Request refused.")
--- a/internal/relaydaemon/keys_test.go
+++ b/internal/relaydaemon/keys_test.go
@@ -16,7 +16,7 @@
 // newKeyDaemon returns a daemon that has only routes and keys.
 func newKeyDaemon(t *testing.T, keys ...string) *Daemon {
 	t.Helper()
-	d := &Daemon{settings: DefaultSettings(), confirmation: newConfirmation(), admission: &admission.Admission{}}
+	d := &Daemon{settings: DefaultSettings(), routesConfirmation: newConfirmation(), admission: &admission.Admission{}}
 	d.setKeys(t, 1, keys...)
 	return d
 }
@@ -88,7 +88,7 @@
 		if known == nil || refusal != nil {
 			t.Errorf("got %v, %+v", known, refusal)
 		}
-		if len(d.confirmation.refresh.Asked()) == 0 {
+		if len(d.routesConfirmation.refresh.Asked()) == 0 {
 			t.Error("no read was requested")
 		}
 	})
@@ -106,7 +106,7 @@
 		go func() {
 			for {
 				select {
-				case <-d.confirmation.refresh.Asked():
+				case <-d.routesConfirmation.refresh.Asked():
 				case <-ended:
 					return
 				}
@@ -172,7 +172,7 @@
 		if d.accepts(t, "key") {
 			t.Error("news of newer routes confirms older ones")
 		}
-		if len(d.confirmation.newerRoutes.Asked()) == 0 {
+		if len(d.routesConfirmation.newerRoutes.Asked()) == 0 {
 			t.Error("newer routes are not expected")
 		}
 		d.Hear(5, time.Now().Add(-d.settings.revocationTime()))
--- a/internal/relaydaemon/members.go
+++ b/internal/relaydaemon/members.go
@@ -38,7 +38,7 @@
 	settings     Settings
 	logger       zerolog.Logger
 	ownRecord    memberRecord
-	// coldLimiter gets the list of daemons, which share the limits of coldLimiter back ends.
+	// coldLimiter gets the list of daemons, which share the limits of cold back ends.
 	coldLimiter *warmup.Limiter
 	// listedCount is the number of listed daemons at the last read.
 	listedCount atomic.Int64
@@ -146,9 +146,9 @@
 
 // withdraw marks this daemon's entry as left.
 func (r *memberRegistry) withdraw(ctx context.Context) {
-	own := r.ownRecord
-	own.Left = true
-	if err := r.append(ctx, own); err != nil {
+	ownRecord := r.ownRecord
+	ownRecord.Left = true
+	if err := r.append(ctx, ownRecord); err != nil {
 		r.logger.Warn().Err(err).Msg("Entry in the registry of daemons not withdrawn.")
 	}
 }
--- a/internal/relaydaemon/watch.go
+++ b/internal/relaydaemon/watch.go
@@ -35,12 +35,12 @@
 		Settings:       routesWatch,
 		OnAdvance:      d.applyOperatorRecords,
 		OnRead:         d.confirmRoutes,
-		Refresh:        d.confirmation.refresh.Asked(),
-		ChangeExpected: d.confirmation.newerRoutes.Asked(),
+		Refresh:        d.routesConfirmation.refresh.Asked(),
+		ChangeExpected: d.routesConfirmation.newerRoutes.Asked(),
 		Metrics:        d.watchMetrics,
 		Logger:         &d.logger,
 		OnConnectivity: func(err error) {
-			d.confirmation.recordConnectivity(err)
+			d.routesConfirmation.recordConnectivity(err)
 			d.logConnectivity("routes")(err)
 		},
 	}
@@ -58,7 +58,7 @@
 // could not be parsed, which may revoke keys, it records nothing.
 func (d *Daemon) confirmRoutes(asOf time.Time) {
 	if !d.hasRefusedRoutes.Load() && d.table.Load() != nil {
-		d.confirmation.confirm(asOf)
+		d.routesConfirmation.confirm(asOf)
 	}
 }
 
--- a/internal/relaydaemon/zones_test.go
+++ b/internal/relaydaemon/zones_test.go
@@ -82,7 +82,7 @@
 func newOperatorsTest(t *testing.T) *operatorsTest {
 	o := &operatorsTest{t: t, store: &trimmingStore{Store: memory.New(), trimmed: make(chan struct{}, 1)}, lines: &outputtest.Buffer{}}
 	o.Daemon = &Daemon{
-		settings: DefaultSettings(), confirmation: newConfirmation(), admission: &admission.Admission{}, logger: zerolog.New(o.lines),
+		settings: DefaultSettings(), routesConfirmation: newConfirmation(), admission: &admission.Admission{}, logger: zerolog.New(o.lines),
 		adapter: &testAdapter{}, tableReady: make(chan struct{}), front: &frontServer{server: &http.Server{}},
 	}
 	o.coldLimiter = warmup.NewLimiter(warmup.Options{Returns: &o.evacuations, Logger: zerolog.Nop()})
--- a/internal/store/hedged_read.go
+++ b/internal/store/hedged_read.go
@@ -96,9 +96,9 @@
 	return began
 }
 
-func newHedgedRead(w *Watcher, from int64, state *connectivityState) *hedgedRead {
+func newHedgedRead(w *Watcher, from int64, connectivity *connectivityState) *hedgedRead {
 	return &hedgedRead{
-		watcher: w, from: from, connectivity: state, answers: make(chan readAnswer), hedgeDelay: w.Settings.AnswerTimeout,
+		watcher: w, from: from, connectivity: connectivity, answers: make(chan readAnswer), hedgeDelay: w.Settings.AnswerTimeout,
 		began: time.Now(), hedgeTimer: time.NewTimer(time.Hour),
 	}
 }
