--- a/internal/httpconn/pool_test.go
+++ b/internal/httpconn/pool_test.go
@@ -21,7 +21,7 @@
 	address string
 	mutex   sync.Mutex
 	answers []string
-	read    []string
+	bodies  []string
 	// skipBody: answer before the body is read.
 	skipBody bool
 	accepted atomic.Int64
@@ -59,7 +59,7 @@
 		if !s.skipBody {
 			body, _ := io.ReadAll(request.Body)
 			s.mutex.Lock()
-			s.read = append(s.read, string(body))
+			s.bodies = append(s.bodies, string(body))
 			s.mutex.Unlock()
 		}
 		s.mutex.Lock()
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -135,15 +135,15 @@
 	return e.From, e.To, message, nil
 }
 
-// lineHead holds the parts of a line, as slices of it.
-type lineHead struct {
+// lineParts are the parts of a line, as slices of it.
+type lineParts struct {
 	from, to, kind, body []byte
 }
 
 // splitLine splits a line in the form that Append encodes, without decoding the body. Lines whose
 // strings have escapes or non-ASCII characters are left to decodeGeneric.
-func splitLine(line []byte) (lineHead, bool) {
-	var head lineHead
+func splitLine(line []byte) (lineParts, bool) {
+	var head lineParts
 	rest, found := bytes.CutPrefix(line, partFrom)
 	if !found {
 		return head, false
--- a/internal/store/fanout/fleet_test.go
+++ b/internal/store/fanout/fleet_test.go
@@ -91,11 +91,11 @@
 
 // follower records what one daemon has read.
 type follower struct {
-	mutex      sync.Mutex
-	end, lists int64
-	size       int
-	asOf       time.Time
-	wentBack   bool
+	mutex                   sync.Mutex
+	routesEnd, instancesEnd int64
+	size                    int
+	asOf                    time.Time
+	wentBack                bool
 }
 
 // locked wraps a function so that it runs under the mutex.
@@ -115,10 +115,10 @@
 	}
 }
 
-func (f *follower) known() (end, lists int64, asOf time.Time) {
+func (f *follower) known() (routesEnd, instancesEnd int64, asOf time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.end, f.lists, f.asOf
+	return f.routesEnd, f.instancesEnd, f.asOf
 }
 
 // follow watches the routes in one store and the instances in another.
@@ -127,15 +127,15 @@
 	watchRoutes := store.Watcher{
 		Store: routesStore, Partition: routes, Settings: settings, OnConnectivity: func(error) {},
 		OnAdvance: f.locked(func(records map[string]store.Record, end int64) {
-			f.wentBack = f.wentBack || end < f.end
-			f.end, f.size = end, len(records["k"].Value)
+			f.wentBack = f.wentBack || end < f.routesEnd
+			f.routesEnd, f.size = end, len(records["k"].Value)
 		}),
 		OnRead: f.confirm,
 	}
 	settings.Wait, settings.Pause = 600*time.Millisecond, 500*time.Millisecond
 	watchInstances := store.Watcher{
 		Store: instancesStore, Partition: instances, Settings: settings, OnConnectivity: func(error) {},
-		OnAdvance: f.locked(func(_ map[string]store.Record, end int64) { f.lists = end }),
+		OnAdvance: f.locked(func(_ map[string]store.Record, end int64) { f.instancesEnd = end }),
 	}
 	go watchRoutes.Run(ctx)
 	go watchInstances.Run(ctx)
@@ -144,11 +144,11 @@
 // behind counts the daemons that lack a version of the routes, and of the instances.
 func behind(followers []*follower, version int64) (ofRoutes, ofInstances int) {
 	for _, f := range followers {
-		end, lists, _ := f.known()
-		if end < version {
+		routesEnd, instancesEnd, _ := f.known()
+		if routesEnd < version {
 			ofRoutes++
 		}
-		if lists < version {
+		if instancesEnd < version {
 			ofInstances++
 		}
 	}
--- a/internal/store/listing.go
+++ b/internal/store/listing.go
@@ -6,8 +6,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// pageLimit bounds the number of pages of one listing.
-const pageLimit = 1000
+// maxPages is the maximum number of pages of one listing.
+const maxPages = 1000
 
 // Newest reads the newest record of each key, page by page. end is the offset up to which the
 // listing is guaranteed to be complete. A caller that continues to read from end misses nothing,
@@ -19,7 +19,7 @@
 // ListNewest is like Newest, with a function that reads one page.
 func ListNewest(readPage func(after string) (Page, error)) (records []Record, end int64, err error) {
 	after := ""
-	for number := range pageLimit {
+	for number := range maxPages {
 		page, err := readPage(after)
 		if err != nil {
 			return nil, 0, err
--- a/internal/store/memory/memory.go
+++ b/internal/store/memory/memory.go
@@ -79,7 +79,7 @@
 	s.down = down
 }
 
-// SetDelay sets how long every call takes.
+// SetDelay sets how long calls to Append and NewestPage take.
 func (s *Store) SetDelay(delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
