--- a/internal/relaydaemon/zones.go
+++ b/internal/relaydaemon/zones.go
@@ -16,10 +16,10 @@
 	sourceDaemon = "daemon"
 )
 
-// takeEvacuations applies the operators' orders that were read from the store.
-func (d *Daemon) takeEvacuations(reading zone.OrderSnapshot) {
+// applyEvacuations applies the operators' orders that were read from the store.
+func (d *Daemon) applyEvacuations(reading zone.OrderSnapshot) {
 	now := time.Now()
-	d.noteEvacuations(d.evacuations.ApplySnapshot(reading, now), reading.End, sourceStore, now)
+	d.reportEvacuations(d.evacuations.ApplySnapshot(reading, now), reading.End, sourceStore, now)
 }
 
 // KnownEvacuationsEnd implements ledger.Evacuations.
@@ -32,13 +32,13 @@
 
 // ApplyEvacuationUpdate implements ledger.Evacuations.
 func (d *Daemon) ApplyEvacuationUpdate(news *zone.EvacuationUpdate, now time.Time) {
-	d.noteEvacuations(d.evacuations.ApplyUpdate(news, now), news.End, sourceDaemon, now)
+	d.reportEvacuations(d.evacuations.ApplyUpdate(news, now), news.End, sourceDaemon, now)
 }
 
-// noteEvacuations logs changes, and reports to admission how long ended evacuations lasted.
-func (d *Daemon) noteEvacuations(changes []zone.EvacuationChange, end int64, from string, now time.Time) {
+// reportEvacuations logs changes, and reports to admission how long ended evacuations lasted.
+func (d *Daemon) reportEvacuations(changes []zone.EvacuationChange, end int64, from string, now time.Time) {
 	for _, change := range changes {
-		logger := part(d.logger, "zones").With().Str("zone", change.Zone).Int64("order", change.Offset).
+		logger := componentLogger(d.logger, "zones").With().Str("zone", change.Zone).Int64("order", change.Offset).
 			Int64("as_of", end).Str("heard_from", from).Int("in_flight", d.pool.InFlight(change.Zone)).Logger()
 		if !change.Evacuated {
 			d.admission.ObserveDuration(admission.ServiceEvacuated, change.Lasted)
