--- a/internal/relaydaemon/members.go
+++ b/internal/relaydaemon/members.go
@@ -118,7 +118,7 @@
 			onListed(r.machines(addresses))
 		},
 		OnRead:         func(asOf time.Time) { r.coldLimiter.ConfirmDaemons(asOf, time.Now()) },
-		Refresh:        r.coldLimiter.Hurry(),
+		Refresh:        r.coldLimiter.RefreshRequests(),
 		OnConnectivity: func(err error) { r.logger.Debug().Err(err).Msg("Store connectivity of the registry changed.") },
 	}
 	watcher.Run(ctx)
