--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -18,15 +18,15 @@
 
 // Metrics are the relay's Prometheus metrics.
 type Metrics struct {
-	answers      *prometheus.CounterVec
-	refusals     *prometheus.CounterVec
-	offers       *prometheus.CounterVec
-	runs         *prometheus.CounterVec
-	latency      *prometheus.HistogramVec
-	firstEvents  prometheus.Histogram
-	begins       *prometheus.HistogramVec
-	records      *prometheus.HistogramVec
-	droppedLines prometheus.Counter
+	answers        *prometheus.CounterVec
+	refusals       *prometheus.CounterVec
+	offersNotTaken *prometheus.CounterVec
+	furtherRuns    *prometheus.CounterVec
+	latency        *prometheus.HistogramVec
+	firstEvents    prometheus.Histogram
+	begins         *prometheus.HistogramVec
+	records        *prometheus.HistogramVec
+	droppedLines   prometheus.Counter
 	// beliefAges observes, at each offer, how long ago the data that it is based on was
 	// confirmed, by kind of data.
 	beliefAges *prometheus.HistogramVec
@@ -47,14 +47,14 @@
 // NewMetrics returns the relay's metrics, registered with registry.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	m := &Metrics{
-		answers:     newCounterVec("answers_total", "Back ends' answers passed on, by route kind and status.", "kind", "status"),
-		refusals:    newCounterVec("refusals_total", "Requests ended by the system itself, by reason.", "reason"),
-		offers:      newCounterVec("offers_not_taken_total", "Offers that an instance did not run, by cause.", "cause"),
-		runs:        newCounterVec("further_runs_total", "Requests run again or streams taken up.", "cause"),
-		latency:     newHistogramVec("answer_seconds", "From a request read to its answer ended.", "kind"),
-		begins:      newHistogramVec("turn_begin_seconds", "Time to reserve a turn's tokens, by outcome.", "outcome"),
-		records:     newHistogramVec("turn_record_seconds", "Time until the end of a kept turn was on record, by outcome.", "outcome"),
-		firstEvents: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Subsystem: subsystem, Name: "first_event_seconds", Help: "From a request read to its first event.", Buckets: buckets()}),
+		answers:        newCounterVec("answers_total", "Back ends' answers passed on, by route kind and status.", "kind", "status"),
+		refusals:       newCounterVec("refusals_total", "Requests ended by the system itself, by reason.", "reason"),
+		offersNotTaken: newCounterVec("offers_not_taken_total", "Offers that an instance did not run, by cause.", "cause"),
+		furtherRuns:    newCounterVec("further_runs_total", "Requests run again or streams taken up.", "cause"),
+		latency:        newHistogramVec("answer_seconds", "From a request read to its answer ended.", "kind"),
+		begins:         newHistogramVec("turn_begin_seconds", "Time to reserve a turn's tokens, by outcome.", "outcome"),
+		records:        newHistogramVec("turn_record_seconds", "Time until the end of a kept turn was on record, by outcome.", "outcome"),
+		firstEvents:    prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Subsystem: subsystem, Name: "first_event_seconds", Help: "From a request read to its first event.", Buckets: buckets()}),
 	}
 	m.heldUpRequests = newCounterVec("held_up_total", "Requests that were held up, by what held them up last and by what became of them.", "by", "outcome")
 	m.tenants = newTenantMetrics()
@@ -65,7 +65,7 @@
 	m.faults = newCounterVec("handling_faults_total", "Requests left without an ending, ended twice, or whose handler panicked.", "fault")
 	m.open = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Subsystem: subsystem, Name: "open_requests", Help: "Requests that have not ended."})
 	registry.MustRegister(m.endings, m.faults, m.open)
-	registry.MustRegister(m.beliefAges, m.answers, m.refusals, m.offers, m.runs, m.latency, m.begins, m.records, m.firstEvents, m.droppedLines, m.heldUpRequests, m.givenUp, m.tenants.requests)
+	registry.MustRegister(m.beliefAges, m.answers, m.refusals, m.offersNotTaken, m.furtherRuns, m.latency, m.begins, m.records, m.firstEvents, m.droppedLines, m.heldUpRequests, m.givenUp, m.tenants.requests)
 	return m
 }
 
@@ -136,16 +136,16 @@
 
 func (m *Metrics) lineDropped() { m.droppedLines.Inc() }
 
-func (m *Metrics) retry() { m.runs.WithLabelValues("retry").Inc() }
+func (m *Metrics) retry() { m.furtherRuns.WithLabelValues("retry").Inc() }
 
-func (m *Metrics) resumed() { m.runs.WithLabelValues("resumed").Inc() }
+func (m *Metrics) resumed() { m.furtherRuns.WithLabelValues("resumed").Inc() }
 
 func (m *Metrics) notRun(otherInstance bool) {
 	cause := "full"
 	if otherInstance {
 		cause = "other_instance"
 	}
-	m.offers.WithLabelValues(cause).Inc()
+	m.offersNotTaken.WithLabelValues(cause).Inc()
 }
 
 func (m *Metrics) recordEnded(took time.Duration, err error) {
--- a/internal/relay/record_memory_test.go
+++ b/internal/relay/record_memory_test.go
@@ -12,11 +12,11 @@
 func TestRecordMemoryIsGrantedInOrderWithinItsLimit(t *testing.T) {
 	const limit = 10
 	synctest.Test(t, func(t *testing.T) {
-		room := &recordMemory{}
+		memory := &recordMemory{}
 		var granted []int64
 		ask := func(ctx context.Context, bytes int64) {
 			go func() {
-				if room.acquire(ctx, bytes, limit) == nil {
+				if memory.acquire(ctx, bytes, limit) == nil {
 					granted = append(granted, bytes)
 				}
 			}()
@@ -33,25 +33,25 @@
 		ask(t.Context(), 8)
 		ask(t.Context(), 30) // larger than the limit
 		expect(8)
-		if room.acquire(t.Context(), 1, limit) != errRecordMemoryFull {
+		if memory.acquire(t.Context(), 1, limit) != errRecordMemoryFull {
 			t.Error("the queue exceeds its limit")
 		}
-		room.release(8, limit)
+		memory.release(8, limit)
 		expect(8, 30)
 		ask(t.Context(), 7)
-		if !room.isNearlyFull(limit) {
+		if !memory.isNearlyFull(limit) {
 			t.Error("not nearly full although turns are waiting")
 		}
-		room.release(30, limit)
+		memory.release(30, limit)
 		ask(leaving, 5)
 		ask(t.Context(), 1)
 		expect(8, 30, 7) // the last would fit, but waits for the one before it
 		leave()
 		expect(8, 30, 7, 1)
-		room.release(7, limit)
-		room.release(1, limit)
-		if room.held != 0 || room.queued != 0 || room.isNearlyFull(limit) {
-			t.Errorf("%d bytes are held and %d queued at the end", room.held, room.queued)
+		memory.release(7, limit)
+		memory.release(1, limit)
+		if memory.held != 0 || memory.queued != 0 || memory.isNearlyFull(limit) {
+			t.Errorf("%d bytes are held and %d queued at the end", memory.held, memory.queued)
 		}
 	})
 }
--- a/internal/relay/regional_record_test.go
+++ b/internal/relay/regional_record_test.go
@@ -35,9 +35,9 @@
 	return &ledger.KeptTurn{ID: turn}, nil
 }
 
-// expectBoundAnswer serves a kept turn that is restricted to a region, and whose caller
+// expectRegionalAnswer serves a kept turn that is restricted to a region, and whose caller
 // waits for five seconds, and checks that it is answered.
-func expectBoundAnswer(t *testing.T, regional *regionalLedger, hasDaemons func() bool, previous string) {
+func expectRegionalAnswer(t *testing.T, regional *regionalLedger, hasDaemons func() bool, previous string) {
 	t.Helper()
 	h, _, call := newRecordingHarness(t, 0)
 	common := &regionalLedger{}
@@ -58,7 +58,7 @@
 func TestRegionalTurnIsRecordedOnceADaemonIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		back := time.Now().Add(time.Second)
-		expectBoundAnswer(t, &regionalLedger{}, func() bool { return time.Now().After(back) }, "")
+		expectRegionalAnswer(t, &regionalLedger{}, func() bool { return time.Now().After(back) }, "")
 	})
 }
 
@@ -66,6 +66,6 @@
 func TestRegionalTurnIsRecordedOnceItsChainIsReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const afterBegin = 2 // the first Find is for the history
-		expectBoundAnswer(t, &regionalLedger{knowsNoChain: true, unanswered: afterBegin}, func() bool { return true }, "before")
+		expectRegionalAnswer(t, &regionalLedger{knowsNoChain: true, unanswered: afterBegin}, func() bool { return true }, "before")
 	})
 }
--- a/internal/relay/turned_down.go
+++ b/internal/relay/turned_down.go
@@ -12,7 +12,7 @@
 	// the call itself.
 	minRefusals    = 4
 	minOthersTaken = 3
-	// maxFalsePositiveRate is the probability that an ordinary call is mistaken for one
+	// maxFalsePositiveRate bounds the probability that an ordinary call is mistaken for one
 	// that all instances turn down.
 	maxFalsePositiveRate = 0.001
 	// maxOffersPerRound bounds the instances that are offered a call in one round. If one
