--- a/internal/ledger/allowance_test.go
+++ b/internal/ledger/allowance_test.go
@@ -121,7 +121,7 @@
 		f.leave(holder)
 		time.Sleep(2 * time.Second)
 		if f.holderOf(names[0]) == holder {
-			t.Fatal("the shard was not passed on")
+			t.Fatal("the shard was not handed over")
 		}
 		begin(t, f.other(names[0]), allowanceTurn(names[1], "whole", 1000))
 	})
@@ -193,7 +193,7 @@
 	})
 }
 
-func TestTurnOnRecordGivesNoHeadroomBack(t *testing.T) {
+func TestRecordedTurnReturnsNoHeadroom(t *testing.T) {
 	now := time.Now()
 	s := newState(now)
 	turn := allowanceTurn("p", "a", 100)
--- a/internal/ledger/ask.go
+++ b/internal/ledger/ask.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// waitLimit returns how long to wait for a holder that waits for the store. Only the begin
+// waitLimit returns until when to wait for a holder that waits for the store. Only the begin
 // of a turn is given up early: at its end the answer is complete and must still be
 // recorded.
 func (s *Service) waitLimit(ctx context.Context, request Request, pending Response) (until time.Time, bounded bool) {
--- a/internal/ledger/claim_test.go
+++ b/internal/ledger/claim_test.go
@@ -179,7 +179,7 @@
 	})
 }
 
-func TestShardThatIsGivenUpReturnsWhatWasSetAside(t *testing.T) {
+func TestReleasedShardReturnsItsHeadroom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		begin(t, f.service(daemonID(0, 1)), Turn{ID: "a", Program: "p", BudgetTokens: 100, MaxTokens: 10})
--- a/internal/ledger/discovery_test.go
+++ b/internal/ledger/discovery_test.go
@@ -28,14 +28,14 @@
 	return time.Since(started)
 }
 
-func TestDaemonThatHeardOfMostOthersSettlesEarly(t *testing.T) {
+func TestDiscoveryEndsEarlyOnceMostDaemonsAreDiscovered(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		expected func() int
 		want     time.Duration
 	}{
-		{"all of those on record were heard of", func() int { return 3 }, discoveryQuietPeriod + discoveryPollInterval},
-		{"half of those on record were heard of", func() int { return 6 }, DefaultDiscoveryTimeout},
+		{"all of those on record were discovered", func() int { return 3 }, discoveryQuietPeriod + discoveryPollInterval},
+		{"half of those on record were discovered", func() int { return 6 }, DefaultDiscoveryTimeout},
 		{"the record could not be read", func() int { return 0 }, DefaultDiscoveryTimeout},
 		{"there is no record", nil, DefaultDiscoveryTimeout},
 	} {
--- a/internal/ledger/evacuations_test.go
+++ b/internal/ledger/evacuations_test.go
@@ -13,8 +13,8 @@
 // testEvacuations is a daemon's knowledge, with the changes that it learned from others.
 type testEvacuations struct {
 	zone.Evacuations
-	mutex sync.Mutex
-	heard []zone.Change
+	mutex   sync.Mutex
+	learned []zone.Change
 }
 
 func (e *testEvacuations) KnownEvacuationsEnd() int64 { return e.Asking() }
@@ -26,7 +26,7 @@
 func (e *testEvacuations) ApplyEvacuationUpdate(news *zone.News, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.heard = append(e.heard, e.Hear(news, now)...)
+	e.learned = append(e.learned, e.Hear(news, now)...)
 }
 
 // TestDaemonThatDoesNotReachTheStoreLearnsOfEvacuations: it learns of them, with their age,
@@ -66,8 +66,8 @@
 		}
 		tell(zone.Reading{End: 9})
 		ask("second")
-		if _, evacuated := own.Since("c"); evacuated || len(own.heard) != 2 {
-			t.Errorf("evacuated: %v, after it was taken back; heard %+v", evacuated, own.heard)
+		if _, evacuated := own.Since("c"); evacuated || len(own.learned) != 2 {
+			t.Errorf("evacuated: %v, after it was taken back; learned %+v", evacuated, own.learned)
 		}
 	})
 }
--- a/internal/ledger/handover_test.go
+++ b/internal/ledger/handover_test.go
@@ -191,7 +191,7 @@
 		}
 		time.Sleep(takeTimeout) // the successor's claim may be under way
 		if f.holderOf("p") == former.Self {
-			t.Error("the shard was not passed on")
+			t.Error("the shard was not handed over")
 		}
 	})
 }
--- a/internal/ledger/holder.go
+++ b/internal/ledger/holder.go
@@ -96,7 +96,7 @@
 	// daemon that is to claim the released shard, "" for none.
 	handover   *handover
 	releasedTo string
-	// ahead is the read of a shard that another daemon is about to pass on, nil if there is
+	// ahead is the read of a shard that another daemon is about to hand over, nil if there is
 	// none.
 	ahead *readAhead
 	// former is what this daemon knew of the shard when it last lost it. It holds all
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -174,7 +174,7 @@
 	})
 }
 
-func TestOutageIsToldWhenTheCallersTimeIsOver(t *testing.T) {
+func TestOutageIsReportedWithinTheCallersDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
 		s := f.service(daemonID(0, 1))
@@ -312,7 +312,7 @@
 	})
 }
 
-func TestUnknownTurnIsOnlyToldForSure(t *testing.T) {
+func TestUnknownTurnIsReportedOnlyWhenConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		s := f.service(daemonID(0, 1))
--- a/internal/ledger/promise_test.go
+++ b/internal/ledger/promise_test.go
@@ -62,10 +62,10 @@
 	})
 }
 
-// TestReleaseThatAnotherRequestHeardOfCounts: two requests of one daemon reach the
+// TestReleaseLearnedByAnotherRequestCounts: two requests of one daemon reach the
 // successor before its claim, and only one of them learns of the release first. The other
 // must not send a third daemon to take the shard either.
-func TestReleaseThatAnotherRequestHeardOfCounts(t *testing.T) {
+func TestReleaseLearnedByAnotherRequestCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 5)
 		former, successor := daemonID(1, 1), daemonID(2, 1)
--- a/internal/ledger/restart_test.go
+++ b/internal/ledger/restart_test.go
@@ -52,7 +52,7 @@
 
 // Daemons that start together have not discovered most others for a while. They must not
 // take shards from holders only because they have not discovered them.
-func TestDaemonsThatHaveNotHeardOfEachOtherClaimEachShardOnce(t *testing.T) {
+func TestDaemonsThatHaveNotDiscoveredEachOtherClaimEachShardOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, restartedDaemons)
 		f.beginEverywhere(t, "before")
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestNewFleetThatHasNotHeardOfItselfClaimsEachShardOnce(t *testing.T) {
+func TestNewFleetWithoutDiscoveryClaimsEachShardOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 0)
 		f.blind = true
@@ -109,7 +109,7 @@
 	})
 }
 
-func TestDaemonSettlesOnceItKnowsAllHolders(t *testing.T) {
+func TestDiscoveryEndsOnceAllHoldersAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		f.discoveryTimeout = DefaultDiscoveryTimeout
@@ -133,7 +133,7 @@
 }
 
 // A claim that the directory does not name yet must not count as that of a dead daemon.
-func TestClaimOfADaemonThatWasNotHeardOfIsLeftToIt(t *testing.T) {
+func TestClaimOfAnUndiscoveredDaemonIsLeftToIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 0)
 		f.blind = true
--- a/internal/ledger/store_capacity_test.go
+++ b/internal/ledger/store_capacity_test.go
@@ -153,7 +153,7 @@
 			t.Errorf("%d appends found the store full", full)
 		}
 		if broken := l.count(l.broken, 0, back); broken > 0 {
-			t.Errorf("%d programs that were let in did not end", broken)
+			t.Errorf("%d admitted programs did not end", broken)
 		}
 		first, last := l.count(l.ended, usual, 40*time.Second), l.count(l.ended, 40*time.Second, heavy)
 		const halfBest = (heavy - 40*time.Second) / time.Second * loadedCapacity * 9 / 10 / 70 / (loadTurns*(loadText+turnHeaderBytes) + accountBytes)
--- a/internal/ledger/text_cache_test.go
+++ b/internal/ledger/text_cache_test.go
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestTextsAreBounded(t *testing.T) {
+func TestTextCacheIsBounded(t *testing.T) {
 	var remembered textCache
 	for i := range 1000 {
 		kept := &KeptTurn{ID: fmt.Sprint(i), Input: bytes.Repeat([]byte("x"), 5_000)}
--- a/internal/ledger/text_load_test.go
+++ b/internal/ledger/text_load_test.go
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestTextsThatAreWantedGoFirst: they do not queue behind texts that no operation waits
+// TestWantedTextsAreReadFirst: they do not queue behind texts that no operation waits
 // for.
-func TestTextsThatAreWantedGoFirst(t *testing.T) {
+func TestWantedTextsAreReadFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bound := make(semaphore, 1)
 		release, err := bound.acquire(t.Context(), func() {})
--- a/internal/ledger/unavailability.go
+++ b/internal/ledger/unavailability.go
@@ -84,7 +84,7 @@
 	return &UnavailableError{Shard: shard, Kind: kind, Since: s.episodes.note(shard, kind, now, now), last: last}
 }
 
-// waitUntil returns how long to wait for a holder that waits for the store. After
+// waitUntil returns until when to wait for a holder that waits for the store. After
 // latestStart an answer is of no use to the caller.
 func (s *Service) waitUntil(shard int, outFor time.Duration, latestStart, now time.Time) time.Time {
 	since := s.episodes.note(shard, admission.StoreOut, now.Add(-outFor), now)
--- a/internal/ledger/unavailability_test.go
+++ b/internal/ledger/unavailability_test.go
@@ -10,7 +10,7 @@
 
 // The duration of a takeover that a turn waits for must not count as the duration of an
 // outage of the store.
-func TestTakeoverIsNotTakenForAnOutage(t *testing.T) {
+func TestTakeoverDoesNotCountAsOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRollingFleet(t, 1)
 		f.fillHistory(t)
--- a/internal/storecapacity/capacity_test.go
+++ b/internal/storecapacity/capacity_test.go
@@ -138,9 +138,9 @@
 	return m.refused - before
 }
 
-// TestUsualLoadAndBurstsAreLetIn: a sustainable load and short bursts of twice that are
+// TestUsualLoadAndBurstsAreAdmitted: a sustainable load and short bursts of twice that are
 // never refused.
-func TestUsualLoadAndBurstsAreLetIn(t *testing.T) {
+func TestUsualLoadAndBurstsAreAdmitted(t *testing.T) {
 	m := &model{}
 	for range 4 {
 		m.run(3e6, 40*time.Second)
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestProfileGoesOn(t *testing.T) {
+func TestProfileAfter(t *testing.T) {
 	p := Profile{Expiring: []int64{100, 200, 400}, Rate: 10, RetentionMS: 12_000}
 	got := p.after(SlotLength / 2)
 	want := Profile{Expiring: []int64{150, 300, 200 + 25}, Rate: 10, RetentionMS: 12_000}
@@ -190,7 +190,7 @@
 	}
 }
 
-func TestEstimateSpeaksForPartsThatWereNotHeardOf(t *testing.T) {
+func TestEstimateCoversUnreportedShards(t *testing.T) {
 	e := NewEstimate(testParts)
 	if _, known := e.Sum(start); known {
 		t.Error("there is an estimate without reports")
@@ -209,9 +209,9 @@
 	}
 }
 
-// TestWhatIsKeptForLongIsNotTakenToBeDropped: bytes that expire beyond the last slot must
+// TestLateExpiryIsNotCountedAsFreed: bytes that expire beyond the last slot must
 // not count as freed.
-func TestWhatIsKeptForLongIsNotTakenToBeDropped(t *testing.T) {
+func TestLateExpiryIsNotCountedAsFreed(t *testing.T) {
 	p := Profile{RetentionMS: time.Hour.Milliseconds()}
 	p.Add(int64(0.82*testBound), time.Hour)
 	if len(p.Expiring) != slotsLimit {
@@ -222,9 +222,9 @@
 	}
 }
 
-// heardOf returns the mean part of 48 shards of which a daemon has a report, if 48 daemons
+// reportedShare returns the mean part of 48 shards of which a daemon has a report, if 48 daemons
 // each ask three holders per second, after three seconds.
-func heardOf(passOn bool) float64 {
+func reportedShare(passOn bool) float64 {
 	const parts = 48
 	estimates := make([]*Estimate, parts)
 	for i := range estimates {
@@ -250,7 +250,7 @@
 // TestReportsArePassedOn: a daemon that asks few holders receives reports of other shards
 // from them.
 func TestReportsArePassedOn(t *testing.T) {
-	with, without := heardOf(true), heardOf(false)
+	with, without := reportedShare(true), reportedShare(false)
 	if with < 1.5*without {
 		t.Errorf("reports of %.1f of all shards, and of %.1f if they are not passed on", with, without)
 	}
--- a/internal/storecapacity/gate.go
+++ b/internal/storecapacity/gate.go
@@ -61,8 +61,8 @@
 	baseRate := baseRateShare * usable / kept.retention().Seconds()
 	spare := usable - bytes
 	left := spare
-	for _, leaving := range kept.Expiring[:min(len(kept.Expiring), slotsLimit-1)] {
-		left += float64(leaving) - baseRate*SlotLength.Seconds()
+	for _, expiring := range kept.Expiring[:min(len(kept.Expiring), slotsLimit-1)] {
+		left += float64(expiring) - baseRate*SlotLength.Seconds()
 		spare = min(spare, left)
 	}
 	rate := baseRate + spare/spendTime.Seconds()
