--- a/internal/ledger/recovery_test.go
+++ b/internal/ledger/recovery_test.go
@@ -18,17 +18,17 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// One of four zones is cut off from the others and from the store, silently, and comes
-// back; or the store does, or daemons that were killed. All sizes except those of records
-// are a tenth of those of a fleet of 75 daemons whose shards have 3 MB each and whose store
-// reads 80 MB a second.
+// In these tests one of four zones is cut off silently from the others and from the store
+// and reconnects, the store is out and recovers, or daemons are killed and restart. All
+// sizes except those of records are a tenth of those of a fleet of 75 daemons whose shards
+// have 3 MB each and whose store reads 80 MB a second.
 const (
 	recoveryDaemons = 60
 	recoveryZones   = 4
 	recoveryShards  = 48
-	// recoveryHistory is the number of turns that each shard keeps, of recoveryTurn bytes.
-	recoveryHistory = 75
-	recoveryTurn    = 4000
+	// recoveryHistory is the number of turns that each shard keeps, of recoveryTurnBytes bytes.
+	recoveryHistory   = 75
+	recoveryTurnBytes = 4000
 	// recoveryReadRate is the store's read capacity per second, and recoveryLinkRate the
 	// capacity of a daemon's link, in bytes.
 	recoveryReadRate = 8 << 20
@@ -36,9 +36,9 @@
 	// recoveryShare is the part of the store's read capacity that a recovery may use: some
 	// claims besides the share for planned handovers.
 	recoveryShare = 0.4
-	// recoveryPage bounds a page of newest records, in bytes.
-	recoveryPage = 100 << 10
-	recoveryWay  = 1500 * time.Microsecond
+	// recoveryPageBytes bounds a page of newest records, in bytes.
+	recoveryPageBytes   = 100 << 10
+	recoveryOneWayDelay = 1500 * time.Microsecond
 
 	recoveryCutAt  = 6 * time.Second
 	recoveryCutFor = 6 * time.Second
@@ -53,15 +53,15 @@
 	deadAfter    = 1500 * time.Millisecond
 	storeBack    = 300 * time.Millisecond
 	linkBack     = 1200 * time.Millisecond
-	// restartAfter is when killed daemons run again, and runHeard the time within which the
+	// restartAfter is when killed daemons run again, and restartSeenWithin the time within which the
 	// others discover that.
-	restartAfter = 2 * time.Second
-	runHeard     = 500 * time.Millisecond
-	viewBack     = 2500 * time.Millisecond
+	restartAfter      = 2 * time.Second
+	restartSeenWithin = 500 * time.Millisecond
+	viewBack          = 2500 * time.Millisecond
 
-	recoveryPrograms = 2 * recoveryShards
-	recoveryThink    = 150 * time.Millisecond
-	recoveryMost     = 100
+	recoveryPrograms  = 2 * recoveryShards
+	recoveryPause     = 150 * time.Millisecond
+	recoveryMaxTokens = 100
 	// recoveryTurns is the most turns of a program. Its budget is one and a half times the
 	// most of all its turns, of which each uses a third.
 	recoveryTurns     = 10
@@ -103,11 +103,11 @@
 	claims   []time.Duration
 	// served contains for each shard when turns began, and waits the longest wait in each
 	// second.
-	served    [][]time.Duration
-	waits     []time.Duration
-	failed    []int
-	begun     []int
-	wrongOver []string
+	served         [][]time.Duration
+	waits          []time.Duration
+	failed         []int
+	begun          []int
+	wronglyRefused []string
 }
 
 func newRecoveryFleet(t *testing.T, fault recoveryFault) *recoveryFleet {
@@ -134,7 +134,7 @@
 	for shard := range recoveryShards {
 		var records []store.Record
 		for i := range recoveryHistory {
-			turn := &turnEntry{KeptTurn: KeptTurn{ID: fmt.Sprintf("old-%d-%d", shard, i), Input: make([]byte, recoveryTurn)}, RetentionMS: recoveryRetention.Milliseconds()}
+			turn := &turnEntry{KeptTurn: KeptTurn{ID: fmt.Sprintf("old-%d-%d", shard, i), Input: make([]byte, recoveryTurnBytes)}, RetentionMS: recoveryRetention.Milliseconds()}
 			value, err := encodeTurn(turn)
 			if err != nil {
 				t.Fatal(err)
@@ -244,8 +244,8 @@
 	spent, previous := int64(0), ""
 	turns := 2 + random.IntN(recoveryTurns-1)
 	for number := range turns {
-		time.Sleep(time.Duration(random.Int64N(2 * int64(recoveryThink))))
-		turn := Turn{Program: program, MaxTokens: recoveryMost, BudgetTokens: int64(turns) * recoveryMost * 3 / 2, Previous: previous, Retention: recoveryRetention}
+		time.Sleep(time.Duration(random.Int64N(2 * int64(recoveryPause))))
+		turn := Turn{Program: program, MaxTokens: recoveryMaxTokens, BudgetTokens: int64(turns) * recoveryMaxTokens * 3 / 2, Previous: previous, Retention: recoveryRetention}
 		began := false
 		for try := 0; try < 3 && !began; try++ {
 			s := f.caller(random, zone)
@@ -255,11 +255,11 @@
 				time.Sleep(200 * time.Millisecond)
 				continue
 			}
-			used := int64(recoveryMost / 3)
+			used := int64(recoveryMaxTokens / 3)
 			spent += used
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			err := s.End(ctx, Outcome{Turn: turn.ID, Program: program, UsedTokens: used, Retention: recoveryRetention, Kept: &KeptTurn{
-				ID: turn.ID, Previous: previous, Input: make([]byte, recoveryTurn/4),
+				ID: turn.ID, Previous: previous, Input: make([]byte, recoveryTurnBytes/4),
 			}})
 			cancel()
 			if err != nil {
@@ -283,7 +283,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if errors.Is(err, ErrBudgetSpent) && spent+turn.MaxTokens <= turn.BudgetTokens {
-		f.wrongOver = append(f.wrongOver, fmt.Sprintf("%s at %v", turn.ID, f.now()))
+		f.wronglyRefused = append(f.wronglyRefused, fmt.Sprintf("%s at %v", turn.ID, f.now()))
 	}
 	if inside {
 		return err == nil // nothing is guaranteed to callers that are cut off
@@ -356,12 +356,12 @@
 	t.Logf("claims %s", perSecond(f.claims))
 	t.Logf("seizures from live holders %s", perSecond(f.seizures))
 	t.Logf("all shards served %v after the cut, %v after its end", f.firstServed(recoveryCutAt)-recoveryCutAt, f.firstServed(back)-back)
-	t.Logf("refused with room in their budget: %d %v", len(f.wrongOver), f.wrongOver[:min(len(f.wrongOver), 5)])
+	t.Logf("refused with room in their budget: %d %v", len(f.wronglyRefused), f.wronglyRefused[:min(len(f.wronglyRefused), 5)])
 	if seized := countAfter(f.seizures, recoveryCutAt); seized > 0 {
 		t.Errorf("%d shards were seized from live holders", seized)
 	}
-	if len(f.wrongOver) > 0 {
-		t.Errorf("%d turns were refused that had room in their program's budget", len(f.wrongOver))
+	if len(f.wronglyRefused) > 0 {
+		t.Errorf("%d turns were refused that had room in their program's budget", len(f.wronglyRefused))
 	}
 	f.expectCalmAfter(t, back)
 }
--- a/internal/ledger/recovery_world_test.go
+++ b/internal/ledger/recovery_world_test.go
@@ -38,7 +38,7 @@
 // incarnationAt returns the latest incarnation at an address that this daemon has
 // discovered.
 func (v *recoveryView) incarnationAt(address string) structs.DaemonID {
-	heard := recoveryCutAt + restartAfter + spreadOf("run", v.self, structs.DaemonID(address), runHeard)
+	heard := recoveryCutAt + restartAfter + spreadOf("run", v.self, structs.DaemonID(address), restartSeenWithin)
 	if v.isKilled(address) && (v.now() >= heard || v.self.Address() == address && v.self.Incarnation() == 2) {
 		return structs.NewDaemonID(address, 2)
 	}
@@ -76,7 +76,7 @@
 		<-ctx.Done()
 		return store.ErrOutcomeUnknown
 	}
-	clock.Sleep(ctx, 2*recoveryWay)
+	clock.Sleep(ctx, 2*recoveryOneWayDelay)
 	return nil
 }
 
@@ -103,7 +103,7 @@
 	}
 	size := 0
 	for i, record := range page.Records {
-		if size += len(record.Key) + len(record.Value); size > recoveryPage {
+		if size += len(record.Key) + len(record.Value); size > recoveryPageBytes {
 			page.Records, page.More = page.Records[:i+1], i+1 < len(page.Records) || page.More
 			break
 		}
@@ -121,7 +121,7 @@
 		return records, next, err
 	}
 	for i, size := 0, 0; i < len(records); i++ {
-		if size += len(records[i].Key) + len(records[i].Value); size > recoveryPage {
+		if size += len(records[i].Key) + len(records[i].Value); size > recoveryPageBytes {
 			records, next = records[:i+1], from+int64(i+1)
 		}
 	}
--- a/internal/storecapacity/capacity_test.go
+++ b/internal/storecapacity/capacity_test.go
@@ -18,7 +18,7 @@
 	programLength = 4 * time.Second
 	programSteps  = int(programLength / step)
 	step          = 100 * time.Millisecond
-	testParts     = 8
+	testShards    = 8
 )
 
 // model is a store with programs that begin at some rate. It models one shard, whose usage
@@ -154,7 +154,7 @@
 func TestGateWithoutAPlanAdmits(t *testing.T) {
 	var g Gate
 	for range 3 {
-		if admitted, _ := g.Admit(PlanFor(Profile{}, testBound), testParts, start); !admitted {
+		if admitted, _ := g.Admit(PlanFor(Profile{}, testBound), testShards, start); !admitted {
 			t.Error("refused where nothing is known")
 		}
 	}
@@ -191,7 +191,7 @@
 }
 
 func TestEstimateCoversUnreportedShards(t *testing.T) {
-	e := NewEstimate(testParts)
+	e := NewEstimate(testShards)
 	if _, known := e.Sum(start); known {
 		t.Error("there is an estimate without reports")
 	}
@@ -201,7 +201,7 @@
 	e.Note(6, Profile{Expiring: []int64{-1}, RetentionMS: 1}, start)
 	e.Note(7, Profile{Expiring: make([]int64, slotsLimit+1), RetentionMS: 1}, start)
 	sum, known := e.Sum(start)
-	if want := int64(testParts / 2 * 400); !known || sum.Bytes() != want {
+	if want := int64(testShards / 2 * 400); !known || sum.Bytes() != want {
 		t.Errorf("%d bytes, want %d", sum.Bytes(), want)
 	}
 	if _, known := e.Sum(start.Add(reportTTL + time.Second)); known {
@@ -225,26 +225,26 @@
 // reportedShare returns the mean part of 48 shards of which a daemon has a report, if 48 daemons
 // each ask three holders per second, after three seconds.
 func reportedShare(passOn bool) float64 {
-	const parts = 48
-	estimates := make([]*Estimate, parts)
+	const shards = 48
+	estimates := make([]*Estimate, shards)
 	for i := range estimates {
-		estimates[i] = NewEstimate(parts)
+		estimates[i] = NewEstimate(shards)
 	}
 	for tenth := range 30 {
 		now := start.Add(time.Duration(tenth) * 100 * time.Millisecond)
 		for i, e := range estimates {
 			e.Note(i, Profile{Expiring: []int64{0, 100}, RetentionMS: 10_000}, now)
 		}
-		for i := range parts / 3 {
-			holder := (i*7 + 11*tenth) % parts
-			estimates[(3*i+tenth)%parts].Merge(estimates[holder].Reports(holder, passOn, now), now)
+		for i := range shards / 3 {
+			holder := (i*7 + 11*tenth) % shards
+			estimates[(3*i+tenth)%shards].Merge(estimates[holder].Reports(holder, passOn, now), now)
 		}
 	}
 	heard := 0
 	for _, e := range estimates {
 		heard += len(e.reports)
 	}
-	return float64(heard) / parts
+	return float64(heard) / shards
 }
 
 // TestReportsArePassedOn: a daemon that asks few holders receives reports of other shards
@@ -264,12 +264,12 @@
 
 func BenchmarkPlan(b *testing.B) {
 	e := NewEstimate(48)
-	for part := range 48 {
+	for shard := range 48 {
 		p := Profile{Rate: 60_000, RetentionMS: testLife.Milliseconds()}
 		for second := range 70 {
 			p.Add(60_000, time.Duration(second)*time.Second)
 		}
-		e.Note(part, p, start)
+		e.Note(shard, p, start)
 	}
 	for b.Loop() {
 		sum, _ := e.Sum(start.Add(time.Second))
