--- a/internal/ledger/evacuations_test.go
+++ b/internal/ledger/evacuations_test.go
@@ -13,8 +13,8 @@
 // testEvacuations is a daemon's knowledge, with the changes that it learned from others.
 type testEvacuations struct {
 	zone.Evacuations
-	mutex sync.Mutex
-	heard []zone.EvacuationChange
+	mutex   sync.Mutex
+	learned []zone.EvacuationChange
 }
 
 func (e *testEvacuations) KnownEvacuationsEnd() int64 { return e.KnownEnd() }
@@ -26,7 +26,7 @@
 func (e *testEvacuations) ApplyEvacuationUpdate(news *zone.EvacuationUpdate, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.heard = append(e.heard, e.ApplyUpdate(news, now)...)
+	e.learned = append(e.learned, e.ApplyUpdate(news, now)...)
 }
 
 // TestDaemonThatDoesNotReachTheStoreLearnsOfEvacuations: it learns of them, with their age,
@@ -66,8 +66,8 @@
 		}
 		tell(zone.OrderSnapshot{End: 9})
 		ask("second")
-		if _, evacuated := own.EvacuatedSince("c"); evacuated || len(own.heard) != 2 {
-			t.Errorf("evacuated: %v, after it was taken back; heard %+v", evacuated, own.heard)
+		if _, evacuated := own.EvacuatedSince("c"); evacuated || len(own.learned) != 2 {
+			t.Errorf("evacuated: %v, after it was taken back; learned %+v", evacuated, own.learned)
 		}
 	})
 }
