--- a/internal/backends/bench_test.go
+++ b/internal/backends/bench_test.go
@@ -51,7 +51,7 @@
 func (b *bench) UpdateEngine(engine structs.Engine)      { b.engines[engine.ID] = engine }
 func (b *bench) RemoveEngine(id structs.EngineID)        { delete(b.engines, id) }
 func (b *bench) UpdateLoad(structs.LoadReport)           {}
-func (b *bench) CacheGap(structs.EngineID)               { b.gaps++ }
+func (b *bench) CacheEventsLost(structs.EngineID)        { b.gaps++ }
 func (b *bench) WaitingByModel() []schedule.ModelWaiting { return b.waiting }
 
 func (b *bench) Members() []membership.Member                 { return slices.Clone(b.members) }
--- a/internal/backends/directory_test.go
+++ b/internal/backends/directory_test.go
@@ -30,7 +30,7 @@
 
 func TestOwnWordOutweighsTheListAndLaggingReports(t *testing.T) {
 	b := newBench(Guards{}, engineRow(engineA))
-	b.Draining(engineA)
+	b.MarkDraining(engineA)
 	b.wantLeaving(t, true, "after its word")
 	b.run(10 * time.Second)
 	b.wantLeaving(t, true, "reports do not say so yet")
@@ -69,14 +69,14 @@
 	b.run(time.Second)
 	b.wantLeaving(t, false, "after it answered")
 	b.down[engineA] = true
-	b.Unreachable(engineA)
+	b.MarkUnreachable(engineA)
 	b.wantLeaving(t, true, "a connection broke")
 }
 
 func TestGuardIgnoresLeaving(t *testing.T) {
 	b := newBench(Guards{IgnoreLeaving: true}, engineRow(engineA))
 	b.machines[0].State = structs.MachineLeaving
-	b.Draining(engineA)
+	b.MarkDraining(engineA)
 	b.run(5 * time.Second)
 	b.wantLeaving(t, false, "with the guard off")
 }
@@ -90,7 +90,7 @@
 	if got := chosen(); got != orders {
 		t.Fatalf("chose %q", got)
 	}
-	b.Draining(orders)
+	b.MarkDraining(orders)
 	b.run(5 * time.Minute)
 	if got := chosen(); got != "" {
 		t.Errorf("chose %q, which is leaving", got)
@@ -105,7 +105,7 @@
 	if got := chosen(); got != "" {
 		t.Errorf("chose %q, which is not listed", got)
 	}
-	if !b.Gone(orders) {
+	if !b.HasLeft(orders) {
 		t.Error("an unlisted application is not gone")
 	}
 }
--- a/internal/backends/list_test.go
+++ b/internal/backends/list_test.go
@@ -55,7 +55,7 @@
 	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines = b.machines[1:]
 	b.run(2 * b.Settings.ListInterval)
-	if !b.Gone(engineA) {
+	if !b.HasLeft(engineA) {
 		t.Fatal("still listed")
 	}
 	b.run(2 * b.Settings.ListMemory)
--- a/internal/backends/watch.go
+++ b/internal/backends/watch.go
@@ -185,7 +185,7 @@
 	}
 	d.mutex.Unlock()
 	if gap {
-		d.Scheduler.CacheGap(id)
+		d.Scheduler.CacheEventsLost(id)
 	}
 	d.Scheduler.CacheEvents(events)
 }
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -87,7 +87,7 @@
 	if admission.Records[0].ProgramStarted == nil || call.Kind != structs.CallModel {
 		return false
 	}
-	refusal, full := l.Scheduler.Crowded(call.Key.Tenant)
+	refusal, full := l.Scheduler.NewProgramRefusal(call.Key.Tenant)
 	if full {
 		l.refuseForNow(follower, call, refusal)
 	}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -86,7 +86,7 @@
 		Blocks:           blocks,
 		MaximumTokens:    call.MaximumTokens,
 		Turn:             p.Turns,
-		Served:           root.Served,
+		ServedTokens:     root.Served,
 		ProgramStartedAt: root.StartedAt,
 		EnqueuedAt:       l.Clock.Now(),
 		Deadline:         call.Deadline,
@@ -126,7 +126,7 @@
 // withoutDisproof turns a refusal into a failure when an attempt may have run:
 // not_run is only ever said of what certainly was not run.
 func (l *leader) withoutDisproof(active *activeCall, outcome structs.Outcome) structs.Outcome {
-	if !active.mayHaveRun || l.Guards.SkipDisproof {
+	if !active.mayHaveRun || l.Guards.SkipRunCheck {
 		return outcome
 	}
 	if active.call.Kind == structs.CallModel {
--- a/internal/dispatch/coordinator.go
+++ b/internal/dispatch/coordinator.go
@@ -23,16 +23,16 @@
 type Scheduler interface {
 	// Enqueue takes an item; its Assign or Refuse is called later, once.
 	Enqueue(item *schedule.Item)
-	// Crowded returns the refusal that the first call of a tenant's next
+	// NewProgramRefusal returns the refusal that the first call of a tenant's next
 	// program would meet now; false when there is room.
-	Crowded(tenant structs.TenantName) (structs.Outcome, bool)
+	NewProgramRefusal(tenant structs.TenantName) (structs.Outcome, bool)
 	// Remove takes back an item that was neither assigned nor refused. It
 	// returns false when that was too late.
 	Remove(item *schedule.Item) bool
 	// Finished hands an assignment back.
 	Finished(assignment schedule.Assignment, result schedule.Result)
-	// Transferred teaches how long it took to move some tokens of cache.
-	Transferred(tokens int64, took time.Duration)
+	// RecordTransfer teaches how long it took to move some tokens of cache.
+	RecordTransfer(tokens int64, took time.Duration)
 	// ProgramEnded tells that no call of a program follows.
 	ProgramEnded(key structs.ProgramKey)
 }
@@ -46,12 +46,12 @@
 type Directory interface {
 	// Application returns a back end for a target, and its run (0: unknown).
 	Application(target string, avoid []structs.EngineID) (structs.EngineID, bool)
-	// Gone tells that a back end has left the fleet for good.
-	Gone(backEnd structs.EngineID) bool
-	// Draining records a back end's own word that it is leaving.
-	Draining(backEnd structs.EngineID)
-	// Unreachable records that a connection to a back end broke.
-	Unreachable(backEnd structs.EngineID)
+	// HasLeft tells that a back end has left the fleet for good.
+	HasLeft(backEnd structs.EngineID) bool
+	// MarkDraining records a back end's own word that it is leaving.
+	MarkDraining(backEnd structs.EngineID)
+	// MarkUnreachable records that a connection to a back end broke.
+	MarkUnreachable(backEnd structs.EngineID)
 }
 
 // Router tells where shards are led.
@@ -153,8 +153,8 @@
 	// SkipRecovery takes a shard that lost all its holders for one that lost
 	// nothing.
 	SkipRecovery bool
-	// SkipDisproof refuses as not run what may have been run.
-	SkipDisproof bool
+	// SkipRunCheck refuses as not run what may have been run.
+	SkipRunCheck bool
 	// SkipKnown forgets which request identifiers were used.
 	SkipKnown bool
 	// SkipResume restarts broken streams at the wrong place.
@@ -222,7 +222,7 @@
 		if l := c.leader(c.Router.Shard(m.Key)); l != nil {
 			l.queue.Do(func() { l.detach(from, m) })
 		}
-	case *QuotaAsk:
+	case *QuotaRequest:
 		if l := c.leader(c.Router.Shard(quotaHome(m.Ask.Quota.Tenant))); l != nil {
 			l.queue.Do(func() { l.quotaAsked(from, m.Ask) })
 		}
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -122,12 +122,12 @@
 	item.Assign(schedule.Assignment{Item: item, Engine: engineID, EngineRun: 1, Hold: s.transfer.From == "", Transfer: s.transfer})
 }
 
-func (s *fakeScheduler) Crowded(structs.TenantName) (structs.Outcome, bool) {
+func (s *fakeScheduler) NewProgramRefusal(structs.TenantName) (structs.Outcome, bool) {
 	return structs.Refused(structs.ReasonOverloaded, "", "", time.Second), s.crowded
 }
 
-// Transferred implements Scheduler.
-func (s *fakeScheduler) Transferred(tokens int64, _ time.Duration) { s.taught = tokens }
+// RecordTransfer implements Scheduler.
+func (s *fakeScheduler) RecordTransfer(tokens int64, _ time.Duration) { s.taught = tokens }
 
 func (s *fakeScheduler) Remove(*schedule.Item) bool { return true }
 
@@ -141,9 +141,9 @@
 func (fakeDirectory) Application(string, []structs.EngineID) (structs.EngineID, bool) {
 	return "10.0.0.8:9000", true
 }
-func (d fakeDirectory) Gone(structs.EngineID) bool { return d.gone }
-func (fakeDirectory) Draining(structs.EngineID)    {}
-func (fakeDirectory) Unreachable(structs.EngineID) {}
+func (d fakeDirectory) HasLeft(structs.EngineID) bool  { return d.gone }
+func (fakeDirectory) MarkDraining(structs.EngineID)    {}
+func (fakeDirectory) MarkUnreachable(structs.EngineID) {}
 
 type fixedConfiguration struct{ fixture *fixture }
 
--- a/internal/dispatch/inspect.go
+++ b/internal/dispatch/inspect.go
@@ -114,7 +114,7 @@
 func (l *leader) unreachable(active *activeCall, open *program.CallState) {
 	waited := l.Clock.Now().Sub(active.inspectingSince)
 	mayRepeat := active.call.Kind == structs.CallModel || active.call.Repeatable
-	if mayRepeat && (waited >= l.Settings.RerunAfter || l.Directory.Gone(open.BackEnd)) {
+	if mayRepeat && (waited >= l.Settings.RerunAfter || l.Directory.HasLeft(open.BackEnd)) {
 		l.rerun(active, "The back end does not answer.")
 		return
 	}
@@ -168,7 +168,7 @@
 }
 
 func (l *leader) tellUnknown(follower attachment, _ *activeCall) {
-	l.Transport.Send(follower.daemon, &Settled{Submission: follower.submission, Outcome: unknownOutcome(), Open: true})
+	l.Transport.Send(follower.daemon, &Settled{Submission: follower.submission, Outcome: unknownOutcome(), Provisional: true})
 }
 
 // rerun sends the call again after its attempt was lost or disproved.
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -67,8 +67,8 @@
 type Settled struct {
 	Submission SubmissionID    `json:"submission"`
 	Outcome    structs.Outcome `json:"outcome"`
-	// Open is set with an unknown outcome that may still become known.
-	Open bool `json:"open,omitempty"`
+	// Provisional is set with an unknown outcome that may still become known.
+	Provisional bool `json:"open,omitempty"`
 }
 
 // Detach ends an attachment. Cancel also stops the call.
@@ -85,8 +85,8 @@
 	Hold structs.Hold `json:"hold"`
 }
 
-// QuotaAsk asks a tenant's home shard for a slice of its quota.
-type QuotaAsk struct {
+// QuotaRequest asks a tenant's home shard for a slice of its quota.
+type QuotaRequest struct {
 	Ask structs.QuotaAsked `json:"ask"`
 }
 
@@ -101,17 +101,17 @@
 
 // Kinds of message of this package.
 const (
-	KindSubmit     peer.Kind = "dispatch.submit"
-	KindAttach     peer.Kind = "dispatch.attach"
-	KindNotKnown   peer.Kind = "dispatch.not_known"
-	KindAccepted   peer.Kind = "dispatch.accepted"
-	KindRedirected peer.Kind = "dispatch.redirected"
-	KindAnswer     peer.Kind = "dispatch.answer"
-	KindSettled    peer.Kind = "dispatch.settled"
-	KindDetach     peer.Kind = "dispatch.detach"
-	KindHoldSeen   peer.Kind = "dispatch.hold_seen"
-	KindQuotaAsk   peer.Kind = "dispatch.quota_ask"
-	KindQuotaReply peer.Kind = "dispatch.quota_answer"
+	KindSubmit       peer.Kind = "dispatch.submit"
+	KindAttach       peer.Kind = "dispatch.attach"
+	KindNotKnown     peer.Kind = "dispatch.not_known"
+	KindAccepted     peer.Kind = "dispatch.accepted"
+	KindRedirected   peer.Kind = "dispatch.redirected"
+	KindAnswer       peer.Kind = "dispatch.answer"
+	KindSettled      peer.Kind = "dispatch.settled"
+	KindDetach       peer.Kind = "dispatch.detach"
+	KindHoldSeen     peer.Kind = "dispatch.hold_seen"
+	KindQuotaRequest peer.Kind = "dispatch.quota_ask"
+	KindQuotaAnswer  peer.Kind = "dispatch.quota_answer"
 )
 
 // Immediate implements peer.Immediate: the text of an answer is placed by its
@@ -146,13 +146,13 @@
 func (*HoldSeen) MessageKind() peer.Kind { return KindHoldSeen }
 
 // MessageKind implements peer.Message.
-func (*QuotaAsk) MessageKind() peer.Kind { return KindQuotaAsk }
+func (*QuotaRequest) MessageKind() peer.Kind { return KindQuotaRequest }
 
 // MessageKind implements peer.Message.
-func (*QuotaAnswer) MessageKind() peer.Kind { return KindQuotaReply }
+func (*QuotaAnswer) MessageKind() peer.Kind { return KindQuotaAnswer }
 
 func init() {
-	peer.Register(peer.ClassControl, &QuotaAsk{})
+	peer.Register(peer.ClassControl, &QuotaRequest{})
 	peer.Register(peer.ClassControl, &QuotaAnswer{})
 	peer.Register(peer.ClassData, &Submit{})
 	peer.Register(peer.ClassData, &Attach{})
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -109,7 +109,7 @@
 	question.sentWanted = question.ask.Wanted
 	route := l.Router.Route(l.Router.Shard(quotaHome(quota.Tenant)))
 	if route.Leader != "" {
-		l.Transport.Send(route.Leader, &QuotaAsk{Ask: question.ask})
+		l.Transport.Send(route.Leader, &QuotaRequest{Ask: question.ask})
 	}
 	l.after(quotaRetry, func() {
 		if l.quotas.questions[quota] == question {
--- a/internal/dispatch/refuse.go
+++ b/internal/dispatch/refuse.go
@@ -33,7 +33,7 @@
 // copy of it may still be under way, in a daemon that is paused for instance,
 // and be taken then; so a caller that sent it before is not told "not run".
 func (l *leader) refuseForNow(follower attachment, call structs.Call, refusal structs.Outcome) {
-	if call.Retry && !l.Guards.SkipDisproof {
+	if call.Retry && !l.Guards.SkipRunCheck {
 		refusal.Status = structs.OutcomeUnknown
 	}
 	l.refuseForGood(follower, call, refusal)
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -17,7 +17,7 @@
 func (l *leader) attemptEnded(active *activeCall, end framework.AttemptEnd) {
 	if end.Draining {
 		if open := l.openCall(active); open != nil {
-			l.Directory.Draining(open.BackEnd)
+			l.Directory.MarkDraining(open.BackEnd)
 		}
 	}
 	switch end.Kind {
@@ -35,7 +35,7 @@
 		l.rejected(active, end)
 	case framework.EndLost:
 		if open := l.openCall(active); open != nil {
-			l.Directory.Unreachable(open.BackEnd)
+			l.Directory.MarkUnreachable(open.BackEnd)
 		}
 		l.decide(active.key, active.call.RequestID, "lost", "The connection to the back end broke; it is asked.")
 		l.inspect(active)
@@ -45,14 +45,14 @@
 func (l *leader) result(active *activeCall, end framework.AttemptEnd) schedule.Result {
 	now := l.Clock.Now()
 	result := schedule.Result{
-		Started: true,
-		Failed:  end.Kind == framework.EndFailed,
-		Ended:   active.call.EndProgram,
-		Usage:   end.Usage,
-		Took:    now.Sub(active.startedAt),
+		Started:      true,
+		Failed:       end.Kind == framework.EndFailed,
+		ProgramEnded: active.call.EndProgram,
+		Usage:        end.Usage,
+		Duration:     now.Sub(active.startedAt),
 	}
 	if !active.firstChunkAt.IsZero() {
-		result.FirstTokenAfter = active.firstChunkAt.Sub(active.startedAt)
+		result.TimeToFirstToken = active.firstChunkAt.Sub(active.startedAt)
 	}
 	return result
 }
@@ -216,7 +216,7 @@
 // not_run; a caller may not conclude from it that no copy runs.
 func (l *leader) withoutFinality(active *activeCall, outcome structs.Outcome) structs.Outcome {
 	refusedForNow := outcome.Status == structs.OutcomeNotRun && outcome.RetryAfter > 0
-	if !refusedForNow || !active.sentBefore || l.Guards.SkipDisproof || l.refusesCopies(active) {
+	if !refusedForNow || !active.sentBefore || l.Guards.SkipRunCheck || l.refusesCopies(active) {
 		return outcome
 	}
 	outcome.Status = structs.OutcomeUnknown
--- a/internal/dispatch/transfer.go
+++ b/internal/dispatch/transfer.go
@@ -58,7 +58,7 @@
 		return
 	}
 	planned := active.assignment.Transfer
-	l.Scheduler.Transferred(min(tokens, planned.Tokens), took)
+	l.Scheduler.RecordTransfer(min(tokens, planned.Tokens), took)
 	l.decide(active.key, active.call.RequestID, "move", fmt.Sprintf(
 		"The engine has %d tokens of the cache now; %d of them were to come from %s in %.3f s, and did in %.3f s.",
 		tokens, planned.Tokens, transfer.From, planned.Seconds, took.Seconds()))
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -91,7 +91,7 @@
 	zone := shape.Zones[0]
 	f.scheduler = schedule.NewWithOptions(schedule.Options{
 		Clock:          f.clock,
-		Limit:          waitingLimit,
+		QueueLimit:     waitingLimit,
 		Zone:           zone,
 		Profile:        profile,
 		Configurations: configurations,
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -48,10 +48,10 @@
 		return schedule.DefaultProfile()
 	}
 	return schedule.Profile{
-		QueuePolicy: "fcfs",
-		Filters:     []string{"serving"},
-		Scorers:     []string{policy},
-		LookAhead:   1,
-		KeepHome:    true,
+		QueuePolicy:    "fcfs",
+		Filters:        []string{"serving"},
+		Scorers:        []string{policy},
+		LookAhead:      1,
+		StrictAffinity: true,
 	}
 }
--- a/internal/historycost/shard.go
+++ b/internal/historycost/shard.go
@@ -15,14 +15,14 @@
 // warmUpTurns are enough for each of the compressor's parts to have been used.
 const warmUpTurns = 64
 
-// KeptCost is what programs take in one replica of a real program.Shard.
-type KeptCost struct {
+// ShardCost is what programs take in one replica of a real program.Shard.
+type ShardCost struct {
 	Turns    int `json:"turns"`
 	Programs int `json:"programs"`
 	// HeapBytes is the live heap per program after collection.
 	HeapBytes int64 `json:"heap_bytes_per_program"`
-	// CountedBytes is what the daemon's account says, per program.
-	CountedBytes int64 `json:"counted_bytes_per_program"`
+	// AccountedBytes is what the daemon's account says, per program.
+	AccountedBytes int64 `json:"counted_bytes_per_program"`
 	// ApplyTime is the time per call to fold its three records in.
 	ApplyTime time.Duration `json:"apply_ns_per_call"`
 	// FreezeTime is the time for which a snapshot stops a shard, per program,
@@ -36,12 +36,12 @@
 	NextPromptTime  time.Duration `json:"next_prompt_ns"`
 }
 
-// MeasureKept fills a shard with programs of some turns each and weighs it. Its
+// MeasureShard fills a shard with programs of some turns each and weighs it. Its
 // times are wall times on one thread and differ between runs.
-func MeasureKept(programs, turns int, seed uint64) KeptCost {
+func MeasureShard(programs, turns int, seed uint64) ShardCost {
 	w := newWriter(seed)
 	prompt := w.text(templatePrompt)
-	cost := KeptCost{Turns: turns, Programs: programs}
+	cost := ShardCost{Turns: turns, Programs: programs}
 	w.warmUp()
 	before := liveHeap()
 	memory := program.NewMemory(program.DefaultMemoryLimits())
@@ -59,7 +59,7 @@
 		}
 	}
 	cost.HeapBytes = (liveHeap() - before) / int64(programs)
-	cost.CountedBytes = memory.Kept() / int64(programs)
+	cost.AccountedBytes = memory.Kept() / int64(programs)
 	cost.ApplyTime = applying / time.Duration(programs*turns)
 	started := time.Now()
 	encode := shard.Freeze()
--- a/internal/historycost/shard_test.go
+++ b/internal/historycost/shard_test.go
@@ -11,12 +11,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := MeasureKept(programs, turns, 1)
+	kept := MeasureShard(programs, turns, 1)
 	if kept.HeapBytes*3 > text.EncodedBytes*2 {
 		t.Errorf("%d bytes of heap per program for %d bytes of conversation, want at most two thirds", kept.HeapBytes, text.EncodedBytes)
 	}
-	if difference := kept.CountedBytes - kept.HeapBytes; difference*difference*16 > kept.HeapBytes*kept.HeapBytes {
-		t.Errorf("counted %d bytes per program, want %d, the heap, give or take a quarter", kept.CountedBytes, kept.HeapBytes)
+	if difference := kept.AccountedBytes - kept.HeapBytes; difference*difference*16 > kept.HeapBytes*kept.HeapBytes {
+		t.Errorf("counted %d bytes per program, want %d, the heap, give or take a quarter", kept.AccountedBytes, kept.HeapBytes)
 	}
 }
 
@@ -24,10 +24,10 @@
 	for _, size := range []struct{ programs, turns int }{{400, 16}, {60, 140}, {10, 1000}} {
 		b.Run(fmt.Sprint(size.turns, "-turns"), func(b *testing.B) {
 			for range b.N {
-				kept := MeasureKept(size.programs, size.turns, 1)
+				kept := MeasureShard(size.programs, size.turns, 1)
 				b.ReportMetric(float64(kept.Turns), "turns")
 				b.ReportMetric(float64(kept.HeapBytes), "heap-B/program")
-				b.ReportMetric(float64(kept.CountedBytes), "counted-B/program")
+				b.ReportMetric(float64(kept.AccountedBytes), "counted-B/program")
 				b.ReportMetric(float64(kept.ApplyTime.Nanoseconds()), "apply-ns/call")
 				b.ReportMetric(float64(kept.FreezeTime.Nanoseconds()), "freeze-ns/program")
 				b.ReportMetric(float64(kept.SnapshotTime.Nanoseconds()), "snapshot-ns/program")
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -39,7 +39,7 @@
 func (n *Node) newScheduler() *schedule.Scheduler {
 	return schedule.NewWithOptions(schedule.Options{
 		Clock:          n.Clock,
-		Limit:          n.Settings.QueueLimit,
+		QueueLimit:     n.Settings.QueueLimit,
 		Zone:           n.Self.Zone,
 		Profile:        schedule.DefaultProfile(),
 		Configurations: n.Configurations,
--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -78,7 +78,7 @@
 		for _, adapter := range load.Adapters {
 			place := adapterPlace{engine, adapter.ModelAdapter}
 			use := c.adapterUse[place]
-			busy := adapter.Running > 0 || fleet.of(adapter.ModelAdapter).Waiting > 0 || now.Sub(use) < c.Settings.AdapterStay
+			busy := adapter.Running > 0 || fleet.of(adapter.ModelAdapter).Waiting > 0 || now.Sub(use) < c.Settings.AdapterRetention
 			if !busy && (oldest.engine == "" || use.Before(oldestUse)) {
 				oldest, oldestUse = place, use
 			}
@@ -115,7 +115,7 @@
 			named = configuredAdapters(configuration)
 		}
 		for _, adapter := range load.Adapters {
-			unused := c.Clock.Now().Sub(c.adapterUse[adapterPlace{engine, adapter.ModelAdapter}]) >= c.Settings.AdapterStay
+			unused := c.Clock.Now().Sub(c.adapterUse[adapterPlace{engine, adapter.ModelAdapter}]) >= c.Settings.AdapterRetention
 			if unused && !named[adapter.ModelAdapter] {
 				c.issue(adapterOrder(engine, structs.OrderUnloadAdapter, adapter.ModelAdapter))
 				break
--- a/internal/placement/adapters_test.go
+++ b/internal/placement/adapters_test.go
@@ -99,7 +99,7 @@
 		w.run(10 * time.Second)
 	}
 	places := 4 * adapterSlots
-	bound := places * int(hour/w.manager.Settings.AdapterStay)
+	bound := places * int(hour/w.manager.Settings.AdapterRetention)
 	unloads := w.countOrders(structs.OrderUnloadAdapter)
 	if unloads == 0 || unloads > bound {
 		t.Errorf("%d unloads in an hour, want some and at most %d", unloads, bound)
@@ -111,7 +111,7 @@
 		if order.Kind == structs.OrderLoadAdapter {
 			lastLoad[place] = at
 		}
-		if order.Kind == structs.OrderUnloadAdapter && at.Sub(lastLoad[place]) < w.manager.Settings.AdapterStay {
+		if order.Kind == structs.OrderUnloadAdapter && at.Sub(lastLoad[place]) < w.manager.Settings.AdapterRetention {
 			t.Errorf("%v was unloaded %v after it was loaded", place, at.Sub(lastLoad[place]))
 		}
 	}
@@ -206,7 +206,7 @@
 	w.engines.loadTime = time.Hour
 	w.want(1, 0, 1, 2, 3)
 	for range 30 {
-		w.manager.Receive("other", &Summary{To: 0, From: 1, Reading: w.manager.Settings.MaximumReading - 1})
+		w.manager.Receive("other", &Summary{To: 0, From: 1, Loading: w.manager.Settings.MaximumLoading - 1})
 		w.run(2 * time.Second)
 	}
 	if got := len(w.engines.orders); got > 1 {
--- a/internal/placement/controller.go
+++ b/internal/placement/controller.go
@@ -118,7 +118,7 @@
 // leader that hears nothing for long goes on alone.
 func (c *controller) knowsOthers() bool {
 	now := c.Clock.Now()
-	if now.Sub(c.startedAt) > c.Settings.SummaryAge {
+	if now.Sub(c.startedAt) > c.Settings.ReportTTL {
 		return true
 	}
 	return len(c.others) >= c.Settings.Shards-1
@@ -150,7 +150,7 @@
 // latest returns an engine's report unless it is old.
 func (c *controller) latest(engine structs.EngineID) (structs.LoadReport, bool) {
 	seen, known := c.reports[engine]
-	if !known || c.Clock.Now().Sub(seen.at) > c.Settings.SummaryAge {
+	if !known || c.Clock.Now().Sub(seen.at) > c.Settings.ReportTTL {
 		return structs.LoadReport{}, false
 	}
 	return seen.load, true
@@ -191,14 +191,14 @@
 }
 
 func (c *controller) summaryHeard(summary *Summary) {
-	c.others[summary.From] = heardSummary{models: summary.Models, reading: summary.Reading, at: c.Clock.Now()}
+	c.others[summary.From] = heardSummary{models: summary.Models, reading: summary.Loading, at: c.Clock.Now()}
 }
 
 // worthTelling leaves out adapters that no call waits for and no engine reads:
 // there may be as many as tenants, and nobody decides about them.
 func worthTelling(own []ModelLoad, fleet loads) []ModelLoad {
 	return slices.DeleteFunc(own, func(load ModelLoad) bool {
-		return load.Adapter != "" && load.Changing == 0 && fleet.of(load.ModelAdapter).Waiting == 0
+		return load.Adapter != "" && load.Loading == 0 && fleet.of(load.ModelAdapter).Waiting == 0
 	})
 }
 
@@ -210,7 +210,7 @@
 			continue
 		}
 		if route := c.Router.Route(shard); route.Leader != "" {
-			c.Transport.Send(route.Leader, &Summary{To: shard, From: c.shard, Models: models, Reading: reading})
+			c.Transport.Send(route.Leader, &Summary{To: shard, From: c.shard, Models: models, Loading: reading})
 		}
 	}
 }
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -90,7 +90,7 @@
 	if remaining.Engines < leastEngines(configuration, model) {
 		return false
 	}
-	return remaining.use() <= c.Settings.LowUse
+	return remaining.use() <= c.Settings.LowUtilization
 }
 
 // leastEngines returns how many engines a model is never taken below; one that
--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -53,9 +53,9 @@
 	configuration := *w.current
 	configuration.Fleet.WeightReaders = 2
 	w.current = &configuration
-	w.engines.loadTime = w.manager.Settings.OrderPatience
+	w.engines.loadTime = w.manager.Settings.OrderTimeout
 	w.want(1, 0, 1, 2, 3)
-	w.run(w.manager.Settings.OrderPatience / 2)
+	w.run(w.manager.Settings.OrderTimeout / 2)
 	if got := len(w.engines.orders); got != 2 {
 		t.Errorf("%d engines were told to read, want two", got)
 	}
@@ -63,7 +63,7 @@
 
 func TestSummariesLeaveOutAdaptersThatNobodyWants(t *testing.T) {
 	entry := func(number, changing int) ModelLoad {
-		return ModelLoad{ModelAdapter: adapterOf(number), Engines: 1, Changing: changing}
+		return ModelLoad{ModelAdapter: adapterOf(number), Engines: 1, Loading: changing}
 	}
 	fleet := loads{}
 	fleet.of(adapterOf(1)).Waiting = 1
--- a/internal/placement/loads.go
+++ b/internal/placement/loads.go
@@ -36,7 +36,7 @@
 	for _, model := range models {
 		entry := l.of(model.ModelAdapter)
 		entry.Engines += model.Engines
-		entry.Changing += model.Changing
+		entry.Loading += model.Loading
 		entry.Running += model.Running
 		entry.Capacity += model.Capacity
 		entry.Waiting += model.Waiting
@@ -60,7 +60,7 @@
 	}
 	now := c.Clock.Now()
 	for from, heard := range c.demand {
-		if now.Sub(heard.at) > c.Settings.SummaryAge {
+		if now.Sub(heard.at) > c.Settings.ReportTTL {
 			delete(c.demand, from)
 			continue
 		}
@@ -91,7 +91,7 @@
 		entry.Running += load.Running + load.Waiting
 	}
 	if order != nil && order.Kind == structs.OrderLoadModel {
-		entry.Changing++
+		entry.Loading++
 	}
 	for _, adapter := range servedAdapters(load, order) {
 		if adapter.Model != model {
@@ -100,7 +100,7 @@
 		entry := sums.of(adapter)
 		entry.Engines++
 		if !load.Serves(adapter) {
-			entry.Changing++
+			entry.Loading++
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	sums.add(own)
 	now := c.Clock.Now()
 	for _, other := range c.others {
-		if now.Sub(other.at) <= c.Settings.SummaryAge {
+		if now.Sub(other.at) <= c.Settings.ReportTTL {
 			sums.add(other.models)
 		}
 	}
@@ -172,9 +172,9 @@
 // an adapter although engines serve it and none more is reading it.
 func (c *controller) inWant(load *ModelLoad) bool {
 	if load.Adapter != "" {
-		return load.Waiting > 0 && load.Engines > 0 && load.Changing == 0
+		return load.Waiting > 0 && load.Engines > 0 && load.Loading == 0
 	}
-	return load.use() >= c.Settings.HighUse
+	return load.use() >= c.Settings.HighUtilization
 }
 
 // noteHighUse remembers since when models and adapters have been in want of
@@ -196,5 +196,5 @@
 // sustained tells whether something has been in want of engines for long.
 func (c *controller) sustained(wanted structs.ModelAdapter) bool {
 	since, high := c.highSince[wanted]
-	return high && c.Clock.Now().Sub(since) >= c.Settings.Sustain
+	return high && c.Clock.Now().Sub(since) >= c.Settings.HighUseDuration
 }
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -22,45 +22,45 @@
 	// Period is the pause between looks. One control shard at a time may have
 	// engines read weights, in turn, and a model is started once per period.
 	Period time.Duration
-	// MaximumReading bounds the engines of the whole fleet that read from the
+	// MaximumLoading bounds the engines of the whole fleet that read from the
 	// weight store at a time, where operators set no other bound.
-	MaximumReading int
-	// HighUse is the share of a model's batches in use above which it gets
+	MaximumLoading int
+	// HighUtilization is the share of a model's batches in use above which it gets
 	// another engine; LowUse that below which it may give one up.
-	HighUse float64
-	LowUse  float64
-	// Sustain is how long a model must be above HighUse.
-	Sustain time.Duration
+	HighUtilization float64
+	LowUtilization  float64
+	// HighUseDuration is how long a model must be above HighUse.
+	HighUseDuration time.Duration
 	// Cooldown is how long an engine stays as it is after a change.
 	Cooldown time.Duration
-	// OrderPatience is when an order that is not carried out is given up.
-	OrderPatience time.Duration
-	// FailurePause is how long an engine whose order was refused or given up
+	// OrderTimeout is when an order that is not carried out is given up.
+	OrderTimeout time.Duration
+	// FailureBackoff is how long an engine whose order was refused or given up
 	// gets no other.
-	FailurePause time.Duration
-	// AdapterStay is how long an adapter stays at an engine after it was last
+	FailureBackoff time.Duration
+	// AdapterRetention is how long an adapter stays at an engine after it was last
 	// seen in use, also when others are in want of its place.
-	AdapterStay time.Duration
-	// SummaryAge is when another shard's summary, a daemon's demand or an
+	AdapterRetention time.Duration
+	// ReportTTL is when another shard's summary, a daemon's demand or an
 	// engine's report no longer counts.
-	SummaryAge time.Duration
+	ReportTTL time.Duration
 }
 
 // DefaultSettings returns settings for one control shard. FirstShard is the
 // node's to set: control shards follow the program shards.
 func DefaultSettings() Settings {
 	return Settings{
-		Shards:         1,
-		Period:         5 * time.Second,
-		MaximumReading: 4,
-		HighUse:        0.85,
-		LowUse:         0.5,
-		Sustain:        15 * time.Second,
-		Cooldown:       2 * time.Minute,
-		OrderPatience:  5 * time.Minute,
-		FailurePause:   30 * time.Second,
-		AdapterStay:    2 * time.Minute,
-		SummaryAge:     30 * time.Second,
+		Shards:           1,
+		Period:           5 * time.Second,
+		MaximumLoading:   4,
+		HighUtilization:  0.85,
+		LowUtilization:   0.5,
+		HighUseDuration:  15 * time.Second,
+		Cooldown:         2 * time.Minute,
+		OrderTimeout:     5 * time.Minute,
+		FailureBackoff:   30 * time.Second,
+		AdapterRetention: 2 * time.Minute,
+		ReportTTL:        30 * time.Second,
 	}
 }
 
@@ -196,7 +196,7 @@
 		m.toController(from, typed.Shard, func(c *controller) { c.demandHeard(from, typed) })
 	case *Summary:
 		m.toController(from, typed.To, func(c *controller) { c.summaryHeard(typed) })
-	case *Elsewhere:
+	case *Redirected:
 		m.Router.Learn(typed.Shard, replication.Route{Leader: typed.Leader, Epoch: typed.Epoch})
 	default:
 		return false
@@ -211,7 +211,7 @@
 		c.post(func() { task(c) })
 		return
 	}
-	answer := &Elsewhere{Shard: shard}
+	answer := &Redirected{Shard: shard}
 	if route := m.Router.Route(shard); route.Leader != m.Self {
 		answer.Leader, answer.Epoch = route.Leader, route.Epoch
 	}
--- a/internal/placement/messages.go
+++ b/internal/placement/messages.go
@@ -24,8 +24,8 @@
 	To     structs.ShardNumber `json:"t"`
 	From   structs.ShardNumber `json:"f"`
 	Models []ModelLoad         `json:"m"`
-	// Reading counts the engines that are being told to read weights.
-	Reading int `json:"r,omitempty"`
+	// Loading counts the engines that are being told to read weights.
+	Loading int `json:"r,omitempty"`
 }
 
 // ModelLoad sums up a model, or an adapter of it, over the engines of one
@@ -34,9 +34,9 @@
 	structs.ModelAdapter
 	// Engines counts those that serve it or are being told to.
 	Engines int `json:"e"`
-	// Changing counts those of them that are told to read the model, or another
+	// Loading counts those of them that are told to read the model, or another
 	// version of it, or the adapter.
-	Changing int `json:"u,omitempty"`
+	Loading int `json:"u,omitempty"`
 	// Running counts requests in batches and engines' queues, Capacity the
 	// largest batches, Waiting the calls in daemons' queues. Of adapters only
 	// the calls that wait are counted.
@@ -45,9 +45,9 @@
 	Waiting  int `json:"w"`
 }
 
-// Elsewhere answers a message to a control shard that the receiver does not
+// Redirected answers a message to a control shard that the receiver does not
 // lead, with what it knows better; no Leader means that it knows nothing.
-type Elsewhere struct {
+type Redirected struct {
 	Shard  structs.ShardNumber `json:"s"`
 	Leader structs.DaemonID    `json:"l,omitempty"`
 	Epoch  structs.Epoch       `json:"e,omitempty"`
@@ -55,13 +55,13 @@
 
 // Kinds of message of this package.
 const (
-	KindElsewhere peer.Kind = "placement.elsewhere"
-	KindDemand    peer.Kind = "placement.demand"
-	KindSummary   peer.Kind = "placement.summary"
+	KindRedirected peer.Kind = "placement.elsewhere"
+	KindDemand     peer.Kind = "placement.demand"
+	KindSummary    peer.Kind = "placement.summary"
 )
 
 // MessageKind implements peer.Message.
-func (*Elsewhere) MessageKind() peer.Kind { return KindElsewhere }
+func (*Redirected) MessageKind() peer.Kind { return KindRedirected }
 
 // MessageKind implements peer.Message.
 func (*Demand) MessageKind() peer.Kind { return KindDemand }
@@ -72,5 +72,5 @@
 func init() {
 	peer.Register(peer.ClassControl, &Demand{})
 	peer.Register(peer.ClassControl, &Summary{})
-	peer.Register(peer.ClassControl, &Elsewhere{})
+	peer.Register(peer.ClassControl, &Redirected{})
 }
--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -49,11 +49,11 @@
 	reading := c.ownReading()
 	now := c.Clock.Now()
 	for _, other := range c.others {
-		if now.Sub(other.at) <= c.Settings.SummaryAge {
+		if now.Sub(other.at) <= c.Settings.ReportTTL {
 			reading += other.reading
 		}
 	}
-	return max(cmp.Or(configuration.Fleet.WeightReaders, c.Settings.MaximumReading)-reading, 0)
+	return max(cmp.Or(configuration.Fleet.WeightReaders, c.Settings.MaximumLoading)-reading, 0)
 }
 
 // idle returns the report of an engine that may be given an order: nothing is
@@ -67,7 +67,7 @@
 		return load, true
 	}
 	reading := len(load.Loading) > 0 || slices.ContainsFunc(load.Adapters, func(a structs.EngineAdapter) bool { return a.Loading })
-	failed := c.Clock.Now().Sub(c.state.Engine(engine).FailedAt) < c.Settings.FailurePause
+	failed := c.Clock.Now().Sub(c.state.Engine(engine).FailedAt) < c.Settings.FailureBackoff
 	return load, c.ordered(engine) == nil && !reading && !failed
 }
 
@@ -86,7 +86,7 @@
 		switch {
 		case c.obeyed(engine):
 			c.settleOrder(order, true)
-		case now.Sub(engine.IssuedAt) >= c.Settings.OrderPatience:
+		case now.Sub(engine.IssuedAt) >= c.Settings.OrderTimeout:
 			c.Logger.Warn().Str("engine", string(order.Engine)).Str("kind", string(order.Kind)).Str("model", string(order.Model)).Msg("Order given up.")
 			c.settleOrder(order, false)
 		default:
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -292,7 +292,7 @@
 	w := newWorld()
 	w.manager.Settings.Cooldown = 0
 	w.waiting = []ModelWaiting{{ModelAdapter: structs.ModelAdapter{Model: large}, Calls: 300}}
-	w.run(w.manager.Settings.Sustain + 3*w.manager.Settings.Period)
+	w.run(w.manager.Settings.HighUseDuration + 3*w.manager.Settings.Period)
 	loads := 0
 	for _, order := range w.engines.orders {
 		if order.Kind == structs.OrderLoadModel {
--- a/internal/placement/versions.go
+++ b/internal/placement/versions.go
@@ -30,13 +30,13 @@
 	load := c.reports[engine].load
 	model := load.Models[0]
 	rest := *fleet.model(model)
-	rest.Engines -= rest.Changing + 1
-	rest.Capacity -= (rest.Changing + 1) * load.MaximumRunning
-	enough := rest.Engines >= leastEngines(configuration, model) && rest.Capacity > 0 && rest.use() <= c.Settings.HighUse
+	rest.Engines -= rest.Loading + 1
+	rest.Capacity -= (rest.Loading + 1) * load.MaximumRunning
+	enough := rest.Engines >= leastEngines(configuration, model) && rest.Capacity > 0 && rest.use() <= c.Settings.HighUtilization
 	switch {
 	case enough:
 		return engine, true
-	case rest.Changing > 0:
+	case rest.Loading > 0:
 		return "", false
 	case rest.Engines > 0:
 		return engine, true
--- a/internal/plugins/scorer/queue/setup.go
+++ b/internal/plugins/scorer/queue/setup.go
@@ -22,7 +22,7 @@
 func (scorer) Score(candidate *schedule.Candidate) float64 {
 	engine := candidate.Engine
 	backlog := 0.0
-	if candidate.Room {
+	if candidate.HasRoom {
 		backlog = candidate.BacklogSeconds
 	}
 	return backlog + candidate.Outlook.AnswerTokens*stepSecondsPerCall*float64(engine.Occupied())
--- a/internal/schedule/cache_belief.go
+++ b/internal/schedule/cache_belief.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// CacheGap tells that events of an engine were lost for good. Belief older
+// CacheEventsLost tells that events of an engine were lost for good. Belief older
 // than its lifetime is dropped at once; the rest is left to be corrected.
-func (s *Scheduler) CacheGap(engine structs.EngineID) {
+func (s *Scheduler) CacheEventsLost(engine structs.EngineID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if e := s.index.engines[engine]; e != nil {
--- a/internal/schedule/candidates.go
+++ b/internal/schedule/candidates.go
@@ -40,7 +40,7 @@
 		if best.any == nil || score < best.anyScore {
 			best.any, best.anyScore = view, score
 		}
-		if c.Room && (best.free == nil || score < best.freeScore) {
+		if c.HasRoom && (best.free == nil || score < best.freeScore) {
 			best.free, best.freeScore, best.freeMiss = view, score, c.MissTokens()
 		}
 	}
@@ -111,10 +111,10 @@
 	c.Engine = view
 	c.HitTokens = hitTokens
 	c.BacklogSeconds = backlog.Seconds()
-	c.Room = view.hasRoom(s.demand(entry, view), backlog) && !s.givesWay(entry, view, c.Now)
+	c.HasRoom = view.hasRoom(s.demand(entry, view), backlog) && !s.givesWay(entry, view, c.Now)
 	c.Transfer = s.transferTo(entry, view, hitTokens)
 	c.WaitSeconds = 0
-	if !c.Room {
+	if !c.HasRoom {
 		c.WaitSeconds = max(view.slotWait(entry, c.BacklogSeconds), c.BacklogSeconds-s.profile.PrefillBacklog.Seconds())
 	}
 }
--- a/internal/schedule/crowded.go
+++ b/internal/schedule/crowded.go
@@ -4,10 +4,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Crowded refuses the first call of a program that Enqueue would refuse now,
+// NewProgramRefusal refuses the first call of a program that Enqueue would refuse now,
 // so that nothing needs to be recorded of it: the part of the queue for new
 // programs is full, and the tenant fills most of it for its share.
-func (s *Scheduler) Crowded(tenant structs.TenantName) (structs.Outcome, bool) {
+func (s *Scheduler) NewProgramRefusal(tenant structs.TenantName) (structs.Outcome, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.waiting) < max(s.newProgramLimit(), 1) {
--- a/internal/schedule/engine_view.go
+++ b/internal/schedule/engine_view.go
@@ -30,10 +30,10 @@
 	AssignedTokens int64
 	// Total counts the calls ever assigned.
 	Total int64
-	// KeptTokens is what it keeps for this daemon's paused programs.
-	KeptTokens int64
-	// Foreign is the number of calls there from others.
-	Foreign int
+	// HeldTokens is what it keeps for this daemon's paused programs.
+	HeldTokens int64
+	// ForeignCalls is the number of calls there from others.
+	ForeignCalls int
 	// prefillUntil is when the prompt work sent there will be done.
 	prefillUntil time.Time
 	// PrefillSecondsPerToken and DecodeSecondsPerToken are learned.
@@ -67,7 +67,7 @@
 }
 
 // Occupied returns the calls there as far as known.
-func (v *EngineView) Occupied() int { return v.Assigned + v.Foreign }
+func (v *EngineView) Occupied() int { return v.Assigned + v.ForeignCalls }
 
 // Serves tells whether the engine takes new work for a model.
 func (v *EngineView) Serves(model structs.ModelName) bool {
@@ -105,7 +105,7 @@
 		return true
 	}
 	capacity := int64(d.memory * float64(v.Load.CacheCapacityTokens))
-	return capacity == 0 || v.AssignedTokens+v.KeptTokens+d.tokens <= capacity
+	return capacity == 0 || v.AssignedTokens+v.HeldTokens+d.tokens <= capacity
 }
 
 // slotWait returns the expected wait of a call for a place behind others.
@@ -138,7 +138,7 @@
 	if !result.Started || result.Failed {
 		return
 	}
-	v.service.add(result.Took.Seconds())
+	v.service.add(result.Duration.Seconds())
 	v.learnSpeed(result)
 }
 
@@ -146,16 +146,16 @@
 // to the first token includes waiting, so a slow one teaches little.
 func (v *EngineView) learnSpeed(result Result) {
 	computed := result.Usage.PromptTokens - result.Usage.CachedTokens
-	if computed >= learnFromTokens && result.FirstTokenAfter > 0 {
-		seen := result.FirstTokenAfter.Seconds() / float64(computed)
+	if computed >= learnFromTokens && result.TimeToFirstToken > 0 {
+		seen := result.TimeToFirstToken.Seconds() / float64(computed)
 		weight := learningRate
 		if seen > v.PrefillSecondsPerToken {
 			weight *= learningRate
 		}
 		v.PrefillSecondsPerToken += weight * (seen - v.PrefillSecondsPerToken)
 	}
-	if result.Usage.CompletionTokens > 1 && result.Took > result.FirstTokenAfter {
-		seen := (result.Took - result.FirstTokenAfter).Seconds() / float64(result.Usage.CompletionTokens-1)
+	if result.Usage.CompletionTokens > 1 && result.Duration > result.TimeToFirstToken {
+		seen := (result.Duration - result.TimeToFirstToken).Seconds() / float64(result.Usage.CompletionTokens-1)
 		v.DecodeSecondsPerToken += learningRate * (seen - v.DecodeSecondsPerToken)
 	}
 }
@@ -164,7 +164,7 @@
 // had there within the lag belongs to others.
 func (v *EngineView) report(report structs.LoadReport, now time.Time) {
 	v.Load = report
-	v.Foreign = max(report.Running+report.Waiting-v.history.most(now), 0)
+	v.ForeignCalls = max(report.Running+report.Waiting-v.history.most(now), 0)
 	tokens := float64(report.QueuedPrefillTokens + v.history.tokens(now))
 	known := now.Add(time.Duration(tokens * v.PrefillSecondsPerToken * float64(time.Second)))
 	if v.prefillUntil.After(known) {
--- a/internal/schedule/estimates.go
+++ b/internal/schedule/estimates.go
@@ -187,7 +187,7 @@
 	statistics := e.template(item.Template)
 	turn := &statistics.turns[turnIndex(item.Turn)]
 	if result.Started && !result.Failed {
-		turn.service.add(result.Took.Seconds())
+		turn.service.add(result.Duration.Seconds())
 		turn.answer.add(float64(result.Usage.CompletionTokens))
 		if item.Turn <= 1 {
 			statistics.shared.add(float64(result.Usage.CachedTokens))
@@ -198,13 +198,13 @@
 	if state == nil {
 		return
 	}
-	if result.Ended {
+	if result.ProgramEnded {
 		e.forget(state)
 		return
 	}
 	state.finishedAt = now
 	state.engine = engine
-	state.served += result.Took.Seconds()
+	state.served += result.Duration.Seconds()
 }
 
 func (e *estimates) forget(state *programState) {
@@ -218,11 +218,11 @@
 	index := turnIndex(item.Turn)
 	turn := &statistics.turns[index]
 	outlook := Outlook{
-		RemainingTurns:   turn.remainingTurns,
-		RemainingSeconds: turn.remainingSeconds,
-		AnswerTokens:     turn.answer.or(defaultAnswerTokens),
-		Returns:          statistics.returns(index),
-		PauseSeconds:     statistics.pause.mean.or(defaultPauseSeconds),
+		RemainingTurns:    turn.remainingTurns,
+		RemainingSeconds:  turn.remainingSeconds,
+		AnswerTokens:      turn.answer.or(defaultAnswerTokens),
+		ReturnProbability: statistics.returns(index),
+		PauseSeconds:      statistics.pause.mean.or(defaultPauseSeconds),
 	}
 	if item.MaximumTokens > 0 {
 		outlook.AnswerTokens = min(outlook.AnswerTokens, float64(item.MaximumTokens))
--- a/internal/schedule/extension.go
+++ b/internal/schedule/extension.go
@@ -28,8 +28,8 @@
 	ServedSeconds float64
 	// AnswerTokens is the expected length of the answer.
 	AnswerTokens float64
-	// Returns is the probability that another call follows.
-	Returns float64
+	// ReturnProbability is the probability that another call follows.
+	ReturnProbability float64
 	// PauseSeconds is the expected pause before it, if it follows.
 	PauseSeconds float64
 }
@@ -48,8 +48,8 @@
 	// Transfer is the copy of the program's cache that would be made first, if
 	// that pays.
 	Transfer Transfer
-	// Room is set when the engine can take the call now.
-	Room bool
+	// HasRoom is set when the engine can take the call now.
+	HasRoom bool
 	// WaitSeconds is the expected wait for a place when there is no room.
 	WaitSeconds float64
 	// BestHitTokens is the most that any engine is believed to hold.
--- a/internal/schedule/harness_test.go
+++ b/internal/schedule/harness_test.go
@@ -34,7 +34,7 @@
 	}
 	h.scheduler = schedule.NewWithOptions(schedule.Options{
 		Clock:          h.clock,
-		Limit:          limit,
+		QueueLimit:     limit,
 		Profile:        profile,
 		Configurations: fixedConfiguration{configuration},
 	})
@@ -102,7 +102,7 @@
 			CachedTokens:     cached,
 			CompletionTokens: 50,
 		},
-		FirstTokenAfter: 100 * time.Millisecond,
-		Took:            time.Second,
+		TimeToFirstToken: 100 * time.Millisecond,
+		Duration:         time.Second,
 	})
 }
--- a/internal/schedule/hold.go
+++ b/internal/schedule/hold.go
@@ -24,12 +24,12 @@
 // token's prompt work.
 func (s *Scheduler) hold(entry *waitingItem, view *EngineView, now time.Time) (bool, time.Duration) {
 	if !s.profile.ManageHolds {
-		return s.profile.PinAlways, entry.HoldTime
+		return s.profile.HoldAlways, entry.HoldTime
 	}
 	if entry.HoldTime <= 0 {
 		return false, 0
 	}
-	seconds, gain := s.estimates.template(entry.Template).pause.keep(entry.outlook.Returns, s.memoryPrice(view, now))
+	seconds, gain := s.estimates.template(entry.Template).pause.keep(entry.outlook.ReturnProbability, s.memoryPrice(view, now))
 	if gain <= 0 {
 		return false, 0
 	}
@@ -53,7 +53,7 @@
 	if capacity == 0 {
 		return 0
 	}
-	occupied := float64(view.AssignedTokens+view.KeptTokens) / capacity
+	occupied := float64(view.AssignedTokens+view.HeldTokens) / capacity
 	pressure := min(max(occupied-freeMemory, 0)/(1-freeMemory), 1)
 	return view.churn.current(now) / capacity * ((1-s.weight)*latencyPrice*pressure + s.weight)
 }
--- a/internal/schedule/memory.go
+++ b/internal/schedule/memory.go
@@ -45,7 +45,7 @@
 func (s *Scheduler) keep(state *programState, engine *EngineView, tokens int64, until time.Time) {
 	s.dropKept(state)
 	state.kept = &keptCache{engine: engine, tokens: tokens, until: until}
-	engine.KeptTokens += tokens
+	engine.HeldTokens += tokens
 	heap.Push(&s.kept, state.kept)
 }
 
@@ -56,7 +56,7 @@
 	}
 	if state.kept.position >= 0 {
 		heap.Remove(&s.kept, state.kept.position)
-		state.kept.engine.KeptTokens -= state.kept.tokens
+		state.kept.engine.HeldTokens -= state.kept.tokens
 	}
 	state.kept = nil
 }
@@ -66,7 +66,7 @@
 	for len(s.kept) > 0 && !s.kept[0].until.After(now) {
 		entry := heap.Pop(&s.kept).(*keptCache)
 		entry.position = -1
-		entry.engine.KeptTokens -= entry.tokens
+		entry.engine.HeldTokens -= entry.tokens
 	}
 }
 
--- a/internal/schedule/placement.go
+++ b/internal/schedule/placement.go
@@ -18,7 +18,7 @@
 	if best.any == nil {
 		return
 	}
-	if best.free == nil || (s.profile.WaitForBetter && best.any != best.free && best.anyScore < betterBy*best.freeScore) {
+	if best.free == nil || (s.profile.WaitForBetterEngine && best.any != best.free && best.anyScore < betterBy*best.freeScore) {
 		s.joinHome(entry, best.any)
 		return
 	}
@@ -48,7 +48,7 @@
 		s.index.match(entry.Blocks)
 		c := &s.judged
 		s.judge(c, entry, view, now)
-		if !c.Room || !s.admits(c) {
+		if !c.HasRoom || !s.admits(c) {
 			return
 		}
 		score := s.score(c)
@@ -71,7 +71,7 @@
 		}
 		s.refreshPenalties(queue)
 		queue.first(max(s.profile.LookAhead, 1), func(entry *waitingItem, due float64) bool {
-			if entry.home != view && !(s.profile.KeepHome && entry.home != nil) {
+			if entry.home != view && !(s.profile.StrictAffinity && entry.home != nil) {
 				consider(entry, due, "next in the queue")
 			}
 			return true
@@ -95,7 +95,7 @@
 // for the engine it waits for than by running here.
 func (s *Scheduler) prefersHome(entry *waitingItem, view *EngineView, scoreHere float64, now time.Time) bool {
 	home := entry.home
-	if home == nil || home == view || !s.profile.WaitForBetter {
+	if home == nil || home == view || !s.profile.WaitForBetterEngine {
 		return false
 	}
 	c := &s.judgedHome
--- a/internal/schedule/profile.go
+++ b/internal/schedule/profile.go
@@ -20,12 +20,12 @@
 	// above 0 to 1; 0 counts as 1. A smaller batch answers each call sooner
 	// and leaves the others here, in this queue's order.
 	BatchFraction float64
-	// WaitForBetter lets a call wait for a busy engine that is expected to
+	// WaitForBetterEngine lets a call wait for a busy engine that is expected to
 	// finish it sooner than a free one.
-	WaitForBetter bool
-	// KeepHome lets a call that waits for an engine go to no other one; the
+	WaitForBetterEngine bool
+	// StrictAffinity lets a call that waits for an engine go to no other one; the
 	// baselines of the experiments would else lose their affinity.
-	KeepHome bool
+	StrictAffinity bool
 	// ReserveGrowth leaves a part of each engine's memory to programs under
 	// way: new ones are taken in only below it.
 	ReserveGrowth bool
@@ -42,24 +42,24 @@
 	ManageHolds bool
 	// Transfers lets a program's cache follow it to another engine.
 	Transfers bool
-	// PinAlways asks for a hold after each call when ManageHolds is off.
-	PinAlways bool
+	// HoldAlways asks for a hold after each call when ManageHolds is off.
+	HoldAlways bool
 }
 
 // DefaultProfile is what a daemon uses.
 func DefaultProfile() Profile {
 	return Profile{
-		QueuePolicy:    "program",
-		Filters:        []string{"serving"},
-		Scorers:        []string{"prefix", "transfer", "queue", "zone", "group"},
-		PrefillBacklog: 500 * time.Millisecond,
-		WaitForBetter:  true,
-		ReserveGrowth:  true,
-		LookAhead:      8,
-		FairShares:     true,
-		ShareTolerance: 5 * time.Second,
-		ManageHolds:    true,
-		Transfers:      true,
+		QueuePolicy:         "program",
+		Filters:             []string{"serving"},
+		Scorers:             []string{"prefix", "transfer", "queue", "zone", "group"},
+		PrefillBacklog:      500 * time.Millisecond,
+		WaitForBetterEngine: true,
+		ReserveGrowth:       true,
+		LookAhead:           8,
+		FairShares:          true,
+		ShareTolerance:      5 * time.Second,
+		ManageHolds:         true,
+		Transfers:           true,
 	}
 }
 
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -25,8 +25,8 @@
 	MaximumTokens int64
 	// Turn is the program's number of calls so far; Served the tokens
 	// computed for it.
-	Turn   int
-	Served int64
+	Turn         int
+	ServedTokens int64
 	// ProgramStartedAt is when the whole program began, ancestors included.
 	ProgramStartedAt time.Time
 	EnqueuedAt       time.Time
@@ -79,10 +79,10 @@
 	Failed bool
 	// Draining is set when the engine said it is leaving.
 	Draining bool
-	// Ended is set when the program ended with this call.
-	Ended bool
-	Usage structs.Usage
-	// FirstTokenAfter and Took run from the start at the engine.
-	FirstTokenAfter time.Duration
-	Took            time.Duration
+	// ProgramEnded is set when the program ended with this call.
+	ProgramEnded bool
+	Usage        structs.Usage
+	// TimeToFirstToken and Took run from the start at the engine.
+	TimeToFirstToken time.Duration
+	Duration         time.Duration
 }
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -15,8 +15,8 @@
 // Options gives a Scheduler what it works with.
 type Options struct {
 	Clock clock.Clock
-	// Limit is how many calls may wait.
-	Limit int
+	// QueueLimit is how many calls may wait.
+	QueueLimit int
 	// Zone is the daemon's own.
 	Zone           structs.ZoneName
 	Profile        Profile
@@ -87,14 +87,14 @@
 
 // New returns a scheduler with the default profile that lets limit calls wait.
 func New(c clock.Clock, limit int) *Scheduler {
-	return NewWithOptions(Options{Clock: c, Limit: limit, Profile: DefaultProfile()})
+	return NewWithOptions(Options{Clock: c, QueueLimit: limit, Profile: DefaultProfile()})
 }
 
 // NewWithOptions returns a scheduler without engines.
 func NewWithOptions(options Options) *Scheduler {
 	return &Scheduler{
 		clock:          options.Clock,
-		limit:          options.Limit,
+		limit:          options.QueueLimit,
 		zone:           options.Zone,
 		profile:        options.Profile,
 		configurations: options.Configurations,
@@ -198,7 +198,7 @@
 // keepAfter notes what the engine keeps for the program until its next call.
 func (s *Scheduler) keepAfter(assignment Assignment, record *placed, result Result, now time.Time) {
 	state := s.estimates.programs[assignment.Item.Key]
-	if state == nil || record.holdFor <= 0 || !result.Started || result.Failed || result.Ended {
+	if state == nil || record.holdFor <= 0 || !result.Started || result.Failed || result.ProgramEnded {
 		return
 	}
 	tokens := s.ownTokens(assignment.Item, result.Usage.PromptTokens+result.Usage.CompletionTokens)
--- a/internal/schedule/transfer.go
+++ b/internal/schedule/transfer.go
@@ -101,12 +101,12 @@
 // hasFreeMemory tells whether a call's memory fits into what costs latency
 // nothing.
 func (v *EngineView) hasFreeMemory(needTokens int64) bool {
-	return float64(v.AssignedTokens+v.KeptTokens+needTokens) <= freeMemory*float64(v.Load.CacheCapacityTokens)
+	return float64(v.AssignedTokens+v.HeldTokens+needTokens) <= freeMemory*float64(v.Load.CacheCapacityTokens)
 }
 
-// Transferred teaches how long a transfer took. One of few tokens says more of
+// RecordTransfer teaches how long a transfer took. One of few tokens says more of
 // its messages than of the link.
-func (s *Scheduler) Transferred(tokens int64, took time.Duration) {
+func (s *Scheduler) RecordTransfer(tokens int64, took time.Duration) {
 	if tokens < leastTransferTokens {
 		return
 	}
--- a/internal/schedule/transfer_test.go
+++ b/internal/schedule/transfer_test.go
@@ -18,7 +18,7 @@
 func secondTurn(t *testing.T, change func(*schedule.Profile), prepare func(*harness)) schedule.Assignment {
 	t.Helper()
 	profile := schedule.DefaultProfile()
-	profile.WaitForBetter = false
+	profile.WaitForBetterEngine = false
 	if change != nil {
 		change(&profile)
 	}
@@ -61,7 +61,7 @@
 func TestCacheIsNotMovedWhereThatDoesNotPay(t *testing.T) {
 	slow := func(h *harness) {
 		for range 20 {
-			h.scheduler.Transferred(1000, 10*time.Second)
+			h.scheduler.RecordTransfer(1000, 10*time.Second)
 		}
 	}
 	small := func(h *harness) {
@@ -106,7 +106,7 @@
 func TestSlowLinksAreTriedAgain(t *testing.T) {
 	got := secondTurn(t, nil, func(h *harness) {
 		for range 20 {
-			h.scheduler.Transferred(1000, 10*time.Second)
+			h.scheduler.RecordTransfer(1000, 10*time.Second)
 		}
 		h.clock.RunUntil(h.clock.Now().Add(2 * time.Minute))
 	}).Transfer
--- a/internal/simulation/scenario/guards.go
+++ b/internal/simulation/scenario/guards.go
@@ -26,7 +26,7 @@
 	case checker.AnswerIncomplete:
 		return node.Guards{Dispatch: dispatch.Guards{SkipResume: true}, Submit: submit.Guards{SkipResume: true}}
 	case checker.RefusalWasRun:
-		return node.Guards{Dispatch: dispatch.Guards{SkipDisproof: true}}
+		return node.Guards{Dispatch: dispatch.Guards{SkipRunCheck: true}}
 	case checker.RanMoreThanOnce:
 		return node.Guards{Dispatch: dispatch.Guards{SkipInspect: true, SkipRecovery: true}}
 	case checker.WorkToLeavingBackEnd:
--- a/internal/simulation/scenario/placement.go
+++ b/internal/simulation/scenario/placement.go
@@ -155,9 +155,9 @@
 	fleet.Engine.MaximumAdapters = 1
 	fleet.WeightRate = adapterRate
 	fleet.Node.Placement.Period = time.Second
-	fleet.Node.Placement.AdapterStay = 4 * time.Second
+	fleet.Node.Placement.AdapterRetention = 4 * time.Second
 	fleet.Node.Placement.Shards = 2
-	fleet.Node.Placement.FailurePause = 5 * time.Second
+	fleet.Node.Placement.FailureBackoff = 5 * time.Second
 }
 
 // setAdapters gives each tenant an adapter of its own, of some generation.
