--- a/internal/dispatch/active_call.go
+++ b/internal/dispatch/active_call.go
@@ -53,27 +53,27 @@
 	// text is the answer so far.
 	text strings.Builder
 	// resumeText is answer text that a caller had before this leader.
-	resumeText string
+	deliveredText string
 	// gaps counts the resumed streams in a row that began behind text.
 	gaps int
 
 	item       *schedule.Item
 	assignment *schedule.Assignment
 	// moved is set once the attempt's cache transfer was asked for.
-	moved  bool
-	avoid  []structs.EngineID
-	stream framework.Stream
+	transferRequested bool
+	avoid             []structs.EngineID
+	stream            framework.Stream
 	// exchange counts attempts and inspections here; callbacks of former
 	// ones are ignored.
-	exchange     int
+	generation   int
 	startedAt    time.Time
 	firstChunkAt time.Time
 	// progressAt is when the back end last showed progress.
-	progressAt time.Time
+	lastProgressAt time.Time
 
 	inspectingSince time.Time
-	inspectPause    time.Duration
-	toldUnknown     bool
+	inspectDelay    time.Duration
+	reportedUnknown bool
 	// disproved is set when the recorded attempt certainly did not run.
 	disproved bool
 	// mayHaveRun is set once any attempt could have had an effect.
@@ -117,8 +117,8 @@
 	if !slices.Contains(a.attachments, from) {
 		a.attachments = append(a.attachments, from)
 	}
-	if len(delivered) > len(a.resumeText) {
-		a.resumeText = delivered
+	if len(delivered) > len(a.deliveredText) {
+		a.deliveredText = delivered
 	}
 	text := a.text.String()
 	if a.leader.Guards.SkipResume {
@@ -142,16 +142,16 @@
 // adoptPrefix makes the delivered text the beginning of the next attempt's
 // answer.
 func (a *activeCall) adoptPrefix() {
-	if len(a.resumeText) <= a.text.Len() {
+	if len(a.deliveredText) <= a.text.Len() {
 		return
 	}
 	a.text.Reset()
-	a.text.WriteString(a.resumeText)
+	a.text.WriteString(a.deliveredText)
 }
 
 // abandon drops the call from this leader's memory, touching no back end.
 func (a *activeCall) abandon() {
-	a.exchange++
+	a.generation++
 	if a.stream != nil {
 		a.stream.Detach()
 		a.stream = nil
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -13,12 +13,12 @@
 func (l *leader) submit(from structs.DaemonID, submit *Submit) {
 	follower := attachment{daemon: from, submission: submit.Submission}
 	call := submit.Call
-	if outcome, refused := l.refused.find(follower); refused {
-		l.settleWith(follower, outcome)
+	if outcome, refused := l.refusals.find(follower); refused {
+		l.sendOutcome(follower, outcome)
 		return
 	}
 	if active := l.calls[callKey{call.Key, call.RequestID}]; active != nil {
-		l.attachKnown(active, follower, submit)
+		l.attachToActive(active, follower, submit)
 		return
 	}
 	sentBefore := call.Retry || submit.Resent
@@ -36,9 +36,9 @@
 	admission := l.machine.Admit(call, policy, l.proposed[call.Key], l.Clock.Now())
 	switch admission.Verdict {
 	case program.VerdictKnown:
-		l.answerKnown(follower, call)
+		l.answerSettled(follower, call)
 	case program.VerdictWait:
-		l.waitForOrder(follower, submit)
+		l.waitForPredecessors(follower, submit)
 	case program.VerdictRefuse:
 		l.refuse(follower, call, admission)
 	case program.VerdictAccept:
@@ -63,19 +63,19 @@
 }
 
 // attachAgain goes on answering a call without its content.
-func (l *leader) attachAgain(from structs.DaemonID, attach *Attach) {
+func (l *leader) reattach(from structs.DaemonID, attach *Attach) {
 	follower := attachment{daemon: from, submission: attach.Submission}
-	if outcome, refused := l.refused.find(follower); refused {
-		l.settleWith(follower, outcome)
+	if outcome, refused := l.refusals.find(follower); refused {
+		l.sendOutcome(follower, outcome)
 		return
 	}
 	call := structs.Call{Key: attach.Key, RequestID: attach.RequestID, ResumeAt: attach.ResumeAt, Retry: attach.Retry}
 	if active := l.calls[callKey{attach.Key, attach.RequestID}]; active != nil {
-		l.attachKnown(active, follower, &Submit{Submission: attach.Submission, Call: call})
+		l.attachToActive(active, follower, &Submit{Submission: attach.Submission, Call: call})
 		return
 	}
 	if p := l.machine.Program(attach.Key); p != nil && p.Settled[attach.RequestID] != nil {
-		l.answerKnown(follower, call)
+		l.answerSettled(follower, call)
 		return
 	}
 	l.Transport.Send(from, &NotKnown{Submission: attach.Submission})
@@ -89,22 +89,22 @@
 	}
 	refusal, full := l.Scheduler.NewProgramRefusal(call.Key.Tenant)
 	if full {
-		l.refuseForNow(follower, call, refusal)
+		l.refuseTemporarily(follower, call, refusal)
 	}
 	return full
 }
 
-func (l *leader) attachKnown(active *activeCall, follower attachment, submit *Submit) {
+func (l *leader) attachToActive(active *activeCall, follower attachment, submit *Submit) {
 	if submit.Call.Sequence != 0 && submit.Call.Sequence != active.call.Sequence {
-		l.settleWith(follower, structs.Refused(structs.ReasonRequestConflict, "request_id",
+		l.sendOutcome(follower, structs.Refused(structs.ReasonRequestConflict, "request_id",
 			fmt.Sprintf("The request identifier was used for call %d.", active.call.Sequence), 0))
 		return
 	}
 	l.Transport.Send(follower.daemon, &Accepted{Submission: follower.submission})
 	active.attach(follower, submit.Call.ResumeAt, submit.Delivered)
 	active.sentBefore = active.sentBefore || submit.Call.Retry
-	if active.toldUnknown {
-		l.tellUnknown(follower, active)
+	if active.reportedUnknown {
+		l.sendUnknown(follower, active)
 	}
 }
 
@@ -132,7 +132,7 @@
 }
 
 // answerKnown answers a request whose outcome is recorded.
-func (l *leader) answerKnown(follower attachment, call structs.Call) {
+func (l *leader) answerSettled(follower attachment, call structs.Call) {
 	p := l.machine.Program(call.Key)
 	if p == nil {
 		l.Transport.Send(follower.daemon, &Accepted{Submission: follower.submission})
@@ -151,7 +151,7 @@
 	if resumeAt < int64(len(text)) {
 		l.sendChunks(follower, []structs.Chunk{{Offset: resumeAt, Text: text[resumeAt:]}})
 	}
-	l.settleWith(follower, outcome)
+	l.sendOutcome(follower, outcome)
 }
 
 // accept records the call in its program's order. The caller hears Accepted
@@ -163,7 +163,7 @@
 	active.attach(follower, submit.Call.ResumeAt, submit.Delivered)
 	l.proposed[call.Key] = append(l.proposed[call.Key], call)
 	l.propose(admission.Records, func() { l.accepted(active) })
-	l.admitEarly(call.Key)
+	l.resubmitOutOfOrder(call.Key)
 }
 
 func (l *leader) accepted(active *activeCall) {
@@ -184,7 +184,7 @@
 	}
 	active.call = &open.Call
 	active.stage = stageWaiting
-	l.decide(active.key, active.call.RequestID, "accept", acceptDetail(active.call))
+	l.recordStep(active.key, active.call.RequestID, "accept", acceptDetail(active.call))
 	for _, follower := range active.attachments {
 		l.Transport.Send(follower.daemon, &Accepted{Submission: follower.submission})
 	}
@@ -233,7 +233,7 @@
 		return
 	}
 	active.detachTimer = l.after(l.Settings.DetachGrace, func() {
-		l.decide(active.key, active.call.RequestID, "cancel", "Nobody came back for the answer.")
+		l.recordStep(active.key, active.call.RequestID, "cancel", "Nobody came back for the answer.")
 		l.cancelCall(active)
 	})
 }
--- a/internal/dispatch/application.go
+++ b/internal/dispatch/application.go
@@ -14,16 +14,16 @@
 	if !found {
 		refusal := structs.Refused(structs.ReasonNoEngine, "target",
 			fmt.Sprintf("No live machine serves %q.", active.call.Target), retryWithoutBackEnd)
-		l.decide(active.key, active.call.RequestID, "refuse", refusal.Message)
-		l.settle(active, l.withoutDisproof(active, refusal))
+		l.recordStep(active.key, active.call.RequestID, "refuse", refusal.Message)
+		l.settle(active, l.amendIfMayHaveRun(active, refusal))
 		return
 	}
-	l.decide(active.key, active.call.RequestID, "route", fmt.Sprintf("Back end %s.", backEnd))
+	l.recordStep(active.key, active.call.RequestID, "route", fmt.Sprintf("Back end %s.", backEnd))
 	l.recordIntent(active, intent{backEnd: backEnd, price: l.priceOf(p, active.call)})
 }
 
 func (l *leader) sendApplication(active *activeCall, plan intent) {
-	exchange := active.exchange
+	generation := active.generation
 	request := framework.ApplicationRequest{
 		BackEnd:    plan.backEnd,
 		Attempt:    structs.NewAttemptID(active.key, active.call.RequestID),
@@ -36,7 +36,7 @@
 	}
 	l.Drivers.Applications.Invoke(request, func(end framework.AttemptEnd) {
 		l.post(func() {
-			if active.exchange == exchange {
+			if active.generation == generation {
 				l.attemptEnded(active, end)
 			}
 		})
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -38,10 +38,10 @@
 		return
 	}
 	if l.Configurations.Current() == nil {
-		l.beginLater(active)
+		l.beginWhenConfigured(active)
 		return
 	}
-	if l.waitForSpending(p, active) {
+	if l.waitForBudget(p, active) {
 		return
 	}
 	if active.call.Kind != structs.CallModel {
@@ -54,12 +54,12 @@
 }
 
 // configurationPause is the pause before looking again for a configuration.
-const configurationPause = 100 * time.Millisecond
+const configurationRetry = 100 * time.Millisecond
 
 // beginLater keeps a call that a former leader accepted until this daemon,
 // which may have started a moment ago, knows prices and limits.
-func (l *leader) beginLater(active *activeCall) {
-	l.after(configurationPause, func() {
+func (l *leader) beginWhenConfigured(active *activeCall) {
+	l.after(configurationRetry, func() {
 		if active.stage == stageWaiting {
 			l.advance(active.key)
 		}
@@ -119,13 +119,13 @@
 		return
 	}
 	active.item = nil
-	l.decide(active.key, active.call.RequestID, "refuse", outcome.Message)
-	l.settle(active, l.withoutDisproof(active, outcome))
+	l.recordStep(active.key, active.call.RequestID, "refuse", outcome.Message)
+	l.settle(active, l.amendIfMayHaveRun(active, outcome))
 }
 
 // withoutDisproof turns a refusal into a failure when an attempt may have run:
 // not_run is only ever said of what certainly was not run.
-func (l *leader) withoutDisproof(active *activeCall, outcome structs.Outcome) structs.Outcome {
+func (l *leader) amendIfMayHaveRun(active *activeCall, outcome structs.Outcome) structs.Outcome {
 	if !active.mayHaveRun || l.Guards.SkipRunCheck {
 		return outcome
 	}
@@ -162,7 +162,7 @@
 		active.leaveScheduler(schedule.Result{})
 		return
 	}
-	l.note(active.key, structs.Decision{
+	l.recordDecision(active.key, structs.Decision{
 		At:        l.Clock.Now(),
 		RequestID: active.call.RequestID,
 		Step:      "route",
@@ -170,9 +170,9 @@
 		Scores:    assignment.Scores,
 	})
 	price := l.priceOf(l.machine.Program(active.key), active.call)
-	active.moved = false
-	hold := l.holdOf(active, &assignment)
-	l.recordIntent(active, intent{backEnd: assignment.Engine, run: assignment.EngineRun, price: price, hold: hold})
+	active.transferRequested = false
+	hold := l.newHoldID(active, &assignment)
+	l.recordIntent(active, intent{backEnd: assignment.Engine, backEndRun: assignment.EngineRun, price: price, hold: hold})
 }
 
 // priceOf returns what a call costs now.
@@ -186,7 +186,7 @@
 // intent is what a dispatch is about to do.
 type intent struct {
 	backEnd     structs.EngineID
-	run         int64
+	backEndRun  int64
 	price       structs.Price
 	hold        structs.HoldID
 	reservation program.Reservation
@@ -219,17 +219,17 @@
 	active.adoptPrefix()
 	reservation, refusal := l.machine.Reserve(p, l.describeAttempt(active, open, plan.price))
 	if refusal != nil && !l.Guards.SkipBudget {
-		l.decide(active.key, active.call.RequestID, "refuse", refusal.Message)
-		l.settle(active, l.withoutDisproof(active, *refusal))
+		l.recordStep(active.key, active.call.RequestID, "refuse", refusal.Message)
+		l.settle(active, l.amendIfMayHaveRun(active, *refusal))
 		return
 	}
-	if l.spendingShort(active, reservation.Cost) {
+	if l.exceedsAllowance(active, reservation.Cost) {
 		active.leaveScheduler(schedule.Result{})
 		active.stage = stageWaiting
-		l.waitForSpending(p, active)
+		l.waitForBudget(p, active)
 		return
 	}
-	plan.reservation = l.withoutGuard(active, reservation)
+	plan.reservation = l.reservationWithoutBudget(active, reservation)
 	plan.dispatch = open.Attempt + 1
 	record := structs.Record{At: l.Clock.Now(), CallDispatched: &structs.CallDispatched{
 		Key:        active.key,
@@ -237,7 +237,7 @@
 		Attempt:    plan.dispatch,
 		BackEnd:    plan.backEnd,
 		Epoch:      l.leadership.Epoch(),
-		BackEndRun: plan.run,
+		BackEndRun: plan.backEndRun,
 		Reserved:   plan.reservation.Cost,
 		Price:      plan.price,
 		Disproved:  active.disproved,
@@ -273,7 +273,7 @@
 }
 
 // withoutGuard fills in a reservation that a broken guard refused.
-func (l *leader) withoutGuard(active *activeCall, reservation program.Reservation) program.Reservation {
+func (l *leader) reservationWithoutBudget(active *activeCall, reservation program.Reservation) program.Reservation {
 	if l.Guards.SkipBudget && reservation.MaximumTokens == 0 {
 		reservation.MaximumTokens = max(active.call.MaximumTokens, 1)
 	}
@@ -287,7 +287,7 @@
 	if active.stage != stageRecording {
 		return
 	}
-	if l.moveCache(active, plan, func() { l.intentRecorded(active, plan, proposedAt) }) {
+	if l.transferCache(active, plan, func() { l.intentRecorded(active, plan, proposedAt) }) {
 		return
 	}
 	if l.Clock.Now().Sub(proposedAt) <= l.Settings.ConfirmAfter {
--- a/internal/dispatch/await_configuration.go
+++ b/internal/dispatch/await_configuration.go
@@ -14,16 +14,16 @@
 	waits := l.unconfigured[follower]
 	if refusal.Reason != structs.ReasonNoConfiguration || waits >= configurationWaits {
 		delete(l.unconfigured, follower)
-		l.refuseForNow(follower, submit.Call, refusal)
+		l.refuseTemporarily(follower, submit.Call, refusal)
 		return
 	}
 	l.unconfigured[follower] = waits + 1
-	l.after(configurationPause, func() { l.submitAgain(follower, submit, waits+1) })
+	l.after(configurationRetry, func() { l.resubmit(follower, submit, waits+1) })
 }
 
 // submitAgain takes up a submission that waited for a configuration, unless
 // another copy of it has been taken up since.
-func (l *leader) submitAgain(follower attachment, submit *Submit, waits int) {
+func (l *leader) resubmit(follower attachment, submit *Submit, waits int) {
 	if l.unconfigured[follower] != waits {
 		return
 	}
--- a/internal/dispatch/await_configuration_test.go
+++ b/internal/dispatch/await_configuration_test.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func TestFreshLeaderKeepsCallsUntilItKnowsTheConfiguration(t *testing.T) {
+func TestLeaderKeepsCallsUntilConfigured(t *testing.T) {
 	f := newFixture(t)
 	known := f.configuration
 	f.configuration = nil
--- a/internal/dispatch/coordinator.go
+++ b/internal/dispatch/coordinator.go
@@ -223,19 +223,19 @@
 			l.queue.Do(func() { l.detach(from, m) })
 		}
 	case *QuotaRequest:
-		if l := c.leader(c.Router.Shard(quotaHome(m.Ask.Quota.Tenant))); l != nil {
-			l.queue.Do(func() { l.quotaAsked(from, m.Ask) })
+		if l := c.leader(c.Router.Shard(quotaHomeKey(m.Ask.Quota.Tenant))); l != nil {
+			l.queue.Do(func() { l.handleQuotaRequest(from, m.Ask) })
 		}
 	case *QuotaAnswer:
 		if l := c.leader(m.Shard); l != nil {
-			l.queue.Do(func() { l.quotaAnswered(m) })
+			l.queue.Do(func() { l.handleQuotaAnswer(m) })
 		}
 	case *HoldSeen:
 		if l := c.leader(c.Router.Shard(m.Hold.Program)); l != nil {
 			l.queue.Do(func() { l.checkHold(m.Hold) })
 		}
 	default:
-		return c.receiveQuestion(from, message)
+		return c.receiveQuery(from, message)
 	}
 	return true
 }
@@ -245,7 +245,7 @@
 }
 
 func (c *Coordinator) receiveAttach(from structs.DaemonID, attach *Attach) {
-	c.withLeader(from, attach.Submission, attach.Key, attach.Epoch, func(l *leader) { l.attachAgain(from, attach) })
+	c.withLeader(from, attach.Submission, attach.Key, attach.Epoch, func(l *leader) { l.reattach(from, attach) })
 }
 
 // withLeader runs task on the shard's queue if this daemon leads the shard in
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -31,13 +31,13 @@
 func (d *decisionLog) of(key structs.ProgramKey) []structs.Decision { return d.programs[key] }
 
 // decide notes a step and its reason.
-func (l *leader) decide(key structs.ProgramKey, request structs.RequestID, step, detail string) {
-	l.note(key, structs.Decision{At: l.Clock.Now(), RequestID: request, Step: step, Detail: detail})
+func (l *leader) recordStep(key structs.ProgramKey, request structs.RequestID, step, detail string) {
+	l.recordDecision(key, structs.Decision{At: l.Clock.Now(), RequestID: request, Step: step, Detail: detail})
 }
 
 // note keeps a decision and logs it with the request's trace, by which the
 // lines of all daemons that touched the request are found.
-func (l *leader) note(key structs.ProgramKey, decision structs.Decision) {
+func (l *leader) recordDecision(key structs.ProgramKey, decision structs.Decision) {
 	l.decisions.add(key, decision)
 	event := l.Logger.Info()
 	if !event.Enabled() {
--- a/internal/dispatch/describe.go
+++ b/internal/dispatch/describe.go
@@ -11,20 +11,20 @@
 // describe answers a question about one program. The epoch is confirmed first,
 // so that a leader that was replaced without knowing does not deny a request
 // which its successor has accepted. Without a majority there is no answer.
-func (l *leader) describe(from structs.DaemonID, question *Describe) {
+func (l *leader) describe(from structs.DaemonID, request *Describe) {
 	l.leadership.Confirm(func(err error) {
 		if err != nil || l.stopped {
 			return
 		}
-		answer := &Described{Query: question.Query}
-		if p := l.machine.Program(question.Key); p != nil {
-			answer.Program = l.description(p, question)
+		answer := &Described{Query: request.Query}
+		if p := l.machine.Program(request.Key); p != nil {
+			answer.Program = l.description(p, request)
 		}
 		l.Transport.Send(from, answer)
 	})
 }
 
-func (l *leader) description(p *program.Program, question *Describe) *ProgramDescription {
+func (l *leader) description(p *program.Program, request *Describe) *ProgramDescription {
 	description := &ProgramDescription{ProgramSummary: l.summary(p), Limits: p.Limits}
 	for _, open := range p.Open {
 		description.Open = append(description.Open, l.describeOpen(p, open))
@@ -39,13 +39,13 @@
 		description.Held = append(description.Held, hold)
 	}
 	slices.SortFunc(description.Held, func(a, b structs.Hold) int { return cmp.Compare(a.ID, b.ID) })
-	if question.RequestID != "" {
-		description.Request = l.requestStatus(p, question.RequestID)
+	if request.RequestID != "" {
+		description.Request = l.requestStatus(p, request.RequestID)
 	}
-	if question.WithHistory {
+	if request.WithHistory {
 		description.History = slices.Clone(p.History.From(0))
 	}
-	if question.WithDecisions {
+	if request.WithDecisions {
 		description.Decisions = slices.Clone(l.decisions.of(p.Key))
 	}
 	return description
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func TestCallIsAnsweredWhole(t *testing.T) {
+func TestCallIsAnswered(t *testing.T) {
 	f := newFixture(t)
 	caller, _ := f.submit(modelCall("a"))
 	f.engine.answer("twenty loaves")
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestStalledHolderConfirmsItsEpoch(t *testing.T) {
+func TestStalledLeaderConfirmsItsEpoch(t *testing.T) {
 	f := newFixture(t)
 	f.scheduler.holdBack = true
 	f.submit(modelCall("a"))
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestLostEngineIsReplacedBehindTheDeliveredText(t *testing.T) {
+func TestLostEngineIsReplacedAfterDeliveredText(t *testing.T) {
 	f := newFixture(t)
 	caller, _ := f.submit(modelCall("a"))
 	f.engine.observers[0].Chunks([]structs.Chunk{{Offset: 0, Text: "twenty "}})
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestTakeoverKnowsTheTextThatAnAttemptWasGiven(t *testing.T) {
+func TestTakeoverResumesAfterTheAnswerPrefix(t *testing.T) {
 	f := newFixture(t)
 	caller, _ := f.submit(modelCall("a"))
 	f.engine.observers[0].Chunks([]structs.Chunk{{Offset: 0, Text: "twenty "}})
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestStreamThatLacksTextIsGivenUp(t *testing.T) {
+func TestStreamWithRepeatedGapsMovesOn(t *testing.T) {
 	f := newFixture(t)
 	f.engine.status = framework.AttemptStatus{State: framework.AttemptRunning, StartedUnixNano: 1, Fenced: true}
 	caller, _ := f.submit(modelCall("a"))
@@ -230,7 +230,7 @@
 	}
 }
 
-func TestLongPauseCostsTheHold(t *testing.T) {
+func TestLongPauseReleasesTheHold(t *testing.T) {
 	f := newFixture(t)
 	f.submit(modelCall("a"))
 	f.engine.answer("one")
@@ -240,7 +240,7 @@
 	}
 }
 
-func TestEngineThatPinsForNobodyIsToldToRelease(t *testing.T) {
+func TestUnaccountedHoldIsReleased(t *testing.T) {
 	f := newFixture(t)
 	f.coordinator.Receive(self, holdSeen("forgotten"))
 	f.run(time.Second)
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestStalledEngineLosesTheCall(t *testing.T) {
+func TestCallLeavesStalledEngine(t *testing.T) {
 	f := newFixture(t)
 	caller, _ := f.submit(modelCall("a"))
 	f.run(45 * time.Second)
@@ -307,12 +307,12 @@
 	}
 }
 
-func TestCrowdedQueueTurnsNewProgramsAwayUnrecorded(t *testing.T) {
+func TestFullQueueRefusesNewProgramsUnrecorded(t *testing.T) {
 	f := newFixture(t)
 	f.submit(modelCall("a"))
 	f.engine.answer("one")
 	f.run(100 * time.Millisecond)
-	f.scheduler.crowded = true
+	f.scheduler.full = true
 	recorded := len(f.group.records)
 	other := modelCall("a")
 	other.Key.Program = "another"
@@ -332,7 +332,7 @@
 // TestProgramThatEndsWhileAnIntentIsRecordedSendsNothing has a program end
 // between the proposal of a call's intent and its acknowledgement: the end
 // comes first in the log, so that the call was refused, and must not be sent.
-func TestProgramThatEndsWhileAnIntentIsRecordedSendsNothing(t *testing.T) {
+func TestProgramEndDuringIntentSendsNothing(t *testing.T) {
 	f := newFixture(t)
 	f.scheduler.holdBack = true
 	caller, _ := f.submit(modelCall("a"))
--- a/internal/dispatch/early.go
+++ b/internal/dispatch/early.go
@@ -10,7 +10,7 @@
 )
 
 // earlySubmit is a submission that waits for lower sequence numbers.
-type earlySubmit struct {
+type outOfOrderSubmit struct {
 	from   attachment
 	submit *Submit
 	timer  clock.Timer
@@ -18,60 +18,60 @@
 
 // retryAfterOrder is when a caller may send a call again whose predecessors
 // have not arrived.
-const retryAfterOrder = time.Second
+const retryAfterMissingCalls = time.Second
 
 // startWait is how long a later call waits for the first of its program, which
 // may take another way.
-const startWait = time.Second
+const firstCallWait = time.Second
 
 // waitForOrder keeps a submission until the calls before it have arrived.
-func (l *leader) waitForOrder(follower attachment, submit *Submit) {
+func (l *leader) waitForPredecessors(follower attachment, submit *Submit) {
 	key := submit.Call.Key
-	for _, waiting := range l.early[key] {
+	for _, waiting := range l.outOfOrder[key] {
 		if waiting.submit.Call.RequestID == submit.Call.RequestID {
 			waiting.from, waiting.submit = follower, submit
 			return
 		}
 	}
-	waiting := &earlySubmit{from: follower, submit: submit}
+	waiting := &outOfOrderSubmit{from: follower, submit: submit}
 	wait := l.Settings.SequenceWait
 	if l.machine.Program(key) == nil {
-		wait = min(wait, startWait)
+		wait = min(wait, firstCallWait)
 	}
-	waiting.timer = l.after(wait, func() { l.giveUpOrder(key, waiting) })
-	l.early[key] = append(l.early[key], waiting)
+	waiting.timer = l.after(wait, func() { l.expireOutOfOrder(key, waiting) })
+	l.outOfOrder[key] = append(l.outOfOrder[key], waiting)
 }
 
-func (l *leader) giveUpOrder(key structs.ProgramKey, waiting *earlySubmit) {
-	l.early[key] = slices.DeleteFunc(l.early[key], func(other *earlySubmit) bool { return other == waiting })
-	if len(l.early[key]) == 0 {
-		delete(l.early, key)
+func (l *leader) expireOutOfOrder(key structs.ProgramKey, waiting *outOfOrderSubmit) {
+	l.outOfOrder[key] = slices.DeleteFunc(l.outOfOrder[key], func(other *outOfOrderSubmit) bool { return other == waiting })
+	if len(l.outOfOrder[key]) == 0 {
+		delete(l.outOfOrder, key)
 	}
 	refusal := structs.Refused(structs.ReasonSequenceConflict, "sequence",
-		"Calls with lower sequence numbers did not arrive.", retryAfterOrder)
+		"Calls with lower sequence numbers did not arrive.", retryAfterMissingCalls)
 	if l.machine.Program(key) == nil {
 		refusal = structs.Refused(structs.ReasonUnknownProgram, "program",
 			"No such program is under way, and only call 1 starts one.", 0)
 	}
-	l.refuseForNow(waiting.from, waiting.submit.Call, refusal)
+	l.refuseTemporarily(waiting.from, waiting.submit.Call, refusal)
 }
 
 // admitEarly submits again what waited for the call just accepted.
-func (l *leader) admitEarly(key structs.ProgramKey) {
-	waiting := l.early[key]
-	delete(l.early, key)
+func (l *leader) resubmitOutOfOrder(key structs.ProgramKey) {
+	waiting := l.outOfOrder[key]
+	delete(l.outOfOrder, key)
 	for _, early := range waiting {
 		early.timer.Stop()
 		l.submit(early.from.daemon, early.submit)
 	}
 }
 
-func (l *leader) sortedEarly() []*earlySubmit {
-	var all []*earlySubmit
-	for _, waiting := range l.early {
+func (l *leader) sortedOutOfOrder() []*outOfOrderSubmit {
+	var all []*outOfOrderSubmit
+	for _, waiting := range l.outOfOrder {
 		all = append(all, waiting...)
 	}
-	slices.SortFunc(all, func(a, b *earlySubmit) int {
+	slices.SortFunc(all, func(a, b *outOfOrderSubmit) int {
 		return cmp.Or(cmp.Compare(a.from.daemon, b.from.daemon), cmp.Compare(a.from.submission, b.from.submission))
 	})
 	return all
--- a/internal/dispatch/fence.go
+++ b/internal/dispatch/fence.go
@@ -29,7 +29,7 @@
 
 // continueNumbers remembers the dispatches of a call that is about to be
 // refused, since the caller may submit it again.
-func (l *leader) continueNumbers(active *activeCall, outcome structs.Outcome) {
+func (l *leader) recordRefusedDispatches(active *activeCall, outcome structs.Outcome) {
 	open := l.openCall(active)
 	if open == nil || outcome.Status != structs.OutcomeNotRun {
 		return
--- a/internal/dispatch/fence_test.go
+++ b/internal/dispatch/fence_test.go
@@ -11,7 +11,7 @@
 // TestInspectionFencesWhatThisLeaderSent has a back end that answers "absent
 // and fenced" while the first request may still be on its way: the fence must
 // stop that one and let the next one pass.
-func TestInspectionFencesWhatThisLeaderSent(t *testing.T) {
+func TestInspectionFencesOwnEarlierDispatches(t *testing.T) {
 	f := newFixture(t)
 	f.application.end = framework.AttemptEnd{Kind: framework.EndLost}
 	f.application.status = framework.AttemptStatus{State: framework.AttemptAbsent, Fenced: true}
@@ -34,7 +34,7 @@
 // TestRefusedCallPassesItsOwnFences refuses a call after inspections whose
 // fences the back end keeps, and submits it again, as a caller that was told
 // "not run" may: the new dispatches must pass the old fences.
-func TestRefusedCallPassesItsOwnFences(t *testing.T) {
+func TestResubmittedCallPassesEarlierFences(t *testing.T) {
 	f := newFixture(t)
 	f.application.end = framework.AttemptEnd{Kind: framework.EndLost}
 	f.application.status = framework.AttemptStatus{State: framework.AttemptAbsent, Fenced: true}
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -102,7 +102,7 @@
 // fakeScheduler assigns the one engine at once, or holds items back.
 type fakeScheduler struct {
 	held     []*schedule.Item
-	crowded  bool
+	full     bool
 	holdBack bool
 	assigned int
 	finished int
@@ -110,7 +110,7 @@
 	// transfer goes along with the next assignments.
 	transfer schedule.Transfer
 	// taught is what Transferred was told last.
-	taught int64
+	transferredTokens int64
 }
 
 func (s *fakeScheduler) Enqueue(item *schedule.Item) {
@@ -123,11 +123,11 @@
 }
 
 func (s *fakeScheduler) NewProgramRefusal(structs.TenantName) (structs.Outcome, bool) {
-	return structs.Refused(structs.ReasonOverloaded, "", "", time.Second), s.crowded
+	return structs.Refused(structs.ReasonOverloaded, "", "", time.Second), s.full
 }
 
 // RecordTransfer implements Scheduler.
-func (s *fakeScheduler) RecordTransfer(tokens int64, _ time.Duration) { s.taught = tokens }
+func (s *fakeScheduler) RecordTransfer(tokens int64, _ time.Duration) { s.transferredTokens = tokens }
 
 func (s *fakeScheduler) Remove(*schedule.Item) bool { return true }
 
@@ -290,20 +290,20 @@
 func (f *fixture) run(d time.Duration) { f.clock.RunUntil(f.clock.Now().Add(d)) }
 
 // answerTo collects what one caller gets.
-type answerTo struct {
+type recordedCaller struct {
 	text     string
 	outcomes []structs.Outcome
 }
 
-func (a *answerTo) Chunks(chunks []structs.Chunk) {
+func (a *recordedCaller) Chunks(chunks []structs.Chunk) {
 	for _, chunk := range chunks {
 		a.text += chunk.Text
 	}
 }
 
-func (a *answerTo) Outcome(outcome structs.Outcome) { a.outcomes = append(a.outcomes, outcome) }
+func (a *recordedCaller) Outcome(outcome structs.Outcome) { a.outcomes = append(a.outcomes, outcome) }
 
-func (a *answerTo) status(t *testing.T) structs.OutcomeStatus {
+func (a *recordedCaller) status(t *testing.T) structs.OutcomeStatus {
 	t.Helper()
 	if len(a.outcomes) != 1 {
 		t.Fatalf("the caller got %d outcomes, want 1", len(a.outcomes))
@@ -333,8 +333,8 @@
 	}
 }
 
-func (f *fixture) submit(call structs.Call) (*answerTo, *submit.Submission) {
-	caller := &answerTo{}
+func (f *fixture) submit(call structs.Call) (*recordedCaller, *submit.Submission) {
+	caller := &recordedCaller{}
 	submission := f.submitter.Submit(call, caller)
 	f.run(20 * time.Millisecond)
 	return caller, submission
--- a/internal/dispatch/holds.go
+++ b/internal/dispatch/holds.go
@@ -31,7 +31,7 @@
 		return
 	}
 	for _, hold := range sortedHolds(p) {
-		if !l.holdWanted(p, hold) {
+		if !l.isHoldNeeded(p, hold) {
 			l.release(hold)
 		}
 	}
@@ -41,7 +41,7 @@
 // latest model call: one that waits will use it, and over a pause it is kept
 // for as long as that is worth it. A tool that
 // hangs thus costs the program its cache first.
-func (l *leader) holdWanted(p *program.Program, hold structs.Hold) bool {
+func (l *leader) isHoldNeeded(p *program.Program, hold structs.Hold) bool {
 	for _, open := range p.Open {
 		if open.Hold == hold.ID {
 			return true
@@ -53,12 +53,12 @@
 	if head := p.Head(); head != nil && head.Call.Kind == structs.CallModel {
 		return true
 	}
-	return l.Clock.Now().Sub(p.ModelSettledAt) < l.holdBound(p, hold.ID)
+	return l.Clock.Now().Sub(p.ModelSettledAt) < l.holdLimit(p, hold.ID)
 }
 
 // holdBound is how long a hold is kept over a pause: what the scheduler found
 // worth it, or after a takeover what the template allows.
-func (l *leader) holdBound(p *program.Program, id structs.HoldID) time.Duration {
+func (l *leader) holdLimit(p *program.Program, id structs.HoldID) time.Duration {
 	if bound, chosen := l.holdFor[id]; chosen {
 		return min(bound, l.holdTime(p))
 	}
--- a/internal/dispatch/inspect.go
+++ b/internal/dispatch/inspect.go
@@ -20,19 +20,19 @@
 	}
 	if active.stage != stageInspecting || active.inspectingSince.IsZero() {
 		active.inspectingSince = l.Clock.Now()
-		active.inspectPause = l.Settings.InspectInterval
+		active.inspectDelay = l.Settings.InspectInterval
 	}
 	active.stage = stageInspecting
 	active.mayHaveRun = true
-	active.exchange++
+	active.generation++
 	if l.Guards.SkipInspect {
 		l.rerun(active, "The back end was not asked.")
 		return
 	}
-	exchange := active.exchange
+	generation := active.generation
 	done := func(status framework.AttemptStatus, err error) {
 		l.post(func() {
-			if active.exchange == exchange {
+			if active.generation == generation {
 				l.inspected(active, status, err)
 			}
 		})
@@ -52,9 +52,9 @@
 	case open == nil:
 		return
 	case err != nil:
-		l.unreachable(active, open)
+		l.backEndUnreachable(active, open)
 	case status.State == framework.AttemptAbsent:
-		l.absent(active, open, status)
+		l.attemptAbsent(active, open, status)
 	case active.call.Kind == structs.CallModel:
 		l.resume(active, open)
 	case status.State == framework.AttemptDone:
@@ -68,12 +68,12 @@
 // resume reads the stream of an attempt that the engine knows.
 func (l *leader) resume(active *activeCall, open *program.CallState) {
 	p := l.machine.Program(active.key)
-	l.decide(active.key, active.call.RequestID, "resume", fmt.Sprintf("Engine %s has it; its stream is taken up at byte %d.", open.BackEnd, active.text.Len()))
+	l.recordStep(active.key, active.call.RequestID, "resume", fmt.Sprintf("Engine %s has it; its stream is taken up at byte %d.", open.BackEnd, active.text.Len()))
 	active.inspectingSince = time.Time{}
 	active.stage = stageRunning
-	active.exchange++
+	active.generation++
 	active.startedAt = l.Clock.Now()
-	active.progressAt = active.startedAt
+	active.lastProgressAt = active.startedAt
 	request := framework.EngineRequest{
 		Engine:     open.BackEnd,
 		Attempt:    structs.NewAttemptID(active.key, active.call.RequestID),
@@ -87,7 +87,7 @@
 		Program:    active.key,
 		Deadline:   active.call.Deadline,
 	}
-	active.stream = l.Drivers.Engines.Start(request, &observer{active: active, exchange: active.exchange})
+	active.stream = l.Drivers.Engines.Start(request, &observer{active: active, generation: active.generation})
 	if active.cancelled || p.Ended {
 		l.cancelAtEngine(active)
 	}
@@ -96,7 +96,7 @@
 // absent acts on a back end that does not know the attempt. That disproves it
 // only if the back end is still in the run it was sent to and will refuse it
 // from now on; otherwise it may have run, or may yet be sent by a paused holder.
-func (l *leader) absent(active *activeCall, open *program.CallState, status framework.AttemptStatus) {
+func (l *leader) attemptAbsent(active *activeCall, open *program.CallState, status framework.AttemptStatus) {
 	sameRun := status.StartedUnixNano == 0 || (open.BackEndRun != 0 && status.StartedUnixNano == open.BackEndRun)
 	if sameRun && status.Fenced {
 		l.disprove(active)
@@ -111,7 +111,7 @@
 }
 
 // unreachable acts on a back end that does not answer.
-func (l *leader) unreachable(active *activeCall, open *program.CallState) {
+func (l *leader) backEndUnreachable(active *activeCall, open *program.CallState) {
 	waited := l.Clock.Now().Sub(active.inspectingSince)
 	mayRepeat := active.call.Kind == structs.CallModel || active.call.Repeatable
 	if mayRepeat && (waited >= l.Settings.RerunAfter || l.Directory.HasLeft(open.BackEnd)) {
@@ -133,17 +133,17 @@
 		l.settle(active, stalledOutcome())
 		return
 	}
-	if waited >= l.Settings.UnknownAfter && !active.toldUnknown {
-		active.toldUnknown = true
+	if waited >= l.Settings.UnknownAfter && !active.reportedUnknown {
+		active.reportedUnknown = true
 		for _, follower := range active.attachments {
-			l.tellUnknown(follower, active)
+			l.sendUnknown(follower, active)
 		}
 	}
-	pause := active.inspectPause
-	active.inspectPause = min(2*pause, l.Settings.InspectMaximum)
-	exchange := active.exchange
+	pause := active.inspectDelay
+	active.inspectDelay = min(2*pause, l.Settings.InspectMaximum)
+	generation := active.generation
 	l.after(pause, func() {
-		if active.exchange == exchange {
+		if active.generation == generation {
 			l.inspect(active)
 		}
 	})
@@ -167,14 +167,14 @@
 	}
 }
 
-func (l *leader) tellUnknown(follower attachment, _ *activeCall) {
+func (l *leader) sendUnknown(follower attachment, _ *activeCall) {
 	l.Transport.Send(follower.daemon, &Settled{Submission: follower.submission, Outcome: unknownOutcome(), Provisional: true})
 }
 
 // rerun sends the call again after its attempt was lost or disproved.
 func (l *leader) rerun(active *activeCall, why string) {
 	active.inspectingSince = time.Time{}
-	l.decide(active.key, active.call.RequestID, "rerun", why)
+	l.recordStep(active.key, active.call.RequestID, "rerun", why)
 	active.leaveScheduler(schedule.Result{Failed: true})
 	if open := l.openCall(active); open != nil {
 		active.avoid = append(active.avoid, open.BackEnd)
--- a/internal/dispatch/leader.go
+++ b/internal/dispatch/leader.go
@@ -30,7 +30,7 @@
 	// proposed holds calls whose acceptance is being recorded, in order.
 	proposed map[structs.ProgramKey][]structs.Call
 	// early holds submissions that arrived before lower sequence numbers.
-	early map[structs.ProgramKey][]*earlySubmit
+	outOfOrder map[structs.ProgramKey][]*outOfOrderSubmit
 	// unconfigured counts how often submissions waited for a configuration.
 	unconfigured map[attachment]int
 	// ending holds programs whose end is being recorded.
@@ -39,9 +39,9 @@
 	endWaiters map[structs.ProgramKey][]endWaiter
 	releases   map[structs.HoldID]*release
 	// holdFor is how long the scheduler wants holds kept over a pause.
-	holdFor map[structs.HoldID]time.Duration
-	refused *refusalMemory
-	quotas  *quotaBroker
+	holdFor  map[structs.HoldID]time.Duration
+	refusals *refusalCache
+	quotas   *quotaState
 	// blocks holds the prompt hashes of live programs.
 	blocks     map[structs.ProgramKey]*promptBlocks
 	dispatches *dispatchNumbers
@@ -58,14 +58,14 @@
 		queue:        leadership.Queue(),
 		calls:        map[callKey]*activeCall{},
 		proposed:     map[structs.ProgramKey][]structs.Call{},
-		early:        map[structs.ProgramKey][]*earlySubmit{},
+		outOfOrder:   map[structs.ProgramKey][]*outOfOrderSubmit{},
 		unconfigured: map[attachment]int{},
 		ending:       map[structs.ProgramKey]bool{},
 		endWaiters:   map[structs.ProgramKey][]endWaiter{},
 		releases:     map[structs.HoldID]*release{},
 		holdFor:      map[structs.HoldID]time.Duration{},
-		refused:      newRefusalMemory(),
-		quotas:       newQuotaBroker(),
+		refusals:     newRefusalCache(),
+		quotas:       newQuotaState(),
 		blocks:       map[structs.ProgramKey]*promptBlocks{},
 		dispatches:   newDispatchNumbers(),
 		decisions:    newDecisionLog(),
@@ -81,7 +81,7 @@
 			if open.Stage == program.StageDispatched {
 				active.text.WriteString(open.AnswerPrefix)
 				active.stage = stageInspecting
-				l.decide(p.Key, open.Call.RequestID, "takeover", "A former leader sent this call; its back end is asked.")
+				l.recordStep(p.Key, open.Call.RequestID, "takeover", "A former leader sent this call; its back end is asked.")
 				l.inspect(active)
 			}
 		}
@@ -104,7 +104,7 @@
 	for _, active := range l.sortedCalls() {
 		active.abandon()
 	}
-	for _, waiting := range l.sortedEarly() {
+	for _, waiting := range l.sortedOutOfOrder() {
 		waiting.timer.Stop()
 	}
 }
@@ -141,7 +141,7 @@
 func (l *leader) scheduleExpiry() {
 	l.expire = l.after(l.Settings.ExpireInterval, func() {
 		l.expirePrograms()
-		l.enforceTimes()
+		l.enforceTimeouts()
 		l.returnProgramSlots()
 		l.scheduleExpiry()
 	})
@@ -181,7 +181,7 @@
 		return
 	}
 	l.ending[key] = true
-	l.decide(key, "", "end", string(reason))
+	l.recordStep(key, "", "end", string(reason))
 	l.propose([]structs.Record{program.EndRecord(key, reason, l.Clock.Now())}, func() {
 		delete(l.ending, key)
 		l.programEnded(key)
--- a/internal/dispatch/list.go
+++ b/internal/dispatch/list.go
@@ -14,18 +14,18 @@
 const maximumListed = 10000
 
 // receiveQuestion handles the questions of describe_messages.go.
-func (c *Coordinator) receiveQuestion(from structs.DaemonID, message peer.Message) bool {
+func (c *Coordinator) receiveQuery(from structs.DaemonID, message peer.Message) bool {
 	switch m := message.(type) {
 	case *Describe:
-		c.askLeader(m.Key,
+		c.runOnLeader(m.Key,
 			func(l *leader) { l.describe(from, m) },
 			func(route replication.Route) { c.Transport.Send(from, &Described{Query: m.Query, Redirect: &route}) })
 	case *EndProgram:
-		c.askLeader(m.Key,
+		c.runOnLeader(m.Key,
 			func(l *leader) { l.endOnRequest(from, m) },
 			func(route replication.Route) { c.Transport.Send(from, &ProgramEnded{Query: m.Query, Redirect: &route}) })
 	case *CancelCall:
-		c.askLeader(m.Key,
+		c.runOnLeader(m.Key,
 			func(l *leader) { l.cancelOnRequest(from, m) },
 			func(route replication.Route) {
 				c.Transport.Send(from, &CallCancelled{Query: m.Query, Redirect: &route})
@@ -39,7 +39,7 @@
 }
 
 // askLeader runs task on the shard's queue if it is led here.
-func (c *Coordinator) askLeader(key structs.ProgramKey, task func(*leader), redirect func(replication.Route)) {
+func (c *Coordinator) runOnLeader(key structs.ProgramKey, task func(*leader), redirect func(replication.Route)) {
 	shard := c.Router.Shard(key)
 	l := c.leader(shard)
 	if l == nil {
@@ -56,17 +56,17 @@
 }
 
 // list collects the summaries of all shards led here, one queue after another.
-func (c *Coordinator) list(from structs.DaemonID, question *List) {
+func (c *Coordinator) list(from structs.DaemonID, request *List) {
 	leaders := c.leaders.All()
 	collected := &listing{missing: len(leaders), answer: func(programs []ProgramSummary) {
-		c.Transport.Send(from, listed(question, programs))
+		c.Transport.Send(from, listed(request, programs))
 	}}
 	if len(leaders) == 0 {
 		collected.answer(nil)
 		return
 	}
 	for _, l := range leaders {
-		l.queue.Do(func() { collected.add(l.summaries(question.Tenant)) })
+		l.queue.Do(func() { collected.add(l.summaries(request.Tenant)) })
 	}
 }
 
@@ -102,7 +102,7 @@
 	}
 }
 
-func listed(question *List, programs []ProgramSummary) *Listed {
+func listed(request *List, programs []ProgramSummary) *Listed {
 	slices.SortFunc(programs, func(a, b ProgramSummary) int {
 		return cmp.Or(
 			compareEnded(a, b),
@@ -111,11 +111,11 @@
 			cmp.Compare(a.Key.Program, b.Key.Program),
 		)
 	})
-	limit := question.Limit
+	limit := request.Limit
 	if limit <= 0 || limit > maximumListed {
 		limit = maximumListed
 	}
-	return &Listed{Query: question.Query, Total: len(programs), Programs: programs[:min(limit, len(programs))]}
+	return &Listed{Query: request.Query, Total: len(programs), Programs: programs[:min(limit, len(programs))]}
 }
 
 func compareEnded(a, b ProgramSummary) int {
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -36,15 +36,15 @@
 		return false
 	}
 	refusal := structs.Refused(structs.ReasonMemoryFull, "",
-		fmt.Sprintf("A daemon that holds the program has no memory for %s.", whatHasNoRoom(pressure)), retryAfterMemory)
+		fmt.Sprintf("A daemon that holds the program has no memory for %s.", refusedKind(pressure)), retryAfterMemory)
 	if l.machine.Program(call.Key) != nil {
-		l.decide(call.Key, call.RequestID, "refuse", refusal.Message)
+		l.recordStep(call.Key, call.RequestID, "refuse", refusal.Message)
 	}
-	l.refuseForNow(follower, call, refusal)
+	l.refuseTemporarily(follower, call, refusal)
 	return true
 }
 
-func whatHasNoRoom(pressure replication.Pressure) string {
+func refusedKind(pressure replication.Pressure) string {
 	if pressure == replication.PressureNew {
 		return "new programs"
 	}
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestFullDaemonRefusesNewProgramsAndThenCalls(t *testing.T) {
+func TestFullDaemonRefusesNewProgramsThenCalls(t *testing.T) {
 	f := newFixture(t)
 	f.application.end.Body = make([]byte, 600<<10)
 	f.wantCompleted("first program", numbered(1))
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestMemoryIsFreeAgainOnceProgramsAreForgotten(t *testing.T) {
+func TestMemoryIsFreedWhenProgramsAreRemoved(t *testing.T) {
 	f := newFixture(t)
 	f.application.end.Body = make([]byte, 1100<<10)
 	last := numbered(1)
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -14,16 +14,16 @@
 	// quotaRetry is the pause before an unanswered question is asked again.
 	quotaRetry = 300 * time.Millisecond
 	// quotaPatience is how long calls wait for a slice before they are refused.
-	quotaPatience = 5 * time.Second
+	quotaTimeout = 5 * time.Second
 )
 
 // quotaBroker is a leader's memory of what it asks of tenants' home shards, and,
 // as a home shard, of what it is handing out. Neither needs to survive: totals
 // and the order of questions are in the records.
-type quotaBroker struct {
+type quotaState struct {
 	// count numbers this leadership's questions.
-	count     uint64
-	questions map[structs.QuotaKey]*quotaQuestion
+	count    uint64
+	requests map[structs.QuotaKey]*quotaRequest
 	// granting marks quotas of which a slice is being recorded; a second one
 	// must not be worked out before the first is in the ledger.
 	granting map[structs.QuotaKey]bool
@@ -32,27 +32,27 @@
 }
 
 // quotaQuestion is a question under way and who waits for its answer.
-type quotaQuestion struct {
+type quotaRequest struct {
 	// sentWanted is the total wanted by the latest copy that was sent.
-	sentWanted structs.Cost
-	ask        structs.QuotaAsked
-	since      time.Time
+	sentTotal structs.Cost
+	ask       structs.QuotaAsked
+	since     time.Time
 	// returning is set while slots are given back; none may be taken then.
 	returning bool
 	calls     []*activeCall
 	submits   []quotaSubmit
 }
 
-func newQuotaBroker() *quotaBroker {
-	return &quotaBroker{
-		questions: map[structs.QuotaKey]*quotaQuestion{},
+func newQuotaState() *quotaState {
+	return &quotaState{
+		requests:  map[structs.QuotaKey]*quotaRequest{},
 		granting:  map[structs.QuotaKey]bool{},
 		idleSince: map[structs.TenantName]time.Time{},
 	}
 }
 
 // quotaHome returns the key whose shard keeps a tenant's ledgers.
-func quotaHome(tenant structs.TenantName) structs.ProgramKey {
+func quotaHomeKey(tenant structs.TenantName) structs.ProgramKey {
 	return structs.ProgramKey{Tenant: tenant}
 }
 
@@ -71,13 +71,13 @@
 }
 
 // question asks for more of a quota, unless that is under way.
-func (l *leader) question(quota structs.QuotaKey, needed structs.Cost) *quotaQuestion {
-	question := l.quotas.questions[quota]
-	if question != nil {
-		if !question.returning {
-			question.ask.Wanted += needed
+func (l *leader) requestQuota(quota structs.QuotaKey, needed structs.Cost) *quotaRequest {
+	request := l.quotas.requests[quota]
+	if request != nil {
+		if !request.returning {
+			request.ask.Wanted += needed
 		}
-		return question
+		return request
 	}
 	window := program.WindowOf(quota.Kind, l.Clock.Now())
 	allowance := l.machine.Allowance(quota, window)
@@ -86,46 +86,46 @@
 	if quota.Kind == structs.QuotaPrograms {
 		used = l.programsLive(quota.Tenant)
 	}
-	question = &quotaQuestion{since: l.Clock.Now(), ask: structs.QuotaAsked{
+	request = &quotaRequest{since: l.Clock.Now(), ask: structs.QuotaAsked{
 		Quota:  quota,
 		Window: window,
 		Shard:  l.shard,
 		Held:   allowance.Granted,
 		Wanted: max(used+needed, allowance.Granted) + limit/quotaSlices,
 	}}
-	l.quotas.questions[quota] = question
-	l.sendQuestion(question)
-	return question
+	l.quotas.requests[quota] = request
+	l.sendQuotaRequest(request)
+	return request
 }
 
 // sendQuestion asks the home shard until it answers or patience ends.
-func (l *leader) sendQuestion(question *quotaQuestion) {
-	quota := question.ask.Quota
-	if l.Clock.Now().Sub(question.since) >= quotaPatience {
-		l.closeQuestion(question, quotaUnanswered)
+func (l *leader) sendQuotaRequest(request *quotaRequest) {
+	quota := request.ask.Quota
+	if l.Clock.Now().Sub(request.since) >= quotaTimeout {
+		l.closeQuotaRequest(request, quotaUnanswered)
 		return
 	}
-	question.ask.Order = l.nextOrder()
-	question.sentWanted = question.ask.Wanted
-	route := l.Router.Route(l.Router.Shard(quotaHome(quota.Tenant)))
+	request.ask.Order = l.nextBallot()
+	request.sentTotal = request.ask.Wanted
+	route := l.Router.Route(l.Router.Shard(quotaHomeKey(quota.Tenant)))
 	if route.Leader != "" {
-		l.Transport.Send(route.Leader, &QuotaRequest{Ask: question.ask})
+		l.Transport.Send(route.Leader, &QuotaRequest{Ask: request.ask})
 	}
 	l.after(quotaRetry, func() {
-		if l.quotas.questions[quota] == question {
-			l.sendQuestion(question)
+		if l.quotas.requests[quota] == request {
+			l.sendQuotaRequest(request)
 		}
 	})
 }
 
-func (l *leader) nextOrder() structs.Ballot {
+func (l *leader) nextBallot() structs.Ballot {
 	l.quotas.count++
 	return structs.Ballot{Epoch: l.leadership.Epoch(), Count: l.quotas.count}
 }
 
 // quotaAsked hands out a slice at the home shard: it is in the ledger of a
 // majority before the answer leaves.
-func (l *leader) quotaAsked(from structs.DaemonID, ask structs.QuotaAsked) {
+func (l *leader) handleQuotaRequest(from structs.DaemonID, ask structs.QuotaAsked) {
 	if l.stopped || l.quotas.granting[ask.Quota] {
 		return
 	}
@@ -152,21 +152,21 @@
 
 // quotaAnswered records a slice before anything is spent of it. Only the
 // answer to the latest question counts.
-func (l *leader) quotaAnswered(answer *QuotaAnswer) {
-	question := l.quotas.questions[answer.Quota]
-	if l.stopped || question == nil || question.ask.Order != answer.Order {
+func (l *leader) handleQuotaAnswer(answer *QuotaAnswer) {
+	request := l.quotas.requests[answer.Quota]
+	if l.stopped || request == nil || request.ask.Order != answer.Order {
 		return
 	}
 	received := &structs.QuotaReceived{Quota: answer.Quota, Window: answer.Window, Order: answer.Order, Total: answer.Total}
 	l.propose([]structs.Record{{At: l.Clock.Now(), QuotaReceived: received}}, func() {
-		if l.quotas.questions[answer.Quota] != question {
+		if l.quotas.requests[answer.Quota] != request {
 			return
 		}
-		if answer.Total < question.sentWanted {
-			l.closeQuestion(question, quotaExhausted)
+		if answer.Total < request.sentTotal {
+			l.closeQuotaRequest(request, quotaExhausted)
 			return
 		}
-		l.closeQuestion(question, quotaExtended)
+		l.closeQuotaRequest(request, quotaExtended)
 	})
 }
 
@@ -184,18 +184,18 @@
 
 // closeQuestion lets everybody who waited try again. When there is no more to
 // be had, those whom the slice does not cover are refused.
-func (l *leader) closeQuestion(question *quotaQuestion, result quotaResult) {
-	delete(l.quotas.questions, question.ask.Quota)
-	for _, active := range question.calls {
+func (l *leader) closeQuotaRequest(request *quotaRequest, result quotaResult) {
+	delete(l.quotas.requests, request.ask.Quota)
+	for _, active := range request.calls {
 		if active.stage == stageWaitingForQuota {
-			l.spendingAnswered(active, result)
+			l.resumeAfterQuota(active, result)
 		}
 	}
-	for _, waiting := range question.submits {
-		if question.returning || result == quotaExtended {
+	for _, waiting := range request.submits {
+		if request.returning || result == quotaExtended {
 			l.submit(waiting.follower.daemon, waiting.submit)
 			continue
 		}
-		l.slotAnswered(waiting, question.ask.Quota)
+		l.resumeAfterSlot(waiting, request.ask.Quota)
 	}
 }
--- a/internal/dispatch/quota_slots.go
+++ b/internal/dispatch/quota_slots.go
@@ -12,7 +12,7 @@
 	// live programs as it may.
 	retryWithoutSlot = 5 * time.Second
 	// slotIdle is how long a program slot stays unused before it is given back.
-	slotIdle = 5 * time.Second
+	slotIdleTimeout = 5 * time.Second
 )
 
 // quotaSubmit is a submission that waits for a program slot.
@@ -32,13 +32,13 @@
 	if _, bounded := l.quotaLimit(quota); !bounded {
 		return false
 	}
-	underWay := l.quotas.questions[quota]
+	underWay := l.quotas.requests[quota]
 	returning := underWay != nil && underWay.returning
 	if !returning && l.programsLive(quota.Tenant) < l.machine.Allowance(quota, program.WindowOf(quota.Kind, l.Clock.Now())).Granted {
 		return false
 	}
-	question := l.question(quota, 1)
-	question.submits = append(question.submits, quotaSubmit{follower: follower, submit: submit})
+	request := l.requestQuota(quota, 1)
+	request.submits = append(request.submits, quotaSubmit{follower: follower, submit: submit})
 	return true
 }
 
@@ -53,13 +53,13 @@
 	return live
 }
 
-func (l *leader) slotAnswered(waiting quotaSubmit, quota structs.QuotaKey) {
+func (l *leader) resumeAfterSlot(waiting quotaSubmit, quota structs.QuotaKey) {
 	granted := l.machine.Allowance(quota, program.WindowOf(quota.Kind, l.Clock.Now())).Granted
 	if l.programsLive(quota.Tenant) < granted {
 		l.submit(waiting.follower.daemon, waiting.submit)
 		return
 	}
-	l.refuseForNow(waiting.follower, waiting.submit.Call, structs.Refused(structs.ReasonTenantQuota, "programs",
+	l.refuseTemporarily(waiting.follower, waiting.submit.Call, structs.Refused(structs.ReasonTenantQuota, "programs",
 		"The tenant has as many live programs as it may.", retryWithoutSlot))
 }
 
@@ -67,7 +67,7 @@
 // them. The smaller total is recorded here before the home shard hears of it.
 func (l *leader) returnProgramSlots() {
 	for _, quota := range l.machine.ProgramQuotas() {
-		if l.quotas.questions[quota] != nil {
+		if l.quotas.requests[quota] != nil {
 			continue
 		}
 		l.returnSlots(quota)
@@ -87,13 +87,13 @@
 		l.quotas.idleSince[quota.Tenant] = now
 		return
 	}
-	if now.Sub(since) < slotIdle {
+	if now.Sub(since) < slotIdleTimeout {
 		return
 	}
 	delete(l.quotas.idleSince, quota.Tenant)
 	ask := structs.QuotaAsked{Quota: quota, Window: allowance.Window, Shard: l.shard, Held: live, Wanted: live}
-	question := &quotaQuestion{since: now, ask: ask, returning: true}
-	l.quotas.questions[quota] = question
-	received := &structs.QuotaReceived{Quota: quota, Window: allowance.Window, Order: l.nextOrder(), Total: live}
-	l.propose([]structs.Record{{At: now, QuotaReceived: received}}, func() { l.sendQuestion(question) })
+	request := &quotaRequest{since: now, ask: ask, returning: true}
+	l.quotas.requests[quota] = request
+	received := &structs.QuotaReceived{Quota: quota, Window: allowance.Window, Order: l.nextBallot(), Total: live}
+	l.propose([]structs.Record{{At: now, QuotaReceived: received}}, func() { l.sendQuotaRequest(request) })
 }
--- a/internal/dispatch/quota_spending.go
+++ b/internal/dispatch/quota_spending.go
@@ -7,7 +7,7 @@
 
 // waitForSpending keeps a call back while its tenant's allowance here does not
 // cover it. It returns false when the call may go on.
-func (l *leader) waitForSpending(p *program.Program, active *activeCall) bool {
+func (l *leader) waitForBudget(p *program.Program, active *activeCall) bool {
 	quota := structs.QuotaKey{Tenant: active.key.Tenant, Kind: structs.QuotaSpending}
 	if _, bounded := l.quotaLimit(quota); !bounded {
 		return false
@@ -18,16 +18,16 @@
 	}
 	price := l.priceOf(p, active.call)
 	reservation, refusal := l.machine.Reserve(p, l.describeAttempt(active, open, price))
-	if refusal != nil || !l.spendingShort(active, reservation.Cost) {
+	if refusal != nil || !l.exceedsAllowance(active, reservation.Cost) {
 		return false
 	}
 	active.stage = stageWaitingForQuota
-	question := l.question(quota, reservation.Cost)
-	question.calls = append(question.calls, active)
+	request := l.requestQuota(quota, reservation.Cost)
+	request.calls = append(request.calls, active)
 	return true
 }
 
-func (l *leader) spendingShort(active *activeCall, cost structs.Cost) bool {
+func (l *leader) exceedsAllowance(active *activeCall, cost structs.Cost) bool {
 	quota := structs.QuotaKey{Tenant: active.key.Tenant, Kind: structs.QuotaSpending}
 	if _, bounded := l.quotaLimit(quota); !bounded || l.Guards.SkipBudget {
 		return false
@@ -36,20 +36,20 @@
 	return allowance.Granted-allowance.Used < cost
 }
 
-func (l *leader) spendingAnswered(active *activeCall, result quotaResult) {
+func (l *leader) resumeAfterQuota(active *activeCall, result quotaResult) {
 	p, open := l.machine.Program(active.key), l.openCall(active)
 	if open == nil {
 		return
 	}
 	reservation, refusal := l.machine.Reserve(p, l.describeAttempt(active, open, l.priceOf(p, active.call)))
-	if result != quotaExtended && refusal == nil && l.spendingShort(active, reservation.Cost) {
+	if result != quotaExtended && refusal == nil && l.exceedsAllowance(active, reservation.Cost) {
 		now := l.Clock.Now()
 		retryAfter := program.WindowEnd(program.WindowOf(structs.QuotaSpending, now)).Sub(now)
 		message := "The tenant's budget for this hour is spent or reserved."
 		if result == quotaUnanswered {
-			retryAfter, message = quotaPatience, "The tenant's budget could not be asked for."
+			retryAfter, message = quotaTimeout, "The tenant's budget could not be asked for."
 		}
-		l.settle(active, l.withoutDisproof(active, structs.Refused(structs.ReasonTenantQuota, "budget_per_hour", message, retryAfter)))
+		l.settle(active, l.amendIfMayHaveRun(active, structs.Refused(structs.ReasonTenantQuota, "budget_per_hour", message, retryAfter)))
 		return
 	}
 	active.stage = stageWaiting
--- a/internal/dispatch/quota_test.go
+++ b/internal/dispatch/quota_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestTenantProgramSlotsAreTakenAndGivenBack(t *testing.T) {
+func TestTenantProgramSlotsAreTakenAndReturned(t *testing.T) {
 	f := newFixture(t)
 	f.boundedTenant(0, 2)
 	last := numbered(1)
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestOldQuotaQuestionGetsNothing(t *testing.T) {
+func TestOutdatedQuotaRequestIsIgnored(t *testing.T) {
 	shard := program.NewShard()
 	quota := structs.QuotaKey{Tenant: "bakery", Kind: structs.QuotaSpending}
 	ask := structs.QuotaAsked{Quota: quota, Window: 7, Shard: 3, Order: structs.Ballot{Epoch: 2, Count: 5}, Wanted: 60}
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestOvertakenQuotaAnswerChangesNothing(t *testing.T) {
+func TestOutdatedQuotaAnswerIsIgnored(t *testing.T) {
 	shard := program.NewShard()
 	quota := structs.QuotaKey{Tenant: "bakery", Kind: structs.QuotaPrograms}
 	receive := func(count uint64, total structs.Cost) {
--- a/internal/dispatch/refuse.go
+++ b/internal/dispatch/refuse.go
@@ -7,9 +7,9 @@
 
 // settleWith sends an outcome. Refusals that no record keeps are remembered,
 // so that a second copy of the same submission meets the same answer.
-func (l *leader) settleWith(follower attachment, outcome structs.Outcome) {
+func (l *leader) sendOutcome(follower attachment, outcome structs.Outcome) {
 	if outcome.Status == structs.OutcomeNotRun {
-		l.refused.remember(follower, outcome)
+		l.refusals.add(follower, outcome)
 	}
 	l.Transport.Send(follower.daemon, &Settled{Submission: follower.submission, Outcome: outcome})
 }
@@ -17,14 +17,14 @@
 // refuseForGood answers a call that this program will never take. Of a call
 // that may have been sent before, another leader may know more: the epoch is
 // confirmed first, and a leader that was replaced stays silent.
-func (l *leader) refuseForGood(follower attachment, call structs.Call, refusal structs.Outcome) {
+func (l *leader) refusePermanently(follower attachment, call structs.Call, refusal structs.Outcome) {
 	if !call.Retry {
-		l.settleWith(follower, refusal)
+		l.sendOutcome(follower, refusal)
 		return
 	}
 	l.leadership.Confirm(func(err error) {
 		if err == nil && !l.stopped {
-			l.settleWith(follower, refusal)
+			l.sendOutcome(follower, refusal)
 		}
 	})
 }
@@ -32,19 +32,19 @@
 // refuseForNow answers a call that is not taken now and may be later. An earlier
 // copy of it may still be under way, in a daemon that is paused for instance,
 // and be taken then; so a caller that sent it before is not told "not run".
-func (l *leader) refuseForNow(follower attachment, call structs.Call, refusal structs.Outcome) {
+func (l *leader) refuseTemporarily(follower attachment, call structs.Call, refusal structs.Outcome) {
 	if call.Retry && !l.Guards.SkipRunCheck {
 		refusal.Status = structs.OutcomeUnknown
 	}
-	l.refuseForGood(follower, call, refusal)
+	l.refusePermanently(follower, call, refusal)
 }
 
 func (l *leader) refuse(follower attachment, call structs.Call, admission program.Admission) {
-	l.decide(call.Key, call.RequestID, "refuse", admission.Refusal.Message)
+	l.recordStep(call.Key, call.RequestID, "refuse", admission.Refusal.Message)
 	if l.machine.Program(call.Key) != nil {
-		l.refuseForGood(follower, call, admission.Refusal)
+		l.refusePermanently(follower, call, admission.Refusal)
 	} else {
-		l.refuseForNow(follower, call, admission.Refusal)
+		l.refuseTemporarily(follower, call, admission.Refusal)
 	}
 	for _, record := range admission.Records {
 		if record.ProgramEnded != nil {
--- a/internal/dispatch/refused_copy_test.go
+++ b/internal/dispatch/refused_copy_test.go
@@ -21,7 +21,7 @@
 	f.application.end = framework.AttemptEnd{Kind: framework.EndRejected, Message: "draining"}
 }
 
-func (f *fixture) wantUnknownForNow(who string, caller *answerTo) {
+func (f *fixture) wantUnknownForNow(who string, caller *recordedCaller) {
 	f.t.Helper()
 	if status := caller.status(f.t); status != structs.OutcomeUnknown || caller.outcomes[0].RetryAfter == 0 {
 		f.t.Errorf("%s: %+v, want unknown with a time to come back", who, caller.outcomes[0])
@@ -31,7 +31,7 @@
 // TestRefusalOfOneCopyProvesNothingOfAnother has a copy come after the other
 // was accepted and refused: it is accepted anew and runs, so that the first
 // must not have been called not run.
-func TestRefusalOfOneCopyProvesNothingOfAnother(t *testing.T) {
+func TestRefusedCopyIsUnknownWhileAnotherMayRun(t *testing.T) {
 	f := newFixture(t)
 	f.rejecting()
 	first, _ := f.submit(sentBefore("a"))
@@ -43,7 +43,7 @@
 
 // TestCopyThatJoinsACallMakesItsRefusalUnknown has the caller's second copy
 // join the first, before or after a takeover, while a third may be under way.
-func TestCopyThatJoinsACallMakesItsRefusalUnknown(t *testing.T) {
+func TestAttachedCopyMakesRefusalUnknown(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		f := newFixture(t)
 		f.scheduler.holdBack = true
@@ -64,7 +64,7 @@
 
 // TestRefusalForGoodIsNotRunForEveryCopy ends the program of a refused call: no
 // copy of it will be taken any more.
-func TestRefusalForGoodIsNotRunForEveryCopy(t *testing.T) {
+func TestPermanentRefusalIsNotRunForEveryCopy(t *testing.T) {
 	f := newFixture(t)
 	f.scheduler.holdBack = true
 	call := modelCall("a")
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -17,9 +17,9 @@
 	}
 	active.stage = stageRunning
 	active.mayHaveRun = true
-	active.exchange++
+	active.generation++
 	active.startedAt = l.Clock.Now()
-	active.progressAt = active.startedAt
+	active.lastProgressAt = active.startedAt
 	active.firstChunkAt = time.Time{}
 	if active.call.Kind != structs.CallModel {
 		l.sendApplication(active, plan)
@@ -49,7 +49,7 @@
 		Program:       active.key,
 		Deadline:      active.call.Deadline,
 	}
-	active.stream = l.Drivers.Engines.Start(request, &observer{active: active, exchange: active.exchange})
+	active.stream = l.Drivers.Engines.Start(request, &observer{active: active, generation: active.generation})
 }
 
 // promptOf returns the whole prompt of a call.
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -37,7 +37,7 @@
 		if open := l.openCall(active); open != nil {
 			l.Directory.MarkUnreachable(open.BackEnd)
 		}
-		l.decide(active.key, active.call.RequestID, "lost", "The connection to the back end broke; it is asked.")
+		l.recordStep(active.key, active.call.RequestID, "lost", "The connection to the back end broke; it is asked.")
 		l.inspect(active)
 	}
 }
@@ -102,7 +102,7 @@
 	if open == nil {
 		return
 	}
-	l.decide(active.key, active.call.RequestID, "rejected", fmt.Sprintf("Back end %s: %s", open.BackEnd, end.Message))
+	l.recordStep(active.key, active.call.RequestID, "rejected", fmt.Sprintf("Back end %s: %s", open.BackEnd, end.Message))
 	l.disprove(active)
 	active.avoid = append(active.avoid, open.BackEnd)
 	l.retry(active, max(end.RetryAfter, retryAfterOverload))
@@ -128,10 +128,10 @@
 	allowed := open.Attempt < l.Settings.MaximumAttempts && !l.pastDeadline(active) && l.retries.retry()
 	if !allowed {
 		refusal := structs.Refused(structs.ReasonOverloaded, "", "No back end took the call.", retryAfter)
-		l.settle(active, l.withoutDisproof(active, refusal))
+		l.settle(active, l.amendIfMayHaveRun(active, refusal))
 		return
 	}
-	l.decide(active.key, active.call.RequestID, "retry", fmt.Sprintf("Attempt %d follows.", open.Attempt+1))
+	l.recordStep(active.key, active.call.RequestID, "retry", fmt.Sprintf("Attempt %d follows.", open.Attempt+1))
 	active.stage = stageWaiting
 	l.begin(l.machine.Program(active.key), active)
 }
@@ -139,9 +139,9 @@
 // settle records an outcome, and ends the program when the call asked for it.
 func (l *leader) settle(active *activeCall, outcome structs.Outcome) {
 	active.stage = stageSettling
-	active.exchange++
+	active.generation++
 	active.leaveScheduler(schedule.Result{})
-	l.continueNumbers(active, outcome)
+	l.recordRefusedDispatches(active, outcome)
 	now := l.Clock.Now()
 	recorded := outcome
 	if l.Guards.SkipHistory {
@@ -159,7 +159,7 @@
 	l.propose(records, func() {
 		l.finish(active, outcome)
 		if ends {
-			l.decide(active.key, active.call.RequestID, "end", "The caller's last call was answered.")
+			l.recordStep(active.key, active.call.RequestID, "end", "The caller's last call was answered.")
 			l.programEnded(active.key)
 		}
 	})
@@ -194,14 +194,14 @@
 func (l *leader) finish(active *activeCall, outcome structs.Outcome) {
 	active.abandon()
 	active.stage = stageFinished
-	l.decide(active.key, active.call.RequestID, "settle", string(outcome.Status)+" "+string(outcome.Reason))
+	l.recordStep(active.key, active.call.RequestID, "settle", string(outcome.Status)+" "+string(outcome.Reason))
 	delete(l.calls, callKey{active.key, active.call.RequestID})
 	if outcome.Answer.Content != "" {
 		l.sendMissingText(active, outcome.Answer.Content)
 	}
-	told := l.withoutFinality(active, outcome)
+	told := l.amendIfCopyMayRun(active, outcome)
 	for _, follower := range active.attachments {
-		l.settleWith(follower, told)
+		l.sendOutcome(follower, told)
 	}
 	p := l.machine.Program(active.key)
 	if p == nil {
@@ -214,9 +214,9 @@
 // withoutFinality turns a refusal for now into an unknown one when a copy of
 // the call may be under way and would be accepted anew. The record says
 // not_run; a caller may not conclude from it that no copy runs.
-func (l *leader) withoutFinality(active *activeCall, outcome structs.Outcome) structs.Outcome {
+func (l *leader) amendIfCopyMayRun(active *activeCall, outcome structs.Outcome) structs.Outcome {
 	refusedForNow := outcome.Status == structs.OutcomeNotRun && outcome.RetryAfter > 0
-	if !refusedForNow || !active.sentBefore || l.Guards.SkipRunCheck || l.refusesCopies(active) {
+	if !refusedForNow || !active.sentBefore || l.Guards.SkipRunCheck || l.wouldRefuseCopies(active) {
 		return outcome
 	}
 	outcome.Status = structs.OutcomeUnknown
@@ -225,7 +225,7 @@
 
 // refusesCopies tells whether a copy of a refused call would meet a refusal as
 // well: its program has ended, or went on without the call.
-func (l *leader) refusesCopies(active *activeCall) bool {
+func (l *leader) wouldRefuseCopies(active *activeCall) bool {
 	p := l.machine.Program(active.key)
 	return p != nil && (p.Ended || p.Settled[active.call.RequestID] != nil)
 }
@@ -244,7 +244,7 @@
 	switch active.stage {
 	case stageWaiting, stageQueued, stageWaitingForQuota:
 		active.leaveScheduler(schedule.Result{})
-		l.settle(active, l.withoutDisproof(active,
+		l.settle(active, l.amendIfMayHaveRun(active,
 			structs.Refused(structs.ReasonCancelled, "", "Cancelled before it was sent.", 0)))
 	case stageRunning:
 		if active.call.Kind == structs.CallModel {
@@ -260,11 +260,11 @@
 	if open == nil {
 		return
 	}
-	exchange := active.exchange
+	generation := active.generation
 	attempt := structs.NewAttemptID(active.key, active.call.RequestID)
 	l.Drivers.Engines.Cancel(open.BackEnd, attempt, func(err error) {
 		l.post(func() {
-			if active.exchange == exchange && err != nil {
+			if active.generation == generation && err != nil {
 				l.inspect(active)
 			}
 		})
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -7,14 +7,14 @@
 
 // observer hands an engine's stream to the shard's queue.
 type observer struct {
-	active   *activeCall
-	exchange int
+	active     *activeCall
+	generation int
 }
 
 // Chunks implements framework.EngineObserver.
 func (o *observer) Chunks(chunks []structs.Chunk) {
 	o.active.leader.post(func() {
-		if o.active.exchange == o.exchange {
+		if o.active.generation == o.generation {
 			o.active.leader.chunksArrived(o.active, chunks)
 		}
 	})
@@ -23,7 +23,7 @@
 // End implements framework.EngineObserver.
 func (o *observer) End(end framework.AttemptEnd) {
 	o.active.leader.post(func() {
-		if o.active.exchange == o.exchange {
+		if o.active.generation == o.generation {
 			o.active.stream = nil
 			o.active.leader.attemptEnded(o.active, end)
 		}
@@ -33,9 +33,9 @@
 // chunksArrived keeps and passes on answer text. Text that is already there is
 // cut; a gap means that the stream cannot be trusted any more.
 func (l *leader) chunksArrived(active *activeCall, chunks []structs.Chunk) {
-	active.progressAt = l.Clock.Now()
+	active.lastProgressAt = l.Clock.Now()
 	if active.firstChunkAt.IsZero() {
-		active.firstChunkAt = active.progressAt
+		active.firstChunkAt = active.lastProgressAt
 	}
 	fresh := make([]structs.Chunk, 0, len(chunks))
 	for _, chunk := range chunks {
--- a/internal/dispatch/times.go
+++ b/internal/dispatch/times.go
@@ -7,13 +7,13 @@
 
 // enforceTimes stops calls whose deadline has passed and takes calls away from
 // engines that show no progress.
-func (l *leader) enforceTimes() {
+func (l *leader) enforceTimeouts() {
 	for _, active := range l.sortedCalls() {
 		switch {
 		case l.pastDeadline(active):
 			l.deadlinePassed(active)
 		case l.stalled(active):
-			l.decide(active.key, active.call.RequestID, "stalled", "The engine shows no progress; the call moves on.")
+			l.recordStep(active.key, active.call.RequestID, "stalled", "The engine shows no progress; the call moves on.")
 			l.abandonAttempt(active)
 			l.rerun(active, "The engine stalled.")
 		}
@@ -24,7 +24,7 @@
 	switch active.stage {
 	case stageWaiting, stageQueued, stageWaitingForQuota:
 		active.leaveScheduler(schedule.Result{})
-		l.settle(active, l.withoutDisproof(active,
+		l.settle(active, l.amendIfMayHaveRun(active,
 			structs.Refused(structs.ReasonDeadline, "", "The deadline passed before the call was sent.", 0)))
 	case stageRunning:
 		l.cancelCall(active)
@@ -37,13 +37,13 @@
 	if active.stage != stageRunning || active.call.Kind != structs.CallModel {
 		return false
 	}
-	return l.Clock.Now().Sub(active.progressAt) >= l.Settings.StallAfter
+	return l.Clock.Now().Sub(active.lastProgressAt) >= l.Settings.StallAfter
 }
 
 // abandonAttempt stops listening to an attempt and asks its engine to stop it,
 // without waiting for the answer: its reservation stays.
 func (l *leader) abandonAttempt(active *activeCall) {
-	active.exchange++
+	active.generation++
 	if active.stream != nil {
 		active.stream.Detach()
 		active.stream = nil
--- a/internal/dispatch/transfer.go
+++ b/internal/dispatch/transfer.go
@@ -12,7 +12,7 @@
 // holdOf names the engine memory that a dispatch may take, "" for none: what is
 // kept over the pause that follows, and what a transfer brings before it. The
 // name is recorded with the intent, before anything is taken.
-func (l *leader) holdOf(active *activeCall, assignment *schedule.Assignment) structs.HoldID {
+func (l *leader) newHoldID(active *activeCall, assignment *schedule.Assignment) structs.HoldID {
 	keeps := assignment.Hold && !active.call.EndProgram
 	if !keeps && assignment.Transfer.From == "" {
 		return ""
@@ -31,12 +31,12 @@
 // if the scheduler chose so, and returns whether it did; done follows then. A
 // transfer that fails or takes too long costs only the time: the engine
 // computes what did not come.
-func (l *leader) moveCache(active *activeCall, plan intent, done func()) bool {
+func (l *leader) transferCache(active *activeCall, plan intent, done func()) bool {
 	assignment := active.assignment
-	if assignment == nil || assignment.Transfer.From == "" || active.cancelled || active.moved {
+	if assignment == nil || assignment.Transfer.From == "" || active.cancelled || active.transferRequested {
 		return false
 	}
-	active.moved = true
+	active.transferRequested = true
 	began := l.Clock.Now()
 	transfer := framework.Transfer{From: assignment.Transfer.From, To: plan.backEnd, Program: active.key, Hold: plan.hold}
 	l.Drivers.Engines.Transfer(transfer, func(tokens int64, err error) {
@@ -44,7 +44,7 @@
 			if active.stage != stageRecording || active.assignment != assignment {
 				return
 			}
-			l.cacheMoved(active, transfer, tokens, l.Clock.Now().Sub(began), err)
+			l.cacheTransferred(active, transfer, tokens, l.Clock.Now().Sub(began), err)
 			done()
 		})
 	})
@@ -52,14 +52,14 @@
 }
 
 // cacheMoved frees what the sender holds of a cache that is now elsewhere.
-func (l *leader) cacheMoved(active *activeCall, transfer framework.Transfer, tokens int64, took time.Duration, err error) {
+func (l *leader) cacheTransferred(active *activeCall, transfer framework.Transfer, tokens int64, took time.Duration, err error) {
 	if err != nil {
-		l.decide(active.key, active.call.RequestID, "move", fmt.Sprintf("The cache did not come from %s: %v", transfer.From, err))
+		l.recordStep(active.key, active.call.RequestID, "move", fmt.Sprintf("The cache did not come from %s: %v", transfer.From, err))
 		return
 	}
 	planned := active.assignment.Transfer
 	l.Scheduler.RecordTransfer(min(tokens, planned.Tokens), took)
-	l.decide(active.key, active.call.RequestID, "move", fmt.Sprintf(
+	l.recordStep(active.key, active.call.RequestID, "move", fmt.Sprintf(
 		"The engine has %d tokens of the cache now; %d of them were to come from %s in %.3f s, and did in %.3f s.",
 		tokens, planned.Tokens, transfer.From, planned.Seconds, took.Seconds()))
 	p := l.machine.Program(active.key)
--- a/internal/dispatch/transfer_test.go
+++ b/internal/dispatch/transfer_test.go
@@ -16,7 +16,7 @@
 
 // moving has a program with one answered call, held at the fake engine, and a
 // second call whose cache is to be moved. The fake engine plays both ends.
-func moving(t *testing.T) (*fixture, *answerTo) {
+func moving(t *testing.T) (*fixture, *recordedCaller) {
 	f := newFixture(t)
 	f.submit(modelCall("a"))
 	f.engine.answer("one")
@@ -46,7 +46,7 @@
 	return structs.Outcome{}
 }
 
-func TestTransferIsRecordedThenMadeThenFollowed(t *testing.T) {
+func TestTransferIsRecordedBeforeItIsMade(t *testing.T) {
 	f, caller := moving(t)
 	if len(f.engine.transfers) != 1 || len(f.engine.requests) != 1 {
 		t.Fatalf("%d transfers and %d requests, want one transfer and the first call's request", len(f.engine.transfers), len(f.engine.requests))
@@ -57,8 +57,8 @@
 	}
 	f.engine.moved[0](2048, nil)
 	f.run(100 * time.Millisecond)
-	if len(f.engine.requests) != 2 || f.engine.requests[1].Hold != want.Hold || f.scheduler.taught != 2048 {
-		t.Errorf("%d requests, the last with hold %q; the scheduler learned of %d tokens", len(f.engine.requests), f.engine.requests[len(f.engine.requests)-1].Hold, f.scheduler.taught)
+	if len(f.engine.requests) != 2 || f.engine.requests[1].Hold != want.Hold || f.scheduler.transferredTokens != 2048 {
+		t.Errorf("%d requests, the last with hold %q; the scheduler learned of %d tokens", len(f.engine.requests), f.engine.requests[len(f.engine.requests)-1].Hold, f.scheduler.transferredTokens)
 	}
 	if len(f.engine.released) != 1 || f.engine.released[0] == want.Hold {
 		t.Errorf("released %v, want the hold of the former call", f.engine.released)
--- a/internal/historycost/history_test.go
+++ b/internal/historycost/history_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestMeasureIsRepeatableAndOrdered(t *testing.T) {
+func TestMeasureIsDeterministic(t *testing.T) {
 	first, err := Measure(20, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/historycost/shard_test.go
+++ b/internal/historycost/shard_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestKeptProgramsAreFewerBytesThanTheirText(t *testing.T) {
+func TestShardUsesLessMemoryThanTheText(t *testing.T) {
 	const turns, programs = 140, 10
 	text, err := Measure(turns, 1)
 	if err != nil {
--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -11,7 +11,7 @@
 // as a call waits for it, one that some have once calls have waited for long.
 // Place is made for them by unloading what was not in use for AdapterStay.
 func (c *controller) startAdapters(configuration *structs.Configuration, engines []structs.EngineID, fleet loads) {
-	c.unloadForgotten(configuration, engines)
+	c.unloadUnreferenced(configuration, engines)
 	for _, load := range fleet.sorted() {
 		if load.Adapter == "" || load.Waiting == 0 {
 			continue
@@ -19,7 +19,7 @@
 		if load.Engines > 0 && !c.sustained(load.ModelAdapter) {
 			continue
 		}
-		if c.mayRead(configuration) == 0 {
+		if c.loadsAllowed(configuration) == 0 {
 			return
 		}
 		if engine, found := c.engineForAdapter(engines, load.ModelAdapter); found {
@@ -27,7 +27,7 @@
 			delete(c.highSince, load.ModelAdapter)
 			continue
 		}
-		c.makePlace(engines, fleet, load.ModelAdapter)
+		c.freeAdapterSlot(engines, fleet, load.ModelAdapter)
 	}
 }
 
@@ -40,7 +40,7 @@
 func (c *controller) engineForAdapter(engines []structs.EngineID, wanted structs.ModelAdapter) (structs.EngineID, bool) {
 	best, bestRunning, found := structs.EngineID(""), 0, false
 	for _, engine := range engines {
-		load, idle := c.idle(engine)
+		load, idle := c.readyForOrder(engine)
 		if !idle || !c.lacksAdapter(load, wanted) || adaptersFull(load) {
 			continue
 		}
@@ -63,21 +63,21 @@
 
 // makePlace unloads the adapter that was unused for longest at an engine that
 // could load another instead, if that is long enough.
-func (c *controller) makePlace(engines []structs.EngineID, fleet loads, wanted structs.ModelAdapter) {
-	if c.placeComes(engines, wanted) {
+func (c *controller) freeAdapterSlot(engines []structs.EngineID, fleet loads, wanted structs.ModelAdapter) {
+	if c.slotWillFree(engines, wanted) {
 		return
 	}
 	now := c.Clock.Now()
-	var oldest adapterPlace
+	var oldest engineAdapter
 	var oldestUse time.Time
 	for _, engine := range engines {
-		load, idle := c.idle(engine)
+		load, idle := c.readyForOrder(engine)
 		if !idle || !c.lacksAdapter(load, wanted) {
 			continue
 		}
 		for _, adapter := range load.Adapters {
-			place := adapterPlace{engine, adapter.ModelAdapter}
-			use := c.adapterUse[place]
+			place := engineAdapter{engine, adapter.ModelAdapter}
+			use := c.adapterLastUsed[place]
 			busy := adapter.Running > 0 || fleet.of(adapter.ModelAdapter).Waiting > 0 || now.Sub(use) < c.Settings.AdapterRetention
 			if !busy && (oldest.engine == "" || use.Before(oldestUse)) {
 				oldest, oldestUse = place, use
@@ -91,23 +91,23 @@
 
 // placeComes tells whether an engine will have place for an adapter once its
 // present order is carried out.
-func (c *controller) placeComes(engines []structs.EngineID, wanted structs.ModelAdapter) bool {
+func (c *controller) slotWillFree(engines []structs.EngineID, wanted structs.ModelAdapter) bool {
 	return slices.ContainsFunc(engines, func(engine structs.EngineID) bool {
-		load, known := c.latest(engine)
+		load, known := c.latestReport(engine)
 		if !known || load.Draining || !c.lacksAdapter(load, wanted) {
 			return false
 		}
-		order := c.ordered(engine)
+		order := c.currentOrder(engine)
 		unloads := order != nil && order.Kind == structs.OrderUnloadAdapter
 		return unloads || !adaptersFull(load)
 	})
 }
 
 // unloadForgotten frees adapters that no template names any more.
-func (c *controller) unloadForgotten(configuration *structs.Configuration, engines []structs.EngineID) {
+func (c *controller) unloadUnreferenced(configuration *structs.Configuration, engines []structs.EngineID) {
 	var named map[structs.ModelAdapter]bool
 	for _, engine := range engines {
-		load, idle := c.idle(engine)
+		load, idle := c.readyForOrder(engine)
 		if !idle || len(load.Adapters) == 0 {
 			continue
 		}
@@ -115,7 +115,7 @@
 			named = configuredAdapters(configuration)
 		}
 		for _, adapter := range load.Adapters {
-			unused := c.Clock.Now().Sub(c.adapterUse[adapterPlace{engine, adapter.ModelAdapter}]) >= c.Settings.AdapterRetention
+			unused := c.Clock.Now().Sub(c.adapterLastUsed[engineAdapter{engine, adapter.ModelAdapter}]) >= c.Settings.AdapterRetention
 			if unused && !named[adapter.ModelAdapter] {
 				c.issue(adapterOrder(engine, structs.OrderUnloadAdapter, adapter.ModelAdapter))
 				break
--- a/internal/placement/adapters_test.go
+++ b/internal/placement/adapters_test.go
@@ -62,7 +62,7 @@
 	return count
 }
 
-func TestAdapterIsLoadedAsSoonAsACallWaitsForIt(t *testing.T) {
+func TestAdapterIsLoadedWhenACallWaitsForIt(t *testing.T) {
 	w := newAdapterWorld(1)
 	w.want(1, 0)
 	w.run(20 * time.Second)
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestAdapterInLastingDemandGetsMoreEngines(t *testing.T) {
+func TestAdapterInSustainedDemandGetsMoreEngines(t *testing.T) {
 	w := newAdapterWorld(1)
 	w.want(30, 0)
 	w.run(2 * time.Minute)
@@ -104,9 +104,9 @@
 	if unloads == 0 || unloads > bound {
 		t.Errorf("%d unloads in an hour, want some and at most %d", unloads, bound)
 	}
-	lastLoad := map[adapterPlace]time.Time{}
+	lastLoad := map[engineAdapter]time.Time{}
 	for i, order := range w.engines.orders {
-		place := adapterPlace{order.Engine, structs.ModelAdapter{Model: order.Model, Adapter: order.Adapter}}
+		place := engineAdapter{order.Engine, structs.ModelAdapter{Model: order.Model, Adapter: order.Adapter}}
 		at := w.engines.orderedAt[i]
 		if order.Kind == structs.OrderLoadAdapter {
 			lastLoad[place] = at
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestAdapterComesBackAfterARestart(t *testing.T) {
+func TestAdapterIsReloadedAfterEngineRestart(t *testing.T) {
 	w := newAdapterWorld(1)
 	w.want(1, 0)
 	w.run(11 * time.Second)
@@ -152,7 +152,7 @@
 
 // TestReplacedLeaderIsSilent has an engine restart, and so forget its fence,
 // while a leader that was replaced does not know it yet.
-func TestReplacedLeaderIsSilent(t *testing.T) {
+func TestReplacedLeaderSendsNoOrders(t *testing.T) {
 	w := newAdapterWorld(1)
 	w.engines.deaf = true
 	w.want(1, 0)
@@ -171,7 +171,7 @@
 
 // TestEngineThatStillReadsGetsNoOther has an order given up whose effect the
 // engine is still working on.
-func TestEngineThatStillReadsGetsNoOther(t *testing.T) {
+func TestLoadingEngineGetsNoOtherOrder(t *testing.T) {
 	w := newAdapterWorld(2)
 	for _, load := range w.engines.loads {
 		load.Loading = []structs.ModelName{large}
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestRefusedOrderIsGivenUpForAWhile(t *testing.T) {
+func TestRefusedOrderIsRetriedAfterBackoff(t *testing.T) {
 	w := newAdapterWorld(1)
 	w.engines.refusing = true
 	w.want(1, 0)
@@ -200,7 +200,7 @@
 
 // TestReadingIsBoundedFleetWide has another control shard tell of engines that
 // read already.
-func TestReadingIsBoundedFleetWide(t *testing.T) {
+func TestLoadingIsBoundedFleetWide(t *testing.T) {
 	w := newAdapterWorld(4)
 	w.manager.Settings.Shards = 2
 	w.engines.loadTime = time.Hour
--- a/internal/placement/controller.go
+++ b/internal/placement/controller.go
@@ -23,20 +23,20 @@
 	stopped    bool
 	timer      clock.Timer
 
-	fences  uint64
-	reports map[structs.EngineID]report
-	demand  map[structs.DaemonID]heardDemand
-	others  map[structs.ShardNumber]heardSummary
+	fenceCount uint64
+	reports    map[structs.EngineID]report
+	demand     map[structs.DaemonID]receivedDemand
+	summaries  map[structs.ShardNumber]receivedSummary
 	// highSince is when a model or an adapter was first seen above HighUse.
 	highSince map[structs.ModelAdapter]time.Time
 	// adapterUse is when adapters were last seen in use, or first seen.
-	adapterUse map[adapterPlace]time.Time
+	adapterLastUsed map[engineAdapter]time.Time
 	// proposed holds orders that are being recorded.
 	proposed map[structs.EngineID]structs.Order
 }
 
 // adapterPlace is an adapter at one engine.
-type adapterPlace struct {
+type engineAdapter struct {
 	engine  structs.EngineID
 	adapter structs.ModelAdapter
 }
@@ -47,31 +47,31 @@
 	at   time.Time
 }
 
-type heardDemand struct {
+type receivedDemand struct {
 	waiting []ModelWaiting
 	at      time.Time
 }
 
-type heardSummary struct {
+type receivedSummary struct {
 	models  []ModelLoad
-	reading int
+	loading int
 	at      time.Time
 }
 
 func newController(m *Manager, shard structs.ShardNumber, state *State, leadership replication.Leadership) *controller {
 	return &controller{
-		Manager:    m,
-		shard:      shard,
-		state:      state,
-		leadership: leadership,
-		queue:      leadership.Queue(),
-		startedAt:  m.Clock.Now(),
-		reports:    map[structs.EngineID]report{},
-		demand:     map[structs.DaemonID]heardDemand{},
-		others:     map[structs.ShardNumber]heardSummary{},
-		highSince:  map[structs.ModelAdapter]time.Time{},
-		adapterUse: map[adapterPlace]time.Time{},
-		proposed:   map[structs.EngineID]structs.Order{},
+		Manager:         m,
+		shard:           shard,
+		state:           state,
+		leadership:      leadership,
+		queue:           leadership.Queue(),
+		startedAt:       m.Clock.Now(),
+		reports:         map[structs.EngineID]report{},
+		demand:          map[structs.DaemonID]receivedDemand{},
+		summaries:       map[structs.ShardNumber]receivedSummary{},
+		highSince:       map[structs.ModelAdapter]time.Time{},
+		adapterLastUsed: map[engineAdapter]time.Time{},
+		proposed:        map[structs.EngineID]structs.Order{},
 	}
 }
 
@@ -97,14 +97,14 @@
 func (c *controller) tick() {
 	engines := c.enginesOf(c.shard)
 	c.readLoads(engines)
-	c.forgetGone(engines)
-	c.driveOrders()
+	c.forgetRemoved(engines)
+	c.resendOrders()
 	fleet := c.fleetLoad(c.ownLoad(engines))
-	c.noteHighUse(fleet)
-	if c.isTurn() && c.knowsOthers() {
+	c.updateHighSince(fleet)
+	if c.isTurn() && c.hasAllSummaries() {
 		c.startOrders(engines, fleet)
 	}
-	c.sendSummary(worthTelling(c.ownLoad(engines), fleet))
+	c.sendSummary(relevantLoads(c.ownLoad(engines), fleet))
 	c.timer = c.Clock.AfterFunc(c.Settings.Period, func() { c.post(c.tick) })
 }
 
@@ -116,12 +116,12 @@
 
 // knowsOthers tells whether all other control shards were heard of lately. A
 // leader that hears nothing for long goes on alone.
-func (c *controller) knowsOthers() bool {
+func (c *controller) hasAllSummaries() bool {
 	now := c.Clock.Now()
 	if now.Sub(c.startedAt) > c.Settings.ReportTTL {
 		return true
 	}
-	return len(c.others) >= c.Settings.Shards-1
+	return len(c.summaries) >= c.Settings.Shards-1
 }
 
 func (c *controller) readLoads(engines []structs.EngineID) {
@@ -129,26 +129,26 @@
 		c.Engines.Load(engine, func(load structs.LoadReport, err error) {
 			c.post(func() {
 				if err == nil {
-					c.reportRead(engine, load)
+					c.handleReport(engine, load)
 				}
 			})
 		})
 	}
 }
 
-func (c *controller) reportRead(engine structs.EngineID, load structs.LoadReport) {
+func (c *controller) handleReport(engine structs.EngineID, load structs.LoadReport) {
 	now := c.Clock.Now()
 	c.reports[engine] = report{load: load, at: now}
 	for _, adapter := range load.Adapters {
-		place := adapterPlace{engine, adapter.ModelAdapter}
-		if _, known := c.adapterUse[place]; !known || adapter.Running > 0 {
-			c.adapterUse[place] = now
+		place := engineAdapter{engine, adapter.ModelAdapter}
+		if _, known := c.adapterLastUsed[place]; !known || adapter.Running > 0 {
+			c.adapterLastUsed[place] = now
 		}
 	}
 }
 
 // latest returns an engine's report unless it is old.
-func (c *controller) latest(engine structs.EngineID) (structs.LoadReport, bool) {
+func (c *controller) latestReport(engine structs.EngineID) (structs.LoadReport, bool) {
 	seen, known := c.reports[engine]
 	if !known || c.Clock.Now().Sub(seen.at) > c.Settings.ReportTTL {
 		return structs.LoadReport{}, false
@@ -157,11 +157,11 @@
 }
 
 // forgetGone drops engines that the platform no longer lists.
-func (c *controller) forgetGone(engines []structs.EngineID) {
+func (c *controller) forgetRemoved(engines []structs.EngineID) {
 	if len(engines) == 0 {
 		return
 	}
-	maps.DeleteFunc(c.adapterUse, func(place adapterPlace, _ time.Time) bool { return !c.keepsUse(engines, place) })
+	maps.DeleteFunc(c.adapterLastUsed, func(place engineAdapter, _ time.Time) bool { return !c.hasAdapter(engines, place) })
 	for _, engine := range slices.Sorted(maps.Keys(c.state.engines)) {
 		if slices.Contains(engines, engine) {
 			continue
@@ -173,7 +173,7 @@
 }
 
 // keepsUse tells whether an adapter is still at a listed engine.
-func (c *controller) keepsUse(engines []structs.EngineID, place adapterPlace) bool {
+func (c *controller) hasAdapter(engines []structs.EngineID, place engineAdapter) bool {
 	if !slices.Contains(engines, place.engine) {
 		return false
 	}
@@ -182,28 +182,28 @@
 	})
 }
 
-func (c *controller) demandHeard(from structs.DaemonID, demand *Demand) {
+func (c *controller) handleDemand(from structs.DaemonID, demand *Demand) {
 	if len(demand.Waiting) == 0 {
 		delete(c.demand, from)
 		return
 	}
-	c.demand[from] = heardDemand{waiting: demand.Waiting, at: c.Clock.Now()}
+	c.demand[from] = receivedDemand{waiting: demand.Waiting, at: c.Clock.Now()}
 }
 
-func (c *controller) summaryHeard(summary *Summary) {
-	c.others[summary.From] = heardSummary{models: summary.Models, reading: summary.Loading, at: c.Clock.Now()}
+func (c *controller) handleSummary(summary *Summary) {
+	c.summaries[summary.From] = receivedSummary{models: summary.Models, loading: summary.Loading, at: c.Clock.Now()}
 }
 
 // worthTelling leaves out adapters that no call waits for and no engine reads:
 // there may be as many as tenants, and nobody decides about them.
-func worthTelling(own []ModelLoad, fleet loads) []ModelLoad {
+func relevantLoads(own []ModelLoad, fleet loads) []ModelLoad {
 	return slices.DeleteFunc(own, func(load ModelLoad) bool {
 		return load.Adapter != "" && load.Loading == 0 && fleet.of(load.ModelAdapter).Waiting == 0
 	})
 }
 
 func (c *controller) sendSummary(models []ModelLoad) {
-	reading := c.ownReading()
+	reading := c.ownLoading()
 	for i := range c.Settings.Shards {
 		shard := c.Settings.FirstShard + structs.ShardNumber(i)
 		if shard == c.shard {
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -16,7 +16,7 @@
 	}
 	c.setRoles(configuration, engines)
 	c.startAdapters(configuration, engines, fleet)
-	if c.mayRead(configuration) == 0 {
+	if c.loadsAllowed(configuration) == 0 {
 		return
 	}
 	for _, model := range c.underprovisioned(configuration, fleet) {
@@ -50,7 +50,7 @@
 			}
 			return 1
 		}
-		return cmp.Compare(b.use(), a.use())
+		return cmp.Compare(b.utilization(), a.utilization())
 	})
 	names := make([]structs.ModelName, len(lacking))
 	for i, load := range lacking {
@@ -64,8 +64,8 @@
 func (c *controller) reassignable(configuration *structs.Configuration, engines []structs.EngineID, fleet loads, wanted structs.ModelName) (structs.EngineID, bool) {
 	best, bestRunning, found := structs.EngineID(""), 0, false
 	for _, engine := range engines {
-		load, idle := c.idle(engine)
-		if !idle || !c.settled(engine) || load.Role == structs.RolePrefill {
+		load, idle := c.readyForOrder(engine)
+		if !idle || !c.cooledDown(engine) || load.Role == structs.RolePrefill {
 			continue
 		}
 		if len(load.Models) > 0 && !c.canSpare(configuration, fleet, load, wanted) {
@@ -87,15 +87,15 @@
 	remaining := *fleet.model(model)
 	remaining.Engines--
 	remaining.Capacity -= load.MaximumRunning
-	if remaining.Engines < leastEngines(configuration, model) {
+	if remaining.Engines < minimumEngines(configuration, model) {
 		return false
 	}
-	return remaining.use() <= c.Settings.LowUtilization
+	return remaining.utilization() <= c.Settings.LowUtilization
 }
 
 // leastEngines returns how many engines a model is never taken below; one that
 // is not configured needs none.
-func leastEngines(configuration *structs.Configuration, model structs.ModelName) int {
+func minimumEngines(configuration *structs.Configuration, model structs.ModelName) int {
 	entry, configured := configuration.Models[model]
 	if !configured {
 		return 0
--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func TestLongDemandIsReportedInTurns(t *testing.T) {
+func TestLongDemandReportsRotate(t *testing.T) {
 	const adapters = 75
 	waiting := []ModelWaiting{{ModelAdapter: structs.ModelAdapter{Model: small}, Calls: 5}}
 	for number := range adapters {
@@ -17,7 +17,7 @@
 	told := map[structs.ModelAdapter]int{}
 	for range 3 {
 		report := m.rotate(waiting)
-		if len(report) != 1+reportedAdapters {
+		if len(report) != 1+maximumReportedAdapters {
 			t.Errorf("%d entries in one report", len(report))
 		}
 		for _, entry := range report {
@@ -31,7 +31,7 @@
 
 // TestDemandFindsTheLeader has a daemon that no longer leads get what others
 // still send it.
-func TestDemandFindsTheLeader(t *testing.T) {
+func TestDemandIsRedirectedToLeader(t *testing.T) {
 	w := newWorld()
 	w.manager.Follow(0)
 	for _, known := range []structs.DaemonID{"successor", "d"} {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestOperatorsBoundTheReaders(t *testing.T) {
+func TestConfigurationBoundsLoadingEngines(t *testing.T) {
 	w := newAdapterWorld(4)
 	configuration := *w.current
 	configuration.Fleet.WeightReaders = 2
@@ -61,13 +61,13 @@
 	}
 }
 
-func TestSummariesLeaveOutAdaptersThatNobodyWants(t *testing.T) {
+func TestSummariesOmitUnwantedAdapters(t *testing.T) {
 	entry := func(number, changing int) ModelLoad {
 		return ModelLoad{ModelAdapter: adapterOf(number), Engines: 1, Loading: changing}
 	}
 	fleet := loads{}
 	fleet.of(adapterOf(1)).Waiting = 1
-	told := worthTelling([]ModelLoad{entry(0, 0), entry(1, 0), entry(2, 1)}, fleet)
+	told := relevantLoads([]ModelLoad{entry(0, 0), entry(1, 0), entry(2, 1)}, fleet)
 	if len(told) != 2 || told[0].ModelAdapter != adapterOf(1) || told[1].ModelAdapter != adapterOf(2) {
 		t.Errorf("told of %+v", told)
 	}
--- a/internal/placement/loads.go
+++ b/internal/placement/loads.go
@@ -44,7 +44,7 @@
 }
 
 // use returns the share of a model's capacity that its calls would take.
-func (m ModelLoad) use() float64 {
+func (m ModelLoad) utilization() float64 {
 	if m.Capacity == 0 {
 		return float64(m.Running + m.Waiting)
 	}
@@ -75,11 +75,11 @@
 // is being told to load, and for its adapters. One that only prefills gets no
 // calls.
 func (c *controller) addEngine(sums loads, engine structs.EngineID) {
-	load, known := c.latest(engine)
+	load, known := c.latestReport(engine)
 	if !known || load.Draining || load.Role == structs.RolePrefill {
 		return
 	}
-	order := c.ordered(engine)
+	order := c.currentOrder(engine)
 	model, serves := servedModel(load, order)
 	if !serves {
 		return
@@ -149,7 +149,7 @@
 	sums := loads{}
 	sums.add(own)
 	now := c.Clock.Now()
-	for _, other := range c.others {
+	for _, other := range c.summaries {
 		if now.Sub(other.at) <= c.Settings.ReportTTL {
 			sums.add(other.models)
 		}
@@ -170,24 +170,24 @@
 
 // inWant tells whether a model uses too much of its engines, or calls wait for
 // an adapter although engines serve it and none more is reading it.
-func (c *controller) inWant(load *ModelLoad) bool {
+func (c *controller) needsEngines(load *ModelLoad) bool {
 	if load.Adapter != "" {
 		return load.Waiting > 0 && load.Engines > 0 && load.Loading == 0
 	}
-	return load.use() >= c.Settings.HighUtilization
+	return load.utilization() >= c.Settings.HighUtilization
 }
 
 // noteHighUse remembers since when models and adapters have been in want of
 // engines.
-func (c *controller) noteHighUse(fleet loads) {
+func (c *controller) updateHighSince(fleet loads) {
 	now := c.Clock.Now()
 	for wanted := range c.highSince {
-		if load := fleet[wanted]; load == nil || !c.inWant(load) {
+		if load := fleet[wanted]; load == nil || !c.needsEngines(load) {
 			delete(c.highSince, wanted)
 		}
 	}
 	for wanted, load := range fleet {
-		if _, known := c.highSince[wanted]; !known && c.inWant(load) {
+		if _, known := c.highSince[wanted]; !known && c.needsEngines(load) {
 			c.highSince[wanted] = now
 		}
 	}
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -193,9 +193,9 @@
 func (m *Manager) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch typed := message.(type) {
 	case *Demand:
-		m.toController(from, typed.Shard, func(c *controller) { c.demandHeard(from, typed) })
+		m.toController(from, typed.Shard, func(c *controller) { c.handleDemand(from, typed) })
 	case *Summary:
-		m.toController(from, typed.To, func(c *controller) { c.summaryHeard(typed) })
+		m.toController(from, typed.To, func(c *controller) { c.handleSummary(typed) })
 	case *Redirected:
 		m.Router.Learn(typed.Shard, replication.Route{Leader: typed.Leader, Epoch: typed.Epoch})
 	default:
@@ -239,7 +239,7 @@
 
 // reportedAdapters bounds the adapters of one report of demand, so that its
 // size does not follow the number of tenants.
-const reportedAdapters = 32
+const maximumReportedAdapters = 32
 
 // rotate leaves out of a long list the adapters that are not due in this
 // report; the next report begins behind this one's last.
@@ -252,10 +252,10 @@
 			adapters = append(adapters, entry)
 		}
 	}
-	if len(adapters) <= reportedAdapters {
+	if len(adapters) <= maximumReportedAdapters {
 		return waiting
 	}
-	for range reportedAdapters {
+	for range maximumReportedAdapters {
 		m.rotation %= len(adapters)
 		models = append(models, adapters[m.rotation])
 		m.rotation++
--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -15,13 +15,13 @@
 const fenceEpochShift = 32
 
 // readsWeights tells whether an order has the engine read from the weight store.
-func readsWeights(order structs.Order) bool {
+func loadsWeights(order structs.Order) bool {
 	return order.Kind == structs.OrderLoadModel || order.Kind == structs.OrderLoadAdapter
 }
 
 // ordered returns the order that an engine is carrying out, nil for none: one
 // in force, or one that is being recorded.
-func (c *controller) ordered(engine structs.EngineID) *structs.Order {
+func (c *controller) currentOrder(engine structs.EngineID) *structs.Order {
 	if order, pending := c.proposed[engine]; pending {
 		return &order
 	}
@@ -29,15 +29,15 @@
 }
 
 // ownReading counts the engines of this shard that are told to read weights.
-func (c *controller) ownReading() int {
+func (c *controller) ownLoading() int {
 	count := 0
 	for _, engine := range c.state.InForce() {
-		if _, pending := c.proposed[engine.Engine]; !pending && readsWeights(*engine.InForce) {
+		if _, pending := c.proposed[engine.Engine]; !pending && loadsWeights(*engine.InForce) {
 			count++
 		}
 	}
 	for _, order := range c.proposed {
-		if readsWeights(order) {
+		if loadsWeights(order) {
 			count++
 		}
 	}
@@ -45,12 +45,12 @@
 }
 
 // mayRead returns how many more engines may be told to read weights, fleet-wide.
-func (c *controller) mayRead(configuration *structs.Configuration) int {
-	reading := c.ownReading()
+func (c *controller) loadsAllowed(configuration *structs.Configuration) int {
+	reading := c.ownLoading()
 	now := c.Clock.Now()
-	for _, other := range c.others {
+	for _, other := range c.summaries {
 		if now.Sub(other.at) <= c.Settings.ReportTTL {
-			reading += other.reading
+			reading += other.loading
 		}
 	}
 	return max(cmp.Or(configuration.Fleet.WeightReaders, c.Settings.MaximumLoading)-reading, 0)
@@ -58,8 +58,8 @@
 
 // idle returns the report of an engine that may be given an order: nothing is
 // in force there, no former order still shows, and none failed a moment ago.
-func (c *controller) idle(engine structs.EngineID) (structs.LoadReport, bool) {
-	load, known := c.latest(engine)
+func (c *controller) readyForOrder(engine structs.EngineID) (structs.LoadReport, bool) {
+	load, known := c.latestReport(engine)
 	if !known || load.Draining {
 		return load, false
 	}
@@ -68,29 +68,29 @@
 	}
 	reading := len(load.Loading) > 0 || slices.ContainsFunc(load.Adapters, func(a structs.EngineAdapter) bool { return a.Loading })
 	failed := c.Clock.Now().Sub(c.state.Engine(engine).FailedAt) < c.Settings.FailureBackoff
-	return load, c.ordered(engine) == nil && !reading && !failed
+	return load, c.currentOrder(engine) == nil && !reading && !failed
 }
 
 // settled tells whether an engine has been as it is for long enough to have
 // its model changed.
-func (c *controller) settled(engine structs.EngineID) bool {
+func (c *controller) cooledDown(engine structs.EngineID) bool {
 	return c.Clock.Now().Sub(c.state.Engine(engine).ChangedAt) >= c.Settings.Cooldown
 }
 
 // driveOrders gives orders in force again until the engine shows that it has
 // obeyed: an answer may be lost, and an order is the same however often given.
-func (c *controller) driveOrders() {
+func (c *controller) resendOrders() {
 	now := c.Clock.Now()
 	for _, engine := range c.state.InForce() {
 		order := *engine.InForce
 		switch {
-		case c.obeyed(engine):
+		case c.isDone(engine):
 			c.settleOrder(order, true)
 		case now.Sub(engine.IssuedAt) >= c.Settings.OrderTimeout:
 			c.Logger.Warn().Str("engine", string(order.Engine)).Str("kind", string(order.Kind)).Str("model", string(order.Model)).Msg("Order given up.")
 			c.settleOrder(order, false)
 		default:
-			c.give(order)
+			c.sendOrder(order)
 		}
 	}
 }
@@ -98,20 +98,20 @@
 // give sends an order that is in force. An engine that restarted has forgotten
 // its fence, so a leader that was replaced without knowing must not send: the
 // group is asked first.
-func (c *controller) give(order structs.Order) {
+func (c *controller) sendOrder(order structs.Order) {
 	c.leadership.Confirm(func(err error) {
 		current := c.state.Engine(order.Engine).InForce
 		if err != nil || c.stopped || current == nil || *current != order {
 			return
 		}
 		c.Engines.Order(order, func(err error) {
-			c.post(func() { c.answered(order, err) })
+			c.post(func() { c.handleOrderAnswer(order, err) })
 		})
 	})
 }
 
 // answered gives an order up that the engine refuses for good.
-func (c *controller) answered(order structs.Order, err error) {
+func (c *controller) handleOrderAnswer(order structs.Order, err error) {
 	current := c.state.Engine(order.Engine).InForce
 	if current == nil || *current != order || !eris.Is(err, framework.ErrRefused) {
 		return
@@ -121,7 +121,7 @@
 }
 
 // obeyed tells whether a report read after the order shows its effect.
-func (c *controller) obeyed(engine EngineState) bool {
+func (c *controller) isDone(engine EngineState) bool {
 	seen, known := c.reports[engine.Engine]
 	if !known || !seen.at.After(engine.IssuedAt) {
 		return false
@@ -178,8 +178,8 @@
 // nextFence returns a fence above all of this and earlier leaderships: engines
 // refuse what a former leader still sends.
 func (c *controller) nextFence() uint64 {
-	c.fences++
-	return uint64(c.leadership.Epoch())<<fenceEpochShift | c.fences
+	c.fenceCount++
+	return uint64(c.leadership.Epoch())<<fenceEpochShift | c.fenceCount
 }
 
 // issue records an order and then gives it.
@@ -197,7 +197,7 @@
 		}
 		delete(c.proposed, order.Engine)
 		if err == nil {
-			c.give(order)
+			c.sendOrder(order)
 		}
 	})
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -211,7 +211,7 @@
 	return count
 }
 
-func TestModelInDemandGetsEnginesUntilOthersNeedTheirs(t *testing.T) {
+func TestModelInDemandGetsEnginesAboveOthersMinimum(t *testing.T) {
 	w := newWorld()
 	w.waiting = []ModelWaiting{{ModelAdapter: structs.ModelAdapter{Model: large}, Calls: 30}}
 	w.run(time.Minute)
@@ -288,7 +288,7 @@
 	}
 }
 
-func TestLoadsAreStartedOneAPeriod(t *testing.T) {
+func TestOneLoadIsStartedPerPeriod(t *testing.T) {
 	w := newWorld()
 	w.manager.Settings.Cooldown = 0
 	w.waiting = []ModelWaiting{{ModelAdapter: structs.ModelAdapter{Model: large}, Calls: 300}}
--- a/internal/placement/roles.go
+++ b/internal/placement/roles.go
@@ -9,7 +9,7 @@
 // setRoles brings engines to the roles that operators fixed.
 func (c *controller) setRoles(configuration *structs.Configuration, engines []structs.EngineID) {
 	for _, engine := range engines {
-		load, idle := c.idle(engine)
+		load, idle := c.readyForOrder(engine)
 		wanted := cmp.Or(configuration.Fleet.EngineRoles[engine], configuration.Fleet.EngineRole)
 		if idle && wanted != "" && cmp.Or(load.Role, structs.RoleBoth) != wanted {
 			c.issue(structs.Order{Engine: engine, Kind: structs.OrderSetRole, Role: wanted})
--- a/internal/placement/roles_test.go
+++ b/internal/placement/roles_test.go
@@ -17,7 +17,7 @@
 	return roles
 }
 
-func TestRolesAreKeptAsOperatorsFixThem(t *testing.T) {
+func TestConfiguredRolesAreKept(t *testing.T) {
 	w := newWorld()
 	w.engines.loadTime = time.Second
 	configuration := *w.current
@@ -43,7 +43,7 @@
 
 // TestPrefillingEnginesServeNoModel has two of four engines prefill only: the
 // others are too few for the model, so an empty engine gets it.
-func TestPrefillingEnginesServeNoModel(t *testing.T) {
+func TestPrefillEnginesDoNotCountAsServing(t *testing.T) {
 	w := newWorld()
 	w.engines.loads["e4"].Models = nil
 	w.engines.loads["e1"].Role = structs.RolePrefill
--- a/internal/placement/versions.go
+++ b/internal/placement/versions.go
@@ -5,8 +5,8 @@
 // updateVersion brings one engine to the configured version of its model.
 func (c *controller) updateVersion(configuration *structs.Configuration, engines []structs.EngineID, fleet loads) {
 	for _, engine := range engines {
-		load, idle := c.idle(engine)
-		if !idle || len(load.Models) == 0 || !c.settled(engine) {
+		load, idle := c.readyForOrder(engine)
+		if !idle || len(load.Models) == 0 || !c.cooledDown(engine) {
 			continue
 		}
 		model := load.Models[0]
@@ -32,7 +32,7 @@
 	rest := *fleet.model(model)
 	rest.Engines -= rest.Loading + 1
 	rest.Capacity -= (rest.Loading + 1) * load.MaximumRunning
-	enough := rest.Engines >= leastEngines(configuration, model) && rest.Capacity > 0 && rest.use() <= c.Settings.HighUtilization
+	enough := rest.Engines >= minimumEngines(configuration, model) && rest.Capacity > 0 && rest.utilization() <= c.Settings.HighUtilization
 	switch {
 	case enough:
 		return engine, true
--- a/internal/schedule/cache_belief.go
+++ b/internal/schedule/cache_belief.go
@@ -37,7 +37,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if e := s.index.engines[engine]; e != nil {
-		s.index.fade(e, s.clock.Now())
+		s.index.expireUnconfirmed(e, s.clock.Now())
 	}
 }
 
@@ -53,18 +53,18 @@
 
 // believeServed corrects the belief by what the answer says was cached: the
 // expected part beyond it was gone; all of the prompt is there now.
-func (s *Scheduler) believeServed(record *placed, usage structs.Usage, now time.Time) {
+func (s *Scheduler) confirmServed(record *runningCall, usage structs.Usage, now time.Time) {
 	e := s.index.engines[record.engine.Engine.ID]
 	if e == nil || usage.PromptTokens == 0 {
 		return
 	}
-	s.index.touch(e, record.stored, now)
-	s.index.fade(e, now)
+	s.index.touch(e, record.cachedBlocks, now)
+	s.index.expireUnconfirmed(e, now)
 }
 
 // disbelieve drops blocks of a prompt behind what was found cached, when a
 // call failed before its prompt was computed anew.
-func (s *Scheduler) disbelieve(item *Item, engine structs.EngineID, cachedTokens int64) {
+func (s *Scheduler) evictUncached(item *Item, engine structs.EngineID, cachedTokens int64) {
 	if e := s.index.engines[engine]; e != nil {
 		found := min(int(cachedTokens/prefix.BlockTokens), len(item.Blocks))
 		s.index.evict(e, item.Blocks[found:])
--- a/internal/schedule/candidates.go
+++ b/internal/schedule/candidates.go
@@ -25,14 +25,14 @@
 
 // choose compares all engines for a call.
 func (s *Scheduler) choose(entry *waitingItem, now time.Time) choice {
-	s.index.match(entry.Blocks)
-	s.survey(entry)
+	s.index.setPrompt(entry.Blocks)
+	s.surveyEngines(entry)
 	var best choice
-	c := &s.judged
-	s.describe(c, entry, now)
+	c := &s.candidate
+	s.setCall(c, entry, now)
 	for _, candidate := range s.candidates {
 		view := candidate.engine
-		s.consider(c, entry, view, candidate.hitTokens)
+		s.setEngine(c, entry, view, candidate.hitTokens)
 		if !s.admits(c) {
 			continue
 		}
@@ -49,39 +49,39 @@
 
 // serving gathers the engines for a model, and returns which of them the
 // prefix index follows.
-func (s *Scheduler) serving(model structs.ModelName) engineSet {
-	var followed engineSet
+func (s *Scheduler) collectCandidates(model structs.ModelName) engineSet {
+	var indexed engineSet
 	s.candidates = s.candidates[:0]
-	for _, view := range s.order {
+	for _, view := range s.sortedEngines {
 		if !view.Serves(model) {
 			continue
 		}
 		s.candidates = append(s.candidates, engineHit{engine: view})
-		if view.residences != nil {
-			followed.add(view.residences.slot)
+		if view.cache != nil {
+			indexed.add(view.cache.slot)
 		}
 	}
-	return followed
+	return indexed
 }
 
 // survey looks at all engines for a call: the fewest calls on one of them, the
 // mean, and the most that one holds of the prompt. What a new program finds is
 // its template's prefix, of which another copy soon pays.
-func (s *Scheduler) survey(entry *waitingItem) {
+func (s *Scheduler) surveyEngines(entry *waitingItem) {
 	least, total := math.MaxInt, 0
-	followed := s.serving(entry.Model)
-	s.index.hits(entry.Blocks, followed, &s.hits)
-	entry.bestHit = 0
+	indexed := s.collectCandidates(entry.Model)
+	s.index.hits(entry.Blocks, indexed, &s.hits)
+	entry.bestHitTokens = 0
 	for i := range s.candidates {
 		candidate := &s.candidates[i]
 		view := candidate.engine
 		least = min(least, view.Occupied())
 		total += view.Occupied()
-		if view.residences != nil {
-			candidate.hitTokens = tokensOf(int(s.hits[view.residences.slot]), entry)
+		if view.cache != nil {
+			candidate.hitTokens = blockTokens(int(s.hits[view.cache.slot]), entry)
 		}
-		if !isNew(entry) {
-			entry.bestHit = max(entry.bestHit, candidate.hitTokens)
+		if !isFirstCall(entry) {
+			entry.bestHitTokens = max(entry.bestHitTokens, candidate.hitTokens)
 		}
 	}
 	s.leastOccupied = least
@@ -92,26 +92,26 @@
 
 // describe fills in what is the same for all engines that are considered for
 // a call.
-func (s *Scheduler) describe(c *Candidate, entry *waitingItem, now time.Time) {
+func (s *Scheduler) setCall(c *Candidate, entry *waitingItem, now time.Time) {
 	*c = Candidate{
 		Item:          entry.Item,
 		Outlook:       entry.outlook,
 		Now:           now,
-		BestHitTokens: entry.bestHit,
+		BestHitTokens: entry.bestHitTokens,
 		MeanOccupied:  s.meanOccupied,
 		LeastOccupied: s.leastOccupied,
 		Zone:          s.zone,
-		CacheWeight:   s.weight,
+		CacheWeight:   s.cacheWeight,
 	}
 }
 
 // consider fills in one engine, and what it is believed to hold of the prompt.
-func (s *Scheduler) consider(c *Candidate, entry *waitingItem, view *EngineView, hitTokens int64) {
+func (s *Scheduler) setEngine(c *Candidate, entry *waitingItem, view *EngineView, hitTokens int64) {
 	backlog := view.backlog(c.Now)
 	c.Engine = view
 	c.HitTokens = hitTokens
 	c.BacklogSeconds = backlog.Seconds()
-	c.HasRoom = view.hasRoom(s.demand(entry, view), backlog) && !s.givesWay(entry, view, c.Now)
+	c.HasRoom = view.hasRoom(s.requirements(entry, view), backlog) && !s.mustYield(entry, view, c.Now)
 	c.Transfer = s.transferTo(entry, view, hitTokens)
 	c.WaitSeconds = 0
 	if !c.HasRoom {
@@ -121,22 +121,22 @@
 
 // judge describes one engine for a call. The prompt must have been given to
 // the index by match before.
-func (s *Scheduler) judge(c *Candidate, entry *waitingItem, view *EngineView, now time.Time) {
-	s.describe(c, entry, now)
-	s.consider(c, entry, view, s.hitTokens(entry, view))
+func (s *Scheduler) setCandidate(c *Candidate, entry *waitingItem, view *EngineView, now time.Time) {
+	s.setCall(c, entry, now)
+	s.setEngine(c, entry, view, s.hitTokens(entry, view))
 }
 
 // hitTokens returns how much of a prompt an engine is believed to hold. The
 // prompt must have been given to the index by match before.
 func (s *Scheduler) hitTokens(entry *waitingItem, view *EngineView) int64 {
-	if view.residences == nil {
+	if view.cache == nil {
 		return 0
 	}
-	return tokensOf(s.index.hit(view.residences, entry.Blocks), entry)
+	return blockTokens(s.index.hit(view.cache, entry.Blocks), entry)
 }
 
 // tokensOf returns the prompt tokens in the first blocks of a call's prompt.
-func tokensOf(blocks int, entry *waitingItem) int64 {
+func blockTokens(blocks int, entry *waitingItem) int64 {
 	return min(int64(blocks)*prefix.BlockTokens, entry.PromptTokens)
 }
 
@@ -145,12 +145,12 @@
 const avoidFor = 10 * time.Second
 
 // avoids tells whether a call is still to keep away from an engine.
-func (c *Candidate) avoids() bool {
+func (c *Candidate) mustAvoid() bool {
 	return slices.Contains(c.Item.Avoid, c.Engine.Engine.ID) && c.Now.Sub(c.Item.EnqueuedAt) < avoidFor
 }
 
 func (s *Scheduler) admits(c *Candidate) bool {
-	if len(c.Item.Avoid) > 0 && c.avoids() {
+	if len(c.Item.Avoid) > 0 && c.mustAvoid() {
 		return false
 	}
 	for _, filter := range s.plugins.filters {
--- a/internal/schedule/charge.go
+++ b/internal/schedule/charge.go
@@ -19,7 +19,7 @@
 // engines that it shares with others count in part.
 func (s *Scheduler) ownEngines() float64 {
 	engines := 0.0
-	for _, view := range s.order {
+	for _, view := range s.sortedEngines {
 		engines += float64(view.Assigned+1) / float64(view.Occupied()+1)
 	}
 	return engines
@@ -28,7 +28,7 @@
 // shareOf returns a tenant's share; one with waiting calls keeps the share it
 // was listed with.
 func (s *Scheduler) shareOf(account *tenantAccount) float64 {
-	if account.listed {
+	if account.active {
 		return account.share
 	}
 	return s.share(account.name)
--- a/internal/schedule/demand.go
+++ b/internal/schedule/demand.go
@@ -8,32 +8,32 @@
 	memoryFraction = 0.95
 	// newProgramMemory is the part up to which new programs are taken in. The
 	// rest is left to those under way: their contexts grow with every call.
-	newProgramMemory = 0.75
+	newProgramMemoryFraction = 0.75
 	// memoryPatience is how long the first call that waits for an engine may be
 	// passed over because the engine's memory does not hold it.
-	memoryPatience = 60 * time.Second
+	memoryWaitLimit = 60 * time.Second
 )
 
 // demand is what a call asks of an engine.
-type demand struct {
+type requirements struct {
 	// tokens is the memory it needs beyond what is kept for it.
 	tokens int64
 	// memory is the part of the cache that may be taken with it.
-	memory float64
+	memoryFraction float64
 	// backlogLimit bounds the prompt work before it, zero for no bound.
 	backlogLimit time.Duration
 }
 
 // demand returns what a call asks of an engine.
-func (s *Scheduler) demand(entry *waitingItem, view *EngineView) demand {
+func (s *Scheduler) requirements(entry *waitingItem, view *EngineView) requirements {
 	memory := memoryFraction
-	if s.profile.ReserveGrowth && isNew(entry) && !isSubAgent(entry) {
-		memory = newProgramMemory
+	if s.profile.ReserveGrowth && isFirstCall(entry) && !isSubAgent(entry) {
+		memory = newProgramMemoryFraction
 	}
-	return demand{
-		tokens:       entry.need - keptFor(entry.state, view),
-		memory:       memory,
-		backlogLimit: s.profile.PrefillBacklog,
+	return requirements{
+		tokens:         entry.neededTokens - heldTokensFor(entry.program, view),
+		memoryFraction: memory,
+		backlogLimit:   s.profile.PrefillBacklog,
 	}
 }
 
@@ -45,13 +45,13 @@
 // memory: the first that waits for it needs more than is free, and those that
 // need less were let past it for too long. Programs under way end and make
 // room.
-func (s *Scheduler) givesWay(entry *waitingItem, view *EngineView, now time.Time) bool {
-	first := view.home.first(1)
-	if len(first) == 0 || first[0] == entry || !isNew(entry) {
+func (s *Scheduler) mustYield(entry *waitingItem, view *EngineView, now time.Time) bool {
+	first := view.waiters.first(1)
+	if len(first) == 0 || first[0] == entry || !isFirstCall(entry) {
 		return false
 	}
-	if now.Sub(first[0].EnqueuedAt) < memoryPatience {
+	if now.Sub(first[0].EnqueuedAt) < memoryWaitLimit {
 		return false
 	}
-	return !view.fits(s.demand(first[0], view))
+	return !view.fitsInMemory(s.requirements(first[0], view))
 }
--- a/internal/schedule/engine_view.go
+++ b/internal/schedule/engine_view.go
@@ -14,7 +14,7 @@
 	defaultPrefillSecondsPerToken = 1.0 / 8000
 	defaultDecodeSecondsPerToken  = 0.02
 	// learnFromTokens is the least prompt work from which speed is learned.
-	learnFromTokens = 256
+	minimumLearningTokens = 256
 	// reportLag is the age that a load report may have.
 	reportLag = 3 * time.Second
 )
@@ -35,19 +35,19 @@
 	// ForeignCalls is the number of calls there from others.
 	ForeignCalls int
 	// prefillUntil is when the prompt work sent there will be done.
-	prefillUntil time.Time
+	prefillDoneAt time.Time
 	// PrefillSecondsPerToken and DecodeSecondsPerToken are learned.
 	PrefillSecondsPerToken float64
 	DecodeSecondsPerToken  float64
 	// service is the time that a call takes there.
-	service mean
-	history assignedHistory
+	serviceSeconds mean
+	history        assignedHistory
 	// batchFraction is the profile's.
 	batchFraction float64
 	// residences is the belief about its cache, nil for none.
-	residences *engineResidences
+	cache *cacheMirror
 	// home holds waiting calls that would best run here.
-	home homeQueue
+	waiters engineQueue
 	// churn follows how fast the cache is refilled, in tokens a second.
 	churn rate
 }
@@ -57,13 +57,13 @@
 		batchFraction:          batchFraction,
 		PrefillSecondsPerToken: defaultPrefillSecondsPerToken,
 		DecodeSecondsPerToken:  defaultDecodeSecondsPerToken,
-		home:                   newHomeQueue(),
+		waiters:                newEngineQueue(),
 	}
 }
 
 // backlog returns the expected time until the prompt work sent there is done.
 func (v *EngineView) backlog(now time.Time) time.Duration {
-	return max(v.prefillUntil.Sub(now), 0)
+	return max(v.prefillDoneAt.Sub(now), 0)
 }
 
 // Occupied returns the calls there as far as known.
@@ -78,7 +78,7 @@
 }
 
 // places returns how many calls may run there at once.
-func (v *EngineView) places() int {
+func (v *EngineView) slots() int {
 	if v.batchFraction == 0 {
 		return v.Load.MaximumRunning
 	}
@@ -86,8 +86,8 @@
 }
 
 // hasRoom tells whether the engine can take a call now.
-func (v *EngineView) hasRoom(d demand, backlog time.Duration) bool {
-	if v.Occupied() >= v.places() {
+func (v *EngineView) hasRoom(d requirements, backlog time.Duration) bool {
+	if v.Occupied() >= v.slots() {
 		return false
 	}
 	if v.Assigned == 0 {
@@ -96,49 +96,49 @@
 	if d.backlogLimit > 0 && backlog > d.backlogLimit {
 		return false
 	}
-	return v.fits(d)
+	return v.fitsInMemory(d)
 }
 
 // fits tells whether the engine's memory holds a call beside the others.
-func (v *EngineView) fits(d demand) bool {
+func (v *EngineView) fitsInMemory(d requirements) bool {
 	if v.Assigned == 0 {
 		return true
 	}
-	capacity := int64(d.memory * float64(v.Load.CacheCapacityTokens))
+	capacity := int64(d.memoryFraction * float64(v.Load.CacheCapacityTokens))
 	return capacity == 0 || v.AssignedTokens+v.HeldTokens+d.tokens <= capacity
 }
 
 // slotWait returns the expected wait of a call for a place behind others.
 func (v *EngineView) slotWait(entry *waitingItem, backlogSeconds float64) float64 {
-	slots := max(v.places(), 1)
+	slots := max(v.slots(), 1)
 	if v.Occupied() < slots {
 		return backlogSeconds
 	}
-	ahead := v.home.ahead(entry)
-	return v.service.or(defaultServiceSeconds) * float64(ahead+1) / float64(slots)
+	ahead := v.waiters.ahead(entry)
+	return v.serviceSeconds.valueOr(defaultServiceSeconds) * float64(ahead+1) / float64(slots)
 }
 
-func (v *EngineView) assign(a *placed, missTokens int64, now time.Time) {
+func (v *EngineView) assign(a *runningCall, missTokens int64, now time.Time) {
 	v.Assigned++
 	v.Total++
 	v.AssignedTokens += a.tokens
 	v.churn.add(float64(missTokens), now)
-	if v.prefillUntil.Before(now) {
-		v.prefillUntil = now
+	if v.prefillDoneAt.Before(now) {
+		v.prefillDoneAt = now
 	}
 	work := time.Duration(float64(missTokens) * v.PrefillSecondsPerToken * float64(time.Second))
-	v.prefillUntil = v.prefillUntil.Add(work)
-	v.history.note(v.Assigned, missTokens, now)
+	v.prefillDoneAt = v.prefillDoneAt.Add(work)
+	v.history.record(v.Assigned, missTokens, now)
 }
 
-func (v *EngineView) finish(a *placed, result Result, now time.Time) {
+func (v *EngineView) finish(a *runningCall, result Result, now time.Time) {
 	v.Assigned--
 	v.AssignedTokens -= a.tokens
-	v.history.note(v.Assigned, 0, now)
+	v.history.record(v.Assigned, 0, now)
 	if !result.Started || result.Failed {
 		return
 	}
-	v.service.add(result.Duration.Seconds())
+	v.serviceSeconds.add(result.Duration.Seconds())
 	v.learnSpeed(result)
 }
 
@@ -146,7 +146,7 @@
 // to the first token includes waiting, so a slow one teaches little.
 func (v *EngineView) learnSpeed(result Result) {
 	computed := result.Usage.PromptTokens - result.Usage.CachedTokens
-	if computed >= learnFromTokens && result.TimeToFirstToken > 0 {
+	if computed >= minimumLearningTokens && result.TimeToFirstToken > 0 {
 		seen := result.TimeToFirstToken.Seconds() / float64(computed)
 		weight := learningRate
 		if seen > v.PrefillSecondsPerToken {
@@ -164,11 +164,11 @@
 // had there within the lag belongs to others.
 func (v *EngineView) report(report structs.LoadReport, now time.Time) {
 	v.Load = report
-	v.ForeignCalls = max(report.Running+report.Waiting-v.history.most(now), 0)
-	tokens := float64(report.QueuedPrefillTokens + v.history.tokens(now))
+	v.ForeignCalls = max(report.Running+report.Waiting-v.history.peak(now), 0)
+	tokens := float64(report.QueuedPrefillTokens + v.history.recentTokens(now))
 	known := now.Add(time.Duration(tokens * v.PrefillSecondsPerToken * float64(time.Second)))
-	if v.prefillUntil.After(known) {
-		v.prefillUntil = known
+	if v.prefillDoneAt.After(known) {
+		v.prefillDoneAt = known
 	}
 }
 
@@ -181,20 +181,20 @@
 	at       time.Time
 	assigned int
 	// computed is the prompt work sent in this step of time.
-	computed int64
+	prefillTokens int64
 }
 
 // historyStep is the resolution of the history.
 const historyStep = 100 * time.Millisecond
 
-func (h *assignedHistory) note(assigned int, computed int64, now time.Time) {
+func (h *assignedHistory) record(assigned int, computed int64, now time.Time) {
 	last := len(h.entries) - 1
 	if last >= 0 && now.Sub(h.entries[last].at) < historyStep {
 		h.entries[last].assigned = max(h.entries[last].assigned, assigned)
-		h.entries[last].computed += computed
+		h.entries[last].prefillTokens += computed
 		return
 	}
-	h.entries = append(h.entries, assignedEntry{at: now, assigned: assigned, computed: computed})
+	h.entries = append(h.entries, assignedEntry{at: now, assigned: assigned, prefillTokens: computed})
 	first := 0
 	for first < len(h.entries)-1 && now.Sub(h.entries[first+1].at) > reportLag {
 		first++
@@ -203,17 +203,17 @@
 }
 
 // tokens returns the prompt work that a report may not show yet.
-func (h *assignedHistory) tokens(now time.Time) int64 {
+func (h *assignedHistory) recentTokens(now time.Time) int64 {
 	total := int64(0)
 	for _, entry := range h.entries {
 		if now.Sub(entry.at) <= reportLag {
-			total += entry.computed
+			total += entry.prefillTokens
 		}
 	}
 	return total
 }
 
-func (h *assignedHistory) most(now time.Time) int {
+func (h *assignedHistory) peak(now time.Time) int {
 	most := 0
 	for i, entry := range h.entries {
 		current := i == len(h.entries)-1 || now.Sub(h.entries[i+1].at) <= reportLag
@@ -231,10 +231,10 @@
 }
 
 // rateMemory is the time constant of rates.
-const rateMemory = 30 * time.Second
+const rateTimeConstant = 30 * time.Second
 
 func (r *rate) add(amount float64, now time.Time) {
-	r.value = r.current(now) + amount/rateMemory.Seconds()
+	r.value = r.current(now) + amount/rateTimeConstant.Seconds()
 	r.at = now
 }
 
@@ -242,5 +242,5 @@
 	if r.at.IsZero() {
 		return 0
 	}
-	return r.value * math.Exp(-now.Sub(r.at).Seconds()/rateMemory.Seconds())
+	return r.value * math.Exp(-now.Sub(r.at).Seconds()/rateTimeConstant.Seconds())
 }
--- a/internal/schedule/estimates.go
+++ b/internal/schedule/estimates.go
@@ -10,17 +10,17 @@
 const (
 	// followedTurns is how many turns of a template are told apart; later
 	// ones count as the last.
-	followedTurns = 32
+	trackedTurns = 32
 	// learningRate is the weight of a new observation in a moving mean.
 	learningRate = 0.05
 	// fastLearning is the weight while few observations were made.
-	fastLearning = 0.3
+	initialLearningRate = 0.3
 	// fewObservations is how many count as few.
-	fewObservations = 10
+	initialObservations = 10
 	// priorReturns and priorWeight are the belief before any observation that
 	// a program comes back after a turn.
-	priorReturns = 0.8
-	priorWeight  = 4
+	priorReturnProbability = 0.8
+	priorWeight            = 4
 	// maximumPrograms bounds the programs followed between their calls.
 	maximumPrograms = 1 << 15
 	// defaultAnswerTokens is expected of a template never seen before.
@@ -42,14 +42,14 @@
 
 func (m *mean) add(value float64) {
 	rate := learningRate
-	if m.observations < fewObservations {
-		rate = max(fastLearning, 1/float64(m.observations+1))
+	if m.observations < initialObservations {
+		rate = max(initialLearningRate, 1/float64(m.observations+1))
 	}
 	m.observations++
 	m.value += rate * (value - m.value)
 }
 
-func (m *mean) or(standard float64) float64 {
+func (m *mean) valueOr(standard float64) float64 {
 	if m.observations == 0 {
 		return standard
 	}
@@ -58,9 +58,9 @@
 
 // turnStatistics are what was seen of one turn of a template.
 type turnStatistics struct {
-	reached float64
-	service mean
-	answer  mean
+	reached        float64
+	serviceSeconds mean
+	answerTokens   mean
 	// remainingTurns and remainingSeconds are derived from later turns.
 	remainingTurns   float64
 	remainingSeconds float64
@@ -68,62 +68,62 @@
 
 // templateStatistics learn how programs of a template usually go.
 type templateStatistics struct {
-	turns [followedTurns]turnStatistics
+	turns [trackedTurns]turnStatistics
 	// shared is the length of the prefix that its programs have in common.
-	shared mean
+	sharedPrefixTokens mean
 	// pause follows the pauses after all turns.
 	pause pauseStatistics
 	// stale counts observations since the derived figures were computed.
-	stale int
+	sinceRefresh int
 }
 
 // refreshAfter is how many observations may pass before the figures derived
 // from them are computed again.
 const refreshAfter = 32
 
-func turnIndex(turn int) int { return min(max(turn, 1), followedTurns) - 1 }
+func turnIndex(turn int) int { return min(max(turn, 1), trackedTurns) - 1 }
 
 // returns is the probability that a program comes back after a turn.
-func (t *templateStatistics) returns(index int) float64 {
-	if index == followedTurns-1 {
-		return priorReturns
+func (t *templateStatistics) returnProbability(index int) float64 {
+	if index == trackedTurns-1 {
+		return priorReturnProbability
 	}
 	here, next := t.turns[index].reached, t.turns[index+1].reached
-	probability := (next + priorReturns*priorWeight) / (here + priorWeight)
+	probability := (next + priorReturnProbability*priorWeight) / (here + priorWeight)
 	return min(probability, 1)
 }
 
 // refresh computes what remains after each turn, from the last to the first.
 func (t *templateStatistics) refresh() {
-	t.stale = 0
-	last := &t.turns[followedTurns-1]
-	last.remainingTurns = priorReturns / (1 - priorReturns)
-	last.remainingSeconds = (1 + last.remainingTurns) * last.service.or(defaultServiceSeconds)
-	for index := followedTurns - 2; index >= 0; index-- {
+	t.sinceRefresh = 0
+	last := &t.turns[trackedTurns-1]
+	last.remainingTurns = priorReturnProbability / (1 - priorReturnProbability)
+	last.remainingSeconds = (1 + last.remainingTurns) * last.serviceSeconds.valueOr(defaultServiceSeconds)
+	for index := trackedTurns - 2; index >= 0; index-- {
 		here, next := &t.turns[index], &t.turns[index+1]
-		returns := t.returns(index)
+		returns := t.returnProbability(index)
 		here.remainingTurns = returns * (1 + next.remainingTurns)
-		here.remainingSeconds = here.service.or(defaultServiceSeconds) + returns*next.remainingSeconds
+		here.remainingSeconds = here.serviceSeconds.valueOr(defaultServiceSeconds) + returns*next.remainingSeconds
 	}
 }
 
-func (t *templateStatistics) observed() {
-	t.stale++
-	if t.stale >= refreshAfter {
+func (t *templateStatistics) recordObservation() {
+	t.sinceRefresh++
+	if t.sinceRefresh >= refreshAfter {
 		t.refresh()
 	}
 }
 
 // programState is what is remembered of a program between its calls.
 type programState struct {
-	key        structs.ProgramKey
-	finishedAt time.Time
-	turn       int
-	engine     structs.EngineID
-	served     float64
-	position   *list.Element
+	key           structs.ProgramKey
+	finishedAt    time.Time
+	turn          int
+	engine        structs.EngineID
+	servedSeconds float64
+	position      *list.Element
 	// kept is the cache that an engine keeps for it over a pause, nil for none.
-	kept *keptCache
+	held *heldCache
 }
 
 // estimates learn online how programs go on.
@@ -153,13 +153,13 @@
 }
 
 // arrived learns from a call's arrival and returns the program's state.
-func (e *estimates) arrived(item *Item, now time.Time) *programState {
+func (e *estimates) recordArrival(item *Item, now time.Time) *programState {
 	state := e.programs[item.Key]
 	if state == nil {
 		state = &programState{key: item.Key}
 		state.position = e.order.PushBack(state)
 		e.programs[item.Key] = state
-		e.bound()
+		e.evictOldest()
 	} else {
 		e.order.MoveToBack(state.position)
 	}
@@ -169,13 +169,13 @@
 		if state.turn > 0 && !state.finishedAt.IsZero() {
 			statistics.pause.add(now.Sub(state.finishedAt).Seconds())
 		}
-		statistics.observed()
+		statistics.recordObservation()
 		state.turn = item.Turn
 	}
 	return state
 }
 
-func (e *estimates) bound() {
+func (e *estimates) evictOldest() {
 	for len(e.programs) > maximumPrograms {
 		oldest := e.order.Remove(e.order.Front()).(*programState)
 		delete(e.programs, oldest.key)
@@ -183,16 +183,16 @@
 }
 
 // finished learns from a call's end.
-func (e *estimates) finished(item *Item, engine structs.EngineID, result Result, now time.Time) {
+func (e *estimates) recordFinish(item *Item, engine structs.EngineID, result Result, now time.Time) {
 	statistics := e.template(item.Template)
 	turn := &statistics.turns[turnIndex(item.Turn)]
 	if result.Started && !result.Failed {
-		turn.service.add(result.Duration.Seconds())
-		turn.answer.add(float64(result.Usage.CompletionTokens))
+		turn.serviceSeconds.add(result.Duration.Seconds())
+		turn.answerTokens.add(float64(result.Usage.CompletionTokens))
 		if item.Turn <= 1 {
-			statistics.shared.add(float64(result.Usage.CachedTokens))
+			statistics.sharedPrefixTokens.add(float64(result.Usage.CachedTokens))
 		}
-		statistics.observed()
+		statistics.recordObservation()
 	}
 	state := e.programs[item.Key]
 	if state == nil {
@@ -204,7 +204,7 @@
 	}
 	state.finishedAt = now
 	state.engine = engine
-	state.served += result.Duration.Seconds()
+	state.servedSeconds += result.Duration.Seconds()
 }
 
 func (e *estimates) forget(state *programState) {
@@ -220,15 +220,15 @@
 	outlook := Outlook{
 		RemainingTurns:    turn.remainingTurns,
 		RemainingSeconds:  turn.remainingSeconds,
-		AnswerTokens:      turn.answer.or(defaultAnswerTokens),
-		ReturnProbability: statistics.returns(index),
-		PauseSeconds:      statistics.pause.mean.or(defaultPauseSeconds),
+		AnswerTokens:      turn.answerTokens.valueOr(defaultAnswerTokens),
+		ReturnProbability: statistics.returnProbability(index),
+		PauseSeconds:      statistics.pause.mean.valueOr(defaultPauseSeconds),
 	}
 	if item.MaximumTokens > 0 {
 		outlook.AnswerTokens = min(outlook.AnswerTokens, float64(item.MaximumTokens))
 	}
 	if state := e.programs[item.Key]; state != nil {
-		outlook.ServedSeconds = state.served
+		outlook.ServedSeconds = state.servedSeconds
 	}
 	return outlook
 }
--- a/internal/schedule/fairness.go
+++ b/internal/schedule/fairness.go
@@ -11,13 +11,13 @@
 // tenantAccount follows a tenant's use of engines in virtual time: a second of
 // it passes when the tenant has used what its share gives in a second.
 type tenantAccount struct {
-	name    structs.TenantName
-	share   float64
-	virtual float64
-	waiting int
+	name        structs.TenantName
+	share       float64
+	virtualTime float64
+	waiting     int
 	// penalty puts the tenant's calls back, in seconds.
 	penalty float64
-	listed  bool
+	active  bool
 }
 
 // fairness keeps the accounts of all tenants.
@@ -26,10 +26,10 @@
 	tolerance float64
 	accounts  map[structs.TenantName]*tenantAccount
 	// active orders tenants with waiting calls by their virtual time.
-	active *btree.BTreeG[*tenantAccount]
-	shares float64
+	active       *btree.BTreeG[*tenantAccount]
+	activeShares float64
 	// now is the virtual time of the active tenant that has had least.
-	now float64
+	virtualNow float64
 }
 
 func newFairness(profile Profile) *fairness {
@@ -38,8 +38,8 @@
 		tolerance: profile.ShareTolerance.Seconds(),
 		accounts:  map[structs.TenantName]*tenantAccount{},
 		active: btree.NewG(treeDegree, func(a, b *tenantAccount) bool {
-			if a.virtual != b.virtual {
-				return a.virtual < b.virtual
+			if a.virtualTime != b.virtualTime {
+				return a.virtualTime < b.virtualTime
 			}
 			return a.name < b.name
 		}),
@@ -57,45 +57,45 @@
 
 // joined notes that a call of the tenant waits. A tenant that waited for
 // nothing has no claim on the past.
-func (f *fairness) joined(account *tenantAccount, share float64) {
+func (f *fairness) callAdded(account *tenantAccount, share float64) {
 	account.waiting++
-	if account.listed {
+	if account.active {
 		return
 	}
 	account.share = share
-	account.virtual = max(account.virtual, f.now)
-	account.listed = true
-	f.shares += share
+	account.virtualTime = max(account.virtualTime, f.virtualNow)
+	account.active = true
+	f.activeShares += share
 	f.active.ReplaceOrInsert(account)
 	f.advance()
 }
 
 // left notes that a call of the tenant no longer waits.
-func (f *fairness) left(account *tenantAccount) {
+func (f *fairness) callRemoved(account *tenantAccount) {
 	account.waiting--
-	if account.waiting > 0 || !account.listed {
+	if account.waiting > 0 || !account.active {
 		return
 	}
 	f.active.Delete(account)
-	account.listed = false
-	f.shares -= account.share
+	account.active = false
+	f.activeShares -= account.share
 	f.advance()
 }
 
 // leastEngines bounds from below what a daemon is taken to have of the engines.
-const leastEngines = 0.25
+const minimumEngines = 0.25
 
 // charge books engine time on a tenant that still waits or just left. engines
 // is how many engines' worth of work this daemon gives out.
 func (f *fairness) charge(account *tenantAccount, engineSeconds, engines float64) {
-	shares := f.shares
-	if account.listed {
+	shares := f.activeShares
+	if account.active {
 		f.active.Delete(account)
 	} else {
 		shares += account.share
 	}
-	account.virtual += engineSeconds * shares / (account.share * max(engines, leastEngines))
-	if account.listed {
+	account.virtualTime += engineSeconds * shares / (account.share * max(engines, minimumEngines))
+	if account.active {
 		f.active.ReplaceOrInsert(account)
 	}
 	f.advance()
@@ -103,7 +103,7 @@
 
 func (f *fairness) advance() {
 	if least, found := f.active.Min(); found {
-		f.now = max(f.now, least.virtual)
+		f.virtualNow = max(f.virtualNow, least.virtualTime)
 	}
 }
 
@@ -118,7 +118,7 @@
 	if !f.enabled {
 		return 0
 	}
-	return penaltyWeight * max(account.virtual-f.now-f.tolerance, 0)
+	return penaltyWeight * max(account.virtualTime-f.virtualNow-f.tolerance, 0)
 }
 
 // mostOverShare returns the tenant that holds most of the queue for its share,
@@ -135,7 +135,7 @@
 }
 
 // drain follows how fast calls leave the queue.
-type drain struct {
+type dequeueRate struct {
 	rate rate
 }
 
@@ -146,7 +146,7 @@
 )
 
 // retryAfter estimates when so many waiting calls will have been served.
-func (d *drain) retryAfter(waiting int, now time.Time) time.Duration {
+func (d *dequeueRate) retryAfter(waiting int, now time.Time) time.Duration {
 	perSecond := d.rate.current(now)
 	if perSecond <= 0 {
 		return maximumRetryAfter
--- a/internal/schedule/hold.go
+++ b/internal/schedule/hold.go
@@ -8,7 +8,7 @@
 )
 
 // boundBelief sizes the mirror of an engine's cache.
-func (s *Scheduler) boundBelief(report structs.LoadReport) {
+func (s *Scheduler) setCacheCapacity(report structs.LoadReport) {
 	if report.CacheCapacityTokens <= 0 {
 		return
 	}
@@ -22,14 +22,14 @@
 // is worth to others: under a churn of c tokens a second the cache turns over
 // in capacity/c seconds, and a token that stays that long has saved about one
 // token's prompt work.
-func (s *Scheduler) hold(entry *waitingItem, view *EngineView, now time.Time) (bool, time.Duration) {
+func (s *Scheduler) decideHold(entry *waitingItem, view *EngineView, now time.Time) (bool, time.Duration) {
 	if !s.profile.ManageHolds {
 		return s.profile.HoldAlways, entry.HoldTime
 	}
 	if entry.HoldTime <= 0 {
 		return false, 0
 	}
-	seconds, gain := s.estimates.template(entry.Template).pause.keep(entry.outlook.ReturnProbability, s.memoryPrice(view, now))
+	seconds, gain := s.estimates.template(entry.Template).pause.bestHold(entry.outlook.ReturnProbability, s.memoryPrice(view, now))
 	if gain <= 0 {
 		return false, 0
 	}
@@ -39,10 +39,10 @@
 const (
 	// freeMemory is the part of a cache below which memory costs latency
 	// nothing.
-	freeMemory = 0.6
+	freeMemoryFraction = 0.6
 	// latencyPrice is the part of the price that counts for latency alone: it
 	// pays to keep nearly all caches and let new programs wait.
-	latencyPrice = 0.1
+	latencyPriceFraction = 0.1
 )
 
 // memoryPrice returns the worth of holding a token for a second, in parts of
@@ -54,6 +54,6 @@
 		return 0
 	}
 	occupied := float64(view.AssignedTokens+view.HeldTokens) / capacity
-	pressure := min(max(occupied-freeMemory, 0)/(1-freeMemory), 1)
-	return view.churn.current(now) / capacity * ((1-s.weight)*latencyPrice*pressure + s.weight)
+	pressure := min(max(occupied-freeMemoryFraction, 0)/(1-freeMemoryFraction), 1)
+	return view.churn.current(now) / capacity * ((1-s.cacheWeight)*latencyPriceFraction*pressure + s.cacheWeight)
 }
--- a/internal/schedule/home_queue.go
+++ b/internal/schedule/home_queue.go
@@ -3,18 +3,18 @@
 import "slices"
 
 // countedAhead bounds how many calls of a home queue are counted one by one.
-const countedAhead = 32
+const maximumFront = 32
 
 // homeQueue holds the calls that wait for one engine, by when they are due. It
 // keeps its first calls in a slice of their own, so that a call's place among
 // them is found by binary search.
-type homeQueue struct {
+type engineQueue struct {
 	items *itemTree
 	// front is the first countedAhead calls of items.
 	front []*waitingItem
 }
 
-func newHomeQueue() homeQueue { return homeQueue{items: newItemTree()} }
+func newEngineQueue() engineQueue { return engineQueue{items: newItemTree()} }
 
 func compareItems(a, b *waitingItem) int {
 	switch {
@@ -26,19 +26,19 @@
 	return 0
 }
 
-func (q *homeQueue) add(entry *waitingItem) {
+func (q *engineQueue) add(entry *waitingItem) {
 	q.items.ReplaceOrInsert(entry)
 	place, _ := slices.BinarySearchFunc(q.front, entry, compareItems)
-	if place == countedAhead {
+	if place == maximumFront {
 		return
 	}
-	if len(q.front) == countedAhead {
-		q.front = q.front[:countedAhead-1]
+	if len(q.front) == maximumFront {
+		q.front = q.front[:maximumFront-1]
 	}
 	q.front = slices.Insert(q.front, place, entry)
 }
 
-func (q *homeQueue) remove(entry *waitingItem) {
+func (q *engineQueue) remove(entry *waitingItem) {
 	q.items.Delete(entry)
 	place, found := slices.BinarySearchFunc(q.front, entry, compareItems)
 	if !found {
@@ -49,7 +49,7 @@
 }
 
 // refill brings up the call behind the front, if one waits there.
-func (q *homeQueue) refill() {
+func (q *engineQueue) refill() {
 	if len(q.front) == q.items.Len() {
 		return
 	}
@@ -65,15 +65,15 @@
 
 // first returns at most limit calls, in order. The slice is valid until the
 // queue changes.
-func (q *homeQueue) first(limit int) []*waitingItem {
+func (q *engineQueue) first(limit int) []*waitingItem {
 	return q.front[:min(limit, len(q.front))]
 }
 
 // ahead returns how many calls are due before an entry, at least roughly when
 // there are many.
-func (q *homeQueue) ahead(entry *waitingItem) int {
+func (q *engineQueue) ahead(entry *waitingItem) int {
 	place, _ := slices.BinarySearchFunc(q.front, entry, compareItems)
-	if place < countedAhead {
+	if place < maximumFront {
 		return place
 	}
 	return max(place, q.items.Len()/2)
--- a/internal/schedule/memory.go
+++ b/internal/schedule/memory.go
@@ -8,32 +8,32 @@
 )
 
 // keptCache is the cache that an engine keeps for a paused program.
-type keptCache struct {
-	engine   *EngineView
-	tokens   int64
-	until    time.Time
-	position int
+type heldCache struct {
+	engine    *EngineView
+	tokens    int64
+	expiresAt time.Time
+	heapIndex int
 }
 
 // keptByExpiry orders kept caches by when they are given up.
-type keptByExpiry []*keptCache
+type heldByExpiry []*heldCache
 
-func (k keptByExpiry) Len() int           { return len(k) }
-func (k keptByExpiry) Less(i, j int) bool { return k[i].until.Before(k[j].until) }
-func (k keptByExpiry) Swap(i, j int) {
+func (k heldByExpiry) Len() int           { return len(k) }
+func (k heldByExpiry) Less(i, j int) bool { return k[i].expiresAt.Before(k[j].expiresAt) }
+func (k heldByExpiry) Swap(i, j int) {
 	k[i], k[j] = k[j], k[i]
-	k[i].position, k[j].position = i, j
+	k[i].heapIndex, k[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (k *keptByExpiry) Push(x any) {
-	entry := x.(*keptCache)
-	entry.position = len(*k)
+func (k *heldByExpiry) Push(x any) {
+	entry := x.(*heldCache)
+	entry.heapIndex = len(*k)
 	*k = append(*k, entry)
 }
 
 // Pop implements heap.Interface.
-func (k *keptByExpiry) Pop() any {
+func (k *heldByExpiry) Pop() any {
 	last := len(*k) - 1
 	entry := (*k)[last]
 	(*k)[last] = nil
@@ -42,46 +42,46 @@
 }
 
 // keep notes that an engine keeps a program's cache.
-func (s *Scheduler) keep(state *programState, engine *EngineView, tokens int64, until time.Time) {
-	s.dropKept(state)
-	state.kept = &keptCache{engine: engine, tokens: tokens, until: until}
+func (s *Scheduler) addHold(state *programState, engine *EngineView, tokens int64, until time.Time) {
+	s.dropHold(state)
+	state.held = &heldCache{engine: engine, tokens: tokens, expiresAt: until}
 	engine.HeldTokens += tokens
-	heap.Push(&s.kept, state.kept)
+	heap.Push(&s.held, state.held)
 }
 
 // dropKept notes that nothing is kept for a program any more.
-func (s *Scheduler) dropKept(state *programState) {
-	if state == nil || state.kept == nil {
+func (s *Scheduler) dropHold(state *programState) {
+	if state == nil || state.held == nil {
 		return
 	}
-	if state.kept.position >= 0 {
-		heap.Remove(&s.kept, state.kept.position)
-		state.kept.engine.HeldTokens -= state.kept.tokens
+	if state.held.heapIndex >= 0 {
+		heap.Remove(&s.held, state.held.heapIndex)
+		state.held.engine.HeldTokens -= state.held.tokens
 	}
-	state.kept = nil
+	state.held = nil
 }
 
 // expireKept gives up caches whose time has passed.
-func (s *Scheduler) expireKept(now time.Time) {
-	for len(s.kept) > 0 && !s.kept[0].until.After(now) {
-		entry := heap.Pop(&s.kept).(*keptCache)
-		entry.position = -1
+func (s *Scheduler) expireHolds(now time.Time) {
+	for len(s.held) > 0 && !s.held[0].expiresAt.After(now) {
+		entry := heap.Pop(&s.held).(*heldCache)
+		entry.heapIndex = -1
 		entry.engine.HeldTokens -= entry.tokens
 	}
 }
 
 // ProgramEnded tells that no call of a program follows.
 func (s *Scheduler) ProgramEnded(key structs.ProgramKey) {
-	s.locked(func() {
+	s.withLock(func() {
 		state := s.estimates.programs[key]
 		if state == nil {
 			return
 		}
 		var freed *EngineView
-		if state.kept != nil {
-			freed = state.kept.engine
+		if state.held != nil {
+			freed = state.held.engine
 		}
-		s.dropKept(state)
+		s.dropHold(state)
 		s.estimates.forget(state)
 		if freed != nil {
 			s.fill(freed, s.clock.Now())
@@ -91,14 +91,14 @@
 
 // ownTokens is the part of a call's memory that no other program shares.
 func (s *Scheduler) ownTokens(item *Item, tokens int64) int64 {
-	shared := int64(s.estimates.template(item.Template).shared.or(0))
+	shared := int64(s.estimates.template(item.Template).sharedPrefixTokens.valueOr(0))
 	return max(tokens-shared, 0)
 }
 
 // keptFor returns what an engine keeps for a program.
-func keptFor(state *programState, view *EngineView) int64 {
-	if state == nil || state.kept == nil || state.kept.engine != view || state.kept.position < 0 {
+func heldTokensFor(state *programState, view *EngineView) int64 {
+	if state == nil || state.held == nil || state.held.engine != view || state.held.heapIndex < 0 {
 		return 0
 	}
-	return state.kept.tokens
+	return state.held.tokens
 }
--- a/internal/schedule/overload.go
+++ b/internal/schedule/overload.go
@@ -17,7 +17,7 @@
 }
 
 func (s *Scheduler) refuse(item *Item, outcome structs.Outcome) {
-	s.outbox = append(s.outbox, func() { item.Refuse(outcome) })
+	s.pendingCallbacks = append(s.pendingCallbacks, func() { item.Refuse(outcome) })
 }
 
 func (s *Scheduler) refuseOverload(item *Item, now time.Time) {
@@ -27,7 +27,7 @@
 func (s *Scheduler) overloaded(now time.Time) structs.Outcome {
 	waiting := len(s.waiting)
 	return structs.Refused(structs.ReasonOverloaded, "",
-		fmt.Sprintf("%d calls wait already.", waiting), s.drain.retryAfter(waiting, now))
+		fmt.Sprintf("%d calls wait already.", waiting), s.dequeueRate.retryAfter(waiting, now))
 }
 
 // makeRoom finds a place in the queue for an arrival. A full queue refuses a
@@ -36,7 +36,7 @@
 // false when that is the arrival itself.
 func (s *Scheduler) makeRoom(entry *waitingItem, account *tenantAccount, now time.Time) bool {
 	limit := s.limit
-	if isNew(entry) {
+	if isFirstCall(entry) {
 		limit = s.newProgramLimit()
 	}
 	if len(s.waiting) < max(limit, 1) {
@@ -45,22 +45,22 @@
 	account.share = s.share(account.name)
 	worst := s.fairness.mostOverShare(account)
 	victim := entry
-	if worst != account || !isNew(entry) {
+	if worst != account || !isFirstCall(entry) {
 		victim = s.victim(worst, entry)
 	}
 	s.refuseOverload(victim.Item, now)
 	if victim == entry {
 		return false
 	}
-	s.drop(victim)
+	s.removeEntry(victim)
 	return true
 }
 
-func isNew(entry *waitingItem) bool { return entry.Turn <= 1 }
+func isFirstCall(entry *waitingItem) bool { return entry.Turn <= 1 }
 
 // victimSearch bounds how many of a tenant's calls, from the last due on, are
 // looked at for a victim.
-const victimSearch = 32
+const victimSearchLimit = 32
 
 // victim picks the waiting call of a tenant, or the arrival, that is missed least.
 func (s *Scheduler) victim(tenant *tenantAccount, arrival *waitingItem) *waitingItem {
@@ -68,18 +68,18 @@
 	if arrival.Key.Tenant != tenant.name {
 		victim = nil
 	}
-	for _, class := range s.classOrder {
+	for _, class := range s.sortedClasses {
 		queue := class.tenants[tenant.name]
 		if queue == nil {
 			continue
 		}
 		looked := 0
 		queue.items.Descend(func(entry *waitingItem) bool {
-			if victim == nil || missedLess(entry, victim) {
+			if victim == nil || evictedBefore(entry, victim) {
 				victim = entry
 			}
 			looked++
-			return looked < victimSearch
+			return looked < victimSearchLimit
 		})
 	}
 	if victim == nil {
@@ -88,12 +88,12 @@
 	return victim
 }
 
-func missedLess(a, b *waitingItem) bool {
+func evictedBefore(a, b *waitingItem) bool {
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
 	}
-	if isNew(a) != isNew(b) {
-		return isNew(a)
+	if isFirstCall(a) != isFirstCall(b) {
+		return isFirstCall(a)
 	}
 	return a.outlook.ServedSeconds < b.outlook.ServedSeconds
 }
@@ -105,19 +105,19 @@
 		if !found || first.Deadline.After(now) {
 			return
 		}
-		s.drop(first)
+		s.removeEntry(first)
 		s.refuse(first.Item, deadlineRefusal())
 	}
 }
 
 // arm sets the timer for the next deadline or the next look at calls that
 // wait for a better engine.
-func (s *Scheduler) arm() {
+func (s *Scheduler) armTimer() {
 	if s.timer != nil || len(s.waiting) == 0 {
 		return
 	}
 	s.timer = s.clock.AfterFunc(s.nextTick(), func() {
-		s.locked(func() {
+		s.withLock(func() {
 			s.timer = nil
 			s.tick(s.clock.Now())
 		})
@@ -134,8 +134,8 @@
 
 func (s *Scheduler) tick(now time.Time) {
 	s.expire(now)
-	s.expireKept(now)
-	for _, view := range s.order {
+	s.expireHolds(now)
+	for _, view := range s.sortedEngines {
 		s.fill(view, now)
 	}
 }
--- a/internal/schedule/pauses.go
+++ b/internal/schedule/pauses.go
@@ -14,7 +14,7 @@
 	priorPauses  = 0.1
 	priorBuckets = 48
 	// freePrice is too low to count.
-	freePrice = 1e-4
+	negligiblePrice = 1e-4
 )
 
 // pauseStatistics is a decaying histogram of the pauses after a turn.
@@ -53,11 +53,11 @@
 // costs price, its loss costs 1 and the program comes back with probability
 // returns, and the expected gain of that choice. Keeping it for t costs price
 // for every second until the return or t; the gain is 1 for a return before t.
-func (p *pauseStatistics) keep(returns, price float64) (seconds, gain float64) {
-	if price < freePrice {
+func (p *pauseStatistics) bestHold(returns, price float64) (seconds, gain float64) {
+	if price < negligiblePrice {
 		return math.MaxInt32, returns
 	}
-	if p.total < fewObservations {
+	if p.total < initialObservations {
 		return unknownPauseSeconds, returns - price*defaultPauseSeconds
 	}
 	total := p.total + priorPauses*priorBuckets
--- a/internal/schedule/placement.go
+++ b/internal/schedule/placement.go
@@ -9,69 +9,69 @@
 
 // betterBy is how much sooner, in parts of the time on the free engine, a busy
 // engine must be expected to finish a call for the call to wait for it.
-const betterBy = 0.9
+const maximumWaitRatio = 0.9
 
 // placeArrival gives an arrival an engine if one has room and nobody who waits
 // has a better claim to it.
-func (s *Scheduler) placeArrival(entry *waitingItem, now time.Time) {
+func (s *Scheduler) assignArrival(entry *waitingItem, now time.Time) {
 	best := s.choose(entry, now)
 	if best.any == nil {
 		return
 	}
-	if best.free == nil || (s.profile.WaitForBetterEngine && best.any != best.free && best.anyScore < betterBy*best.freeScore) {
-		s.joinHome(entry, best.any)
+	if best.free == nil || (s.profile.WaitForBetterEngine && best.any != best.free && best.anyScore < maximumWaitRatio*best.freeScore) {
+		s.setPreferred(entry, best.any)
 		return
 	}
-	s.place(entry, best.free, best.freeMiss, "free engine with the least expected time", now)
+	s.assign(entry, best.free, best.freeMiss, "free engine with the least expected time", now)
 }
 
 // fill gives an engine's room to waiting calls.
 func (s *Scheduler) fill(view *EngineView, now time.Time) {
 	for len(s.waiting) > 0 {
-		entry, miss, reason := s.next(view, now)
+		entry, miss, reason := s.nextCall(view, now)
 		if entry == nil {
 			return
 		}
-		s.place(entry, view, miss, reason, now)
+		s.assign(entry, view, miss, reason, now)
 	}
 }
 
 // next picks the call that should get an engine's room: of the first in the
 // queue and the first that wait for this engine, the one whose due time with
 // the cost of running here comes first.
-func (s *Scheduler) next(view *EngineView, now time.Time) (*waitingItem, int64, string) {
+func (s *Scheduler) nextCall(view *EngineView, now time.Time) (*waitingItem, int64, string) {
 	var best *waitingItem
 	var bestValue float64
 	var bestMiss int64
 	reason := ""
 	consider := func(entry *waitingItem, due float64, why string) {
-		s.index.match(entry.Blocks)
-		c := &s.judged
-		s.judge(c, entry, view, now)
+		s.index.setPrompt(entry.Blocks)
+		c := &s.candidate
+		s.setCandidate(c, entry, view, now)
 		if !c.HasRoom || !s.admits(c) {
 			return
 		}
 		score := s.score(c)
-		if s.prefersHome(entry, view, score, now) {
+		if s.shouldWaitForPreferred(entry, view, score, now) {
 			return
 		}
 		if value := due + score; best == nil || value < bestValue {
 			best, bestValue, bestMiss, reason = entry, value, c.MissTokens(), why
 		}
 	}
-	for _, entry := range view.home.first(max(s.profile.LookAhead, 1)) {
+	for _, entry := range view.waiters.first(max(s.profile.LookAhead, 1)) {
 		if !view.Serves(entry.Model) {
 			continue
 		}
 		consider(entry, entry.due+s.fairness.penaltyOf(entry.account), "waited for this engine")
 	}
-	for _, queue := range s.classOrder {
+	for _, queue := range s.sortedClasses {
 		if !view.Serves(queue.key.model) {
 			continue
 		}
 		s.refreshPenalties(queue)
 		queue.first(max(s.profile.LookAhead, 1), func(entry *waitingItem, due float64) bool {
-			if entry.home != view && !(s.profile.StrictAffinity && entry.home != nil) {
+			if entry.preferred != view && !(s.profile.StrictAffinity && entry.preferred != nil) {
 				consider(entry, due, "next in the queue")
 			}
 			return true
@@ -93,36 +93,36 @@
 
 // prefersHome tells whether a call is expected to be done sooner by waiting on
 // for the engine it waits for than by running here.
-func (s *Scheduler) prefersHome(entry *waitingItem, view *EngineView, scoreHere float64, now time.Time) bool {
-	home := entry.home
+func (s *Scheduler) shouldWaitForPreferred(entry *waitingItem, view *EngineView, scoreHere float64, now time.Time) bool {
+	home := entry.preferred
 	if home == nil || home == view || !s.profile.WaitForBetterEngine {
 		return false
 	}
-	c := &s.judgedHome
-	s.judge(c, entry, home, now)
+	c := &s.preferredCandidate
+	s.setCandidate(c, entry, home, now)
 	if !home.Serves(entry.Model) || !s.admits(c) {
-		s.leaveHome(entry)
+		s.clearPreferred(entry)
 		return false
 	}
-	return s.score(c) < betterBy*scoreHere
+	return s.score(c) < maximumWaitRatio*scoreHere
 }
 
 // place gives a call an engine.
-func (s *Scheduler) place(entry *waitingItem, view *EngineView, missTokens int64, reason string, now time.Time) {
-	s.drop(entry)
-	record := &placed{engine: view, tokens: entry.need, outlook: entry.outlook}
-	s.placed[entry.Item] = record
+func (s *Scheduler) assign(entry *waitingItem, view *EngineView, missTokens int64, reason string, now time.Time) {
+	s.removeEntry(entry)
+	record := &runningCall{engine: view, tokens: entry.neededTokens, outlook: entry.outlook}
+	s.running[entry.Item] = record
 	scores := s.explain(entry, view, now)
 	transfer := s.transferTo(entry, view, s.hitTokens(entry, view))
-	s.dropKept(s.estimates.programs[entry.Key])
+	s.dropHold(s.estimates.programs[entry.Key])
 	view.assign(record, missTokens, now)
-	s.drain.rate.add(1, now)
+	s.dequeueRate.rate.add(1, now)
 	s.charge(entry, view, missTokens)
-	if view.residences != nil {
-		chain := make([]*residence, 0, len(entry.Blocks))
-		record.stored = s.index.store(view.residences, entry.Blocks, now, chain)
+	if view.cache != nil {
+		chain := make([]*cachedBlock, 0, len(entry.Blocks))
+		record.cachedBlocks = s.index.store(view.cache, entry.Blocks, now, chain)
 	}
-	hold, holdFor := s.hold(entry, view, now)
+	hold, holdFor := s.decideHold(entry, view, now)
 	if hold {
 		record.holdFor = holdFor
 	}
@@ -138,7 +138,7 @@
 		EnginePriority: enginePriority(entry),
 		Transfer:       transfer,
 	}
-	s.outbox = append(s.outbox, func() { entry.Assign(assignment) })
+	s.pendingCallbacks = append(s.pendingCallbacks, func() { entry.Assign(assignment) })
 }
 
 // Priorities that engines know.
@@ -151,7 +151,7 @@
 // program under way goes before a new one of the same priority.
 func enginePriority(entry *waitingItem) int {
 	priority := entry.Priority
-	if !isNew(entry) {
+	if !isFirstCall(entry) {
 		priority++
 	}
 	return min(max(priority, lowestPriority), highestPriority)
@@ -160,15 +160,15 @@
 // explain returns the scores of the chosen engine and, if the call waited for
 // another, the total of that one.
 func (s *Scheduler) explain(entry *waitingItem, chosen *EngineView, now time.Time) []structs.CandidateScore {
-	s.index.match(entry.Blocks)
+	s.index.setPrompt(entry.Blocks)
 	scores := make([]structs.CandidateScore, 0, len(s.plugins.scorers)+1)
-	c := &s.judged
-	s.judge(c, entry, chosen, now)
+	c := &s.candidate
+	s.setCandidate(c, entry, chosen, now)
 	for _, scorer := range s.plugins.scorers {
 		scores = append(scores, structs.CandidateScore{Engine: chosen.Engine.ID, Scorer: scorer.Name, Score: scorer.Score(c)})
 	}
-	if home := entry.home; home != nil && home != chosen {
-		s.judge(c, entry, home, now)
+	if home := entry.preferred; home != nil && home != chosen {
+		s.setCandidate(c, entry, home, now)
 		scores = append(scores, structs.CandidateScore{Engine: home.Engine.ID, Scorer: "total", Score: s.score(c)})
 	}
 	return scores
--- a/internal/schedule/prefix_index.go
+++ b/internal/schedule/prefix_index.go
@@ -15,10 +15,10 @@
 	// maximumResidences bounds the blocks believed to be held, over all
 	// engines; about 100 bytes each. Beyond it only every second block, fourth
 	// block and so on is followed.
-	maximumResidences = 1 << 18
+	maximumCachedBlocks = 1 << 18
 	// beliefLifetime is how long a block is believed to be held without any
 	// confirmation.
-	beliefLifetime = 10 * time.Minute
+	confirmationTTL = 10 * time.Minute
 )
 
 // engineSet is a set of engine slots.
@@ -48,19 +48,19 @@
 
 // residence is the belief that one engine holds one block. Residences of an
 // engine form a list from the least to the most recently used.
-type residence struct {
-	block             structs.BlockHash
-	confirmed         time.Time
-	former, following *residence
+type cachedBlock struct {
+	block          structs.BlockHash
+	confirmed      time.Time
+	previous, next *cachedBlock
 	// dropped is set when the belief was given up.
 	dropped bool
 }
 
 // engineResidences mirrors the block cache of one engine.
-type engineResidences struct {
+type cacheMirror struct {
 	slot     int
-	blocks   map[structs.BlockHash]*residence
-	sentinel residence
+	blocks   map[structs.BlockHash]*cachedBlock
+	sentinel cachedBlock
 	// capacity is in blocks; 0 means not known yet.
 	capacity int
 	sequence uint64
@@ -72,31 +72,31 @@
 // usage in answers corrects the belief, and what nothing confirms fades.
 type prefixIndex struct {
 	holders map[structs.BlockHash]*engineSet
-	engines map[structs.EngineID]*engineResidences
+	engines map[structs.EngineID]*cacheMirror
 	slots   []structs.EngineID
 	total   int
 	// mask selects the blocks that are followed.
-	mask    structs.BlockHash
-	samples []sample
+	mask          structs.BlockHash
+	promptSamples []sample
 }
 
 // sample is a followed block of the prompt at hand.
 type sample struct {
 	position int
 	holders  *engineSet
-	looked   bool
+	loaded   bool
 }
 
 func newPrefixIndex() *prefixIndex {
 	return &prefixIndex{
 		holders: map[structs.BlockHash]*engineSet{},
-		engines: map[structs.EngineID]*engineResidences{},
+		engines: map[structs.EngineID]*cacheMirror{},
 	}
 }
 
 // engine returns an engine's residences, making them on first use. It returns
 // nil when there are too many engines to follow.
-func (x *prefixIndex) engine(id structs.EngineID) *engineResidences {
+func (x *prefixIndex) engine(id structs.EngineID) *cacheMirror {
 	if known := x.engines[id]; known != nil {
 		return known
 	}
@@ -105,8 +105,8 @@
 		return nil
 	}
 	x.slots[slot] = id
-	e := &engineResidences{slot: slot, blocks: map[structs.BlockHash]*residence{}}
-	e.sentinel.former, e.sentinel.following = &e.sentinel, &e.sentinel
+	e := &cacheMirror{slot: slot, blocks: map[structs.BlockHash]*cachedBlock{}}
+	e.sentinel.previous, e.sentinel.next = &e.sentinel, &e.sentinel
 	x.engines[id] = e
 	return e
 }
@@ -125,7 +125,7 @@
 }
 
 // forget drops all belief about an engine.
-func (x *prefixIndex) forget(id structs.EngineID) {
+func (x *prefixIndex) removeEngine(id structs.EngineID) {
 	e := x.engines[id]
 	if e == nil {
 		return
@@ -135,19 +135,19 @@
 	x.slots[e.slot] = ""
 }
 
-func (x *prefixIndex) clear(e *engineResidences) {
-	for e.sentinel.following != &e.sentinel {
-		x.drop(e, e.sentinel.following)
+func (x *prefixIndex) clear(e *cacheMirror) {
+	for e.sentinel.next != &e.sentinel {
+		x.drop(e, e.sentinel.next)
 	}
 }
 
-func (x *prefixIndex) follows(block structs.BlockHash) bool { return block&x.mask == 0 }
+func (x *prefixIndex) isSampled(block structs.BlockHash) bool { return block&x.mask == 0 }
 
 // store believes that an engine has blocks, and that they were just used. It
 // adds the residences to those given.
-func (x *prefixIndex) store(e *engineResidences, blocks []structs.BlockHash, now time.Time, stored []*residence) []*residence {
+func (x *prefixIndex) store(e *cacheMirror, blocks []structs.BlockHash, now time.Time, stored []*cachedBlock) []*cachedBlock {
 	for _, block := range blocks {
-		if x.follows(block) {
+		if x.isSampled(block) {
 			stored = append(stored, x.use(e, e.blocks[block], block, now))
 		}
 	}
@@ -156,9 +156,9 @@
 }
 
 // touch is store for blocks that were stored before.
-func (x *prefixIndex) touch(e *engineResidences, stored []*residence, now time.Time) {
+func (x *prefixIndex) touch(e *cacheMirror, stored []*cachedBlock, now time.Time) {
 	for _, entry := range stored {
-		if !x.follows(entry.block) {
+		if !x.isSampled(entry.block) {
 			continue
 		}
 		known := entry
@@ -172,7 +172,7 @@
 
 // use makes a block the most recently used one; entry is nil when it was not
 // believed to be there.
-func (x *prefixIndex) use(e *engineResidences, entry *residence, block structs.BlockHash, now time.Time) *residence {
+func (x *prefixIndex) use(e *cacheMirror, entry *cachedBlock, block structs.BlockHash, now time.Time) *cachedBlock {
 	if entry == nil {
 		entry = x.add(e, block)
 	} else {
@@ -183,8 +183,8 @@
 	return entry
 }
 
-func (x *prefixIndex) add(e *engineResidences, block structs.BlockHash) *residence {
-	entry := &residence{block: block}
+func (x *prefixIndex) add(e *cacheMirror, block structs.BlockHash) *cachedBlock {
+	entry := &cachedBlock{block: block}
 	e.blocks[block] = entry
 	set := x.holders[block]
 	if set == nil {
@@ -197,37 +197,37 @@
 }
 
 // trim keeps an engine within its capacity and the index within its bound.
-func (x *prefixIndex) trim(e *engineResidences) {
+func (x *prefixIndex) trim(e *cacheMirror) {
 	if e.capacity > 0 {
 		followed := max(e.capacity/int(x.mask+1), 1)
 		for len(e.blocks) > followed {
-			x.drop(e, e.sentinel.following)
+			x.drop(e, e.sentinel.next)
 		}
 	}
-	for x.total > maximumResidences {
-		x.thin()
+	for x.total > maximumCachedBlocks {
+		x.halveSampling()
 	}
 }
 
 // thin follows half as many blocks from now on.
-func (x *prefixIndex) thin() {
+func (x *prefixIndex) halveSampling() {
 	x.mask = x.mask<<1 | 1
 	for _, id := range x.slots {
 		e := x.engines[id]
 		if e == nil {
 			continue
 		}
-		for entry := e.sentinel.following; entry != &e.sentinel; {
-			following := entry.following
-			if !x.follows(entry.block) {
+		for entry := e.sentinel.next; entry != &e.sentinel; {
+			next := entry.next
+			if !x.isSampled(entry.block) {
 				x.drop(e, entry)
 			}
-			entry = following
+			entry = next
 		}
 	}
 }
 
-func (x *prefixIndex) evict(e *engineResidences, blocks []structs.BlockHash) {
+func (x *prefixIndex) evict(e *cacheMirror, blocks []structs.BlockHash) {
 	for _, block := range blocks {
 		if entry := e.blocks[block]; entry != nil {
 			x.drop(e, entry)
@@ -235,7 +235,7 @@
 	}
 }
 
-func (x *prefixIndex) drop(e *engineResidences, entry *residence) {
+func (x *prefixIndex) drop(e *cacheMirror, entry *cachedBlock) {
 	entry.unlink()
 	entry.dropped = true
 	delete(e.blocks, entry.block)
@@ -248,33 +248,33 @@
 }
 
 // fade drops blocks that nothing confirmed for long.
-func (x *prefixIndex) fade(e *engineResidences, now time.Time) {
+func (x *prefixIndex) expireUnconfirmed(e *cacheMirror, now time.Time) {
 	for {
-		oldest := e.sentinel.following
-		if oldest == &e.sentinel || now.Sub(oldest.confirmed) < beliefLifetime {
+		oldest := e.sentinel.next
+		if oldest == &e.sentinel || now.Sub(oldest.confirmed) < confirmationTTL {
 			return
 		}
 		x.drop(e, oldest)
 	}
 }
 
-func (e *engineResidences) append(entry *residence) {
-	last := e.sentinel.former
-	entry.former, entry.following = last, &e.sentinel
-	last.following, e.sentinel.former = entry, entry
+func (e *cacheMirror) append(entry *cachedBlock) {
+	last := e.sentinel.previous
+	entry.previous, entry.next = last, &e.sentinel
+	last.next, e.sentinel.previous = entry, entry
 }
 
-func (r *residence) unlink() {
-	r.former.following = r.following
-	r.following.former = r.former
+func (r *cachedBlock) unlink() {
+	r.previous.next = r.next
+	r.next.previous = r.previous
 }
 
 // match prepares hit and hits for the blocks of one prompt.
-func (x *prefixIndex) match(blocks []structs.BlockHash) {
-	x.samples = x.samples[:0]
+func (x *prefixIndex) setPrompt(blocks []structs.BlockHash) {
+	x.promptSamples = x.promptSamples[:0]
 	for position, block := range blocks {
-		if x.follows(block) {
-			x.samples = append(x.samples, sample{position: position})
+		if x.isSampled(block) {
+			x.promptSamples = append(x.promptSamples, sample{position: position})
 		}
 	}
 }
@@ -282,8 +282,8 @@
 // hit returns how many of the first blocks, as given to match, an engine is
 // believed to hold. Engines evict the end of a prefix before its beginning, so
 // a binary search finds where the held part ends.
-func (x *prefixIndex) hit(e *engineResidences, blocks []structs.BlockHash) int {
-	low, high := 0, len(x.samples)
+func (x *prefixIndex) hit(e *cacheMirror, blocks []structs.BlockHash) int {
+	low, high := 0, len(x.promptSamples)
 	for low < high {
 		middle := (low + high) / 2
 		if x.holdersAt(middle, blocks).has(e.slot) {
@@ -295,13 +295,13 @@
 	if low == 0 {
 		return 0
 	}
-	return x.samples[low-1].position + 1
+	return x.promptSamples[low-1].position + 1
 }
 
 // hits gives, for each engine slot, what hit would return, for many engines at
 // once: it splits the engines by whether they hold the block in the middle.
 func (x *prefixIndex) hits(blocks []structs.BlockHash, engines engineSet, result *[maximumEngines]int32) {
-	x.splitHits(blocks, engines, 0, len(x.samples), result)
+	x.splitHits(blocks, engines, 0, len(x.promptSamples), result)
 }
 
 func (x *prefixIndex) splitHits(blocks []structs.BlockHash, engines engineSet, low, high int, result *[maximumEngines]int32) {
@@ -322,7 +322,7 @@
 func (x *prefixIndex) assignHits(engines engineSet, samples int, result *[maximumEngines]int32) {
 	held := int32(0)
 	if samples > 0 {
-		held = int32(x.samples[samples-1].position + 1)
+		held = int32(x.promptSamples[samples-1].position + 1)
 	}
 	for number, word := range engines {
 		for ; word != 0; word &= word - 1 {
@@ -331,15 +331,15 @@
 	}
 }
 
-var nobody engineSet
+var noHolders engineSet
 
 func (x *prefixIndex) holdersAt(number int, blocks []structs.BlockHash) *engineSet {
-	entry := &x.samples[number]
-	if !entry.looked {
-		entry.looked = true
+	entry := &x.promptSamples[number]
+	if !entry.loaded {
+		entry.loaded = true
 		entry.holders = x.holders[blocks[entry.position]]
 		if entry.holders == nil {
-			entry.holders = &nobody
+			entry.holders = &noHolders
 		}
 	}
 	return entry.holders
--- a/internal/schedule/prefix_index_test.go
+++ b/internal/schedule/prefix_index_test.go
@@ -9,13 +9,13 @@
 )
 
 // trueCache is a block cache with the least recently used going first.
-type trueCache struct {
+type lruCache struct {
 	capacity int
 	clock    int
 	used     map[structs.BlockHash]int
 }
 
-func (c *trueCache) use(chain []structs.BlockHash) (hit int, evicted []structs.BlockHash) {
+func (c *lruCache) use(chain []structs.BlockHash) (hit int, evicted []structs.BlockHash) {
 	for hit < len(chain) && c.used[chain[hit]] > 0 {
 		hit++
 	}
@@ -36,10 +36,10 @@
 	return hit, evicted
 }
 
-func TestBeliefStaysRightWhenEventsAreLost(t *testing.T) {
+func TestPrefixIndexStaysAccurateWhenEventsAreLost(t *testing.T) {
 	const programs, chainLength, capacity, calls = 60, 10, 200, 3000
 	random := rand.New(rand.NewPCG(3, 0))
-	cache := &trueCache{capacity: capacity, used: map[structs.BlockHash]int{}}
+	cache := &lruCache{capacity: capacity, used: map[structs.BlockHash]int{}}
 	index := newPrefixIndex()
 	engine := index.engine("10.0.0.1:80")
 	engine.capacity = capacity
@@ -52,10 +52,10 @@
 		for i := range chain {
 			chain[i] = structs.BlockHash(1 + number*chainLength + i)
 		}
-		index.match(chain)
-		believed := index.hit(engine, chain)
+		index.setPrompt(chain)
+		predicted := index.hit(engine, chain)
 		actual, evicted := cache.use(chain)
-		if believed != actual {
+		if predicted != actual {
 			wrong++
 		}
 		index.store(engine, chain, now, nil)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestIndexIsBounded(t *testing.T) {
+func TestPrefixIndexIsBounded(t *testing.T) {
 	index := newPrefixIndex()
 	engine := index.engine("10.0.0.1:80")
 	random := rand.New(rand.NewPCG(1, 1))
@@ -83,16 +83,16 @@
 		}
 		index.store(engine, last, time.Unix(0, 0), nil)
 	}
-	if index.total > maximumResidences || len(index.holders) > maximumResidences {
-		t.Errorf("%d residences, the bound is %d", index.total, maximumResidences)
+	if index.total > maximumCachedBlocks || len(index.holders) > maximumCachedBlocks {
+		t.Errorf("%d residences, the bound is %d", index.total, maximumCachedBlocks)
 	}
-	index.match(last)
+	index.setPrompt(last)
 	if hit := index.hit(engine, last); hit < len(last)-64 {
 		t.Errorf("hit of %d blocks believed after thinning, want nearly %d", hit, len(last))
 	}
 }
 
-func TestKeepPaysForLikelyReturnsOnly(t *testing.T) {
+func TestHoldsOnlyForLikelyReturns(t *testing.T) {
 	var pauses pauseStatistics
 	for range 100 {
 		pauses.add(1)
@@ -100,11 +100,11 @@
 	for range 10 {
 		pauses.add(100)
 	}
-	seconds, gain := pauses.keep(1, 0.05)
+	seconds, gain := pauses.bestHold(1, 0.05)
 	if seconds < 1 || seconds > 20 || gain <= 0 {
 		t.Errorf("keep for %.1f s with gain %.2f: nine in ten come back after a second", seconds, gain)
 	}
-	if _, gain := pauses.keep(0.01, 0.5); gain > 0 {
+	if _, gain := pauses.bestHold(0.01, 0.5); gain > 0 {
 		t.Errorf("gain %.2f of keeping for a program that does not come back", gain)
 	}
 }
--- a/internal/schedule/profile.go
+++ b/internal/schedule/profile.go
@@ -123,7 +123,7 @@
 	return s.configurations.Current()
 }
 
-func (s *Scheduler) cacheWeight() float64 {
+func (s *Scheduler) configuredCacheWeight() float64 {
 	if configuration := s.configuration(); configuration != nil {
 		return configuration.Fleet.CacheWeight
 	}
--- a/internal/schedule/queues.go
+++ b/internal/schedule/queues.go
@@ -7,10 +7,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func (s *Scheduler) add(entry *waitingItem, account *tenantAccount) {
+func (s *Scheduler) addEntry(entry *waitingItem, account *tenantAccount) {
 	entry.account = account
 	s.waiting[entry.Item] = entry
-	s.fairness.joined(account, s.share(account.name))
+	s.fairness.callAdded(account, s.share(account.name))
 	s.class(entry).add(entry, account)
 	if !entry.Deadline.IsZero() {
 		s.deadlines.ReplaceOrInsert(entry)
@@ -18,20 +18,20 @@
 }
 
 // drop takes an entry out of every queue.
-func (s *Scheduler) drop(entry *waitingItem) {
+func (s *Scheduler) removeEntry(entry *waitingItem) {
 	delete(s.waiting, entry.Item)
 	account := entry.account
-	s.fairness.left(account)
+	s.fairness.callRemoved(account)
 	queue := s.class(entry)
 	queue.remove(entry, account)
 	if queue.count == 0 {
 		delete(s.classes, queue.key)
-		s.classOrder = slices.DeleteFunc(s.classOrder, func(c *class) bool { return c == queue })
+		s.sortedClasses = slices.DeleteFunc(s.sortedClasses, func(c *class) bool { return c == queue })
 	}
 	if !entry.Deadline.IsZero() {
 		s.deadlines.Delete(entry)
 	}
-	s.leaveHome(entry)
+	s.clearPreferred(entry)
 }
 
 func (s *Scheduler) class(entry *waitingItem) *class {
@@ -46,26 +46,26 @@
 }
 
 func (s *Scheduler) insertClass(added *class) {
-	place, _ := slices.BinarySearchFunc(s.classOrder, added.key, func(c *class, key classKey) int {
+	place, _ := slices.BinarySearchFunc(s.sortedClasses, added.key, func(c *class, key classKey) int {
 		return c.key.compare(key)
 	})
-	s.classOrder = slices.Insert(s.classOrder, place, added)
+	s.sortedClasses = slices.Insert(s.sortedClasses, place, added)
 }
 
-func (s *Scheduler) leaveHome(entry *waitingItem) {
-	if entry.home != nil {
-		entry.home.home.remove(entry)
-		entry.home = nil
+func (s *Scheduler) clearPreferred(entry *waitingItem) {
+	if entry.preferred != nil {
+		entry.preferred.waiters.remove(entry)
+		entry.preferred = nil
 	}
 }
 
-func (s *Scheduler) joinHome(entry *waitingItem, home *EngineView) {
-	if entry.home == home {
+func (s *Scheduler) setPreferred(entry *waitingItem, home *EngineView) {
+	if entry.preferred == home {
 		return
 	}
-	s.leaveHome(entry)
-	entry.home = home
-	home.home.add(entry)
+	s.clearPreferred(entry)
+	entry.preferred = home
+	home.waiters.add(entry)
 }
 
 // Waiting returns the number of calls that wait.
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -38,51 +38,51 @@
 	waiting map[*Item]*waitingItem
 	classes map[classKey]*class
 	// classOrder holds the classes by their keys.
-	classOrder []*class
-	deadlines  *deadlineTree
-	fairness   *fairness
-	drain      drain
-	sequence   uint64
+	sortedClasses []*class
+	deadlines     *deadlineTree
+	fairness      *fairness
+	dequeueRate   dequeueRate
+	sequence      uint64
 	// candidates is scratch space of a decision: the engines that may serve
 	// the call at hand, and what each is believed to hold of its prompt.
 	candidates []engineHit
 	// hits and stored are scratch space of the prefix index.
 	hits   [maximumEngines]int32
-	stored []*residence
+	stored []*cachedBlock
 	// judged and judgedHome are what the plug-ins look at.
-	judged, judgedHome Candidate
+	candidate, preferredCandidate Candidate
 	// weight is the operators' cache weight, read once for each task.
-	weight float64
+	cacheWeight float64
 	// meanOccupied and leastOccupied are the mean and the least number of calls
 	// on an engine, as last surveyed.
 	meanOccupied  float64
 	leastOccupied int
 	// transfers is what transfers have taught of the links.
-	transfers transferSpeed
+	transferSpeed transferSpeed
 	// source is scratch space of a decision.
-	source  transferSource
-	engines map[structs.EngineID]*EngineView
+	transferSource transferSource
+	engines        map[structs.EngineID]*EngineView
 	// order holds the engines by identifier.
-	order     []*EngineView
-	placed    map[*Item]*placed
-	index     *prefixIndex
-	estimates *estimates
+	sortedEngines []*EngineView
+	running       map[*Item]*runningCall
+	index         *prefixIndex
+	estimates     *estimates
 	// kept holds the caches kept for paused programs.
-	kept  keptByExpiry
+	held  heldByExpiry
 	timer clock.Timer
 	// outbox holds callbacks to run once the lock is free.
-	outbox []func()
+	pendingCallbacks []func()
 }
 
 // placed is a call at an engine.
-type placed struct {
+type runningCall struct {
 	engine  *EngineView
 	tokens  int64
 	outlook Outlook
 	// holdFor is how long the cache is kept afterwards, 0 for not at all.
 	holdFor time.Duration
 	// stored is the belief that the engine has the prompt's blocks.
-	stored []*residence
+	cachedBlocks []*cachedBlock
 }
 
 // New returns a scheduler with the default profile that lets limit calls wait.
@@ -105,20 +105,20 @@
 		deadlines:      newDeadlineTree(),
 		fairness:       newFairness(options.Profile),
 		engines:        map[structs.EngineID]*EngineView{},
-		placed:         map[*Item]*placed{},
+		running:        map[*Item]*runningCall{},
 		index:          newPrefixIndex(),
 		estimates:      newEstimates(),
 	}
 }
 
 // locked runs task under the lock and the callbacks it left behind after it.
-func (s *Scheduler) locked(task func()) {
+func (s *Scheduler) withLock(task func()) {
 	s.mutex.Lock()
-	s.weight = s.cacheWeight()
+	s.cacheWeight = s.configuredCacheWeight()
 	task()
-	s.arm()
-	outbox := s.outbox
-	s.outbox = nil
+	s.armTimer()
+	outbox := s.pendingCallbacks
+	s.pendingCallbacks = nil
 	s.mutex.Unlock()
 	for _, callback := range outbox {
 		callback()
@@ -127,12 +127,12 @@
 
 // Enqueue takes an item; its Assign or Refuse is called later, once.
 func (s *Scheduler) Enqueue(item *Item) {
-	s.locked(func() { s.enqueue(item) })
+	s.withLock(func() { s.enqueue(item) })
 }
 
 func (s *Scheduler) enqueue(item *Item) {
 	now := s.clock.Now()
-	state := s.estimates.arrived(item, now)
+	state := s.estimates.recordArrival(item, now)
 	if !item.Deadline.IsZero() && !now.Before(item.Deadline) {
 		s.refuse(item, deadlineRefusal())
 		return
@@ -140,19 +140,19 @@
 	s.sequence++
 	outlook := s.estimates.outlook(item)
 	entry := &waitingItem{
-		Item:     item,
-		outlook:  outlook,
-		due:      s.due(item, outlook, now.Sub(s.start).Seconds()),
-		sequence: s.sequence,
-		state:    state,
-		need:     s.ownTokens(item, item.PromptTokens+int64(outlook.AnswerTokens)),
+		Item:         item,
+		outlook:      outlook,
+		due:          s.due(item, outlook, now.Sub(s.start).Seconds()),
+		sequence:     s.sequence,
+		program:      state,
+		neededTokens: s.ownTokens(item, item.PromptTokens+int64(outlook.AnswerTokens)),
 	}
 	account := s.fairness.account(item.Key.Tenant)
 	if !s.makeRoom(entry, account, now) {
 		return
 	}
-	s.add(entry, account)
-	s.placeArrival(entry, now)
+	s.addEntry(entry, account)
+	s.assignArrival(entry, now)
 }
 
 // Remove takes back an item that was neither assigned nor refused.
@@ -163,31 +163,31 @@
 	if entry == nil {
 		return false
 	}
-	s.drop(entry)
+	s.removeEntry(entry)
 	return true
 }
 
 // Finished hands an assignment back.
 func (s *Scheduler) Finished(assignment Assignment, result Result) {
-	s.locked(func() { s.finished(assignment, result) })
+	s.withLock(func() { s.finished(assignment, result) })
 }
 
 func (s *Scheduler) finished(assignment Assignment, result Result) {
 	now := s.clock.Now()
-	record := s.placed[assignment.Item]
+	record := s.running[assignment.Item]
 	if record == nil {
 		return
 	}
-	delete(s.placed, assignment.Item)
+	delete(s.running, assignment.Item)
 	view := record.engine
 	view.finish(record, result, now)
-	s.estimates.finished(assignment.Item, assignment.Engine, result, now)
-	s.keepAfter(assignment, record, result, now)
+	s.estimates.recordFinish(assignment.Item, assignment.Engine, result, now)
+	s.holdAfter(assignment, record, result, now)
 	switch {
 	case result.Started && !result.Failed:
-		s.believeServed(record, result.Usage, now)
+		s.confirmServed(record, result.Usage, now)
 	case result.Started:
-		s.disbelieve(assignment.Item, assignment.Engine, result.Usage.CachedTokens)
+		s.evictUncached(assignment.Item, assignment.Engine, result.Usage.CachedTokens)
 	}
 	if result.Draining {
 		view.Engine.Leaving = true
@@ -196,11 +196,11 @@
 }
 
 // keepAfter notes what the engine keeps for the program until its next call.
-func (s *Scheduler) keepAfter(assignment Assignment, record *placed, result Result, now time.Time) {
+func (s *Scheduler) holdAfter(assignment Assignment, record *runningCall, result Result, now time.Time) {
 	state := s.estimates.programs[assignment.Item.Key]
 	if state == nil || record.holdFor <= 0 || !result.Started || result.Failed || result.ProgramEnded {
 		return
 	}
 	tokens := s.ownTokens(assignment.Item, result.Usage.PromptTokens+result.Usage.CompletionTokens)
-	s.keep(state, record.engine, tokens, now.Add(record.holdFor))
+	s.addHold(state, record.engine, tokens, now.Add(record.holdFor))
 }
--- a/internal/schedule/scheduler_test.go
+++ b/internal/schedule/scheduler_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestALargeCallIsNotPassedOverForEver(t *testing.T) {
+func TestLargeCallIsNotStarvedBySmallOnes(t *testing.T) {
 	const small, large = 200_000, 900_000
 	profile := schedule.DefaultProfile()
 	profile.PrefillBacklog = 0
@@ -72,7 +72,7 @@
 	t.Error("small programs that came later kept a large one from the engine's memory")
 }
 
-func TestACallDoesNotFollowItsEngineOutOfTheFleet(t *testing.T) {
+func TestCallIsNotAssignedToLeavingEngine(t *testing.T) {
 	h := newHarness(10, schedule.DefaultProfile(), nil)
 	h.addEngines(1, 1)
 	h.scheduler.Enqueue(h.item("a", "first", 1, blocks(1, 2)))
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestDecisionsDependOnInputsAlone(t *testing.T) {
+func TestDecisionsAreDeterministic(t *testing.T) {
 	first, second := randomRun(7), randomRun(7)
 	if len(first) < 500 {
 		t.Fatalf("only %d decisions", len(first))
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestProgramsGoBackToTheirCache(t *testing.T) {
+func TestProgramReturnsToEngineWithItsCache(t *testing.T) {
 	h := newHarness(100, schedule.DefaultProfile(), nil)
 	h.addEngines(8, 4)
 	h.scheduler.Enqueue(h.item("a", "p", 1, blocks(1, 50)))
@@ -225,7 +225,7 @@
 	}
 }
 
-func TestAnswerWithoutHitCorrectsTheBelief(t *testing.T) {
+func TestAnswerRestoresPrefixAfterCacheClear(t *testing.T) {
 	h := newHarness(100, schedule.DefaultProfile(), nil)
 	h.addEngines(2, 4)
 	h.scheduler.CacheEvents([]structs.CacheEvent{{Engine: engineID(1), Sequence: 1, Kind: structs.CacheStored, Blocks: blocks(1, 50)}})
--- a/internal/schedule/transfer.go
+++ b/internal/schedule/transfer.go
@@ -9,13 +9,13 @@
 
 const (
 	// leastTransferTokens is the least that is worth a transfer's messages.
-	leastTransferTokens = 512
+	minimumTransferTokens = 512
 	// defaultTransferSecondsPerToken is expected while no transfer has taught
 	// better: half of 100 Gbit/s at 128 KiB a token.
 	defaultTransferSecondsPerToken = 1.0 / 50_000
 	// transferMemory is how long the last transfers teach anything. Without it,
 	// a link that was slow once would never be tried again.
-	transferMemory = time.Minute
+	transferSpeedTTL = time.Minute
 	// transferOverheadSeconds is for the messages of a transfer.
 	transferOverheadSeconds = 0.005
 )
@@ -40,22 +40,22 @@
 // transferSource is what the engine of a program's former call is believed to
 // hold of the prompt at hand.
 type transferSource struct {
-	item *waitingItem
-	at   time.Time
-	hit  int64
+	item      *waitingItem
+	at        time.Time
+	hitTokens int64
 }
 
 // transferSpeed is the learned time of a token over the links.
 type transferSpeed struct {
 	secondsPerToken mean
-	taughtAt        time.Time
+	updatedAt       time.Time
 }
 
 func (t *transferSpeed) expected(now time.Time) float64 {
-	if now.Sub(t.taughtAt) > transferMemory {
+	if now.Sub(t.updatedAt) > transferSpeedTTL {
 		t.secondsPerToken = mean{}
 	}
-	return t.secondsPerToken.or(defaultTransferSecondsPerToken)
+	return t.secondsPerToken.valueOr(defaultTransferSecondsPerToken)
 }
 
 // transferTo returns the transfer that would be made for a call at an engine:
@@ -66,18 +66,18 @@
 func (s *Scheduler) transferTo(entry *waitingItem, view *EngineView, hitTokens int64) Transfer {
 	last := entry.LastEngine
 	missing := entry.PromptTokens - hitTokens
-	if !s.profile.Transfers || isNew(entry) || last == "" || last == view.Engine.ID || missing < leastTransferTokens {
+	if !s.profile.Transfers || isFirstCall(entry) || last == "" || last == view.Engine.ID || missing < minimumTransferTokens {
 		return Transfer{}
 	}
 	source := s.engines[last]
-	if source == nil || !source.gives() || !view.hasFreeMemory(entry.need) {
+	if source == nil || !source.canSendCache() || !view.hasFreeMemory(entry.neededTokens) {
 		return Transfer{}
 	}
-	tokens := s.sourceHit(entry, source) - hitTokens
-	if tokens < leastTransferTokens {
+	tokens := s.sourceHitTokens(entry, source) - hitTokens
+	if tokens < minimumTransferTokens {
 		return Transfer{}
 	}
-	seconds := transferOverheadSeconds + float64(tokens)*s.transfers.expected(s.clock.Now())
+	seconds := transferOverheadSeconds + float64(tokens)*s.transferSpeed.expected(s.clock.Now())
 	if seconds >= float64(tokens)*view.PrefillSecondsPerToken {
 		return Transfer{}
 	}
@@ -85,33 +85,33 @@
 }
 
 // sourceHit looks the source up once for all engines of a decision.
-func (s *Scheduler) sourceHit(entry *waitingItem, source *EngineView) int64 {
+func (s *Scheduler) sourceHitTokens(entry *waitingItem, source *EngineView) int64 {
 	now := s.clock.Now()
-	if s.source.item != entry || !s.source.at.Equal(now) {
-		s.source = transferSource{item: entry, at: now, hit: s.hitTokens(entry, source)}
+	if s.transferSource.item != entry || !s.transferSource.at.Equal(now) {
+		s.transferSource = transferSource{item: entry, at: now, hitTokens: s.hitTokens(entry, source)}
 	}
-	return s.source.hit
+	return s.transferSource.hitTokens
 }
 
 // gives tells whether caches can be had from an engine: one that is draining
 // still answers, but one that the fleet has taken out for other reasons may not,
 // and each try would cost a timeout.
-func (v *EngineView) gives() bool { return !v.Engine.Leaving || v.Load.Draining }
+func (v *EngineView) canSendCache() bool { return !v.Engine.Leaving || v.Load.Draining }
 
 // hasFreeMemory tells whether a call's memory fits into what costs latency
 // nothing.
 func (v *EngineView) hasFreeMemory(needTokens int64) bool {
-	return float64(v.AssignedTokens+v.HeldTokens+needTokens) <= freeMemory*float64(v.Load.CacheCapacityTokens)
+	return float64(v.AssignedTokens+v.HeldTokens+needTokens) <= freeMemoryFraction*float64(v.Load.CacheCapacityTokens)
 }
 
 // RecordTransfer teaches how long a transfer took. One of few tokens says more of
 // its messages than of the link.
 func (s *Scheduler) RecordTransfer(tokens int64, took time.Duration) {
-	if tokens < leastTransferTokens {
+	if tokens < minimumTransferTokens {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.transfers.taughtAt = s.clock.Now()
-	s.transfers.secondsPerToken.add(max(took.Seconds()-transferOverheadSeconds, 0) / float64(tokens))
+	s.transferSpeed.updatedAt = s.clock.Now()
+	s.transferSpeed.secondsPerToken.add(max(took.Seconds()-transferOverheadSeconds, 0) / float64(tokens))
 }
--- a/internal/schedule/transfer_test.go
+++ b/internal/schedule/transfer_test.go
@@ -43,7 +43,7 @@
 	return h.assigned[0]
 }
 
-func TestCacheFollowsAProgramToAnotherEngine(t *testing.T) {
+func TestCacheIsTransferredToNewEngine(t *testing.T) {
 	assignment := secondTurn(t, nil, nil)
 	got := assignment.Transfer
 	if !strings.HasSuffix(assignment.Reason, got.String()) || !hasScore(assignment, "transfer", got.Seconds) {
@@ -58,7 +58,7 @@
 	return slices.Contains(assignment.Scores, structs.CandidateScore{Engine: assignment.Engine, Scorer: scorer, Score: score})
 }
 
-func TestCacheIsNotMovedWhereThatDoesNotPay(t *testing.T) {
+func TestNoTransferWhenItDoesNotPay(t *testing.T) {
 	slow := func(h *harness) {
 		for range 20 {
 			h.scheduler.RecordTransfer(1000, 10*time.Second)
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestCacheIsSavedFromADrainingEngine(t *testing.T) {
+func TestCacheIsTransferredFromDrainingEngine(t *testing.T) {
 	got := secondTurn(t, nil, func(h *harness) {
 		draining := report(engineID(0), 2)
 		draining.Draining = true
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestSlowLinksAreTriedAgain(t *testing.T) {
+func TestSlowLinksAreRetried(t *testing.T) {
 	got := secondTurn(t, nil, func(h *harness) {
 		for range 20 {
 			h.scheduler.RecordTransfer(1000, 10*time.Second)
--- a/internal/schedule/waiting.go
+++ b/internal/schedule/waiting.go
@@ -21,13 +21,13 @@
 	due      float64
 	sequence uint64
 	// need is the memory the call takes while it runs.
-	need int64
+	neededTokens int64
 	// bestHit is the most that any engine was believed to hold of the prompt
 	// when the call arrived.
-	bestHit int64
-	home    *EngineView
+	bestHitTokens int64
+	preferred     *EngineView
 	// state is what is remembered of the program.
-	state *programState
+	program *programState
 }
 
 func itemLess(a, b *waitingItem) bool {
@@ -64,7 +64,7 @@
 	order *btree.BTreeG[*tenantQueue]
 	count int
 	// heads is scratch space of first.
-	heads []head
+	cursors []cursor
 }
 
 // tenantQueue holds a tenant's waiting calls of a class.
@@ -136,31 +136,31 @@
 
 // first visits up to limit calls in order of due time and tenants' penalties.
 func (c *class) first(limit int, visit func(item *waitingItem, due float64) bool) {
-	c.gatherHeads(limit)
+	c.gatherCursors(limit)
 	for range limit {
 		best := -1
-		for i := range c.heads {
-			if c.heads[i].item != nil && (best < 0 || c.heads[i].due() < c.heads[best].due()) {
+		for i := range c.cursors {
+			if c.cursors[i].item != nil && (best < 0 || c.cursors[i].due() < c.cursors[best].due()) {
 				best = i
 			}
 		}
-		if best < 0 || !visit(c.heads[best].item, c.heads[best].due()) {
+		if best < 0 || !visit(c.cursors[best].item, c.cursors[best].due()) {
 			return
 		}
-		c.heads[best].advance()
+		c.cursors[best].advance()
 	}
 }
 
 // head is the beginning of a tenant's queue that was not visited yet.
-type head struct {
+type cursor struct {
 	queue *tenantQueue
 	item  *waitingItem
 }
 
-func (h *head) due() float64 { return h.item.due + h.queue.tenant.penalty }
+func (h *cursor) due() float64 { return h.item.due + h.queue.tenant.penalty }
 
 // advance goes on to the tenant's next call.
-func (h *head) advance() {
+func (h *cursor) advance() {
 	last := h.item
 	h.item = nil
 	h.queue.items.AscendGreaterOrEqual(last, func(item *waitingItem) bool {
@@ -172,12 +172,12 @@
 	})
 }
 
-func (c *class) gatherHeads(limit int) {
-	c.heads = c.heads[:0]
+func (c *class) gatherCursors(limit int) {
+	c.cursors = c.cursors[:0]
 	c.order.Ascend(func(queue *tenantQueue) bool {
 		item, _ := queue.items.Min()
-		c.heads = append(c.heads, head{queue: queue, item: item})
-		return len(c.heads) < limit
+		c.cursors = append(c.cursors, cursor{queue: queue, item: item})
+		return len(c.cursors) < limit
 	})
 }
 
