--- a/internal/schedule/benchmark_test.go
+++ b/internal/schedule/benchmark_test.go
@@ -49,8 +49,9 @@
 	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
 }
 
-// processorTime returns what the process has used, collection of garbage
-// included: on a busy machine the time on the clock says little.
+// processorTime returns the CPU time that the process has used, garbage
+// collection included. Unlike wall time, it does not depend on the load of the
+// machine.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/schedule/cache_belief.go
+++ b/internal/schedule/cache_belief.go
@@ -7,8 +7,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// CacheEvents takes an engine's cache events. Lost ones are tolerated: the
-// belief is bounded by the engine's capacity and corrected by answers.
+// CacheEvents applies an engine's cache events to the prefix index. Lost events
+// are tolerated: the index is bounded by the engine's cache capacity and
+// corrected by the usage in answers.
 func (s *Scheduler) CacheEvents(events []structs.CacheEvent) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -31,8 +32,9 @@
 	}
 }
 
-// CacheEventsLost tells that events of an engine were lost for good. Belief older
-// than its lifetime is dropped at once; the rest is left to be corrected.
+// CacheEventsLost reports that events of an engine were lost for good. Blocks
+// that nothing confirmed within confirmationTTL are dropped at once; answers
+// correct the rest.
 func (s *Scheduler) CacheEventsLost(engine structs.EngineID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -41,7 +43,8 @@
 	}
 }
 
-// CacheSequence returns the last cache event taken from an engine.
+// CacheSequence returns the sequence number of the last cache event applied for
+// an engine.
 func (s *Scheduler) CacheSequence(engine structs.EngineID) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -51,8 +54,8 @@
 	return 0
 }
 
-// believeServed corrects the belief by what the answer says was cached: the
-// expected part beyond it was gone; all of the prompt is there now.
+// confirmServed marks the blocks of a served prompt as cached and drops blocks
+// that nothing has confirmed for confirmationTTL.
 func (s *Scheduler) confirmServed(record *runningCall, usage structs.Usage, now time.Time) {
 	e := s.index.engines[record.engine.Engine.ID]
 	if e == nil || usage.PromptTokens == 0 {
@@ -62,8 +65,8 @@
 	s.index.expireUnconfirmed(e, now)
 }
 
-// disbelieve drops blocks of a prompt behind what was found cached, when a
-// call failed before its prompt was computed anew.
+// evictUncached drops the blocks of a prompt beyond the cached part that the
+// engine reported, for a call that failed before the rest was computed.
 func (s *Scheduler) evictUncached(item *Item, engine structs.EngineID, cachedTokens int64) {
 	if e := s.index.engines[engine]; e != nil {
 		found := min(int(cachedTokens/prefix.BlockTokens), len(item.Blocks))
--- a/internal/schedule/candidates.go
+++ b/internal/schedule/candidates.go
@@ -9,21 +9,21 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// choice is the outcome of comparing engines for one call.
+// choice is the best engine with room and the best engine overall for one call.
 type choice struct {
 	free, any           *EngineView
 	freeScore, anyScore float64
 	freeMiss            int64
 }
 
-// engineHit is an engine that serves a call's model, and how much of the
-// prompt it is believed to hold.
+// engineHit is an engine that serves a call's model, and how much of the prompt
+// its cache is assumed to hold.
 type engineHit struct {
 	engine    *EngineView
 	hitTokens int64
 }
 
-// choose compares all engines for a call.
+// choose scores all engines for a call and returns the best.
 func (s *Scheduler) choose(entry *waitingItem, now time.Time) choice {
 	s.index.setPrompt(entry.Blocks)
 	s.surveyEngines(entry)
@@ -47,8 +47,8 @@
 	return best
 }
 
-// serving gathers the engines for a model, and returns which of them the
-// prefix index follows.
+// collectCandidates collects the engines that serve a model, and returns those
+// of them that the prefix index covers.
 func (s *Scheduler) collectCandidates(model structs.ModelName) engineSet {
 	var indexed engineSet
 	s.candidates = s.candidates[:0]
@@ -64,9 +64,10 @@
 	return indexed
 }
 
-// survey looks at all engines for a call: the fewest calls on one of them, the
-// mean, and the most that one holds of the prompt. What a new program finds is
-// its template's prefix, of which another copy soon pays.
+// surveyEngines computes, over all engines that serve a call's model, the least
+// and the mean number of calls and the longest cached part of the prompt. First
+// calls are left out of the longest cached part: what they find is the prefix
+// of their template, and another copy of that soon pays off.
 func (s *Scheduler) surveyEngines(entry *waitingItem) {
 	least, total := math.MaxInt, 0
 	indexed := s.collectCandidates(entry.Model)
@@ -90,8 +91,7 @@
 	}
 }
 
-// describe fills in what is the same for all engines that are considered for
-// a call.
+// setCall fills in the fields of a candidate that do not depend on the engine.
 func (s *Scheduler) setCall(c *Candidate, entry *waitingItem, now time.Time) {
 	*c = Candidate{
 		Item:          entry.Item,
@@ -105,7 +105,7 @@
 	}
 }
 
-// consider fills in one engine, and what it is believed to hold of the prompt.
+// setEngine fills in the fields of a candidate that depend on the engine.
 func (s *Scheduler) setEngine(c *Candidate, entry *waitingItem, view *EngineView, hitTokens int64) {
 	backlog := view.backlog(c.Now)
 	c.Engine = view
@@ -119,15 +119,15 @@
 	}
 }
 
-// judge describes one engine for a call. The prompt must have been given to
-// the index by match before.
+// setCandidate fills in a candidate for one engine. The index must have been
+// given the prompt with setPrompt.
 func (s *Scheduler) setCandidate(c *Candidate, entry *waitingItem, view *EngineView, now time.Time) {
 	s.setCall(c, entry, now)
 	s.setEngine(c, entry, view, s.hitTokens(entry, view))
 }
 
-// hitTokens returns how much of a prompt an engine is believed to hold. The
-// prompt must have been given to the index by match before.
+// hitTokens returns how much of a prompt an engine's cache is assumed to hold.
+// The index must have been given the prompt with setPrompt.
 func (s *Scheduler) hitTokens(entry *waitingItem, view *EngineView) int64 {
 	if view.cache == nil {
 		return 0
@@ -135,16 +135,18 @@
 	return blockTokens(s.index.hit(view.cache, entry.Blocks), entry)
 }
 
-// tokensOf returns the prompt tokens in the first blocks of a call's prompt.
+// blockTokens returns the number of prompt tokens in the first blocks of a
+// call's prompt.
 func blockTokens(blocks int, entry *waitingItem) int64 {
 	return min(int64(blocks)*prefix.BlockTokens, entry.PromptTokens)
 }
 
-// avoidFor is how long a waiting call keeps away from engines that failed it.
-// This daemon may know no others for its model, and by then they may be back.
+// avoidFor is how long a waiting call avoids engines that failed it. It is
+// bounded because there may be no other engines for the model, and failed ones
+// may have recovered.
 const avoidFor = 10 * time.Second
 
-// avoids tells whether a call is still to keep away from an engine.
+// mustAvoid reports whether the call must still avoid the engine.
 func (c *Candidate) mustAvoid() bool {
 	return slices.Contains(c.Item.Avoid, c.Engine.Engine.ID) && c.Now.Sub(c.Item.EnqueuedAt) < avoidFor
 }
--- a/internal/schedule/charge.go
+++ b/internal/schedule/charge.go
@@ -1,6 +1,6 @@
 package schedule
 
-// charge books the expected engine time of a call on its tenant.
+// charge adds the expected engine time of a call to its tenant's account.
 func (s *Scheduler) charge(entry *waitingItem, view *EngineView, missTokens int64) {
 	decode := entry.outlook.AnswerTokens * view.DecodeSecondsPerToken / float64(max(view.Load.MaximumRunning, 1))
 	engineSeconds := float64(missTokens)*view.PrefillSecondsPerToken + decode
@@ -15,8 +15,8 @@
 	}
 }
 
-// ownEngines returns how many engines' worth of work this daemon gives out:
-// engines that it shares with others count in part.
+// ownEngines returns the number of engines' worth of work that this daemon
+// assigns. An engine shared with other daemons counts in part.
 func (s *Scheduler) ownEngines() float64 {
 	engines := 0.0
 	for _, view := range s.sortedEngines {
@@ -25,8 +25,8 @@
 	return engines
 }
 
-// shareOf returns a tenant's share; one with waiting calls keeps the share it
-// was listed with.
+// shareOf returns a tenant's share. A tenant with waiting calls keeps the share
+// that it had when it became active.
 func (s *Scheduler) shareOf(account *tenantAccount) float64 {
 	if account.active {
 		return account.share
--- a/internal/schedule/crowded.go
+++ b/internal/schedule/crowded.go
@@ -4,9 +4,11 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// NewProgramRefusal refuses the first call of a program that Enqueue would refuse now,
-// so that nothing needs to be recorded of it: the part of the queue for new
-// programs is full, and the tenant fills most of it for its share.
+// NewProgramRefusal returns the refusal that Enqueue would give now to the
+// first call of a tenant's new program, so that the caller can refuse it
+// without recording anything. It returns false unless the part of the queue for
+// new programs is full and the tenant is the one furthest over its share of the
+// queue.
 func (s *Scheduler) NewProgramRefusal(tenant structs.TenantName) (structs.Outcome, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -21,6 +23,6 @@
 	return s.overloaded(s.clock.Now()), true
 }
 
-// newProgramLimit is how many calls may wait before first calls of programs
-// are refused.
+// newProgramLimit returns the number of waiting calls from which on first calls
+// of programs are refused.
 func (s *Scheduler) newProgramLimit() int { return int(newProgramFraction * float64(s.limit)) }
--- a/internal/schedule/demand.go
+++ b/internal/schedule/demand.go
@@ -3,28 +3,33 @@
 import "time"
 
 const (
-	// memoryFraction is the part of an engine's cache that running calls and
-	// the caches kept for paused programs may take.
+	// memoryFraction is the fraction of an engine's cache that running calls
+	// and caches held for paused programs may use.
 	memoryFraction = 0.95
-	// newProgramMemory is the part up to which new programs are taken in. The
-	// rest is left to those under way: their contexts grow with every call.
+	// newProgramMemoryFraction is the fraction up to which first calls are
+	// assigned. The rest is reserved for programs in progress, whose contexts
+	// grow with every call.
 	newProgramMemoryFraction = 0.75
-	// memoryPatience is how long the first call that waits for an engine may be
-	// passed over because the engine's memory does not hold it.
+	// memoryWaitLimit is how long the first call in an engine's queue may be
+	// passed over by smaller calls because it does not fit in the engine's
+	// memory.
 	memoryWaitLimit = 60 * time.Second
 )
 
-// demand is what a call asks of an engine.
+// requirements is what a call needs of an engine.
 type requirements struct {
-	// tokens is the memory it needs beyond what is kept for it.
+	// tokens is the memory the call needs beyond the cache held for its
+	// program.
 	tokens int64
-	// memory is the part of the cache that may be taken with it.
+	// memoryFraction is the fraction of the cache that may be in use with the
+	// call.
 	memoryFraction float64
-	// backlogLimit bounds the prompt work before it, zero for no bound.
+	// backlogLimit bounds the prefill backlog in front of the call; zero means
+	// no bound.
 	backlogLimit time.Duration
 }
 
-// demand returns what a call asks of an engine.
+// requirements returns what a call needs of an engine.
 func (s *Scheduler) requirements(entry *waitingItem, view *EngineView) requirements {
 	memory := memoryFraction
 	if s.profile.ReserveGrowth && isFirstCall(entry) && !isSubAgent(entry) {
@@ -37,14 +42,14 @@
 	}
 }
 
-// isSubAgent tells whether a program was started by another one, which keeps
+// isSubAgent reports whether a program was started by another one, which keeps
 // its own memory until this one ends.
 func isSubAgent(entry *waitingItem) bool { return entry.Key.Program.Parent() != "" }
 
-// givesWay tells whether a new program must let another call have an engine's
-// memory: the first that waits for it needs more than is free, and those that
-// need less were let past it for too long. Programs under way end and make
-// room.
+// mustYield reports whether the first call of a program must leave an engine's
+// memory to the first call in the engine's queue. That is so when the waiting
+// call does not fit and smaller ones have been passing it for memoryWaitLimit.
+// Programs in progress need not yield: they end and free their memory.
 func (s *Scheduler) mustYield(entry *waitingItem, view *EngineView, now time.Time) bool {
 	first := view.waiters.first(1)
 	if len(first) == 0 || first[0] == entry || !isFirstCall(entry) {
--- a/internal/schedule/engine_view.go
+++ b/internal/schedule/engine_view.go
@@ -9,46 +9,51 @@
 )
 
 const (
-	// defaultPrefillSecondsPerToken and defaultDecodeSecondsPerToken are
-	// expected of an engine before any answer came from it.
+	// defaultPrefillSecondsPerToken and defaultDecodeSecondsPerToken are the
+	// assumed speeds of an engine that has not answered yet.
 	defaultPrefillSecondsPerToken = 1.0 / 8000
 	defaultDecodeSecondsPerToken  = 0.02
-	// learnFromTokens is the least prompt work from which speed is learned.
+	// minimumLearningTokens is the least number of computed prompt tokens from
+	// which the prefill speed is learned.
 	minimumLearningTokens = 256
-	// reportLag is the age that a load report may have.
+	// reportLag is the assumed maximum age of a load report.
 	reportLag = 3 * time.Second
 )
 
-// EngineView is what the scheduler knows of one engine: its last load report,
-// corrected by what this daemon did since, and what answers taught.
+// EngineView is the scheduler's view of one engine: its last load report,
+// corrected by what this daemon assigned since, and the speeds learned from
+// answers.
 type EngineView struct {
 	Engine structs.Engine
 	Load   structs.LoadReport
-	// Assigned counts this daemon's own calls there, AssignedTokens the
+	// Assigned counts this daemon's calls on the engine, AssignedTokens is the
 	// memory they need.
 	Assigned       int
 	AssignedTokens int64
 	// Total counts the calls ever assigned.
 	Total int64
-	// HeldTokens is what it keeps for this daemon's paused programs.
+	// HeldTokens is the size of the caches held for this daemon's paused
+	// programs.
 	HeldTokens int64
-	// ForeignCalls is the number of calls there from others.
+	// ForeignCalls counts the calls on the engine that other daemons assigned.
 	ForeignCalls int
-	// prefillUntil is when the prompt work sent there will be done.
+	// prefillDoneAt is when the assigned prefill work is expected to be done.
 	prefillDoneAt time.Time
-	// PrefillSecondsPerToken and DecodeSecondsPerToken are learned.
+	// PrefillSecondsPerToken and DecodeSecondsPerToken are learned from
+	// answers.
 	PrefillSecondsPerToken float64
 	DecodeSecondsPerToken  float64
-	// service is the time that a call takes there.
+	// serviceSeconds is the mean time that a call takes on the engine.
 	serviceSeconds mean
 	history        assignedHistory
-	// batchFraction is the profile's.
+	// batchFraction is Profile.BatchFraction.
 	batchFraction float64
-	// residences is the belief about its cache, nil for none.
+	// cache is the index's mirror of the engine's cache; nil when the index
+	// does not cover the engine.
 	cache *cacheMirror
-	// home holds waiting calls that would best run here.
+	// waiters holds the calls that wait for this engine.
 	waiters engineQueue
-	// churn follows how fast the cache is refilled, in tokens a second.
+	// churn is the rate at which the cache is refilled, in tokens per second.
 	churn rate
 }
 
@@ -61,15 +66,15 @@
 	}
 }
 
-// backlog returns the expected time until the prompt work sent there is done.
+// backlog returns the expected time until the assigned prefill work is done.
 func (v *EngineView) backlog(now time.Time) time.Duration {
 	return max(v.prefillDoneAt.Sub(now), 0)
 }
 
-// Occupied returns the calls there as far as known.
+// Occupied returns the known number of calls on the engine.
 func (v *EngineView) Occupied() int { return v.Assigned + v.ForeignCalls }
 
-// Serves tells whether the engine takes new work for a model.
+// Serves reports whether the engine takes new work for a model.
 func (v *EngineView) Serves(model structs.ModelName) bool {
 	if v.Engine.Leaving || v.Load.Draining || v.Load.MaximumRunning == 0 {
 		return false
@@ -77,7 +82,7 @@
 	return slices.Contains(v.Load.Models, model)
 }
 
-// places returns how many calls may run there at once.
+// slots returns how many calls may run on the engine at once.
 func (v *EngineView) slots() int {
 	if v.batchFraction == 0 {
 		return v.Load.MaximumRunning
@@ -85,7 +90,7 @@
 	return max(int(v.batchFraction*float64(v.Load.MaximumRunning)), 1)
 }
 
-// hasRoom tells whether the engine can take a call now.
+// hasRoom reports whether the engine can take a call now.
 func (v *EngineView) hasRoom(d requirements, backlog time.Duration) bool {
 	if v.Occupied() >= v.slots() {
 		return false
@@ -99,7 +104,8 @@
 	return v.fitsInMemory(d)
 }
 
-// fits tells whether the engine's memory holds a call beside the others.
+// fitsInMemory reports whether the engine's memory has room for a call next to
+// the others. A call always fits on an engine without calls.
 func (v *EngineView) fitsInMemory(d requirements) bool {
 	if v.Assigned == 0 {
 		return true
@@ -108,7 +114,7 @@
 	return capacity == 0 || v.AssignedTokens+v.HeldTokens+d.tokens <= capacity
 }
 
-// slotWait returns the expected wait of a call for a place behind others.
+// slotWait returns the expected time that a call waits for a free slot.
 func (v *EngineView) slotWait(entry *waitingItem, backlogSeconds float64) float64 {
 	slots := max(v.slots(), 1)
 	if v.Occupied() < slots {
@@ -142,8 +148,9 @@
 	v.learnSpeed(result)
 }
 
-// learnSpeed moves the learned speeds towards what an answer showed. The time
-// to the first token includes waiting, so a slow one teaches little.
+// learnSpeed updates the learned speeds from an answer. The time to the first
+// token includes queueing, so an observation slower than the mean gets a lower
+// weight.
 func (v *EngineView) learnSpeed(result Result) {
 	computed := result.Usage.PromptTokens - result.Usage.CachedTokens
 	if computed >= minimumLearningTokens && result.TimeToFirstToken > 0 {
@@ -160,8 +167,8 @@
 	}
 }
 
-// report takes a load report. What it counts beyond the most that this daemon
-// had there within the lag belongs to others.
+// report applies a load report. Calls beyond the most that this daemon had on
+// the engine within reportLag belong to other daemons.
 func (v *EngineView) report(report structs.LoadReport, now time.Time) {
 	v.Load = report
 	v.ForeignCalls = max(report.Running+report.Waiting-v.history.peak(now), 0)
@@ -172,7 +179,8 @@
 	}
 }
 
-// assignedHistory remembers how many own calls an engine had of late.
+// assignedHistory records the number of this daemon's calls on an engine over
+// the last reportLag.
 type assignedHistory struct {
 	entries []assignedEntry
 }
@@ -180,11 +188,11 @@
 type assignedEntry struct {
 	at       time.Time
 	assigned int
-	// computed is the prompt work sent in this step of time.
+	// prefillTokens is the prefill work assigned in this step.
 	prefillTokens int64
 }
 
-// historyStep is the resolution of the history.
+// historyStep is the time resolution of the history.
 const historyStep = 100 * time.Millisecond
 
 func (h *assignedHistory) record(assigned int, computed int64, now time.Time) {
@@ -202,7 +210,7 @@
 	h.entries = append(h.entries[:0], h.entries[first:]...)
 }
 
-// tokens returns the prompt work that a report may not show yet.
+// recentTokens returns the prefill work that a load report may not include yet.
 func (h *assignedHistory) recentTokens(now time.Time) int64 {
 	total := int64(0)
 	for _, entry := range h.entries {
@@ -230,7 +238,7 @@
 	at    time.Time
 }
 
-// rateMemory is the time constant of rates.
+// rateTimeConstant is the time constant of the decay.
 const rateTimeConstant = 30 * time.Second
 
 func (r *rate) add(amount float64, now time.Time) {
--- a/internal/schedule/engines.go
+++ b/internal/schedule/engines.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// UpdateEngine adds or changes an engine.
+// UpdateEngine adds or updates an engine.
 func (s *Scheduler) UpdateEngine(engine structs.Engine) {
 	s.withLock(func() {
 		view := s.engines[engine.ID]
@@ -30,7 +30,7 @@
 	s.sortedEngines = slices.Insert(s.sortedEngines, position, view)
 }
 
-// RemoveEngine forgets an engine that has left the fleet.
+// RemoveEngine removes an engine that has left the fleet.
 func (s *Scheduler) RemoveEngine(id structs.EngineID) {
 	s.withLock(func() {
 		view := s.engines[id]
@@ -44,14 +44,14 @@
 	})
 }
 
-// releaseWaiters lets calls that waited for an engine go elsewhere.
+// releaseWaiters lets calls that waited for an engine go to others.
 func (s *Scheduler) releaseWaiters(view *EngineView) {
 	for waiting := view.waiters.first(1); len(waiting) > 0; waiting = view.waiters.first(1) {
 		s.clearPreferred(waiting[0])
 	}
 }
 
-// UpdateLoad takes an engine's latest report. A new run of the engine has an
+// UpdateLoad applies an engine's latest load report. A restarted engine has an
 // empty cache.
 func (s *Scheduler) UpdateLoad(report structs.LoadReport) {
 	s.withLock(func() {
--- a/internal/schedule/estimates.go
+++ b/internal/schedule/estimates.go
@@ -8,33 +8,38 @@
 )
 
 const (
-	// followedTurns is how many turns of a template are told apart; later
-	// ones count as the last.
+	// trackedTurns is how many turns of a template have their own statistics;
+	// later ones share those of the last.
 	trackedTurns = 32
 	// learningRate is the weight of a new observation in a moving mean.
 	learningRate = 0.05
-	// fastLearning is the weight while few observations were made.
+	// initialLearningRate is the least weight of each of the first
+	// initialObservations observations.
 	initialLearningRate = 0.3
-	// fewObservations is how many count as few.
+	// initialObservations is how many observations are weighted higher, and
+	// from how many pauses on a pause histogram is used.
 	initialObservations = 10
-	// priorReturns and priorWeight are the belief before any observation that
-	// a program comes back after a turn.
+	// priorReturnProbability and priorWeight are the prior for the probability
+	// that a program makes another call after a turn.
 	priorReturnProbability = 0.8
 	priorWeight            = 4
-	// maximumPrograms bounds the programs followed between their calls.
+	// maximumPrograms bounds the programs whose state is kept between calls.
 	maximumPrograms = 1 << 15
-	// defaultAnswerTokens is expected of a template never seen before.
+	// defaultAnswerTokens is the expected answer length for a template without
+	// observations.
 	defaultAnswerTokens = 128
-	// defaultServiceSeconds is expected of a call never seen before.
+	// defaultServiceSeconds is the expected service time without observations.
 	defaultServiceSeconds = 1
-	// defaultPauseSeconds is the pause expected of a template never seen before.
+	// defaultPauseSeconds is the expected pause for a template without
+	// observations.
 	defaultPauseSeconds = 2
-	// unknownPauseSeconds is how long to wait for the return of a template
-	// whose pauses are not known.
+	// unknownPauseSeconds is how long to hold a cache for a template with too
+	// few observed pauses.
 	unknownPauseSeconds = 30
 )
 
-// mean is a moving mean that learns fast at first.
+// mean is an exponential moving mean that weights the first observations
+// higher.
 type mean struct {
 	value        float64
 	observations int
@@ -56,34 +61,37 @@
 	return m.value
 }
 
-// turnStatistics are what was seen of one turn of a template.
+// turnStatistics holds the observations of one turn of a template.
 type turnStatistics struct {
 	reached        float64
 	serviceSeconds mean
 	answerTokens   mean
-	// remainingTurns and remainingSeconds are derived from later turns.
+	// remainingTurns and remainingSeconds are derived from this turn and later
+	// ones.
 	remainingTurns   float64
 	remainingSeconds float64
 }
 
-// templateStatistics learn how programs of a template usually go.
+// templateStatistics learns the typical course of a template's programs.
 type templateStatistics struct {
 	turns [trackedTurns]turnStatistics
-	// shared is the length of the prefix that its programs have in common.
+	// sharedPrefixTokens is the length of the prompt prefix that the template's
+	// programs share.
 	sharedPrefixTokens mean
-	// pause follows the pauses after all turns.
+	// pause covers the pauses after all turns.
 	pause pauseStatistics
-	// stale counts observations since the derived figures were computed.
+	// sinceRefresh counts observations since the derived values were computed.
 	sinceRefresh int
 }
 
-// refreshAfter is how many observations may pass before the figures derived
-// from them are computed again.
+// refreshAfter is the number of observations after which the derived values are
+// recomputed.
 const refreshAfter = 32
 
 func turnIndex(turn int) int { return min(max(turn, 1), trackedTurns) - 1 }
 
-// returns is the probability that a program comes back after a turn.
+// returnProbability returns the probability that a program makes another call
+// after a turn.
 func (t *templateStatistics) returnProbability(index int) float64 {
 	if index == trackedTurns-1 {
 		return priorReturnProbability
@@ -93,7 +101,8 @@
 	return min(probability, 1)
 }
 
-// refresh computes what remains after each turn, from the last to the first.
+// refresh computes the expected remainder after each turn, from the last turn
+// to the first.
 func (t *templateStatistics) refresh() {
 	t.sinceRefresh = 0
 	last := &t.turns[trackedTurns-1]
@@ -114,7 +123,7 @@
 	}
 }
 
-// programState is what is remembered of a program between its calls.
+// programState is what the scheduler remembers of a program between its calls.
 type programState struct {
 	key           structs.ProgramKey
 	finishedAt    time.Time
@@ -122,15 +131,16 @@
 	engine        structs.EngineID
 	servedSeconds float64
 	position      *list.Element
-	// kept is the cache that an engine keeps for it over a pause, nil for none.
+	// held is the cache that an engine holds for the program over a pause, nil
+	// for none.
 	held *heldCache
 }
 
-// estimates learn online how programs go on.
+// estimates learns from finished calls how programs are likely to continue.
 type estimates struct {
 	templates map[structs.TemplateName]*templateStatistics
 	programs  map[structs.ProgramKey]*programState
-	// order lists programs from the longest to the shortest time unseen.
+	// order lists programs from the least to the most recently seen.
 	order *list.List
 }
 
@@ -152,7 +162,7 @@
 	return known
 }
 
-// arrived learns from a call's arrival and returns the program's state.
+// recordArrival learns from a call's arrival and returns its program's state.
 func (e *estimates) recordArrival(item *Item, now time.Time) *programState {
 	state := e.programs[item.Key]
 	if state == nil {
@@ -182,7 +192,7 @@
 	}
 }
 
-// finished learns from a call's end.
+// recordFinish learns from a call's end.
 func (e *estimates) recordFinish(item *Item, engine structs.EngineID, result Result, now time.Time) {
 	statistics := e.template(item.Template)
 	turn := &statistics.turns[turnIndex(item.Turn)]
@@ -212,7 +222,7 @@
 	delete(e.programs, state.key)
 }
 
-// outlook returns what is expected of a program at a call.
+// outlook returns the forecast for a program at one of its calls.
 func (e *estimates) outlook(item *Item) Outlook {
 	statistics := e.template(item.Template)
 	index := turnIndex(item.Turn)
--- a/internal/schedule/fairness.go
+++ b/internal/schedule/fairness.go
@@ -8,19 +8,20 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// tenantAccount follows a tenant's use of engines in virtual time: a second of
-// it passes when the tenant has used what its share gives in a second.
+// tenantAccount tracks a tenant's use of engines in virtual time: one virtual
+// second passes when the tenant has used what its share grants in a second.
 type tenantAccount struct {
 	name        structs.TenantName
 	share       float64
 	virtualTime float64
 	waiting     int
-	// penalty puts the tenant's calls back, in seconds.
+	// penalty delays the tenant's calls, in seconds.
 	penalty float64
 	active  bool
 }
 
-// fairness keeps the accounts of all tenants.
+// fairness keeps the accounts of all tenants. It is a start-time fair queue
+// over engine time.
 type fairness struct {
 	enabled   bool
 	tolerance float64
@@ -28,7 +29,8 @@
 	// active orders tenants with waiting calls by their virtual time.
 	active       *btree.BTreeG[*tenantAccount]
 	activeShares float64
-	// now is the virtual time of the active tenant that has had least.
+	// virtualNow is the least virtual time of the active tenants; it never
+	// decreases.
 	virtualNow float64
 }
 
@@ -55,8 +57,9 @@
 	return known
 }
 
-// joined notes that a call of the tenant waits. A tenant that waited for
-// nothing has no claim on the past.
+// callAdded records that a call of the tenant waits. A tenant that becomes
+// active starts at virtualNow at least, so that it earns no credit for idle
+// time.
 func (f *fairness) callAdded(account *tenantAccount, share float64) {
 	account.waiting++
 	if account.active {
@@ -70,7 +73,7 @@
 	f.advance()
 }
 
-// left notes that a call of the tenant no longer waits.
+// callRemoved records that a call of the tenant no longer waits.
 func (f *fairness) callRemoved(account *tenantAccount) {
 	account.waiting--
 	if account.waiting > 0 || !account.active {
@@ -82,11 +85,13 @@
 	f.advance()
 }
 
-// leastEngines bounds from below what a daemon is taken to have of the engines.
+// minimumEngines is the least number of engines' worth of work that a daemon is
+// assumed to assign.
 const minimumEngines = 0.25
 
-// charge books engine time on a tenant that still waits or just left. engines
-// is how many engines' worth of work this daemon gives out.
+// charge adds engine time to the account of a tenant that has waiting calls or
+// just lost its last. engines is the number of engines' worth of work that this
+// daemon assigns.
 func (f *fairness) charge(account *tenantAccount, engineSeconds, engines float64) {
 	shares := f.activeShares
 	if account.active {
@@ -107,13 +112,13 @@
 	}
 }
 
-// penaltyWeight is how many seconds a tenant's calls are put back for each
-// second that it ran ahead of its share beyond tolerance. Programs gain up to
-// the bound of the queue policy by their age, so that at a weight of 1 a tenant
-// whose programs go on for long could stay that bound ahead of all others.
+// penaltyWeight is the delay in seconds for each second that a tenant is ahead
+// of its share beyond the tolerance. It exceeds 1 because a queue policy lets
+// long-running programs gain up to its bound: at a weight of 1, a tenant with
+// such programs could stay that far ahead of all others.
 const penaltyWeight = 8
 
-// penaltyOf returns by how many seconds a tenant's calls are put back.
+// penaltyOf returns the delay of a tenant's calls in seconds.
 func (f *fairness) penaltyOf(account *tenantAccount) float64 {
 	if !f.enabled {
 		return 0
@@ -121,8 +126,8 @@
 	return penaltyWeight * max(account.virtualTime-f.virtualNow-f.tolerance, 0)
 }
 
-// mostOverShare returns the tenant that holds most of the queue for its share,
-// counting one more call of a newcomer.
+// mostOverShare returns the tenant whose part of the queue is largest relative
+// to its share, counting one more call of the newcomer.
 func (f *fairness) mostOverShare(newcomer *tenantAccount) *tenantAccount {
 	worst, worstUse := newcomer, float64(newcomer.waiting+1)/newcomer.share
 	f.active.Ascend(func(account *tenantAccount) bool {
@@ -134,18 +139,18 @@
 	return worst
 }
 
-// drain follows how fast calls leave the queue.
+// dequeueRate tracks how fast calls leave the queue.
 type dequeueRate struct {
 	rate rate
 }
 
-// Bounds on what a refused caller is told.
+// Bounds on the retry-after time of refusals.
 const (
 	minimumRetryAfter = 500 * time.Millisecond
 	maximumRetryAfter = 60 * time.Second
 )
 
-// retryAfter estimates when so many waiting calls will have been served.
+// retryAfter estimates how long it takes to serve the waiting calls.
 func (d *dequeueRate) retryAfter(waiting int, now time.Time) time.Duration {
 	perSecond := d.rate.current(now)
 	if perSecond <= 0 {
--- a/internal/schedule/harness_test.go
+++ b/internal/schedule/harness_test.go
@@ -19,7 +19,7 @@
 
 func (f fixedConfiguration) Current() *structs.Configuration { return f.value }
 
-// harness drives a scheduler and notes what it decides.
+// harness drives a scheduler and records its decisions.
 type harness struct {
 	clock     *clock.Virtual
 	scheduler *schedule.Scheduler
@@ -64,7 +64,7 @@
 	}
 }
 
-// blocks returns a chain of blocks that belongs to a seed.
+// blocks returns a chain of block hashes derived from a seed.
 func blocks(seed, count int) []structs.BlockHash {
 	chain := make([]structs.BlockHash, count)
 	for i := range chain {
@@ -91,7 +91,7 @@
 	return item
 }
 
-// finish hands back the oldest assignment that is still out.
+// finish finishes the oldest open assignment.
 func (h *harness) finish(cached int64) {
 	assignment := h.assigned[0]
 	h.assigned = h.assigned[1:]
--- a/internal/schedule/hold.go
+++ b/internal/schedule/hold.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// boundBelief sizes the mirror of an engine's cache.
+// setCacheCapacity sets the capacity of the mirror of an engine's cache.
 func (s *Scheduler) setCacheCapacity(report structs.LoadReport) {
 	if report.CacheCapacityTokens <= 0 {
 		return
@@ -17,11 +17,11 @@
 	}
 }
 
-// hold decides whether an engine should pin a call's cache over the pause that
-// follows, and for how long. The price of memory is what a token-second of it
-// is worth to others: under a churn of c tokens a second the cache turns over
-// in capacity/c seconds, and a token that stays that long has saved about one
-// token's prompt work.
+// decideHold decides whether an engine should hold a call's cache over the
+// pause that follows, and for how long. The price of memory is the value of a
+// token-second to other calls: at a churn of c tokens per second the cache
+// turns over in capacity/c seconds, and a token that stays that long saves
+// about one token of prefill work.
 func (s *Scheduler) decideHold(entry *waitingItem, view *EngineView, now time.Time) (bool, time.Duration) {
 	if !s.profile.ManageHolds {
 		return s.profile.HoldAlways, entry.HoldTime
@@ -37,17 +37,18 @@
 }
 
 const (
-	// freeMemory is the part of a cache below which memory costs latency
-	// nothing.
+	// freeMemoryFraction is the fraction of the cache up to which memory use
+	// does not cost latency.
 	freeMemoryFraction = 0.6
-	// latencyPrice is the part of the price that counts for latency alone: it
-	// pays to keep nearly all caches and let new programs wait.
+	// latencyPriceFraction is the fraction of the price that applies when
+	// operators favour latency: it pays to hold nearly all caches and let new
+	// programs wait.
 	latencyPriceFraction = 0.1
 )
 
-// memoryPrice returns the worth of holding a token for a second, in parts of
-// the work of computing it. For latency it is nothing while memory is free;
-// operators who weigh cache pay for idle memory in any case.
+// memoryPrice returns the value of holding a token for a second, relative to
+// the work of computing it. For latency it is zero while memory is free; with a
+// cache weight, idle memory has a price too.
 func (s *Scheduler) memoryPrice(view *EngineView, now time.Time) float64 {
 	capacity := float64(view.Load.CacheCapacityTokens)
 	if capacity == 0 {
--- a/internal/schedule/home_queue.go
+++ b/internal/schedule/home_queue.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// countedAhead bounds how many calls of a home queue are counted one by one.
+// maximumFront is how many calls of an engine's queue are kept in the sorted
+// slice.
 const maximumFront = 32
 
-// homeQueue holds the calls that wait for one engine, by when they are due. It
-// keeps its first calls in a slice of their own, so that a call's place among
-// them is found by binary search.
+// engineQueue holds the calls that wait for one engine, by due time. The first
+// ones are also kept in a slice, so that a call's rank is found by binary
+// search.
 type engineQueue struct {
 	items *itemTree
-	// front is the first countedAhead calls of items.
+	// front is the first maximumFront calls of items.
 	front []*waitingItem
 }
 
@@ -48,7 +49,7 @@
 	q.refill()
 }
 
-// refill brings up the call behind the front, if one waits there.
+// refill moves up the call behind the front, if there is one.
 func (q *engineQueue) refill() {
 	if len(q.front) == q.items.Len() {
 		return
@@ -69,8 +70,8 @@
 	return q.front[:min(limit, len(q.front))]
 }
 
-// ahead returns how many calls are due before an entry, at least roughly when
-// there are many.
+// ahead returns how many calls are due before an entry; beyond maximumFront it
+// is an estimate.
 func (q *engineQueue) ahead(entry *waitingItem) int {
 	place, _ := slices.BinarySearchFunc(q.front, entry, compareItems)
 	if place < maximumFront {
--- a/internal/schedule/memory.go
+++ b/internal/schedule/memory.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// keptCache is the cache that an engine keeps for a paused program.
+// heldCache is the cache that an engine holds for a paused program.
 type heldCache struct {
 	engine    *EngineView
 	tokens    int64
@@ -15,7 +15,7 @@
 	heapIndex int
 }
 
-// keptByExpiry orders kept caches by when they are given up.
+// heldByExpiry is a heap of held caches by expiry.
 type heldByExpiry []*heldCache
 
 func (k heldByExpiry) Len() int           { return len(k) }
@@ -41,7 +41,7 @@
 	return entry
 }
 
-// keep notes that an engine keeps a program's cache.
+// addHold records that an engine holds a program's cache.
 func (s *Scheduler) addHold(state *programState, engine *EngineView, tokens int64, until time.Time) {
 	s.dropHold(state)
 	state.held = &heldCache{engine: engine, tokens: tokens, expiresAt: until}
@@ -49,7 +49,7 @@
 	heap.Push(&s.held, state.held)
 }
 
-// dropKept notes that nothing is kept for a program any more.
+// dropHold records that no cache is held for a program any more.
 func (s *Scheduler) dropHold(state *programState) {
 	if state == nil || state.held == nil {
 		return
@@ -61,7 +61,7 @@
 	state.held = nil
 }
 
-// expireKept gives up caches whose time has passed.
+// expireHolds drops holds that have expired.
 func (s *Scheduler) expireHolds(now time.Time) {
 	for len(s.held) > 0 && !s.held[0].expiresAt.After(now) {
 		entry := heap.Pop(&s.held).(*heldCache)
@@ -70,7 +70,7 @@
 	}
 }
 
-// ProgramEnded tells that no call of a program follows.
+// ProgramEnded reports that a program makes no more calls.
 func (s *Scheduler) ProgramEnded(key structs.ProgramKey) {
 	s.withLock(func() {
 		state := s.estimates.programs[key]
@@ -89,13 +89,15 @@
 	})
 }
 
-// ownTokens is the part of a call's memory that no other program shares.
+// ownTokens returns the part of a call's memory that it does not share with
+// other programs.
 func (s *Scheduler) ownTokens(item *Item, tokens int64) int64 {
 	shared := int64(s.estimates.template(item.Template).sharedPrefixTokens.valueOr(0))
 	return max(tokens-shared, 0)
 }
 
-// keptFor returns what an engine keeps for a program.
+// heldTokensFor returns the size of the cache that an engine holds for a
+// program.
 func heldTokensFor(state *programState, view *EngineView) int64 {
 	if state == nil || state.held == nil || state.held.engine != view || state.held.heapIndex < 0 {
 		return 0
--- a/internal/schedule/overload.go
+++ b/internal/schedule/overload.go
@@ -7,9 +7,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// newProgramFraction is the part of the queue that first calls of programs may
-// fill. The rest is kept for programs under way: work spent on a program that
-// is refused later is lost.
+// newProgramFraction is the fraction of the queue that first calls of programs
+// may fill. The rest is reserved for programs in progress: refusing one of
+// those wastes the work already spent on it.
 const newProgramFraction = 0.8
 
 func deadlineRefusal() structs.Outcome {
@@ -30,10 +30,10 @@
 		fmt.Sprintf("%d calls wait already.", waiting), s.dequeueRate.retryAfter(waiting, now))
 }
 
-// makeRoom finds a place in the queue for an arrival. A full queue refuses a
-// call of the tenant that fills most of it for its share: that of the lowest
-// priority, and among those one of a program that has had least. It returns
-// false when that is the arrival itself.
+// makeRoom makes room in the queue for an arrival. A full queue refuses a call
+// of the tenant furthest over its share: one of the lowest priority, and among
+// those one of the program that was served least. It returns false when that
+// call is the arrival itself.
 func (s *Scheduler) makeRoom(entry *waitingItem, account *tenantAccount, now time.Time) bool {
 	limit := s.limit
 	if isFirstCall(entry) {
@@ -58,11 +58,11 @@
 
 func isFirstCall(entry *waitingItem) bool { return entry.Turn <= 1 }
 
-// victimSearch bounds how many of a tenant's calls, from the last due on, are
-// looked at for a victim.
+// victimSearchLimit bounds how many of a tenant's calls, from the last due on,
+// are considered as victim.
 const victimSearchLimit = 32
 
-// victim picks the waiting call of a tenant, or the arrival, that is missed least.
+// victim picks which waiting call of a tenant, or the arrival, to refuse.
 func (s *Scheduler) victim(tenant *tenantAccount, arrival *waitingItem) *waitingItem {
 	victim := arrival
 	if arrival.Key.Tenant != tenant.name {
@@ -110,8 +110,7 @@
 	}
 }
 
-// arm sets the timer for the next deadline or the next look at calls that
-// wait for a better engine.
+// armTimer sets the timer for the next deadline or tick.
 func (s *Scheduler) armTimer() {
 	if s.timer != nil || len(s.waiting) == 0 {
 		return
--- a/internal/schedule/pauses.go
+++ b/internal/schedule/pauses.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// pauseBuckets divide pauses on a logarithmic scale, from pauseSmallest up,
-// four buckets to a doubling.
+// The histogram of pauses has logarithmic buckets from pauseSmallest up, four
+// to a doubling.
 const (
 	pauseBuckets     = 64
 	pauseSmallest    = 0.05
 	pausesPerDouble  = 4
 	pauseForgetAfter = 512
-	// priorPauses is added to each of the first buckets, up to three minutes:
-	// pauses have long tails that few observations do not show.
+	// priorPauses is added to each of the first priorBuckets buckets, which
+	// cover three minutes: pauses have a long tail that few observations do not
+	// show.
 	priorPauses  = 0.1
 	priorBuckets = 48
-	// freePrice is too low to count.
+	// negligiblePrice is the price below which memory counts as free.
 	negligiblePrice = 1e-4
 )
 
@@ -49,10 +50,11 @@
 	}
 }
 
-// keep returns how long a cache should be kept over a pause when each second
-// costs price, its loss costs 1 and the program comes back with probability
-// returns, and the expected gain of that choice. Keeping it for t costs price
-// for every second until the return or t; the gain is 1 for a return before t.
+// bestHold returns for how long a cache should be held over a pause, and the
+// expected gain of that. Each second costs price, a loss of the cache costs 1,
+// and the program returns with probability returns. Holding for t costs price
+// for every second until the return or t, and gains 1 if the program returns
+// before t.
 func (p *pauseStatistics) bestHold(returns, price float64) (seconds, gain float64) {
 	if price < negligiblePrice {
 		return math.MaxInt32, returns
@@ -61,7 +63,7 @@
 		return unknownPauseSeconds, returns - price*defaultPauseSeconds
 	}
 	total := p.total + priorPauses*priorBuckets
-	// waiting is the probability that the program is still away.
+	// waiting is the probability that the program has not returned yet.
 	waiting, former, expected := 1.0, 0.0, 0.0
 	for bucket, count := range p.counts {
 		until := pauseOf(bucket)
--- a/internal/schedule/placement.go
+++ b/internal/schedule/placement.go
@@ -7,12 +7,12 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// betterBy is how much sooner, in parts of the time on the free engine, a busy
-// engine must be expected to finish a call for the call to wait for it.
+// maximumWaitRatio is the greatest ratio of the expected time on a busy engine
+// to that on a free one at which a call waits for the busy engine.
 const maximumWaitRatio = 0.9
 
-// placeArrival gives an arrival an engine if one has room and nobody who waits
-// has a better claim to it.
+// assignArrival assigns an arriving call to the best engine with room, or
+// queues it for a busy engine that is expected to finish it sooner.
 func (s *Scheduler) assignArrival(entry *waitingItem, now time.Time) {
 	best := s.choose(entry, now)
 	if best.any == nil {
@@ -25,7 +25,7 @@
 	s.assign(entry, best.free, best.freeMiss, "free engine with the least expected time", now)
 }
 
-// fill gives an engine's room to waiting calls.
+// fill assigns waiting calls to an engine while it has room.
 func (s *Scheduler) fill(view *EngineView, now time.Time) {
 	for len(s.waiting) > 0 {
 		entry, miss, reason := s.nextCall(view, now)
@@ -36,9 +36,9 @@
 	}
 }
 
-// next picks the call that should get an engine's room: of the first in the
-// queue and the first that wait for this engine, the one whose due time with
-// the cost of running here comes first.
+// nextCall picks the call to assign to an engine with room: among the first in
+// the queue and the first that wait for this engine, the one with the least sum
+// of due time and score on this engine.
 func (s *Scheduler) nextCall(view *EngineView, now time.Time) (*waitingItem, int64, string) {
 	var best *waitingItem
 	var bestValue float64
@@ -80,7 +80,7 @@
 	return best, bestMiss, reason
 }
 
-// refreshPenalties brings the penalties of the first tenants up to date.
+// refreshPenalties updates the penalties of a class's tenants.
 func (s *Scheduler) refreshPenalties(queue *class) {
 	if !s.fairness.enabled {
 		return
@@ -91,8 +91,8 @@
 	})
 }
 
-// prefersHome tells whether a call is expected to be done sooner by waiting on
-// for the engine it waits for than by running here.
+// shouldWaitForPreferred reports whether a call is expected to finish sooner by
+// waiting for its preferred engine than by running on this one.
 func (s *Scheduler) shouldWaitForPreferred(entry *waitingItem, view *EngineView, scoreHere float64, now time.Time) bool {
 	home := entry.preferred
 	if home == nil || home == view || !s.profile.WaitForBetterEngine {
@@ -107,7 +107,7 @@
 	return s.score(c) < maximumWaitRatio*scoreHere
 }
 
-// place gives a call an engine.
+// assign assigns a call to an engine.
 func (s *Scheduler) assign(entry *waitingItem, view *EngineView, missTokens int64, reason string, now time.Time) {
 	s.removeEntry(entry)
 	record := &runningCall{engine: view, tokens: entry.neededTokens, outlook: entry.outlook}
@@ -141,14 +141,14 @@
 	s.pendingCallbacks = append(s.pendingCallbacks, func() { entry.Assign(assignment) })
 }
 
-// Priorities that engines know.
+// Range of priorities in engines' queues.
 const (
 	lowestPriority  = 0
 	highestPriority = 9
 )
 
-// enginePriority turns a program's priority into one for the engine's queue: a
-// program under way goes before a new one of the same priority.
+// enginePriority maps a program's priority to the engine's queue. A program in
+// progress precedes a new one of the same priority.
 func enginePriority(entry *waitingItem) int {
 	priority := entry.Priority
 	if !isFirstCall(entry) {
@@ -157,8 +157,8 @@
 	return min(max(priority, lowestPriority), highestPriority)
 }
 
-// explain returns the scores of the chosen engine and, if the call waited for
-// another, the total of that one.
+// explain returns the chosen engine's scores and, if the call preferred another
+// engine, the total score of that one.
 func (s *Scheduler) explain(entry *waitingItem, chosen *EngineView, now time.Time) []structs.CandidateScore {
 	s.index.setPrompt(entry.Blocks)
 	scores := make([]structs.CandidateScore, 0, len(s.plugins.scorers)+1)
--- a/internal/schedule/prefix_index.go
+++ b/internal/schedule/prefix_index.go
@@ -12,11 +12,11 @@
 	maximumEngines = 256
 	wordBits       = 64
 	engineWords    = maximumEngines / wordBits
-	// maximumResidences bounds the blocks believed to be held, over all
-	// engines; about 100 bytes each. Beyond it only every second block, fourth
-	// block and so on is followed.
+	// maximumCachedBlocks bounds the indexed blocks over all engines, at about
+	// 100 bytes each. Beyond it only every second block is sampled, then every
+	// fourth, and so on.
 	maximumCachedBlocks = 1 << 18
-	// beliefLifetime is how long a block is believed to be held without any
+	// confirmationTTL is how long a block is assumed to be cached without
 	// confirmation.
 	confirmationTTL = 10 * time.Minute
 )
@@ -46,41 +46,42 @@
 	return true
 }
 
-// residence is the belief that one engine holds one block. Residences of an
-// engine form a list from the least to the most recently used.
+// cachedBlock is a block that one engine's cache is assumed to hold. The blocks
+// of an engine form a list from the least to the most recently used.
 type cachedBlock struct {
 	block          structs.BlockHash
 	confirmed      time.Time
 	previous, next *cachedBlock
-	// dropped is set when the belief was given up.
+	// dropped is set when the block was removed from the index.
 	dropped bool
 }
 
-// engineResidences mirrors the block cache of one engine.
+// cacheMirror mirrors the block cache of one engine.
 type cacheMirror struct {
 	slot     int
 	blocks   map[structs.BlockHash]*cachedBlock
 	sentinel cachedBlock
-	// capacity is in blocks; 0 means not known yet.
+	// capacity is in blocks; 0 means unknown.
 	capacity int
 	sequence uint64
 }
 
-// prefixIndex holds which blocks each engine is believed to have. It learns
-// from own dispatches and from cache events; since events come late and with
-// gaps, each engine's blocks are bounded by its capacity in order of use, the
-// usage in answers corrects the belief, and what nothing confirms fades.
+// prefixIndex tracks which prompt blocks each engine's cache is assumed to
+// hold. It learns from this daemon's dispatches and from cache events. Since
+// events come late and with gaps, each engine's blocks are bounded by its
+// capacity in order of use, the usage in answers corrects the index, and
+// unconfirmed blocks expire.
 type prefixIndex struct {
 	holders map[structs.BlockHash]*engineSet
 	engines map[structs.EngineID]*cacheMirror
 	slots   []structs.EngineID
 	total   int
-	// mask selects the blocks that are followed.
+	// mask selects the sampled blocks.
 	mask          structs.BlockHash
 	promptSamples []sample
 }
 
-// sample is a followed block of the prompt at hand.
+// sample is a sampled block of the current prompt.
 type sample struct {
 	position int
 	holders  *engineSet
@@ -94,8 +95,8 @@
 	}
 }
 
-// engine returns an engine's residences, making them on first use. It returns
-// nil when there are too many engines to follow.
+// engine returns an engine's mirror, creating it on first use. It returns nil
+// when the index is out of engine slots.
 func (x *prefixIndex) engine(id structs.EngineID) *cacheMirror {
 	if known := x.engines[id]; known != nil {
 		return known
@@ -124,7 +125,7 @@
 	return maximumEngines
 }
 
-// forget drops all belief about an engine.
+// removeEngine drops an engine and its blocks.
 func (x *prefixIndex) removeEngine(id structs.EngineID) {
 	e := x.engines[id]
 	if e == nil {
@@ -143,8 +144,8 @@
 
 func (x *prefixIndex) isSampled(block structs.BlockHash) bool { return block&x.mask == 0 }
 
-// store believes that an engine has blocks, and that they were just used. It
-// adds the residences to those given.
+// store records that an engine's cache holds blocks and that they were just
+// used. It appends their entries to stored.
 func (x *prefixIndex) store(e *cacheMirror, blocks []structs.BlockHash, now time.Time, stored []*cachedBlock) []*cachedBlock {
 	for _, block := range blocks {
 		if x.isSampled(block) {
@@ -170,8 +171,8 @@
 	x.trim(e)
 }
 
-// use makes a block the most recently used one; entry is nil when it was not
-// believed to be there.
+// use makes a block the most recently used one; entry is nil when the block is
+// not in the mirror.
 func (x *prefixIndex) use(e *cacheMirror, entry *cachedBlock, block structs.BlockHash, now time.Time) *cachedBlock {
 	if entry == nil {
 		entry = x.add(e, block)
@@ -209,7 +210,7 @@
 	}
 }
 
-// thin follows half as many blocks from now on.
+// halveSampling samples half as many blocks from now on.
 func (x *prefixIndex) halveSampling() {
 	x.mask = x.mask<<1 | 1
 	for _, id := range x.slots {
@@ -247,7 +248,7 @@
 	}
 }
 
-// fade drops blocks that nothing confirmed for long.
+// expireUnconfirmed drops blocks that nothing confirmed within confirmationTTL.
 func (x *prefixIndex) expireUnconfirmed(e *cacheMirror, now time.Time) {
 	for {
 		oldest := e.sentinel.next
@@ -269,7 +270,7 @@
 	r.next.previous = r.previous
 }
 
-// match prepares hit and hits for the blocks of one prompt.
+// setPrompt sets the prompt for hit and hits.
 func (x *prefixIndex) setPrompt(blocks []structs.BlockHash) {
 	x.promptSamples = x.promptSamples[:0]
 	for position, block := range blocks {
@@ -279,9 +280,9 @@
 	}
 }
 
-// hit returns how many of the first blocks, as given to match, an engine is
-// believed to hold. Engines evict the end of a prefix before its beginning, so
-// a binary search finds where the held part ends.
+// hit returns how many of the first blocks of the prompt set by setPrompt an
+// engine's cache is assumed to hold. Engines evict the end of a prefix before
+// its beginning, so a binary search finds the end of the cached part.
 func (x *prefixIndex) hit(e *cacheMirror, blocks []structs.BlockHash) int {
 	low, high := 0, len(x.promptSamples)
 	for low < high {
@@ -298,8 +299,8 @@
 	return x.promptSamples[low-1].position + 1
 }
 
-// hits gives, for each engine slot, what hit would return, for many engines at
-// once: it splits the engines by whether they hold the block in the middle.
+// hits computes hit for many engines at once, by engine slot: it splits the
+// engines by whether they hold the block in the middle.
 func (x *prefixIndex) hits(blocks []structs.BlockHash, engines engineSet, result *[maximumEngines]int32) {
 	x.splitHits(blocks, engines, 0, len(x.promptSamples), result)
 }
@@ -318,7 +319,7 @@
 	x.splitHits(blocks, without, low, middle, result)
 }
 
-// assignHits notes that engines hold the first samples, and no more.
+// assignHits sets the result of engines that hold exactly the first samples.
 func (x *prefixIndex) assignHits(engines engineSet, samples int, result *[maximumEngines]int32) {
 	held := int32(0)
 	if samples > 0 {
--- a/internal/schedule/prefix_index_test.go
+++ b/internal/schedule/prefix_index_test.go
@@ -8,7 +8,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// trueCache is a block cache with the least recently used going first.
+// lruCache is a block cache with least-recently-used eviction.
 type lruCache struct {
 	capacity int
 	clock    int
@@ -46,7 +46,7 @@
 	wrong := 0
 	for call := range calls {
 		now := time.Unix(int64(call), 0)
-		// Few programs are under way at a time.
+		// Only some of the programs are active at a time.
 		number := (call/50 + random.IntN(25)) % programs
 		chain := make([]structs.BlockHash, chainLength)
 		for i := range chain {
--- a/internal/schedule/profile.go
+++ b/internal/schedule/profile.go
@@ -6,47 +6,48 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Profile names the plug-ins of a scheduler and sets its bounds.
+// Profile selects the plug-ins of a scheduler and sets its limits.
 type Profile struct {
-	// QueuePolicy is used where operators choose none.
+	// QueuePolicy is used where the configuration names none.
 	QueuePolicy structs.QueuePolicyName
 	Filters     []string
 	Scorers     []string
-	// PrefillBacklog bounds the prompt work, in expected time, that is sent
-	// to an engine ahead of need; more stays here, in this queue's order.
-	// Zero sets no bound.
+	// PrefillBacklog bounds the prefill work, in expected time, that is sent to
+	// an engine ahead of need; the rest stays in this daemon's queue and order.
+	// Zero means no bound.
 	PrefillBacklog time.Duration
-	// BatchFraction is the part of an engine's batch that is filled, from
-	// above 0 to 1; 0 counts as 1. A smaller batch answers each call sooner
-	// and leaves the others here, in this queue's order.
+	// BatchFraction is the fraction of an engine's batch that is filled; 0
+	// counts as 1. A smaller batch answers each call sooner and keeps the
+	// others in this daemon's queue and order.
 	BatchFraction float64
-	// WaitForBetterEngine lets a call wait for a busy engine that is expected to
-	// finish it sooner than a free one.
+	// WaitForBetterEngine lets a call wait for a busy engine that is expected
+	// to finish it sooner than a free one.
 	WaitForBetterEngine bool
-	// StrictAffinity lets a call that waits for an engine go to no other one; the
-	// baselines of the experiments would else lose their affinity.
+	// StrictAffinity keeps a call that waits for an engine from going to
+	// another one. The baseline policies of the experiments need it for their
+	// affinity.
 	StrictAffinity bool
-	// ReserveGrowth leaves a part of each engine's memory to programs under
-	// way: new ones are taken in only below it.
+	// ReserveGrowth reserves part of each engine's memory for programs in
+	// progress; see newProgramMemoryFraction.
 	ReserveGrowth bool
-	// LookAhead is how many of the first calls are compared when an engine
-	// has room.
+	// LookAhead is how many of the first calls are compared when an engine has
+	// room.
 	LookAhead int
-	// FairShares weighs tenants against each other.
+	// FairShares enables fair sharing between tenants.
 	FairShares bool
-	// ShareTolerance is the engine time, over its share, that a tenant may
-	// run ahead before its calls are put back.
+	// ShareTolerance is the engine time by which a tenant may exceed its share
+	// before its calls are delayed.
 	ShareTolerance time.Duration
-	// ManageHolds pins caches by expected return; without it every call asks
-	// for the hold its template allows, or none.
+	// ManageHolds decides on holds by expected return. Without it, every call
+	// asks for the hold that its template allows, or none; see HoldAlways.
 	ManageHolds bool
-	// Transfers lets a program's cache follow it to another engine.
+	// Transfers allows a program's cache to be transferred to another engine.
 	Transfers bool
 	// HoldAlways asks for a hold after each call when ManageHolds is off.
 	HoldAlways bool
 }
 
-// DefaultProfile is what a daemon uses.
+// DefaultProfile returns the profile that daemons use.
 func DefaultProfile() Profile {
 	return Profile{
 		QueuePolicy:         "program",
@@ -63,21 +64,21 @@
 	}
 }
 
-// Configurations gives the configuration in force, nil before the first.
+// Configurations provides the configuration in force, nil before the first.
 type Configurations interface {
 	Current() *structs.Configuration
 }
 
-// plugins are a profile's instances.
+// plugins are the plug-in instances of a profile.
 type plugins struct {
 	policies map[structs.QueuePolicyName]QueuePolicy
 	filters  []Filter
 	scorers  []NamedScorer
 }
 
-// newPlugins looks a profile's names up. Names that are not registered are
-// left out: a process that imports no plug-in schedules first come first
-// served to the least assigned engine.
+// newPlugins instantiates a profile's plug-ins. Names that are not registered
+// are skipped: without plug-ins, calls are served in order of arrival by the
+// first engine with room.
 func newPlugins(profile Profile) plugins {
 	p := plugins{policies: map[structs.QueuePolicyName]QueuePolicy{}}
 	for _, name := range QueuePolicies.Names() {
@@ -98,7 +99,7 @@
 	return p
 }
 
-// due asks the policy of the item's tenant.
+// due returns the due time by the queue policy of the item's tenant.
 func (s *Scheduler) due(item *Item, outlook Outlook, arrival float64) float64 {
 	name := s.profile.QueuePolicy
 	if configuration := s.configuration(); configuration != nil {
@@ -130,7 +131,7 @@
 	return 0
 }
 
-// share returns a tenant's weight, at least 1.
+// share returns a tenant's configured share, at least 1.
 func (s *Scheduler) share(tenant structs.TenantName) float64 {
 	if configuration := s.configuration(); configuration != nil {
 		return float64(max(configuration.Tenants[tenant].Share, 1))
--- a/internal/schedule/queues.go
+++ b/internal/schedule/queues.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// drop takes an entry out of every queue.
+// removeEntry removes an entry from every queue.
 func (s *Scheduler) removeEntry(entry *waitingItem) {
 	delete(s.waiting, entry.Item)
 	account := entry.account
@@ -68,21 +68,21 @@
 	home.waiters.add(entry)
 }
 
-// Waiting returns the number of calls that wait.
+// Waiting returns the number of waiting calls.
 func (s *Scheduler) Waiting() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.waiting)
 }
 
-// ModelWaiting counts the calls that wait for a model with an adapter or
-// without.
+// ModelWaiting counts the calls that wait for a model, with or without an
+// adapter.
 type ModelWaiting struct {
 	structs.ModelAdapter
 	Calls int
 }
 
-// WaitingByModel returns what calls wait for, in order.
+// WaitingByModel returns the waiting calls by model and adapter, sorted.
 func (s *Scheduler) WaitingByModel() []ModelWaiting {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -8,23 +8,22 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// tickInterval is how often calls that wait for a better engine are judged
-// again.
+// tickInterval is how often the assignment of waiting calls is retried.
 const tickInterval = 200 * time.Millisecond
 
-// Options gives a Scheduler what it works with.
+// Options configures a Scheduler.
 type Options struct {
 	Clock clock.Clock
 	// QueueLimit is how many calls may wait.
 	QueueLimit int
-	// Zone is the daemon's own.
+	// Zone is the daemon's zone.
 	Zone           structs.ZoneName
 	Profile        Profile
 	Configurations Configurations
 }
 
-// Scheduler keeps the waiting calls of one daemon and gives them engines. It
-// is safe for concurrent use; callbacks run outside its lock.
+// Scheduler queues the model calls of one daemon and assigns them to engines.
+// It is safe for concurrent use; callbacks run outside its lock.
 type Scheduler struct {
 	clock          clock.Clock
 	limit          int
@@ -37,55 +36,55 @@
 	mutex   sync.Mutex
 	waiting map[*Item]*waitingItem
 	classes map[classKey]*class
-	// classOrder holds the classes by their keys.
+	// sortedClasses holds the classes sorted by key.
 	sortedClasses []*class
 	deadlines     *deadlineTree
 	fairness      *fairness
 	dequeueRate   dequeueRate
 	sequence      uint64
-	// candidates is scratch space of a decision: the engines that may serve
-	// the call at hand, and what each is believed to hold of its prompt.
+	// candidates is scratch space of a decision: the engines that may serve the
+	// call, and how much of its prompt each is assumed to hold.
 	candidates []engineHit
 	// hits and stored are scratch space of the prefix index.
 	hits   [maximumEngines]int32
 	stored []*cachedBlock
-	// judged and judgedHome are what the plug-ins look at.
+	// candidate and preferredCandidate are scratch space for calling plug-ins.
 	candidate, preferredCandidate Candidate
-	// weight is the operators' cache weight, read once for each task.
+	// cacheWeight is the configured cache weight, read once per task.
 	cacheWeight float64
 	// meanOccupied and leastOccupied are the mean and the least number of calls
-	// on an engine, as last surveyed.
+	// on an engine in the last survey.
 	meanOccupied  float64
 	leastOccupied int
-	// transfers is what transfers have taught of the links.
+	// transferSpeed is learned from earlier transfers.
 	transferSpeed transferSpeed
-	// source is scratch space of a decision.
+	// transferSource is scratch space of a decision.
 	transferSource transferSource
 	engines        map[structs.EngineID]*EngineView
-	// order holds the engines by identifier.
+	// sortedEngines holds the engines sorted by identifier.
 	sortedEngines []*EngineView
 	running       map[*Item]*runningCall
 	index         *prefixIndex
 	estimates     *estimates
-	// kept holds the caches kept for paused programs.
+	// held holds the caches held for paused programs.
 	held  heldByExpiry
 	timer clock.Timer
-	// outbox holds callbacks to run once the lock is free.
+	// pendingCallbacks run after the lock is released.
 	pendingCallbacks []func()
 }
 
-// placed is a call at an engine.
+// runningCall is a call that was assigned to an engine.
 type runningCall struct {
 	engine  *EngineView
 	tokens  int64
 	outlook Outlook
-	// holdFor is how long the cache is kept afterwards, 0 for not at all.
+	// holdFor is how long the cache is held afterwards, 0 for not at all.
 	holdFor time.Duration
-	// stored is the belief that the engine has the prompt's blocks.
+	// cachedBlocks are the index entries of the prompt's blocks.
 	cachedBlocks []*cachedBlock
 }
 
-// New returns a scheduler with the default profile that lets limit calls wait.
+// New returns a scheduler with the default profile and a queue limit.
 func New(c clock.Clock, limit int) *Scheduler {
 	return NewWithOptions(Options{Clock: c, QueueLimit: limit, Profile: DefaultProfile()})
 }
@@ -111,7 +110,7 @@
 	}
 }
 
-// locked runs task under the lock and the callbacks it left behind after it.
+// withLock runs task under the lock, and then the callbacks that it left.
 func (s *Scheduler) withLock(task func()) {
 	s.mutex.Lock()
 	s.cacheWeight = s.configuredCacheWeight()
@@ -155,7 +154,8 @@
 	s.assignArrival(entry, now)
 }
 
-// Remove takes back an item that was neither assigned nor refused.
+// Remove removes an item that was neither assigned nor refused, and reports
+// whether there was one.
 func (s *Scheduler) Remove(item *Item) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -167,7 +167,7 @@
 	return true
 }
 
-// Finished hands an assignment back.
+// Finished returns the slot of an assignment.
 func (s *Scheduler) Finished(assignment Assignment, result Result) {
 	s.withLock(func() { s.finished(assignment, result) })
 }
@@ -195,7 +195,8 @@
 	s.fill(view, now)
 }
 
-// keepAfter notes what the engine keeps for the program until its next call.
+// holdAfter records the cache that the engine holds for the program until its
+// next call.
 func (s *Scheduler) holdAfter(assignment Assignment, record *runningCall, result Result, now time.Time) {
 	state := s.estimates.programs[assignment.Item.Key]
 	if state == nil || record.holdFor <= 0 || !result.Started || result.Failed || result.ProgramEnded {
--- a/internal/schedule/scheduler_test.go
+++ b/internal/schedule/scheduler_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// randomRun drives a scheduler with events drawn from a seed and lists its decisions.
+// randomRun drives a scheduler with random events and returns its decisions.
 func randomRun(seed uint64) []string {
 	random := rand.New(rand.NewPCG(seed, 0))
 	h := newHarness(300, schedule.DefaultProfile(), nil)
@@ -160,8 +160,7 @@
 	}
 }
 
-// TestCallThatAvoidsEveryEngineIsNotLeftWaiting has all engines fail a call
-// once: none takes it at first, and one does later.
+// All engines have failed the call: it must wait at first, but not for ever.
 func TestCallThatAvoidsEveryEngineIsNotLeftWaiting(t *testing.T) {
 	h := newHarness(10, schedule.DefaultProfile(), nil)
 	h.addEngines(2, 4)
--- a/internal/schedule/transfer.go
+++ b/internal/schedule/transfer.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// leastTransferTokens is the least that is worth a transfer's messages.
+	// minimumTransferTokens is the least number of tokens that is worth the
+	// messages of a transfer.
 	minimumTransferTokens = 512
-	// defaultTransferSecondsPerToken is expected while no transfer has taught
-	// better: half of 100 Gbit/s at 128 KiB a token.
+	// defaultTransferSecondsPerToken is assumed before any transfer: half of
+	// 100 Gbit/s at 128 KiB per token.
 	defaultTransferSecondsPerToken = 1.0 / 50_000
-	// transferMemory is how long the last transfers teach anything. Without it,
-	// a link that was slow once would never be tried again.
+	// transferSpeedTTL is how long the learned speed is valid. Without it, a
+	// link that was slow once would never be tried again.
 	transferSpeedTTL = time.Minute
-	// transferOverheadSeconds is for the messages of a transfer.
+	// transferOverheadSeconds is the time for the messages of a transfer.
 	transferOverheadSeconds = 0.005
 )
 
-// Transfer is a copy of a program's cache from the engine that served its
-// former call. The zero value is none.
+// Transfer is the copy of a program's cache from the engine that served its
+// previous call. The zero value means none.
 type Transfer struct {
 	From structs.EngineID
-	// Tokens is how much is expected to come, Seconds how long it takes.
+	// Tokens is the expected number of tokens to copy, Seconds the expected
+	// time.
 	Tokens  int64
 	Seconds float64
 }
 
-// String returns a clause for the reason of a decision, "" for no transfer.
+// String returns a clause for Assignment.Reason, "" for no transfer.
 func (t Transfer) String() string {
 	if t.From == "" {
 		return ""
@@ -37,15 +39,15 @@
 	return fmt.Sprintf(", %d to move from %s in %.3f s", t.Tokens, t.From, t.Seconds)
 }
 
-// transferSource is what the engine of a program's former call is believed to
-// hold of the prompt at hand.
+// transferSource caches how much of the current prompt the engine of the
+// program's previous call is assumed to hold.
 type transferSource struct {
 	item      *waitingItem
 	at        time.Time
 	hitTokens int64
 }
 
-// transferSpeed is the learned time of a token over the links.
+// transferSpeed is the learned transfer time per token.
 type transferSpeed struct {
 	secondsPerToken mean
 	updatedAt       time.Time
@@ -58,11 +60,11 @@
 	return t.secondsPerToken.valueOr(defaultTransferSecondsPerToken)
 }
 
-// transferTo returns the transfer that would be made for a call at an engine:
-// one that takes less time than computing the same tokens. It needs free
-// memory there, since for a moment the cache exists twice; where memory is
-// short, what it pushes out costs more than it saves. The prompt must have been
-// given to the index by match before.
+// transferTo returns the transfer to make for a call on an engine: one that
+// takes less time than computing the same tokens. It requires free memory on
+// the engine, since the cache exists twice for a moment; where memory is short,
+// what the transfer evicts costs more than it saves. The index must have been
+// given the prompt with setPrompt.
 func (s *Scheduler) transferTo(entry *waitingItem, view *EngineView, hitTokens int64) Transfer {
 	last := entry.LastEngine
 	missing := entry.PromptTokens - hitTokens
@@ -84,7 +86,7 @@
 	return Transfer{From: last, Tokens: tokens, Seconds: seconds}
 }
 
-// sourceHit looks the source up once for all engines of a decision.
+// sourceHitTokens looks up the source once for all engines of a decision.
 func (s *Scheduler) sourceHitTokens(entry *waitingItem, source *EngineView) int64 {
 	now := s.clock.Now()
 	if s.transferSource.item != entry || !s.transferSource.at.Equal(now) {
@@ -93,19 +95,19 @@
 	return s.transferSource.hitTokens
 }
 
-// gives tells whether caches can be had from an engine: one that is draining
-// still answers, but one that the fleet has taken out for other reasons may not,
-// and each try would cost a timeout.
+// canSendCache reports whether caches can be fetched from an engine. A draining
+// engine still answers; one that left the fleet for another reason may not, and
+// each try would cost a timeout.
 func (v *EngineView) canSendCache() bool { return !v.Engine.Leaving || v.Load.Draining }
 
-// hasFreeMemory tells whether a call's memory fits into what costs latency
-// nothing.
+// hasFreeMemory reports whether a call fits in the part of an engine's memory
+// that costs no latency; see freeMemoryFraction.
 func (v *EngineView) hasFreeMemory(needTokens int64) bool {
 	return float64(v.AssignedTokens+v.HeldTokens+needTokens) <= freeMemoryFraction*float64(v.Load.CacheCapacityTokens)
 }
 
-// RecordTransfer teaches how long a transfer took. One of few tokens says more of
-// its messages than of the link.
+// RecordTransfer learns from the duration of a transfer. Transfers of few
+// tokens are ignored: their time is mostly overhead.
 func (s *Scheduler) RecordTransfer(tokens int64, took time.Duration) {
 	if tokens < minimumTransferTokens {
 		return
--- a/internal/schedule/transfer_test.go
+++ b/internal/schedule/transfer_test.go
@@ -13,8 +13,8 @@
 
 const historyBlocks = 64
 
-// secondTurn has a program's first call answered by the first of two engines,
-// which then has no place any more, and returns the second call's assignment.
+// secondTurn returns the assignment of a program's second call, after the
+// engine that served the first has become full.
 func secondTurn(t *testing.T, change func(*schedule.Profile), prepare func(*harness)) schedule.Assignment {
 	t.Helper()
 	profile := schedule.DefaultProfile()
--- a/internal/schedule/waiting.go
+++ b/internal/schedule/waiting.go
@@ -17,16 +17,16 @@
 	*Item
 	outlook Outlook
 	account *tenantAccount
-	// due orders calls of a tenant; sequence breaks ties by arrival.
+	// due orders a tenant's calls; sequence breaks ties by arrival.
 	due      float64
 	sequence uint64
-	// need is the memory the call takes while it runs.
+	// neededTokens is the memory the call needs while it runs.
 	neededTokens int64
-	// bestHit is the most that any engine was believed to hold of the prompt
-	// when the call arrived.
+	// bestHitTokens is the longest part of the prompt that any engine was
+	// assumed to hold when the call arrived.
 	bestHitTokens int64
 	preferred     *EngineView
-	// state is what is remembered of the program.
+	// program is the remembered state of the call's program.
 	program *programState
 }
 
@@ -37,7 +37,7 @@
 	return a.sequence < b.sequence
 }
 
-// itemTree orders waiting calls by when they are due.
+// itemTree orders waiting calls by due time.
 type itemTree struct {
 	*btree.BTreeG[*waitingItem]
 }
@@ -46,7 +46,7 @@
 	return &itemTree{btree.NewG(treeDegree, itemLess)}
 }
 
-// classKey names calls that the same engines can serve.
+// classKey identifies calls that the same engines can serve.
 type classKey struct {
 	model   structs.ModelName
 	adapter structs.AdapterName
@@ -60,10 +60,10 @@
 type class struct {
 	key     classKey
 	tenants map[structs.TenantName]*tenantQueue
-	// order holds tenants with waiting calls, by when their first is due.
+	// order holds tenants with waiting calls, by the due time of their first.
 	order *btree.BTreeG[*tenantQueue]
 	count int
-	// heads is scratch space of first.
+	// cursors is scratch space of first.
 	cursors []cursor
 }
 
@@ -119,7 +119,7 @@
 	return true
 }
 
-// reorder puts a tenant where its first call and its use of engines say.
+// reorder updates a tenant's position by its first call and its penalty.
 func (c *class) reorder(queue *tenantQueue) {
 	if queue.ordered {
 		c.order.Delete(queue)
@@ -134,7 +134,7 @@
 	c.order.ReplaceOrInsert(queue)
 }
 
-// first visits up to limit calls in order of due time and tenants' penalties.
+// first visits up to limit calls in order of due time plus tenant's penalty.
 func (c *class) first(limit int, visit func(item *waitingItem, due float64) bool) {
 	c.gatherCursors(limit)
 	for range limit {
@@ -151,7 +151,7 @@
 	}
 }
 
-// head is the beginning of a tenant's queue that was not visited yet.
+// cursor is a position in a tenant's queue.
 type cursor struct {
 	queue *tenantQueue
 	item  *waitingItem
@@ -159,7 +159,7 @@
 
 func (h *cursor) due() float64 { return h.item.due + h.queue.tenant.penalty }
 
-// advance goes on to the tenant's next call.
+// advance moves to the tenant's next call.
 func (h *cursor) advance() {
 	last := h.item
 	h.item = nil
@@ -181,7 +181,7 @@
 	})
 }
 
-// deadlineTree orders waiting calls by when nobody waits any more.
+// deadlineTree orders waiting calls by deadline.
 type deadlineTree struct {
 	*btree.BTreeG[*waitingItem]
 }
