--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -102,7 +102,7 @@
 // fakeScheduler assigns the one engine at once, or holds items back.
 type fakeScheduler struct {
 	held     []*schedule.Item
-	crowded  bool
+	full     bool
 	holdBack bool
 	assigned int
 	finished int
@@ -110,7 +110,7 @@
 	// transfer goes along with the next assignments.
 	transfer schedule.Transfer
 	// taught is what Transferred was told last.
-	taught int64
+	transferredTokens int64
 }
 
 func (s *fakeScheduler) Enqueue(item *schedule.Item) {
@@ -122,12 +122,12 @@
 	item.Assign(schedule.Assignment{Item: item, Engine: engineID, EngineRun: 1, Hold: s.transfer.From == "", Transfer: s.transfer})
 }
 
-func (s *fakeScheduler) Crowded(structs.TenantName) (structs.Outcome, bool) {
-	return structs.Refused(structs.ReasonOverloaded, "", "", time.Second), s.crowded
+func (s *fakeScheduler) NewProgramRefusal(structs.TenantName) (structs.Outcome, bool) {
+	return structs.Refused(structs.ReasonOverloaded, "", "", time.Second), s.full
 }
 
-// Transferred implements Scheduler.
-func (s *fakeScheduler) Transferred(tokens int64, _ time.Duration) { s.taught = tokens }
+// RecordTransfer implements Scheduler.
+func (s *fakeScheduler) RecordTransfer(tokens int64, _ time.Duration) { s.transferredTokens = tokens }
 
 func (s *fakeScheduler) Remove(*schedule.Item) bool { return true }
 
@@ -141,9 +141,9 @@
 func (fakeDirectory) Application(string, []structs.EngineID) (structs.EngineID, bool) {
 	return "10.0.0.8:9000", true
 }
-func (d fakeDirectory) Gone(structs.EngineID) bool { return d.gone }
-func (fakeDirectory) Draining(structs.EngineID)    {}
-func (fakeDirectory) Unreachable(structs.EngineID) {}
+func (d fakeDirectory) HasLeft(structs.EngineID) bool  { return d.gone }
+func (fakeDirectory) MarkDraining(structs.EngineID)    {}
+func (fakeDirectory) MarkUnreachable(structs.EngineID) {}
 
 type fixedConfiguration struct{ fixture *fixture }
 
@@ -290,20 +290,20 @@
 func (f *fixture) run(d time.Duration) { f.clock.RunUntil(f.clock.Now().Add(d)) }
 
 // answerTo collects what one caller gets.
-type answerTo struct {
+type recordedCaller struct {
 	text     string
 	outcomes []structs.Outcome
 }
 
-func (a *answerTo) Chunks(chunks []structs.Chunk) {
+func (a *recordedCaller) Chunks(chunks []structs.Chunk) {
 	for _, chunk := range chunks {
 		a.text += chunk.Text
 	}
 }
 
-func (a *answerTo) Outcome(outcome structs.Outcome) { a.outcomes = append(a.outcomes, outcome) }
+func (a *recordedCaller) Outcome(outcome structs.Outcome) { a.outcomes = append(a.outcomes, outcome) }
 
-func (a *answerTo) status(t *testing.T) structs.OutcomeStatus {
+func (a *recordedCaller) status(t *testing.T) structs.OutcomeStatus {
 	t.Helper()
 	if len(a.outcomes) != 1 {
 		t.Fatalf("the caller got %d outcomes, want 1", len(a.outcomes))
@@ -333,8 +333,8 @@
 	}
 }
 
-func (f *fixture) submit(call structs.Call) (*answerTo, *submit.Submission) {
-	caller := &answerTo{}
+func (f *fixture) submit(call structs.Call) (*recordedCaller, *submit.Submission) {
+	caller := &recordedCaller{}
 	submission := f.submitter.Submit(call, caller)
 	f.run(20 * time.Millisecond)
 	return caller, submission
--- a/internal/placement/loads.go
+++ b/internal/placement/loads.go
@@ -36,7 +36,7 @@
 	for _, model := range models {
 		entry := l.of(model.ModelAdapter)
 		entry.Engines += model.Engines
-		entry.Changing += model.Changing
+		entry.Loading += model.Loading
 		entry.Running += model.Running
 		entry.Capacity += model.Capacity
 		entry.Waiting += model.Waiting
@@ -44,7 +44,7 @@
 }
 
 // use returns the share of a model's capacity that its calls would take.
-func (m ModelLoad) use() float64 {
+func (m ModelLoad) utilization() float64 {
 	if m.Capacity == 0 {
 		return float64(m.Running + m.Waiting)
 	}
@@ -60,7 +60,7 @@
 	}
 	now := c.Clock.Now()
 	for from, heard := range c.demand {
-		if now.Sub(heard.at) > c.Settings.SummaryAge {
+		if now.Sub(heard.at) > c.Settings.ReportTTL {
 			delete(c.demand, from)
 			continue
 		}
@@ -75,11 +75,11 @@
 // is being told to load, and for its adapters. One that only prefills gets no
 // calls.
 func (c *controller) addEngine(sums loads, engine structs.EngineID) {
-	load, known := c.latest(engine)
+	load, known := c.latestReport(engine)
 	if !known || load.Draining || load.Role == structs.RolePrefill {
 		return
 	}
-	order := c.ordered(engine)
+	order := c.currentOrder(engine)
 	model, serves := servedModel(load, order)
 	if !serves {
 		return
@@ -91,7 +91,7 @@
 		entry.Running += load.Running + load.Waiting
 	}
 	if order != nil && order.Kind == structs.OrderLoadModel {
-		entry.Changing++
+		entry.Loading++
 	}
 	for _, adapter := range servedAdapters(load, order) {
 		if adapter.Model != model {
@@ -100,7 +100,7 @@
 		entry := sums.of(adapter)
 		entry.Engines++
 		if !load.Serves(adapter) {
-			entry.Changing++
+			entry.Loading++
 		}
 	}
 }
@@ -149,8 +149,8 @@
 	sums := loads{}
 	sums.add(own)
 	now := c.Clock.Now()
-	for _, other := range c.others {
-		if now.Sub(other.at) <= c.Settings.SummaryAge {
+	for _, other := range c.summaries {
+		if now.Sub(other.at) <= c.Settings.ReportTTL {
 			sums.add(other.models)
 		}
 	}
@@ -170,24 +170,24 @@
 
 // inWant tells whether a model uses too much of its engines, or calls wait for
 // an adapter although engines serve it and none more is reading it.
-func (c *controller) inWant(load *ModelLoad) bool {
+func (c *controller) needsEngines(load *ModelLoad) bool {
 	if load.Adapter != "" {
-		return load.Waiting > 0 && load.Engines > 0 && load.Changing == 0
+		return load.Waiting > 0 && load.Engines > 0 && load.Loading == 0
 	}
-	return load.use() >= c.Settings.HighUse
+	return load.utilization() >= c.Settings.HighUtilization
 }
 
 // noteHighUse remembers since when models and adapters have been in want of
 // engines.
-func (c *controller) noteHighUse(fleet loads) {
+func (c *controller) updateHighSince(fleet loads) {
 	now := c.Clock.Now()
 	for wanted := range c.highSince {
-		if load := fleet[wanted]; load == nil || !c.inWant(load) {
+		if load := fleet[wanted]; load == nil || !c.needsEngines(load) {
 			delete(c.highSince, wanted)
 		}
 	}
 	for wanted, load := range fleet {
-		if _, known := c.highSince[wanted]; !known && c.inWant(load) {
+		if _, known := c.highSince[wanted]; !known && c.needsEngines(load) {
 			c.highSince[wanted] = now
 		}
 	}
@@ -196,5 +196,5 @@
 // sustained tells whether something has been in want of engines for long.
 func (c *controller) sustained(wanted structs.ModelAdapter) bool {
 	since, high := c.highSince[wanted]
-	return high && c.Clock.Now().Sub(since) >= c.Settings.Sustain
+	return high && c.Clock.Now().Sub(since) >= c.Settings.HighUseDuration
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -211,7 +211,7 @@
 	return count
 }
 
-func TestModelInDemandGetsEnginesUntilOthersNeedTheirs(t *testing.T) {
+func TestModelInDemandGetsEnginesAboveOthersMinimum(t *testing.T) {
 	w := newWorld()
 	w.waiting = []ModelWaiting{{ModelAdapter: structs.ModelAdapter{Model: large}, Calls: 30}}
 	w.run(time.Minute)
@@ -288,11 +288,11 @@
 	}
 }
 
-func TestLoadsAreStartedOneAPeriod(t *testing.T) {
+func TestOneLoadIsStartedPerPeriod(t *testing.T) {
 	w := newWorld()
 	w.manager.Settings.Cooldown = 0
 	w.waiting = []ModelWaiting{{ModelAdapter: structs.ModelAdapter{Model: large}, Calls: 300}}
-	w.run(w.manager.Settings.Sustain + 3*w.manager.Settings.Period)
+	w.run(w.manager.Settings.HighUseDuration + 3*w.manager.Settings.Period)
 	loads := 0
 	for _, order := range w.engines.orders {
 		if order.Kind == structs.OrderLoadModel {
--- a/internal/schedule/engine_view.go
+++ b/internal/schedule/engine_view.go
@@ -9,46 +9,51 @@
 )
 
 const (
-	// defaultPrefillSecondsPerToken and defaultDecodeSecondsPerToken are
-	// expected of an engine before any answer came from it.
+	// defaultPrefillSecondsPerToken and defaultDecodeSecondsPerToken are the
+	// assumed speeds of an engine that has not answered yet.
 	defaultPrefillSecondsPerToken = 1.0 / 8000
 	defaultDecodeSecondsPerToken  = 0.02
-	// learnFromTokens is the least prompt work from which speed is learned.
-	learnFromTokens = 256
-	// reportLag is the age that a load report may have.
+	// minimumLearningTokens is the least number of computed prompt tokens from
+	// which the prefill speed is learned.
+	minimumLearningTokens = 256
+	// reportLag is the assumed maximum age of a load report.
 	reportLag = 3 * time.Second
 )
 
-// EngineView is what the scheduler knows of one engine: its last load report,
-// corrected by what this daemon did since, and what answers taught.
+// EngineView is the scheduler's view of one engine: its last load report,
+// corrected by what this daemon assigned since, and the speeds learned from
+// answers.
 type EngineView struct {
 	Engine structs.Engine
 	Load   structs.LoadReport
-	// Assigned counts this daemon's own calls there, AssignedTokens the
+	// Assigned counts this daemon's calls on the engine, AssignedTokens is the
 	// memory they need.
 	Assigned       int
 	AssignedTokens int64
 	// Total counts the calls ever assigned.
 	Total int64
-	// KeptTokens is what it keeps for this daemon's paused programs.
-	KeptTokens int64
-	// Foreign is the number of calls there from others.
-	Foreign int
-	// prefillUntil is when the prompt work sent there will be done.
-	prefillUntil time.Time
-	// PrefillSecondsPerToken and DecodeSecondsPerToken are learned.
+	// HeldTokens is the size of the caches held for this daemon's paused
+	// programs.
+	HeldTokens int64
+	// ForeignCalls counts the calls on the engine that other daemons assigned.
+	ForeignCalls int
+	// prefillDoneAt is when the assigned prefill work is expected to be done.
+	prefillDoneAt time.Time
+	// PrefillSecondsPerToken and DecodeSecondsPerToken are learned from
+	// answers.
 	PrefillSecondsPerToken float64
 	DecodeSecondsPerToken  float64
-	// service is the time that a call takes there.
-	service mean
-	history assignedHistory
-	// batchFraction is the profile's.
+	// serviceSeconds is the mean time that a call takes on the engine.
+	serviceSeconds mean
+	history        assignedHistory
+	// batchFraction is Profile.BatchFraction.
 	batchFraction float64
-	// residences is the belief about its cache, nil for none.
-	residences *engineResidences
-	// home holds waiting calls that would best run here.
-	home homeQueue
-	// churn follows how fast the cache is refilled, in tokens a second.
+	// cache is the index's mirror of the engine's cache; nil when the index
+	// does not cover the engine.
+	cache *cacheMirror
+	// waiters holds the calls that wait for this engine.
+	waiters engineQueue
+	// churn is the rate at which the cache is refilled, in tokens per second.
 	churn rate
 }
 
@@ -57,19 +62,19 @@
 		batchFraction:          batchFraction,
 		PrefillSecondsPerToken: defaultPrefillSecondsPerToken,
 		DecodeSecondsPerToken:  defaultDecodeSecondsPerToken,
-		home:                   newHomeQueue(),
+		waiters:                newEngineQueue(),
 	}
 }
 
-// backlog returns the expected time until the prompt work sent there is done.
+// backlog returns the expected time until the assigned prefill work is done.
 func (v *EngineView) backlog(now time.Time) time.Duration {
-	return max(v.prefillUntil.Sub(now), 0)
+	return max(v.prefillDoneAt.Sub(now), 0)
 }
 
-// Occupied returns the calls there as far as known.
-func (v *EngineView) Occupied() int { return v.Assigned + v.Foreign }
+// Occupied returns the known number of calls on the engine.
+func (v *EngineView) Occupied() int { return v.Assigned + v.ForeignCalls }
 
-// Serves tells whether the engine takes new work for a model.
+// Serves reports whether the engine takes new work for a model.
 func (v *EngineView) Serves(model structs.ModelName) bool {
 	if v.Engine.Leaving || v.Load.Draining || v.Load.MaximumRunning == 0 {
 		return false
@@ -77,17 +82,17 @@
 	return slices.Contains(v.Load.Models, model)
 }
 
-// places returns how many calls may run there at once.
-func (v *EngineView) places() int {
+// slots returns how many calls may run on the engine at once.
+func (v *EngineView) slots() int {
 	if v.batchFraction == 0 {
 		return v.Load.MaximumRunning
 	}
 	return max(int(v.batchFraction*float64(v.Load.MaximumRunning)), 1)
 }
 
-// hasRoom tells whether the engine can take a call now.
-func (v *EngineView) hasRoom(d demand, backlog time.Duration) bool {
-	if v.Occupied() >= v.places() {
+// hasRoom reports whether the engine can take a call now.
+func (v *EngineView) hasRoom(d requirements, backlog time.Duration) bool {
+	if v.Occupied() >= v.slots() {
 		return false
 	}
 	if v.Assigned == 0 {
@@ -96,83 +101,86 @@
 	if d.backlogLimit > 0 && backlog > d.backlogLimit {
 		return false
 	}
-	return v.fits(d)
+	return v.fitsInMemory(d)
 }
 
-// fits tells whether the engine's memory holds a call beside the others.
-func (v *EngineView) fits(d demand) bool {
+// fitsInMemory reports whether the engine's memory has room for a call next to
+// the others. A call always fits on an engine without calls.
+func (v *EngineView) fitsInMemory(d requirements) bool {
 	if v.Assigned == 0 {
 		return true
 	}
-	capacity := int64(d.memory * float64(v.Load.CacheCapacityTokens))
-	return capacity == 0 || v.AssignedTokens+v.KeptTokens+d.tokens <= capacity
+	capacity := int64(d.memoryFraction * float64(v.Load.CacheCapacityTokens))
+	return capacity == 0 || v.AssignedTokens+v.HeldTokens+d.tokens <= capacity
 }
 
-// slotWait returns the expected wait of a call for a place behind others.
+// slotWait returns the expected time that a call waits for a free slot.
 func (v *EngineView) slotWait(entry *waitingItem, backlogSeconds float64) float64 {
-	slots := max(v.places(), 1)
+	slots := max(v.slots(), 1)
 	if v.Occupied() < slots {
 		return backlogSeconds
 	}
-	ahead := v.home.ahead(entry)
-	return v.service.or(defaultServiceSeconds) * float64(ahead+1) / float64(slots)
+	ahead := v.waiters.ahead(entry)
+	return v.serviceSeconds.valueOr(defaultServiceSeconds) * float64(ahead+1) / float64(slots)
 }
 
-func (v *EngineView) assign(a *placed, missTokens int64, now time.Time) {
+func (v *EngineView) assign(a *runningCall, missTokens int64, now time.Time) {
 	v.Assigned++
 	v.Total++
 	v.AssignedTokens += a.tokens
 	v.churn.add(float64(missTokens), now)
-	if v.prefillUntil.Before(now) {
-		v.prefillUntil = now
+	if v.prefillDoneAt.Before(now) {
+		v.prefillDoneAt = now
 	}
 	work := time.Duration(float64(missTokens) * v.PrefillSecondsPerToken * float64(time.Second))
-	v.prefillUntil = v.prefillUntil.Add(work)
-	v.history.note(v.Assigned, missTokens, now)
+	v.prefillDoneAt = v.prefillDoneAt.Add(work)
+	v.history.record(v.Assigned, missTokens, now)
 }
 
-func (v *EngineView) finish(a *placed, result Result, now time.Time) {
+func (v *EngineView) finish(a *runningCall, result Result, now time.Time) {
 	v.Assigned--
 	v.AssignedTokens -= a.tokens
-	v.history.note(v.Assigned, 0, now)
+	v.history.record(v.Assigned, 0, now)
 	if !result.Started || result.Failed {
 		return
 	}
-	v.service.add(result.Took.Seconds())
+	v.serviceSeconds.add(result.Duration.Seconds())
 	v.learnSpeed(result)
 }
 
-// learnSpeed moves the learned speeds towards what an answer showed. The time
-// to the first token includes waiting, so a slow one teaches little.
+// learnSpeed updates the learned speeds from an answer. The time to the first
+// token includes queueing, so an observation slower than the mean gets a lower
+// weight.
 func (v *EngineView) learnSpeed(result Result) {
 	computed := result.Usage.PromptTokens - result.Usage.CachedTokens
-	if computed >= learnFromTokens && result.FirstTokenAfter > 0 {
-		seen := result.FirstTokenAfter.Seconds() / float64(computed)
+	if computed >= minimumLearningTokens && result.TimeToFirstToken > 0 {
+		seen := result.TimeToFirstToken.Seconds() / float64(computed)
 		weight := learningRate
 		if seen > v.PrefillSecondsPerToken {
 			weight *= learningRate
 		}
 		v.PrefillSecondsPerToken += weight * (seen - v.PrefillSecondsPerToken)
 	}
-	if result.Usage.CompletionTokens > 1 && result.Took > result.FirstTokenAfter {
-		seen := (result.Took - result.FirstTokenAfter).Seconds() / float64(result.Usage.CompletionTokens-1)
+	if result.Usage.CompletionTokens > 1 && result.Duration > result.TimeToFirstToken {
+		seen := (result.Duration - result.TimeToFirstToken).Seconds() / float64(result.Usage.CompletionTokens-1)
 		v.DecodeSecondsPerToken += learningRate * (seen - v.DecodeSecondsPerToken)
 	}
 }
 
-// report takes a load report. What it counts beyond the most that this daemon
-// had there within the lag belongs to others.
+// report applies a load report. Calls beyond the most that this daemon had on
+// the engine within reportLag belong to other daemons.
 func (v *EngineView) report(report structs.LoadReport, now time.Time) {
 	v.Load = report
-	v.Foreign = max(report.Running+report.Waiting-v.history.most(now), 0)
-	tokens := float64(report.QueuedPrefillTokens + v.history.tokens(now))
+	v.ForeignCalls = max(report.Running+report.Waiting-v.history.peak(now), 0)
+	tokens := float64(report.QueuedPrefillTokens + v.history.recentTokens(now))
 	known := now.Add(time.Duration(tokens * v.PrefillSecondsPerToken * float64(time.Second)))
-	if v.prefillUntil.After(known) {
-		v.prefillUntil = known
+	if v.prefillDoneAt.After(known) {
+		v.prefillDoneAt = known
 	}
 }
 
-// assignedHistory remembers how many own calls an engine had of late.
+// assignedHistory records the number of this daemon's calls on an engine over
+// the last reportLag.
 type assignedHistory struct {
 	entries []assignedEntry
 }
@@ -180,21 +188,21 @@
 type assignedEntry struct {
 	at       time.Time
 	assigned int
-	// computed is the prompt work sent in this step of time.
-	computed int64
+	// prefillTokens is the prefill work assigned in this step.
+	prefillTokens int64
 }
 
-// historyStep is the resolution of the history.
+// historyStep is the time resolution of the history.
 const historyStep = 100 * time.Millisecond
 
-func (h *assignedHistory) note(assigned int, computed int64, now time.Time) {
+func (h *assignedHistory) record(assigned int, computed int64, now time.Time) {
 	last := len(h.entries) - 1
 	if last >= 0 && now.Sub(h.entries[last].at) < historyStep {
 		h.entries[last].assigned = max(h.entries[last].assigned, assigned)
-		h.entries[last].computed += computed
+		h.entries[last].prefillTokens += computed
 		return
 	}
-	h.entries = append(h.entries, assignedEntry{at: now, assigned: assigned, computed: computed})
+	h.entries = append(h.entries, assignedEntry{at: now, assigned: assigned, prefillTokens: computed})
 	first := 0
 	for first < len(h.entries)-1 && now.Sub(h.entries[first+1].at) > reportLag {
 		first++
@@ -202,18 +210,18 @@
 	h.entries = append(h.entries[:0], h.entries[first:]...)
 }
 
-// tokens returns the prompt work that a report may not show yet.
-func (h *assignedHistory) tokens(now time.Time) int64 {
+// recentTokens returns the prefill work that a load report may not include yet.
+func (h *assignedHistory) recentTokens(now time.Time) int64 {
 	total := int64(0)
 	for _, entry := range h.entries {
 		if now.Sub(entry.at) <= reportLag {
-			total += entry.computed
+			total += entry.prefillTokens
 		}
 	}
 	return total
 }
 
-func (h *assignedHistory) most(now time.Time) int {
+func (h *assignedHistory) peak(now time.Time) int {
 	most := 0
 	for i, entry := range h.entries {
 		current := i == len(h.entries)-1 || now.Sub(h.entries[i+1].at) <= reportLag
@@ -230,11 +238,11 @@
 	at    time.Time
 }
 
-// rateMemory is the time constant of rates.
-const rateMemory = 30 * time.Second
+// rateTimeConstant is the time constant of the decay.
+const rateTimeConstant = 30 * time.Second
 
 func (r *rate) add(amount float64, now time.Time) {
-	r.value = r.current(now) + amount/rateMemory.Seconds()
+	r.value = r.current(now) + amount/rateTimeConstant.Seconds()
 	r.at = now
 }
 
@@ -242,5 +250,5 @@
 	if r.at.IsZero() {
 		return 0
 	}
-	return r.value * math.Exp(-now.Sub(r.at).Seconds()/rateMemory.Seconds())
+	return r.value * math.Exp(-now.Sub(r.at).Seconds()/rateTimeConstant.Seconds())
 }
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -8,23 +8,22 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// tickInterval is how often calls that wait for a better engine are judged
-// again.
+// tickInterval is how often the assignment of waiting calls is retried.
 const tickInterval = 200 * time.Millisecond
 
-// Options gives a Scheduler what it works with.
+// Options configures a Scheduler.
 type Options struct {
 	Clock clock.Clock
-	// Limit is how many calls may wait.
-	Limit int
-	// Zone is the daemon's own.
+	// QueueLimit is how many calls may wait.
+	QueueLimit int
+	// Zone is the daemon's zone.
 	Zone           structs.ZoneName
 	Profile        Profile
 	Configurations Configurations
 }
 
-// Scheduler keeps the waiting calls of one daemon and gives them engines. It
-// is safe for concurrent use; callbacks run outside its lock.
+// Scheduler queues the model calls of one daemon and assigns them to engines.
+// It is safe for concurrent use; callbacks run outside its lock.
 type Scheduler struct {
 	clock          clock.Clock
 	limit          int
@@ -37,64 +36,64 @@
 	mutex   sync.Mutex
 	waiting map[*Item]*waitingItem
 	classes map[classKey]*class
-	// classOrder holds the classes by their keys.
-	classOrder []*class
-	deadlines  *deadlineTree
-	fairness   *fairness
-	drain      drain
-	sequence   uint64
-	// candidates is scratch space of a decision: the engines that may serve
-	// the call at hand, and what each is believed to hold of its prompt.
+	// sortedClasses holds the classes sorted by key.
+	sortedClasses []*class
+	deadlines     *deadlineTree
+	fairness      *fairness
+	dequeueRate   dequeueRate
+	sequence      uint64
+	// candidates is scratch space of a decision: the engines that may serve the
+	// call, and how much of its prompt each is assumed to hold.
 	candidates []engineHit
 	// hits and stored are scratch space of the prefix index.
 	hits   [maximumEngines]int32
-	stored []*residence
-	// judged and judgedHome are what the plug-ins look at.
-	judged, judgedHome Candidate
-	// weight is the operators' cache weight, read once for each task.
-	weight float64
+	stored []*cachedBlock
+	// candidate and preferredCandidate are scratch space for calling plug-ins.
+	candidate, preferredCandidate Candidate
+	// cacheWeight is the configured cache weight, read once per task.
+	cacheWeight float64
 	// meanOccupied and leastOccupied are the mean and the least number of calls
-	// on an engine, as last surveyed.
+	// on an engine in the last survey.
 	meanOccupied  float64
 	leastOccupied int
-	// transfers is what transfers have taught of the links.
-	transfers transferSpeed
-	// source is scratch space of a decision.
-	source  transferSource
-	engines map[structs.EngineID]*EngineView
-	// order holds the engines by identifier.
-	order     []*EngineView
-	placed    map[*Item]*placed
-	index     *prefixIndex
-	estimates *estimates
-	// kept holds the caches kept for paused programs.
-	kept  keptByExpiry
+	// transferSpeed is learned from earlier transfers.
+	transferSpeed transferSpeed
+	// transferSource is scratch space of a decision.
+	transferSource transferSource
+	engines        map[structs.EngineID]*EngineView
+	// sortedEngines holds the engines sorted by identifier.
+	sortedEngines []*EngineView
+	running       map[*Item]*runningCall
+	index         *prefixIndex
+	estimates     *estimates
+	// held holds the caches held for paused programs.
+	held  heldByExpiry
 	timer clock.Timer
-	// outbox holds callbacks to run once the lock is free.
-	outbox []func()
+	// pendingCallbacks run after the lock is released.
+	pendingCallbacks []func()
 }
 
-// placed is a call at an engine.
-type placed struct {
+// runningCall is a call that was assigned to an engine.
+type runningCall struct {
 	engine  *EngineView
 	tokens  int64
 	outlook Outlook
-	// holdFor is how long the cache is kept afterwards, 0 for not at all.
+	// holdFor is how long the cache is held afterwards, 0 for not at all.
 	holdFor time.Duration
-	// stored is the belief that the engine has the prompt's blocks.
-	stored []*residence
+	// cachedBlocks are the index entries of the prompt's blocks.
+	cachedBlocks []*cachedBlock
 }
 
-// New returns a scheduler with the default profile that lets limit calls wait.
+// New returns a scheduler with the default profile and a queue limit.
 func New(c clock.Clock, limit int) *Scheduler {
-	return NewWithOptions(Options{Clock: c, Limit: limit, Profile: DefaultProfile()})
+	return NewWithOptions(Options{Clock: c, QueueLimit: limit, Profile: DefaultProfile()})
 }
 
 // NewWithOptions returns a scheduler without engines.
 func NewWithOptions(options Options) *Scheduler {
 	return &Scheduler{
 		clock:          options.Clock,
-		limit:          options.Limit,
+		limit:          options.QueueLimit,
 		zone:           options.Zone,
 		profile:        options.Profile,
 		configurations: options.Configurations,
@@ -105,20 +104,20 @@
 		deadlines:      newDeadlineTree(),
 		fairness:       newFairness(options.Profile),
 		engines:        map[structs.EngineID]*EngineView{},
-		placed:         map[*Item]*placed{},
+		running:        map[*Item]*runningCall{},
 		index:          newPrefixIndex(),
 		estimates:      newEstimates(),
 	}
 }
 
-// locked runs task under the lock and the callbacks it left behind after it.
-func (s *Scheduler) locked(task func()) {
+// withLock runs task under the lock, and then the callbacks that it left.
+func (s *Scheduler) withLock(task func()) {
 	s.mutex.Lock()
-	s.weight = s.cacheWeight()
+	s.cacheWeight = s.configuredCacheWeight()
 	task()
-	s.arm()
-	outbox := s.outbox
-	s.outbox = nil
+	s.armTimer()
+	outbox := s.pendingCallbacks
+	s.pendingCallbacks = nil
 	s.mutex.Unlock()
 	for _, callback := range outbox {
 		callback()
@@ -127,12 +126,12 @@
 
 // Enqueue takes an item; its Assign or Refuse is called later, once.
 func (s *Scheduler) Enqueue(item *Item) {
-	s.locked(func() { s.enqueue(item) })
+	s.withLock(func() { s.enqueue(item) })
 }
 
 func (s *Scheduler) enqueue(item *Item) {
 	now := s.clock.Now()
-	state := s.estimates.arrived(item, now)
+	state := s.estimates.recordArrival(item, now)
 	if !item.Deadline.IsZero() && !now.Before(item.Deadline) {
 		s.refuse(item, deadlineRefusal())
 		return
@@ -140,22 +139,23 @@
 	s.sequence++
 	outlook := s.estimates.outlook(item)
 	entry := &waitingItem{
-		Item:     item,
-		outlook:  outlook,
-		due:      s.due(item, outlook, now.Sub(s.start).Seconds()),
-		sequence: s.sequence,
-		state:    state,
-		need:     s.ownTokens(item, item.PromptTokens+int64(outlook.AnswerTokens)),
+		Item:         item,
+		outlook:      outlook,
+		due:          s.due(item, outlook, now.Sub(s.start).Seconds()),
+		sequence:     s.sequence,
+		program:      state,
+		neededTokens: s.ownTokens(item, item.PromptTokens+int64(outlook.AnswerTokens)),
 	}
 	account := s.fairness.account(item.Key.Tenant)
 	if !s.makeRoom(entry, account, now) {
 		return
 	}
-	s.add(entry, account)
-	s.placeArrival(entry, now)
+	s.addEntry(entry, account)
+	s.assignArrival(entry, now)
 }
 
-// Remove takes back an item that was neither assigned nor refused.
+// Remove removes an item that was neither assigned nor refused, and reports
+// whether there was one.
 func (s *Scheduler) Remove(item *Item) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -163,31 +163,31 @@
 	if entry == nil {
 		return false
 	}
-	s.drop(entry)
+	s.removeEntry(entry)
 	return true
 }
 
-// Finished hands an assignment back.
+// Finished returns the slot of an assignment.
 func (s *Scheduler) Finished(assignment Assignment, result Result) {
-	s.locked(func() { s.finished(assignment, result) })
+	s.withLock(func() { s.finished(assignment, result) })
 }
 
 func (s *Scheduler) finished(assignment Assignment, result Result) {
 	now := s.clock.Now()
-	record := s.placed[assignment.Item]
+	record := s.running[assignment.Item]
 	if record == nil {
 		return
 	}
-	delete(s.placed, assignment.Item)
+	delete(s.running, assignment.Item)
 	view := record.engine
 	view.finish(record, result, now)
-	s.estimates.finished(assignment.Item, assignment.Engine, result, now)
-	s.keepAfter(assignment, record, result, now)
+	s.estimates.recordFinish(assignment.Item, assignment.Engine, result, now)
+	s.holdAfter(assignment, record, result, now)
 	switch {
 	case result.Started && !result.Failed:
-		s.believeServed(record, result.Usage, now)
+		s.confirmServed(record, result.Usage, now)
 	case result.Started:
-		s.disbelieve(assignment.Item, assignment.Engine, result.Usage.CachedTokens)
+		s.evictUncached(assignment.Item, assignment.Engine, result.Usage.CachedTokens)
 	}
 	if result.Draining {
 		view.Engine.Leaving = true
@@ -195,12 +195,13 @@
 	s.fill(view, now)
 }
 
-// keepAfter notes what the engine keeps for the program until its next call.
-func (s *Scheduler) keepAfter(assignment Assignment, record *placed, result Result, now time.Time) {
+// holdAfter records the cache that the engine holds for the program until its
+// next call.
+func (s *Scheduler) holdAfter(assignment Assignment, record *runningCall, result Result, now time.Time) {
 	state := s.estimates.programs[assignment.Item.Key]
-	if state == nil || record.holdFor <= 0 || !result.Started || result.Failed || result.Ended {
+	if state == nil || record.holdFor <= 0 || !result.Started || result.Failed || result.ProgramEnded {
 		return
 	}
 	tokens := s.ownTokens(assignment.Item, result.Usage.PromptTokens+result.Usage.CompletionTokens)
-	s.keep(state, record.engine, tokens, now.Add(record.holdFor))
+	s.addHold(state, record.engine, tokens, now.Add(record.holdFor))
 }
--- a/internal/schedule/scheduler_test.go
+++ b/internal/schedule/scheduler_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestALargeCallIsNotPassedOverForEver(t *testing.T) {
+func TestLargeCallIsNotStarvedBySmallOnes(t *testing.T) {
 	const small, large = 200_000, 900_000
 	profile := schedule.DefaultProfile()
 	profile.PrefillBacklog = 0
@@ -72,7 +72,7 @@
 	t.Error("small programs that came later kept a large one from the engine's memory")
 }
 
-func TestACallDoesNotFollowItsEngineOutOfTheFleet(t *testing.T) {
+func TestCallIsNotAssignedToLeavingEngine(t *testing.T) {
 	h := newHarness(10, schedule.DefaultProfile(), nil)
 	h.addEngines(1, 1)
 	h.scheduler.Enqueue(h.item("a", "first", 1, blocks(1, 2)))
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestDecisionsDependOnInputsAlone(t *testing.T) {
+func TestDecisionsAreDeterministic(t *testing.T) {
 	first, second := randomRun(7), randomRun(7)
 	if len(first) < 500 {
 		t.Fatalf("only %d decisions", len(first))
@@ -116,7 +116,7 @@
 	}
 }
 
-// randomRun drives a scheduler with events drawn from a seed and lists its decisions.
+// randomRun drives a scheduler with random events and returns its decisions.
 func randomRun(seed uint64) []string {
 	random := rand.New(rand.NewPCG(seed, 0))
 	h := newHarness(300, schedule.DefaultProfile(), nil)
@@ -160,8 +160,7 @@
 	}
 }
 
-// TestCallThatAvoidsEveryEngineIsNotLeftWaiting has all engines fail a call
-// once: none takes it at first, and one does later.
+// All engines have failed the call: it must wait at first, but not for ever.
 func TestCallThatAvoidsEveryEngineIsNotLeftWaiting(t *testing.T) {
 	h := newHarness(10, schedule.DefaultProfile(), nil)
 	h.addEngines(2, 4)
@@ -206,7 +205,7 @@
 	}
 }
 
-func TestProgramsGoBackToTheirCache(t *testing.T) {
+func TestProgramReturnsToEngineWithItsCache(t *testing.T) {
 	h := newHarness(100, schedule.DefaultProfile(), nil)
 	h.addEngines(8, 4)
 	h.scheduler.Enqueue(h.item("a", "p", 1, blocks(1, 50)))
@@ -225,7 +224,7 @@
 	}
 }
 
-func TestAnswerWithoutHitCorrectsTheBelief(t *testing.T) {
+func TestAnswerRestoresPrefixAfterCacheClear(t *testing.T) {
 	h := newHarness(100, schedule.DefaultProfile(), nil)
 	h.addEngines(2, 4)
 	h.scheduler.CacheEvents([]structs.CacheEvent{{Engine: engineID(1), Sequence: 1, Kind: structs.CacheStored, Blocks: blocks(1, 50)}})
