--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -149,7 +149,7 @@
 	select {
 	case <-left:
 	case <-ctx.Done():
-		d.logger.Warn().Str("part", "daemon").Int("shards", d.Node.Replication.Needed()).
+		d.logger.Warn().Str("part", "daemon").Int("shards", d.Node.Replication.ShardsNeedingThisDaemon()).
 			Msg("Stopped at the deadline. These shards have no majority without this daemon.")
 	}
 	err := d.server.Shutdown(ctx)
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -18,9 +18,9 @@
 	kept, limits := c.Memory.Kept(), c.Memory.Limits()
 	switch {
 	case kept >= limits.Calls:
-		return replication.PressureAll
+		return replication.PressureRefuseAll
 	case kept >= limits.NewPrograms:
-		return replication.PressureNew
+		return replication.PressureRefuseNew
 	default:
 		return replication.PressureNone
 	}
@@ -32,7 +32,7 @@
 func (l *leader) shedForMemory(follower attachment, call structs.Call, admission program.Admission) bool {
 	pressure := l.leadership.Pressure()
 	starts := admission.Records[0].ProgramStarted != nil && call.Key.Parent().Program == ""
-	if pressure == replication.PressureNone || (pressure == replication.PressureNew && !starts) {
+	if pressure == replication.PressureNone || (pressure == replication.PressureRefuseNew && !starts) {
 		return false
 	}
 	refusal := structs.Refused(structs.ReasonMemoryFull, "",
@@ -45,7 +45,7 @@
 }
 
 func whatHasNoRoom(pressure replication.Pressure) string {
-	if pressure == replication.PressureNew {
+	if pressure == replication.PressureRefuseNew {
 		return "new programs"
 	}
 	return "more calls"
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -74,10 +74,10 @@
 func TestFullFollowerRefusesNewPrograms(t *testing.T) {
 	f := newFixture(t)
 	f.wantCompleted("first program", numbered(1))
-	f.group.pressure = replication.PressureNew
+	f.group.pressure = replication.PressureRefuseNew
 	f.wantRefusedForMemory("second program", numbered(2))
 	f.wantCompleted("call of a program under way", nextOf(1, 2))
-	f.group.pressure = replication.PressureAll
+	f.group.pressure = replication.PressureRefuseAll
 	f.wantRefusedForMemory("call of a program under way", nextOf(1, 3))
 	f.group.pressure = replication.PressureNone
 	f.wantCompleted("second program with room again", numbered(2))
--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -73,7 +73,7 @@
 // receivePush takes pushed updates.
 func (m *Membership) receivePush(from structs.DaemonID, push *UpdatePush) {
 	m.applyAll(from, push.Updates)
-	if !push.Healed || len(push.Updates) == 0 {
+	if !push.PartitionHealed || len(push.Updates) == 0 {
 		return
 	}
 	if back := m.records[push.Updates[0].Address]; back != nil && back != m.self {
@@ -190,7 +190,7 @@
 	slices.SortStableFunc(b.items, func(x, y *queuedUpdate) int { return cmp.Compare(x.sends, y.sends) })
 	limit := m.settings.retransmits(m.fleet())
 	room := m.settings.UpdatesPerMessage
-	if len(b.items) > m.settings.Backlog {
+	if len(b.items) > m.settings.BacklogThreshold {
 		room = m.settings.BacklogUpdates
 	}
 	for _, i := range b.items[:min(room, len(b.items))] {
--- a/internal/membership/heal.go
+++ b/internal/membership/heal.go
@@ -13,7 +13,7 @@
 // daemons that never missed them. So a daemon that hears that a lost member is back, while
 // it has lost others, concludes that a cut has ended. Then it
 //
-//   - drops the bad news that it was to pass on, and ignores others' for HealTime;
+//   - drops the bad news that it was to pass on, and ignores others' for HealDuration;
 //   - tells some neighbours that the cut has ended;
 //   - reads the table of a daemon from the other side, and takes the members that are alive
 //     there for alive without asking each.
@@ -59,7 +59,7 @@
 
 // isHealing tells whether a cut ended just now.
 func (m *Membership) isHealing() bool {
-	return !m.healer.since.IsZero() && m.Clock.Now().Sub(m.healer.since) < m.settings.HealTime
+	return !m.healer.since.IsZero() && m.Clock.Now().Sub(m.healer.since) < m.settings.HealDuration
 }
 
 // isLost tells whether a run is missing since a time that a cut may have begun.
@@ -110,10 +110,10 @@
 	}
 }
 
-// healedLately tells whether a cut ended within HealPause: what is heard of it by probes
-// may go round for longer than HealTime.
+// healedLately tells whether a cut ended within HealCooldown: what is heard of it by probes
+// may go round for longer than HealDuration.
 func (m *Membership) healedLately() bool {
-	return !m.healer.since.IsZero() && m.Clock.Now().Sub(m.healer.since) < m.settings.HealPause
+	return !m.healer.since.IsZero() && m.Clock.Now().Sub(m.healer.since) < m.settings.HealCooldown
 }
 
 // beginHealing makes the tables whole after a cut. back is a run from beyond it.
@@ -127,7 +127,7 @@
 		m.stopSuspicion(r)
 		m.startSuspicion(r)
 	}
-	message := &UpdatePush{Updates: []Update{back.update()}, Healed: true}
+	message := &UpdatePush{Updates: []Update{back.update()}, PartitionHealed: true}
 	for _, neighbour := range m.pickNeighbours(m.settings.PushFanout, back) {
 		if m.healer.pushes.Take(now, messageSize+recordSize) == messageSize+recordSize {
 			m.Transport.Send(neighbour.daemon.ID, message)
@@ -166,7 +166,7 @@
 	if beyond == "" {
 		return
 	}
-	request := &SyncRequest{Self: m.self.update(), Buckets: m.buckets, Living: true}
+	request := &SyncRequest{Self: m.self.update(), Buckets: m.buckets, LiveOnly: true}
 	for _, r := range lost {
 		request.Buckets[r.bucket()] ^= r.digest() // suspects count as missing
 	}
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -29,8 +29,8 @@
 	Digest  uint64   `json:"d"`
 	Note    Note     `json:"n"`
 	Updates []Update `json:"u,omitempty"`
-	// Healed: a cut has ended just now.
-	Healed bool `json:"b,omitempty"`
+	// PartitionHealed: a cut has ended just now.
+	PartitionHealed bool `json:"b,omitempty"`
 }
 
 // Ack answers a Ping, or passes on the answer to one made for another daemon.
@@ -53,8 +53,8 @@
 // UpdatePush pushes updates that should not wait for the next probe.
 type UpdatePush struct {
 	Updates []Update `json:"u"`
-	// Healed: a cut has ended, and the first update is of a run from beyond.
-	Healed bool `json:"b,omitempty"`
+	// PartitionHealed: a cut has ended, and the first update is of a run from beyond.
+	PartitionHealed bool `json:"b,omitempty"`
 }
 
 // SyncRequest asks for the parts of the receiver's table that differ. It is
@@ -65,15 +65,15 @@
 	Buckets [bucketCount]uint64 `json:"b"`
 	// About is what the sender believes of the receiver, if that is for it to refute.
 	About *Update `json:"o,omitempty"`
-	// Living: a cut has ended, and the members that are well are asked for.
-	Living bool `json:"l,omitempty"`
+	// LiveOnly: a cut has ended, and the members that are well are asked for.
+	LiveOnly bool `json:"l,omitempty"`
 }
 
 // SyncReply carries the parts of a table that differ.
 type SyncReply struct {
 	Updates []Update `json:"u"`
-	// Living answers a request for the living.
-	Living bool `json:"l,omitempty"`
+	// LiveOnly answers a request for the living.
+	LiveOnly bool `json:"l,omitempty"`
 }
 
 // Kinds of message of this package.
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -72,11 +72,11 @@
 // is for the target to refute.
 func (m *Membership) sendPing(to structs.DaemonID, sequence uint64, about *record) {
 	m.Transport.Send(to, &Ping{
-		Sequence: sequence,
-		Digest:   m.digest(),
-		Note:     m.note,
-		Updates:  m.piggyback(about),
-		Healed:   m.isHealing(),
+		Sequence:        sequence,
+		Digest:          m.digest(),
+		Note:            m.note,
+		Updates:         m.piggyback(about),
+		PartitionHealed: m.isHealing(),
 	})
 }
 
@@ -131,7 +131,7 @@
 	sender := m.records[from.Address()]
 	m.applyAll(from, ping.Updates)
 	m.processHeartbeat(from, ping.Digest, &ping.Note)
-	if ping.Healed && sender != nil && !m.healedLately() {
+	if ping.PartitionHealed && sender != nil && !m.healedLately() {
 		m.hearOfHealing(sender)
 	}
 	note := m.note
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -29,10 +29,10 @@
 
 	// UpdatesPerMessage bounds the updates that one message carries.
 	UpdatesPerMessage int
-	// Backlog is the number of updates to pass on beyond which messages carry
+	// BacklogThreshold is the number of updates to pass on beyond which messages carry
 	// BacklogUpdates instead.
-	Backlog        int
-	BacklogUpdates int
+	BacklogThreshold int
+	BacklogUpdates   int
 	// RetransmitFactor times log2(fleet) is how often an update is sent.
 	RetransmitFactor int
 	// PushFanout is to how many neighbours urgent updates are pushed at once in
@@ -69,16 +69,16 @@
 	// VerifyPerSecond bounds the probes of daemons about which tables differ.
 	VerifyPerSecond int
 
-	// HealTime is how long, from when a daemon learns that a cut has ended, others'
+	// HealDuration is how long, from when a daemon learns that a cut has ended, others'
 	// tables are taken over and bad news by hearsay is not: news of the end cross 74
-	// daemons in 0.3 s, and a reading or two follow. HealPause is the shortest time from
+	// daemons in 0.3 s, and a reading or two follow. HealCooldown is the shortest time from
 	// one such time's begin to the next.
-	HealTime  time.Duration
-	HealPause time.Duration
+	HealDuration time.Duration
+	HealCooldown time.Duration
 
-	// TombstoneTime is how long a dead daemon that is not on the platform's
+	// TombstoneRetention is how long a dead daemon that is not on the platform's
 	// list is remembered.
-	TombstoneTime time.Duration
+	TombstoneRetention time.Duration
 	// TombstoneLimit bounds how many dead daemons are remembered.
 	TombstoneLimit int
 }
@@ -99,7 +99,7 @@
 		IndirectProbes:     2,
 		PauseThreshold:     250 * time.Millisecond,
 		UpdatesPerMessage:  4,
-		Backlog:            16,
+		BacklogThreshold:   16,
 		BacklogUpdates:     8,
 		RetransmitFactor:   2,
 		PushFanout:         3,
@@ -114,9 +114,9 @@
 		SyncBurst:          96 << 10,
 		SyncRecords:        48,
 		VerifyPerSecond:    6,
-		HealTime:           600 * time.Millisecond,
-		HealPause:          time.Second,
-		TombstoneTime:      time.Hour,
+		HealDuration:       600 * time.Millisecond,
+		HealCooldown:       time.Second,
+		TombstoneRetention: time.Hour,
 		TombstoneLimit:     1024,
 	}
 }
@@ -135,8 +135,8 @@
 	s.AckTimeout = scale(s.AckTimeout, math.Sqrt(factor))
 	s.IndirectAfter = scale(s.IndirectAfter, math.Sqrt(factor))
 	s.ReconnectInterval = scale(s.ReconnectInterval, factor*factor)
-	s.HealTime = scale(s.HealTime, factor*factor)
-	s.HealPause = scale(s.HealPause, factor*factor)
+	s.HealDuration = scale(s.HealDuration, factor*factor)
+	s.HealCooldown = scale(s.HealCooldown, factor*factor)
 	s.SyncAfter = scale(s.SyncAfter, factor)
 	s.SyncInterval = scale(s.SyncInterval, factor)
 	return s
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -144,7 +144,7 @@
 	excess := len(dead) - m.settings.TombstoneLimit
 	for position, r := range dead {
 		_, listed := slices.BinarySearch(m.listed, r.address)
-		old := m.Clock.Now().Sub(r.diedAt) > m.settings.TombstoneTime
+		old := m.Clock.Now().Sub(r.diedAt) > m.settings.TombstoneRetention
 		if position < excess || (old && !listed) {
 			m.remove(r)
 		}
@@ -169,7 +169,7 @@
 	}
 	size := recordSize
 	switch {
-	case request.Living:
+	case request.LiveOnly:
 		updates = append(updates, m.livingRecords(request.Buckets)...)
 		size = updateSize
 	case request.joins():
@@ -180,8 +180,8 @@
 	}
 	granted := m.syncer.replies.Take(m.Clock.Now(), size*len(updates)) / size
 	m.Transport.Send(from, &SyncReply{
-		Updates: updates[:min(len(updates), max(granted, leastSyncRecords))],
-		Living:  request.Living,
+		Updates:  updates[:min(len(updates), max(granted, leastSyncRecords))],
+		LiveOnly: request.LiveOnly,
 	})
 }
 
@@ -225,7 +225,7 @@
 // dead statuses are taken over: it may have been cut off together with few others.
 // Where the tables disagree about a run, that run is asked.
 func (m *Membership) receiveSyncReply(reply *SyncReply) {
-	m.healer.answered = m.healer.answered || reply.Living
+	m.healer.answered = m.healer.answered || reply.LiveOnly
 	for _, update := range reply.Updates {
 		if update.Status.rank() < 0 || update.Address == "" {
 			continue
--- a/internal/replication/acknowledge.go
+++ b/internal/replication/acknowledge.go
@@ -39,9 +39,9 @@
 	if !waiting {
 		return
 	}
-	wait := at.Add(l.Settings.AcknowledgeWait).Sub(l.Clock.Now())
+	wait := at.Add(l.Settings.AcknowledgeTimeout).Sub(l.Clock.Now())
 	if wait <= 0 {
-		wait = l.Settings.AcknowledgeWait
+		wait = l.Settings.AcknowledgeTimeout
 	}
 	l.ackTimer = l.after(wait, func() {
 		l.ackTimer = nil
@@ -75,7 +75,7 @@
 		l.stepDown()
 		return
 	}
-	if age >= l.Settings.AcknowledgeWait && len(l.proposals) > 0 {
+	if age >= l.Settings.AcknowledgeTimeout && len(l.proposals) > 0 {
 		l.markLagging(l.proposals[0].index)
 	}
 	l.acknowledge()
--- a/internal/replication/archive_writer.go
+++ b/internal/replication/archive_writer.go
@@ -63,7 +63,7 @@
 // base begins a new chain with a snapshot.
 func (a *archiver) base() func() (archivePart, error) {
 	l := a.leading
-	encode, limit := l.machine.Freeze(), l.Settings.ArchiveLimit
+	encode, limit := l.machine.Freeze(), l.Settings.MaxArchivedSnapshotBytes
 	index := l.applied
 	epoch, _ := l.log.epochAt(index)
 	part := archivePart{chain: chainID{Epoch: l.epoch, Index: index}, archived: index}
--- a/internal/replication/benchmark_test.go
+++ b/internal/replication/benchmark_test.go
@@ -84,7 +84,7 @@
 	var bytes, micros float64
 	for range b.N {
 		f := newTestFleet(b, 1, 1)
-		f.settings.ReplaceAfter, f.settings.MoveInterval = time.Hour, time.Hour
+		f.settings.ReplaceAfter, f.settings.RebalanceInterval = time.Hour, time.Hour
 		f.start(1, "a")
 		f.start(2, "b")
 		f.start(3, "c")
--- a/internal/replication/claims.go
+++ b/internal/replication/claims.go
@@ -170,12 +170,12 @@
 // askPosition asks a member how far its log goes; the answer to a trial vote
 // tells.
 func (r *replica) askPosition(member structs.DaemonID) {
-	r.send(member, &Vote{
+	r.send(member, &VoteRequest{
 		Shard:     r.shard,
 		Epoch:     r.promise.epoch + 1,
 		Last:      r.log.last(),
 		LastEpoch: r.log.lastEpoch(),
-		Trial:     true,
+		PreVote:   true,
 	})
 }
 
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -33,7 +33,7 @@
 	}
 	delay := time.Duration(r.rank()) * r.Settings.ElectionStagger
 	if r.electionTries > 0 {
-		delay += min(r.Settings.ElectionRetry<<min(r.electionTries-1, 10), r.Settings.ElectionMaximum)
+		delay += min(r.Settings.ElectionRetry<<min(r.electionTries-1, 10), r.Settings.MaxElectionRetry)
 		delay += r.jitter(r.Settings.ElectionStagger)
 	}
 	r.electionTimer = r.after(delay+r.jitter(r.Settings.ElectionStagger/4), func() {
@@ -98,13 +98,13 @@
 		if member == r.Self.ID {
 			continue
 		}
-		r.send(member, &Vote{
-			Shard:     r.shard,
-			Epoch:     c.epoch,
-			Last:      r.log.last(),
-			LastEpoch: r.log.lastEpoch(),
-			Trial:     c.trial,
-			HandOver:  c.handOver,
+		r.send(member, &VoteRequest{
+			Shard:              r.shard,
+			Epoch:              c.epoch,
+			Last:               r.log.last(),
+			LastEpoch:          r.log.lastEpoch(),
+			PreVote:            c.trial,
+			LeadershipTransfer: c.handOver,
 		})
 	}
 	r.countVotes()
@@ -114,15 +114,15 @@
 
 // receiveVote grants a vote to a candidate whose log is at least as far as
 // this one's, once in an epoch, and not while a leader is believed to live.
-func (r *replica) receiveVote(from structs.DaemonID, m *Vote) {
-	answer := &Voted{Shard: r.shard, Trial: m.Trial, Last: r.log.last(), LastEpoch: r.log.lastEpoch()}
+func (r *replica) receiveVote(from structs.DaemonID, m *VoteRequest) {
+	answer := &VoteReply{Shard: r.shard, PreVote: m.PreVote, Last: r.log.last(), LastEpoch: r.log.lastEpoch()}
 	defer func() { r.send(from, answer) }()
-	served := !m.HandOver && !r.leaderless() && r.leader != from
+	served := !m.LeadershipTransfer && !r.leaderless() && r.leader != from
 	if m.Epoch < r.promise.epoch || (served && m.Epoch > r.promise.epoch) {
 		answer.Epoch = r.promise.epoch
 		return
 	}
-	if m.Trial {
+	if m.PreVote {
 		answer.Epoch = r.promise.epoch
 		if m.Epoch > r.promise.epoch && r.upToDate(m) {
 			answer.Epoch, answer.Granted = m.Epoch, true
@@ -144,12 +144,12 @@
 }
 
 // upToDate tells whether a candidate's log goes at least as far as this one.
-func (r *replica) upToDate(m *Vote) bool {
+func (r *replica) upToDate(m *VoteRequest) bool {
 	own := r.log.lastEpoch()
 	return m.LastEpoch > own || (m.LastEpoch == own && m.Last >= r.log.last())
 }
 
-func (r *replica) receiveVoted(from structs.DaemonID, m *Voted) {
+func (r *replica) receiveVoted(from structs.DaemonID, m *VoteReply) {
 	r.positions[from] = position{last: m.Last, epoch: m.LastEpoch, at: r.Clock.Now()}
 	if !r.lostAt.IsZero() {
 		r.considerClaim()
@@ -162,7 +162,7 @@
 		return
 	}
 	c := r.candidacy
-	if c == nil || m.Epoch != c.epoch || m.Trial != c.trial || c.granted.Contains(from) {
+	if c == nil || m.Epoch != c.epoch || m.PreVote != c.trial || c.granted.Contains(from) {
 		return
 	}
 	c.granted = c.granted.with(from)
@@ -188,7 +188,7 @@
 }
 
 // receiveTakeOver stands for election at the leader's wish.
-func (r *replica) receiveTakeOver(from structs.DaemonID, m *TakeOver) {
+func (r *replica) receiveTakeOver(from structs.DaemonID, m *LeadershipTransfer) {
 	if m.Epoch != r.promise.epoch || r.leader != from || !r.isMember() || r.isHandingOver() {
 		return
 	}
--- a/internal/replication/election_test.go
+++ b/internal/replication/election_test.go
@@ -10,8 +10,8 @@
 	d := f.start(1, "a")
 	group := Group{d.self.ID, "10.0.0.2:7000#9", "10.0.0.3:7000#9"}
 	r := d.manager.open(shard, promise{}, group)
-	r.receiveVote(group[1], &Vote{Epoch: 7})
-	r.receiveVote(group[2], &Vote{Epoch: 7})
+	r.receiveVote(group[1], &VoteRequest{Epoch: 7})
+	r.receiveVote(group[2], &VoteRequest{Epoch: 7})
 	if r.promise != (promise{epoch: 7, voted: group[1]}) {
 		t.Errorf("promise is %+v", r.promise)
 	}
@@ -29,13 +29,13 @@
 	r := d.manager.open(shard, promise{epoch: 3}, group)
 	r.log.append(Entry{Index: 1, Epoch: 2})
 	r.log.append(Entry{Index: 2, Epoch: 3})
-	for _, vote := range []Vote{{Epoch: 5, Last: 1, LastEpoch: 3}, {Epoch: 6, Last: 9, LastEpoch: 2}} {
+	for _, vote := range []VoteRequest{{Epoch: 5, Last: 1, LastEpoch: 3}, {Epoch: 6, Last: 9, LastEpoch: 2}} {
 		r.receiveVote(group[1], &vote)
 		if r.promise.voted != "" {
 			t.Errorf("voted for a log at %d of epoch %d", vote.Last, vote.LastEpoch)
 		}
 	}
-	r.receiveVote(group[1], &Vote{Epoch: 7, Last: 2, LastEpoch: 3})
+	r.receiveVote(group[1], &VoteRequest{Epoch: 7, Last: 2, LastEpoch: 3})
 	if r.promise.voted != group[1] {
 		t.Error("no vote for an equal log")
 	}
@@ -67,11 +67,11 @@
 	r.log.append(Entry{Index: 1, Epoch: 1, Group: group})
 	r.log.append(Entry{Index: 2, Epoch: 2})
 	r.lead(4, nil)
-	r.receiveAppended(group[1], &Appended{Epoch: 4, Match: 2})
+	r.receiveAppended(group[1], &AppendReply{Epoch: 4, Match: 2})
 	if r.commit != 0 || r.leading.ready {
 		t.Errorf("committed up to %d, ready %v", r.commit, r.leading.ready)
 	}
-	r.receiveAppended(group[1], &Appended{Epoch: 4, Match: 3})
+	r.receiveAppended(group[1], &AppendReply{Epoch: 4, Match: 3})
 	if r.commit != 3 || !r.leading.ready {
 		t.Errorf("committed up to %d, ready %v", r.commit, r.leading.ready)
 	}
--- a/internal/replication/extra_routes_test.go
+++ b/internal/replication/extra_routes_test.go
@@ -49,7 +49,7 @@
 }
 
 // stayInPlace keeps leaders from moving replicas to a fresh daemon for the next
-// Settings.MoveInterval: one that is to know nothing must not be made a member.
+// Settings.RebalanceInterval: one that is to know nothing must not be made a member.
 func stayInPlace(f *testFleet, daemons []*testDaemon) {
 	for _, d := range daemons {
 		d.manager.movedAt = f.clock.Now()
--- a/internal/replication/fuzz_test.go
+++ b/internal/replication/fuzz_test.go
@@ -14,13 +14,13 @@
 func FuzzReceive(f *testing.F) {
 	const stranger = structs.DaemonID("10.0.0.9:7000#1")
 	for _, message := range []peer.Message{
-		&Append{Epoch: 2, Previous: 1, PreviousEpoch: 1, Entries: []Entry{{Index: 2, Epoch: 2}}},
-		&Appended{Epoch: 1, Match: 9, Refused: true, Hint: 3},
-		&Vote{Epoch: 9, Last: 9, LastEpoch: 9},
-		&Voted{Epoch: 2, Granted: true},
-		&TakeOver{Epoch: 1},
-		&Chunk{Epoch: 3, Index: 5, IndexEpoch: 3, Group: Group{stranger}, Total: 3, Data: []byte("abc")},
-		&ChunkTaken{Epoch: 1, Next: -1},
+		&AppendRequest{Epoch: 2, Previous: 1, PreviousEpoch: 1, Entries: []Entry{{Index: 2, Epoch: 2}}},
+		&AppendReply{Epoch: 1, Match: 9, Refused: true, Hint: 3},
+		&VoteRequest{Epoch: 9, Last: 9, LastEpoch: 9},
+		&VoteReply{Epoch: 2, Granted: true},
+		&LeadershipTransfer{Epoch: 1},
+		&SnapshotChunk{Epoch: 3, Index: 5, IndexEpoch: 3, Group: Group{stranger}, Total: 3, Data: []byte("abc")},
+		&SnapshotChunkReply{Epoch: 1, Next: -1},
 		&Dismiss{Epoch: 1 << 33},
 		&RouteRequest{Shards: []structs.ShardNumber{0, 99}},
 		&RouteReply{Routes: []ShardRoute{{Shard: 0, Epoch: 5, Leader: stranger}}},
--- a/internal/replication/genesis.go
+++ b/internal/replication/genesis.go
@@ -108,7 +108,7 @@
 	}
 	if g.genesisAt.IsZero() {
 		rank := max(indexOf(daemons, m.Self.ID), 0)
-		g.genesisAt = now.Add(time.Duration(rank) * m.Settings.GenesisPause)
+		g.genesisAt = now.Add(time.Duration(rank) * m.Settings.GenesisStagger)
 	}
 	if now.Before(g.genesisAt) {
 		return nil, false
--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -52,7 +52,7 @@
 		return
 	}
 	h.asked = true
-	l.replica.send(h.to, &TakeOver{Shard: l.shard, Epoch: l.epoch})
+	l.replica.send(h.to, &LeadershipTransfer{Shard: l.shard, Epoch: l.epoch})
 }
 
 // resume goes on leading after a handover that failed.
--- a/internal/replication/leading.go
+++ b/internal/replication/leading.go
@@ -216,7 +216,7 @@
 }
 
 // receiveAppended takes up a member's answer.
-func (r *replica) receiveAppended(from structs.DaemonID, m *Appended) {
+func (r *replica) receiveAppended(from structs.DaemonID, m *AppendReply) {
 	l := r.leading
 	if m.Epoch > r.promise.epoch {
 		if l != nil && r.Guards.AcceptStaleEpoch {
--- a/internal/replication/manager.go
+++ b/internal/replication/manager.go
@@ -150,19 +150,19 @@
 // shardOf returns the shard that a message of a group is about.
 func shardOf(message peer.Message) (structs.ShardNumber, bool) {
 	switch m := message.(type) {
-	case *Append:
+	case *AppendRequest:
 		return m.Shard, true
-	case *Appended:
+	case *AppendReply:
 		return m.Shard, true
-	case *Vote:
+	case *VoteRequest:
 		return m.Shard, true
-	case *Voted:
+	case *VoteReply:
 		return m.Shard, true
-	case *TakeOver:
+	case *LeadershipTransfer:
 		return m.Shard, true
-	case *Chunk:
+	case *SnapshotChunk:
 		return m.Shard, true
-	case *ChunkTaken:
+	case *SnapshotChunkReply:
 		return m.Shard, true
 	case *Dismiss:
 		return m.Shard, true
@@ -175,9 +175,9 @@
 func (m *Manager) replicaFor(from structs.DaemonID, shard structs.ShardNumber, message peer.Message) *replica {
 	var epoch structs.Epoch
 	switch body := message.(type) {
-	case *Append:
+	case *AppendRequest:
 		epoch = body.Epoch
-	case *Chunk:
+	case *SnapshotChunk:
 		epoch = body.Epoch
 	default:
 		return nil
@@ -189,7 +189,7 @@
 		former = promise{epoch: known}
 	}
 	if epoch < former.epoch {
-		m.Transport.Send(from, &Appended{Shard: shard, Epoch: former.epoch, Refused: true})
+		m.Transport.Send(from, &AppendReply{Shard: shard, Epoch: former.epoch, Refused: true})
 		return nil
 	}
 	return m.open(shard, former, nil)
--- a/internal/replication/manager_test.go
+++ b/internal/replication/manager_test.go
@@ -150,7 +150,7 @@
 
 func TestGenesisRaceWithLostAnswers(t *testing.T) {
 	f := newTestFleet(t, 12, 4)
-	f.settings.GenesisPause = time.Millisecond
+	f.settings.GenesisStagger = time.Millisecond
 	f.log.loseAnswers = 0.7
 	f.start(1, "a")
 	f.start(2, "b")
@@ -181,7 +181,7 @@
 
 func TestOutsiderFindsAMovedShard(t *testing.T) {
 	f, _ := startThree(t, 14, 3)
-	f.settings.MoveInterval = time.Hour
+	f.settings.RebalanceInterval = time.Hour
 	outsider := f.start(4, "a")
 	f.run(100 * time.Millisecond)
 	outsider.manager.Route(shard)
--- a/internal/replication/messages.go
+++ b/internal/replication/messages.go
@@ -24,9 +24,9 @@
 	return fixed + len(e.Records) + len(e.Group)*fixed
 }
 
-// Append carries entries from a leader to a member. Without entries it asks
+// AppendRequest carries entries from a leader to a member. Without entries it asks
 // whether the member still follows.
-type Append struct {
+type AppendRequest struct {
 	Shard structs.ShardNumber `json:"s"`
 	Epoch structs.Epoch       `json:"e"`
 	// Previous and PreviousEpoch name the entry before the first.
@@ -39,11 +39,11 @@
 }
 
 // MessageKind implements peer.Message.
-func (*Append) MessageKind() peer.Kind { return "replication.append" }
+func (*AppendRequest) MessageKind() peer.Kind { return "replication.append" }
 
 // wellFormed tells whether the entries follow Previous and each other, in
 // epochs that never fall.
-func (m *Append) wellFormed() bool {
+func (m *AppendRequest) wellFormed() bool {
 	index, epoch := m.Previous, m.PreviousEpoch
 	for _, entry := range m.Entries {
 		index++
@@ -55,8 +55,8 @@
 	return true
 }
 
-// Appended answers Append.
-type Appended struct {
+// AppendReply answers AppendRequest.
+type AppendReply struct {
 	Shard structs.ShardNumber `json:"s"`
 	// Epoch is the member's; a higher one ends the leadership.
 	Epoch structs.Epoch `json:"e"`
@@ -73,29 +73,29 @@
 }
 
 // MessageKind implements peer.Message.
-func (*Appended) MessageKind() peer.Kind { return "replication.appended" }
+func (*AppendReply) MessageKind() peer.Kind { return "replication.appended" }
 
-// Vote asks a member for its vote.
-type Vote struct {
+// VoteRequest asks a member for its vote.
+type VoteRequest struct {
 	Shard     structs.ShardNumber `json:"s"`
 	Epoch     structs.Epoch       `json:"e"`
 	Last      structs.Index       `json:"i"`
 	LastEpoch structs.Epoch       `json:"le"`
-	// Trial asks whether the member would vote so, and binds nobody.
-	Trial bool `json:"t,omitempty"`
+	// PreVote asks whether the member would vote so, and binds nobody.
+	PreVote bool `json:"t,omitempty"`
 	// HandOver says that the former leader asked for this candidacy.
-	HandOver bool `json:"h,omitempty"`
+	LeadershipTransfer bool `json:"h,omitempty"`
 }
 
 // MessageKind implements peer.Message.
-func (*Vote) MessageKind() peer.Kind { return "replication.vote" }
+func (*VoteRequest) MessageKind() peer.Kind { return "replication.vote" }
 
-// Voted answers Vote. Epoch is that of the vote when it was granted, and the
+// VoteReply answers VoteRequest. Epoch is that of the vote when it was granted, and the
 // member's own otherwise.
-type Voted struct {
+type VoteReply struct {
 	Shard   structs.ShardNumber `json:"s"`
 	Epoch   structs.Epoch       `json:"e"`
-	Trial   bool                `json:"t,omitempty"`
+	PreVote bool                `json:"t,omitempty"`
 	Granted bool                `json:"g,omitempty"`
 	// Last and LastEpoch tell how far the member's log goes.
 	Last      structs.Index `json:"i,omitempty"`
@@ -103,19 +103,19 @@
 }
 
 // MessageKind implements peer.Message.
-func (*Voted) MessageKind() peer.Kind { return "replication.voted" }
+func (*VoteReply) MessageKind() peer.Kind { return "replication.voted" }
 
-// TakeOver asks a member that holds the whole log to stand for election now.
-type TakeOver struct {
+// LeadershipTransfer asks a member that holds the whole log to stand for election now.
+type LeadershipTransfer struct {
 	Shard structs.ShardNumber `json:"s"`
 	Epoch structs.Epoch       `json:"e"`
 }
 
 // MessageKind implements peer.Message.
-func (*TakeOver) MessageKind() peer.Kind { return "replication.take_over" }
+func (*LeadershipTransfer) MessageKind() peer.Kind { return "replication.take_over" }
 
-// Chunk is a piece of a compressed snapshot.
-type Chunk struct {
+// SnapshotChunk is a piece of a compressed snapshot.
+type SnapshotChunk struct {
 	Shard structs.ShardNumber `json:"s"`
 	Epoch structs.Epoch       `json:"e"`
 	// Index and IndexEpoch name the last entry that the snapshot holds.
@@ -125,21 +125,21 @@
 	Offset     int           `json:"o"`
 	Total      int           `json:"t"`
 	Data       []byte        `json:"d"`
-	// Round is the leader's, as in Append.
+	// Round is the leader's, as in AppendRequest.
 	Round uint64 `json:"r,omitempty"`
 }
 
 // MessageKind implements peer.Message.
-func (*Chunk) MessageKind() peer.Kind { return "replication.chunk" }
+func (*SnapshotChunk) MessageKind() peer.Kind { return "replication.chunk" }
 
 // wellFormed tells whether the piece lies inside a snapshot of bearable size.
-func (m *Chunk) wellFormed() bool {
+func (m *SnapshotChunk) wellFormed() bool {
 	return m.Offset >= 0 && m.Total > 0 && m.Total <= snapshotLimit &&
 		m.Offset+len(m.Data) <= m.Total && len(m.Group) > 0 && m.IndexEpoch <= m.Epoch
 }
 
-// ChunkTaken answers Chunk with the offset wanted next.
-type ChunkTaken struct {
+// SnapshotChunkReply answers SnapshotChunk with the offset wanted next.
+type SnapshotChunkReply struct {
 	Shard structs.ShardNumber `json:"s"`
 	Epoch structs.Epoch       `json:"e"`
 	Index structs.Index       `json:"i"`
@@ -148,7 +148,7 @@
 }
 
 // MessageKind implements peer.Message.
-func (*ChunkTaken) MessageKind() peer.Kind { return "replication.chunk_taken" }
+func (*SnapshotChunkReply) MessageKind() peer.Kind { return "replication.chunk_taken" }
 
 // Dismiss tells a daemon that it is no longer a member of a shard's group.
 type Dismiss struct {
@@ -208,13 +208,13 @@
 func (*RouteReply) MessageKind() peer.Kind { return "replication.is" }
 
 func init() {
-	peer.Register(peer.ClassData, &Append{})
-	peer.Register(peer.ClassData, &Appended{})
-	peer.Register(peer.ClassData, &Chunk{})
-	peer.Register(peer.ClassData, &ChunkTaken{})
-	peer.Register(peer.ClassControl, &Vote{})
-	peer.Register(peer.ClassControl, &Voted{})
-	peer.Register(peer.ClassControl, &TakeOver{})
+	peer.Register(peer.ClassData, &AppendRequest{})
+	peer.Register(peer.ClassData, &AppendReply{})
+	peer.Register(peer.ClassData, &SnapshotChunk{})
+	peer.Register(peer.ClassData, &SnapshotChunkReply{})
+	peer.Register(peer.ClassControl, &VoteRequest{})
+	peer.Register(peer.ClassControl, &VoteReply{})
+	peer.Register(peer.ClassControl, &LeadershipTransfer{})
 	peer.Register(peer.ClassControl, &Dismiss{})
 	peer.Register(peer.ClassControl, &Audit{})
 	peer.Register(peer.ClassControl, &RouteRequest{})
--- a/internal/replication/planned_stop.go
+++ b/internal/replication/planned_stop.go
@@ -22,7 +22,7 @@
 
 // HandOver prepares a planned stop: every shard led here is passed to a member
 // that holds its whole log, and where other daemons can take this one's place
-// it waits for them, up to Settings.HandOverWait. Past that it goes on waiting
+// it waits for them, up to Settings.HandOverTimeout. Past that it goes on waiting
 // for shards whose groups would lose their majority, and perhaps their last
 // copy, with it, also while it reaches nobody who could help; the caller bounds
 // that. done is called once.
@@ -82,7 +82,7 @@
 // handedOver tells whether nothing is left that the fleet could take over.
 func (m *Manager) handedOver() bool {
 	m.mutex.Lock()
-	late := m.Clock.Now().Sub(m.handOver.since) >= m.Settings.HandOverWait
+	late := m.Clock.Now().Sub(m.handOver.since) >= m.Settings.HandOverTimeout
 	leads := m.routes.leads(m.Self.ID)
 	holds := len(m.replicas) > 0
 	needed := m.neededShards()
@@ -141,8 +141,8 @@
 		Msg("Planned stop waits. Shards would lose their majority without this daemon.")
 }
 
-// Needed counts the shards that keep a planned stop waiting.
-func (m *Manager) Needed() int {
+// ShardsNeedingThisDaemon counts the shards that keep a planned stop waiting.
+func (m *Manager) ShardsNeedingThisDaemon() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.neededShards()
--- a/internal/replication/pressure.go
+++ b/internal/replication/pressure.go
@@ -9,10 +9,10 @@
 const (
 	// PressureNone: everything is taken on.
 	PressureNone Pressure = iota
-	// PressureNew: no new programs are taken on.
-	PressureNew
-	// PressureAll: no calls are taken on, not of programs under way either.
-	PressureAll
+	// PressureRefuseNew: no new programs are taken on.
+	PressureRefuseNew
+	// PressureRefuseAll: no calls are taken on, not of programs under way either.
+	PressureRefuseAll
 )
 
 // pressureMemory is how long a member's word about its memory counts. A shard
--- a/internal/replication/pressure_test.go
+++ b/internal/replication/pressure_test.go
@@ -22,20 +22,20 @@
 	}
 	for _, d := range daemons {
 		if d != f.leaderOf(shard) {
-			d.pressure = PressureAll
+			d.pressure = PressureRefuseAll
 			break
 		}
 	}
 	f.mustRecord(shard, "two")
-	if got := f.pressureAtLeader(); got != PressureAll {
-		t.Errorf("pressure %d after a full member's answer, want %d", got, PressureAll)
+	if got := f.pressureAtLeader(); got != PressureRefuseAll {
+		t.Errorf("pressure %d after a full member's answer, want %d", got, PressureRefuseAll)
 	}
 	f.run(pressureMemory + time.Second)
 	if got := f.pressureAtLeader(); got != PressureNone {
 		t.Errorf("pressure %d after a long silence, want %d: nothing would be asked again", got, PressureNone)
 	}
-	f.leaderOf(shard).pressure = PressureNew
-	if got := f.pressureAtLeader(); got != PressureNew {
-		t.Errorf("pressure %d at a full leader, want %d", got, PressureNew)
+	f.leaderOf(shard).pressure = PressureRefuseNew
+	if got := f.pressureAtLeader(); got != PressureRefuseNew {
+		t.Errorf("pressure %d at a full leader, want %d", got, PressureRefuseNew)
 	}
 }
--- a/internal/replication/progress.go
+++ b/internal/replication/progress.go
@@ -103,14 +103,14 @@
 	if p.probing {
 		return 1
 	}
-	return p.leading.Settings.WindowMessages
+	return p.leading.Settings.MaxInFlightMessages
 }
 
 func (p *progress) sendAppend() {
 	l := p.leading
 	entries := l.log.from(p.next, l.Settings.AppendBytes)
 	previousEpoch, _ := l.log.epochAt(p.next - 1)
-	l.replica.send(p.member, &Append{
+	l.replica.send(p.member, &AppendRequest{
 		Shard:         l.shard,
 		Epoch:         l.epoch,
 		Previous:      p.next - 1,
@@ -138,7 +138,7 @@
 		if p.stopped {
 			return
 		}
-		p.pause = min(2*p.pause, l.Settings.RetryMaximum)
+		p.pause = min(2*p.pause, l.Settings.MaxRetryInterval)
 		if p.transfer != nil {
 			p.transfer.repeat()
 			p.schedule()
@@ -163,7 +163,7 @@
 // heard notes a sign of life: the next silence is measured anew.
 func (p *progress) heard() {
 	p.heardAt = p.leading.Clock.Now()
-	p.pause = min(max(p.leading.Settings.RetryInterval, 2*p.roundTrip), p.leading.Settings.RetryMaximum)
+	p.pause = min(max(p.leading.Settings.RetryInterval, 2*p.roundTrip), p.leading.Settings.MaxRetryInterval)
 	if p.timer != nil {
 		p.timer.Stop()
 		p.timer = nil
@@ -171,7 +171,7 @@
 }
 
 // answered takes up the answer to an append.
-func (p *progress) answered(m *Appended) {
+func (p *progress) answered(m *AppendReply) {
 	if m.Round < p.since {
 		return
 	}
--- a/internal/replication/random_test.go
+++ b/internal/replication/random_test.go
@@ -33,11 +33,11 @@
 	f.double = 0.2 * s.chance.Float64()
 	f.spread = time.Duration(s.chance.IntN(80)) * time.Millisecond
 	f.settings.LogBytes = 2000
-	f.settings.ChunkBytes = 256
+	f.settings.SnapshotChunkBytes = 256
 	f.settings.ReplaceAfter = 2 * time.Second
 	if s.chance.IntN(2) == 0 {
 		// Acknowledge with a bare majority, one entry in a message.
-		f.settings.AcknowledgeWait = time.Millisecond
+		f.settings.AcknowledgeTimeout = time.Millisecond
 		f.settings.AppendBytes = 1
 	}
 	if s.chance.IntN(2) == 0 {
--- a/internal/replication/rates.go
+++ b/internal/replication/rates.go
@@ -48,7 +48,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := m.Clock.Now()
-	interval := m.Settings.MoveInterval * manyLed / time.Duration(max(manyLed, m.routes.led()))
+	interval := m.Settings.RebalanceInterval * manyLed / time.Duration(max(manyLed, m.routes.led()))
 	if !m.movedAt.IsZero() && now.Sub(m.movedAt) < interval {
 		return false
 	}
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -115,19 +115,19 @@
 // receive handles one message of the shard.
 func (r *replica) receive(from structs.DaemonID, message peer.Message) {
 	switch m := message.(type) {
-	case *Append:
+	case *AppendRequest:
 		r.receiveAppend(from, m)
-	case *Appended:
+	case *AppendReply:
 		r.receiveAppended(from, m)
-	case *Vote:
+	case *VoteRequest:
 		r.receiveVote(from, m)
-	case *Voted:
+	case *VoteReply:
 		r.receiveVoted(from, m)
-	case *TakeOver:
+	case *LeadershipTransfer:
 		r.receiveTakeOver(from, m)
-	case *Chunk:
+	case *SnapshotChunk:
 		r.receiveChunk(from, m)
-	case *ChunkTaken:
+	case *SnapshotChunkReply:
 		r.receiveChunkTaken(from, m)
 	case *Dismiss:
 		r.receiveDismiss(from, m)
@@ -149,7 +149,7 @@
 
 // receiveAppend checks that the log agrees with the leader's up to the first
 // new entry, and takes the entries over.
-func (r *replica) receiveAppend(from structs.DaemonID, m *Append) {
+func (r *replica) receiveAppend(from structs.DaemonID, m *AppendRequest) {
 	if m.Epoch < r.promise.epoch || (m.Epoch == r.promise.epoch && r.leading != nil) {
 		r.refuse(from, m, 0)
 		return
@@ -177,12 +177,12 @@
 	}
 	match := m.Previous + structs.Index(len(m.Entries))
 	r.advance(min(m.Commit, match))
-	r.send(from, &Appended{Shard: r.shard, Epoch: m.Epoch, Match: match, Round: m.Round, Pressure: r.Application.Pressure()})
+	r.send(from, &AppendReply{Shard: r.shard, Epoch: m.Epoch, Match: match, Round: m.Round, Pressure: r.Application.Pressure()})
 	r.considerElection()
 }
 
-func (r *replica) refuse(to structs.DaemonID, m *Append, hint structs.Index) {
-	r.send(to, &Appended{Shard: r.shard, Epoch: r.promise.epoch, Refused: true, Hint: hint, Round: m.Round, Leader: r.leader})
+func (r *replica) refuse(to structs.DaemonID, m *AppendRequest, hint structs.Index) {
+	r.send(to, &AppendReply{Shard: r.shard, Epoch: r.promise.epoch, Refused: true, Hint: hint, Round: m.Round, Leader: r.leader})
 }
 
 // firstOfEpoch goes back over the entries of one epoch, so that a leader finds
--- a/internal/replication/route_lookup.go
+++ b/internal/replication/route_lookup.go
@@ -38,7 +38,7 @@
 	firstAskCount = 2
 	// askGather is how long requests wait for others to be batched with.
 	askGather = 5 * time.Millisecond
-	// askDoublings bounds the pauses: AskInterval times a power of two.
+	// askDoublings bounds the pauses: RouteRequestInterval times a power of two.
 	askDoublings = 2
 	// askRate and askBurst bound each allowance, in bytes a second and bytes.
 	askRate  = 500
@@ -71,7 +71,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	entry := m.routes.entry(shard)
-	pause := m.Settings.AskInterval << min(max(entry.asked-1, 0), askDoublings)
+	pause := m.Settings.RouteRequestInterval << min(max(entry.asked-1, 0), askDoublings)
 	if !entry.askedAt.IsZero() && now.Sub(entry.askedAt) < pause {
 		return
 	}
--- a/internal/replication/settings.go
+++ b/internal/replication/settings.go
@@ -12,24 +12,24 @@
 	// are written to the platform's log; after GenesisWait fewer will do.
 	MinimumDaemons int
 	GenesisWait    time.Duration
-	// GenesisPause separates the tries of several daemons, by rank.
-	GenesisPause time.Duration
+	// GenesisStagger separates the tries of several daemons, by rank.
+	GenesisStagger time.Duration
 	// LogInterval is the pause between readings of the groups' stream.
 	LogInterval time.Duration
 	// ElectionStagger separates the candidacies of a group's members, by rank.
 	ElectionStagger time.Duration
 	// ElectionRetry is the first pause after a candidacy that failed; it
-	// doubles up to ElectionMaximum.
-	ElectionRetry   time.Duration
-	ElectionMaximum time.Duration
+	// doubles up to MaxElectionRetry.
+	ElectionRetry    time.Duration
+	MaxElectionRetry time.Duration
 	// RetryInterval is how long an append waits for its answer before it is
 	// sent again, or twice the round trip if that is longer; it doubles up to
-	// RetryMaximum.
-	RetryInterval time.Duration
-	RetryMaximum  time.Duration
-	// AcknowledgeWait is how long an acknowledgement waits for live members
+	// MaxRetryInterval.
+	RetryInterval    time.Duration
+	MaxRetryInterval time.Duration
+	// AcknowledgeTimeout is how long an acknowledgement waits for live members
 	// beyond the majority.
-	AcknowledgeWait time.Duration
+	AcknowledgeTimeout time.Duration
 	// StepDownAfter is how long a leader goes on without a majority.
 	StepDownAfter time.Duration
 	// NoMajorityAfter is how long a group is without a majority before calls
@@ -43,75 +43,75 @@
 	ChangeTimeout time.Duration
 	// MaximumChanges bounds the changes under way that one daemon leads.
 	MaximumChanges int
-	// MoveInterval is the pause between moves that only spread the load.
-	MoveInterval time.Duration
+	// RebalanceInterval is the pause between moves that only spread the load.
+	RebalanceInterval time.Duration
 	// AuditInterval is the pause between a daemon's questions whether its
 	// replicas still agree with their groups.
 	AuditInterval time.Duration
-	// AskInterval bounds how often the holders of a shard are asked for its leader.
-	AskInterval time.Duration
+	// RouteRequestInterval bounds how often the holders of a shard are asked for its leader.
+	RouteRequestInterval time.Duration
 	// ClaimGrace is how long the machine list must not have listed the lost
 	// members before a survivor claims the shard.
 	ClaimGrace time.Duration
-	// HandOverWait bounds a planned stop's wait for its replacement where the
+	// HandOverTimeout bounds a planned stop's wait for its replacement where the
 	// groups keep their majority without it.
-	HandOverWait time.Duration
-	// AppendBytes bounds the entries of one message, and WindowMessages the
+	HandOverTimeout time.Duration
+	// AppendBytes bounds the entries of one message, and MaxInFlightMessages the
 	// messages to one member that wait for their answer.
-	AppendBytes    int
-	WindowMessages int
+	AppendBytes         int
+	MaxInFlightMessages int
 	// LogBytes is how much of the applied log a replica keeps for members
 	// that lag behind.
 	LogBytes int
-	// ChunkBytes bounds a piece of a snapshot, and MaximumTransfers the
+	// SnapshotChunkBytes bounds a piece of a snapshot, and MaximumTransfers the
 	// snapshots that one daemon sends at a time.
-	ChunkBytes       int
-	MaximumTransfers int
+	SnapshotChunkBytes int
+	MaximumTransfers   int
 	// ArchivedShards is how many shards, from 0 on, have an archive in the
 	// platform's log; 0 keeps none.
 	ArchivedShards int
 	// ArchiveInterval is the pause between looks for what is not archived yet,
 	// ArchiveRate the bytes a second that one daemon writes at most, and
-	// ArchiveLimit the largest snapshot, in bytes, that is archived.
-	ArchiveInterval time.Duration
-	ArchiveRate     int
-	ArchiveLimit    int
+	// MaxArchivedSnapshotBytes the largest snapshot, in bytes, that is archived.
+	ArchiveInterval          time.Duration
+	ArchiveRate              int
+	MaxArchivedSnapshotBytes int
 }
 
 // DefaultSettings returns settings for the sizes of the brief.
 func DefaultSettings() Settings {
 	return Settings{
-		Shards:           64,
-		GroupSize:        3,
-		MinimumDaemons:   3,
-		GenesisWait:      5 * time.Second,
-		GenesisPause:     500 * time.Millisecond,
-		LogInterval:      2 * time.Second,
-		ElectionStagger:  150 * time.Millisecond,
-		ElectionRetry:    200 * time.Millisecond,
-		ElectionMaximum:  3 * time.Second,
-		RetryInterval:    100 * time.Millisecond,
-		RetryMaximum:     2 * time.Second,
-		AcknowledgeWait:  500 * time.Millisecond,
-		StepDownAfter:    4 * time.Second,
-		NoMajorityAfter:  2 * time.Second,
-		PlanInterval:     500 * time.Millisecond,
-		ReplaceAfter:     5 * time.Second,
-		ChangeTimeout:    30 * time.Second,
-		MaximumChanges:   8,
-		MoveInterval:     5 * time.Second,
-		AuditInterval:    3 * time.Second,
-		AskInterval:      200 * time.Millisecond,
-		ClaimGrace:       5 * time.Second,
-		HandOverWait:     8 * time.Second,
-		AppendBytes:      256 << 10,
-		WindowMessages:   32,
-		LogBytes:         256 << 10,
-		ChunkBytes:       128 << 10,
-		MaximumTransfers: 4,
-		ArchiveInterval:  5 * time.Second,
-		ArchiveRate:      128 << 10,
-		ArchiveLimit:     64 << 20,
+		Shards:                   64,
+		GroupSize:                3,
+		MinimumDaemons:           3,
+		GenesisWait:              5 * time.Second,
+		GenesisStagger:           500 * time.Millisecond,
+		LogInterval:              2 * time.Second,
+		ElectionStagger:          150 * time.Millisecond,
+		ElectionRetry:            200 * time.Millisecond,
+		MaxElectionRetry:         3 * time.Second,
+		RetryInterval:            100 * time.Millisecond,
+		MaxRetryInterval:         2 * time.Second,
+		AcknowledgeTimeout:       500 * time.Millisecond,
+		StepDownAfter:            4 * time.Second,
+		NoMajorityAfter:          2 * time.Second,
+		PlanInterval:             500 * time.Millisecond,
+		ReplaceAfter:             5 * time.Second,
+		ChangeTimeout:            30 * time.Second,
+		MaximumChanges:           8,
+		RebalanceInterval:        5 * time.Second,
+		AuditInterval:            3 * time.Second,
+		RouteRequestInterval:     200 * time.Millisecond,
+		ClaimGrace:               5 * time.Second,
+		HandOverTimeout:          8 * time.Second,
+		AppendBytes:              256 << 10,
+		MaxInFlightMessages:      32,
+		LogBytes:                 256 << 10,
+		SnapshotChunkBytes:       128 << 10,
+		MaximumTransfers:         4,
+		ArchiveInterval:          5 * time.Second,
+		ArchiveRate:              128 << 10,
+		MaxArchivedSnapshotBytes: 64 << 20,
 	}
 }
 
--- a/internal/replication/stay_test.go
+++ b/internal/replication/stay_test.go
@@ -48,7 +48,7 @@
 		t.Fatalf("the dismissed member holds %v", got)
 	}
 	r.leading.flush()
-	late := &Appended{Shard: shard, Epoch: r.leading.epoch, Match: last, Round: round}
+	late := &AppendReply{Shard: shard, Epoch: r.leading.epoch, Match: last, Round: round}
 	r.receiveAppended(member.self.ID, late)
 	if p := r.leading.progress[member.self.ID]; p.match != 0 {
 		t.Errorf("a late answer counts as %d entries held", p.match)
@@ -68,7 +68,7 @@
 	r.leading.flush()
 	p := r.leading.progress[member.self.ID]
 	p.startTransfer()
-	late := &ChunkTaken{Shard: shard, Epoch: r.leading.epoch, Index: p.transfer.index, Next: len(p.transfer.data), Round: round}
+	late := &SnapshotChunkReply{Shard: shard, Epoch: r.leading.epoch, Index: p.transfer.index, Next: len(p.transfer.data), Round: round}
 	r.receiveChunkTaken(member.self.ID, late)
 	if p.match != 0 {
 		t.Errorf("a late answer counts as %d entries held", p.match)
--- a/internal/replication/supersede_test.go
+++ b/internal/replication/supersede_test.go
@@ -54,7 +54,7 @@
 		if how == "stream" {
 			member.manager.claimLost(claim{Shard: shard, Generation: 1, Claimant: claimant.self.ID})
 		} else {
-			r.receiveAppend(claimant.self.ID, &Append{Shard: shard, Epoch: firstEpoch(1)})
+			r.receiveAppend(claimant.self.ID, &AppendRequest{Shard: shard, Epoch: firstEpoch(1)})
 		}
 		if r.log.last() != 0 || r.claimUnread {
 			t.Errorf("%s: the log of the lost group is still there", how)
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -93,8 +93,8 @@
 // repeat sends the piece that the member wants next.
 func (t *outgoingSnapshot) repeat() {
 	l := t.progress.leading
-	end := min(t.offset+l.Settings.ChunkBytes, len(t.data))
-	l.replica.send(t.progress.member, &Chunk{
+	end := min(t.offset+l.Settings.SnapshotChunkBytes, len(t.data))
+	l.replica.send(t.progress.member, &SnapshotChunk{
 		Shard:      l.shard,
 		Epoch:      l.epoch,
 		Index:      t.index,
@@ -120,7 +120,7 @@
 }
 
 // receiveChunkTaken sends the next piece.
-func (r *replica) receiveChunkTaken(from structs.DaemonID, m *ChunkTaken) {
+func (r *replica) receiveChunkTaken(from structs.DaemonID, m *SnapshotChunkReply) {
 	if m.Epoch > r.promise.epoch {
 		r.observe(m.Epoch)
 		r.considerElection()
@@ -159,13 +159,13 @@
 }
 
 // receiveChunk takes a piece, and the state once all are there.
-func (r *replica) receiveChunk(from structs.DaemonID, m *Chunk) {
+func (r *replica) receiveChunk(from structs.DaemonID, m *SnapshotChunk) {
 	if !m.wellFormed() {
 		r.logger.Warn().Str("from", string(from)).Msg("Piece of a snapshot refused.")
 		return
 	}
 	if m.Epoch < r.promise.epoch || (m.Epoch == r.promise.epoch && r.leading != nil) {
-		r.send(from, &ChunkTaken{Shard: r.shard, Epoch: r.promise.epoch, Index: m.Index})
+		r.send(from, &SnapshotChunkReply{Shard: r.shard, Epoch: r.promise.epoch, Index: m.Index})
 		return
 	}
 	r.observe(m.Epoch)
@@ -174,7 +174,7 @@
 	r.hear(m.Epoch, m.Round)
 	if m.Index <= r.commit {
 		r.incoming = nil
-		r.send(from, &ChunkTaken{Shard: r.shard, Epoch: m.Epoch, Index: m.Index, Next: m.Total, Round: m.Round})
+		r.send(from, &SnapshotChunkReply{Shard: r.shard, Epoch: m.Epoch, Index: m.Index, Next: m.Total, Round: m.Round})
 		return
 	}
 	in := r.incoming
@@ -188,12 +188,12 @@
 	if len(in.data) == m.Total && !r.install(m, in.data) {
 		in.data = nil
 	}
-	r.send(from, &ChunkTaken{Shard: r.shard, Epoch: m.Epoch, Index: m.Index, Next: len(in.data), Round: m.Round})
+	r.send(from, &SnapshotChunkReply{Shard: r.shard, Epoch: m.Epoch, Index: m.Index, Next: len(in.data), Round: m.Round})
 }
 
 // install puts a whole snapshot in the place of the state. Entries that follow
 // it and agree with it are kept.
-func (r *replica) install(m *Chunk, data []byte) bool {
+func (r *replica) install(m *SnapshotChunk, data []byte) bool {
 	machine := r.Application.NewStateMachine(r.shard)
 	if err := unpackSnapshot(machine, data); err != nil {
 		r.logger.Error().Err(err).Msg("Snapshot refused.")
