--- a/internal/replication/acknowledge.go
+++ b/internal/replication/acknowledge.go
@@ -9,7 +9,7 @@
 // acknowledge ends proposals that are committed and held by every reachable
 // member. A member that lets one wait too long counts as lagging, and is not
 // waited for until it has caught up.
-func (l *leading) acknowledge() {
+func (l *leaderState) acknowledge() {
 	reached := l.commit
 	for _, member := range l.log.group {
 		if l.Guards.CommitAlone || !l.alive(member) || l.isLagging(member) {
@@ -22,20 +22,20 @@
 		l.proposals = l.proposals[1:]
 		l.queue.Do(func() { done(nil) })
 	}
-	l.watchOldest()
+	l.scheduleOverdueCheck()
 }
 
-func (l *leading) isLagging(member structs.DaemonID) bool {
+func (l *leaderState) isLagging(member structs.DaemonID) bool {
 	p := l.progress[member]
 	return p != nil && p.lagging
 }
 
 // watchOldest bounds the wait of the oldest proposal or confirmation.
-func (l *leading) watchOldest() {
+func (l *leaderState) scheduleOverdueCheck() {
 	if l.ackTimer != nil || l.ended {
 		return
 	}
-	at, waiting := l.oldest()
+	at, waiting := l.oldestPending()
 	if !waiting {
 		return
 	}
@@ -46,12 +46,12 @@
 	l.ackTimer = l.after(wait, func() {
 		l.ackTimer = nil
 		if !l.ended {
-			l.overdue()
+			l.handleOverdue()
 		}
 	})
 }
 
-func (l *leading) oldest() (time.Time, bool) {
+func (l *leaderState) oldestPending() (time.Time, bool) {
 	var at time.Time
 	if len(l.proposals) > 0 {
 		at = l.proposals[0].at
@@ -64,8 +64,8 @@
 
 // overdue marks the members that keep the oldest proposal waiting, and gives
 // up the leadership when there was no majority for too long.
-func (l *leading) overdue() {
-	at, waiting := l.oldest()
+func (l *leaderState) handleOverdue() {
+	at, waiting := l.oldestPending()
 	if !waiting {
 		return
 	}
@@ -81,7 +81,7 @@
 	l.acknowledge()
 }
 
-func (l *leading) markLagging(index structs.Index) {
+func (l *leaderState) markLagging(index structs.Index) {
 	for _, id := range l.followers() {
 		p := l.progress[id]
 		if p.match < index && !p.lagging {
--- a/internal/replication/archive.go
+++ b/internal/replication/archive.go
@@ -13,11 +13,11 @@
 )
 
 // errArchive: a part of a shard's archive cannot be read.
-var errArchive = eris.New("replication: malformed part of an archive")
+var errMalformedArchive = eris.New("replication: malformed part of an archive")
 
 // archivePieceBytes bounds the data of one piece, so that an entry of the log
 // stays under 256 KB when it is written as base64.
-const archivePieceBytes = 160 << 10
+const maxArchivePieceBytes = 160 << 10
 
 // archiveStream is the stream of one shard's archive.
 func archiveStream(shard structs.ShardNumber) framework.StreamName {
@@ -60,23 +60,23 @@
 }
 
 // cutPart packs the content of a part and cuts it into pieces.
-func cutPart(chain chainID, part int, content any) ([]archivePiece, int, error) {
+func encodePart(chain chainID, part int, content any) ([]archivePiece, int, error) {
 	data, err := json.Marshal(content)
 	if err != nil {
-		return nil, 0, eris.Wrap(errArchive, err.Error())
+		return nil, 0, eris.Wrap(errMalformedArchive, err.Error())
 	}
 	encoder, _ := codec()
 	packed := encoder.EncodeAll(data, nil)
-	count := (len(packed) + archivePieceBytes - 1) / archivePieceBytes
+	count := (len(packed) + maxArchivePieceBytes - 1) / maxArchivePieceBytes
 	pieces := make([]archivePiece, 0, count)
-	for data := range slices.Chunk(packed, archivePieceBytes) {
+	for data := range slices.Chunk(packed, maxArchivePieceBytes) {
 		pieces = append(pieces, archivePiece{Chain: chain, Part: part, Piece: len(pieces), Pieces: count, Data: data})
 	}
 	return pieces, len(packed), nil
 }
 
 // joinPart reads the content of a part whose pieces are all there.
-func joinPart(pieces map[int][]byte, content any) error {
+func decodePart(pieces map[int][]byte, content any) error {
 	var packed []byte
 	for piece := range len(pieces) {
 		packed = append(packed, pieces[piece]...)
@@ -84,10 +84,10 @@
 	_, decoder := codec()
 	data, err := decoder.DecodeAll(packed, nil)
 	if err != nil {
-		return eris.Wrap(errArchive, err.Error())
+		return eris.Wrap(errMalformedArchive, err.Error())
 	}
 	if err := json.Unmarshal(data, content); err != nil {
-		return eris.Wrap(errArchive, err.Error())
+		return eris.Wrap(errMalformedArchive, err.Error())
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 	count  int
 }
 
-func (c *chain) take(p archivePiece) {
+func (c *chain) addPiece(p archivePiece) {
 	if p.Piece < 0 || p.Piece >= p.Pieces {
 		return
 	}
@@ -116,7 +116,7 @@
 }
 
 // whole tells whether a part is there with all its pieces.
-func (c *chain) whole(part int) bool {
+func (c *chain) isComplete(part int) bool {
 	read := c.parts[part]
 	return read != nil && len(read.pieces) == read.count
 }
@@ -140,12 +140,12 @@
 // delta that is missing or does not follow.
 func (c *chain) state() (*archivedState, error) {
 	state := &archivedState{}
-	if err := joinPart(c.parts[0].pieces, &state.base); err != nil {
+	if err := decodePart(c.parts[0].pieces, &state.base); err != nil {
 		return nil, err
 	}
-	for part := 1; c.whole(part); part++ {
+	for part := 1; c.isComplete(part); part++ {
 		var entries []Entry
-		if err := joinPart(c.parts[part].pieces, &entries); err != nil {
+		if err := decodePart(c.parts[part].pieces, &entries); err != nil {
 			return state, nil //nolint:nilerr // what came before it is sound
 		}
 		for _, entry := range entries {
--- a/internal/replication/archive_reader.go
+++ b/internal/replication/archive_reader.go
@@ -10,9 +10,9 @@
 
 const (
 	// archiveWindow is how many entries are read at a time, from the end back.
-	archiveWindow = 16
+	archiveReadWindow = 16
 	// archiveReadLimit bounds the entries that are looked at.
-	archiveReadLimit = 8192
+	maxArchiveEntriesRead = 8192
 )
 
 // archiveReader finds the newest whole state in a shard's archive. It reads
@@ -35,34 +35,34 @@
 // findEnd looks for the end of the stream: there is an entry below low, and
 // step doubles until there is none at low+step.
 func (r *archiveReader) findEnd(low, step structs.LogOffset) {
-	r.exists(low+step-1, func(found bool) {
+	r.hasEntryFrom(low+step-1, func(found bool) {
 		if found {
 			r.findEnd(low+step, 2*step)
 			return
 		}
-		r.narrowEnd(low, low+step-1)
+		r.bisectEnd(low, low+step-1)
 	})
 }
 
 // narrowEnd halves the space between low, below which entries are, and high,
 // at which none is.
-func (r *archiveReader) narrowEnd(low, high structs.LogOffset) {
+func (r *archiveReader) bisectEnd(low, high structs.LogOffset) {
 	if low >= high {
 		r.readBefore(low)
 		return
 	}
 	middle := low + (high-low)/2
-	r.exists(middle, func(found bool) {
+	r.hasEntryFrom(middle, func(found bool) {
 		if found {
-			r.narrowEnd(middle+1, high)
+			r.bisectEnd(middle+1, high)
 			return
 		}
-		r.narrowEnd(low, middle)
+		r.bisectEnd(low, middle)
 	})
 }
 
 // exists asks whether there is an entry at an offset or behind it.
-func (r *archiveReader) exists(offset structs.LogOffset, then func(bool)) {
+func (r *archiveReader) hasEntryFrom(offset structs.LogOffset, then func(bool)) {
 	r.log.Read(r.stream, offset, 1, func(entries []framework.LogEntry, err error) {
 		if err != nil {
 			r.done(nil, err)
@@ -74,18 +74,18 @@
 
 // readBefore reads the window of entries before an offset.
 func (r *archiveReader) readBefore(end structs.LogOffset) {
-	if end <= 0 || r.read >= archiveReadLimit {
+	if end <= 0 || r.read >= maxArchiveEntriesRead {
 		r.done(nil, nil)
 		return
 	}
-	begin := max(end-archiveWindow, 0)
+	begin := max(end-archiveReadWindow, 0)
 	r.readWindow(begin, begin, end)
 }
 
 // readWindow reads on from an offset to the window's end.
 func (r *archiveReader) readWindow(begin, next, end structs.LogOffset) {
 	if next >= end {
-		r.windowRead(begin)
+		r.finishWindow(begin)
 		return
 	}
 	r.log.Read(r.stream, next, int(end-next), func(entries []framework.LogEntry, err error) {
@@ -94,17 +94,17 @@
 			return
 		}
 		if len(entries) == 0 {
-			r.windowRead(begin)
+			r.finishWindow(begin)
 			return
 		}
 		for _, entry := range entries {
-			r.take(entry)
+			r.addEntry(entry)
 		}
 		r.readWindow(begin, entries[len(entries)-1].Offset+1, end)
 	})
 }
 
-func (r *archiveReader) take(entry framework.LogEntry) {
+func (r *archiveReader) addEntry(entry framework.LogEntry) {
 	r.read++
 	var piece archivePiece
 	if json.Unmarshal(entry.Payload, &piece) != nil {
@@ -113,14 +113,14 @@
 	if r.chains[piece.Chain] == nil {
 		r.chains[piece.Chain] = &chain{id: piece.Chain, parts: map[int]*archivedPart{}}
 	}
-	r.chains[piece.Chain].take(piece)
+	r.chains[piece.Chain].addPiece(piece)
 }
 
 // windowRead hands over the newest chain whose snapshot is whole, or reads on.
-func (r *archiveReader) windowRead(begin structs.LogOffset) {
+func (r *archiveReader) finishWindow(begin structs.LogOffset) {
 	var whole []*chain
 	for _, read := range r.chains {
-		if read.whole(0) {
+		if read.isComplete(0) {
 			whole = append(whole, read)
 		}
 	}
--- a/internal/replication/archive_test.go
+++ b/internal/replication/archive_test.go
@@ -110,7 +110,7 @@
 		f.mustRecord(shard, fmt.Sprint("unarchived ", i))
 	}
 	f.log.down = false
-	f.run(archiveRetryMaximum + 10*time.Second)
+	f.run(maxArchiveRetryDelay + 10*time.Second)
 	f.log.down = true
 	f.loseAll(daemons)
 	f.run(20 * time.Second)
@@ -245,7 +245,7 @@
 
 func part(t testing.TB, chain chainID, number int, content any) []archivePiece {
 	t.Helper()
-	pieces, _, err := cutPart(chain, number, content)
+	pieces, _, err := encodePart(chain, number, content)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/replication/archive_writer.go
+++ b/internal/replication/archive_writer.go
@@ -16,19 +16,19 @@
 const (
 	// archiveBaseMinimum is how many bytes of deltas may follow a small
 	// snapshot before there is a new one.
-	archiveBaseMinimum = 256 << 10
+	minDeltaBytesBeforeSnapshot = 256 << 10
 	// archiveRetryMaximum is the longest pause after an append that failed; the
 	// first is the archive's interval.
-	archiveRetryMaximum = time.Minute
+	maxArchiveRetryDelay = time.Minute
 	// archiveLookUp is how many entries are searched for an append whose
 	// answer was lost.
-	archiveLookUp = 8
+	lostAppendSearchEntries = 8
 )
 
 // archiver writes the archive of one shard in one leadership. It is touched on
 // the shard's queue only.
 type archiver struct {
-	leading *leading
+	leader *leaderState
 	chain   chainID
 	part    int
 	// archived is the last index that the parts so far hold.
@@ -40,29 +40,29 @@
 	// next is the offset behind the latest piece written, 0 before the first.
 	next structs.LogOffset
 	// refused is set once a part could not be made, for its size mostly.
-	refused bool
+	failed bool
 }
 
 // due returns the piece to write next, or how to make the next part, which
 // may take long and is done off the shard's queue; neither if the archive is up
 // to date.
-func (a *archiver) due() (*archivePiece, func() (archivePart, error)) {
+func (a *archiver) nextWork() (*archivePiece, func() (archivePart, error)) {
 	switch {
 	case len(a.pending) > 0:
 		return &a.pending[0], nil
-	case a.refused || (a.chain != chainID{} && a.archived >= a.leading.applied):
+	case a.failed || (a.chain != chainID{} && a.archived >= a.leader.applied):
 		return nil, nil
-	case (a.chain == chainID{}) || a.archived < a.leading.log.base || a.deltaBytes > max(a.baseBytes, archiveBaseMinimum):
+	case (a.chain == chainID{}) || a.archived < a.leader.log.base || a.deltaBytes > max(a.baseBytes, minDeltaBytesBeforeSnapshot):
 		// The log does not go back far enough, or deltas outweigh the snapshot.
-		return nil, a.base()
+		return nil, a.prepareSnapshot()
 	default:
-		return nil, a.delta()
+		return nil, a.prepareDelta()
 	}
 }
 
 // base begins a new chain with a snapshot.
-func (a *archiver) base() func() (archivePart, error) {
-	l := a.leading
+func (a *archiver) prepareSnapshot() func() (archivePart, error) {
+	l := a.leader
 	encode, limit := l.machine.Freeze(), l.Settings.MaxArchivedSnapshotBytes
 	index := l.applied
 	epoch, _ := l.log.epochAt(index)
@@ -70,22 +70,22 @@
 	return func() (archivePart, error) {
 		state, err := encode()
 		if err != nil {
-			return part, eris.Wrap(errArchive, err.Error())
+			return part, eris.Wrap(errMalformedArchive, err.Error())
 		}
 		if len(state) > limit {
-			return part, eris.Wrapf(errArchive, "a snapshot of %d bytes is too large", len(state))
+			return part, eris.Wrapf(errMalformedArchive, "a snapshot of %d bytes is too large", len(state))
 		}
-		return part, part.cut(archiveBase{Index: index, Epoch: epoch, State: state})
+		return part, part.encode(archiveBase{Index: index, Epoch: epoch, State: state})
 	}
 }
 
 // delta takes the committed entries that follow.
-func (a *archiver) delta() func() (archivePart, error) {
-	l := a.leading
-	entries := l.log.from(a.archived+1, archivePieceBytes)
+func (a *archiver) prepareDelta() func() (archivePart, error) {
+	l := a.leader
+	entries := l.log.from(a.archived+1, maxArchivePieceBytes)
 	entries = slices.DeleteFunc(entries, func(entry Entry) bool { return entry.Index > l.applied })
 	part := archivePart{chain: a.chain, number: a.part + 1, archived: entries[len(entries)-1].Index}
-	return func() (archivePart, error) { return part, part.cut(entries) }
+	return func() (archivePart, error) { return part, part.encode(entries) }
 }
 
 // archivePart is a part that is ready to be written.
@@ -98,18 +98,18 @@
 	size     int
 }
 
-func (p *archivePart) cut(content any) error {
+func (p *archivePart) encode(content any) error {
 	var err error
-	p.pieces, p.size, err = cutPart(p.chain, p.number, content)
+	p.pieces, p.size, err = encodePart(p.chain, p.number, content)
 	return err
 }
 
 // made takes up a part that is ready. After an error the shard is not archived
 // any more in this leadership.
-func (a *archiver) made(part archivePart, err error) {
+func (a *archiver) partBuilt(part archivePart, err error) {
 	if err != nil {
-		a.refused = true
-		a.leading.logger.Warn().Err(err).Msg("Shard not archived.")
+		a.failed = true
+		a.leader.logger.Warn().Err(err).Msg("Shard not archived.")
 		return
 	}
 	a.chain, a.part, a.archived, a.pending = part.chain, part.number, part.archived, part.pieces
@@ -121,42 +121,42 @@
 }
 
 // written notes that the first pending piece is in the log.
-func (a *archiver) written(offset structs.LogOffset) {
+func (a *archiver) pieceWritten(offset structs.LogOffset) {
 	a.pending = a.pending[1:]
 	a.next = offset + 1
 }
 
 // archive writes the archives of the shards that a daemon leads, one piece at a
 // time. Nothing waits for it: without the log it falls behind.
-type archive struct {
+type archiveWriter struct {
 	manager *Manager
 	mutex   sync.Mutex
 	timer   clock.Timer
 	// turn is the shard that is looked at first. It moves on once a part is whole.
-	turn  structs.ShardNumber
-	pause time.Duration
+	nextShard  structs.ShardNumber
+	retryDelay time.Duration
 }
 
-func (a *archive) start() {
+func (a *archiveWriter) start() {
 	if a.manager.Settings.ArchivedShards > 0 {
 		a.schedule(a.manager.Settings.ArchiveInterval + a.manager.jitter(a.manager.Settings.ArchiveInterval))
 	}
 }
 
-func (a *archive) schedule(pause time.Duration) {
+func (a *archiveWriter) schedule(pause time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.timer = a.manager.Clock.AfterFunc(pause, func() {
 		if !a.manager.isStopped() {
-			a.look(a.replicas(), a.manager.Settings.ArchiveInterval)
+			a.archiveNext(a.replicas(), a.manager.Settings.ArchiveInterval)
 		}
 	})
 }
 
 // replicas returns the replicas that may be archived, from the turn's on.
-func (a *archive) replicas() []*replica {
+func (a *archiveWriter) replicas() []*replica {
 	a.mutex.Lock()
-	turn := a.turn
+	turn := a.nextShard
 	a.mutex.Unlock()
 	var before, after []*replica
 	for _, r := range a.manager.sortedReplicas() {
@@ -172,27 +172,27 @@
 }
 
 // look writes the first piece that is due among replicas.
-func (a *archive) look(replicas []*replica, pause time.Duration) {
+func (a *archiveWriter) archiveNext(replicas []*replica, pause time.Duration) {
 	if len(replicas) == 0 {
 		a.schedule(pause)
 		return
 	}
 	r := replicas[0]
 	r.queue.Do(func() {
-		next := func() { a.manager.Clock.AfterFunc(0, func() { a.look(replicas[1:], pause) }) }
-		l := r.leading
+		next := func() { a.manager.Clock.AfterFunc(0, func() { a.archiveNext(replicas[1:], pause) }) }
+		l := r.leaderState
 		if r.dropped || l == nil || !l.serving {
 			next()
 			return
 		}
 		if l.archiver == nil {
-			l.archiver = &archiver{leading: l}
+			l.archiver = &archiver{leader: l}
 		}
-		switch piece, build := l.archiver.due(); {
+		switch piece, build := l.archiver.nextWork(); {
 		case piece != nil:
 			a.append(l, *piece)
 		case build != nil:
-			a.build(l, build, func() { a.look(replicas, pause) })
+			a.buildPart(l, build, func() { a.archiveNext(replicas, pause) })
 		default:
 			next()
 		}
@@ -200,17 +200,17 @@
 }
 
 // build makes a part off the shard's queue, and looks again.
-func (a *archive) build(l *leading, build func() (archivePart, error), again func()) {
+func (a *archiveWriter) buildPart(l *leaderState, build func() (archivePart, error), again func()) {
 	a.manager.Clock.AfterFunc(0, func() {
 		part, err := build()
 		l.queue.Do(func() {
-			l.archiver.made(part, err)
+			l.archiver.partBuilt(part, err)
 			a.manager.Clock.AfterFunc(0, again)
 		})
 	})
 }
 
-func (a *archive) append(l *leading, piece archivePiece) {
+func (a *archiveWriter) append(l *leaderState, piece archivePiece) {
 	payload, err := json.Marshal(piece)
 	if err != nil {
 		l.logger.Error().Err(err).Msg("Piece of an archive not encoded.")
@@ -223,20 +223,20 @@
 			a.appended(l, offset, len(payload))
 			return
 		}
-		a.lookUp(l, stream, operation, next)
+		a.findLostAppend(l, stream, operation, next)
 	})
 }
 
 // appended goes on after the pause that the rate asks for.
-func (a *archive) appended(l *leading, offset structs.LogOffset, bytes int) {
+func (a *archiveWriter) appended(l *leaderState, offset structs.LogOffset, bytes int) {
 	l.queue.Do(func() {
-		l.archiver.written(offset)
+		l.archiver.pieceWritten(offset)
 		turn := l.shard
 		if len(l.archiver.pending) == 0 {
 			turn++
 		}
 		a.mutex.Lock()
-		a.turn, a.pause = turn, 0
+		a.nextShard, a.retryDelay = turn, 0
 		a.mutex.Unlock()
 		a.schedule(time.Duration(bytes) * time.Second / time.Duration(l.Settings.ArchiveRate))
 	})
@@ -244,12 +244,12 @@
 
 // lookUp searches for an append whose answer was lost. A piece of which no
 // offset before it is known is written again instead; that does no harm.
-func (a *archive) lookUp(l *leading, stream framework.StreamName, operation string, next structs.LogOffset) {
+func (a *archiveWriter) findLostAppend(l *leaderState, stream framework.StreamName, operation string, next structs.LogOffset) {
 	if next == 0 {
 		a.backOff()
 		return
 	}
-	l.Log.Read(stream, next, archiveLookUp, func(entries []framework.LogEntry, err error) {
+	l.Log.Read(stream, next, lostAppendSearchEntries, func(entries []framework.LogEntry, err error) {
 		found := slices.IndexFunc(entries, func(entry framework.LogEntry) bool { return entry.OperationID == operation })
 		if err != nil || found < 0 {
 			a.backOff()
@@ -260,10 +260,10 @@
 }
 
 // backOff waits longer each time that the log does not take a piece.
-func (a *archive) backOff() {
+func (a *archiveWriter) backOff() {
 	a.mutex.Lock()
-	a.pause = min(max(2*a.pause, a.manager.Settings.ArchiveInterval), archiveRetryMaximum)
-	pause := a.pause
+	a.retryDelay = min(max(2*a.retryDelay, a.manager.Settings.ArchiveInterval), maxArchiveRetryDelay)
+	pause := a.retryDelay
 	a.mutex.Unlock()
 	a.schedule(pause)
 }
--- a/internal/replication/benchmark_test.go
+++ b/internal/replication/benchmark_test.go
@@ -105,7 +105,7 @@
 		f.delay, f.spread = 1500*time.Microsecond, 0
 		clear(f.bytes)
 		start := f.clock.Now()
-		l := leader.manager.replica(shard).leading
+		l := leader.manager.replica(shard).leaderState
 		l.addMember(fresh.self.ID)
 		for !l.log.group.Contains(fresh.self.ID) && f.clock.Step() {
 		}
@@ -133,7 +133,7 @@
 func BenchmarkPlace(b *testing.B) {
 	daemons := fleetOf(400)
 	for b.Loop() {
-		place(7, daemons, 3)
+		chooseGroup(7, daemons, 3)
 	}
 }
 
@@ -153,7 +153,7 @@
 			}
 			chosen = append(chosen, best)
 		}
-		if diff := cmp.Diff(chosen, place(shard, daemons, 3)); diff != "" {
+		if diff := cmp.Diff(chosen, chooseGroup(shard, daemons, 3)); diff != "" {
 			t.Fatalf("shard %d:\n%s", shard, diff)
 		}
 	}
--- a/internal/replication/claims.go
+++ b/internal/replication/claims.go
@@ -11,7 +11,7 @@
 // generation fences every former leader and voter; the group grows again by
 // ordinary changes.
 func (m *Manager) claimWon(c claim) {
-	former := promise{epoch: firstEpoch(c.Generation), voted: m.Self.ID}
+	former := voteState{epoch: firstEpoch(c.Generation), votedFor: m.Self.ID}
 	r := m.replica(c.Shard)
 	if r == nil {
 		if !c.Empty {
@@ -20,32 +20,32 @@
 		r = m.open(c.Shard, former, Group{m.Self.ID})
 	}
 	r.post(func() {
-		if !r.mayTakeUp(c) {
+		if !r.isNewClaim(c) {
 			return
 		}
-		r.claimUnread = false
+		r.claimantUnknown = false
 		r.logger.Warn().Uint64("generation", c.Generation).Uint64("last", uint64(r.log.last())).Msg("Shard claimed. Its group has lost its majority.")
 		r.stopLeading()
 		r.candidacy = nil
-		r.promise = former
+		r.voteState = former
 		if c.Empty {
 			r.restore(former.epoch)
 			return
 		}
-		r.advance(r.log.last())
-		r.lead(former.epoch, Group{m.Self.ID})
+		r.advanceCommit(r.log.last())
+		r.openEpoch(former.epoch, Group{m.Self.ID})
 		r.watchMajority()
 	})
 }
 
 // mayTakeUp tells whether a claim of this daemon is new: neither taken up
 // before nor followed by another daemon's.
-func (r *replica) mayTakeUp(c claim) bool {
-	known := generation(r.promise.epoch)
+func (r *replica) isNewClaim(c claim) bool {
+	known := generation(r.voteState.epoch)
 	if known != c.Generation {
 		return known < c.Generation
 	}
-	return r.claimUnread || r.log.last() == 0
+	return r.claimantUnknown || r.log.last() == 0
 }
 
 // claimLost ends this daemon's part in a group that was claimed by another.
@@ -64,26 +64,26 @@
 }
 
 // claimInterval is the pause between looks whether a shard may be claimed.
-const claimInterval = 500 * time.Millisecond
+const claimPollInterval = 500 * time.Millisecond
 
 // keepConsidering looks whether the shard may be claimed for as long as the
 // group lacks the majority that it lost at a time.
-func (r *replica) keepConsidering(lostAt time.Time) {
-	if r.lostAt != lostAt {
+func (r *replica) pollClaim(lostAt time.Time) {
+	if r.majorityLostAt != lostAt {
 		return
 	}
-	r.considerClaim()
-	r.after(claimInterval, func() { r.keepConsidering(lostAt) })
+	r.claimIfMajorityLost()
+	r.after(claimPollInterval, func() { r.pollClaim(lostAt) })
 }
 
 // considerClaim claims the shard for this replica when its group has lost its
 // majority for good: every dead member is gone by the machine list too, and no
 // living one holds a longer log. It runs while the group has no majority.
-func (r *replica) considerClaim() {
-	if r.restoring || r.hasLiveMajority() || !r.isMember() || (r.leading == nil && r.leader != "" && r.alive(r.leader)) {
+func (r *replica) claimIfMajorityLost() {
+	if r.restoring || r.hasLiveMajority() || !r.isMember() || (r.leaderState == nil && r.leader != "" && r.alive(r.leader)) {
 		return
 	}
-	if r.lostAt.IsZero() || r.Clock.Now().Sub(r.lostAt) < r.Settings.NoMajorityAfter {
+	if r.majorityLostAt.IsZero() || r.Clock.Now().Sub(r.majorityLostAt) < r.Settings.NoMajorityAfter {
 		return
 	}
 	for _, member := range r.log.group {
@@ -94,12 +94,12 @@
 			r.askPositionAgain(member)
 			return
 		}
-		if !r.alive(member) && !r.gone(member) {
+		if !r.alive(member) && !r.isConfirmedGone(member) {
 			return
 		}
 	}
-	r.registry.askBeforeClaim(&survivor{
-		claim:  claim{Shard: r.shard, Generation: generation(r.promise.epoch) + 1, Claimant: r.Self.ID},
+	r.registry.searchBeforeClaim(&survivor{
+		claim:  claim{Shard: r.shard, Generation: generation(r.voteState.epoch) + 1, Claimant: r.Self.ID},
 		group:  r.log.group,
 		epoch:  r.log.lastEpoch(),
 		behind: r.outsideReplicasBehind(),
@@ -108,11 +108,11 @@
 
 // noteOutsideReplica notes a daemon outside the group that holds a replica too, and asks
 // how far its log goes.
-func (r *replica) noteOutsideReplica(from structs.DaemonID) {
+func (r *replica) addOutsideReplica(from structs.DaemonID) {
 	if !r.outsideReplicas.Contains(from) {
 		r.outsideReplicas = append(r.outsideReplicas, from)
 	}
-	r.askPosition(from)
+	r.requestPosition(from)
 }
 
 // outsideReplicasBehind returns the replicas outside the group whose log is known
@@ -146,33 +146,33 @@
 
 // askBeforeClaim has the next search ask all daemons about a survivor's shard,
 // as soon as one may begin.
-func (g *registry) askBeforeClaim(s *survivor) {
+func (g *registry) searchBeforeClaim(s *survivor) {
 	g.mutex.Lock()
 	g.survivors[s.claim.Shard] = s
 	g.mutex.Unlock()
-	g.searchSoon()
+	g.scheduleSearch()
 }
 
 // positionPause is the pause between questions to a member for its position.
-const positionPause = time.Second
+const positionRequestInterval = time.Second
 
 // askPositionAgain asks for a member's position, not too often.
 func (r *replica) askPositionAgain(member structs.DaemonID) {
 	now := r.Clock.Now()
-	age := now.Sub(r.askedPositions[member])
-	if age >= 0 && age < positionPause {
+	age := now.Sub(r.positionRequestedAt[member])
+	if age >= 0 && age < positionRequestInterval {
 		return
 	}
-	r.askedPositions[member] = now
-	r.askPosition(member)
+	r.positionRequestedAt[member] = now
+	r.requestPosition(member)
 }
 
 // askPosition asks a member how far its log goes; the answer to a trial vote
 // tells.
-func (r *replica) askPosition(member structs.DaemonID) {
+func (r *replica) requestPosition(member structs.DaemonID) {
 	r.send(member, &VoteRequest{
 		Shard:     r.shard,
-		Epoch:     r.promise.epoch + 1,
+		Epoch:     r.voteState.epoch + 1,
 		Last:      r.log.last(),
 		LastEpoch: r.log.lastEpoch(),
 		PreVote:   true,
@@ -187,13 +187,13 @@
 }
 
 // positionMemory is how long a member's word about its log counts.
-const positionMemory = 5 * time.Second
+const positionValidity = 5 * time.Second
 
 // knownBehind tells whether a living member said lately that its log is behind
 // this one, or equal with a lower claim to the shard.
 func (r *replica) knownBehind(member structs.DaemonID) bool {
 	p, known := r.positions[member]
-	if !known || r.Clock.Now().Sub(p.at) > positionMemory {
+	if !known || r.Clock.Now().Sub(p.at) > positionValidity {
 		return false
 	}
 	epoch, last := r.log.lastEpoch(), r.log.last()
@@ -207,7 +207,7 @@
 }
 
 // claim has a claim written to the stream.
-func (g *registry) claim(c claim) {
+func (g *registry) queueClaim(c claim) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if !slices.Contains(g.claims, c) {
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -11,20 +11,20 @@
 // first, so that a member that cannot win does not raise the epoch.
 type candidacy struct {
 	epoch    structs.Epoch
-	trial    bool
-	handOver bool
+	preVote    bool
+	leadershipTransfer bool
 	granted  Group
 }
 
 // leaderless tells whether the group needs an election, as far as known here.
-func (r *replica) leaderless() bool {
-	return r.leading == nil && !r.restoring && (r.leader == "" || !r.alive(r.leader))
+func (r *replica) needsLeader() bool {
+	return r.leaderState == nil && !r.restoring && (r.leader == "" || !r.alive(r.leader))
 }
 
 // considerElection schedules a candidacy when the group has no leader. The
 // members come one after the other, by rank, with some jitter.
-func (r *replica) considerElection() {
-	if !r.leaderless() || !r.isMember() || r.electionTimer != nil {
+func (r *replica) scheduleElection() {
+	if !r.needsLeader() || !r.isMember() || r.electionTimer != nil {
 		return
 	}
 	if !r.hasLiveMajority() {
@@ -32,14 +32,14 @@
 		return
 	}
 	delay := time.Duration(r.rank()) * r.Settings.ElectionStagger
-	if r.electionTries > 0 {
-		delay += min(r.Settings.ElectionRetry<<min(r.electionTries-1, 10), r.Settings.MaxElectionRetry)
+	if r.electionAttempts > 0 {
+		delay += min(r.Settings.ElectionRetry<<min(r.electionAttempts-1, 10), r.Settings.MaxElectionRetry)
 		delay += r.jitter(r.Settings.ElectionStagger)
 	}
 	r.electionTimer = r.after(delay+r.jitter(r.Settings.ElectionStagger/4), func() {
 		r.electionTimer = nil
-		if r.leaderless() && r.isMember() && r.hasLiveMajority() {
-			r.stand(false)
+		if r.needsLeader() && r.isMember() && r.hasLiveMajority() {
+			r.startCandidacy(false)
 		}
 	})
 }
@@ -71,27 +71,27 @@
 }
 
 // stand starts a candidacy.
-func (r *replica) stand(handOver bool) {
-	r.electionTries++
-	r.candidacy = &candidacy{epoch: r.promise.epoch + 1, trial: true, handOver: handOver}
+func (r *replica) startCandidacy(handOver bool) {
+	r.electionAttempts++
+	r.candidacy = &candidacy{epoch: r.voteState.epoch + 1, preVote: true, leadershipTransfer: handOver}
 	r.logger.Debug().Uint64("epoch", uint64(r.candidacy.epoch)).Bool("hand_over", handOver).Msg("Standing for election.")
 	if handOver {
-		r.standForReal()
+		r.startElection()
 		return
 	}
-	r.askForVotes()
+	r.requestVotes()
 }
 
-func (r *replica) standForReal() {
-	r.candidacy.trial = false
+func (r *replica) startElection() {
+	r.candidacy.preVote = false
 	r.candidacy.granted = nil
-	r.promise = promise{epoch: r.candidacy.epoch, voted: r.Self.ID}
+	r.voteState = voteState{epoch: r.candidacy.epoch, votedFor: r.Self.ID}
 	r.leader = ""
 	r.publish()
-	r.askForVotes()
+	r.requestVotes()
 }
 
-func (r *replica) askForVotes() {
+func (r *replica) requestVotes() {
 	c := r.candidacy
 	c.granted = Group{r.Self.ID}
 	for _, member := range r.log.group {
@@ -103,13 +103,13 @@
 			Epoch:              c.epoch,
 			Last:               r.log.last(),
 			LastEpoch:          r.log.lastEpoch(),
-			PreVote:            c.trial,
-			LeadershipTransfer: c.handOver,
+			PreVote:            c.preVote,
+			LeadershipTransfer: c.leadershipTransfer,
 		})
 	}
 	r.countVotes()
 	// A candidacy that hears nothing is tried again.
-	r.considerElection()
+	r.scheduleElection()
 }
 
 // receiveVote grants a vote to a candidate whose log is at least as far as
@@ -117,52 +117,52 @@
 func (r *replica) receiveVote(from structs.DaemonID, m *VoteRequest) {
 	answer := &VoteReply{Shard: r.shard, PreVote: m.PreVote, Last: r.log.last(), LastEpoch: r.log.lastEpoch()}
 	defer func() { r.send(from, answer) }()
-	served := !m.LeadershipTransfer && !r.leaderless() && r.leader != from
-	if m.Epoch < r.promise.epoch || (served && m.Epoch > r.promise.epoch) {
-		answer.Epoch = r.promise.epoch
+	served := !m.LeadershipTransfer && !r.needsLeader() && r.leader != from
+	if m.Epoch < r.voteState.epoch || (served && m.Epoch > r.voteState.epoch) {
+		answer.Epoch = r.voteState.epoch
 		return
 	}
 	if m.PreVote {
-		answer.Epoch = r.promise.epoch
-		if m.Epoch > r.promise.epoch && r.upToDate(m) {
+		answer.Epoch = r.voteState.epoch
+		if m.Epoch > r.voteState.epoch && r.isCandidateUpToDate(m) {
 			answer.Epoch, answer.Granted = m.Epoch, true
 		}
 		return
 	}
 	r.observe(m.Epoch)
-	answer.Epoch = r.promise.epoch
-	free := r.promise.voted == "" || r.promise.voted == from
-	if !free || r.leader != "" || !r.upToDate(m) {
-		r.considerElection()
+	answer.Epoch = r.voteState.epoch
+	free := r.voteState.votedFor == "" || r.voteState.votedFor == from
+	if !free || r.leader != "" || !r.isCandidateUpToDate(m) {
+		r.scheduleElection()
 		return
 	}
-	r.promise.voted = from
+	r.voteState.votedFor = from
 	answer.Granted = true
 	r.stopElectionTimer()
-	r.electionTries++
-	r.considerElection()
+	r.electionAttempts++
+	r.scheduleElection()
 }
 
 // upToDate tells whether a candidate's log goes at least as far as this one.
-func (r *replica) upToDate(m *VoteRequest) bool {
+func (r *replica) isCandidateUpToDate(m *VoteRequest) bool {
 	own := r.log.lastEpoch()
 	return m.LastEpoch > own || (m.LastEpoch == own && m.Last >= r.log.last())
 }
 
 func (r *replica) receiveVoted(from structs.DaemonID, m *VoteReply) {
 	r.positions[from] = position{last: m.Last, epoch: m.LastEpoch, at: r.Clock.Now()}
-	if !r.lostAt.IsZero() {
-		r.considerClaim()
+	if !r.majorityLostAt.IsZero() {
+		r.claimIfMajorityLost()
 	}
 	if !m.Granted {
-		if m.Epoch > r.promise.epoch {
+		if m.Epoch > r.voteState.epoch {
 			r.observe(m.Epoch)
-			r.considerElection()
+			r.scheduleElection()
 		}
 		return
 	}
 	c := r.candidacy
-	if c == nil || m.Epoch != c.epoch || m.PreVote != c.trial || c.granted.Contains(from) {
+	if c == nil || m.Epoch != c.epoch || m.PreVote != c.preVote || c.granted.Contains(from) {
 		return
 	}
 	c.granted = c.granted.with(from)
@@ -180,8 +180,8 @@
 	if votes < r.log.group.Majority() {
 		return
 	}
-	if c.trial {
-		r.standForReal()
+	if c.preVote {
+		r.startElection()
 		return
 	}
 	r.startLeading()
@@ -189,9 +189,9 @@
 
 // receiveTakeOver stands for election at the leader's wish.
 func (r *replica) receiveTakeOver(from structs.DaemonID, m *LeadershipTransfer) {
-	if m.Epoch != r.promise.epoch || r.leader != from || !r.isMember() || r.isHandingOver() {
+	if m.Epoch != r.voteState.epoch || r.leader != from || !r.isMember() || r.isHandingOver() {
 		return
 	}
 	r.stopElectionTimer()
-	r.stand(true)
+	r.startCandidacy(true)
 }
--- a/internal/replication/extra_routes.go
+++ b/internal/replication/extra_routes.go
@@ -20,13 +20,13 @@
 	frequentRequestPause = time.Second
 	// extraRoutesLimit bounds the extra routes of a reply; extraRouteSize is about
 	// the encoded size of one in bytes.
-	extraRoutesLimit = 32
+	maxExtraRoutes = 32
 	extraRouteSize   = 60
 )
 
 // requestsOften notes that requests are sent now and tells whether the last were
 // sent lately.
-func (m *Manager) requestsOften() bool {
+func (m *Manager) noteRequest() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := m.Clock.Now()
@@ -53,7 +53,7 @@
 	missing, next, found := 0, structs.ShardNumber(0), false
 	for i := range count {
 		shard := (m.lookup.missingFrom + i) % count
-		if m.routes.knows(shard) {
+		if m.routes.knowsLeader(shard) {
 			continue
 		}
 		missing++
@@ -64,12 +64,12 @@
 	if missing <= m.Settings.Shards/missingDivisor {
 		return 0, false
 	}
-	m.lookup.missingFrom = (next + extraRoutesLimit) % count
+	m.lookup.missingFrom = (next + maxExtraRoutes) % count
 	return next, true
 }
 
 // knows tells whether a leader of the shard is known, be it dead by now.
-func (t *routeTable) knows(shard structs.ShardNumber) bool {
+func (t *routeTable) knowsLeader(shard structs.ShardNumber) bool {
 	if local := t.local[shard]; local.member && local.route.Leader != "" {
 		return true
 	}
@@ -105,7 +105,7 @@
 	var shards []structs.ShardNumber
 	for i := range count {
 		shard := (from%count + i) % count
-		if len(shards) < extraRoutesLimit && m.routes.knows(shard) && !slices.Contains(asked, shard) {
+		if len(shards) < maxExtraRoutes && m.routes.knowsLeader(shard) && !slices.Contains(asked, shard) {
 			shards = append(shards, shard)
 		}
 	}
--- a/internal/replication/extra_routes_test.go
+++ b/internal/replication/extra_routes_test.go
@@ -71,7 +71,7 @@
 }
 
 func TestRoutesToldUnaskedAreBounded(t *testing.T) {
-	f, daemons := startThree(t, 35, extraRoutesLimit)
+	f, daemons := startThree(t, 35, maxExtraRoutes)
 	told := 0
 	const seconds = 20
 	for range seconds {
@@ -80,7 +80,7 @@
 		}
 		f.run(time.Second)
 	}
-	if limit := (askBurst + askRate*seconds) / extraRouteSize; told > limit || told < limit/2 {
+	if limit := (requestBurstBytes + requestBytesPerSecond*seconds) / extraRouteSize; told > limit || told < limit/2 {
 		t.Errorf("%d routes told in %d s, want at most %d", told, seconds, limit)
 	}
 }
--- a/internal/replication/genesis.go
+++ b/internal/replication/genesis.go
@@ -16,7 +16,7 @@
 
 // foldGenesis takes the first groups and returns what is to be done after the
 // lock is free.
-func (g *registry) foldGenesis(first *genesis) []func() {
+func (g *registry) applyGenesis(first *genesis) []func() {
 	m := g.manager
 	if len(first.Groups) != m.Settings.Shards {
 		m.Logger.Error().Int("shards", len(first.Groups)).Msg("Genesis refused. It has another number of shards.")
@@ -34,7 +34,7 @@
 		shard := structs.ShardNumber(number)
 		g.groups[shard] = knownGroup{group: group}
 		if group.Contains(m.Self.ID) {
-			effects = append(effects, func() { m.openFirst(shard, group) })
+			effects = append(effects, func() { m.openFirstReplica(shard, group) })
 		}
 	}
 	m.Logger.Info().Int("shards", len(first.Groups)).Msg("First groups known.")
@@ -42,15 +42,15 @@
 }
 
 // openFirst makes the replica of a member of a shard's first group.
-func (m *Manager) openFirst(shard structs.ShardNumber, group Group) {
-	r := m.open(shard, promise{}, group)
+func (m *Manager) openFirstReplica(shard structs.ShardNumber, group Group) {
+	r := m.open(shard, voteState{}, group)
 	r.post(func() {
-		if r.log.base == 0 && r.log.baseGroup == nil && generation(r.promise.epoch) == 0 {
+		if r.log.base == 0 && r.log.baseGroup == nil && generation(r.voteState.epoch) == 0 {
 			r.log.baseGroup = group
 			r.log.findGroup()
 		}
 		r.publish()
-		r.considerElection()
+		r.scheduleElection()
 	})
 }
 
@@ -69,10 +69,10 @@
 // written among the first few to start would put every shard on those, and
 // spreading them afterwards takes long.
 const (
-	genesisPart        = 0.9
-	genesisPartWaited  = 0.5
-	genesisAnyAfter    = 6
-	genesisWaitedAfter = 1
+	genesisShare        = 0.9
+	genesisShareAfterWait  = 0.5
+	genesisAnyWaits    = 6
+	genesisShareWaits = 1
 	// genesisListDivisor of the wait is given to the first reading of the list:
 	// others may find this daemon before it knows how many there are.
 	genesisListDivisor = 5
@@ -82,17 +82,17 @@
 // that has seen some others and has run for some time.
 func (m *Manager) enoughForGenesis(seen int, running time.Duration) bool {
 	m.mutex.Lock()
-	listed, listKnown := float64(len(m.machines.listed)), m.machines.known()
+	listed, listKnown := float64(len(m.machines.listed)), m.machines.wasRead()
 	m.mutex.Unlock()
 	switch {
 	case !listKnown && running < m.Settings.GenesisWait/genesisListDivisor:
 		return false
-	case running >= genesisAnyAfter*m.Settings.GenesisWait:
+	case running >= genesisAnyWaits*m.Settings.GenesisWait:
 		return true
-	case running >= genesisWaitedAfter*m.Settings.GenesisWait:
-		return float64(seen) >= genesisPartWaited*listed
+	case running >= genesisShareWaits*m.Settings.GenesisWait:
+		return float64(seen) >= genesisShareAfterWait*listed
 	default:
-		return seen >= m.Settings.MinimumDaemons && float64(seen) >= genesisPart*listed
+		return seen >= m.Settings.MinimumDaemons && float64(seen) >= genesisShare*listed
 	}
 }
 
@@ -121,7 +121,7 @@
 	first := &genesis{Daemons: daemons}
 	for shard := range structs.ShardNumber(m.Settings.Shards) {
 		var indexes []int
-		for _, chosen := range place(shard, daemons, m.Settings.GroupSize) {
+		for _, chosen := range chooseGroup(shard, daemons, m.Settings.GroupSize) {
 			indexes = append(indexes, indexOf(daemons, chosen.ID))
 		}
 		first.Groups = append(first.Groups, indexes)
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -73,7 +73,7 @@
 
 // place chooses the group of a shard among daemons: the first by rendezvous,
 // then others of its region in further zones, then other regions, then any.
-func place(shard structs.ShardNumber, daemons []structs.Daemon, size int) []structs.Daemon {
+func chooseGroup(shard structs.ShardNumber, daemons []structs.Daemon, size int) []structs.Daemon {
 	var chosen []structs.Daemon
 	weights := weightsOf(shard, daemons)
 	for len(chosen) < size {
--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -11,11 +11,11 @@
 // held back, so that the successor comes to hold the whole log also under
 // load; they are lost to their proposers once it leads, and are appended after
 // all when it does not.
-type handover struct {
+type leadershipTransfer struct {
 	to structs.DaemonID
 	// asked is set once the successor was asked to stand.
-	asked bool
-	held  []heldProposal
+	requested bool
+	heldProposals  []heldProposal
 	timer clock.Timer
 }
 
@@ -25,74 +25,74 @@
 }
 
 // handoverTimeout is how long a successor has to catch up and be elected.
-const handoverTimeout = time.Second
+const leadershipTransferTimeout = time.Second
 
 // handOverTo begins to pass the leadership to a member.
-func (l *leading) handOverTo(daemon structs.DaemonID) {
-	if l.handover != nil {
+func (l *leaderState) transferLeadershipTo(daemon structs.DaemonID) {
+	if l.transfer != nil {
 		return
 	}
-	h := &handover{to: daemon}
-	l.handover = h
-	h.timer = l.after(handoverTimeout, func() {
-		if l.handover == h {
-			l.resume()
+	h := &leadershipTransfer{to: daemon}
+	l.transfer = h
+	h.timer = l.after(leadershipTransferTimeout, func() {
+		if l.transfer == h {
+			l.abortLeadershipTransfer()
 		}
 	})
-	l.stepHandover()
+	l.advanceLeadershipTransfer()
 }
 
 // stepHandover asks the successor to stand once it holds the whole log.
-func (l *leading) stepHandover() {
-	h := l.handover
-	if h == nil || h.asked || l.ended {
+func (l *leaderState) advanceLeadershipTransfer() {
+	h := l.transfer
+	if h == nil || h.requested || l.ended {
 		return
 	}
 	if p := l.progress[h.to]; p == nil || p.match < l.log.last() {
 		return
 	}
-	h.asked = true
+	h.requested = true
 	l.replica.send(h.to, &LeadershipTransfer{Shard: l.shard, Epoch: l.epoch})
 }
 
 // resume goes on leading after a handover that failed.
-func (l *leading) resume() {
-	h := l.handover
-	l.handover = nil
-	for _, p := range h.held {
+func (l *leaderState) abortLeadershipTransfer() {
+	h := l.transfer
+	l.transfer = nil
+	for _, p := range h.heldProposals {
 		l.Propose(p.records, p.done)
 	}
-	l.considerPlan()
+	l.requestPlan()
 }
 
 // endHandover loses the proposals that were held back. They were certainly not
 // recorded.
-func (l *leading) endHandover() {
-	h := l.handover
+func (l *leaderState) endLeadershipTransfer() {
+	h := l.transfer
 	if h == nil {
 		return
 	}
-	l.handover = nil
+	l.transfer = nil
 	h.timer.Stop()
-	for _, p := range h.held {
+	for _, p := range h.heldProposals {
 		l.queue.Do(func() { p.done(ErrLost) })
 	}
 }
 
 // leave hands a stopping daemon's leadership over. A newcomer that is still
 // catching up is left to the successor.
-func (l *leading) leave() {
+func (l *leaderState) transferLeadershipAway() {
 	if l.change != nil && l.change.entry == 0 {
 		l.abandonNewcomer()
 	}
 	if next := l.successor(); next != "" {
-		l.handOverTo(next)
+		l.transferLeadershipTo(next)
 	}
 }
 
 // successor returns the member that keeps up and has the highest claim to
 // lead, "" if there is none.
-func (l *leading) successor() structs.DaemonID {
+func (l *leaderState) successor() structs.DaemonID {
 	best := structs.DaemonID("")
 	for _, member := range l.log.group {
 		if !l.canSucceed(member) {
@@ -105,7 +105,7 @@
 	return best
 }
 
-func (l *leading) canSucceed(member structs.DaemonID) bool {
+func (l *leaderState) canSucceed(member structs.DaemonID) bool {
 	p := l.progress[member]
-	return member != l.Self.ID && p != nil && !p.lagging && p.match >= l.opened && l.available(member)
+	return member != l.Self.ID && p != nil && !p.lagging && p.match >= l.openingIndex && l.available(member)
 }
--- a/internal/replication/leaderless.go
+++ b/internal/replication/leaderless.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		alive := m.Alive(member)
-		if (alive && first) || (!alive && !m.gone(member)) {
+		if (alive && first) || (!alive && !m.isConfirmedGone(member)) {
 			return false
 		}
 	}
@@ -74,13 +74,13 @@
 	local := m.routes.local[shard].route
 	cached := m.routes.entry(shard).route
 	m.mutex.Unlock()
-	return m.checked(local).Leader != "" || m.checked(cached).Leader != ""
+	return m.withoutDeadLeader(local).Leader != "" || m.withoutDeadLeader(cached).Leader != ""
 }
 
 // coversLately tells whether those asked include every daemon that the machine
 // list names or has named within the grace time.
-func (m *Manager) coversLately(asked Group) bool {
-	if !m.covers(asked) {
+func (m *Manager) coversRecentMachineList(asked Group) bool {
+	if !m.coversMachineList(asked) {
 		return false
 	}
 	addresses := map[string]bool{m.Self.ID.Address(): true}
--- a/internal/replication/leading.go
+++ b/internal/replication/leading.go
@@ -26,12 +26,12 @@
 
 // leading is the leadership of a replica in one epoch. It implements
 // Leadership.
-type leading struct {
+type leaderState struct {
 	*replica
 	epoch structs.Epoch
 	// opened is the entry that opened the epoch; ready is set once it is
 	// committed, serving once the application was told.
-	opened  structs.Index
+	openingIndex  structs.Index
 	ready   bool
 	serving bool
 	ended   bool
@@ -43,7 +43,7 @@
 	flushing      bool
 	ackTimer      clock.Timer
 	change        *change
-	handover      *handover
+	transfer      *leadershipTransfer
 	archiver      *archiver
 }
 
@@ -51,25 +51,25 @@
 func (r *replica) startLeading() {
 	epoch := r.candidacy.epoch
 	r.candidacy = nil
-	r.lead(epoch, nil)
+	r.openEpoch(epoch, nil)
 }
 
 // lead opens an epoch with an entry, which names the group if it is to change
 // or no entry has named it yet. records go into a second entry, which is applied
 // before the application hears of the leadership.
-func (r *replica) lead(epoch structs.Epoch, group Group, records ...structs.Record) {
+func (r *replica) openEpoch(epoch structs.Epoch, group Group, records ...structs.Record) {
 	if group == nil && r.log.last() == 0 {
 		group = r.log.group
 	}
 	r.stopElectionTimer()
-	r.electionTries = 0
+	r.electionAttempts = 0
 	r.leader = r.Self.ID
-	l := &leading{replica: r, epoch: epoch, progress: map[structs.DaemonID]*progress{}}
-	r.leading = l
+	l := &leaderState{replica: r, epoch: epoch, progress: map[structs.DaemonID]*progress{}}
+	r.leaderState = l
 	r.publish()
-	l.opened = l.appendEntry(Entry{Group: group})
+	l.openingIndex = l.appendEntry(Entry{Group: group})
 	if len(records) > 0 {
-		l.open(records)
+		l.appendOpeningRecords(records)
 	}
 	l.logger.Info().Uint64("epoch", uint64(epoch)).Int("members", len(r.log.group)).Msg("Elected.")
 	l.flush()
@@ -77,22 +77,22 @@
 }
 
 // open appends records that belong to the opening of the epoch.
-func (l *leading) open(records []structs.Record) {
+func (l *leaderState) appendOpeningRecords(records []structs.Record) {
 	data, err := json.Marshal(records)
 	if err != nil {
 		l.logger.Error().Err(err).Msg("Opening records not encoded.")
 		return
 	}
-	l.opened = l.appendEntry(Entry{Records: data})
+	l.openingIndex = l.appendEntry(Entry{Records: data})
 }
 
 // stopLeading ends a leadership: its proposals are lost to their proposers.
 func (r *replica) stopLeading() {
-	l := r.leading
+	l := r.leaderState
 	if l == nil {
 		return
 	}
-	r.leading = nil
+	r.leaderState = nil
 	l.ended = true
 	for _, id := range l.followers() {
 		l.progress[id].stop()
@@ -101,7 +101,7 @@
 		l.ackTimer.Stop()
 	}
 	l.endChange()
-	l.endHandover()
+	l.endLeadershipTransfer()
 	if l.serving {
 		r.Application.Follow(r.shard)
 	}
@@ -116,19 +116,19 @@
 }
 
 // Epoch implements Leadership.
-func (l *leading) Epoch() structs.Epoch { return l.epoch }
+func (l *leaderState) Epoch() structs.Epoch { return l.epoch }
 
 // Queue implements Leadership.
-func (l *leading) Queue() *serial.Queue { return &l.queue }
+func (l *leaderState) Queue() *serial.Queue { return &l.queue }
 
 // Propose implements Leadership.
-func (l *leading) Propose(records []structs.Record, done func(error)) {
+func (l *leaderState) Propose(records []structs.Record, done func(error)) {
 	if l.ended {
 		l.queue.Do(func() { done(ErrLost) })
 		return
 	}
-	if l.handover != nil {
-		l.handover.held = append(l.handover.held, heldProposal{records, done})
+	if l.transfer != nil {
+		l.transfer.heldProposals = append(l.transfer.heldProposals, heldProposal{records, done})
 		return
 	}
 	data, err := json.Marshal(records)
@@ -141,13 +141,13 @@
 	l.proposals = append(l.proposals, proposal{index: index, at: l.Clock.Now(), done: done})
 	l.flushSoon()
 	if l.Guards.CommitAlone {
-		l.advance(index)
+		l.advanceCommit(index)
 		l.acknowledge()
 	}
 }
 
 // Confirm implements Leadership.
-func (l *leading) Confirm(done func(error)) {
+func (l *leaderState) Confirm(done func(error)) {
 	if l.ended {
 		l.queue.Do(func() { done(ErrLost) })
 		return
@@ -162,7 +162,7 @@
 }
 
 // appendEntry adds an entry of this epoch to the leader's own log.
-func (l *leading) appendEntry(entry Entry) structs.Index {
+func (l *leaderState) appendEntry(entry Entry) structs.Index {
 	entry.Index, entry.Epoch = l.log.last()+1, l.epoch
 	l.log.append(entry)
 	return entry.Index
@@ -170,7 +170,7 @@
 
 // flushSoon sends what is new after the tasks that wait already, so that
 // proposals made together travel together.
-func (l *leading) flushSoon() {
+func (l *leaderState) flushSoon() {
 	if l.flushing {
 		return
 	}
@@ -187,7 +187,7 @@
 }
 
 // flush sends each member what it does not have.
-func (l *leading) flush() {
+func (l *leaderState) flush() {
 	for _, id := range l.targets() {
 		if l.progress[id] == nil {
 			l.progress[id] = newProgress(l, id)
@@ -197,7 +197,7 @@
 }
 
 // targets are the daemons that get the log: the group and a newcomer.
-func (l *leading) targets() Group {
+func (l *leaderState) targets() Group {
 	targets := l.log.group.without(l.Self.ID)
 	if l.change != nil && l.change.add != "" && !targets.Contains(l.change.add) {
 		targets = append(targets, l.change.add)
@@ -206,7 +206,7 @@
 }
 
 // followers are the daemons with progress, ordered.
-func (l *leading) followers() Group {
+func (l *leaderState) followers() Group {
 	ids := make(Group, 0, len(l.progress))
 	for id := range l.progress {
 		ids = append(ids, id)
@@ -217,10 +217,10 @@
 
 // receiveAppended takes up a member's answer.
 func (r *replica) receiveAppended(from structs.DaemonID, m *AppendReply) {
-	l := r.leading
-	if m.Epoch > r.promise.epoch {
+	l := r.leaderState
+	if m.Epoch > r.voteState.epoch {
 		if l != nil && r.Guards.AcceptStaleEpoch {
-			l.actStale()
+			l.commitDespiteStaleEpoch()
 			return
 		}
 		r.observe(m.Epoch)
@@ -228,7 +228,7 @@
 			r.leader = m.Leader
 			r.publish()
 		}
-		r.considerElection()
+		r.scheduleElection()
 		return
 	}
 	if l == nil || m.Epoch < l.epoch {
@@ -238,23 +238,23 @@
 	if p == nil {
 		return
 	}
-	p.answered(m)
+	p.handleReply(m)
 	l.commitMajority()
 	if !l.ended {
 		l.confirmMajority()
-		l.stepChange()
-		l.stepHandover()
+		l.advanceChange()
+		l.advanceLeadershipTransfer()
 	}
 }
 
 // actStale lets a superseded leader go on, to show what the epoch protects.
-func (l *leading) actStale() {
-	l.advance(l.log.last())
+func (l *leaderState) commitDespiteStaleEpoch() {
+	l.advanceCommit(l.log.last())
 	l.acknowledge()
 }
 
 // commitMajority commits what a majority holds in this epoch.
-func (l *leading) commitMajority() {
+func (l *leaderState) commitMajority() {
 	if l.ended {
 		return
 	}
@@ -266,14 +266,14 @@
 	slices.Sort(matches)
 	index := matches[len(matches)-group.Majority()]
 	if epoch, known := l.log.epochAt(index); index > l.commit && known && epoch == l.epoch {
-		l.advance(index)
+		l.advanceCommit(index)
 	}
-	if !l.ready && l.commit >= l.opened {
+	if !l.ready && l.commit >= l.openingIndex {
 		l.ready = true
 		l.publish()
-		l.considerPlan()
+		l.requestPlan()
 	}
-	l.considerServing()
+	l.startServingIfReady()
 	l.acknowledge()
 }
 
@@ -281,7 +281,7 @@
 // claimed a shard alone waits until another member shares what it records, if
 // there is any other daemon: else the next loss would take with it what was
 // acknowledged, and what back ends were asked to do.
-func (l *leading) considerServing() {
+func (l *leaderState) startServingIfReady() {
 	if !l.ready || l.serving || l.ended {
 		return
 	}
@@ -294,7 +294,7 @@
 	l.Application.Lead(l.shard, l.machine, l)
 }
 
-func (l *leading) matchOf(member structs.DaemonID) structs.Index {
+func (l *leaderState) matchOf(member structs.DaemonID) structs.Index {
 	if member == l.Self.ID {
 		return l.log.last()
 	}
@@ -305,7 +305,7 @@
 }
 
 // confirmMajority ends confirmations whose round a majority answered.
-func (l *leading) confirmMajority() {
+func (l *leaderState) confirmMajority() {
 	group := l.log.group
 	rounds := make([]uint64, 0, len(group))
 	for _, member := range group {
@@ -328,10 +328,10 @@
 }
 
 // memberChanged acts on news about a member of the group.
-func (l *leading) memberChanged(id structs.DaemonID) {
+func (l *leaderState) memberChanged(id structs.DaemonID) {
 	if p := l.progress[id]; p != nil && l.alive(id) {
 		p.send(true)
 	}
 	l.acknowledge()
-	l.considerPlan()
+	l.requestPlan()
 }
--- a/internal/replication/machines.go
+++ b/internal/replication/machines.go
@@ -35,19 +35,19 @@
 
 // unlistedMemory is how long an address that left the list is remembered with
 // its time; one that is forgotten counts as lacking since the first reading.
-const unlistedMemory = time.Hour
+const unlistedRetention = time.Hour
 
 func newMachineListView() machineListView {
 	return machineListView{listed: map[string]bool{}, unlistedAt: map[string]time.Time{}}
 }
 
 // known tells whether the list was ever read.
-func (w *machineListView) known() bool { return !w.firstAt.IsZero() }
+func (w *machineListView) wasRead() bool { return !w.firstAt.IsZero() }
 
 // missingFor tells for how long readings have lacked an address, from the first
 // of them to the last: what was not read since proves nothing.
 func (w *machineListView) missingFor(address string) time.Duration {
-	if !w.known() || w.listed[address] {
+	if !w.wasRead() || w.listed[address] {
 		return 0
 	}
 	since, seen := w.unlistedAt[address]
@@ -59,7 +59,7 @@
 
 // superseded tells whether another run has taken a daemon's address, and be it
 // that this one has ended as well.
-func (m *Manager) superseded(daemon structs.DaemonID) bool {
+func (m *Manager) isSuperseded(daemon structs.DaemonID) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.latest[daemon.Address()] > daemon.Incarnation()
@@ -78,7 +78,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	word := &m.machines
-	maps.DeleteFunc(word.unlistedAt, func(_ string, since time.Time) bool { return now.Sub(since) > unlistedMemory })
+	maps.DeleteFunc(word.unlistedAt, func(_ string, since time.Time) bool { return now.Sub(since) > unlistedRetention })
 	for address := range word.listed {
 		if !listed[address] {
 			word.unlistedAt[address] = now
@@ -88,7 +88,7 @@
 		delete(word.unlistedAt, address)
 	}
 	word.listed = listed
-	if !word.known() {
+	if !word.wasRead() {
 		word.firstAt = now
 	}
 	word.lastAt = now
@@ -99,7 +99,7 @@
 func (m *Manager) MachinesUnchanged() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.machines.known() {
+	if m.machines.wasRead() {
 		m.machines.lastAt = m.Clock.Now()
 	}
 }
@@ -107,12 +107,12 @@
 // gone tells whether a daemon surely runs no more: another run has its address,
 // or it is believed dead and for the grace time no reading of the machine list
 // has had its address.
-func (m *Manager) gone(daemon structs.DaemonID) bool {
+func (m *Manager) isConfirmedGone(daemon structs.DaemonID) bool {
 	since, dead := m.deadSince(daemon)
 	if !dead {
 		return false
 	}
-	if m.superseded(daemon) {
+	if m.isSuperseded(daemon) {
 		return true
 	}
 	if m.Clock.Now().Sub(since) < m.Settings.ClaimGrace {
--- a/internal/replication/manager.go
+++ b/internal/replication/manager.go
@@ -35,13 +35,13 @@
 type Manager struct {
 	Options
 	registry *registry
-	archive  *archive
+	archiveWriter  *archiveWriter
 
 	mutex    sync.Mutex
 	stopped  bool
 	replicas map[structs.ShardNumber]*replica
 	// promises are those of replicas that were dropped.
-	promises map[structs.ShardNumber]promise
+	voteStates map[structs.ShardNumber]voteState
 	routes   routeTable
 	lookup   routeLookup
 	// deadAt is since when daemons are believed dead.
@@ -54,11 +54,11 @@
 
 	transfers, changes int
 	movedAt            time.Time
-	planWanted         map[structs.ShardNumber]bool
+	shardsToPlan         map[structs.ShardNumber]bool
 	planTimer          clock.Timer
 	planDue            time.Time
-	auditTurn          int
-	handOver           handOver
+	auditRound          int
+	stopState           plannedStop
 	contradictions     int
 }
 
@@ -67,17 +67,17 @@
 	m := &Manager{
 		Options:          options,
 		replicas:         map[structs.ShardNumber]*replica{},
-		promises:         map[structs.ShardNumber]promise{},
+		voteStates:         map[structs.ShardNumber]voteState{},
 		routes:           newRouteTable(),
 		lookup:           newRouteLookup(),
 		deadAt:           map[structs.DaemonID]time.Time{},
 		latest:           map[string]uint64{options.Self.ID.Address(): options.Self.ID.Incarnation()},
 		machines:         newMachineListView(),
 		leavingAddresses: map[string]bool{},
-		planWanted:       map[structs.ShardNumber]bool{},
+		shardsToPlan:       map[structs.ShardNumber]bool{},
 	}
 	m.registry = newRegistry(m)
-	m.archive = &archive{manager: m}
+	m.archiveWriter = &archiveWriter{manager: m}
 	return m
 }
 
@@ -85,7 +85,7 @@
 func (m *Manager) Start() {
 	m.Members.Subscribe(m.memberChanged)
 	m.registry.start()
-	m.archive.start()
+	m.archiveWriter.start()
 	m.scheduleAudit()
 }
 
@@ -183,10 +183,10 @@
 		return nil
 	}
 	m.mutex.Lock()
-	former := m.promises[shard]
+	former := m.voteStates[shard]
 	m.mutex.Unlock()
 	if known := m.registry.epoch(shard); known > former.epoch {
-		former = promise{epoch: known}
+		former = voteState{epoch: known}
 	}
 	if epoch < former.epoch {
 		m.Transport.Send(from, &AppendReply{Shard: shard, Epoch: former.epoch, Refused: true})
@@ -196,18 +196,18 @@
 }
 
 // open makes a replica of a shard unless there is one.
-func (m *Manager) open(shard structs.ShardNumber, former promise, group Group) *replica {
+func (m *Manager) open(shard structs.ShardNumber, former voteState, group Group) *replica {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if existing := m.replicas[shard]; existing != nil {
 		return existing
 	}
-	if kept := m.promises[shard]; kept.epoch >= former.epoch {
+	if kept := m.voteStates[shard]; kept.epoch >= former.epoch {
 		former = kept
 	}
 	r := newReplica(m, shard, former, group)
 	m.replicas[shard] = r
-	delete(m.promises, shard)
+	delete(m.voteStates, shard)
 	return r
 }
 
@@ -217,8 +217,8 @@
 	defer m.mutex.Unlock()
 	if m.replicas[r.shard] == r {
 		delete(m.replicas, r.shard)
-		m.promises[r.shard] = r.promise
-		m.routes.leftGroup(r.shard)
+		m.voteStates[r.shard] = r.voteState
+		m.routes.leaveGroup(r.shard)
 	}
 }
 
@@ -258,7 +258,7 @@
 	m.mutex.Lock()
 	address := member.Daemon.ID.Address()
 	m.latest[address] = max(m.latest[address], member.Daemon.ID.Incarnation())
-	m.noteLeaving(member)
+	m.recordLeaving(member)
 	if member.State != membership.StateDead {
 		delete(m.deadAt, member.Daemon.ID)
 	} else if _, known := m.deadAt[member.Daemon.ID]; !known {
@@ -268,8 +268,8 @@
 	for _, r := range m.sortedReplicas() {
 		r.post(func() {
 			r.membershipChanged(member)
-			if r.leading != nil {
-				r.leading.considerPlan()
+			if r.leaderState != nil {
+				r.leaderState.requestPlan()
 			}
 		})
 	}
@@ -285,5 +285,5 @@
 func (m *Manager) isHandingOver() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.handOver.active
+	return m.stopState.active
 }
--- a/internal/replication/messages.go
+++ b/internal/replication/messages.go
@@ -134,7 +134,7 @@
 
 // wellFormed tells whether the piece lies inside a snapshot of bearable size.
 func (m *SnapshotChunk) wellFormed() bool {
-	return m.Offset >= 0 && m.Total > 0 && m.Total <= snapshotLimit &&
+	return m.Offset >= 0 && m.Total > 0 && m.Total <= maxSnapshotBytes &&
 		m.Offset+len(m.Data) <= m.Total && len(m.Group) > 0 && m.IndexEpoch <= m.Epoch
 }
 
--- a/internal/replication/plan.go
+++ b/internal/replication/plan.go
@@ -32,21 +32,21 @@
 }
 
 // considerPlan makes the daemon look at this shard's group in its next round.
-func (l *leading) considerPlan() { l.wantPlan(l.shard, planSoon) }
+func (l *leaderState) requestPlan() { l.schedulePlanOf(l.shard, planDelay) }
 
 // plan takes the next step, if any, towards a group of the right size on
 // available daemons, well placed and led by the daemon with the first claim.
 // It returns true while more is to be done.
-func (l *leading) plan(daemons []structs.Daemon) bool {
+func (l *leaderState) plan(daemons []structs.Daemon) bool {
 	if l.ended || !l.ready {
 		return false
 	}
-	l.considerServing()
+	l.startServingIfReady()
 	if l.isHandingOver() {
-		l.planLeave(daemons)
+		l.planForStop(daemons)
 		return true
 	}
-	if !l.groupSettled() {
+	if !l.isGroupStable() {
 		return true
 	}
 	group := l.log.group
@@ -54,40 +54,40 @@
 		l.shrink(daemons)
 		return true
 	}
-	if failing := l.failing(); len(group) < l.Settings.GroupSize || failing != "" {
+	if failing := l.memberToReplace(); len(group) < l.Settings.GroupSize || failing != "" {
 		l.grow(daemons, failing)
 		return true
 	}
-	if l.troubled() {
+	if l.hasUnhealthyMember() {
 		return true
 	}
-	return l.spread(daemons)
+	return l.rebalance(daemons)
 }
 
 // planLeave passes the leadership on. A group that has no majority without this
 // daemon grows first: leaving would take its records along.
-func (l *leading) planLeave(daemons []structs.Daemon) {
-	if !l.needed() {
-		l.leave()
+func (l *leaderState) planForStop(daemons []structs.Daemon) {
+	if !l.isNeededForMajority() {
+		l.transferLeadershipAway()
 		return
 	}
-	if !l.groupSettled() {
+	if !l.isGroupStable() {
 		return
 	}
-	failing := l.failing()
+	failing := l.memberToReplace()
 	switch {
 	case len(l.log.group) > l.Settings.GroupSize && failing != "":
 		l.shrink(daemons)
 	case len(l.log.group) < l.Settings.GroupSize || failing != "":
 		if !l.grow(daemons, failing) {
-			l.leave()
+			l.transferLeadershipAway()
 		}
 	}
 }
 
 // troubled tells whether a member is in doubt; its group is left as it is
 // until that member is well again or to be replaced.
-func (l *leading) troubled() bool {
+func (l *leaderState) hasUnhealthyMember() bool {
 	for _, member := range l.log.group {
 		if !l.available(member) || l.isLagging(member) {
 			return true
@@ -97,7 +97,7 @@
 }
 
 // failing returns a member that is to be replaced, "" if there is none.
-func (l *leading) failing() structs.DaemonID {
+func (l *leaderState) memberToReplace() structs.DaemonID {
 	now := l.Clock.Now()
 	for _, member := range l.log.group {
 		if member == l.Self.ID {
@@ -106,10 +106,10 @@
 		if l.Members.State(member) == membership.StateLeaving {
 			return member
 		}
-		if since, dead := l.deadSince(member); dead && (now.Sub(since) >= l.Settings.ReplaceAfter || l.superseded(member)) {
+		if since, dead := l.deadSince(member); dead && (now.Sub(since) >= l.Settings.ReplaceAfter || l.isSuperseded(member)) {
 			return member
 		}
-		if p := l.progress[member]; p != nil && p.lagging && now.Sub(p.heardAt) >= 2*l.Settings.ReplaceAfter {
+		if p := l.progress[member]; p != nil && p.lagging && now.Sub(p.repliedAt) >= 2*l.Settings.ReplaceAfter {
 			return member
 		}
 	}
@@ -118,7 +118,7 @@
 
 // grow adds the daemon that fits best beside the members that stay. It returns
 // false when there is none.
-func (l *leading) grow(daemons []structs.Daemon, failing structs.DaemonID) bool {
+func (l *leaderState) grow(daemons []structs.Daemon, failing structs.DaemonID) bool {
 	staying := daemonsOf(l.log.group.without(failing), daemons)
 	free := slices.DeleteFunc(slices.Clone(daemons), func(daemon structs.Daemon) bool {
 		return l.log.group.Contains(daemon.ID)
@@ -132,22 +132,22 @@
 
 // shrink removes the member that is worst: dead, then stopping or stalled,
 // then ill placed.
-func (l *leading) shrink(daemons []structs.Daemon) {
-	worst := l.failing()
+func (l *leaderState) shrink(daemons []structs.Daemon) {
+	worst := l.memberToReplace()
 	if worst == "" {
 		worst = l.deadMember()
 	}
 	if worst == "" {
-		worst = l.misplaced(daemons)
+		worst = l.worstPlacedMember(daemons)
 	}
 	if worst != l.Self.ID {
 		l.removeMember(worst)
 		return
 	}
-	l.leave()
+	l.transferLeadershipAway()
 }
 
-func (l *leading) deadMember() structs.DaemonID {
+func (l *leaderState) deadMember() structs.DaemonID {
 	for _, member := range l.log.group {
 		if !l.alive(member) {
 			return member
@@ -158,8 +158,8 @@
 
 // misplaced returns the member to give up: not in its place by rendezvous, and
 // such that the others are spread best. Of equals the lowest claim goes.
-func (l *leading) misplaced(daemons []structs.Daemon) structs.DaemonID {
-	target := identifiers(place(l.shard, daemons, l.Settings.GroupSize))
+func (l *leaderState) worstPlacedMember(daemons []structs.Daemon) structs.DaemonID {
+	target := identifiers(chooseGroup(l.shard, daemons, l.Settings.GroupSize))
 	members := ranked(l.shard, daemonsOf(l.log.group, daemons))
 	worst, least := structs.DaemonID(""), 0
 	for _, member := range l.log.group {
@@ -192,17 +192,17 @@
 
 // crowded tells whether the group stands in fewer zones than it could: that is
 // mended at once, other moves may wait.
-func (l *leading) crowded(daemons []structs.Daemon, target Group) bool {
+func (l *leaderState) isSpreadWorse(daemons []structs.Daemon, target Group) bool {
 	return totalPenalty(daemonsOf(l.log.group, daemons)) > totalPenalty(daemonsOf(target, daemons))
 }
 
 // spread moves one replica or the leadership towards its place by rendezvous,
 // at a bounded rate unless zones are at stake. It returns true while something is out of place.
-func (l *leading) spread(daemons []structs.Daemon) bool {
-	target := identifiers(place(l.shard, daemons, l.Settings.GroupSize))
+func (l *leaderState) rebalance(daemons []structs.Daemon) bool {
+	target := identifiers(chooseGroup(l.shard, daemons, l.Settings.GroupSize))
 	for _, id := range target {
 		if !l.log.group.Contains(id) {
-			if l.crowded(daemons, target) || l.takeMove() {
+			if l.isSpreadWorse(daemons, target) || l.allowRebalanceMove() {
 				l.addMember(id)
 			}
 			return true
@@ -211,8 +211,8 @@
 	if len(target) == 0 || target[0] == l.Self.ID {
 		return false
 	}
-	if l.canSucceed(target[0]) && l.takeMove() {
-		l.handOverTo(target[0])
+	if l.canSucceed(target[0]) && l.allowRebalanceMove() {
+		l.transferLeadershipTo(target[0])
 	}
 	return true
 }
--- a/internal/replication/planned_stop.go
+++ b/internal/replication/planned_stop.go
@@ -8,17 +8,17 @@
 )
 
 // handOver is the state of a planned stop.
-type handOver struct {
+type plannedStop struct {
 	active bool
 	since  time.Time
 	// needed are the shards whose group has no majority without this daemon.
-	needed map[structs.ShardNumber]bool
+	shardsNeeding map[structs.ShardNumber]bool
 	// told is set once the log says that the stop takes long, and why.
-	told bool
+	warned bool
 }
 
 // handOverPoll is the pause between looks at a planned stop's progress.
-const handOverPoll = 100 * time.Millisecond
+const plannedStopPollInterval = 100 * time.Millisecond
 
 // HandOver prepares a planned stop: every shard led here is passed to a member
 // that holds its whole log, and where other daemons can take this one's place
@@ -28,44 +28,44 @@
 // that. done is called once.
 func (m *Manager) HandOver(done func()) {
 	m.mutex.Lock()
-	m.handOver = handOver{active: true, since: m.Clock.Now(), needed: map[structs.ShardNumber]bool{}}
+	m.stopState = plannedStop{active: true, since: m.Clock.Now(), shardsNeeding: map[structs.ShardNumber]bool{}}
 	m.mutex.Unlock()
 	for _, r := range m.sortedReplicas() {
 		r.post(func() {
-			if r.leading != nil {
-				r.leading.plan(nil)
-				r.leading.considerPlan()
+			if r.leaderState != nil {
+				r.leaderState.plan(nil)
+				r.leaderState.requestPlan()
 			}
 		})
 	}
-	m.watchHandOver(done)
+	m.pollHandOver(done)
 }
 
-func (m *Manager) watchHandOver(done func()) {
+func (m *Manager) pollHandOver(done func()) {
 	for _, r := range m.sortedReplicas() {
-		r.post(func() { m.noteNeeded(r.shard, r.needed()) })
+		r.post(func() { m.setNeeded(r.shard, r.isNeededForMajority()) })
 	}
-	m.Clock.AfterFunc(handOverPoll, func() {
-		if m.isStopped() || m.handedOver() {
+	m.Clock.AfterFunc(plannedStopPollInterval, func() {
+		if m.isStopped() || m.isHandOverDone() {
 			done()
 			return
 		}
-		m.watchHandOver(done)
+		m.pollHandOver(done)
 	})
 }
 
-func (m *Manager) noteNeeded(shard structs.ShardNumber, needed bool) {
+func (m *Manager) setNeeded(shard structs.ShardNumber, needed bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if needed {
-		m.handOver.needed[shard] = true
+		m.stopState.shardsNeeding[shard] = true
 		return
 	}
-	delete(m.handOver.needed, shard)
+	delete(m.stopState.shardsNeeding, shard)
 }
 
 // needed tells whether the group lacks a majority of members that stay.
-func (r *replica) needed() bool {
+func (r *replica) isNeededForMajority() bool {
 	if !r.log.group.Contains(r.Self.ID) {
 		return false
 	}
@@ -80,12 +80,12 @@
 }
 
 // handedOver tells whether nothing is left that the fleet could take over.
-func (m *Manager) handedOver() bool {
+func (m *Manager) isHandOverDone() bool {
 	m.mutex.Lock()
-	late := m.Clock.Now().Sub(m.handOver.since) >= m.Settings.HandOverTimeout
-	leads := m.routes.leads(m.Self.ID)
+	late := m.Clock.Now().Sub(m.stopState.since) >= m.Settings.HandOverTimeout
+	leads := m.routes.leadsAny(m.Self.ID)
 	holds := len(m.replicas) > 0
-	needed := m.neededShards()
+	needed := m.countNeedingShards()
 	m.mutex.Unlock()
 	others, expected := len(m.candidates()), m.expectedOthers()
 	if !holds || others+expected == 0 {
@@ -93,7 +93,7 @@
 	}
 	if late {
 		helpless := max(others, expected) < m.Settings.GroupSize-1
-		m.tellWaiting(needed, others, expected)
+		m.warnOfWait(needed, others, expected)
 		return needed == 0 || helpless
 	}
 	replaceable := others >= m.Settings.GroupSize
@@ -116,7 +116,7 @@
 
 // noteLeaving remembers which addresses' daemons have said that they stop, also
 // after they have. The caller has the lock.
-func (m *Manager) noteLeaving(member membership.Member) {
+func (m *Manager) recordLeaving(member membership.Member) {
 	address := member.Daemon.ID.Address()
 	switch member.State {
 	case membership.StateLeaving:
@@ -129,10 +129,10 @@
 }
 
 // tellWaiting says once why a planned stop takes longer than usual.
-func (m *Manager) tellWaiting(needed, others, expected int) {
+func (m *Manager) warnOfWait(needed, others, expected int) {
 	m.mutex.Lock()
-	told := m.handOver.told
-	m.handOver.told = told || needed > 0
+	told := m.stopState.warned
+	m.stopState.warned = told || needed > 0
 	m.mutex.Unlock()
 	if told || needed == 0 {
 		return
@@ -145,13 +145,13 @@
 func (m *Manager) ShardsNeedingThisDaemon() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.neededShards()
+	return m.countNeedingShards()
 }
 
 // neededShards counts held shards that need this daemon. The caller has the lock.
-func (m *Manager) neededShards() int {
+func (m *Manager) countNeedingShards() int {
 	count := 0
-	for shard := range m.handOver.needed {
+	for shard := range m.stopState.shardsNeeding {
 		if m.replicas[shard] != nil {
 			count++
 		}
--- a/internal/replication/planner.go
+++ b/internal/replication/planner.go
@@ -9,23 +9,23 @@
 
 // planSoon is the pause before a round that news or a finished change asked
 // for; what comes meanwhile is looked at together.
-const planSoon = 20 * time.Millisecond
+const planDelay = 20 * time.Millisecond
 
 // wantPlan makes the daemon look at a shard's group, after a pause at most.
 // Rounds stop when nothing is left to do.
-func (m *Manager) wantPlan(shard structs.ShardNumber, pause time.Duration) {
+func (m *Manager) schedulePlanOf(shard structs.ShardNumber, pause time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.planWanted[shard] = true
+	m.shardsToPlan[shard] = true
 	m.schedulePlan(pause)
 }
 
 // hastenPlan brings the next round forward if any shard waits for it.
-func (m *Manager) hastenPlan() {
+func (m *Manager) schedulePlanSoon() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if len(m.planWanted) > 0 {
-		m.schedulePlan(planSoon)
+	if len(m.shardsToPlan) > 0 {
+		m.schedulePlan(planDelay)
 	}
 }
 
@@ -39,17 +39,17 @@
 		m.planTimer.Stop()
 	}
 	m.planDue = due
-	m.planTimer = m.Clock.AfterFunc(pause, m.planRound)
+	m.planTimer = m.Clock.AfterFunc(pause, m.runPlan)
 }
 
-func (m *Manager) planRound() {
+func (m *Manager) runPlan() {
 	m.mutex.Lock()
 	m.planTimer = nil
-	wanted := make([]structs.ShardNumber, 0, len(m.planWanted))
-	for shard := range m.planWanted {
+	wanted := make([]structs.ShardNumber, 0, len(m.shardsToPlan))
+	for shard := range m.shardsToPlan {
 		wanted = append(wanted, shard)
 	}
-	clear(m.planWanted)
+	clear(m.shardsToPlan)
 	stopped := m.stopped
 	m.mutex.Unlock()
 	if stopped {
@@ -63,8 +63,8 @@
 			continue
 		}
 		r.post(func() {
-			if r.leading != nil && r.leading.plan(daemons) {
-				m.wantPlan(shard, m.Settings.PlanInterval)
+			if r.leaderState != nil && r.leaderState.plan(daemons) {
+				m.schedulePlanOf(shard, m.Settings.PlanInterval)
 			}
 		})
 	}
--- a/internal/replication/pressure.go
+++ b/internal/replication/pressure.go
@@ -18,13 +18,13 @@
 // pressureMemory is how long a member's word about its memory counts. A shard
 // whose calls are all refused hears nothing from its members; after this time a
 // call goes through and its answer tells anew.
-const pressureMemory = 5 * time.Second
+const pressureValidity = 5 * time.Second
 
 // Pressure implements Leadership.
-func (l *leading) Pressure() Pressure {
+func (l *leaderState) Pressure() Pressure {
 	highest := l.Application.Pressure()
 	for _, member := range l.log.group {
-		if p := l.progress[member]; p != nil && l.Clock.Now().Sub(p.pressureAt) < pressureMemory {
+		if p := l.progress[member]; p != nil && l.Clock.Now().Sub(p.pressureAt) < pressureValidity {
 			highest = max(highest, p.pressure)
 		}
 	}
--- a/internal/replication/pressure_test.go
+++ b/internal/replication/pressure_test.go
@@ -30,7 +30,7 @@
 	if got := f.pressureAtLeader(); got != PressureRefuseAll {
 		t.Errorf("pressure %d after a full member's answer, want %d", got, PressureRefuseAll)
 	}
-	f.run(pressureMemory + time.Second)
+	f.run(pressureValidity + time.Second)
 	if got := f.pressureAtLeader(); got != PressureNone {
 		t.Errorf("pressure %d after a long silence, want %d: nothing would be asked again", got, PressureNone)
 	}
--- a/internal/replication/progress.go
+++ b/internal/replication/progress.go
@@ -9,7 +9,7 @@
 
 // progress is how far one member follows its leader.
 type progress struct {
-	leading *leading
+	leader *leaderState
 	member  structs.DaemonID
 	// match is the last index the member is known to hold, next the one to
 	// send next, and round the last question of the leader that it answered.
@@ -19,11 +19,11 @@
 	// since is the leader's round when the member's stay began. Dismissals raise
 	// the round, so answers to an earlier one are of a stay that ended: what the
 	// member held then it has dropped.
-	since uint64
+	firstRound uint64
 	// sentRound is the last round sent, and unanswered counts messages since
 	// the last answer.
 	sentRound  uint64
-	unanswered int
+	inFlight int
 	// probing is set from a refusal or a silence until an answer shows where
 	// the member's log agrees: one message at a time is sent, and refusals of
 	// others that were under way are ignored.
@@ -33,12 +33,12 @@
 	// smoothed time to an answer.
 	sentAt    time.Time
 	roundTrip time.Duration
-	pause     time.Duration
+	retryDelay     time.Duration
 	timer     clock.Timer
 	// lagging is set while acknowledgements do not wait for the member;
 	// heardAt is when it answered last.
 	lagging  bool
-	heardAt  time.Time
+	repliedAt  time.Time
 	transfer *outgoingSnapshot
 	stopped  bool
 	// pressure is the member's latest word about its memory.
@@ -46,8 +46,8 @@
 	pressureAt time.Time
 }
 
-func newProgress(l *leading, member structs.DaemonID) *progress {
-	return &progress{leading: l, member: member, next: l.log.last(), since: l.round, pause: l.Settings.RetryInterval, heardAt: l.Clock.Now()}
+func newProgress(l *leaderState, member structs.DaemonID) *progress {
+	return &progress{leader: l, member: member, next: l.log.last(), firstRound: l.round, retryDelay: l.Settings.RetryInterval, repliedAt: l.Clock.Now()}
 }
 
 func (p *progress) stop() {
@@ -59,14 +59,14 @@
 }
 
 // settled tells whether the member has answered everything.
-func (p *progress) settled() bool {
-	return p.match == p.leading.log.last() && p.round == p.leading.round
+func (p *progress) isUpToDate() bool {
+	return p.match == p.leader.log.last() && p.round == p.leader.round
 }
 
 // send sends what the member does not have, as far as the window allows.
 // again repeats what was not answered.
 func (p *progress) send(again bool) {
-	l := p.leading
+	l := p.leader
 	if p.stopped {
 		return
 	}
@@ -76,26 +76,26 @@
 	}
 	if again {
 		p.sentRound = p.round
-		p.probe(p.match + 1)
+		p.startProbe(p.match + 1)
 	}
-	for p.unanswered < p.window() {
+	for p.inFlight < p.window() {
 		if p.next <= l.log.base {
 			p.startTransfer()
 			break
 		}
-		if p.next > l.log.last() && p.sentRound == l.round && !(again && !p.settled()) {
+		if p.next > l.log.last() && p.sentRound == l.round && !(again && !p.isUpToDate()) {
 			break
 		}
-		p.sendAppend()
+		p.sendAppendRequest()
 		again = false
 	}
 	p.schedule()
 }
 
 // probe begins again at an index.
-func (p *progress) probe(from structs.Index) {
+func (p *progress) startProbe(from structs.Index) {
 	p.probing, p.probeFrom = true, from
-	p.next, p.unanswered = from, 0
+	p.next, p.inFlight = from, 0
 }
 
 // window is how many messages may wait for their answer.
@@ -103,11 +103,11 @@
 	if p.probing {
 		return 1
 	}
-	return p.leading.Settings.MaxInFlightMessages
+	return p.leader.Settings.MaxInFlightMessages
 }
 
-func (p *progress) sendAppend() {
-	l := p.leading
+func (p *progress) sendAppendRequest() {
+	l := p.leader
 	entries := l.log.from(p.next, l.Settings.AppendBytes)
 	previousEpoch, _ := l.log.epochAt(p.next - 1)
 	l.replica.send(p.member, &AppendRequest{
@@ -121,26 +121,26 @@
 	})
 	p.next += structs.Index(len(entries))
 	p.sentRound = l.round
-	if p.unanswered == 0 {
+	if p.inFlight == 0 {
 		p.sentAt = l.Clock.Now()
 	}
-	p.unanswered++
+	p.inFlight++
 }
 
 // schedule arms the timer that repeats unanswered messages.
 func (p *progress) schedule() {
-	if p.timer != nil || p.stopped || (p.settled() && p.transfer == nil) {
+	if p.timer != nil || p.stopped || (p.isUpToDate() && p.transfer == nil) {
 		return
 	}
-	l := p.leading
-	p.timer = l.after(p.pause+l.jitter(p.pause/8), func() {
+	l := p.leader
+	p.timer = l.after(p.retryDelay+l.jitter(p.retryDelay/8), func() {
 		p.timer = nil
 		if p.stopped {
 			return
 		}
-		p.pause = min(2*p.pause, l.Settings.MaxRetryInterval)
+		p.retryDelay = min(2*p.retryDelay, l.Settings.MaxRetryInterval)
 		if p.transfer != nil {
-			p.transfer.repeat()
+			p.transfer.sendChunk()
 			p.schedule()
 			return
 		}
@@ -152,8 +152,8 @@
 const roundTripWeight = 8
 
 // measure takes the time to an answer into the smoothed round trip.
-func (p *progress) measure() {
-	sample := p.leading.Clock.Now().Sub(p.sentAt)
+func (p *progress) updateRoundTrip() {
+	sample := p.leader.Clock.Now().Sub(p.sentAt)
 	if p.roundTrip == 0 {
 		p.roundTrip = sample
 	}
@@ -161,9 +161,9 @@
 }
 
 // heard notes a sign of life: the next silence is measured anew.
-func (p *progress) heard() {
-	p.heardAt = p.leading.Clock.Now()
-	p.pause = min(max(p.leading.Settings.RetryInterval, 2*p.roundTrip), p.leading.Settings.MaxRetryInterval)
+func (p *progress) recordReply() {
+	p.repliedAt = p.leader.Clock.Now()
+	p.retryDelay = min(max(p.leader.Settings.RetryInterval, 2*p.roundTrip), p.leader.Settings.MaxRetryInterval)
 	if p.timer != nil {
 		p.timer.Stop()
 		p.timer = nil
@@ -171,21 +171,21 @@
 }
 
 // answered takes up the answer to an append.
-func (p *progress) answered(m *AppendReply) {
-	if m.Round < p.since {
+func (p *progress) handleReply(m *AppendReply) {
+	if m.Round < p.firstRound {
 		return
 	}
-	if p.unanswered == 1 {
-		p.measure()
+	if p.inFlight == 1 {
+		p.updateRoundTrip()
 	}
-	p.heard()
-	p.pressure, p.pressureAt = m.Pressure, p.heardAt
-	p.unanswered = max(0, p.unanswered-1)
+	p.recordReply()
+	p.pressure, p.pressureAt = m.Pressure, p.repliedAt
+	p.inFlight = max(0, p.inFlight-1)
 	p.round = max(p.round, m.Round)
 	if m.Refused {
 		known := p.probing && m.Hint >= p.probeFrom
 		if m.Hint > p.match && m.Hint <= p.next && !known {
-			p.probe(m.Hint)
+			p.startProbe(m.Hint)
 		}
 		p.send(false)
 		return
@@ -193,14 +193,14 @@
 	if p.probing && m.Match+1 >= p.probeFrom {
 		p.probing = false
 	}
-	if m.Match > p.match && m.Match <= p.leading.log.last() {
+	if m.Match > p.match && m.Match <= p.leader.log.last() {
 		p.match = m.Match
 		p.next = max(p.next, p.match+1)
 	}
-	if p.settled() {
-		p.unanswered = 0
+	if p.isUpToDate() {
+		p.inFlight = 0
 	}
-	if p.lagging && p.match >= p.leading.commit {
+	if p.lagging && p.match >= p.leader.commit {
 		p.lagging = false
 	}
 	p.send(false)
--- a/internal/replication/random_test.go
+++ b/internal/replication/random_test.go
@@ -78,11 +78,11 @@
 func (s *schedule) whole() bool {
 	for shard := range structs.ShardNumber(s.shards) {
 		leader := s.leaderOf(shard)
-		if leader == nil || leader.manager.replica(shard).leading == nil {
+		if leader == nil || leader.manager.replica(shard).leaderState == nil {
 			return false
 		}
 		r := leader.manager.replica(shard)
-		if len(r.log.group) != 3 || r.log.groupIndex > r.commit || r.leading.change != nil {
+		if len(r.log.group) != 3 || r.log.groupIndex > r.commit || r.leaderState.change != nil {
 			return false
 		}
 		for _, d := range s.daemons {
--- a/internal/replication/reconfigure.go
+++ b/internal/replication/reconfigure.go
@@ -14,7 +14,7 @@
 	// entry is the change's index in the log, 0 while the newcomer catches up.
 	entry structs.Index
 	timer clock.Timer
-	token bool
+	holdsSlot bool
 }
 
 // caughtUpEntries is how far behind a newcomer may be when it gets its vote.
@@ -22,34 +22,34 @@
 
 // groupSettled tells whether the group in force is committed and neither a
 // change nor a handover is under way.
-func (l *leading) groupSettled() bool {
-	return l.ready && l.change == nil && l.handover == nil && l.log.groupIndex <= l.commit
+func (l *leaderState) isGroupStable() bool {
+	return l.ready && l.change == nil && l.transfer == nil && l.log.groupIndex <= l.commit
 }
 
 // addMember lets a daemon catch up and then join the group.
-func (l *leading) addMember(daemon structs.DaemonID) {
-	if !l.groupSettled() || l.log.group.Contains(daemon) || !l.takeChange() {
+func (l *leaderState) addMember(daemon structs.DaemonID) {
+	if !l.isGroupStable() || l.log.group.Contains(daemon) || !l.acquireChangeSlot() {
 		return
 	}
 	l.logger.Info().Str("member", string(daemon)).Msg("Adding a member.")
-	l.beginChange(&change{add: daemon, token: true})
+	l.startChange(&change{add: daemon, holdsSlot: true})
 	l.flush()
-	l.stepChange()
+	l.advanceChange()
 }
 
 // removeMember takes a daemon other than this one out of the group.
-func (l *leading) removeMember(daemon structs.DaemonID) {
-	if !l.groupSettled() || daemon == l.Self.ID || !l.takeChange() {
+func (l *leaderState) removeMember(daemon structs.DaemonID) {
+	if !l.isGroupStable() || daemon == l.Self.ID || !l.acquireChangeSlot() {
 		return
 	}
 	l.logger.Info().Str("member", string(daemon)).Msg("Removing a member.")
-	c := &change{remove: daemon, token: true}
-	l.beginChange(c)
+	c := &change{remove: daemon, holdsSlot: true}
+	l.startChange(c)
 	c.entry = l.appendEntry(Entry{Group: l.log.group.without(daemon)})
 	l.flushSoon()
 }
 
-func (l *leading) beginChange(c *change) {
+func (l *leaderState) startChange(c *change) {
 	l.change = c
 	c.timer = l.after(l.Settings.ChangeTimeout, func() {
 		if l.change == c && c.entry == 0 {
@@ -60,15 +60,15 @@
 }
 
 // abandonNewcomer gives a change up before it is in the log.
-func (l *leading) abandonNewcomer() {
+func (l *leaderState) abandonNewcomer() {
 	add := l.change.add
 	l.endChange()
 	l.dismiss(add)
-	l.considerPlan()
+	l.requestPlan()
 }
 
 // dismiss forgets a daemon's progress and tells it.
-func (l *leading) dismiss(daemon structs.DaemonID) {
+func (l *leaderState) dismiss(daemon structs.DaemonID) {
 	if p := l.progress[daemon]; p != nil {
 		p.stop()
 		delete(l.progress, daemon)
@@ -79,12 +79,12 @@
 // sendDismiss tells a daemon that its stay has ended. Later rounds belong to
 // another stay: what is still under way of this one counts no more, should the
 // daemon be taken back in the same epoch.
-func (l *leading) sendDismiss(daemon structs.DaemonID) {
+func (l *leaderState) sendDismiss(daemon structs.DaemonID) {
 	l.replica.send(daemon, &Dismiss{Shard: l.shard, Epoch: l.epoch, Round: l.round})
 	l.round++
 }
 
-func (l *leading) endChange() {
+func (l *leaderState) endChange() {
 	c := l.change
 	if c == nil {
 		return
@@ -93,14 +93,14 @@
 	if c.timer != nil {
 		c.timer.Stop()
 	}
-	if c.token {
-		l.giveChange()
+	if c.holdsSlot {
+		l.releaseChangeSlot()
 	}
 }
 
 // stepChange moves a change on: the caught-up newcomer gets its vote, and a
 // committed change ends.
-func (l *leading) stepChange() {
+func (l *leaderState) advanceChange() {
 	c := l.change
 	if c == nil || l.ended {
 		return
@@ -108,7 +108,7 @@
 	switch {
 	case c.entry == 0 && !l.alive(c.add):
 		l.abandonNewcomer()
-	case c.entry == 0 && l.caughtUp(c.add):
+	case c.entry == 0 && l.hasCaughtUp(c.add):
 		c.entry = l.appendEntry(Entry{Group: l.log.group.with(c.add)})
 		l.flushSoon()
 	case c.entry != 0 && c.entry <= l.commit:
@@ -116,12 +116,12 @@
 	}
 }
 
-func (l *leading) caughtUp(daemon structs.DaemonID) bool {
+func (l *leaderState) hasCaughtUp(daemon structs.DaemonID) bool {
 	p := l.progress[daemon]
-	return p != nil && p.match >= l.opened && p.match+caughtUpEntries >= l.log.last()
+	return p != nil && p.match >= l.openingIndex && p.match+caughtUpEntries >= l.log.last()
 }
 
-func (l *leading) finishChange() {
+func (l *leaderState) finishChange() {
 	c := l.change
 	l.endChange()
 	if c.remove != "" {
@@ -135,5 +135,5 @@
 		// the window in which one more loss stops it is kept short.
 		l.plan(l.candidates())
 	}
-	l.considerPlan()
+	l.requestPlan()
 }
--- a/internal/replication/registry.go
+++ b/internal/replication/registry.go
@@ -80,7 +80,7 @@
 }
 
 // readLimit bounds the entries of one read.
-const readLimit = 200
+const maxEntriesPerRead = 200
 
 // Pauses between readings of the stream, as parts and multiples of LogInterval.
 const (
@@ -125,7 +125,7 @@
 	g.mutex.Unlock()
 	g.searchOrphans()
 	for _, r := range g.manager.sortedReplicas() {
-		r.post(r.considerClaim)
+		r.post(r.claimIfMajorityLost)
 	}
 	g.read()
 	pause := g.pauseBeforeNextRead()
@@ -143,7 +143,7 @@
 		return interval / quickReadDivisor
 	case !g.hasGroups:
 		return interval / firstReadDivisor
-	case g.urgent():
+	case g.needsPromptRead():
 		return interval
 	default:
 		return idleReadFactor * interval
@@ -168,10 +168,10 @@
 
 // urgent tells whether the stream matters now: a shard known here is without
 // its majority, or something waits to be written.
-func (g *registry) urgent() bool {
+func (g *registry) needsPromptRead() bool {
 	toWrite := len(g.notes) > 0 || len(g.claims) > 0
 	searching := g.search != nil || len(g.survivors) > 0 || len(g.leaderlessSince) > 0
-	return toWrite || searching || g.anyOrphan() || g.manager.anyLost()
+	return toWrite || searching || g.hasOrphan() || g.manager.hasShardWithoutMajority()
 }
 
 // read takes the next entries, and the ones after them, until caught up.
@@ -184,7 +184,7 @@
 	g.reading = true
 	next := g.next
 	g.mutex.Unlock()
-	g.manager.Log.Read(framework.StreamGroups, next, readLimit, g.receiveEntries)
+	g.manager.Log.Read(framework.StreamGroups, next, maxEntriesPerRead, g.receiveEntries)
 }
 
 // receiveEntries takes the answer to a read. After an error the next tick reads
@@ -197,7 +197,7 @@
 		return
 	}
 	for _, entry := range entries {
-		g.fold(entry)
+		g.apply(entry)
 	}
 	if len(entries) > 0 {
 		g.read()
@@ -211,7 +211,7 @@
 
 // fold takes one entry into the state. Entries that were read before, or that
 // cannot be read, change nothing.
-func (g *registry) fold(entry framework.LogEntry) {
+func (g *registry) apply(entry framework.LogEntry) {
 	g.mutex.Lock()
 	if entry.Offset < g.next {
 		g.mutex.Unlock()
@@ -226,15 +226,15 @@
 	}
 	var effects []func()
 	if body.Genesis != nil && !g.hasGroups {
-		effects = g.foldGenesis(body.Genesis)
+		effects = g.applyGenesis(body.Genesis)
 	}
 	for _, c := range body.Claims {
-		if effect := g.foldClaim(c); effect != nil {
+		if effect := g.applyClaim(c); effect != nil {
 			effects = append(effects, effect)
 		}
 	}
 	for _, note := range body.Notes {
-		g.foldNote(note)
+		g.applyNote(note)
 	}
 	g.mutex.Unlock()
 	for _, effect := range effects {
@@ -242,7 +242,7 @@
 	}
 }
 
-func (g *registry) foldClaim(c claim) func() {
+func (g *registry) applyClaim(c claim) func() {
 	m := g.manager
 	known := g.groups[c.Shard]
 	if !g.hasGroups || int(c.Shard) >= m.Settings.Shards || c.Generation != known.generation+1 {
@@ -259,7 +259,7 @@
 	return func() { m.claimLost(c) }
 }
 
-func (g *registry) foldNote(note groupNote) {
+func (g *registry) applyNote(note groupNote) {
 	known, exists := g.groups[note.Shard]
 	if exists && generation(note.Epoch) == known.generation && note.Epoch >= known.epoch {
 		known.epoch, known.group = note.Epoch, note.Group
@@ -293,5 +293,5 @@
 		settings := g.manager.Settings
 		return g.manager.Clock.Now().Sub(g.startedAt) > settings.GenesisWait+settings.NoMajorityAfter
 	}
-	return g.orphan(shard)
+	return g.isOrphan(shard)
 }
--- a/internal/replication/registry_writer.go
+++ b/internal/replication/registry_writer.go
@@ -12,7 +12,7 @@
 // write appends what is due, one entry at a time.
 func (g *registry) write() {
 	g.mutex.Lock()
-	entry, due := g.due()
+	entry, due := g.nextEntry()
 	if !due || g.appending {
 		g.mutex.Unlock()
 		return
@@ -39,7 +39,7 @@
 	g.mutex.Lock()
 	g.appending = false
 	if err == nil {
-		g.forgetWritten(entry)
+		g.dropWritten(entry)
 	}
 	if hasClaims {
 		g.quickReads = quickReadCount
@@ -57,7 +57,7 @@
 }
 
 // due returns the next entry to write.
-func (g *registry) due() (groupsEntry, bool) {
+func (g *registry) nextEntry() (groupsEntry, bool) {
 	if !g.hasGroups {
 		first, ready := g.firstGroups()
 		return groupsEntry{Genesis: first}, ready
@@ -75,7 +75,7 @@
 }
 
 // forgetWritten drops what is in the stream now from what waits to be written.
-func (g *registry) forgetWritten(entry groupsEntry) {
+func (g *registry) dropWritten(entry groupsEntry) {
 	g.claims = slices.DeleteFunc(g.claims, func(c claim) bool { return slices.Contains(entry.Claims, c) })
 	for _, note := range entry.Notes {
 		if g.notes[note.Shard].Epoch == note.Epoch && slices.Equal(g.notes[note.Shard].Group, note.Group) {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -15,9 +15,9 @@
 
 // promise is what a daemon must not forget about a shard while it runs, even
 // after it dropped its replica: it votes once in an epoch.
-type promise struct {
+type voteState struct {
 	epoch structs.Epoch
-	voted structs.DaemonID
+	votedFor structs.DaemonID
 }
 
 // replica is one daemon's part in one shard's group. All of it is touched on
@@ -29,48 +29,48 @@
 	logger  zerolog.Logger
 	machine StateMachine
 	log     *entryLog
-	promise promise
+	voteState voteState
 	// leader is who this replica follows in its epoch, "" if it knows none.
 	leader structs.DaemonID
 	// heard is the leader's last round known here, of heardEpoch.
-	heard      uint64
-	heardEpoch structs.Epoch
+	leaderRound      uint64
+	leaderRoundEpoch structs.Epoch
 	commit     structs.Index
 	applied    structs.Index
 
 	candidacy *candidacy
-	leading   *leading
+	leaderState   *leaderState
 	incoming  *incomingSnapshot
 	// electionTimer runs while a candidacy of this replica is due.
 	electionTimer clock.Timer
-	electionTries int
+	electionAttempts int
 	// positions are what members said lately about their logs.
 	positions map[structs.DaemonID]position
 	// askedPositions is when members were asked for that last.
-	askedPositions map[structs.DaemonID]time.Time
+	positionRequestedAt map[structs.DaemonID]time.Time
 	// outsideReplicas are daemons outside the group that were found to hold a replica.
 	outsideReplicas Group
 	// lostAt is when the group was found without a majority, zero if it has one.
-	lostAt time.Time
+	majorityLostAt time.Time
 	// claimUnread is set while this replica has heard that its shard was
 	// claimed, and not yet by whom.
-	claimUnread bool
+	claimantUnknown bool
 	dropped     bool
 	// restoring is set while the state is read from the shard's archive.
 	restoring bool
 }
 
-func newReplica(m *Manager, shard structs.ShardNumber, former promise, group Group) *replica {
+func newReplica(m *Manager, shard structs.ShardNumber, voteState voteState, group Group) *replica {
 	return &replica{
 		Manager: m,
 		shard:   shard,
 		logger:  m.Logger.With().Uint32("shard", uint32(shard)).Logger(),
 		machine: m.Application.NewStateMachine(shard),
 		log:     newEntryLog(0, 0, group),
-		promise: former,
+		voteState: voteState,
 
 		positions:      map[structs.DaemonID]position{},
-		askedPositions: map[structs.DaemonID]time.Time{},
+		positionRequestedAt: map[structs.DaemonID]time.Time{},
 	}
 }
 
@@ -110,7 +110,7 @@
 
 // isMember tells whether this replica has a vote. One whose shard was claimed
 // has none until it knows whose log counts.
-func (r *replica) isMember() bool { return !r.claimUnread && r.log.group.Contains(r.Self.ID) }
+func (r *replica) isMember() bool { return !r.claimantUnknown && r.log.group.Contains(r.Self.ID) }
 
 // receive handles one message of the shard.
 func (r *replica) receive(from structs.DaemonID, message peer.Message) {
@@ -142,7 +142,7 @@
 	r.stopLeading()
 	r.candidacy = nil
 	r.leader = leader
-	r.electionTries = 0
+	r.electionAttempts = 0
 	r.stopElectionTimer()
 	r.publish()
 }
@@ -150,7 +150,7 @@
 // receiveAppend checks that the log agrees with the leader's up to the first
 // new entry, and takes the entries over.
 func (r *replica) receiveAppend(from structs.DaemonID, m *AppendRequest) {
-	if m.Epoch < r.promise.epoch || (m.Epoch == r.promise.epoch && r.leading != nil) {
+	if m.Epoch < r.voteState.epoch || (m.Epoch == r.voteState.epoch && r.leaderState != nil) {
 		r.refuse(from, m, 0)
 		return
 	}
@@ -161,33 +161,33 @@
 	r.observe(m.Epoch)
 	r.resetAfterClaim()
 	r.follow(from)
-	r.hear(m.Epoch, m.Round)
+	r.noteLeaderRound(m.Epoch, m.Round)
 	if m.Previous > r.log.last() {
 		r.refuse(from, m, r.log.last()+1)
 		return
 	}
 	if epoch, known := r.log.epochAt(m.Previous); known && epoch != m.PreviousEpoch {
-		r.refuse(from, m, r.firstOfEpoch(m.Previous, epoch))
+		r.refuse(from, m, r.firstIndexOfEpoch(m.Previous, epoch))
 		return
 	}
 	wasMember := r.isMember()
-	r.takeOver(m.Entries)
+	r.mergeEntries(m.Entries)
 	if r.isMember() != wasMember {
 		r.publish()
 	}
 	match := m.Previous + structs.Index(len(m.Entries))
-	r.advance(min(m.Commit, match))
+	r.advanceCommit(min(m.Commit, match))
 	r.send(from, &AppendReply{Shard: r.shard, Epoch: m.Epoch, Match: match, Round: m.Round, Pressure: r.Application.Pressure()})
-	r.considerElection()
+	r.scheduleElection()
 }
 
 func (r *replica) refuse(to structs.DaemonID, m *AppendRequest, hint structs.Index) {
-	r.send(to, &AppendReply{Shard: r.shard, Epoch: r.promise.epoch, Refused: true, Hint: hint, Round: m.Round, Leader: r.leader})
+	r.send(to, &AppendReply{Shard: r.shard, Epoch: r.voteState.epoch, Refused: true, Hint: hint, Round: m.Round, Leader: r.leader})
 }
 
 // firstOfEpoch goes back over the entries of one epoch, so that a leader finds
 // the point of agreement in few steps.
-func (r *replica) firstOfEpoch(index structs.Index, epoch structs.Epoch) structs.Index {
+func (r *replica) firstIndexOfEpoch(index structs.Index, epoch structs.Epoch) structs.Index {
 	for index > r.commit+1 {
 		before, known := r.log.epochAt(index - 1)
 		if !known || before != epoch {
@@ -200,7 +200,7 @@
 
 // takeOver adds the leader's entries and drops own ones that disagree. A
 // committed entry never disagrees.
-func (r *replica) takeOver(entries []Entry) {
+func (r *replica) mergeEntries(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Index <= r.log.base {
 			continue
@@ -221,7 +221,7 @@
 }
 
 // advance commits up to index and applies what was committed.
-func (r *replica) advance(index structs.Index) {
+func (r *replica) advanceCommit(index structs.Index) {
 	r.commit = max(r.commit, min(index, r.log.last()))
 	for r.applied < r.commit {
 		r.applied++
@@ -245,18 +245,18 @@
 }
 
 // hear notes the leader's round.
-func (r *replica) hear(epoch structs.Epoch, round uint64) {
-	if epoch != r.heardEpoch {
-		r.heardEpoch, r.heard = epoch, 0
+func (r *replica) noteLeaderRound(epoch structs.Epoch, round uint64) {
+	if epoch != r.leaderRoundEpoch {
+		r.leaderRoundEpoch, r.leaderRound = epoch, 0
 	}
-	r.heard = max(r.heard, round)
+	r.leaderRound = max(r.leaderRound, round)
 }
 
 // receiveDismiss drops a replica whose group goes on without it. A dismissal
 // from before the leader took this daemon back is late news.
 func (r *replica) receiveDismiss(_ structs.DaemonID, m *Dismiss) {
-	late := m.Epoch == r.heardEpoch && m.Round < r.heard
-	if m.Epoch < r.promise.epoch || late {
+	late := m.Epoch == r.leaderRoundEpoch && m.Round < r.leaderRound
+	if m.Epoch < r.voteState.epoch || late {
 		return
 	}
 	r.observe(m.Epoch)
@@ -281,44 +281,44 @@
 		if id.Address() == address {
 			concerned = true
 			r.watchMajority()
-			if r.leading != nil {
-				r.leading.memberChanged(id)
+			if r.leaderState != nil {
+				r.leaderState.memberChanged(id)
 			}
 		}
 	}
-	if !concerned || r.leading != nil {
+	if !concerned || r.leaderState != nil {
 		return
 	}
 	r.publish()
-	r.considerElection()
+	r.scheduleElection()
 }
 
 // watchMajority notes since when the group has no majority, and lets a leader
 // without one step down.
 func (r *replica) watchMajority() {
 	if r.hasLiveMajority() {
-		if !r.lostAt.IsZero() {
-			r.lostAt = time.Time{}
+		if !r.majorityLostAt.IsZero() {
+			r.majorityLostAt = time.Time{}
 			r.publish()
 		}
 		return
 	}
-	if !r.lostAt.IsZero() {
+	if !r.majorityLostAt.IsZero() {
 		return
 	}
 	lostAt := r.Clock.Now()
-	r.lostAt = lostAt
+	r.majorityLostAt = lostAt
 	r.after(r.Settings.NoMajorityAfter, func() {
 		if r.hasLiveMajority() {
 			return
 		}
-		if r.leading != nil {
+		if r.leaderState != nil {
 			r.logger.Warn().Msg("Stepped down. The group has no majority.")
 			r.stepDown()
 		}
 		r.publish()
 		r.registry.schedule(0)
-		r.keepConsidering(lostAt)
+		r.pollClaim(lostAt)
 	})
 }
 
@@ -327,24 +327,24 @@
 	r.stopLeading()
 	r.leader = ""
 	r.publish()
-	r.considerElection()
+	r.scheduleElection()
 }
 
 // route tells where the shard is led, as far as this replica knows.
 func (r *replica) route() Route {
-	route := Route{Epoch: r.promise.epoch}
+	route := Route{Epoch: r.voteState.epoch}
 	switch {
-	case r.leading != nil && r.leading.serving:
+	case r.leaderState != nil && r.leaderState.serving:
 		route.Leader = r.Self.ID
-	case r.leading == nil && r.leader != "" && r.alive(r.leader):
+	case r.leaderState == nil && r.leader != "" && r.alive(r.leader):
 		route.Leader = r.leader
 	}
-	lost := !r.lostAt.IsZero() && r.Clock.Now().Sub(r.lostAt) >= r.Settings.NoMajorityAfter
+	lost := !r.majorityLostAt.IsZero() && r.Clock.Now().Sub(r.majorityLostAt) >= r.Settings.NoMajorityAfter
 	route.NoMajority = route.Leader == "" && lost
 	return route
 }
 
 // publish makes the route known to the other parts of this daemon.
 func (r *replica) publish() {
-	r.publishRoute(r.shard, r.route(), r.isMember(), r.leading != nil)
+	r.publishRoute(r.shard, r.route(), r.isMember(), r.leaderState != nil)
 }
--- a/internal/replication/restore.go
+++ b/internal/replication/restore.go
@@ -15,7 +15,7 @@
 func (r *replica) restore(epoch structs.Epoch) {
 	if int(r.shard) >= r.Settings.ArchivedShards {
 		r.logger.Error().Msg("Shard starts anew. No replica of it survived; what it held is lost.")
-		r.lead(epoch, Group{r.Self.ID})
+		r.openEpoch(epoch, Group{r.Self.ID})
 		r.watchMajority()
 		return
 	}
@@ -29,7 +29,7 @@
 // restored leads on with the state that the archive had. A claim that came
 // meanwhile, of a higher generation, has put another in this one's place.
 func (r *replica) restored(epoch structs.Epoch, state *archivedState, err error) {
-	if r.promise.epoch != epoch {
+	if r.voteState.epoch != epoch {
 		r.restoring = false
 		return
 	}
@@ -44,9 +44,9 @@
 	}
 	r.logger.Error().Uint64("index", uint64(r.log.last())).Bool("archived", state != nil).
 		Msg("Shard starts anew. No replica of it survived; what is not archived is lost.")
-	r.advance(r.log.last())
+	r.advanceCommit(r.log.last())
 	recovered := &structs.ShardRecovered{Index: r.log.last()}
-	r.lead(epoch, Group{r.Self.ID}, structs.Record{At: r.Clock.Now(), ShardRecovered: recovered})
+	r.openEpoch(epoch, Group{r.Self.ID}, structs.Record{At: r.Clock.Now(), ShardRecovered: recovered})
 	r.watchMajority()
 }
 
--- a/internal/replication/route_lookup.go
+++ b/internal/replication/route_lookup.go
@@ -15,9 +15,9 @@
 type routeLookup struct {
 	wanted map[structs.ShardNumber]bool
 	// repeats limits the rate of repeated requests, replies included.
-	repeats allowance
+	repeats byteBudget
 	// extras limits the rate of routes that replies carry beyond those asked for.
-	extras allowance
+	extras byteBudget
 	// lastAt is when requests were last sent.
 	lastAt time.Time
 	// missingFrom is the shard from which the next missing route is looked for.
@@ -26,39 +26,39 @@
 
 // allowance is a number of bytes that may still be caused; it grows with time.
 // The zero value is full.
-type allowance struct {
+type byteBudget struct {
 	used float64
 	at   time.Time
 }
 
 const (
 	// askCount is how many daemons a repeated request adds.
-	askCount = 3
+	repeatedRequestFanout = 3
 	// firstAskCount is how many daemons are asked at first.
-	firstAskCount = 2
+	firstRequestFanout = 2
 	// askGather is how long requests wait for others to be batched with.
-	askGather = 5 * time.Millisecond
+	requestBatchDelay = 5 * time.Millisecond
 	// askDoublings bounds the pauses: RouteRequestInterval times a power of two.
-	askDoublings = 2
+	maxRequestBackoffDoublings = 2
 	// askRate and askBurst bound each allowance, in bytes a second and bytes.
-	askRate  = 500
-	askBurst = 8 << 10
+	requestBytesPerSecond  = 500
+	requestBurstBytes = 8 << 10
 	// Estimates of encoded sizes in bytes, request and reply together.
-	askMessageSize = 200
-	askShardSize   = 110
+	estimatedMessageSize = 200
+	estimatedShardSize   = 110
 	// askShards bounds the shards of one request.
-	askShards = 32
+	maxShardsPerRequest = 32
 )
 
 func newRouteLookup() routeLookup { return routeLookup{wanted: map[structs.ShardNumber]bool{}} }
 
 // take takes bytes for a message and returns whether there were enough.
-func (a *allowance) take(now time.Time, size float64) bool {
+func (a *byteBudget) take(now time.Time, size float64) bool {
 	if !a.at.IsZero() {
-		a.used = max(0, a.used-askRate*max(0, now.Sub(a.at).Seconds()))
+		a.used = max(0, a.used-requestBytesPerSecond*max(0, now.Sub(a.at).Seconds()))
 	}
 	a.at = now
-	if a.used+size > askBurst {
+	if a.used+size > requestBurstBytes {
 		return false
 	}
 	a.used += size
@@ -71,16 +71,16 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	entry := m.routes.entry(shard)
-	pause := m.Settings.RouteRequestInterval << min(max(entry.asked-1, 0), askDoublings)
-	if !entry.askedAt.IsZero() && now.Sub(entry.askedAt) < pause {
+	pause := m.Settings.RouteRequestInterval << min(max(entry.requests-1, 0), maxRequestBackoffDoublings)
+	if !entry.requestedAt.IsZero() && now.Sub(entry.requestedAt) < pause {
 		return
 	}
-	entry.askedAt = now
-	entry.asked++
+	entry.requestedAt = now
+	entry.requests++
 	first := len(m.lookup.wanted) == 0
 	m.lookup.wanted[shard] = true
 	if first {
-		m.Clock.AfterFunc(askGather, m.sendRouteRequests)
+		m.Clock.AfterFunc(requestBatchDelay, m.sendRouteRequests)
 	}
 }
 
@@ -100,10 +100,10 @@
 	if m.isStopped() {
 		return
 	}
-	often := m.requestsOften()
+	often := m.noteRequest()
 	for _, q := range m.groupRequests() {
-		for shards := range slices.Chunk(q.shards, askShards) {
-			size := float64(askMessageSize + askShardSize*len(shards))
+		for shards := range slices.Chunk(q.shards, maxShardsPerRequest) {
+			size := float64(estimatedMessageSize + estimatedShardSize*len(shards))
 			m.mutex.Lock()
 			granted := m.lookup.repeats.take(m.Clock.Now(), size) || !q.repeated
 			m.mutex.Unlock()
@@ -126,7 +126,7 @@
 	wants := make([]want, 0, len(m.lookup.wanted))
 	for shard := range m.lookup.wanted {
 		entry := m.routes.entry(shard)
-		wants = append(wants, want{shard, entry.asked, entry.holder})
+		wants = append(wants, want{shard, entry.requests, entry.holder})
 	}
 	clear(m.lookup.wanted)
 	m.mutex.Unlock()
@@ -170,16 +170,16 @@
 	for _, daemon := range m.registry.group(shard) {
 		add(daemon)
 	}
-	if turn <= 1 && len(likely) >= firstAskCount {
-		return likely[:firstAskCount]
+	if turn <= 1 && len(likely) >= firstRequestFanout {
+		return likely[:firstRequestFanout]
 	}
 	order := identifiers(ranked(shard, m.candidates()))
-	for _, daemon := range order[:min(askCount, len(order))] {
+	for _, daemon := range order[:min(repeatedRequestFanout, len(order))] {
 		add(daemon)
 	}
 	if turn > 1 && len(order) > 0 {
-		for i := range askCount {
-			add(order[(turn*askCount+i)%len(order)])
+		for i := range repeatedRequestFanout {
+			add(order[(turn*repeatedRequestFanout+i)%len(order)])
 		}
 	}
 	return likely
--- a/internal/replication/route_lookup_test.go
+++ b/internal/replication/route_lookup_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRepeatedQuestionsAreBounded(t *testing.T) {
-	a := allowance{}
+	a := byteBudget{}
 	now := time.Unix(0, 0)
 	granted := 0
 	const size, seconds = 1000, 60
@@ -20,7 +20,7 @@
 		}
 		now = now.Add(time.Second)
 	}
-	if limit := askBurst + askRate*seconds; granted > limit || granted < limit-2*size {
+	if limit := requestBurstBytes + requestBytesPerSecond*seconds; granted > limit || granted < limit-2*size {
 		t.Errorf("%d bytes granted in %d s, want about %d", granted, seconds, limit)
 	}
 }
@@ -45,8 +45,8 @@
 		t.Errorf("%d messages to three daemons", len(questions))
 	}
 	for shard := range structs.ShardNumber(shards) {
-		if asked[shard] != firstAskCount {
-			t.Errorf("shard %d is asked of %d daemons, want %d", shard, asked[shard], firstAskCount)
+		if asked[shard] != firstRequestFanout {
+			t.Errorf("shard %d is asked of %d daemons, want %d", shard, asked[shard], firstRequestFanout)
 		}
 	}
 }
--- a/internal/replication/routes.go
+++ b/internal/replication/routes.go
@@ -26,15 +26,15 @@
 	route Route
 	// holder is a daemon that said it is a member.
 	holder  structs.DaemonID
-	askedAt time.Time
-	asked   int
+	requestedAt time.Time
+	requests   int
 	// noMajorityAt is when a member said that there is no majority.
 	noMajorityAt time.Time
 }
 
 // noMajorityMemory is how long a member's word counts that its group has no
 // majority.
-const noMajorityMemory = time.Second
+const noMajorityValidity = time.Second
 
 func newRouteTable() routeTable {
 	return routeTable{
@@ -44,7 +44,7 @@
 }
 
 // leads tells whether any route names this daemon as leader.
-func (t *routeTable) leads(self structs.DaemonID) bool {
+func (t *routeTable) leadsAny(self structs.DaemonID) bool {
 	for _, local := range t.local {
 		if local.leads || local.route.Leader == self {
 			return true
@@ -54,7 +54,7 @@
 }
 
 // led counts the shards that this daemon leads.
-func (t *routeTable) led() int {
+func (t *routeTable) countLed() int {
 	count := 0
 	for _, local := range t.local {
 		if local.leads {
@@ -65,7 +65,7 @@
 }
 
 // leftGroup makes the last local route the cached one.
-func (t *routeTable) leftGroup(shard structs.ShardNumber) {
+func (t *routeTable) leaveGroup(shard structs.ShardNumber) {
 	local, known := t.local[shard]
 	delete(t.local, shard)
 	if known {
@@ -83,7 +83,7 @@
 }
 
 // anyLost tells whether a group of this daemon has no majority.
-func (m *Manager) anyLost() bool {
+func (m *Manager) hasShardWithoutMajority() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, local := range m.routes.local {
@@ -110,13 +110,13 @@
 	entry := m.routes.entry(shard)
 	if local := m.routes.local[shard]; local.member && local.route.Epoch >= entry.route.Epoch {
 		m.mutex.Unlock()
-		return m.checked(local.route)
+		return m.withoutDeadLeader(local.route)
 	}
 	route := entry.route
 	now := m.Clock.Now()
-	told := !entry.noMajorityAt.IsZero() && now.Sub(entry.noMajorityAt) < noMajorityMemory
+	told := !entry.noMajorityAt.IsZero() && now.Sub(entry.noMajorityAt) < noMajorityValidity
 	m.mutex.Unlock()
-	route = m.checkedCached(route)
+	route = m.withoutDeadOrOwnLeader(route)
 	if route.Leader != "" {
 		return route
 	}
@@ -126,7 +126,7 @@
 }
 
 // checked drops a leader that is believed dead.
-func (m *Manager) checked(route Route) Route {
+func (m *Manager) withoutDeadLeader(route Route) Route {
 	if route.Leader != "" && !m.Alive(route.Leader) {
 		route.Leader = ""
 	}
@@ -135,11 +135,11 @@
 
 // checkedCached also drops a route from others that names this daemon: whether
 // it leads, its own replica knows.
-func (m *Manager) checkedCached(route Route) Route {
+func (m *Manager) withoutDeadOrOwnLeader(route Route) Route {
 	if route.Leader == m.Self.ID {
 		route.Leader = ""
 	}
-	return m.checked(route)
+	return m.withoutDeadLeader(route)
 }
 
 // Learn takes a route that another daemon named. One without a leader makes
@@ -152,7 +152,7 @@
 	entry := m.routes.entry(shard)
 	if route.Leader != "" && route.Epoch >= entry.route.Epoch {
 		entry.route = Route{Leader: route.Leader, Epoch: route.Epoch}
-		entry.asked = 0
+		entry.requests = 0
 	}
 	m.mutex.Unlock()
 	if route.Leader == "" {
@@ -166,12 +166,12 @@
 	local, known := m.routes.local[shard]
 	if !known {
 		local.route = m.routes.entry(shard).route
-		local.route.Epoch = max(local.route.Epoch, m.promises[shard].epoch)
+		local.route.Epoch = max(local.route.Epoch, m.voteStates[shard].epoch)
 	}
 	m.mutex.Unlock()
-	route := m.checked(local.route)
+	route := m.withoutDeadLeader(local.route)
 	if !known {
-		route = m.checkedCached(local.route)
+		route = m.withoutDeadOrOwnLeader(local.route)
 	}
 	return ShardRoute{
 		Shard:      shard,
@@ -207,7 +207,7 @@
 			r.post(func() { r.receiveRoute(from, route) })
 		}
 	}
-	m.registry.answered(from, is)
+	m.registry.handleSearchReply(from, is)
 }
 
 func (m *Manager) learnFrom(from structs.DaemonID, route ShardRoute) {
@@ -219,7 +219,7 @@
 	}
 	if route.Leader != "" && route.Epoch >= entry.route.Epoch {
 		entry.route = Route{Leader: route.Leader, Epoch: route.Epoch}
-		entry.asked = 0
+		entry.requests = 0
 	}
 	if route.Holder && route.NoMajority {
 		entry.noMajorityAt = m.Clock.Now()
@@ -227,7 +227,7 @@
 }
 
 // auditLimit bounds the replicas named in one audit.
-const auditLimit = 64
+const maxAuditedShards = 64
 
 // scheduleAudit asks, now and then, one other daemon whether the replicas that
 // this one shares with it agree. Elections are driven by membership; an audit
@@ -250,8 +250,8 @@
 			byDaemon[leader] = append(byDaemon[leader], ShardEpoch{Shard: shard, Epoch: local.route.Epoch})
 		}
 	}
-	m.auditTurn++
-	turn := m.auditTurn
+	m.auditRound++
+	turn := m.auditRound
 	m.mutex.Unlock()
 	if len(byDaemon) == 0 {
 		return
@@ -264,9 +264,9 @@
 	leader := leaders[turn%len(leaders)]
 	shards := byDaemon[leader]
 	slices.SortFunc(shards, func(a, b ShardEpoch) int { return int(a.Shard) - int(b.Shard) })
-	if len(shards) > auditLimit {
-		first := (turn * auditLimit) % len(shards)
-		shards = slices.Concat(shards[first:], shards[:first])[:auditLimit]
+	if len(shards) > maxAuditedShards {
+		first := (turn * maxAuditedShards) % len(shards)
+		shards = slices.Concat(shards[first:], shards[:first])[:maxAuditedShards]
 	}
 	m.Transport.Send(leader, &Audit{Shards: shards})
 }
@@ -284,7 +284,7 @@
 			continue
 		}
 		if r := m.replica(asked.Shard); r != nil {
-			r.post(func() { r.dismissStranger(from) })
+			r.post(func() { r.dismissNonMember(from) })
 		}
 	}
 	if len(answer.Routes) > 0 {
@@ -294,23 +294,23 @@
 
 // dismissStranger tells a daemon that follows this leader without being of its
 // group.
-func (r *replica) dismissStranger(daemon structs.DaemonID) {
-	if r.leading == nil || r.leading.targets().Contains(daemon) || r.log.groupIndex > r.commit {
+func (r *replica) dismissNonMember(daemon structs.DaemonID) {
+	if r.leaderState == nil || r.leaderState.targets().Contains(daemon) || r.log.groupIndex > r.commit {
 		return
 	}
-	r.leading.sendDismiss(daemon)
+	r.leaderState.sendDismiss(daemon)
 }
 
 // receiveRoute compares another daemon's word with this replica's belief.
 func (r *replica) receiveRoute(from structs.DaemonID, route ShardRoute) {
-	if route.Epoch > r.promise.epoch {
+	if route.Epoch > r.voteState.epoch {
 		r.observe(route.Epoch)
-		r.considerElection()
+		r.scheduleElection()
 		return
 	}
-	if r.leading == nil && r.leader == from && !route.Leads {
+	if r.leaderState == nil && r.leader == from && !route.Leads {
 		r.leader = ""
 		r.publish()
-		r.considerElection()
+		r.scheduleElection()
 	}
 }
--- a/internal/replication/search.go
+++ b/internal/replication/search.go
@@ -10,7 +10,7 @@
 
 // orphan tells whether all members of a shard, as the stream has them, are
 // believed dead.
-func (g *registry) orphan(shard structs.ShardNumber) bool {
+func (g *registry) isOrphan(shard structs.ShardNumber) bool {
 	known, exists := g.groups[shard]
 	if !exists || len(known.group) == 0 {
 		return false
@@ -18,7 +18,7 @@
 	return !slices.ContainsFunc(known.group, g.manager.Alive)
 }
 
-func (g *registry) anyOrphan() bool { return len(g.orphans()) > 0 }
+func (g *registry) hasOrphan() bool { return len(g.orphans()) > 0 }
 
 func (g *registry) orphans() []structs.ShardNumber {
 	if !g.hasGroups {
@@ -26,7 +26,7 @@
 	}
 	var orphans []structs.ShardNumber
 	for shard := range structs.ShardNumber(g.manager.Settings.Shards) {
-		if g.orphan(shard) {
+		if g.isOrphan(shard) {
 			orphans = append(orphans, shard)
 		}
 	}
@@ -44,7 +44,7 @@
 	asked      Group
 	waiting    Group
 	found      map[structs.ShardNumber]bool
-	at         time.Time
+	startedAt         time.Time
 }
 
 // searchInterval is the pause between searches for survivors.
@@ -52,17 +52,17 @@
 
 // searchGather is how long a search waits for the other shards of this daemon
 // that have lost their majority at the same time.
-const searchGather = 50 * time.Millisecond
+const searchBatchDelay = 50 * time.Millisecond
 
 // searchSoon begins a search without waiting for the next tick, but not before
 // the pause since the former one is over.
-func (g *registry) searchSoon() {
+func (g *registry) scheduleSearch() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.searchTimer != nil {
 		return
 	}
-	g.searchTimer = g.manager.Clock.AfterFunc(max(searchGather, g.searchPause()), func() {
+	g.searchTimer = g.manager.Clock.AfterFunc(max(searchBatchDelay, g.timeUntilNextSearch()), func() {
 		g.mutex.Lock()
 		g.searchTimer = nil
 		g.mutex.Unlock()
@@ -74,11 +74,11 @@
 
 // searchPause returns how long the next search must still wait. The caller
 // holds the mutex.
-func (g *registry) searchPause() time.Duration {
+func (g *registry) timeUntilNextSearch() time.Duration {
 	if g.search == nil {
 		return 0
 	}
-	age := g.manager.Clock.Now().Sub(g.search.at)
+	age := g.manager.Clock.Now().Sub(g.search.startedAt)
 	if age < 0 || age >= searchInterval {
 		return 0
 	}
@@ -86,7 +86,7 @@
 }
 
 // searchLimit bounds the shards of one search.
-const searchLimit = 128
+const maxSearchShards = 128
 
 // searchOrphans begins a search for the orphans that this daemon is first to
 // take, and ends the one before.
@@ -94,7 +94,7 @@
 	m := g.manager
 	daemons := m.candidates()
 	g.mutex.Lock()
-	if g.searchPause() > 0 {
+	if g.timeUntilNextSearch() > 0 {
 		g.mutex.Unlock()
 		return
 	}
@@ -112,7 +112,7 @@
 	for _, daemon := range s.asked {
 		m.Transport.Send(daemon, &RouteRequest{Shards: s.shards})
 	}
-	g.endSearch()
+	g.claimIfSearchComplete()
 }
 
 // nextSearch returns a search for the shards that this daemon must search for:
@@ -124,13 +124,13 @@
 		survivors:  g.survivors,
 		leaderless: map[structs.ShardNumber]bool{},
 		found:      map[structs.ShardNumber]bool{},
-		at:         m.Clock.Now(),
+		startedAt:         m.Clock.Now(),
 	}
 	g.survivors = map[structs.ShardNumber]*survivor{}
 	for _, shard := range g.orphans() {
 		order := ranked(shard, daemons)
 		isFirst := len(order) > 0 && order[0].ID == m.Self.ID
-		if isFirst && m.allGone(g.groups[shard].group) {
+		if isFirst && m.areAllGone(g.groups[shard].group) {
 			s.add(shard)
 		}
 	}
@@ -149,7 +149,7 @@
 
 // add takes a shard into the search; false when that is full.
 func (s *search) add(shard structs.ShardNumber) bool {
-	if len(s.shards) >= searchLimit {
+	if len(s.shards) >= maxSearchShards {
 		return false
 	}
 	s.shards = append(s.shards, shard)
@@ -183,12 +183,12 @@
 		Msg("Search for replicas not complete. A shard is claimed once every listed daemon has answered.")
 }
 
-func (m *Manager) allGone(group Group) bool {
-	return !slices.ContainsFunc(group, func(daemon structs.DaemonID) bool { return !m.gone(daemon) })
+func (m *Manager) areAllGone(group Group) bool {
+	return !slices.ContainsFunc(group, func(daemon structs.DaemonID) bool { return !m.isConfirmedGone(daemon) })
 }
 
 // answered takes a daemon's answer into the search.
-func (g *registry) answered(from structs.DaemonID, is *RouteReply) {
+func (g *registry) handleSearchReply(from structs.DaemonID, is *RouteReply) {
 	g.mutex.Lock()
 	s := g.search
 	if s == nil || !s.waiting.Contains(from) {
@@ -219,18 +219,18 @@
 	g.mutex.Unlock()
 	for _, shard := range contradicted {
 		if r := g.manager.replica(shard); r != nil {
-			r.post(func() { r.noteOutsideReplica(from) })
+			r.post(func() { r.addOutsideReplica(from) })
 		}
 	}
-	g.endSearch()
+	g.claimIfSearchComplete()
 }
 
 // endSearch claims the shards of which no replica was found, once all answered.
-func (g *registry) endSearch() {
+func (g *registry) claimIfSearchComplete() {
 	m := g.manager
 	g.mutex.Lock()
 	s := g.search
-	if s == nil || len(s.waiting) > 0 || !m.covers(s.asked) {
+	if s == nil || len(s.waiting) > 0 || !m.coversMachineList(s.asked) {
 		g.mutex.Unlock()
 		return
 	}
@@ -243,7 +243,7 @@
 			continue
 		}
 		held := s.found[shard] || m.isMemberOf(shard)
-		if s.leaderless[shard] && !m.coversLately(s.asked) {
+		if s.leaderless[shard] && !m.coversRecentMachineList(s.asked) {
 			continue
 		}
 		if !held {
@@ -257,7 +257,7 @@
 	}
 	g.mutex.Unlock()
 	for _, c := range claims {
-		g.claim(c)
+		g.queueClaim(c)
 	}
 	if len(claims) > 0 {
 		g.write()
@@ -272,10 +272,10 @@
 }
 
 // covers tells whether every daemon on the machine list is among those asked.
-func (m *Manager) covers(asked Group) bool {
+func (m *Manager) coversMachineList(asked Group) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.machines.known() && len(m.unaskedLocked(asked)) == 0
+	return m.machines.wasRead() && len(m.unaskedLocked(asked)) == 0
 }
 
 // unasked returns the addresses of the machine list that are not among those
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -80,9 +80,9 @@
 	route := r.route()
 	status := ShardStatus{
 		Shard:      r.shard,
-		Epoch:      r.promise.epoch,
+		Epoch:      r.voteState.epoch,
 		Leader:     route.Leader,
-		Leads:      r.leading != nil,
+		Leads:      r.leaderState != nil,
 		Group:      r.log.group,
 		Last:       r.log.last(),
 		LastEpoch:  r.log.lastEpoch(),
@@ -91,9 +91,9 @@
 		LogBytes:   r.log.bytes,
 		NoMajority: route.NoMajority,
 	}
-	if r.leading != nil {
-		for _, id := range r.leading.followers() {
-			if r.leading.progress[id].lagging {
+	if r.leaderState != nil {
+		for _, id := range r.leaderState.followers() {
+			if r.leaderState.progress[id].lagging {
 				status.Lagging = append(status.Lagging, id)
 			}
 		}
--- a/internal/replication/stay_test.go
+++ b/internal/replication/stay_test.go
@@ -27,7 +27,7 @@
 // rejoin dismisses a member and takes it back in the same epoch. It returns
 // the round of the stay that ended.
 func rejoin(f *testFleet, leader, member *testDaemon) uint64 {
-	l := leader.manager.replica(shard).leading
+	l := leader.manager.replica(shard).leaderState
 	round := l.round
 	l.dismiss(member.self.ID)
 	f.run(10 * time.Millisecond)
@@ -47,10 +47,10 @@
 	if got := member.values(shard); got != nil {
 		t.Fatalf("the dismissed member holds %v", got)
 	}
-	r.leading.flush()
-	late := &AppendReply{Shard: shard, Epoch: r.leading.epoch, Match: last, Round: round}
+	r.leaderState.flush()
+	late := &AppendReply{Shard: shard, Epoch: r.leaderState.epoch, Match: last, Round: round}
 	r.receiveAppended(member.self.ID, late)
-	if p := r.leading.progress[member.self.ID]; p.match != 0 {
+	if p := r.leaderState.progress[member.self.ID]; p.match != 0 {
 		t.Errorf("a late answer counts as %d entries held", p.match)
 	}
 	f.mustRecord(shard, "two")
@@ -65,10 +65,10 @@
 	member := others(daemons, leader)[0]
 	r := leader.manager.replica(shard)
 	round := rejoin(f, leader, member)
-	r.leading.flush()
-	p := r.leading.progress[member.self.ID]
+	r.leaderState.flush()
+	p := r.leaderState.progress[member.self.ID]
 	p.startTransfer()
-	late := &SnapshotChunkReply{Shard: shard, Epoch: r.leading.epoch, Index: p.transfer.index, Next: len(p.transfer.data), Round: round}
+	late := &SnapshotChunkReply{Shard: shard, Epoch: r.leaderState.epoch, Index: p.transfer.index, Next: len(p.transfer.data), Round: round}
 	r.receiveChunkTaken(member.self.ID, late)
 	if p.match != 0 {
 		t.Errorf("a late answer counts as %d entries held", p.match)
@@ -85,7 +85,7 @@
 	member := others(daemons, leader)[0]
 	round := rejoin(f, leader, member)
 	f.mustRecord(shard, "two")
-	epoch := leader.manager.replica(shard).leading.epoch
+	epoch := leader.manager.replica(shard).leaderState.epoch
 	member.manager.Receive(leader.self.ID, &Dismiss{Shard: shard, Epoch: epoch, Round: round})
 	mustHoldAll(t, leader, member)
 }
--- a/internal/replication/supersede.go
+++ b/internal/replication/supersede.go
@@ -8,19 +8,19 @@
 // before this daemon does, and the claim may be its own: the log is kept, and
 // takes part in nothing, until the stream or a leader tells whose log counts.
 func (r *replica) observe(epoch structs.Epoch) {
-	if epoch <= r.promise.epoch {
+	if epoch <= r.voteState.epoch {
 		return
 	}
-	if r.leading != nil && r.Guards.AcceptStaleEpoch {
+	if r.leaderState != nil && r.Guards.AcceptStaleEpoch {
 		return
 	}
 	r.stopLeading()
 	r.candidacy = nil
-	claimed := generation(epoch) > generation(r.promise.epoch)
-	r.promise = promise{epoch: epoch}
+	claimed := generation(epoch) > generation(r.voteState.epoch)
+	r.voteState = voteState{epoch: epoch}
 	r.leader = ""
 	if claimed {
-		r.claimUnread = true
+		r.claimantUnknown = true
 		r.registry.schedule(0)
 	}
 	r.publish()
@@ -31,10 +31,10 @@
 // log was never acknowledged to be kept, or was lost with the majority; the
 // leader sends the whole state anew.
 func (r *replica) resetAfterClaim() {
-	if !r.claimUnread {
+	if !r.claimantUnknown {
 		return
 	}
-	r.claimUnread = false
+	r.claimantUnknown = false
 	if r.log.last() > 0 {
 		r.logger.Warn().Uint64("last", uint64(r.log.last())).Msg("Replica emptied. The shard was claimed by another.")
 	}
--- a/internal/replication/supersede_test.go
+++ b/internal/replication/supersede_test.go
@@ -29,7 +29,7 @@
 	f.run(time.Second)
 	claimed := ShardRoute{Shard: shard, Epoch: firstEpoch(1)}
 	survivor.manager.Receive(outsider.self.ID, &RouteReply{Routes: []ShardRoute{claimed}})
-	if r := survivor.manager.replica(shard); r.isMember() || r.leading != nil {
+	if r := survivor.manager.replica(shard); r.isMember() || r.leaderState != nil {
 		t.Error("a replica takes part though its shard was claimed, and it does not know by whom")
 	}
 	survivor.readsDown = false
@@ -45,7 +45,7 @@
 		f, claimant := claimantBeforeReading(t, 42)
 		// Two members that were wrongly held for gone have not heard of it.
 		member := f.start(5, "c")
-		r := member.manager.open(shard, promise{}, Group{member.self.ID, claimant.self.ID})
+		r := member.manager.open(shard, voteState{}, Group{member.self.ID, claimant.self.ID})
 		r.log.append(Entry{Index: 1, Epoch: 1})
 		r.observe(firstEpoch(1))
 		if r.log.last() != 1 {
@@ -56,7 +56,7 @@
 		} else {
 			r.receiveAppend(claimant.self.ID, &AppendRequest{Shard: shard, Epoch: firstEpoch(1)})
 		}
-		if r.log.last() != 0 || r.claimUnread {
+		if r.log.last() != 0 || r.claimantUnknown {
 			t.Errorf("%s: the log of the lost group is still there", how)
 		}
 	}
@@ -92,18 +92,18 @@
 	f.run(2 * time.Second)
 	next := f.start(2, "b")
 	f.run(time.Second)
-	if !daemons[0].manager.gone(former.self.ID) {
+	if !daemons[0].manager.isConfirmedGone(former.self.ID) {
 		t.Fatal("a run counts as running though another has its address")
 	}
-	if !next.manager.gone(former.self.ID) {
+	if !next.manager.isConfirmedGone(former.self.ID) {
 		t.Error("a run holds the one before it at its own address for running")
 	}
 	f.crash(next, false)
 	f.run(3 * time.Second)
-	if !daemons[0].manager.gone(former.self.ID) {
+	if !daemons[0].manager.isConfirmedGone(former.self.ID) {
 		t.Error("a run came back to life because the next one at its address died")
 	}
-	if daemons[0].manager.gone(next.self.ID) {
+	if daemons[0].manager.isConfirmedGone(next.self.ID) {
 		t.Error("a run is gone though its machine is listed")
 	}
 }
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -10,16 +10,16 @@
 )
 
 // snapshotLimit bounds an unpacked snapshot in bytes.
-const snapshotLimit = 1 << 30
+const maxSnapshotBytes = 1 << 30
 
 // errSnapshot: a snapshot could not be packed or read.
-var errSnapshot = eris.New("replication: malformed snapshot")
+var errMalformedSnapshot = eris.New("replication: malformed snapshot")
 
 // The codec is shared: its working memory is large beside most snapshots. Making
 // it fails for options out of range alone, and these are fixed.
 var codec = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
 	encoder, _ := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
-	decoder, _ := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(snapshotLimit))
+	decoder, _ := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSnapshotBytes))
 	return encoder, decoder
 })
 
@@ -27,7 +27,7 @@
 func packSnapshot(machine StateMachine) ([]byte, error) {
 	data, err := machine.Snapshot()
 	if err != nil {
-		return nil, eris.Wrap(errSnapshot, err.Error())
+		return nil, eris.Wrap(errMalformedSnapshot, err.Error())
 	}
 	encoder, _ := codec()
 	return encoder.EncodeAll(data, nil), nil
@@ -38,10 +38,10 @@
 	_, decoder := codec()
 	data, err := decoder.DecodeAll(packed, nil)
 	if err != nil {
-		return eris.Wrap(errSnapshot, err.Error())
+		return eris.Wrap(errMalformedSnapshot, err.Error())
 	}
 	if err := machine.Restore(data); err != nil {
-		return eris.Wrap(errSnapshot, err.Error())
+		return eris.Wrap(errMalformedSnapshot, err.Error())
 	}
 	return nil
 }
@@ -61,14 +61,14 @@
 // go back far enough. With too many transfers under way it waits for the next
 // retry.
 func (p *progress) startTransfer() {
-	l := p.leading
-	if !l.takeTransfer() {
+	l := p.leader
+	if !l.acquireTransferSlot() {
 		return
 	}
 	data, err := packSnapshot(l.machine)
 	if err != nil {
 		l.logger.Error().Err(err).Msg("Snapshot not made.")
-		l.giveTransfer()
+		l.releaseTransferSlot()
 		return
 	}
 	epoch, _ := l.log.epochAt(l.applied)
@@ -80,19 +80,19 @@
 		data:     data,
 	}
 	l.logger.Debug().Str("member", string(p.member)).Int("bytes", len(data)).Msg("Snapshot transfer started.")
-	p.transfer.repeat()
+	p.transfer.sendChunk()
 }
 
 func (p *progress) endTransfer() {
 	if p.transfer != nil {
 		p.transfer = nil
-		p.leading.giveTransfer()
+		p.leader.releaseTransferSlot()
 	}
 }
 
 // repeat sends the piece that the member wants next.
-func (t *outgoingSnapshot) repeat() {
-	l := t.progress.leading
+func (t *outgoingSnapshot) sendChunk() {
+	l := t.progress.leader
 	end := min(t.offset+l.Settings.SnapshotChunkBytes, len(t.data))
 	l.replica.send(t.progress.member, &SnapshotChunk{
 		Shard:      l.shard,
@@ -109,44 +109,44 @@
 
 // taken goes on with the piece at an offset. Old news, and a member that starts
 // anew, wait for the retry: a doubled answer must not double the pieces.
-func (t *outgoingSnapshot) taken(next int) {
+func (t *outgoingSnapshot) continueAt(next int) {
 	forward := next > t.offset
 	t.offset = next
 	if forward {
-		t.progress.heard()
-		t.repeat()
+		t.progress.recordReply()
+		t.sendChunk()
 		t.progress.schedule()
 	}
 }
 
 // receiveChunkTaken sends the next piece.
 func (r *replica) receiveChunkTaken(from structs.DaemonID, m *SnapshotChunkReply) {
-	if m.Epoch > r.promise.epoch {
+	if m.Epoch > r.voteState.epoch {
 		r.observe(m.Epoch)
-		r.considerElection()
+		r.scheduleElection()
 		return
 	}
-	if r.leading == nil || m.Epoch != r.promise.epoch {
+	if r.leaderState == nil || m.Epoch != r.voteState.epoch {
 		return
 	}
-	p := r.leading.progress[from]
-	if p == nil || p.transfer == nil || m.Round < p.since || p.transfer.index != m.Index || m.Next < 0 || m.Next > len(p.transfer.data) {
+	p := r.leaderState.progress[from]
+	if p == nil || p.transfer == nil || m.Round < p.firstRound || p.transfer.index != m.Index || m.Next < 0 || m.Next > len(p.transfer.data) {
 		return
 	}
 	if m.Next < len(p.transfer.data) {
-		p.transfer.taken(m.Next)
+		p.transfer.continueAt(m.Next)
 		return
 	}
-	p.heard()
+	p.recordReply()
 	p.match = max(p.match, m.Index)
 	p.next = p.match + 1
-	p.unanswered = 0
+	p.inFlight = 0
 	p.endTransfer()
 	p.send(false)
-	r.leading.commitMajority()
-	if r.leading != nil {
-		r.leading.stepChange()
-		r.leading.stepHandover()
+	r.leaderState.commitMajority()
+	if r.leaderState != nil {
+		r.leaderState.advanceChange()
+		r.leaderState.advanceLeadershipTransfer()
 	}
 }
 
@@ -164,14 +164,14 @@
 		r.logger.Warn().Str("from", string(from)).Msg("Piece of a snapshot refused.")
 		return
 	}
-	if m.Epoch < r.promise.epoch || (m.Epoch == r.promise.epoch && r.leading != nil) {
-		r.send(from, &SnapshotChunkReply{Shard: r.shard, Epoch: r.promise.epoch, Index: m.Index})
+	if m.Epoch < r.voteState.epoch || (m.Epoch == r.voteState.epoch && r.leaderState != nil) {
+		r.send(from, &SnapshotChunkReply{Shard: r.shard, Epoch: r.voteState.epoch, Index: m.Index})
 		return
 	}
 	r.observe(m.Epoch)
 	r.resetAfterClaim()
 	r.follow(from)
-	r.hear(m.Epoch, m.Round)
+	r.noteLeaderRound(m.Epoch, m.Round)
 	if m.Index <= r.commit {
 		r.incoming = nil
 		r.send(from, &SnapshotChunkReply{Shard: r.shard, Epoch: m.Epoch, Index: m.Index, Next: m.Total, Round: m.Round})
