--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -12,10 +12,10 @@
 // broadcast keeps the updates that this daemon passes on: each is piggybacked on
 // a bounded number of messages, and urgent ones are pushed to neighbours too.
 type broadcast struct {
-	items   []*queuedUpdate
-	pending []Update
-	waiting bool
-	pushes  tokenbucket.Bucket
+	items          []*queuedUpdate
+	pending        []Update
+	flushScheduled bool
+	pushes         tokenbucket.Bucket
 }
 
 // queuedUpdate is an update with the number of messages that carried it.
@@ -46,14 +46,14 @@
 }
 
 // dropBadNews forgets all suspicions and deaths.
-func (b *broadcast) dropBadNews() {
-	b.items = slices.DeleteFunc(b.items, func(i *queuedUpdate) bool { return i.update.isBadNews() })
-	b.pending = slices.DeleteFunc(b.pending, Update.isBadNews)
+func (b *broadcast) dropFailureReports() {
+	b.items = slices.DeleteFunc(b.items, func(i *queuedUpdate) bool { return i.update.isFailureReport() })
+	b.pending = slices.DeleteFunc(b.pending, Update.isFailureReport)
 }
 
 // duplicateWeight is how many sendings are saved when another daemon sends the
 // same update.
-const duplicateWeight = 4
+const duplicateSends = 4
 
 // countDuplicate notes that another daemon sends the same update: the more often
 // that happens, the fewer members are left that do not have it.
@@ -61,14 +61,14 @@
 	for _, i := range b.items {
 		same := i.update.Address == update.Address && i.update.Run == update.Run
 		if same && i.update.Status == update.Status && i.update.Refutation == update.Refutation {
-			i.sends += duplicateWeight
+			i.sends += duplicateSends
 			return
 		}
 	}
 }
 
 // directFleet is the size up to which updates are pushed to every member.
-const directFleet = 16
+const maxDirectPushFleet = 16
 
 // receivePush takes pushed updates.
 func (m *Membership) receivePush(from structs.DaemonID, push *UpdatePush) {
@@ -77,7 +77,7 @@
 		return
 	}
 	if back := m.records[push.Updates[0].Address]; back != nil && back != m.self {
-		m.hearOfHealing(back)
+		m.handleHealReport(back)
 	}
 }
 
@@ -90,7 +90,7 @@
 // relayUpdate passes on an update that came from another. In a small fleet its
 // source has already pushed it to all.
 func (m *Membership) relayUpdate(update Update) {
-	urgent := update.Status != statusDead && m.fleet() > directFleet
+	urgent := update.Status != statusDead && m.fleetSize() > maxDirectPushFleet
 	m.broadcast.add(update, urgent)
 	if urgent {
 		m.flushSoon()
@@ -98,10 +98,10 @@
 }
 
 func (m *Membership) flushSoon() {
-	if m.broadcast.waiting {
+	if m.broadcast.flushScheduled {
 		return
 	}
-	m.broadcast.waiting = true
+	m.broadcast.flushScheduled = true
 	m.after(m.settings.PushDelay, m.flush)
 }
 
@@ -113,16 +113,16 @@
 )
 
 // pushLimit bounds the updates of one push.
-const pushLimit = 8
+const maxUpdatesPerPush = 8
 
 // flush pushes urgent updates. What the token bucket does not cover is still
 // piggybacked on probes; this daemon's update about itself is always pushed, since
 // no other daemon can make it.
 func (m *Membership) flush() {
-	m.broadcast.waiting = false
+	m.broadcast.flushScheduled = false
 	pending := m.broadcast.pending
 	m.broadcast.pending = nil
-	for batch := range slices.Chunk(pending, pushLimit) {
+	for batch := range slices.Chunk(pending, maxUpdatesPerPush) {
 		m.push(slices.Clone(batch), m.pushTargets())
 	}
 }
@@ -130,10 +130,10 @@
 // push sends updates to members as far as the rate limit allows.
 func (m *Membership) push(updates []Update, targets []*record) {
 	size := messageSize + updateSize*len(updates)
-	own := mentions(updates, m.self.address)
+	own := containsAddress(updates, m.self.address)
 	for i, r := range targets {
 		if m.broadcast.pushes.Take(m.Clock.Now(), size) < size && !own {
-			m.pushLater(updates, targets[i:])
+			m.resumePush(updates, targets[i:])
 			return
 		}
 		m.Transport.Send(r.daemon.ID, &UpdatePush{Updates: updates})
@@ -143,15 +143,15 @@
 // pushLater goes on with a push that the rate limit cut, in a small fleet: there
 // the other members rely on the source of an update to push it to all. Updates that
 // were superseded meanwhile, and members that are gone, are left out.
-func (m *Membership) pushLater(updates []Update, targets []*record) {
-	if m.fleet() > directFleet {
+func (m *Membership) resumePush(updates []Update, targets []*record) {
+	if m.fleetSize() > maxDirectPushFleet {
 		return
 	}
 	size := messageSize + updateSize*len(updates)
 	refill := time.Duration(float64(size+1) / float64(m.settings.PushBytesPerSecond) * float64(time.Second))
 	m.after(refill, func() {
 		current := slices.DeleteFunc(slices.Clone(updates), m.isSuperseded)
-		targets := slices.DeleteFunc(slices.Clone(targets), (*record).gone)
+		targets := slices.DeleteFunc(slices.Clone(targets), (*record).isGone)
 		if len(current) > 0 {
 			m.push(current, targets)
 		}
@@ -169,8 +169,8 @@
 // least, and a suspect is told of its own suspicion by a ping.
 func (m *Membership) pushTargets() []*record {
 	m.refreshRing()
-	if m.fleet() <= directFleet {
-		targets := slices.Clone(m.ring.following)
+	if m.fleetSize() <= maxDirectPushFleet {
+		targets := slices.Clone(m.ring.successors)
 		slices.SortStableFunc(targets, func(a, b *record) int {
 			return cmp.Compare(a.status.rank(), b.status.rank())
 		})
@@ -188,12 +188,12 @@
 	}
 	b := &m.broadcast
 	slices.SortStableFunc(b.items, func(x, y *queuedUpdate) int { return cmp.Compare(x.sends, y.sends) })
-	limit := m.settings.retransmits(m.fleet())
-	room := m.settings.UpdatesPerMessage
+	limit := m.settings.retransmits(m.fleetSize())
+	count := m.settings.UpdatesPerMessage
 	if len(b.items) > m.settings.BacklogThreshold {
-		room = m.settings.BacklogUpdates
+		count = m.settings.BacklogUpdates
 	}
-	for _, i := range b.items[:min(room, len(b.items))] {
+	for _, i := range b.items[:min(count, len(b.items))] {
 		i.sends++
 		updates = append(updates, i.update)
 	}
--- a/internal/membership/change_log.go
+++ b/internal/membership/change_log.go
@@ -14,7 +14,7 @@
 	changeWindow = time.Second
 	// changeLines bounds the lines of single changes in each window: each of some hundred
 	// daemons that start at once hears of all others within two seconds.
-	changeLines = 8
+	maxChangeLines = 8
 )
 
 // changeLog writes the changes of members: a line each, or one for all beyond changeLines
@@ -24,7 +24,7 @@
 	endsAt time.Time
 	lines  int
 	// summed counts the changes beyond these; nil for none.
-	summed map[State]map[structs.ZoneName]int
+	summarized map[State]map[structs.ZoneName]int
 }
 
 // logChange writes a line of a change, or counts it.
@@ -35,29 +35,29 @@
 		m.logSummary()
 		*l = changeLog{endsAt: now.Add(changeWindow)}
 	}
-	if l.lines < changeLines {
+	if l.lines < maxChangeLines {
 		l.lines++
 		m.Logger.Info().Str("daemon", string(r.daemon.ID)).Str("zone", string(r.daemon.Zone)).
 			Str("state", string(r.state())).Msg("Member changed.")
 		return
 	}
-	if l.summed == nil {
-		l.summed = map[State]map[structs.ZoneName]int{}
+	if l.summarized == nil {
+		l.summarized = map[State]map[structs.ZoneName]int{}
 		m.after(l.endsAt.Sub(now), m.logSummary)
 	}
-	if l.summed[r.state()] == nil {
-		l.summed[r.state()] = map[structs.ZoneName]int{}
+	if l.summarized[r.state()] == nil {
+		l.summarized[r.state()] = map[structs.ZoneName]int{}
 	}
-	l.summed[r.state()][r.daemon.Zone]++
+	l.summarized[r.state()][r.daemon.Zone]++
 }
 
 // logSummary writes one line for all changes that were counted.
 func (m *Membership) logSummary() {
-	if m.changeLog.summed == nil {
+	if m.changeLog.summarized == nil {
 		return
 	}
-	event := m.Logger.Info().Int("members", m.fleet())
-	for state, zones := range m.changeLog.summed {
+	event := m.Logger.Info().Int("members", m.fleetSize())
+	for state, zones := range m.changeLog.summarized {
 		counts := zerolog.Dict()
 		for zone, count := range zones {
 			counts.Int(string(zone), count)
--- a/internal/membership/news_test.go
+++ b/internal/membership/failure_report_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestVerdictOfAnotherMayBeRefuted(t *testing.T) {
+func TestReportedDeathMayBeRefuted(t *testing.T) {
 	w := formed(t, 21, 3)
 	observer, subject, other := w.nodes[0], w.nodes[1], w.nodes[2]
 	update := subject.self.update()
@@ -37,7 +37,7 @@
 	observer.wantState(t, subject, StateAlive, "after stale news")
 }
 
-func TestTablesReadSuspectAndKillNobody(t *testing.T) {
+func TestSyncedTablesSuspectAndKillNobody(t *testing.T) {
 	w := formed(t, 22, 3)
 	observer, subject, other := w.nodes[0], w.nodes[1], w.nodes[2]
 	for _, worse := range []status{statusSuspect, statusDead} {
@@ -60,7 +60,7 @@
 	observer.wantState(t, subject, StateAlive, "after the table was read")
 }
 
-func TestSuspicionBegunBeforeAPauseIsNoVerdictAfterIt(t *testing.T) {
+func TestPauseRestartsSuspicions(t *testing.T) {
 	w := formed(t, 24, 5)
 	paused, subject := w.nodes[0], w.nodes[1]
 	w.cut = func(from, _ *testNode) bool { return from == subject }
@@ -115,7 +115,7 @@
 // crashFollowers lets the daemons die that follow the first one on the ring, and
 // returns when that was.
 func (w *testNetwork) crashFollowers(count int) time.Time {
-	following := w.nodes[0].ring.following[:count]
+	following := w.nodes[0].ring.successors[:count]
 	for _, node := range w.nodes {
 		if slices.ContainsFunc(following, func(r *record) bool { return r.daemon.ID == node.id }) {
 			node.down = true
@@ -140,7 +140,7 @@
 
 // TestPushThatTheRateLimitCutGoesOn leaves a daemon the budget to push a suspicion
 // to all members but one that lives and the suspect.
-func TestPushThatTheRateLimitCutGoesOn(t *testing.T) {
+func TestRateLimitedPushIsResumed(t *testing.T) {
 	w := formed(t, 25, 9)
 	w.run(refillTime)
 	observer, subject := w.nodes[0], w.nodes[1]
@@ -169,7 +169,7 @@
 	for seed := range uint64(10) {
 		w := formed(t, 30+seed, 9)
 		w.run(time.Second)
-		following := w.nodes[0].ring.following
+		following := w.nodes[0].ring.successors
 		for _, node := range w.nodes {
 			if node.id == following[0].daemon.ID || node.id == following[1].daemon.ID || node.id == following[2].daemon.ID {
 				node.down = true
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -77,7 +77,7 @@
 	m.prober.init()
 	m.broadcast.init(options.Settings)
 	m.syncer.init(options.Settings)
-	m.healer.pushes = tokenbucket.NewFull(float64(healBytesPerSecond), float64(healBurst))
+	m.healer.pushes = tokenbucket.NewFull(float64(healBytesPerSecond), float64(healBurstBytes))
 	return m
 }
 
@@ -87,7 +87,7 @@
 		m.startedAt = m.Clock.Now()
 		m.broadcast.add(m.self.update(), true)
 		m.after(m.jitter(m.settings.ProbeInterval), m.probeTick)
-		interval, _ := m.joinPace()
+		interval, _ := m.joinSchedule()
 		m.after(m.jitter(interval), m.joinTick)
 	})
 }
@@ -168,7 +168,7 @@
 	defer m.mutex.Unlock()
 	if m.cachedMembers == nil {
 		for _, r := range m.records {
-			if !r.gone() {
+			if !r.isGone() {
 				m.cachedMembers = append(m.cachedMembers, Member{Daemon: r.daemon, State: r.state()})
 			}
 		}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestPausedDaemonJudgesNobodyOnWaking(t *testing.T) {
+func TestPausedDaemonDeclaresNobodyDeadOnWaking(t *testing.T) {
 	for _, pause := range []time.Duration{600 * time.Millisecond, 5 * time.Second, time.Minute} {
 		w := newTestNetwork(t, 9, 5)
 		w.settle(15 * time.Second)
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestNotesRideOnProbes(t *testing.T) {
+func TestProbesCarryNotes(t *testing.T) {
 	w := newTestNetwork(t, 12, 2)
 	var heard []Note
 	w.nodes[1].OnNote(func(_ structs.DaemonID, note Note) { heard = append(heard, note) })
--- a/internal/membership/heal.go
+++ b/internal/membership/partition_heal.go
@@ -23,43 +23,43 @@
 const (
 	// leastLost is how many members must be lost besides the one that is back. Fewer
 	// return to all views by their own refutations.
-	leastLost = 4
+	minLostMembers = 4
 	// lostLife is how long ago a member may have died to count as lost in a cut.
-	lostLife = 10 * time.Minute
+	maxLossAge = 10 * time.Minute
 	// recentLoss is how long ago the others were lost at most if the one that is back
 	// was suspected alone.
-	recentLoss = 5 * time.Second
+	recentLossAge = 5 * time.Second
 	// healSpread is the time over which the readings are spread, which all daemons would
 	// make at once.
-	healSpread = 400 * time.Millisecond
+	healSyncSpread = 400 * time.Millisecond
 	// healReadingsLimit bounds the tables that a daemon reads after one cut.
-	healReadingsLimit = 10
+	maxHealSyncs = 10
 	// healRecordsLimit bounds the records of one such table, of updateSize each.
-	healRecordsLimit = 128
+	maxHealRecords = 128
 	// healBytesPerSecond and healBurst bound the bytes by which a daemon tells others
 	// that a cut ended. They are kept apart from other pushes, which the suspicions of a
 	// cut have used up.
 	healBytesPerSecond = 50
-	healBurst          = 1 << 10
+	healBurstBytes     = 1 << 10
 )
 
 // healer is what a daemon knows of a cut that ended.
 type healer struct {
 	// since is when it was last heard that a cut ended, or, until a table was read, that
 	// another run is back.
-	since time.Time
+	startedAt time.Time
 	// returned are the runs that are known to be back since then.
 	returned []structs.DaemonID
 	// readings counts the tables that were asked for, and answered tells whether one came.
-	readings int
-	answered bool
+	syncs  int
+	synced bool
 	// pushes bounds the bytes by which neighbours are told.
 	pushes tokenbucket.Bucket
 }
 
 // isHealing tells whether a cut ended just now.
 func (m *Membership) isHealing() bool {
-	return !m.healer.since.IsZero() && m.Clock.Now().Sub(m.healer.since) < m.settings.HealDuration
+	return !m.healer.startedAt.IsZero() && m.Clock.Now().Sub(m.healer.startedAt) < m.settings.HealDuration
 }
 
 // isLost tells whether a run is missing since a time that a cut may have begun.
@@ -68,13 +68,13 @@
 	case statusSuspect:
 		return true
 	case statusDead:
-		return m.Clock.Now().Sub(r.diedAt) < lostLife
+		return m.Clock.Now().Sub(r.diedAt) < maxLossAge
 	}
 	return false
 }
 
 // lost lists the members that are lost.
-func (m *Membership) lost() []*record {
+func (m *Membership) lostRecords() []*record {
 	var lost []*record
 	for _, r := range m.records {
 		if m.isLost(r) {
@@ -86,44 +86,44 @@
 
 // noteReturn takes note that a lost run is back. That a run was suspected by mistake is
 // common: it tells of a cut only if others were lost just before.
-func (m *Membership) noteReturn(r *record, wasDead bool) {
+func (m *Membership) handleReturn(r *record, wasDead bool) {
 	if m.isHealing() {
-		m.prolongHealing(r)
+		m.extendHealing(r)
 		return
 	}
-	lost := m.lost()
+	lost := m.lostRecords()
 	if !wasDead {
-		lost = slices.DeleteFunc(lost, func(r *record) bool { return m.Clock.Now().Sub(r.lostAt) > recentLoss })
+		lost = slices.DeleteFunc(lost, func(r *record) bool { return m.Clock.Now().Sub(r.suspectedAt) > recentLossAge })
 	}
-	if len(lost) >= leastLost {
-		m.beginHealing(r)
+	if len(lost) >= minLostMembers {
+		m.startHealing(r)
 	}
 }
 
 // hearOfHealing takes another daemon's word that a cut has ended.
-func (m *Membership) hearOfHealing(back *record) {
+func (m *Membership) handleHealReport(back *record) {
 	switch {
 	case m.isHealing():
-		m.prolongHealing(back)
-	case !m.healedLately() || len(m.lost()) >= leastLost:
-		m.beginHealing(back)
+		m.extendHealing(back)
+	case !m.healedRecently() || len(m.lostRecords()) >= minLostMembers:
+		m.startHealing(back)
 	}
 }
 
 // healedLately tells whether a cut ended within HealCooldown: what is heard of it by probes
 // may go round for longer than HealDuration.
-func (m *Membership) healedLately() bool {
-	return !m.healer.since.IsZero() && m.Clock.Now().Sub(m.healer.since) < m.settings.HealCooldown
+func (m *Membership) healedRecently() bool {
+	return !m.healer.startedAt.IsZero() && m.Clock.Now().Sub(m.healer.startedAt) < m.settings.HealCooldown
 }
 
 // beginHealing makes the tables whole after a cut. back is a run from beyond it.
-func (m *Membership) beginHealing(back *record) {
+func (m *Membership) startHealing(back *record) {
 	now := m.Clock.Now()
-	m.healer.since = now
+	m.healer.startedAt = now
 	m.healer.returned = []structs.DaemonID{back.daemon.ID}
-	m.healer.readings, m.healer.answered = 0, false
-	m.broadcast.dropBadNews()
-	for _, r := range m.suspected() {
+	m.healer.syncs, m.healer.synced = 0, false
+	m.broadcast.dropFailureReports()
+	for _, r := range m.suspectedRecords() {
 		m.stopSuspicion(r)
 		m.startSuspicion(r)
 	}
@@ -133,49 +133,49 @@
 			m.Transport.Send(neighbour.daemon.ID, message)
 		}
 	}
-	m.Logger.Info().Str("back", string(back.daemon.ID)).Int("members", m.fleet()).Msg("A cut has ended. Tables are read.")
-	m.after(m.jitter(healSpread), m.readTableBeyond)
+	m.Logger.Info().Str("back", string(back.daemon.ID)).Int("members", m.fleetSize()).Msg("A cut has ended. Tables are read.")
+	m.after(m.jitter(healSyncSpread), m.syncAcrossPartition)
 }
 
 // prolongHealing takes note of another run that is back. Until a table was read the time
 // begins anew: a cut of one way lets returns be heard of before its end.
-func (m *Membership) prolongHealing(back *record) {
+func (m *Membership) extendHealing(back *record) {
 	h := &m.healer
 	if !slices.Contains(h.returned, back.daemon.ID) {
 		h.returned = append(h.returned, back.daemon.ID)
 	}
-	if !h.answered {
-		h.since, h.readings = m.Clock.Now(), 0
+	if !h.synced {
+		h.startedAt, h.syncs = m.Clock.Now(), 0
 	}
 }
 
 // readTableBeyond asks a daemon from beyond the cut for its table, again and again until
 // nobody is lost any more.
-func (m *Membership) readTableBeyond() {
+func (m *Membership) syncAcrossPartition() {
 	h := &m.healer
 	if !m.isHealing() {
 		return
 	}
-	m.after(healSpread/2+m.jitter(healSpread), m.readTableBeyond)
-	lost := m.lost()
-	if h.readings >= healReadingsLimit || len(lost) == 0 {
+	m.after(healSyncSpread/2+m.jitter(healSyncSpread), m.syncAcrossPartition)
+	lost := m.lostRecords()
+	if h.syncs >= maxHealSyncs || len(lost) == 0 {
 		return
 	}
-	h.readings++
-	beyond := m.nextToRead()
-	if beyond == "" {
+	h.syncs++
+	peer := m.nextHealPeer()
+	if peer == "" {
 		return
 	}
 	request := &SyncRequest{Self: m.self.update(), Buckets: m.buckets, LiveOnly: true}
 	for _, r := range lost {
 		request.Buckets[r.bucket()] ^= r.digest() // suspects count as missing
 	}
-	m.Transport.Send(beyond, request)
+	m.Transport.Send(peer, request)
 }
 
 // nextToRead returns a run whose table was not read yet: one that is back, or else any
 // neighbour. "" if there is none.
-func (m *Membership) nextToRead() structs.DaemonID {
+func (m *Membership) nextHealPeer() structs.DaemonID {
 	h := &m.healer
 	if len(h.returned) > 0 {
 		i := m.Random.IntN(len(h.returned))
@@ -192,12 +192,12 @@
 // livingRecords lists, from a random place on, what a daemon from beyond a cut needs of the
 // table: the members that are neither suspected nor gone, in the parts that differ.
 func (m *Membership) livingRecords(theirs [bucketCount]uint64) []Update {
-	differing := m.differing(theirs)
+	differing := m.differingUpdates(theirs)
 	differing = slices.DeleteFunc(differing, func(u Update) bool { return u.Status.rank() >= statusSuspect.rank() })
 	for i, update := range differing {
 		differing[i] = m.records[update.Address].shortUpdate()
 	}
-	return differing[:min(len(differing), healRecordsLimit)]
+	return differing[:min(len(differing), maxHealRecords)]
 }
 
 // reviveLost takes a run for alive that is lost here, if a table that is read after a cut
--- a/internal/membership/heal_test.go
+++ b/internal/membership/partition_heal_test.go
@@ -39,7 +39,7 @@
 func (w *changeWatch) restart() { w.since, w.seen = w.network.clock.Now(), nil }
 
 // badNews counts the changes to a state other than alive in a time.
-func (w *changeWatch) badNews(from, until time.Duration) int {
+func (w *changeWatch) failureReports(from, until time.Duration) int {
 	count := 0
 	for _, change := range w.seen {
 		if change.state != StateAlive && change.after >= from && change.after < until {
@@ -56,7 +56,7 @@
 func inLastTwoZones(n *testNode) bool { return zoneOf4(n) >= 2 }
 
 // cutCase is a cut that ends.
-type cutCase struct {
+type partitionCase struct {
 	daemons int
 	length  time.Duration
 	inside  func(*testNode) bool
@@ -65,14 +65,14 @@
 	wholeWithin time.Duration
 	// badNews bounds the changes to suspect or dead in the two seconds after its end,
 	// when all daemons live; later there must be none.
-	badNews int
+	failureReports int
 	// bytes bounds what each daemon sends in the mean until views are whole, in tables
 	// mostly.
 	bytes int
 }
 
 // play plays a cut and returns the changes since its end.
-func (c cutCase) play(t *testing.T, seed uint64) (w *testNetwork, watch *changeWatch) {
+func (c partitionCase) run(t *testing.T, seed uint64) (w *testNetwork, watch *changeWatch) {
 	w = newTestNetwork(t, seed, c.daemons)
 	w.introduceAll()
 	w.run(10 * time.Second)
@@ -91,8 +91,8 @@
 
 // TestCutThatEndsIsHealedByOneReading: all daemons live, so after the end of a cut bad
 // news are about members that answer.
-func TestCutThatEndsIsHealedByOneReading(t *testing.T) {
-	for name, c := range map[string]cutCase{
+func TestHealedPartitionIsRepairedByOneSync(t *testing.T) {
+	for name, c := range map[string]partitionCase{
 		"a zone of four":     {74, 5500 * time.Millisecond, inLastZone, false, 1500 * time.Millisecond, 60, 12_000},
 		"for two seconds":    {74, 2 * time.Second, inLastZone, false, 2 * time.Second, 400, 12_000},
 		"for 30 seconds":     {74, 30 * time.Second, inLastZone, false, 1500 * time.Millisecond, 60, 12_000},
@@ -103,16 +103,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
-				w, watch := c.play(t, 60+seed)
+				w, watch := c.run(t, 60+seed)
 				watch.restart()
 				startBytes := w.bytes
 				whole := w.settle(30 * time.Second)
 				sent := (w.bytes - startBytes) / c.daemons
 				w.run(8 * time.Second)
-				early, late := watch.badNews(0, 2*time.Second), watch.badNews(2*time.Second, time.Hour)
+				early, late := watch.failureReports(0, 2*time.Second), watch.failureReports(2*time.Second, time.Hour)
 				t.Logf("seed %d: whole after %v, %d bytes a daemon; %d changes, %d bad within 2 s, %d later",
 					seed, whole, sent, len(watch.seen), early, late)
-				if whole > c.wholeWithin || early > c.badNews || late > 0 || sent > c.bytes {
+				if whole > c.wholeWithin || early > c.failureReports || late > 0 || sent > c.bytes {
 					t.Errorf("seed %d: whole after %v, %d bytes a daemon, %d bad news within 2 s, %d later", seed, whole, sent, early, late)
 				}
 			}
@@ -122,10 +122,10 @@
 
 // TestEachSideHearsOfACutAndOfItsEnd: of the end within a second. Who is not cut off
 // notices a cut within a second or so: half of the members of the zone are suspected.
-func TestEachSideHearsOfACutAndOfItsEnd(t *testing.T) {
+func TestBothSidesDetectAPartitionAndItsEnd(t *testing.T) {
 	for seed := range uint64(5) {
-		c := cutCase{daemons: 74, length: 5500 * time.Millisecond, inside: inLastZone}
-		w, watch := c.play(t, 60+seed)
+		c := partitionCase{daemons: 74, length: 5500 * time.Millisecond, inside: inLastZone}
+		w, watch := c.run(t, 60+seed)
 		noticed := map[bool][]time.Duration{}
 		for _, node := range w.nodes {
 			lost := map[string]bool{}
@@ -167,10 +167,10 @@
 
 // TestDaemonsThatDieAtTheEndOfACutAreFound though no bad news is believed by hearsay
 // then.
-func TestDaemonsThatDieAtTheEndOfACutAreFound(t *testing.T) {
-	c := cutCase{daemons: 74, length: 5500 * time.Millisecond, inside: inLastZone}
+func TestDeathsAtTheEndOfAPartitionAreDetected(t *testing.T) {
+	c := partitionCase{daemons: 74, length: 5500 * time.Millisecond, inside: inLastZone}
 	for seed := range uint64(5) {
-		w, _ := c.play(t, 60+seed)
+		w, _ := c.run(t, 60+seed)
 		w.run(time.Duration(seed) * 300 * time.Millisecond)
 		for _, index := range []int{0, 1, 3, 7, 20} {
 			w.nodes[index].down = true
@@ -183,7 +183,7 @@
 
 // TestBadNewsOfALostDaemonIsNotBelieved: it was cut off, or is slow, and takes others for
 // lost.
-func TestBadNewsOfALostDaemonIsNotBelieved(t *testing.T) {
+func TestFailureReportsOfALostDaemonAreIgnored(t *testing.T) {
 	w := formed(t, 25, 5)
 	observer, subject, lost := w.nodes[0], w.nodes[1], w.nodes[2]
 	suspicion := lost.self.update()
@@ -198,7 +198,7 @@
 }
 
 // TestManyChangesAreSummedUp: a line each for some, and one a second for all others.
-func TestManyChangesAreSummedUp(t *testing.T) {
+func TestManyChangesAreSummarized(t *testing.T) {
 	w := newTestNetwork(t, 26, 74)
 	w.introduceAll()
 	w.run(10 * time.Second)
--- a/internal/membership/pause.go
+++ b/internal/membership/pause.go
@@ -25,14 +25,14 @@
 	}
 	clear(m.prober.probes)
 	clear(m.syncer.differsSince)
-	for _, r := range m.suspected() {
+	for _, r := range m.suspectedRecords() {
 		m.stopSuspicion(r)
 		m.startSuspicion(r)
 	}
 }
 
 // suspected lists the suspected members in order.
-func (m *Membership) suspected() []*record {
+func (m *Membership) suspectedRecords() []*record {
 	var suspected []*record
 	for _, r := range m.records {
 		if r.status == statusSuspect {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,10 +9,10 @@
 
 // prober keeps the probes that are under way.
 type prober struct {
-	sequence uint64
-	ticks    int
-	probes   map[uint64]*probe
-	relays   map[uint64]relay
+	sequence      uint64
+	ticks         int
+	probes        map[uint64]*probe
+	relayedProbes map[uint64]relayedProbe
 }
 
 // probe is one question to a daemon that has not been answered.
@@ -24,14 +24,14 @@
 }
 
 // relay is a probe made for another daemon.
-type relay struct {
+type relayedProbe struct {
 	origin   structs.DaemonID
 	sequence uint64
 }
 
 func (p *prober) init() {
 	p.probes = map[uint64]*probe{}
-	p.relays = map[uint64]relay{}
+	p.relayedProbes = map[uint64]relayedProbe{}
 }
 
 func (p *prober) next() uint64 {
@@ -88,7 +88,7 @@
 
 func (m *Membership) probeIndirect(sequence uint64) {
 	p := m.prober.probes[sequence]
-	if p == nil || p.answered() {
+	if p == nil || p.isAnswered() {
 		return
 	}
 	for _, helper := range m.pickNeighbours(m.settings.IndirectProbes, p.target) {
@@ -101,7 +101,7 @@
 }
 
 // answered tells that the target answered this probe or a later one.
-func (p *probe) answered() bool { return !p.target.answeredAt.Before(p.sentAt) }
+func (p *probe) isAnswered() bool { return !p.target.answeredAt.Before(p.sentAt) }
 
 // probeFailed suspects a daemon that nobody could reach, and tells it so. The next
 // member on the ring is probed at once, so that several crashes in a row are not
@@ -109,11 +109,11 @@
 func (m *Membership) probeFailed(sequence uint64) {
 	p := m.prober.probes[sequence]
 	delete(m.prober.probes, sequence)
-	if p == nil || p.answered() {
+	if p == nil || p.isAnswered() {
 		return
 	}
 	current := m.records[p.target.address] == p.target
-	if !current || p.target.gone() || p.target.status == statusSuspect {
+	if !current || p.target.isGone() || p.target.status == statusSuspect {
 		return
 	}
 	wasSuccessor := m.successor() == p.target
@@ -131,12 +131,12 @@
 	sender := m.records[from.Address()]
 	m.applyAll(from, ping.Updates)
 	m.processHeartbeat(from, ping.Digest, &ping.Note)
-	if ping.PartitionHealed && sender != nil && !m.healedLately() {
-		m.hearOfHealing(sender)
+	if ping.PartitionHealed && sender != nil && !m.healedRecently() {
+		m.handleHealReport(sender)
 	}
 	note := m.note
 	ack := &Ack{Sequence: ping.Sequence, Digest: m.digest(), Note: &note, Updates: m.piggyback(sender)}
-	if mentions(ping.Updates, m.self.address) {
+	if containsAddress(ping.Updates, m.self.address) {
 		ack.Updates = append([]Update{m.self.update()}, ack.Updates...)
 	}
 	m.Transport.Send(from, ack)
@@ -145,7 +145,7 @@
 	}
 }
 
-func mentions(updates []Update, address string) bool {
+func containsAddress(updates []Update, address string) bool {
 	for _, update := range updates {
 		if update.Address == address {
 			return true
@@ -159,8 +159,8 @@
 	if !ack.Relayed {
 		m.processHeartbeat(from, ack.Digest, ack.Note)
 	}
-	if request, found := m.prober.relays[ack.Sequence]; found {
-		delete(m.prober.relays, ack.Sequence)
+	if request, found := m.prober.relayedProbes[ack.Sequence]; found {
+		delete(m.prober.relayedProbes, ack.Sequence)
 		m.Transport.Send(request.origin, &Ack{Sequence: request.sequence, Relayed: true, Updates: m.piggyback(nil)})
 		return
 	}
@@ -180,9 +180,9 @@
 func (m *Membership) receivePingRequest(from structs.DaemonID, request *PingRequest) {
 	m.applyAll(from, request.Updates)
 	sequence := m.prober.next()
-	m.prober.relays[sequence] = relay{origin: from, sequence: request.Sequence}
+	m.prober.relayedProbes[sequence] = relayedProbe{origin: from, sequence: request.Sequence}
 	m.sendPing(request.Target, sequence, m.records[request.Target.Address()])
-	m.after(m.settings.AckTimeout, func() { delete(m.prober.relays, sequence) })
+	m.after(m.settings.AckTimeout, func() { delete(m.prober.relayedProbes, sequence) })
 }
 
 // processHeartbeat takes what another daemon says of itself with each probe.
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -56,7 +56,7 @@
 	answeredAt time.Time
 	diedAt     time.Time
 	// lostAt is when it was suspected last.
-	lostAt time.Time
+	suspectedAt time.Time
 	// suspicion runs while the run is suspected.
 	suspicion clock.Timer
 }
@@ -80,10 +80,10 @@
 }
 
 // gone tells that the run is dead or left.
-func (r *record) gone() bool { return r.status == statusDead || r.status == statusLeft }
+func (r *record) isGone() bool { return r.status == statusDead || r.status == statusLeft }
 
 // stale tells that an update holds nothing new.
-func (r *record) stale(update Update) bool {
+func (r *record) isStale(update Update) bool {
 	if update.Run != r.run {
 		return update.Run < r.run
 	}
@@ -102,7 +102,7 @@
 // state is what others are shown.
 func (r *record) state() State {
 	switch {
-	case r.gone():
+	case r.isGone():
 		return StateDead
 	case r.leaving:
 		return StateLeaving
@@ -116,7 +116,7 @@
 // update returns the record as an update.
 func (r *record) update() Update {
 	update := Update{Address: r.address, Run: r.run, Status: r.status, Refutation: r.refutation}
-	if !r.gone() {
+	if !r.isGone() {
 		update.Zone = r.daemon.Zone
 		update.Region = r.daemon.Region
 		update.HTTPAddress = r.daemon.HTTPAddress
@@ -132,7 +132,7 @@
 }
 
 // isBadNews tells that an update is of a suspicion or a death.
-func (u Update) isBadNews() bool { return u.Status == statusSuspect || u.Status == statusDead }
+func (u Update) isFailureReport() bool { return u.Status == statusSuspect || u.Status == statusDead }
 
 // isComplete tells that an update says enough about a run that is not known.
 // The announcement of a fresh run always does.
@@ -149,7 +149,7 @@
 // digest stands for the run in the digest of a table: 0 when it is gone.
 // Suspicion and refutations are left out, since they pass.
 func (r *record) digest() uint64 {
-	if r.gone() {
+	if r.isGone() {
 		return 0
 	}
 	sum := xxhash.New()
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -16,7 +16,7 @@
 	// dirty is set when the members changed since the rest was derived.
 	dirty bool
 	// following and neighbours leave this daemon out.
-	following  []*record
+	successors []*record
 	neighbours []*record
 }
 
@@ -49,8 +49,8 @@
 	m.ring.dirty = false
 	members := m.ring.members
 	start := slices.Index(members, m.self)
-	m.ring.following = slices.Concat(members[start+1:], members[:start])
-	m.ring.neighbours = neighboursOf(m.ring.following)
+	m.ring.successors = slices.Concat(members[start+1:], members[:start])
+	m.ring.neighbours = neighboursOf(m.ring.successors)
 	m.settings = m.Settings.Scaled(len(members))
 }
 
@@ -70,14 +70,14 @@
 }
 
 // fleet returns the number of members, this daemon included.
-func (m *Membership) fleet() int { return len(m.ring.members) }
+func (m *Membership) fleetSize() int { return len(m.ring.members) }
 
 // successor returns the next member on the ring that is not suspected: what
 // becomes of a suspected one is for its timer to tell. It returns nil when
 // there is none.
 func (m *Membership) successor() *record {
 	m.refreshRing()
-	for _, r := range m.ring.following {
+	for _, r := range m.ring.successors {
 		if r.status != statusSuspect {
 			return r
 		}
--- a/internal/membership/schedule_test.go
+++ b/internal/membership/schedule_test.go
@@ -16,7 +16,7 @@
 		w := newTestNetwork(t, rapid.Uint64().Draw(r, "seed"), daemons)
 		w.run(3 * time.Second)
 		for range rapid.IntRange(1, 8).Draw(r, "faults") {
-			w.strike(r)
+			w.injectFault(r)
 			w.run(time.Duration(rapid.IntRange(0, 6000).Draw(r, "milliseconds")) * time.Millisecond)
 		}
 		w.cut, w.loss, w.jitter = nil, 0, 0
@@ -37,7 +37,7 @@
 }
 
 // strike makes one fault happen.
-func (w *testNetwork) strike(r *rapid.T) {
+func (w *testNetwork) injectFault(r *rapid.T) {
 	up := w.up()
 	victim := up[rapid.IntRange(0, len(up)-1).Draw(r, "victim")]
 	switch rapid.SampledFrom([]string{"crash", "restart", "pause", "wake", "cut", "one way", "whole", "loss", "jitter"}).Draw(r, "fault") {
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -12,13 +12,13 @@
 
 // joinTime is how long after its start a daemon looks for others at the shorter
 // JoinInterval.
-const joinTime = 5 * time.Second
+const joinDuration = 5 * time.Second
 
 // A daemon reads others' tables settleSpeedup times as often for settleTime
 // after its start: a fleet that starts at once begins with tables of pieces.
 const (
-	settleTime    = 30 * time.Second
-	settleSpeedup = 4
+	syncSpeedupDuration = 30 * time.Second
+	syncSpeedup         = 4
 )
 
 // syncer compares this daemon's table with others', finds others in the first
@@ -35,10 +35,10 @@
 }
 
 // leastSyncRecords are sent whatever the rate limit: this run and the sender's.
-const leastSyncRecords = 2
+const minSyncRecords = 2
 
 // differsLimit bounds the daemons whose difference is timed.
-const differsLimit = 64
+const maxTrackedDifferences = 64
 
 func (s *syncer) init(settings Settings) {
 	s.differsSince = map[structs.DaemonID]time.Time{}
@@ -56,15 +56,15 @@
 	now := m.Clock.Now()
 	since, known := s.differsSince[from]
 	if !known {
-		if len(s.differsSince) >= differsLimit {
+		if len(s.differsSince) >= maxTrackedDifferences {
 			clear(s.differsSince)
 		}
 		s.differsSince[from] = now
 		return
 	}
 	interval := m.settings.SyncInterval
-	if now.Sub(m.startedAt) < settleTime {
-		interval /= settleSpeedup
+	if now.Sub(m.startedAt) < syncSpeedupDuration {
+		interval /= syncSpeedup
 	}
 	if now.Sub(since) < m.settings.SyncAfter || now.Sub(s.readAt) < interval {
 		return
@@ -77,18 +77,18 @@
 // joinTick looks for daemons: any that is listed while this one is alone,
 // later those that are listed or were known and are not among the members.
 func (m *Membership) joinTick() {
-	m.forgetTombstones()
+	m.pruneTombstones()
 	absent := m.absentAddresses()
-	interval, fanout := m.joinPace()
+	interval, fanout := m.joinSchedule()
 	for _, address := range sample.Of(m.Random, fanout, absent) {
-		m.lookFor(address)
+		m.requestSyncAt(address)
 	}
 	m.after(interval/2+m.jitter(interval), m.joinTick)
 }
 
 // lookFor asks for the table of whoever runs at an address, and tells it if it was held
 // dead: it has most likely lost this daemon, too.
-func (m *Membership) lookFor(address string) {
+func (m *Membership) requestSyncAt(address string) {
 	request := &SyncRequest{Self: m.self.update(), Buckets: m.buckets}
 	if r := m.records[address]; r != nil && r.status == statusDead {
 		about := r.shortUpdate()
@@ -99,12 +99,12 @@
 
 // joinPace returns the pause between rounds of looking for others, and how many
 // are asked in each.
-func (m *Membership) joinPace() (interval time.Duration, fanout int) {
+func (m *Membership) joinSchedule() (interval time.Duration, fanout int) {
 	age := m.Clock.Now().Sub(m.startedAt)
 	switch {
 	case age < m.settings.FirstJoinTime:
 		return m.settings.FirstJoinInterval, m.settings.FirstJoinFanout
-	case m.fleet() == 1 || age < joinTime:
+	case m.fleetSize() == 1 || age < joinDuration:
 		return m.settings.JoinInterval, 1
 	}
 	return m.settings.ReconnectInterval, 1
@@ -114,7 +114,7 @@
 func (m *Membership) absentAddresses() []string {
 	var absent []string
 	for _, address := range m.listed {
-		if r := m.records[address]; r == nil || r.gone() {
+		if r := m.records[address]; r == nil || r.isGone() {
 			absent = append(absent, address)
 		}
 	}
@@ -128,10 +128,10 @@
 }
 
 // forgetTombstones drops what is remembered of daemons long dead.
-func (m *Membership) forgetTombstones() {
+func (m *Membership) pruneTombstones() {
 	var dead []*record
 	for _, r := range m.records {
-		if r.gone() {
+		if r.isGone() {
 			dead = append(dead, r)
 		}
 	}
@@ -172,15 +172,15 @@
 	case request.LiveOnly:
 		updates = append(updates, m.livingRecords(request.Buckets)...)
 		size = updateSize
-	case request.joins():
-		updates = append(updates, m.differing(request.Buckets)...)
+	case request.isJoining():
+		updates = append(updates, m.differingUpdates(request.Buckets)...)
 	default:
-		updates = append(updates, m.differing(request.Buckets)...)
+		updates = append(updates, m.differingUpdates(request.Buckets)...)
 		updates = updates[:min(len(updates), m.settings.SyncRecords)]
 	}
 	granted := m.syncer.replies.Take(m.Clock.Now(), size*len(updates)) / size
 	m.Transport.Send(from, &SyncReply{
-		Updates:  updates[:min(len(updates), max(granted, leastSyncRecords))],
+		Updates:  updates[:min(len(updates), max(granted, minSyncRecords))],
 		LiveOnly: request.LiveOnly,
 	})
 }
@@ -190,7 +190,7 @@
 const joiningEmptyBuckets = bucketCount * 3 / 4
 
 // joins tells that the sender knows next to no members, and needs a whole table.
-func (r *SyncRequest) joins() bool {
+func (r *SyncRequest) isJoining() bool {
 	empty := 0
 	for _, bucket := range r.Buckets {
 		if bucket == 0 {
@@ -202,7 +202,7 @@
 
 // differing lists the records in the parts of the table that differ, from a
 // random place on, so that replies cut short tell something else each time.
-func (m *Membership) differing(theirs [bucketCount]uint64) []Update {
+func (m *Membership) differingUpdates(theirs [bucketCount]uint64) []Update {
 	var differing []*record
 	for _, r := range m.records {
 		if r != m.self && theirs[r.bucket()] != m.buckets[r.bucket()] {
@@ -225,7 +225,7 @@
 // dead statuses are taken over: it may have been cut off together with few others.
 // Where the tables disagree about a run, that run is asked.
 func (m *Membership) receiveSyncReply(reply *SyncReply) {
-	m.healer.answered = m.healer.answered || reply.LiveOnly
+	m.healer.synced = m.healer.synced || reply.LiveOnly
 	for _, update := range reply.Updates {
 		if update.Status.rank() < 0 || update.Address == "" {
 			continue
@@ -239,11 +239,11 @@
 		if update.Status == statusSuspect {
 			update.Status = statusAlive
 		}
-		if sameRun && m.disagree(r, update) {
+		if sameRun && m.disagreesOnLiveness(r, update) {
 			m.verify(r)
 			continue
 		}
-		if m.apply(update) && m.fleet() <= directFleet {
+		if m.apply(update) && m.fleetSize() <= maxDirectPushFleet {
 			m.broadcast.add(update, false)
 		}
 	}
@@ -251,12 +251,12 @@
 
 // disagree tells that one side holds a run dead and the other does not, with
 // no later refutation of the run itself to settle it.
-func (m *Membership) disagree(r *record, update Update) bool {
+func (m *Membership) disagreesOnLiveness(r *record, update Update) bool {
 	if r.status == statusLeft || update.Status == statusLeft {
 		return false
 	}
 	dead := update.Status == statusDead
-	if dead == r.gone() {
+	if dead == r.isGone() {
 		return false
 	}
 	return dead || update.Refutation <= r.refutation
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -13,7 +13,7 @@
 			m.Logger.Warn().Str("from", string(from)).Msg("Update refused. Its status is unknown.")
 			continue
 		}
-		if m.isHearsay(from, update) {
+		if m.ignoresFailureReport(from, update) {
 			continue
 		}
 		if m.apply(update) {
@@ -28,9 +28,9 @@
 
 // isHearsay tells whether bad news is not to be believed: it comes from a daemon that is
 // itself lost here, which has lost others by the same cut, or from before a cut's end.
-func (m *Membership) isHearsay(from structs.DaemonID, update Update) bool {
+func (m *Membership) ignoresFailureReport(from structs.DaemonID, update Update) bool {
 	r := m.records[update.Address]
-	if !update.isBadNews() || r == nil || r == m.self || r.run != update.Run || r.status.rank() >= statusSuspect.rank() {
+	if !update.isFailureReport() || r == nil || r == m.self || r.run != update.Run || r.status.rank() >= statusSuspect.rank() {
 		return false
 	}
 	sender := m.records[from.Address()]
@@ -42,7 +42,7 @@
 // this one, if there is any.
 func (m *Membership) refutationOf(update Update) []Update {
 	r := m.records[update.Address]
-	if !update.isBadNews() || r == nil || r.gone() || r.run != update.Run || r.refutation <= update.Refutation {
+	if !update.isFailureReport() || r == nil || r.isGone() || r.run != update.Run || r.refutation <= update.Refutation {
 		return nil
 	}
 	return []Update{r.shortUpdate()}
@@ -70,7 +70,7 @@
 	switch {
 	case r == nil:
 		return m.applyUnknown(update)
-	case r.stale(update):
+	case r.isStale(update):
 		return false
 	case update.Run > r.run && !update.isComplete():
 		return false
@@ -104,9 +104,9 @@
 func (m *Membership) supersede(old *record, update Update) {
 	former := *old
 	m.remove(old)
-	if !former.gone() {
+	if !former.isGone() {
 		former.status = statusDead
-		m.changed(&former)
+		m.queueChange(&former)
 	}
 	successor := newRecord(update)
 	m.insert(successor)
@@ -123,7 +123,7 @@
 		m.Logger.Error().Uint64("run", update.Run).Msg("A later run of this daemon is known. Restart it with the right time.")
 		return
 	}
-	if update.Run < m.self.run || m.self.stale(update) {
+	if update.Run < m.self.run || m.self.isStale(update) {
 		return
 	}
 	refuted := m.self.update()
@@ -139,12 +139,12 @@
 	m.cachedMembers = nil
 	m.mutex.Unlock()
 	m.buckets[r.bucket()] ^= r.digest()
-	if r.gone() {
+	if r.isGone() {
 		r.diedAt = m.Clock.Now()
 		return
 	}
 	m.ring.add(r)
-	m.changed(r)
+	m.queueChange(r)
 }
 
 // remove forgets a record.
@@ -164,7 +164,7 @@
 	wasLost, wasDead := r != m.self && m.isLost(r), r.status == statusDead
 	m.buckets[r.bucket()] ^= r.digest()
 	m.mutex.Lock()
-	wasGone := r.gone()
+	wasGone := r.isGone()
 	r.status = update.Status
 	r.refutation = update.Refutation
 	r.leaving = r.leaving || update.Status == statusLeaving
@@ -172,10 +172,10 @@
 	m.mutex.Unlock()
 	m.buckets[r.bucket()] ^= r.digest()
 	switch {
-	case r.gone() && !wasGone:
+	case r.isGone() && !wasGone:
 		r.diedAt = m.Clock.Now()
 		m.ring.remove(r)
-	case wasGone && !r.gone():
+	case wasGone && !r.isGone():
 		m.ring.add(r)
 	}
 	m.stopSuspicion(r)
@@ -183,18 +183,18 @@
 		m.startSuspicion(r)
 	}
 	if r.state() != former {
-		m.changed(r)
+		m.queueChange(r)
 	}
 	if !wasLost && r.status.rank() >= statusSuspect.rank() {
-		r.lostAt = m.Clock.Now()
+		r.suspectedAt = m.Clock.Now()
 	}
 	if wasLost && r.status.rank() < statusSuspect.rank() {
-		m.noteReturn(r, wasDead)
+		m.handleReturn(r, wasDead)
 	}
 }
 
 // changed queues a change for the listeners.
-func (m *Membership) changed(r *record) {
+func (m *Membership) queueChange(r *record) {
 	m.changes = append(m.changes, Member{Daemon: r.daemon, State: r.state()})
 	if r != m.self {
 		m.logChange(r)
--- a/internal/membership/verify.go
+++ b/internal/membership/verify.go
@@ -15,7 +15,7 @@
 // verify queues a probe of a daemon, at a bounded rate.
 func (m *Membership) verify(r *record) {
 	s := &m.syncer
-	entry := pendingVerification{address: r.address, gone: r.gone()}
+	entry := pendingVerification{address: r.address, gone: r.isGone()}
 	if slices.Contains(s.pending, entry) {
 		return
 	}
@@ -36,11 +36,11 @@
 	next := s.pending[0]
 	s.pending = s.pending[1:]
 	r := m.records[next.address]
-	if r == nil || r.gone() != next.gone {
+	if r == nil || r.isGone() != next.gone {
 		m.verifyNext()
 		return
 	}
-	if r.gone() {
+	if r.isGone() {
 		m.sendPing(r.daemon.ID, m.prober.next(), r)
 	} else {
 		m.probe(r)
--- a/internal/node/applications.go
+++ b/internal/node/applications.go
@@ -15,7 +15,7 @@
 	control  *placement.Manager
 }
 
-func (a applications) of(shard structs.ShardNumber) replication.Application {
+func (a applications) applicationOf(shard structs.ShardNumber) replication.Application {
 	if a.control.Owns(shard) {
 		return a.control
 	}
@@ -24,25 +24,25 @@
 
 // NewStateMachine implements replication.Application.
 func (a applications) NewStateMachine(shard structs.ShardNumber) replication.StateMachine {
-	return a.of(shard).NewStateMachine(shard)
+	return a.applicationOf(shard).NewStateMachine(shard)
 }
 
 // Lead implements replication.Application.
 func (a applications) Lead(shard structs.ShardNumber, machine replication.StateMachine, leadership replication.Leadership) {
-	a.of(shard).Lead(shard, machine, leadership)
+	a.applicationOf(shard).Lead(shard, machine, leadership)
 }
 
 // Follow implements replication.Application.
-func (a applications) Follow(shard structs.ShardNumber) { a.of(shard).Follow(shard) }
+func (a applications) Follow(shard structs.ShardNumber) { a.applicationOf(shard).Follow(shard) }
 
 // Pressure implements replication.Application. What placement keeps is small.
 func (a applications) Pressure() replication.Pressure { return a.programs.Pressure() }
 
 // queues tells placement of the calls that wait in a scheduler.
-type queues struct{ scheduler *schedule.Scheduler }
+type schedulerQueues struct{ scheduler *schedule.Scheduler }
 
 // WaitingByModel implements placement.Queues.
-func (q queues) WaitingByModel() []placement.ModelWaiting {
+func (q schedulerQueues) WaitingByModel() []placement.ModelWaiting {
 	counts := q.scheduler.WaitingByModel()
 	waiting := make([]placement.ModelWaiting, len(counts))
 	for i, count := range counts {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -124,7 +124,7 @@
 }
 
 // drainPause is the pause between looks whether callers still wait here.
-const drainPause = 50 * time.Millisecond
+const drainPollInterval = 50 * time.Millisecond
 
 // Leave prepares a planned stop: the others give this daemon no new work, and
 // its shards pass to other members. done is called once, when nothing is left
@@ -149,7 +149,7 @@
 		done()
 		return
 	}
-	n.Clock.AfterFunc(drainPause, func() { n.awaitCallers(done) })
+	n.Clock.AfterFunc(drainPollInterval, func() { n.awaitCallers(done) })
 }
 
 // Stop ends all timers of the node.
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -90,7 +90,7 @@
 		Engines:        n.Drivers.Engines,
 		Configurations: n.Configurations,
 		Router:         n,
-		Queues:         queues{n.Scheduler},
+		Queues:         schedulerQueues{n.Scheduler},
 		Settings:       settings,
 		Guards:         n.Guards.Placement,
 		Logger:         n.Logger.With().Str("part", "placement").Logger(),
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -11,13 +11,13 @@
 
 const (
 	// readinessSample bounds the shards that one look at the readiness asks for.
-	readinessSample = 64
+	maxSampledShards = 64
 	// readyPercent of the shards looked at must have a known leader before a
 	// daemon becomes ready, or partlyReadyPercent for partlyReadyWait.
 	readyPercent = 90
 	// partlyReadyPercent keeps a ready daemon ready.
-	partlyReadyPercent = 50
-	partlyReadyWait    = 10 * time.Second
+	partlyReadyPercent  = 50
+	partlyReadyDuration = 10 * time.Second
 )
 
 // Readiness tells whether callers had better be sent to a daemon.
@@ -37,10 +37,10 @@
 }
 
 // look judges led of looked shards at now.
-func (t *readinessTracker) look(now time.Time, led, looked int) bool {
+func (t *readinessTracker) update(now time.Time, led, sampled int) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if led*100 < looked*partlyReadyPercent {
+	if led*100 < sampled*partlyReadyPercent {
 		t.wasReady = false
 		t.partlySince = time.Time{}
 		return false
@@ -48,8 +48,8 @@
 	if t.partlySince.IsZero() {
 		t.partlySince = now
 	}
-	nearlyAll := led*100 >= looked*readyPercent
-	waited := now.Sub(t.partlySince) >= partlyReadyWait
+	nearlyAll := led*100 >= sampled*readyPercent
+	waited := now.Sub(t.partlySince) >= partlyReadyDuration
 	t.wasReady = t.wasReady || nearlyAll || waited
 	return t.wasReady
 }
@@ -64,20 +64,20 @@
 	if n.Configurations.Current() == nil {
 		return Readiness{Detail: "no configuration is in force"}
 	}
-	led, looked := sampleLeaders(n.Settings.Shards, n.Route)
-	if !n.readiness.look(n.Clock.Now(), led, looked) {
-		return Readiness{Detail: fmt.Sprintf("a leader is known for %d of %d shards", led, looked)}
+	led, sampled := sampleLeaders(n.Settings.Shards, n.Route)
+	if !n.readiness.update(n.Clock.Now(), led, sampled) {
+		return Readiness{Detail: fmt.Sprintf("a leader is known for %d of %d shards", led, sampled)}
 	}
 	return Readiness{Ready: true}
 }
 
 // sampleLeaders counts the known leaders among shards spread evenly over all.
-func sampleLeaders(shards int, route func(structs.ShardNumber) replication.Route) (led, looked int) {
-	looked = min(shards, readinessSample)
-	for i := range looked {
-		if route(structs.ShardNumber(i*shards/looked)).Leader != "" {
+func sampleLeaders(shards int, route func(structs.ShardNumber) replication.Route) (led, sampled int) {
+	sampled = min(shards, maxSampledShards)
+	for i := range sampled {
+		if route(structs.ShardNumber(i*shards/sampled)).Leader != "" {
 			led++
 		}
 	}
-	return led, looked
+	return led, sampled
 }
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -27,7 +27,7 @@
 	}
 	var tracker readinessTracker
 	for _, step := range steps {
-		if got := tracker.look(start.Add(step.after), step.led, 64); got != step.ready {
+		if got := tracker.update(start.Add(step.after), step.led, 64); got != step.ready {
 			t.Errorf("%s: %d led: ready %t, want %t: %s", step.after, step.led, got, step.ready, step.why)
 		}
 	}
--- a/internal/replication/archive_test.go
+++ b/internal/replication/archive_test.go
@@ -23,7 +23,7 @@
 }
 
 // loseAll ends all runs, and starts three others after a while.
-func (f *testFleet) loseAll(daemons []*testDaemon) {
+func (f *testFleet) replaceAll(daemons []*testDaemon) {
 	for _, d := range daemons {
 		f.crash(d, true)
 	}
@@ -34,7 +34,7 @@
 }
 
 // archived waits until everything recorded so far is in the archive.
-func (f *testFleet) archived() { f.run(3 * f.settings.ArchiveInterval) }
+func (f *testFleet) awaitArchive() { f.run(3 * f.settings.ArchiveInterval) }
 
 func (f *testFleet) wantValues(want ...string) {
 	f.t.Helper()
@@ -55,13 +55,13 @@
 	}
 }
 
-func TestLostShardGoesOnFromItsArchive(t *testing.T) {
+func TestLostShardIsRestoredFromItsArchive(t *testing.T) {
 	f, daemons := startArchived(t, 60)
 	f.mustRecord(shard, "one")
-	f.archived()
+	f.awaitArchive()
 	f.mustRecord(shard, "two")
-	f.archived()
-	f.loseAll(daemons)
+	f.awaitArchive()
+	f.replaceAll(daemons)
 	f.run(30 * time.Second)
 	f.wantValues("one", "two")
 	f.wantRecovered(1)
@@ -77,26 +77,26 @@
 func TestShardIsLostAndRecoveredTwice(t *testing.T) {
 	f, daemons := startArchived(t, 61)
 	f.mustRecord(shard, "one")
-	f.archived()
-	f.loseAll(daemons)
+	f.awaitArchive()
+	f.replaceAll(daemons)
 	f.run(30 * time.Second)
 	f.mustRecord(shard, "two")
-	f.archived()
+	f.awaitArchive()
 	second := f.daemons[3:6]
-	f.loseAll(second)
+	f.replaceAll(second)
 	f.run(30 * time.Second)
 	f.wantValues("one", "two")
 }
 
-func TestTakeoverWritesAChainOfItsOwn(t *testing.T) {
+func TestNewLeaderStartsANewArchiveChain(t *testing.T) {
 	f, daemons := startArchived(t, 62)
 	f.mustRecord(shard, "one")
-	f.archived()
+	f.awaitArchive()
 	f.crash(f.leaderOf(shard), false)
 	f.run(3 * time.Second)
 	f.mustRecord(shard, "two")
-	f.archived()
-	f.loseAll(daemons)
+	f.awaitArchive()
+	f.replaceAll(daemons)
 	f.run(30 * time.Second)
 	f.wantValues("one", "two")
 }
@@ -104,7 +104,7 @@
 func TestRecordsGoOnWhileTheLogIsDown(t *testing.T) {
 	f, daemons := startArchived(t, 63)
 	f.mustRecord(shard, "one")
-	f.archived()
+	f.awaitArchive()
 	f.log.down = true
 	for i := range 20 {
 		f.mustRecord(shard, fmt.Sprint("unarchived ", i))
@@ -112,7 +112,7 @@
 	f.log.down = false
 	f.run(maxArchiveRetryDelay + 10*time.Second)
 	f.log.down = true
-	f.loseAll(daemons)
+	f.replaceAll(daemons)
 	f.run(20 * time.Second)
 	if f.leaderOf(shard) != nil {
 		t.Fatal("the shard has a leader although its archive cannot be read")
@@ -127,9 +127,9 @@
 func TestClaimantWaitsForTheArchive(t *testing.T) {
 	f, daemons := startArchived(t, 64)
 	f.mustRecord(shard, "one")
-	f.archived()
+	f.awaitArchive()
 	f.log.archivesDown = true
-	f.loseAll(daemons)
+	f.replaceAll(daemons)
 	f.run(time.Minute)
 	if f.leaderOf(shard) != nil {
 		t.Fatal("the shard has a leader although its claimant cannot read the archive")
@@ -142,15 +142,15 @@
 func TestLostAppendsOfTheArchiveAreLookedUp(t *testing.T) {
 	f, daemons := startArchived(t, 65)
 	f.mustRecord(shard, "one")
-	f.archived()
-	f.log.loseAnswers = 0.7
+	f.awaitArchive()
+	f.log.lostAnswerRate = 0.7
 	for i := range 5 {
 		f.mustRecord(shard, fmt.Sprint("value ", i))
 		f.run(5 * time.Second)
 	}
 	f.run(5 * time.Minute)
-	f.log.loseAnswers = 0
-	f.loseAll(daemons)
+	f.log.lostAnswerRate = 0
+	f.replaceAll(daemons)
 	f.run(40 * time.Second)
 	f.wantValues("one", "value 0", "value 1", "value 2", "value 3", "value 4")
 }
@@ -158,12 +158,12 @@
 func TestPausedHolderOfALostGroupIsRefused(t *testing.T) {
 	f, daemons := startArchived(t, 66)
 	f.mustRecord(shard, "one")
-	f.archived()
+	f.awaitArchive()
 	paused := f.leaderOf(shard)
 	old := paused.app.led[shard].leadership
 	f.pause(paused, true)
 	delete(f.machines, paused.self.ID.Address())
-	f.loseAll(others(daemons, paused))
+	f.replaceAll(others(daemons, paused))
 	f.run(40 * time.Second)
 	f.mustRecord(shard, "two")
 	f.pause(paused, false)
@@ -208,7 +208,7 @@
 	if pieces < 3 {
 		t.Errorf("the largest part has %d pieces", pieces)
 	}
-	f.loseAll(daemons)
+	f.replaceAll(daemons)
 	f.run(40 * time.Second)
 	f.wantValues(want...)
 }
--- a/internal/replication/archive_writer.go
+++ b/internal/replication/archive_writer.go
@@ -29,8 +29,8 @@
 // the shard's queue only.
 type archiver struct {
 	leader *leaderState
-	chain   chainID
-	part    int
+	chain  chainID
+	part   int
 	// archived is the last index that the parts so far hold.
 	archived structs.Index
 	// pending are the pieces of the present part that are not written yet.
--- a/internal/replication/benchmark_test.go
+++ b/internal/replication/benchmark_test.go
@@ -35,7 +35,7 @@
 // between daemons, the virtual time, and the processor time of all three.
 func BenchmarkCall(b *testing.B) {
 	f, _ := startThree(b, 1, 1)
-	f.delay, f.spread = 1500*time.Microsecond, 0
+	f.delay, f.delaySpread = 1500*time.Microsecond, 0
 	leader := f.leaderOf(shard).app.led[shard].leadership
 	units := callRecords()
 	clear(f.bytes)
@@ -102,7 +102,7 @@
 		f.crash(others(f.daemons, leader)[0], false)
 		fresh := f.start(4, "d")
 		f.run(3 * time.Second)
-		f.delay, f.spread = 1500*time.Microsecond, 0
+		f.delay, f.delaySpread = 1500*time.Microsecond, 0
 		clear(f.bytes)
 		start := f.clock.Now()
 		l := leader.manager.replica(shard).leaderState
--- a/internal/replication/claims_test.go
+++ b/internal/replication/claims_test.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func TestTwoLostAtOnceThenTheSurvivorClaims(t *testing.T) {
+func TestSurvivorClaimsShardWhenTwoMembersAreLostAtOnce(t *testing.T) {
 	f, daemons := startThree(t, 7, 2)
 	f.mustRecord(shard, "one")
 	f.log.down = true
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestListedMembersAreNotOutvoted(t *testing.T) {
+func TestShardIsNotClaimedWhileItsMembersAreListed(t *testing.T) {
 	f, daemons := startThree(t, 8, 1)
 	minority := daemons[0]
 	f.cutBetween(minority, daemons[1], true)
@@ -113,7 +113,7 @@
 
 // TestWrongMachineListCostsTheOldGroup shows what rests on the list: it drops
 // two members that run on, cut off from the third. The claim ends them.
-func TestWrongMachineListCostsTheOldGroup(t *testing.T) {
+func TestWrongMachineListReplacesALiveMajority(t *testing.T) {
 	f, daemons := startThree(t, 22, 1)
 	f.mustRecord(shard, "one")
 	claimant := daemons[0]
@@ -123,7 +123,7 @@
 		delete(f.machines, d.self.ID.Address())
 		d.logDown = true
 	}
-	f.list()
+	f.publishMachineList()
 	f.run(25 * time.Second)
 	f.mustRecord(shard, "kept")
 	var stale *testDaemon
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -10,10 +10,10 @@
 // candidacy is a replica's try to become leader. It asks for trial votes
 // first, so that a member that cannot win does not raise the epoch.
 type candidacy struct {
-	epoch    structs.Epoch
-	preVote    bool
+	epoch              structs.Epoch
+	preVote            bool
 	leadershipTransfer bool
-	granted  Group
+	granted            Group
 }
 
 // leaderless tells whether the group needs an election, as far as known here.
@@ -117,8 +117,8 @@
 func (r *replica) receiveVote(from structs.DaemonID, m *VoteRequest) {
 	answer := &VoteReply{Shard: r.shard, PreVote: m.PreVote, Last: r.log.last(), LastEpoch: r.log.lastEpoch()}
 	defer func() { r.send(from, answer) }()
-	served := !m.LeadershipTransfer && !r.needsLeader() && r.leader != from
-	if m.Epoch < r.voteState.epoch || (served && m.Epoch > r.voteState.epoch) {
+	hasLeader := !m.LeadershipTransfer && !r.needsLeader() && r.leader != from
+	if m.Epoch < r.voteState.epoch || (hasLeader && m.Epoch > r.voteState.epoch) {
 		answer.Epoch = r.voteState.epoch
 		return
 	}
@@ -131,8 +131,8 @@
 	}
 	r.observe(m.Epoch)
 	answer.Epoch = r.voteState.epoch
-	free := r.voteState.votedFor == "" || r.voteState.votedFor == from
-	if !free || r.leader != "" || !r.isCandidateUpToDate(m) {
+	mayVote := r.voteState.votedFor == "" || r.voteState.votedFor == from
+	if !mayVote || r.leader != "" || !r.isCandidateUpToDate(m) {
 		r.scheduleElection()
 		return
 	}
--- a/internal/replication/election_test.go
+++ b/internal/replication/election_test.go
@@ -48,7 +48,7 @@
 	fresh := f.start(4, "c")
 	f.cutBetween(fresh, leader, true)
 	leader.view.states[fresh.self.ID] = "alive"
-	leader.doubted[fresh] = false
+	leader.wronglyHeldDead[fresh] = false
 	leader.manager.replica(shard).leaderState.addMember(fresh.self.ID)
 	f.run(200 * time.Millisecond)
 	if group := leader.manager.replica(shard).log.group; group.Contains(fresh.self.ID) {
@@ -59,7 +59,7 @@
 	f.mustRecord(shard, "two")
 }
 
-func TestOldEntriesAreCommittedByOneOfTheOwnEpochOnly(t *testing.T) {
+func TestEntriesOfFormerEpochsAreCommittedWithOneOfTheOwn(t *testing.T) {
 	f := newTestFleet(t, 23, 1)
 	d := f.start(1, "a")
 	group := Group{d.self.ID, "10.0.0.2:7000#9", "10.0.0.3:7000#9"}
--- a/internal/replication/extra_routes.go
+++ b/internal/replication/extra_routes.go
@@ -21,7 +21,7 @@
 	// extraRoutesLimit bounds the extra routes of a reply; extraRouteSize is about
 	// the encoded size of one in bytes.
 	maxExtraRoutes = 32
-	extraRouteSize   = 60
+	extraRouteSize = 60
 )
 
 // requestsOften notes that requests are sent now and tells whether the last were
--- a/internal/replication/extra_routes_test.go
+++ b/internal/replication/extra_routes_test.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func TestAskerThatLacksRoutesIsToldOfOthers(t *testing.T) {
+func TestDaemonMissingManyRoutesGetsExtraRoutes(t *testing.T) {
 	const shards = 30
 	f, _ := startThree(t, 32, shards)
 	outsider := f.start(4, "a")
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestLackedRoutesAreAskedForInTurn(t *testing.T) {
+func TestMissingRoutesAreRequestedInTurn(t *testing.T) {
 	f, _ := startThree(t, 33, 100)
 	outsider := f.start(4, "a")
 	f.run(50 * time.Millisecond)
@@ -50,15 +50,15 @@
 
 // stayInPlace keeps leaders from moving replicas to a fresh daemon for the next
 // Settings.RebalanceInterval: one that is to know nothing must not be made a member.
-func stayInPlace(f *testFleet, daemons []*testDaemon) {
+func delayRebalancing(f *testFleet, daemons []*testDaemon) {
 	for _, d := range daemons {
 		d.manager.movedAt = f.clock.Now()
 	}
 }
 
-func TestRoutesToldUnaskedLeaveOutThoseAskedAndUnknown(t *testing.T) {
+func TestExtraRoutesOmitRequestedAndUnknownShards(t *testing.T) {
 	f, daemons := startThree(t, 34, 6)
-	stayInPlace(f, daemons)
+	delayRebalancing(f, daemons)
 	holder := daemons[0].manager
 	if diff := cmp.Diff([]structs.ShardNumber{5, 0, 2, 3}, holder.knownFrom(5, []structs.ShardNumber{1, 4})); diff != "" {
 		t.Error(diff)
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestRoutesToldUnaskedAreBounded(t *testing.T) {
+func TestExtraRoutesAreRateLimited(t *testing.T) {
 	f, daemons := startThree(t, 35, maxExtraRoutes)
 	told := 0
 	const seconds = 20
@@ -85,9 +85,9 @@
 	}
 }
 
-func TestStaleHearsayGivesWayToTheHolder(t *testing.T) {
+func TestStaleRouteIsReplacedByTheHoldersRoute(t *testing.T) {
 	f, daemons := startThree(t, 36, 1)
-	stayInPlace(f, daemons)
+	delayRebalancing(f, daemons)
 	outsider := f.start(4, "a")
 	f.run(50 * time.Millisecond)
 	leader := f.leaderOf(0)
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -21,21 +21,21 @@
 // testFleet is a fleet of managers on a virtual clock and a network that
 // loses, delays, doubles and reorders messages.
 type testFleet struct {
-	t        testing.TB
-	clock    *clock.Virtual
-	random   *rand.Rand
-	daemons  []*testDaemon // every run there ever was
-	log      *testLog
-	settings Settings
-	loss     float64
-	double   float64
-	delay    time.Duration
-	spread   time.Duration
-	detect   time.Duration
-	cut      map[[2]string]bool
-	machines map[string]bool
+	t             testing.TB
+	clock         *clock.Virtual
+	random        *rand.Rand
+	daemons       []*testDaemon // every run there ever was
+	log           *testLog
+	settings      Settings
+	loss          float64
+	duplication   float64
+	delay         time.Duration
+	delaySpread   time.Duration
+	detectionTime time.Duration
+	cut           map[[2]string]bool
+	machines      map[string]bool
 	// listDown keeps the machine list from being read.
-	listDown bool
+	machineListDown bool
 	// leaders are who was told to lead, by shard and epoch.
 	leaders map[string]structs.DaemonID
 	bytes   map[peer.Class]int
@@ -45,22 +45,22 @@
 
 func newTestFleet(t testing.TB, seed uint64, shards int) *testFleet {
 	f := &testFleet{
-		t:        t,
-		clock:    clock.NewVirtual(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)),
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		settings: DefaultSettings(),
-		delay:    time.Millisecond,
-		spread:   time.Millisecond,
-		detect:   1200 * time.Millisecond,
-		cut:      map[[2]string]bool{},
-		machines: map[string]bool{},
-		leaders:  map[string]structs.DaemonID{},
-		bytes:    map[peer.Class]int{},
-		kinds:    map[peer.Kind]int{},
+		t:             t,
+		clock:         clock.NewVirtual(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)),
+		random:        rand.New(rand.NewPCG(seed, 1)),
+		settings:      DefaultSettings(),
+		delay:         time.Millisecond,
+		delaySpread:   time.Millisecond,
+		detectionTime: 1200 * time.Millisecond,
+		cut:           map[[2]string]bool{},
+		machines:      map[string]bool{},
+		leaders:       map[string]structs.DaemonID{},
+		bytes:         map[peer.Class]int{},
+		kinds:         map[peer.Kind]int{},
 	}
 	f.settings.Shards = shards
 	f.log = &testLog{fleet: f, archives: map[framework.StreamName][]framework.LogEntry{}}
-	f.readList()
+	f.readMachineList()
 	return f
 }
 
@@ -80,10 +80,10 @@
 	// pressure is what the application says of its memory.
 	pressure Pressure
 	// jump is how far this daemon's clock is off.
-	jump time.Duration
+	clockOffset time.Duration
 	// doubted are daemons that this one takes for dead though they run.
-	doubted map[*testDaemon]bool
-	backlog []func()
+	wronglyHeldDead map[*testDaemon]bool
+	backlog         []func()
 }
 
 // start runs a daemon at an address, with the next incarnation.
@@ -100,8 +100,8 @@
 			Zone:   structs.ZoneName(zone),
 			Region: "r",
 		},
-		running: true,
-		doubted: map[*testDaemon]bool{},
+		running:         true,
+		wronglyHeldDead: map[*testDaemon]bool{},
 	}
 	d.view = &testView{daemon: d, states: map[structs.DaemonID]membership.State{}}
 	d.app = &testApplication{daemon: d, led: map[structs.ShardNumber]*testLeader{}}
@@ -124,9 +124,9 @@
 	})
 	f.daemons = append(f.daemons, d)
 	f.machines[address] = true
-	f.list()
+	f.publishMachineList()
 	d.manager.Start()
-	f.observe()
+	f.updateViews()
 	return d
 }
 
@@ -143,9 +143,9 @@
 	d.app.led = map[structs.ShardNumber]*testLeader{}
 	if unlist {
 		delete(f.machines, d.self.ID.Address())
-		f.list()
+		f.publishMachineList()
 	}
-	f.observe()
+	f.updateViews()
 }
 
 func (f *testFleet) pause(d *testDaemon, paused bool) {
@@ -157,7 +157,7 @@
 			f.clock.AfterFunc(0, func() { d.do(task) })
 		}
 	}
-	f.observe()
+	f.updateViews()
 }
 
 // do runs a task of a daemon now, or when it wakes.
@@ -174,17 +174,17 @@
 func (f *testFleet) cutBetween(a, b *testDaemon, cut bool) {
 	f.cut[[2]string{a.self.ID.Address(), b.self.ID.Address()}] = cut
 	f.cut[[2]string{b.self.ID.Address(), a.self.ID.Address()}] = cut
-	f.observe()
+	f.updateViews()
 }
 
 // readList has every daemon read the machine list, again and again.
-func (f *testFleet) readList() {
-	f.list()
-	f.clock.AfterFunc(time.Second, f.readList)
+func (f *testFleet) readMachineList() {
+	f.publishMachineList()
+	f.clock.AfterFunc(time.Second, f.readMachineList)
 }
 
-func (f *testFleet) list() {
-	if f.listDown {
+func (f *testFleet) publishMachineList() {
+	if f.machineListDown {
 		return
 	}
 	var machines []structs.Machine
@@ -199,7 +199,7 @@
 }
 
 // observe lets every daemon notice, after a while, who is there.
-func (f *testFleet) observe() {
+func (f *testFleet) updateViews() {
 	for _, d := range f.daemons {
 		for _, other := range f.daemons {
 			want := d.view.truth(other)
@@ -208,7 +208,7 @@
 			}
 			wait := 20 * time.Millisecond
 			if want == membership.StateDead {
-				wait = f.detect + time.Duration(f.random.Int64N(int64(f.detect/4)))
+				wait = f.detectionTime + time.Duration(f.random.Int64N(int64(f.detectionTime/4)))
 			}
 			f.clock.AfterFunc(wait, func() { d.do(func() { d.view.set(other, want) }) })
 		}
@@ -227,14 +227,14 @@
 	f.bytes[peer.ClassOf(message.MessageKind())] += len(line)
 	f.kinds[message.MessageKind()]++
 	copies := 1
-	if f.random.Float64() < f.double {
+	if f.random.Float64() < f.duplication {
 		copies = 2
 	}
 	for range copies {
 		if f.random.Float64() < f.loss {
 			continue
 		}
-		wait := f.delay + time.Duration(f.random.Int64N(int64(f.spread)+1))
+		wait := f.delay + time.Duration(f.random.Int64N(int64(f.delaySpread)+1))
 		f.clock.AfterFunc(wait, func() { f.deliver(d.self.ID, to, line) })
 	}
 }
@@ -259,7 +259,7 @@
 // daemonClock gives a daemon no time while it is paused or gone.
 type daemonClock struct{ daemon *testDaemon }
 
-func (c daemonClock) Now() time.Time { return c.daemon.fleet.clock.Now().Add(c.daemon.jump) }
+func (c daemonClock) Now() time.Time { return c.daemon.fleet.clock.Now().Add(c.daemon.clockOffset) }
 
 func (c daemonClock) AfterFunc(d time.Duration, f func()) clock.Timer {
 	return c.daemon.fleet.clock.AfterFunc(d, func() { c.daemon.do(f) })
@@ -275,7 +275,7 @@
 func (v *testView) truth(other *testDaemon) membership.State {
 	own, its := v.daemon.self.ID.Address(), other.self.ID.Address()
 	f := v.daemon.fleet
-	cut := f.cut[[2]string{own, its}] || f.cut[[2]string{its, own}] || v.daemon.doubted[other]
+	cut := f.cut[[2]string{own, its}] || f.cut[[2]string{its, own}] || v.daemon.wronglyHeldDead[other]
 	if other == v.daemon {
 		return membership.StateAlive
 	}
@@ -356,7 +356,7 @@
 	// archivesDown makes readings of archives fail, and nothing else.
 	archivesDown bool
 	// loseAnswers is the share of appends that work and say they did not.
-	loseAnswers float64
+	lostAnswerRate float64
 }
 
 func (l *testLog) append(d *testDaemon, stream framework.StreamName, operation string, payload []byte, done func(structs.LogOffset, error)) {
@@ -372,7 +372,7 @@
 		} else {
 			l.archives[stream] = append(l.archives[stream], entry)
 		}
-		if l.fleet.random.Float64() < l.loseAnswers {
+		if l.fleet.random.Float64() < l.lostAnswerRate {
 			done(0, framework.ErrUnreachable)
 			return
 		}
--- a/internal/replication/stay_test.go
+++ b/internal/replication/former_membership_test.go
@@ -36,7 +36,7 @@
 
 // TestAnswersOfAFormerStayProveNothing has an answer of the member's former
 // stay arrive after it was dismissed and taken back.
-func TestAnswersOfAFormerStayProveNothing(t *testing.T) {
+func TestRepliesOfAFormerMembershipAreIgnored(t *testing.T) {
 	f, daemons := startThree(t, 31, 1)
 	f.mustRecord(shard, "one")
 	leader := f.leaderOf(shard)
@@ -58,7 +58,7 @@
 }
 
 // TestPiecesOfAFormerStayProveNothing does the same with a snapshot's answer.
-func TestPiecesOfAFormerStayProveNothing(t *testing.T) {
+func TestSnapshotRepliesOfAFormerMembershipAreIgnored(t *testing.T) {
 	f, daemons := startThree(t, 32, 1)
 	f.mustRecord(shard, "one")
 	leader := f.leaderOf(shard)
@@ -78,7 +78,7 @@
 }
 
 // TestLateDismissalDoesNotEndANewStay doubles a dismissal.
-func TestLateDismissalDoesNotEndANewStay(t *testing.T) {
+func TestLateDismissalIsIgnoredAfterRejoining(t *testing.T) {
 	f, daemons := startThree(t, 33, 1)
 	f.mustRecord(shard, "one")
 	leader := f.leaderOf(shard)
--- a/internal/replication/genesis.go
+++ b/internal/replication/genesis.go
@@ -69,10 +69,10 @@
 // written among the first few to start would put every shard on those, and
 // spreading them afterwards takes long.
 const (
-	genesisShare        = 0.9
-	genesisShareAfterWait  = 0.5
-	genesisAnyWaits    = 6
-	genesisShareWaits = 1
+	genesisShare          = 0.9
+	genesisShareAfterWait = 0.5
+	genesisAnyWaits       = 6
+	genesisShareWaits     = 1
 	// genesisListDivisor of the wait is given to the first reading of the list:
 	// others may find this daemon before it knows how many there are.
 	genesisListDivisor = 5
--- a/internal/replication/leading.go
+++ b/internal/replication/leader_state.go
@@ -31,10 +31,10 @@
 	epoch structs.Epoch
 	// opened is the entry that opened the epoch; ready is set once it is
 	// committed, serving once the application was told.
-	openingIndex  structs.Index
-	ready   bool
-	serving bool
-	ended   bool
+	openingIndex structs.Index
+	ready        bool
+	serving      bool
+	ended        bool
 
 	progress      map[structs.DaemonID]*progress
 	proposals     []proposal
--- a/internal/replication/leaderless_test.go
+++ b/internal/replication/leaderless_test.go
@@ -9,7 +9,7 @@
 
 // strayFleet is a fleet whose stream names a living daemon that has left the
 // group, while the other two members, the last holders, run on.
-func strayFleet(t *testing.T, seed uint64) (f *testFleet, former *testDaemon, holders []*testDaemon) {
+func leaderlessFleet(t *testing.T, seed uint64) (f *testFleet, former *testDaemon, holders []*testDaemon) {
 	f, daemons := startThree(t, seed, 1)
 	f.mustRecord(shard, "one")
 	for _, d := range f.daemons {
@@ -24,20 +24,20 @@
 	return f, former, holders
 }
 
-func (f *testFleet) logUp() {
+func (f *testFleet) restoreLog() {
 	for _, d := range f.daemons {
 		d.logDown = false
 	}
 }
 
 func TestLostShardWithALivingFormerMemberStartsAnew(t *testing.T) {
-	f, _, holders := strayFleet(t, 34)
+	f, _, holders := leaderlessFleet(t, 34)
 	for _, d := range holders {
 		f.crash(d, true)
 	}
 	f.start(4, "a")
 	f.run(time.Second)
-	f.logUp()
+	f.restoreLog()
 	f.run(40 * time.Second)
 	if f.leaderOf(shard) == nil {
 		t.Fatal("nobody leads the shard")
@@ -48,9 +48,9 @@
 // TestStrayShardWaitsForEveryHolder has a holder that is paused, cut off or
 // merely silent for long: the shard must not start anew, and its records must
 // be there afterwards.
-func TestStrayShardWaitsForEveryHolder(t *testing.T) {
+func TestLeaderlessShardWaitsForEveryHolder(t *testing.T) {
 	for _, how := range []string{"paused", "cut off", "listed"} {
-		f, former, holders := strayFleet(t, 35)
+		f, former, holders := leaderlessFleet(t, 35)
 		var outsider *testDaemon
 		hide := func(hidden bool) {
 			for _, d := range holders {
@@ -74,7 +74,7 @@
 		if how == "cut off" {
 			hide(true)
 		}
-		f.logUp()
+		f.restoreLog()
 		f.run(60 * time.Second)
 		for _, d := range []*testDaemon{former, outsider} {
 			if d.app.led[shard] != nil {
@@ -96,12 +96,12 @@
 // TestSurvivorAsksAsSoonAsTheOthersAreGone loses two of three at once: beyond
 // detection (1.5 s here) and ClaimGrace the claim takes one reading of the
 // groups' stream, and not a second one before the daemons are asked.
-func TestSurvivorAsksAsSoonAsTheOthersAreGone(t *testing.T) {
+func TestSurvivorClaimsAfterOneReadOfTheStream(t *testing.T) {
 	f, daemons := startThree(t, 5, 4)
 	f.mustRecord(shard, "one")
 	f.crash(daemons[1], true)
 	f.crash(daemons[2], true)
-	f.run(f.detect + f.detect/4 + f.settings.ClaimGrace + f.settings.LogInterval + f.settings.LogInterval/4)
+	f.run(f.detectionTime + f.detectionTime/4 + f.settings.ClaimGrace + f.settings.LogInterval + f.settings.LogInterval/4)
 	if leader := daemons[0].manager.Route(shard).Leader; leader != daemons[0].self.ID {
 		t.Fatalf("the survivor does not lead the shard; its leader is %q", leader)
 	}
@@ -114,7 +114,7 @@
 	f.crash(daemons[1], true)
 	f.crash(daemons[2], true)
 	f.run(4 * time.Second)
-	survivor.jump = -2 * time.Second
+	survivor.clockOffset = -2 * time.Second
 	f.run(30 * time.Second)
 	if f.leaderOf(shard) != survivor {
 		t.Fatal("the survivor does not lead")
--- a/internal/replication/handover.go
+++ b/internal/replication/leadership_transfer.go
@@ -14,9 +14,9 @@
 type leadershipTransfer struct {
 	to structs.DaemonID
 	// asked is set once the successor was asked to stand.
-	requested bool
-	heldProposals  []heldProposal
-	timer clock.Timer
+	requested     bool
+	heldProposals []heldProposal
+	timer         clock.Timer
 }
 
 type heldProposal struct {
--- a/internal/replication/linearizable_test.go
+++ b/internal/replication/linearizable_test.go
@@ -88,8 +88,8 @@
 // paused and cut off.
 func runHistory(t *testing.T, seed uint64, confirm bool) bool {
 	f, daemons := startThree(t, seed, 1)
-	f.detect = 150 * time.Millisecond
-	f.spread = 30 * time.Millisecond
+	f.detectionTime = 150 * time.Millisecond
+	f.delaySpread = 30 * time.Millisecond
 	f.loss = 0.1
 	chance := rand.New(rand.NewPCG(seed, 5))
 	h := &history{fleet: f}
@@ -110,7 +110,7 @@
 			f.cutBetween(d, other, d != other)
 		case 2:
 			clear(f.cut)
-			f.observe()
+			f.updateViews()
 		}
 	}
 	return h.check()
@@ -128,7 +128,7 @@
 
 // TestUnconfirmedReadsAreNot shows that the check can fail: a leader that does
 // not confirm may have been superseded.
-func TestUnconfirmedReadsAreNot(t *testing.T) {
+func TestUnconfirmedReadsAreNotLinearizable(t *testing.T) {
 	for seed := range uint64(historySeeds) {
 		if !runHistory(t, seed, false) {
 			return
--- a/internal/replication/machines.go
+++ b/internal/replication/machines.go
@@ -77,21 +77,21 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	word := &m.machines
-	maps.DeleteFunc(word.unlistedAt, func(_ string, since time.Time) bool { return now.Sub(since) > unlistedRetention })
-	for address := range word.listed {
+	view := &m.machines
+	maps.DeleteFunc(view.unlistedAt, func(_ string, since time.Time) bool { return now.Sub(since) > unlistedRetention })
+	for address := range view.listed {
 		if !listed[address] {
-			word.unlistedAt[address] = now
+			view.unlistedAt[address] = now
 		}
 	}
 	for address := range listed {
-		delete(word.unlistedAt, address)
+		delete(view.unlistedAt, address)
 	}
-	word.listed = listed
-	if !word.wasRead() {
-		word.firstAt = now
+	view.listed = listed
+	if !view.wasRead() {
+		view.firstAt = now
 	}
-	word.lastAt = now
+	view.lastAt = now
 }
 
 // MachinesUnchanged takes a reading of the machine list that shows what the one
--- a/internal/replication/machines_test.go
+++ b/internal/replication/machines_test.go
@@ -12,7 +12,7 @@
 // The list is told to managers only when it changes, so these tests tell it
 // once for each change.
 
-func TestClaimWaitsUntilTheListHasLackedAllOthersForTheGraceTime(t *testing.T) {
+func TestClaimWaitsForTheGraceTimeAfterAllOthersAreUnlisted(t *testing.T) {
 	f, daemons := startThree(t, 31, 1)
 	f.mustRecord(shard, "one")
 	survivor := daemons[0]
@@ -26,7 +26,7 @@
 	for _, d := range daemons[1:] {
 		delete(f.machines, d.self.ID.Address())
 	}
-	f.list()
+	f.publishMachineList()
 	f.run(f.settings.ClaimGrace - time.Millisecond)
 	if claims := len(f.log.entries) - 1; claims != 0 {
 		t.Fatalf("%d claims within the grace time", claims)
@@ -38,7 +38,7 @@
 	f.mustRecord(shard, "two")
 }
 
-func TestListThatGoesBackStartsTheGraceTimeAnew(t *testing.T) {
+func TestRelistedMemberRestartsTheGraceTime(t *testing.T) {
 	f, daemons := startThree(t, 32, 1)
 	f.mustRecord(shard, "one")
 	for _, d := range daemons[1:] {
@@ -47,13 +47,13 @@
 	f.run(f.settings.ClaimGrace - time.Second)
 	other := daemons[1].self.ID.Address()
 	f.machines[other] = true
-	f.list()
+	f.publishMachineList()
 	f.run(30 * time.Second)
 	if f.leaderOf(shard) != nil {
 		t.Fatal("claimed while an older list shows another member")
 	}
 	delete(f.machines, other)
-	f.list()
+	f.publishMachineList()
 	f.run(f.settings.ClaimGrace - time.Millisecond)
 	if f.leaderOf(shard) != nil {
 		t.Fatal("claimed within the grace time after the list went forward again")
@@ -62,7 +62,7 @@
 	f.mustRecord(shard, "two")
 }
 
-func TestOneReadingFollowedBySilenceProvesNothing(t *testing.T) {
+func TestOneReadOfTheMachineListDoesNotAllowAClaim(t *testing.T) {
 	f, daemons := startThree(t, 34, 1)
 	f.mustRecord(shard, "one")
 	survivor := daemons[0]
@@ -74,8 +74,8 @@
 	for _, d := range daemons[1:] {
 		delete(f.machines, d.self.ID.Address())
 	}
-	f.list()
-	f.listDown = true
+	f.publishMachineList()
+	f.machineListDown = true
 	f.run(30 * time.Second)
 	if len(survivor.app.led) > 0 {
 		t.Error("a cut-off member claimed the shard on the strength of one reading")
--- a/internal/replication/manager.go
+++ b/internal/replication/manager.go
@@ -34,16 +34,16 @@
 // It is safe for concurrent use.
 type Manager struct {
 	Options
-	registry *registry
-	archiveWriter  *archiveWriter
+	registry      *registry
+	archiveWriter *archiveWriter
 
 	mutex    sync.Mutex
 	stopped  bool
 	replicas map[structs.ShardNumber]*replica
 	// promises are those of replicas that were dropped.
 	voteStates map[structs.ShardNumber]voteState
-	routes   routeTable
-	lookup   routeLookup
+	routes     routeTable
+	lookup     routeLookup
 	// deadAt is since when daemons are believed dead.
 	deadAt map[structs.DaemonID]time.Time
 	// latest is the highest incarnation ever seen at an address.
@@ -54,11 +54,11 @@
 
 	transfers, changes int
 	movedAt            time.Time
-	shardsToPlan         map[structs.ShardNumber]bool
+	shardsToPlan       map[structs.ShardNumber]bool
 	planTimer          clock.Timer
 	planDue            time.Time
-	auditRound          int
-	stopState           plannedStop
+	auditRound         int
+	stopState          plannedStop
 	contradictions     int
 }
 
@@ -67,14 +67,14 @@
 	m := &Manager{
 		Options:          options,
 		replicas:         map[structs.ShardNumber]*replica{},
-		voteStates:         map[structs.ShardNumber]voteState{},
+		voteStates:       map[structs.ShardNumber]voteState{},
 		routes:           newRouteTable(),
 		lookup:           newRouteLookup(),
 		deadAt:           map[structs.DaemonID]time.Time{},
 		latest:           map[string]uint64{options.Self.ID.Address(): options.Self.ID.Incarnation()},
 		machines:         newMachineListView(),
 		leavingAddresses: map[string]bool{},
-		shardsToPlan:       map[structs.ShardNumber]bool{},
+		shardsToPlan:     map[structs.ShardNumber]bool{},
 	}
 	m.registry = newRegistry(m)
 	m.archiveWriter = &archiveWriter{manager: m}
--- a/internal/replication/manager_test.go
+++ b/internal/replication/manager_test.go
@@ -151,7 +151,7 @@
 func TestGenesisRaceWithLostAnswers(t *testing.T) {
 	f := newTestFleet(t, 12, 4)
 	f.settings.GenesisStagger = time.Millisecond
-	f.log.loseAnswers = 0.7
+	f.log.lostAnswerRate = 0.7
 	f.start(1, "a")
 	f.start(2, "b")
 	f.start(3, "c")
--- a/internal/replication/planned_stop.go
+++ b/internal/replication/planned_stop.go
@@ -82,7 +82,7 @@
 // handedOver tells whether nothing is left that the fleet could take over.
 func (m *Manager) isHandOverDone() bool {
 	m.mutex.Lock()
-	late := m.Clock.Now().Sub(m.stopState.since) >= m.Settings.HandOverTimeout
+	pastTimeout := m.Clock.Now().Sub(m.stopState.since) >= m.Settings.HandOverTimeout
 	leads := m.routes.leadsAny(m.Self.ID)
 	holds := len(m.replicas) > 0
 	needed := m.countNeedingShards()
@@ -91,10 +91,10 @@
 	if !holds || others+expected == 0 {
 		return true
 	}
-	if late {
-		helpless := max(others, expected) < m.Settings.GroupSize-1
+	if pastTimeout {
+		irreplaceable := max(others, expected) < m.Settings.GroupSize-1
 		m.warnOfWait(needed, others, expected)
-		return needed == 0 || helpless
+		return needed == 0 || irreplaceable
 	}
 	replaceable := others >= m.Settings.GroupSize
 	return !leads && !replaceable && needed == 0
@@ -131,10 +131,10 @@
 // tellWaiting says once why a planned stop takes longer than usual.
 func (m *Manager) warnOfWait(needed, others, expected int) {
 	m.mutex.Lock()
-	told := m.stopState.warned
-	m.stopState.warned = told || needed > 0
+	alreadyWarned := m.stopState.warned
+	m.stopState.warned = alreadyWarned || needed > 0
 	m.mutex.Unlock()
-	if told || needed == 0 {
+	if alreadyWarned || needed == 0 {
 		return
 	}
 	m.Logger.Warn().Int("shards", needed).Int("reachable_daemons", others).Int("listed_daemons", expected).
--- a/internal/replication/planned_stop_test.go
+++ b/internal/replication/planned_stop_test.go
@@ -17,7 +17,7 @@
 	leaving := daemons[0]
 	done := false
 	leaving.leaving = true
-	f.observe()
+	f.updateViews()
 	leaving.manager.HandOver(func() { done = true })
 	f.run(10 * time.Second)
 	if !done || len(leaving.app.led) > 0 {
@@ -50,7 +50,7 @@
 	last := daemons[0]
 	done := false
 	last.leaving = true
-	f.observe()
+	f.updateViews()
 	last.manager.HandOver(func() { done = true })
 	f.run(30 * time.Second)
 	if done {
@@ -71,7 +71,7 @@
 
 // TestCutOffDaemonStaysUntilItMayGo stops a daemon that reaches nobody: it must
 // wait for the link, since it cannot know whether others hold its shards.
-func TestCutOffDaemonStaysUntilItMayGo(t *testing.T) {
+func TestPlannedStopOfACutOffDaemonWaits(t *testing.T) {
 	f, daemons := startThree(t, 11, 2)
 	f.mustRecord(shard, "one")
 	lone := daemons[0]
@@ -80,7 +80,7 @@
 	f.run(3 * time.Second)
 	done := false
 	lone.leaving = true
-	f.observe()
+	f.updateViews()
 	lone.manager.HandOver(func() { done = true })
 	f.run(30 * time.Second)
 	if done {
@@ -98,7 +98,7 @@
 // with nobody who could take their place, and stops all three as planned within
 // 14 s, as a day of failures at 400 daemons once did. Each must stay
 // until the link is back and others hold the records.
-func TestPlannedStopsAroundACutLoseNothing(t *testing.T) {
+func TestPlannedStopsAroundAPartitionLoseNothing(t *testing.T) {
 	f, daemons := startThree(t, 11, 2)
 	f.mustRecord(shard, "one")
 	f.log.down = true
@@ -113,7 +113,7 @@
 	stopped := map[*testDaemon]bool{}
 	for _, d := range daemons {
 		d.leaving = true
-		f.observe()
+		f.updateViews()
 		d.manager.HandOver(func() {
 			stopped[d] = true
 			f.crash(d, true)
@@ -148,7 +148,7 @@
 	for i, d := range daemons {
 		done := false
 		d.leaving = true
-		f.observe()
+		f.updateViews()
 		d.manager.HandOver(func() { done = true })
 		f.run(15 * time.Second)
 		if !done {
@@ -161,7 +161,7 @@
 
 func TestHandOverUnderLoad(t *testing.T) {
 	f, daemons := startThree(t, 24, 1)
-	f.spread = 10 * time.Millisecond
+	f.delaySpread = 10 * time.Millisecond
 	leaving := f.leaderOf(shard)
 	lost, kept := 0, 0
 	var load func()
@@ -181,7 +181,7 @@
 	f.run(time.Second)
 	done := false
 	leaving.leaving = true
-	f.observe()
+	f.updateViews()
 	leaving.manager.HandOver(func() { done = true })
 	f.run(time.Second)
 	if !done || len(leaving.app.led) > 0 {
--- a/internal/replication/pressure_test.go
+++ b/internal/replication/pressure_test.go
@@ -14,7 +14,7 @@
 	return pressure
 }
 
-func TestLeaderHearsOfItsMembersPressure(t *testing.T) {
+func TestLeaderReportsPressureOfItsGroup(t *testing.T) {
 	f, daemons := startThree(t, 7, 1)
 	f.mustRecord(shard, "one")
 	if got := f.pressureAtLeader(); got != PressureNone {
--- a/internal/replication/progress.go
+++ b/internal/replication/progress.go
@@ -10,7 +10,7 @@
 // progress is how far one member follows its leader.
 type progress struct {
 	leader *leaderState
-	member  structs.DaemonID
+	member structs.DaemonID
 	// match is the last index the member is known to hold, next the one to
 	// send next, and round the last question of the leader that it answered.
 	match structs.Index
@@ -22,8 +22,8 @@
 	firstRound uint64
 	// sentRound is the last round sent, and unanswered counts messages since
 	// the last answer.
-	sentRound  uint64
-	inFlight int
+	sentRound uint64
+	inFlight  int
 	// probing is set from a refusal or a silence until an answer shows where
 	// the member's log agrees: one message at a time is sent, and refusals of
 	// others that were under way are ignored.
@@ -31,16 +31,16 @@
 	probeFrom structs.Index
 	// sentAt is when the oldest unanswered message was sent, and roundTrip the
 	// smoothed time to an answer.
-	sentAt    time.Time
-	roundTrip time.Duration
-	retryDelay     time.Duration
-	timer     clock.Timer
+	sentAt     time.Time
+	roundTrip  time.Duration
+	retryDelay time.Duration
+	timer      clock.Timer
 	// lagging is set while acknowledgements do not wait for the member;
 	// heardAt is when it answered last.
-	lagging  bool
-	repliedAt  time.Time
-	transfer *outgoingSnapshot
-	stopped  bool
+	lagging   bool
+	repliedAt time.Time
+	transfer  *outgoingSnapshot
+	stopped   bool
 	// pressure is the member's latest word about its memory.
 	pressure   Pressure
 	pressureAt time.Time
--- a/internal/replication/random_test.go
+++ b/internal/replication/random_test.go
@@ -12,7 +12,7 @@
 
 // schedule drives one fleet through random faults and keeps account of what
 // was acknowledged.
-type schedule struct {
+type faultSchedule struct {
 	*testFleet
 	chance       *rand.Rand
 	shards       int
@@ -21,17 +21,17 @@
 	acknowledged map[structs.ShardNumber][]string
 }
 
-func newSchedule(t *testing.T, seed uint64) *schedule {
+func newFaultSchedule(t *testing.T, seed uint64) *faultSchedule {
 	f := newTestFleet(t, seed, 3)
-	s := &schedule{
+	s := &faultSchedule{
 		testFleet:    f,
 		chance:       rand.New(rand.NewPCG(seed, 99)),
 		shards:       3,
 		acknowledged: map[structs.ShardNumber][]string{},
 	}
 	f.loss = 0.25 * s.chance.Float64()
-	f.double = 0.2 * s.chance.Float64()
-	f.spread = time.Duration(s.chance.IntN(80)) * time.Millisecond
+	f.duplication = 0.2 * s.chance.Float64()
+	f.delaySpread = time.Duration(s.chance.IntN(80)) * time.Millisecond
 	f.settings.LogBytes = 2000
 	f.settings.SnapshotChunkBytes = 256
 	f.settings.ReplaceAfter = 2 * time.Second
@@ -41,7 +41,7 @@
 		f.settings.AppendBytes = 1
 	}
 	if s.chance.IntN(2) == 0 {
-		f.detect = 100 * time.Millisecond
+		f.detectionTime = 100 * time.Millisecond
 	}
 	for s.number < 5 {
 		s.startNext(string(rune('a' + s.number%3)))
@@ -50,13 +50,13 @@
 	return s
 }
 
-func (s *schedule) startNext(zone string) *testDaemon {
+func (s *faultSchedule) startNext(zone string) *testDaemon {
 	s.number++
 	return s.start(s.number, zone)
 }
 
 // proposeSome records values at whoever believes to lead, stale leaders too.
-func (s *schedule) proposeSome() {
+func (s *faultSchedule) proposeSome() {
 	for _, d := range s.daemons {
 		for shard := range structs.ShardNumber(s.shards) {
 			if !d.running || d.app.led[shard] == nil || s.chance.IntN(2) == 0 {
@@ -75,7 +75,7 @@
 
 // whole tells whether every group has all its members, so that the loss of one
 // more leaves a majority.
-func (s *schedule) whole() bool {
+func (s *faultSchedule) canLoseOneMember() bool {
 	for shard := range structs.ShardNumber(s.shards) {
 		leader := s.leaderOf(shard)
 		if leader == nil || leader.manager.replica(shard).leaderState == nil {
@@ -96,7 +96,7 @@
 
 // fault does one thing to the fleet. What a crash destroys is bounded by
 // whole; everything else may come at any moment, to any number of daemons.
-func (s *schedule) fault() {
+func (s *faultSchedule) injectFault() {
 	d := s.daemons[s.chance.IntN(len(s.daemons))]
 	other := s.daemons[s.chance.IntN(len(s.daemons))]
 	if !d.running || d == other {
@@ -104,7 +104,7 @@
 	}
 	switch s.chance.IntN(9) {
 	case 0:
-		if s.whole() {
+		if s.canLoseOneMember() {
 			s.crash(d, s.chance.IntN(2) == 0)
 			s.startNext(string(d.self.Zone))
 		}
@@ -114,16 +114,16 @@
 		s.cutBetween(d, other, true)
 	case 3:
 		s.cut[[2]string{d.self.ID.Address(), other.self.ID.Address()}] = true
-		s.observe()
+		s.updateViews()
 	case 4:
-		d.doubted[other] = !d.doubted[other]
-		s.observe()
+		d.wronglyHeldDead[other] = !d.wronglyHeldDead[other]
+		s.updateViews()
 	case 5:
 		s.log.down = !s.log.down
 	case 6:
-		if s.whole() && !d.leaving {
+		if s.canLoseOneMember() && !d.leaving {
 			d.leaving = true
-			s.observe()
+			s.updateViews()
 			d.manager.HandOver(func() {})
 			s.startNext(string(d.self.Zone))
 		}
@@ -132,19 +132,19 @@
 	}
 }
 
-func (s *schedule) heal() {
+func (s *faultSchedule) heal() {
 	clear(s.cut)
 	for _, d := range s.daemons {
-		clear(d.doubted)
+		clear(d.wronglyHeldDead)
 		if d.paused {
 			s.pause(d, false)
 		}
 	}
-	s.observe()
+	s.updateViews()
 }
 
 // check compares the replicas with what was acknowledged.
-func (s *schedule) check(t *testing.T) {
+func (s *faultSchedule) check(t *testing.T) {
 	s.heal()
 	s.loss = 0
 	s.log.down = false
@@ -182,12 +182,12 @@
 	}
 }
 
-func (s *schedule) play(t *testing.T) {
+func (s *faultSchedule) runSchedule(t *testing.T) {
 	for range 60 {
 		s.proposeSome()
 		s.run(time.Duration(s.chance.IntN(600)) * time.Millisecond)
 		if s.chance.IntN(2) == 0 {
-			s.fault()
+			s.injectFault()
 		}
 	}
 	s.check(t)
@@ -200,8 +200,8 @@
 	acknowledged := 0
 	for seed := range uint64(randomSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := newSchedule(t, seed)
-			s.play(t)
+			s := newFaultSchedule(t, seed)
+			s.runSchedule(t)
 			for _, values := range s.acknowledged {
 				acknowledged += len(values)
 			}
@@ -214,8 +214,8 @@
 
 func TestSameSeedSameRun(t *testing.T) {
 	trace := func() string {
-		s := newSchedule(t, 7)
-		s.play(t)
+		s := newFaultSchedule(t, 7)
+		s.runSchedule(t)
 		return fmt.Sprint(s.clock.Now(), s.bytes, s.kinds, s.acknowledged)
 	}
 	first := trace()
@@ -229,7 +229,7 @@
 func TestAcknowledgedSurvivesTwoLostAtOnce(t *testing.T) {
 	for seed := range uint64(30) {
 		f := newTestFleet(t, seed, 1)
-		f.spread = 40 * time.Millisecond
+		f.delaySpread = 40 * time.Millisecond
 		f.loss = 0.05
 		daemons := []*testDaemon{f.start(1, "a"), f.start(2, "b"), f.start(3, "c")}
 		f.run(6 * time.Second)
--- a/internal/replication/reconfigure.go
+++ b/internal/replication/reconfigure.go
@@ -12,8 +12,8 @@
 type change struct {
 	add, remove structs.DaemonID
 	// entry is the change's index in the log, 0 while the newcomer catches up.
-	entry structs.Index
-	timer clock.Timer
+	entry     structs.Index
+	timer     clock.Timer
 	holdsSlot bool
 }
 
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -16,7 +16,7 @@
 // promise is what a daemon must not forget about a shard while it runs, even
 // after it dropped its replica: it votes once in an epoch.
 type voteState struct {
-	epoch structs.Epoch
+	epoch    structs.Epoch
 	votedFor structs.DaemonID
 }
 
@@ -24,25 +24,25 @@
 // the shard's queue only.
 type replica struct {
 	*Manager
-	shard   structs.ShardNumber
-	queue   serial.Queue
-	logger  zerolog.Logger
-	machine StateMachine
-	log     *entryLog
+	shard     structs.ShardNumber
+	queue     serial.Queue
+	logger    zerolog.Logger
+	machine   StateMachine
+	log       *entryLog
 	voteState voteState
 	// leader is who this replica follows in its epoch, "" if it knows none.
 	leader structs.DaemonID
 	// heard is the leader's last round known here, of heardEpoch.
 	leaderRound      uint64
 	leaderRoundEpoch structs.Epoch
-	commit     structs.Index
-	applied    structs.Index
+	commit           structs.Index
+	applied          structs.Index
 
-	candidacy *candidacy
-	leaderState   *leaderState
-	incoming  *incomingSnapshot
+	candidacy   *candidacy
+	leaderState *leaderState
+	incoming    *incomingSnapshot
 	// electionTimer runs while a candidacy of this replica is due.
-	electionTimer clock.Timer
+	electionTimer    clock.Timer
 	electionAttempts int
 	// positions are what members said lately about their logs.
 	positions map[structs.DaemonID]position
@@ -55,21 +55,21 @@
 	// claimUnread is set while this replica has heard that its shard was
 	// claimed, and not yet by whom.
 	claimantUnknown bool
-	dropped     bool
+	dropped         bool
 	// restoring is set while the state is read from the shard's archive.
 	restoring bool
 }
 
 func newReplica(m *Manager, shard structs.ShardNumber, voteState voteState, group Group) *replica {
 	return &replica{
-		Manager: m,
-		shard:   shard,
-		logger:  m.Logger.With().Uint32("shard", uint32(shard)).Logger(),
-		machine: m.Application.NewStateMachine(shard),
-		log:     newEntryLog(0, 0, group),
+		Manager:   m,
+		shard:     shard,
+		logger:    m.Logger.With().Uint32("shard", uint32(shard)).Logger(),
+		machine:   m.Application.NewStateMachine(shard),
+		log:       newEntryLog(0, 0, group),
 		voteState: voteState,
 
-		positions:      map[structs.DaemonID]position{},
+		positions:           map[structs.DaemonID]position{},
 		positionRequestedAt: map[structs.DaemonID]time.Time{},
 	}
 }
--- a/internal/replication/route_lookup.go
+++ b/internal/replication/route_lookup.go
@@ -41,8 +41,8 @@
 	// askDoublings bounds the pauses: RouteRequestInterval times a power of two.
 	maxRequestBackoffDoublings = 2
 	// askRate and askBurst bound each allowance, in bytes a second and bytes.
-	requestBytesPerSecond  = 500
-	requestBurstBytes = 8 << 10
+	requestBytesPerSecond = 500
+	requestBurstBytes     = 8 << 10
 	// Estimates of encoded sizes in bytes, request and reply together.
 	estimatedMessageSize = 200
 	estimatedShardSize   = 110
--- a/internal/replication/route_lookup_test.go
+++ b/internal/replication/route_lookup_test.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func TestRepeatedQuestionsAreBounded(t *testing.T) {
+func TestRepeatedRouteRequestsAreRateLimited(t *testing.T) {
 	a := byteBudget{}
 	now := time.Unix(0, 0)
 	granted := 0
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestQuestionsOfAMomentGoTogether(t *testing.T) {
+func TestConcurrentRouteRequestsAreBatched(t *testing.T) {
 	const shards = 20
 	f, _ := startThree(t, 31, shards)
 	outsider := f.start(4, "a")
--- a/internal/replication/routes.go
+++ b/internal/replication/routes.go
@@ -25,9 +25,9 @@
 type cachedRoute struct {
 	route Route
 	// holder is a daemon that said it is a member.
-	holder  structs.DaemonID
+	holder      structs.DaemonID
 	requestedAt time.Time
-	requests   int
+	requests    int
 	// noMajorityAt is when a member said that there is no majority.
 	noMajorityAt time.Time
 }
@@ -114,14 +114,14 @@
 	}
 	route := entry.route
 	now := m.Clock.Now()
-	told := !entry.noMajorityAt.IsZero() && now.Sub(entry.noMajorityAt) < noMajorityValidity
+	noMajorityReported := !entry.noMajorityAt.IsZero() && now.Sub(entry.noMajorityAt) < noMajorityValidity
 	m.mutex.Unlock()
 	route = m.withoutDeadOrOwnLeader(route)
 	if route.Leader != "" {
 		return route
 	}
 	m.requestRoute(shard)
-	route.NoMajority = told || m.registry.isUnavailable(shard)
+	route.NoMajority = noMajorityReported || m.registry.isUnavailable(shard)
 	return route
 }
 
@@ -183,22 +183,22 @@
 	}
 }
 
-func (m *Manager) answerRouteRequest(from structs.DaemonID, where *RouteRequest) {
+func (m *Manager) answerRouteRequest(from structs.DaemonID, request *RouteRequest) {
 	answer := &RouteReply{}
-	for _, shard := range where.Shards {
+	for _, shard := range request.Shards {
 		if int(shard) < m.Settings.Shards {
 			answer.Routes = append(answer.Routes, m.shardRoute(shard))
 		}
 	}
-	if where.More {
-		answer.Routes = append(answer.Routes, m.extraRoutes(where)...)
+	if request.More {
+		answer.Routes = append(answer.Routes, m.extraRoutes(request)...)
 	}
 	m.Transport.Send(from, answer)
 }
 
 // receiveRouteReply takes routes that were asked for.
-func (m *Manager) receiveRouteReply(from structs.DaemonID, is *RouteReply) {
-	for _, route := range is.Routes {
+func (m *Manager) receiveRouteReply(from structs.DaemonID, reply *RouteReply) {
+	for _, route := range reply.Routes {
 		if int(route.Shard) >= m.Settings.Shards {
 			continue
 		}
@@ -207,7 +207,7 @@
 			r.post(func() { r.receiveRoute(from, route) })
 		}
 	}
-	m.registry.handleSearchReply(from, is)
+	m.registry.handleSearchReply(from, reply)
 }
 
 func (m *Manager) learnFrom(from structs.DaemonID, route ShardRoute) {
@@ -251,7 +251,7 @@
 		}
 	}
 	m.auditRound++
-	turn := m.auditRound
+	round := m.auditRound
 	m.mutex.Unlock()
 	if len(byDaemon) == 0 {
 		return
@@ -261,11 +261,11 @@
 		leaders = append(leaders, leader)
 	}
 	slices.Sort(leaders)
-	leader := leaders[turn%len(leaders)]
+	leader := leaders[round%len(leaders)]
 	shards := byDaemon[leader]
 	slices.SortFunc(shards, func(a, b ShardEpoch) int { return int(a.Shard) - int(b.Shard) })
 	if len(shards) > maxAuditedShards {
-		first := (turn * maxAuditedShards) % len(shards)
+		first := (round * maxAuditedShards) % len(shards)
 		shards = slices.Concat(shards[first:], shards[:first])[:maxAuditedShards]
 	}
 	m.Transport.Send(leader, &Audit{Shards: shards})
--- a/internal/replication/search.go
+++ b/internal/replication/search.go
@@ -44,7 +44,7 @@
 	asked      Group
 	waiting    Group
 	found      map[structs.ShardNumber]bool
-	startedAt         time.Time
+	startedAt  time.Time
 }
 
 // searchInterval is the pause between searches for survivors.
@@ -124,7 +124,7 @@
 		survivors:  g.survivors,
 		leaderless: map[structs.ShardNumber]bool{},
 		found:      map[structs.ShardNumber]bool{},
-		startedAt:         m.Clock.Now(),
+		startedAt:  m.Clock.Now(),
 	}
 	g.survivors = map[structs.ShardNumber]*survivor{}
 	for _, shard := range g.orphans() {
@@ -188,32 +188,32 @@
 }
 
 // answered takes a daemon's answer into the search.
-func (g *registry) handleSearchReply(from structs.DaemonID, is *RouteReply) {
+func (g *registry) handleSearchReply(from structs.DaemonID, reply *RouteReply) {
 	g.mutex.Lock()
 	s := g.search
 	if s == nil || !s.waiting.Contains(from) {
 		g.mutex.Unlock()
 		return
 	}
-	said := 0
+	matched := 0
 	var contradicted []structs.ShardNumber
-	for _, route := range is.Routes {
+	for _, route := range reply.Routes {
 		if !slices.Contains(s.shards, route.Shard) {
 			continue
 		}
-		said++
-		lone := s.survivors[route.Shard]
-		if (lone == nil && route.Holder) || (lone != nil && lone.contradicts(from, route)) {
+		matched++
+		own := s.survivors[route.Shard]
+		if (own == nil && route.Holder) || (own != nil && own.contradicts(from, route)) {
 			s.found[route.Shard] = true
 		}
 		if s.leaderless[route.Shard] && route.Leader != "" {
 			s.found[route.Shard] = true
 		}
-		if lone != nil && lone.contradicts(from, route) {
+		if own != nil && own.contradicts(from, route) {
 			contradicted = append(contradicted, route.Shard)
 		}
 	}
-	if said == len(s.shards) {
+	if matched == len(s.shards) {
 		s.waiting = s.waiting.without(from)
 	}
 	g.mutex.Unlock()
@@ -236,9 +236,9 @@
 	}
 	var claims []claim
 	for _, shard := range s.shards {
-		if lone := s.survivors[shard]; lone != nil {
+		if own := s.survivors[shard]; own != nil {
 			if !s.found[shard] {
-				claims = append(claims, lone.claim)
+				claims = append(claims, own.claim)
 			}
 			continue
 		}
--- a/internal/replication/supersede_test.go
+++ b/internal/replication/supersede_test.go
@@ -9,7 +9,7 @@
 
 // claimantBeforeReading returns a survivor whose claim is in the stream, and
 // which has not read it back.
-func claimantBeforeReading(t *testing.T, seed uint64) (*testFleet, *testDaemon) {
+func claimantBeforeReadback(t *testing.T, seed uint64) (*testFleet, *testDaemon) {
 	f, daemons := startThree(t, seed, 1)
 	f.mustRecord(shard, "one")
 	survivor := daemons[0]
@@ -24,7 +24,7 @@
 }
 
 func TestClaimantKeepsItsLogWhenOthersReadTheClaimFirst(t *testing.T) {
-	f, survivor := claimantBeforeReading(t, 41)
+	f, survivor := claimantBeforeReadback(t, 41)
 	outsider := f.start(4, "b")
 	f.run(time.Second)
 	claimed := ShardRoute{Shard: shard, Epoch: firstEpoch(1)}
@@ -40,9 +40,9 @@
 	}
 }
 
-func TestReplicaGivesWayToAnothersClaim(t *testing.T) {
+func TestReplicaIsResetByAnotherDaemonsClaim(t *testing.T) {
 	for _, how := range []string{"stream", "leader"} {
-		f, claimant := claimantBeforeReading(t, 42)
+		f, claimant := claimantBeforeReadback(t, 42)
 		// Two members that were wrongly held for gone have not heard of it.
 		member := f.start(5, "c")
 		r := member.manager.open(shard, voteState{}, Group{member.self.ID, claimant.self.ID})
@@ -78,7 +78,7 @@
 		}
 		took := f.clock.Now().Sub(lost)
 		t.Logf("seed %d: %s", seed, took)
-		least := f.detect + f.detect/4 + f.settings.ClaimGrace
+		least := f.detectionTime + f.detectionTime/4 + f.settings.ClaimGrace
 		if f.leaderOf(shard) != survivor || took > least+time.Second {
 			t.Errorf("seed %d: led again after %s, could be after %s", seed, took, least)
 		}
--- a/internal/serial/queue.go
+++ b/internal/serial/queue.go
@@ -18,7 +18,7 @@
 }
 
 // keptTasks is the longest slice of tasks that is kept for later ones.
-const keptTasks = 64
+const maxSpareTasks = 64
 
 // Do runs task after all tasks given before it. It may return before task ran.
 func (q *Queue) Do(task func()) {
@@ -62,13 +62,13 @@
 		for _, task := range batch {
 			task()
 		}
-		spare = emptied(batch)
+		spare = recycle(batch)
 	}
 }
 
 // emptied returns a slice for later tasks, nil if it had better be dropped.
-func emptied(batch []func()) []func() {
-	if cap(batch) > keptTasks {
+func recycle(batch []func()) []func() {
+	if cap(batch) > maxSpareTasks {
 		return nil
 	}
 	clear(batch)
