--- a/internal/replication/benchmark_test.go
+++ b/internal/replication/benchmark_test.go
@@ -35,7 +35,7 @@
 // between daemons, the virtual time, and the processor time of all three.
 func BenchmarkCall(b *testing.B) {
 	f, _ := startThree(b, 1, 1)
-	f.delay, f.spread = 1500*time.Microsecond, 0
+	f.delay, f.delaySpread = 1500*time.Microsecond, 0
 	leader := f.leaderOf(shard).app.led[shard].leadership
 	units := callRecords()
 	clear(f.bytes)
@@ -84,7 +84,7 @@
 	var bytes, micros float64
 	for range b.N {
 		f := newTestFleet(b, 1, 1)
-		f.settings.ReplaceAfter, f.settings.MoveInterval = time.Hour, time.Hour
+		f.settings.ReplaceAfter, f.settings.RebalanceInterval = time.Hour, time.Hour
 		f.start(1, "a")
 		f.start(2, "b")
 		f.start(3, "c")
@@ -102,10 +102,10 @@
 		f.crash(others(f.daemons, leader)[0], false)
 		fresh := f.start(4, "d")
 		f.run(3 * time.Second)
-		f.delay, f.spread = 1500*time.Microsecond, 0
+		f.delay, f.delaySpread = 1500*time.Microsecond, 0
 		clear(f.bytes)
 		start := f.clock.Now()
-		l := leader.manager.replica(shard).leading
+		l := leader.manager.replica(shard).leaderState
 		l.addMember(fresh.self.ID)
 		for !l.log.group.Contains(fresh.self.ID) && f.clock.Step() {
 		}
@@ -133,7 +133,7 @@
 func BenchmarkPlace(b *testing.B) {
 	daemons := fleetOf(400)
 	for b.Loop() {
-		place(7, daemons, 3)
+		chooseGroup(7, daemons, 3)
 	}
 }
 
@@ -153,7 +153,7 @@
 			}
 			chosen = append(chosen, best)
 		}
-		if diff := cmp.Diff(chosen, place(shard, daemons, 3)); diff != "" {
+		if diff := cmp.Diff(chosen, chooseGroup(shard, daemons, 3)); diff != "" {
 			t.Fatalf("shard %d:\n%s", shard, diff)
 		}
 	}
