--- a/internal/backends/back_end.go
+++ b/internal/backends/back_end.go
@@ -36,7 +36,7 @@
 
 // leaving tells whether the newest bad news still stands.
 func (b *backEnd) leaving(settings Settings, now time.Time) bool {
-	listedBad := !b.listedBadAt.IsZero() && now.Sub(b.listedBadAt) < settings.ListMemory
+	listedBad := !b.listedBadAt.IsZero() && now.Sub(b.listedBadAt) < settings.ListHoldDown
 	return !b.listed || listedBad || b.draining(settings, now)
 }
 
@@ -47,12 +47,12 @@
 	if b.drainingAt.IsZero() {
 		return false
 	}
-	return !b.isEngine() || now.Sub(b.drainingAt) < settings.DrainMemory
+	return !b.isEngine() || now.Sub(b.drainingAt) < settings.DrainHoldDown
 }
 
 // suspected tells that it does not answer, whatever anyone says of it.
 func (b *backEnd) suspected(settings Settings, now time.Time) bool {
-	silent := b.polling && now.Sub(b.polledAt) > settings.SilenceLimit
+	silent := b.polling && now.Sub(b.polledAt) > settings.ReportTimeout
 	return b.unreachable || silent || b.failures >= settings.FailureLimit
 }
 
--- a/internal/backends/borrow.go
+++ b/internal/backends/borrow.go
@@ -18,7 +18,7 @@
 	}
 	if missing := d.missingModels(); len(missing) > 0 {
 		for _, daemon := range d.nextAsked() {
-			d.Transport.Send(daemon, &Find{Models: missing})
+			d.Transport.Send(daemon, &FindEngines{Models: missing})
 		}
 	}
 	d.Clock.AfterFunc(d.Settings.FindInterval, d.findModels)
@@ -73,18 +73,18 @@
 
 // answerFind tells of engines of the own cell; borrowed ones are left to those
 // who watch them.
-func (d *Directory) answerFind(from structs.DaemonID, find *Find) {
-	var digests []Digest
+func (d *Directory) answerFind(from structs.DaemonID, find *FindEngines) {
+	var digests []LoadSummary
 	for _, wanted := range find.Models {
 		for _, report := range d.serving(wanted) {
-			known := slices.ContainsFunc(digests, func(g Digest) bool { return g.Engine == report.Engine })
+			known := slices.ContainsFunc(digests, func(g LoadSummary) bool { return g.Engine == report.Engine })
 			if !known && d.inCell(report.Engine) && len(digests) < d.Settings.FindEngines*len(find.Models) {
 				digests = append(digests, digestOf(report))
 			}
 		}
 	}
 	if len(digests) > 0 {
-		d.Transport.Send(from, &Found{Digests: digests})
+		d.Transport.Send(from, &EnginesFound{Summaries: digests})
 	}
 }
 
@@ -96,11 +96,11 @@
 }
 
 // borrow takes engines of another cell into use.
-func (d *Directory) borrow(found *Found) {
-	for _, digest := range found.Digests {
+func (d *Directory) borrow(found *EnginesFound) {
+	for _, digest := range found.Summaries {
 		d.mutex.Lock()
 		if b := d.backEnds[digest.Engine]; b != nil && b.listed {
-			b.borrowedUntil = d.Clock.Now().Add(d.Settings.BorrowTime)
+			b.borrowedUntil = d.Clock.Now().Add(d.Settings.BorrowDuration)
 		}
 		d.mutex.Unlock()
 		d.heardDigest(digest)
--- a/internal/backends/directory.go
+++ b/internal/backends/directory.go
@@ -97,7 +97,7 @@
 	d.watch()
 	d.probeApplications()
 	d.findModels()
-	d.Clock.AfterFunc(d.Settings.HoldInterval, d.sweepHolds)
+	d.Clock.AfterFunc(d.Settings.HoldSweepInterval, d.sweepHolds)
 }
 
 // Stop ends the readings.
@@ -174,16 +174,16 @@
 	return listed
 }
 
-// Gone tells that a back end is no longer on the platform's list.
-func (d *Directory) Gone(id structs.EngineID) bool {
+// IsDelisted reports whether a back end is no longer on the platform's list.
+func (d *Directory) IsDelisted(id structs.EngineID) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	b := d.backEnds[id]
 	return len(d.backEnds) > 0 && (b == nil || !b.listed)
 }
 
-// Draining records a back end's own word that it is leaving.
-func (d *Directory) Draining(id structs.EngineID) {
+// MarkDraining records a back end's own word that it is leaving.
+func (d *Directory) MarkDraining(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
 	if b == nil {
@@ -203,9 +203,9 @@
 	}
 }
 
-// Unreachable records that a connection to a back end broke. It gets no new
+// MarkUnreachable records that a connection to a back end broke. It gets no new
 // work until it answers.
-func (d *Directory) Unreachable(id structs.EngineID) {
+func (d *Directory) MarkUnreachable(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
 	if b == nil || b.unreachable {
--- a/internal/backends/directory_test.go
+++ b/internal/backends/directory_test.go
@@ -30,7 +30,7 @@
 
 func TestOwnWordOutweighsTheListAndLaggingReports(t *testing.T) {
 	b := newBench(Guards{}, engineRow(engineA))
-	b.Draining(engineA)
+	b.MarkDraining(engineA)
 	b.wantLeaving(t, true, "after its word")
 	b.run(10 * time.Second)
 	b.wantLeaving(t, true, "reports do not say so yet")
@@ -69,14 +69,14 @@
 	b.run(time.Second)
 	b.wantLeaving(t, false, "after it answered")
 	b.down[engineA] = true
-	b.Unreachable(engineA)
+	b.MarkUnreachable(engineA)
 	b.wantLeaving(t, true, "a connection broke")
 }
 
 func TestGuardIgnoresLeaving(t *testing.T) {
 	b := newBench(Guards{IgnoreLeaving: true}, engineRow(engineA))
 	b.machines[0].State = structs.MachineLeaving
-	b.Draining(engineA)
+	b.MarkDraining(engineA)
 	b.run(5 * time.Second)
 	b.wantLeaving(t, false, "with the guard off")
 }
@@ -90,7 +90,7 @@
 	if got := chosen(); got != orders {
 		t.Fatalf("chose %q", got)
 	}
-	b.Draining(orders)
+	b.MarkDraining(orders)
 	b.run(5 * time.Minute)
 	if got := chosen(); got != "" {
 		t.Errorf("chose %q, which is leaving", got)
@@ -105,7 +105,7 @@
 	if got := chosen(); got != "" {
 		t.Errorf("chose %q, which is not listed", got)
 	}
-	if !b.Gone(orders) {
+	if !b.IsDelisted(orders) {
 		t.Error("an unlisted application is not gone")
 	}
 }
@@ -221,7 +221,7 @@
 	b.run(10 * time.Second)
 	asked := map[structs.DaemonID]bool{}
 	for i, message := range b.sent {
-		if find, isFind := message.(*Find); isFind && slices.Contains(find.Models, structs.ModelAdapter{Model: "rare"}) {
+		if find, isFind := message.(*FindEngines); isFind && slices.Contains(find.Models, structs.ModelAdapter{Model: "rare"}) {
 			asked[b.sentTo[i]] = true
 		}
 	}
@@ -236,14 +236,14 @@
 	}
 	report := structs.LoadReport{Engine: far, MaximumRunning: 8, StartedUnixNano: 100, Models: []structs.ModelName{"rare"}}
 	b.reports[far] = report
-	b.Receive("10.9.0.1:7000#1", &Found{Digests: []Digest{digestOf(report)}})
+	b.Receive("10.9.0.1:7000#1", &EnginesFound{Summaries: []LoadSummary{digestOf(report)}})
 	if b.engines[far].ID != far {
 		t.Error("the engine that was found is not in use")
 	}
 	if missing := b.missingModels(); len(missing) != 0 {
 		t.Errorf("still looked for: %v", missing)
 	}
-	b.run(DefaultSettings().BorrowTime + 10*time.Second)
+	b.run(DefaultSettings().BorrowDuration + 10*time.Second)
 	if b.engines[far].ID == far {
 		t.Error("the engine is in use longer than borrowed")
 	}
--- a/internal/backends/holds.go
+++ b/internal/backends/holds.go
@@ -38,9 +38,9 @@
 		}
 	}
 	d.mutex.Lock()
-	interval := d.Settings.HoldInterval
+	interval := d.Settings.HoldSweepInterval
 	if !d.cells.direct {
-		interval = d.Settings.LargeHoldInterval
+		interval = d.Settings.LargeFleetHoldSweepInterval
 	}
 	d.mutex.Unlock()
 	d.Clock.AfterFunc(interval, d.sweepHolds)
--- a/internal/backends/list.go
+++ b/internal/backends/list.go
@@ -13,7 +13,7 @@
 		return
 	}
 	d.mutex.Lock()
-	since := d.view.next(d.Settings.WholeListEvery)
+	since := d.view.next(d.Settings.FullListEvery)
 	d.mutex.Unlock()
 	d.Drivers.Machines.List(since, func(reading framework.ListReading, err error) {
 		if err == nil {
@@ -48,7 +48,7 @@
 	if d.cells.direct {
 		return d.Settings.ListInterval
 	}
-	return d.Settings.LargeListInterval
+	return d.Settings.LargeFleetListInterval
 }
 
 // update takes a list that changed.
@@ -83,7 +83,7 @@
 		switch {
 		case b.listed && b.machine.State == structs.MachineLeaving:
 			b.listedBadAt = now
-		case !b.listed && now.Sub(b.listedBadAt) >= d.Settings.ListMemory:
+		case !b.listed && now.Sub(b.listedBadAt) >= d.Settings.ListHoldDown:
 			delete(d.backEnds, id)
 		}
 	}
@@ -120,7 +120,7 @@
 			b.isKnown = false
 			b.listedBadAt = now
 			gone = append(gone, id)
-		case now.Sub(b.listedBadAt) >= d.Settings.ListMemory:
+		case now.Sub(b.listedBadAt) >= d.Settings.ListHoldDown:
 			delete(d.backEnds, id)
 		}
 	}
--- a/internal/backends/list_test.go
+++ b/internal/backends/list_test.go
@@ -47,7 +47,7 @@
 func TestLeavingStandsThroughReadingsWithoutChange(t *testing.T) {
 	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines[0].State = structs.MachineLeaving
-	b.run(10 * b.Settings.ListMemory)
+	b.run(10 * b.Settings.ListHoldDown)
 	b.wantLeaving(t, true, "listed as leaving in every reading")
 }
 
@@ -55,10 +55,10 @@
 	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines = b.machines[1:]
 	b.run(2 * b.Settings.ListInterval)
-	if !b.Gone(engineA) {
+	if !b.IsDelisted(engineA) {
 		t.Fatal("still listed")
 	}
-	b.run(2 * b.Settings.ListMemory)
+	b.run(2 * b.Settings.ListHoldDown)
 	if _, known := b.backEnds[engineA]; known {
 		t.Error("still remembered")
 	}
@@ -76,7 +76,7 @@
 	}
 	b.run(2 * b.Settings.ListInterval)
 	b.wantLeaving(t, true, "shown again by an older list")
-	b.run(b.Settings.ListMemory)
+	b.run(b.Settings.ListHoldDown)
 	b.wantLeaving(t, false, "shown for long")
 }
 
--- a/internal/backends/messages.go
+++ b/internal/backends/messages.go
@@ -14,11 +14,11 @@
 
 // Loads passes an engine watcher's readings on to its cell.
 type Loads struct {
-	Digests []Digest `json:"l"`
+	Summaries []LoadSummary `json:"l"`
 }
 
-// Digest is a load report with short keys.
-type Digest struct {
+// LoadSummary is a load report with short keys.
+type LoadSummary struct {
 	Engine structs.EngineID    `json:"e"`
 	Models []structs.ModelName `json:"m"`
 	// Adapters lists those that it serves.
@@ -37,8 +37,8 @@
 	Run      int64 `json:"s"`
 }
 
-func digestOf(report structs.LoadReport) Digest {
-	return Digest{
+func digestOf(report structs.LoadReport) LoadSummary {
+	return LoadSummary{
 		Engine:   report.Engine,
 		Models:   report.Models,
 		Adapters: loadedAdapters(report),
@@ -55,7 +55,7 @@
 	}
 }
 
-func (g Digest) report() structs.LoadReport {
+func (g LoadSummary) report() structs.LoadReport {
 	return structs.LoadReport{
 		Engine:              g.Engine,
 		Models:              g.Models,
@@ -84,7 +84,7 @@
 	return loaded
 }
 
-func (g Digest) adapters() []structs.EngineAdapter {
+func (g LoadSummary) adapters() []structs.EngineAdapter {
 	var adapters []structs.EngineAdapter
 	for _, adapter := range g.Adapters {
 		adapters = append(adapters, structs.EngineAdapter{ModelAdapter: adapter})
@@ -92,14 +92,14 @@
 	return adapters
 }
 
-// Find asks for engines that serve some models, or adapters of models.
-type Find struct {
+// FindEngines asks for engines that serve some models, or adapters of models.
+type FindEngines struct {
 	Models []structs.ModelAdapter `json:"m"`
 }
 
-// Found answers a Find.
-type Found struct {
-	Digests []Digest `json:"l"`
+// EnginesFound answers FindEngines.
+type EnginesFound struct {
+	Summaries []LoadSummary `json:"l"`
 }
 
 // Kinds of message of this package.
@@ -117,14 +117,14 @@
 func (*Loads) MessageKind() peer.Kind { return KindLoads }
 
 // MessageKind implements peer.Message.
-func (*Find) MessageKind() peer.Kind { return KindFind }
+func (*FindEngines) MessageKind() peer.Kind { return KindFind }
 
 // MessageKind implements peer.Message.
-func (*Found) MessageKind() peer.Kind { return KindFound }
+func (*EnginesFound) MessageKind() peer.Kind { return KindFound }
 
 func init() {
-	peer.Register(peer.ClassControl, &Find{})
-	peer.Register(peer.ClassControl, &Found{})
+	peer.Register(peer.ClassControl, &FindEngines{})
+	peer.Register(peer.ClassControl, &EnginesFound{})
 	peer.Register(peer.ClassControl, &Leaving{})
 	peer.Register(peer.ClassControl, &Loads{})
 }
--- a/internal/backends/news.go
+++ b/internal/backends/news.go
@@ -11,12 +11,12 @@
 	case *Leaving:
 		d.heardLeaving(message)
 	case *Loads:
-		for _, digest := range message.Digests {
+		for _, digest := range message.Summaries {
 			d.heardDigest(digest)
 		}
-	case *Find:
+	case *FindEngines:
 		d.answerFind(from, message)
-	case *Found:
+	case *EnginesFound:
 		d.borrow(message)
 	default:
 		return false
@@ -38,7 +38,7 @@
 	}
 }
 
-func (d *Directory) heardDigest(digest Digest) {
+func (d *Directory) heardDigest(digest LoadSummary) {
 	d.mutex.Lock()
 	b := d.backEnds[digest.Engine]
 	if b == nil || !b.listed || !d.uses(b) {
@@ -73,7 +73,7 @@
 // sendDigests passes this daemon's readings on to its cell.
 func (d *Directory) sendDigests(cells cells) {
 	d.mutex.Lock()
-	var digests []Digest
+	var digests []LoadSummary
 	for _, id := range cells.watched {
 		b := d.backEnds[id]
 		if b == nil || !b.listed || b.report.Engine == "" {
@@ -88,6 +88,6 @@
 		return
 	}
 	for _, other := range cells.peers {
-		d.Transport.Send(other, &Loads{Digests: digests})
+		d.Transport.Send(other, &Loads{Summaries: digests})
 	}
 }
--- a/internal/backends/settings.go
+++ b/internal/backends/settings.go
@@ -6,28 +6,28 @@
 type Settings struct {
 	// ListInterval is the pause between readings of the platform's list.
 	ListInterval time.Duration
-	// WholeListEvery is after how many readings of changes the whole list is
+	// FullListEvery is after how many readings of changes the whole list is
 	// read again.
-	WholeListEvery int
+	FullListEvery int
 	// LoadInterval is the pause between readings of an engine's report in a
 	// small fleet, where every daemon reads every engine.
 	LoadInterval time.Duration
 	// FailureLimit is after how many failed readings in a row an engine gets
-	// no new work, and SilenceLimit after how long one reading may take.
-	FailureLimit int
-	SilenceLimit time.Duration
-	// ListMemory is for how long a machine must be listed as live, after it
+	// no new work, and ReportTimeout after how long one reading may take.
+	FailureLimit  int
+	ReportTimeout time.Duration
+	// ListHoldDown is for how long a machine must be listed as live, after it
 	// was listed as leaving or not at all, to get new work: the list lags, and
 	// a lagging reader may show what was true before.
-	ListMemory time.Duration
-	// DrainMemory is for how long an engine's word that it is leaving outweighs
+	ListHoldDown time.Duration
+	// DrainHoldDown is for how long an engine's word that it is leaving outweighs
 	// reports of the same run that do not say so: reports lag.
-	DrainMemory time.Duration
+	DrainHoldDown time.Duration
 	// ProbeInterval is the pause between questions to an application that is
 	// leaving or was not reached.
 	ProbeInterval time.Duration
 	// HoldInterval is the pause between sweeps of held engine memory.
-	HoldInterval time.Duration
+	HoldSweepInterval time.Duration
 	// HoldReportEvery is after how many sweeps a hold is reported again.
 	HoldReportEvery int
 
@@ -39,9 +39,9 @@
 	// is twice that.
 	CellDaemons int
 	// WatchInterval is the pause between readings of an engine by its watcher,
-	// who passes every DigestEvery-th on to the cell.
+	// who passes every SummaryEvery-th on to the cell.
 	WatchInterval time.Duration
-	DigestEvery   int
+	SummaryEvery  int
 	// FindInterval is the pause between questions to other cells for engines of
 	// models that the own cell lacks; FindFanout cells are asked each time about
 	// up to FindModels models, and tell of up to FindEngines engines for each.
@@ -49,39 +49,39 @@
 	FindFanout   int
 	FindModels   int
 	FindEngines  int
-	// BorrowTime is how long such an engine is used before it is looked for
+	// BorrowDuration is how long such an engine is used before it is looked for
 	// again.
-	BorrowTime time.Duration
+	BorrowDuration time.Duration
 	// LargeListInterval takes the place of ListInterval.
-	LargeListInterval time.Duration
+	LargeFleetListInterval time.Duration
 	// LargeHoldInterval takes the place of HoldInterval.
-	LargeHoldInterval time.Duration
+	LargeFleetHoldSweepInterval time.Duration
 }
 
 // DefaultSettings returns settings for the fleet sizes of docs/CAPACITY.md.
 func DefaultSettings() Settings {
 	return Settings{
-		ListInterval:      time.Second,
-		WholeListEvery:    1200,
-		LoadInterval:      500 * time.Millisecond,
-		FailureLimit:      3,
-		SilenceLimit:      2 * time.Second,
-		ListMemory:        10 * time.Second,
-		DrainMemory:       15 * time.Second,
-		ProbeInterval:     2 * time.Second,
-		HoldInterval:      15 * time.Second,
-		HoldReportEvery:   4,
-		DirectDaemons:     16,
-		DirectEngines:     64,
-		CellDaemons:       8,
-		WatchInterval:     5 * time.Second,
-		DigestEvery:       2,
-		FindInterval:      time.Second,
-		FindFanout:        8,
-		FindModels:        4,
-		FindEngines:       3,
-		BorrowTime:        5 * time.Minute,
-		LargeListInterval: 3 * time.Second,
-		LargeHoldInterval: 5 * time.Minute,
+		ListInterval:                time.Second,
+		FullListEvery:               1200,
+		LoadInterval:                500 * time.Millisecond,
+		FailureLimit:                3,
+		ReportTimeout:               2 * time.Second,
+		ListHoldDown:                10 * time.Second,
+		DrainHoldDown:               15 * time.Second,
+		ProbeInterval:               2 * time.Second,
+		HoldSweepInterval:           15 * time.Second,
+		HoldReportEvery:             4,
+		DirectDaemons:               16,
+		DirectEngines:               64,
+		CellDaemons:                 8,
+		WatchInterval:               5 * time.Second,
+		SummaryEvery:                2,
+		FindInterval:                time.Second,
+		FindFanout:                  8,
+		FindModels:                  4,
+		FindEngines:                 3,
+		BorrowDuration:              5 * time.Minute,
+		LargeFleetListInterval:      3 * time.Second,
+		LargeFleetHoldSweepInterval: 5 * time.Minute,
 	}
 }
--- a/internal/backends/watch.go
+++ b/internal/backends/watch.go
@@ -32,7 +32,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.watches++
-	return d.watches%d.Settings.DigestEvery == 0
+	return d.watches%d.Settings.SummaryEvery == 0
 }
 
 // due lists, in order, the engines to read now: those that this daemon
@@ -56,7 +56,7 @@
 }
 
 func (d *Directory) digestsOverdue() time.Duration {
-	return digestsMissed * time.Duration(d.Settings.DigestEvery) * d.Settings.WatchInterval
+	return digestsMissed * time.Duration(d.Settings.SummaryEvery) * d.Settings.WatchInterval
 }
 
 // digestsMissed is after how many intervals without word from an engine's
--- a/internal/command/programs.go
+++ b/internal/command/programs.go
@@ -81,7 +81,7 @@
 	if _, err := fmt.Fprintf(w, "%d of %d programs\n", len(programs.Programs), programs.Total); err != nil {
 		return err
 	}
-	for _, daemon := range programs.Silent {
+	for _, daemon := range programs.Unresponsive {
 		if _, err := fmt.Fprintf(w, "Daemon %s did not answer; programs of its shards are missing.\n", daemon); err != nil {
 			return err
 		}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -86,7 +86,7 @@
 		Blocks:           blocks,
 		MaximumTokens:    call.MaximumTokens,
 		Turn:             p.Turns,
-		Served:           root.Served,
+		Served:           root.ServedTokens,
 		ProgramStartedAt: root.StartedAt,
 		EnqueuedAt:       l.Clock.Now(),
 		Deadline:         call.Deadline,
--- a/internal/dispatch/coordinator.go
+++ b/internal/dispatch/coordinator.go
@@ -46,12 +46,12 @@
 type Directory interface {
 	// Application returns a back end for a target, and its run (0: unknown).
 	Application(target string, avoid []structs.EngineID) (structs.EngineID, bool)
-	// Gone tells that a back end has left the fleet for good.
-	Gone(backEnd structs.EngineID) bool
-	// Draining records a back end's own word that it is leaving.
-	Draining(backEnd structs.EngineID)
-	// Unreachable records that a connection to a back end broke.
-	Unreachable(backEnd structs.EngineID)
+	// IsDelisted reports whether a back end has left the fleet for good.
+	IsDelisted(backEnd structs.EngineID) bool
+	// MarkDraining records a back end's own word that it is leaving.
+	MarkDraining(backEnd structs.EngineID)
+	// MarkUnreachable records that a connection to a back end broke.
+	MarkUnreachable(backEnd structs.EngineID)
 }
 
 // Router tells where shards are led.
@@ -187,7 +187,7 @@
 
 // NewStateMachine implements replication.Application.
 func (c *Coordinator) NewStateMachine(structs.ShardNumber) replication.StateMachine {
-	return program.NewShardIn(c.Memory)
+	return program.NewShardWithMemory(c.Memory)
 }
 
 // Lead implements replication.Application.
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -141,9 +141,9 @@
 func (fakeDirectory) Application(string, []structs.EngineID) (structs.EngineID, bool) {
 	return "10.0.0.8:9000", true
 }
-func (d fakeDirectory) Gone(structs.EngineID) bool { return d.gone }
-func (fakeDirectory) Draining(structs.EngineID)    {}
-func (fakeDirectory) Unreachable(structs.EngineID) {}
+func (d fakeDirectory) IsDelisted(structs.EngineID) bool { return d.gone }
+func (fakeDirectory) MarkDraining(structs.EngineID)      {}
+func (fakeDirectory) MarkUnreachable(structs.EngineID)   {}
 
 type fixedConfiguration struct{ fixture *fixture }
 
@@ -245,7 +245,7 @@
 		Logger:         zerolog.Nop(),
 	})
 	f.submitter = submit.New(f.clock, f, f, submit.DefaultSettings())
-	f.group = &fakeGroup{machine: program.NewShardIn(f.coordinator.Memory), application: f.coordinator}
+	f.group = &fakeGroup{machine: program.NewShardWithMemory(f.coordinator.Memory), application: f.coordinator}
 	f.group.lead()
 	return f
 }
--- a/internal/dispatch/holds.go
+++ b/internal/dispatch/holds.go
@@ -92,7 +92,7 @@
 func (l *leader) tryRelease(task *release) {
 	l.Drivers.Engines.Release(task.hold, func(err error) {
 		l.post(func() {
-			if err != nil && !l.Directory.Gone(task.hold.Engine) {
+			if err != nil && !l.Directory.IsDelisted(task.hold.Engine) {
 				task.timer = l.after(l.Settings.ReleaseInterval, func() { l.tryRelease(task) })
 				return
 			}
--- a/internal/dispatch/inspect.go
+++ b/internal/dispatch/inspect.go
@@ -114,7 +114,7 @@
 func (l *leader) unreachable(active *activeCall, open *program.CallState) {
 	waited := l.Clock.Now().Sub(active.inspectingSince)
 	mayRepeat := active.call.Kind == structs.CallModel || active.call.Repeatable
-	if mayRepeat && (waited >= l.Settings.RerunAfter || l.Directory.Gone(open.BackEnd)) {
+	if mayRepeat && (waited >= l.Settings.RerunAfter || l.Directory.IsDelisted(open.BackEnd)) {
 		l.rerun(active, "The back end does not answer.")
 		return
 	}
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -15,7 +15,7 @@
 
 // Pressure implements replication.Application.
 func (c *Coordinator) Pressure() replication.Pressure {
-	kept, limits := c.Memory.Kept(), c.Memory.Limits()
+	kept, limits := c.Memory.ProgramBytes(), c.Memory.Limits()
 	switch {
 	case kept >= limits.Calls:
 		return replication.PressureAll
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -17,7 +17,7 @@
 func (l *leader) attemptEnded(active *activeCall, end framework.AttemptEnd) {
 	if end.Draining {
 		if open := l.openCall(active); open != nil {
-			l.Directory.Draining(open.BackEnd)
+			l.Directory.MarkDraining(open.BackEnd)
 		}
 	}
 	switch end.Kind {
@@ -35,7 +35,7 @@
 		l.rejected(active, end)
 	case framework.EndLost:
 		if open := l.openCall(active); open != nil {
-			l.Directory.Unreachable(open.BackEnd)
+			l.Directory.MarkUnreachable(open.BackEnd)
 		}
 		l.decide(active.key, active.call.RequestID, "lost", "The connection to the back end broke; it is asked.")
 		l.inspect(active)
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -34,10 +34,10 @@
 func (a *admission) enter(tenant structs.TenantName, limits Limits) *problem {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.total >= limits.Requests {
+	if a.total >= limits.MaxRequests {
 		return refusal(structs.ReasonOverloaded, "", "The daemon has too many requests under way.", retryAfterFull)
 	}
-	if a.tenants[tenant] >= limits.RequestsPerTenant {
+	if a.tenants[tenant] >= limits.MaxRequestsPerTenant {
 		return refusal(structs.ReasonTenantQuota, "", "The tenant has too many requests under way at this daemon.", retryAfterFull)
 	}
 	if a.tenants == nil {
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -26,7 +26,7 @@
 	}
 	_ = e.control.SetReadDeadline(time.Now().Add(limits.BodyTimeout))
 	buffer := bytes.NewBuffer(make([]byte, 0, min(max(e.r.ContentLength, 0)+bytes.MinRead, initialBody)))
-	_, err := buffer.ReadFrom(http.MaxBytesReader(e.w, e.r.Body, limits.BodyBytes))
+	_, err := buffer.ReadFrom(http.MaxBytesReader(e.w, e.r.Body, limits.MaxBodyBytes))
 	if err != nil {
 		e.w.Header().Set("Connection", "close")
 		return nil, release, e.unreadable(err)
@@ -38,13 +38,13 @@
 // reserveBody counts a body against the memory of all bodies: its announced
 // length, or the longest allowed.
 func (g *Gateway) reserveBody(length int64) (func(), *problem) {
-	if length > g.Limits.BodyBytes {
-		return func() {}, tooLarge(g.Limits.BodyBytes)
+	if length > g.Limits.MaxBodyBytes {
+		return func() {}, tooLarge(g.Limits.MaxBodyBytes)
 	}
 	if length < 0 {
-		length = g.Limits.BodyBytes
+		length = g.Limits.MaxBodyBytes
 	}
-	if g.bodies.Add(length) > g.Limits.BodiesBytes {
+	if g.bodies.Add(length) > g.Limits.MaxTotalBodyBytes {
 		g.bodies.Add(-length)
 		return func() {}, refusal(structs.ReasonOverloaded, "body", "The daemon is reading too many bodies.", retryAfterFull)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,19 +36,19 @@
 // Limits bound requests. All are positive.
 type Limits struct {
 	// BodyBytes bounds one body, BodiesBytes all that are being read.
-	BodyBytes   int64
-	BodiesBytes int64
+	MaxBodyBytes      int64
+	MaxTotalBodyBytes int64
 	// BodyTimeout bounds the reading of one body.
 	BodyTimeout time.Duration
 	// WriteTimeout bounds one write to a caller that does not read.
 	WriteTimeout time.Duration
 	// PendingBytes bounds the answer text that waits for a slow reader.
-	PendingBytes int
+	MaxPendingBytes int
 	// Requests bounds the requests under way, RequestsPerTenant one tenant's.
-	Requests          int64
-	RequestsPerTenant int64
+	MaxRequests          int64
+	MaxRequestsPerTenant int64
 	// Timeout is a call's deadline when the caller names none, and the longest.
-	Timeout time.Duration
+	MaxTimeout time.Duration
 	// QueryTimeout bounds a question about a program.
 	QueryTimeout time.Duration
 }
@@ -56,15 +56,15 @@
 // DefaultLimits returns limits for the fleet sizes of docs/CAPACITY.md.
 func DefaultLimits() Limits {
 	return Limits{
-		BodyBytes:         16 << 20,
-		BodiesBytes:       256 << 20,
-		BodyTimeout:       20 * time.Second,
-		WriteTimeout:      30 * time.Second,
-		PendingBytes:      64 << 10,
-		Requests:          16384,
-		RequestsPerTenant: 8192,
-		Timeout:           10 * time.Minute,
-		QueryTimeout:      5 * time.Second,
+		MaxBodyBytes:         16 << 20,
+		MaxTotalBodyBytes:    256 << 20,
+		BodyTimeout:          20 * time.Second,
+		WriteTimeout:         30 * time.Second,
+		MaxPendingBytes:      64 << 10,
+		MaxRequests:          16384,
+		MaxRequestsPerTenant: 8192,
+		MaxTimeout:           10 * time.Minute,
+		QueryTimeout:         5 * time.Second,
 	}
 }
 
--- a/internal/gateway/names.go
+++ b/internal/gateway/names.go
@@ -152,7 +152,7 @@
 }
 
 func (e *exchange) readTimeout(call *structs.Call) *problem {
-	longest := e.gateway.Limits.Timeout
+	longest := e.gateway.Limits.MaxTimeout
 	timeout := longest
 	if text := e.r.Header.Get(HeaderTimeout); text != "" {
 		parsed, err := time.ParseDuration(text)
--- a/internal/gateway/protection_test.go
+++ b/internal/gateway/protection_test.go
@@ -133,7 +133,7 @@
 }
 
 func TestOversizedBodyIsRefused(t *testing.T) {
-	server := serve(t, newFakeFleet(answerAll), func(limits *Limits) { limits.BodyBytes = 1000 })
+	server := serve(t, newFakeFleet(answerAll), func(limits *Limits) { limits.MaxBodyBytes = 1000 })
 	if status, _ := post(t, server, "key", plainBody+strings.Repeat(" ", 2000)); status != http.StatusRequestEntityTooLarge {
 		t.Errorf("announced length: status %d", status)
 	}
@@ -180,7 +180,7 @@
 		<-hold
 		answerAll(call, send)
 	})
-	server := serve(t, fleet, func(limits *Limits) { limits.Requests, limits.RequestsPerTenant = 3, 2 })
+	server := serve(t, fleet, func(limits *Limits) { limits.MaxRequests, limits.MaxRequestsPerTenant = 3, 2 })
 	var group sync.WaitGroup
 	for range 2 {
 		group.Go(func() { post(t, server, "key", plainBody) })
@@ -203,7 +203,7 @@
 
 func TestBodiesMemoryIsBounded(t *testing.T) {
 	server := serve(t, newFakeFleet(answerAll), func(limits *Limits) {
-		limits.BodiesBytes, limits.BodyTimeout = 2000, 5*time.Second
+		limits.MaxTotalBodyBytes, limits.BodyTimeout = 2000, 5*time.Second
 	})
 	half := dial(t, server, head(1900, "")+"{")
 	bodies := &server.Config.Handler.(*Gateway).bodies
@@ -258,7 +258,7 @@
 	})
 	// One write is more than the sockets hold, and lasts as long as the test.
 	server := serve(t, fleet, func(limits *Limits) {
-		limits.WriteTimeout, limits.PendingBytes = time.Minute, 24<<20
+		limits.WriteTimeout, limits.MaxPendingBytes = time.Minute, 24<<20
 	})
 	const body = `{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`
 	for i := range stuck {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -23,7 +23,7 @@
 // for the first piece, so that a refusal still gets a status of its own.
 func (e *exchange) serveStream(withUsage bool) {
 	stream := newEventStream(e, withUsage)
-	e.follow(e.gateway.Limits.PendingBytes, stream.write)
+	e.follow(e.gateway.Limits.MaxPendingBytes, stream.write)
 }
 
 // eventStream writes OpenAI's chat completion chunks. Those with text are put
--- a/internal/historycost/shard.go
+++ b/internal/historycost/shard.go
@@ -45,7 +45,7 @@
 	w.warmUp()
 	before := liveHeap()
 	memory := program.NewMemory(program.DefaultMemoryLimits())
-	shard := program.NewShardIn(memory)
+	shard := program.NewShardWithMemory(memory)
 	keys := make([]structs.ProgramKey, programs)
 	var applying time.Duration
 	for i := range keys {
@@ -59,7 +59,7 @@
 		}
 	}
 	cost.HeapBytes = (liveHeap() - before) / int64(programs)
-	cost.CountedBytes = memory.Kept() / int64(programs)
+	cost.CountedBytes = memory.ProgramBytes() / int64(programs)
 	cost.ApplyTime = applying / time.Duration(programs*turns)
 	started := time.Now()
 	encode := shard.Freeze()
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -60,7 +60,7 @@
 	End          *Outcome `json:"end,omitempty"`
 	Find         *Find    `json:"find,omitempty"`
 	// Quota asks to admit a request of a tenant whose limit the shard's holder enforces.
-	Quota *quota.Ask `json:"quota,omitempty"`
+	Quota *quota.Request `json:"quota,omitempty"`
 	// Prepare: the daemon should read the shard ahead, as it is about to take it.
 	Prepare bool `json:"prepare,omitempty"`
 	// Take: the daemon should hold the shard from now on.
--- a/internal/ledger/quota.go
+++ b/internal/ledger/quota.go
@@ -25,7 +25,7 @@
 // AskQuota asks the owner of a tenant's limit, which is the holder of the tenant's shard,
 // to admit a request. The error wraps ErrUnavailable. The state of limits is not stored:
 // the store fences holders, and a new holder starts with a reserve set aside for it.
-func (s *Service) AskQuota(ctx context.Context, ask quota.Ask) (quota.Verdict, error) {
+func (s *Service) AskQuota(ctx context.Context, ask quota.Request) (quota.Verdict, error) {
 	shard := s.shardOf(tenantPrefix + ask.Tenant)
 	asked := time.Now()
 	response := s.ask(ctx, shard, Request{Quota: &ask})
@@ -47,13 +47,13 @@
 		return
 	}
 	verdict := h.limiter.Decide(*o.request.Quota, now)
-	if !o.request.Quota.Returned {
+	if !o.request.Quota.Refund {
 		h.metrics.decidedQuota(verdict)
 	}
-	if !verdict.Admitted && !o.request.Quota.Returned {
+	if !verdict.Admitted && !o.request.Quota.Refund {
 		h.logger.Debug().Str("tenant", o.request.Quota.Tenant).Str("program", o.request.Quota.Program).
 			Str("reason", string(verdict.Reason)).Float64("tokens", verdict.Tokens).Int("programs", verdict.Programs).
-			Float64("per_second", o.request.Quota.Limit.PerSecond).Int64("after_ms", verdict.AfterMS).Msg("Request exceeds the tenant's limit.")
+			Float64("per_second", o.request.Quota.Limit.PerSecond).Int64("after_ms", verdict.RetryAfterMS).Msg("Request exceeds the tenant's limit.")
 	}
 	response := Response{Result: resultOK, Verdict: &verdict}
 	if h.confirmations != nil {
--- a/internal/ledger/quota_test.go
+++ b/internal/ledger/quota_test.go
@@ -22,7 +22,7 @@
 // ask asks through a daemon, and records the time if the request is admitted. While an
 // owner is being replaced there may be no verdict.
 func (a *admissions) ask(t *testing.T, s *Service) {
-	ask := quota.Ask{Tenant: "north", Limit: quota.Limit{PerSecond: 10, Burst: 1}, Version: 1}
+	ask := quota.Request{Tenant: "north", Limit: quota.Limit{PerSecond: 10, Burst: 1}, Version: 1}
 	verdict, err := s.AskQuota(testContext(t), ask)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/metrics/node.go
+++ b/internal/metrics/node.go
@@ -57,10 +57,10 @@
 		return float64(n.Replication.Summary().Contradictions)
 	})
 	gauge("programs", "bytes", "Memory that programs take here, led and followed, unpacked copies left out.", func() float64 {
-		return float64(n.Coordinator.Memory.Kept())
+		return float64(n.Coordinator.Memory.ProgramBytes())
 	})
 	gauge("programs", "unpacked_bytes", "Memory that unpacked copies of histories take.", func() float64 {
-		return float64(n.Coordinator.Memory.Unpacked())
+		return float64(n.Coordinator.Memory.UnpackedBytes())
 	})
 	gauge("programs", "pressure", "0: memory is free; 1: new programs are refused; 2: calls are refused.", func() float64 {
 		return float64(n.Coordinator.Pressure())
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -42,7 +42,7 @@
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
-				result.Silent = append(result.Silent, member.Daemon.ID)
+				result.Unresponsive = append(result.Unresponsive, member.Daemon.ID)
 				return
 			}
 			result.Programs = append(result.Programs, listed.Programs...)
@@ -50,7 +50,7 @@
 		})
 	}
 	group.Wait()
-	slices.Sort(result.Silent)
+	slices.Sort(result.Unresponsive)
 	slices.SortFunc(result.Programs, latestFirst)
 	result.Programs = result.Programs[:min(limit, len(result.Programs))]
 	return result
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -83,6 +83,6 @@
 	Programs []dispatch.ProgramSummary `json:"programs"`
 	// Total counts those beyond the limit too.
 	Total int `json:"total"`
-	// Silent are daemons that did not answer; their programs are missing.
-	Silent []structs.DaemonID `json:"silent,omitempty"`
+	// Unresponsive are daemons that did not answer; their programs are missing.
+	Unresponsive []structs.DaemonID `json:"silent,omitempty"`
 }
--- a/internal/program/apply.go
+++ b/internal/program/apply.go
@@ -45,7 +45,7 @@
 		Template:        started.Template,
 		Priority:        started.Priority,
 		Limits:          started.Limits,
-		SystemPrompt:    NewSharedText(started.SystemPrompt),
+		SystemPrompt:    Intern(started.SystemPrompt),
 		History:         History{warmth: s.warmth},
 		ApplicationCost: started.ApplicationCost,
 		Budget:          started.Budget,
@@ -158,7 +158,7 @@
 	root.Reserved -= call.Reserved + call.LostReserved
 	root.Spent += charged
 	s.spend(program.Key.Tenant, call.Window, charged-call.Reserved-call.LostReserved)
-	program.Served += settled.Outcome.Usage.PromptTokens - settled.Outcome.Usage.CachedTokens + settled.Outcome.Usage.CompletionTokens
+	program.ServedTokens += settled.Outcome.Usage.PromptTokens - settled.Outcome.Usage.CachedTokens + settled.Outcome.Usage.CompletionTokens
 	if settled.Outcome.Status == structs.OutcomeNotRun && call.Call.Sequence == program.Accepted {
 		program.takeBack()
 	} else {
@@ -216,11 +216,11 @@
 		Fingerprint: Fingerprint(&call.Call),
 		Outcome:     outcome,
 		Charged:     charged,
-		AnswerAt:    noAnswer,
+		AnswerIndex: noAnswer,
 	}
 	if call.Call.Kind == structs.CallModel && outcome.Status == structs.OutcomeCompleted {
 		p.History.Append(call.Call.Messages...)
-		settled.AnswerAt = p.History.Len()
+		settled.AnswerIndex = p.History.Len()
 		p.History.Append(outcome.Answer)
 		p.HistoryTokens = outcome.Usage.PromptTokens + outcome.Usage.CompletionTokens
 		settled.Outcome.Answer = structs.Message{}
--- a/internal/program/history_test.go
+++ b/internal/program/history_test.go
@@ -121,8 +121,8 @@
 	if string(first) != string(second) {
 		t.Error("a program that was read has another snapshot than one that was not")
 	}
-	if read.memory.Kept() != unread.memory.Kept() {
-		t.Errorf("%d and %d bytes kept", read.memory.Kept(), unread.memory.Kept())
+	if read.memory.ProgramBytes() != unread.memory.ProgramBytes() {
+		t.Errorf("%d and %d bytes kept", read.memory.ProgramBytes(), unread.memory.ProgramBytes())
 	}
 }
 
@@ -130,11 +130,11 @@
 	shard := NewShard()
 	talk(t, shard, rootKey, 30, 3000, start)
 	shard.Program(rootKey).Prompt(&structs.Call{})
-	if got := shard.memory.Unpacked(); got < 90_000 {
+	if got := shard.memory.UnpackedBytes(); got < 90_000 {
 		t.Fatalf("%d bytes unpacked after a reading, want the whole history", got)
 	}
 	shard.Apply(structs.Record{At: start.Add(DefaultMemoryLimits().WarmTime)})
-	if got := shard.memory.Unpacked(); got != 0 {
+	if got := shard.memory.UnpackedBytes(); got != 0 {
 		t.Errorf("%d bytes unpacked after the warm time", got)
 	}
 	if got := shard.Program(rootKey).History.Len(); got != 60 {
@@ -145,12 +145,12 @@
 func TestWarmHistoriesKeepToTheirBound(t *testing.T) {
 	limits := DefaultMemoryLimits()
 	limits.Unpacked = 200_000
-	shard := NewShardIn(NewMemory(limits))
+	shard := NewShardWithMemory(NewMemory(limits))
 	for number := range 5 {
 		other := structs.ProgramKey{Tenant: rootKey.Tenant, Program: structs.ProgramID(fmt.Sprint("p", number))}
 		talk(t, shard, other, 30, 3000, start)
 		shard.Program(other).Prompt(&structs.Call{})
-		if got := shard.memory.Unpacked(); got > limits.Unpacked || got < 90_000 {
+		if got := shard.memory.UnpackedBytes(); got > limits.Unpacked || got < 90_000 {
 			t.Errorf("after %d readings: %d bytes unpacked, want the latest and at most %d", number+1, got, limits.Unpacked)
 		}
 	}
@@ -158,7 +158,7 @@
 
 func TestAccountReturnsToNothing(t *testing.T) {
 	memory := NewMemory(DefaultMemoryLimits())
-	first, second := NewShardIn(memory), NewShardIn(memory)
+	first, second := NewShardWithMemory(memory), NewShardWithMemory(memory)
 	for _, shard := range []*Shard{first, second} {
 		talk(t, shard, rootKey, 30, 3000, start)
 		shard.Program(rootKey).Prompt(&structs.Call{})
@@ -167,19 +167,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := memory.Kept()
+	before := memory.ProgramBytes()
 	if err := second.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if memory.Kept() != before {
-		t.Errorf("%d bytes kept after a restore of the same state, want %d", memory.Kept(), before)
+	if memory.ProgramBytes() != before {
+		t.Errorf("%d bytes kept after a restore of the same state, want %d", memory.ProgramBytes(), before)
 	}
 	second.Discard()
-	if memory.Kept() != before/2 {
-		t.Errorf("%d bytes kept after one of two equal shards, want %d", memory.Kept(), before/2)
+	if memory.ProgramBytes() != before/2 {
+		t.Errorf("%d bytes kept after one of two equal shards, want %d", memory.ProgramBytes(), before/2)
 	}
 	first.Apply(structs.Record{At: start, ProgramRemoved: &structs.ProgramRemoved{Key: rootKey}})
-	if memory.Kept() != 0 || memory.Unpacked() != 0 {
-		t.Errorf("%d bytes kept and %d unpacked without a program", memory.Kept(), memory.Unpacked())
+	if memory.ProgramBytes() != 0 || memory.UnpackedBytes() != 0 {
+		t.Errorf("%d bytes kept and %d unpacked without a program", memory.ProgramBytes(), memory.UnpackedBytes())
 	}
 }
--- a/internal/program/memory.go
+++ b/internal/program/memory.go
@@ -48,10 +48,10 @@
 func (m *Memory) Limits() MemoryLimits { return m.limits }
 
 // Kept returns the size of all programs in bytes, without unpacked copies.
-func (m *Memory) Kept() int64 { return m.kept.Load() }
+func (m *Memory) ProgramBytes() int64 { return m.kept.Load() }
 
 // Unpacked returns the size of unpacked copies in bytes.
-func (m *Memory) Unpacked() int64 { return m.unpacked.Load() }
+func (m *Memory) UnpackedBytes() int64 { return m.unpacked.Load() }
 
 const (
 	// programOverhead is the measured size of a program without calls, in bytes.
--- a/internal/program/quota.go
+++ b/internal/program/quota.go
@@ -8,8 +8,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// QuotaSpan is the length of the window over which spending is bounded.
-const QuotaSpan = time.Hour
+// QuotaWindow is the length of the window over which spending is bounded.
+const QuotaWindow = time.Hour
 
 // liveWindow is the one window of quotas that bound what is live rather than
 // what is spent.
@@ -20,12 +20,12 @@
 	if kind == structs.QuotaPrograms {
 		return liveWindow
 	}
-	return at.Unix() / int64(QuotaSpan/time.Second)
+	return at.Unix() / int64(QuotaWindow/time.Second)
 }
 
 // WindowEnd returns when a spending window ends.
 func WindowEnd(window int64) time.Time {
-	return time.Unix((window+1)*int64(QuotaSpan/time.Second), 0)
+	return time.Unix((window+1)*int64(QuotaWindow/time.Second), 0)
 }
 
 // Allowance is the slice of a tenant's quota that this shard may use in one
@@ -34,7 +34,7 @@
 	Quota  structs.QuotaKey `json:"quota"`
 	Window int64            `json:"window"`
 	// Order is that of the question which the grant answers.
-	Order   structs.Ballot `json:"order"`
+	Ballot  structs.Ballot `json:"order"`
 	Granted structs.Cost   `json:"granted"`
 	// Used is what calls dispatched in the window reserved or cost. Program
 	// slots are counted from the live programs instead.
@@ -44,10 +44,10 @@
 // Ledger is the home shard's account of one tenant's quota in one window: the
 // total handed to each shard. The sum never passes the tenant's quota.
 type Ledger struct {
-	Quota  structs.QuotaKey                       `json:"quota"`
-	Window int64                                  `json:"window"`
-	Totals map[structs.ShardNumber]structs.Cost   `json:"totals"`
-	Orders map[structs.ShardNumber]structs.Ballot `json:"orders"`
+	Quota   structs.QuotaKey                       `json:"quota"`
+	Window  int64                                  `json:"window"`
+	Totals  map[structs.ShardNumber]structs.Cost   `json:"totals"`
+	Ballots map[structs.ShardNumber]structs.Ballot `json:"orders"`
 }
 
 // Allowance returns the slice of a quota in a window; zero when there is none.
@@ -96,7 +96,7 @@
 	if ledger == nil || ledger.Window < ask.Window {
 		ledger = newLedger(ask.Quota, ask.Window)
 	}
-	if ledger.Window > ask.Window || !ledger.Orders[ask.Shard].Before(ask.Order) {
+	if ledger.Window > ask.Window || !ledger.Ballots[ask.Shard].Before(ask.Order) {
 		return structs.Record{}, false
 	}
 	others := structs.Cost(0)
@@ -106,7 +106,7 @@
 		}
 	}
 	total := max(min(ask.Wanted, limit-others), ask.Held)
-	if s.RecoveredLately(now) {
+	if s.RecentlyRecovered(now) {
 		// What was handed out before the loss is not known.
 		total = ask.Held
 	}
@@ -121,10 +121,10 @@
 
 func newLedger(quota structs.QuotaKey, window int64) *Ledger {
 	return &Ledger{
-		Quota:  quota,
-		Window: window,
-		Totals: map[structs.ShardNumber]structs.Cost{},
-		Orders: map[structs.ShardNumber]structs.Ballot{},
+		Quota:   quota,
+		Window:  window,
+		Totals:  map[structs.ShardNumber]structs.Cost{},
+		Ballots: map[structs.ShardNumber]structs.Ballot{},
 	}
 }
 
@@ -134,11 +134,11 @@
 		ledger = newLedger(granted.Quota, granted.Window)
 		s.ledgers[granted.Quota] = ledger
 	}
-	if ledger.Window != granted.Window || !ledger.Orders[granted.Shard].Before(granted.Order) {
+	if ledger.Window != granted.Window || !ledger.Ballots[granted.Shard].Before(granted.Order) {
 		return
 	}
 	ledger.Totals[granted.Shard] = granted.Total
-	ledger.Orders[granted.Shard] = granted.Order
+	ledger.Ballots[granted.Shard] = granted.Order
 }
 
 // applyQuotaReceived sets what the shard may use. Answers that were overtaken
@@ -149,11 +149,11 @@
 		allowance = &Allowance{Quota: received.Quota, Window: received.Window}
 		s.allowances[received.Quota] = allowance
 	}
-	if allowance.Window != received.Window || !allowance.Order.Before(received.Order) {
+	if allowance.Window != received.Window || !allowance.Ballot.Before(received.Order) {
 		return
 	}
 	allowance.Granted = received.Total
-	allowance.Order = received.Order
+	allowance.Ballot = received.Order
 }
 
 // spend counts a reservation against the tenant's allowance of its window.
--- a/internal/program/recovery.go
+++ b/internal/program/recovery.go
@@ -24,9 +24,9 @@
 	GapCertain
 )
 
-// RecoveredLately tells whether the shard lost all its holders a while ago, so
+// RecentlyRecovered tells whether the shard lost all its holders a while ago, so
 // that what it does not know may have been.
-func (s *Shard) RecoveredLately(now time.Time) bool {
+func (s *Shard) RecentlyRecovered(now time.Time) bool {
 	return !s.recoveredAt.IsZero() && now.Sub(s.recoveredAt) < RecoveryWindow
 }
 
@@ -96,7 +96,7 @@
 func (s *Shard) AdmitRecovered(call structs.Call, sentBefore bool, pending []structs.Call, now time.Time) (Admission, bool) {
 	program := s.programs[call.Key]
 	if program == nil {
-		if !s.RecoveredLately(now) || len(pending) > 0 {
+		if !s.RecentlyRecovered(now) || len(pending) > 0 {
 			return Admission{}, false
 		}
 		return admitUnknownProgram(call, sentBefore)
@@ -104,7 +104,7 @@
 	if known, _ := program.admitKnown(call, pending); known || !program.Recovered {
 		return Admission{}, false
 	}
-	if sentBefore && (program.Gap != GapNone || s.RecoveredLately(now)) {
+	if sentBefore && (program.Gap != GapNone || s.RecentlyRecovered(now)) {
 		return unknownSinceLoss(), true
 	}
 	if program.Gap == GapNone || program.Ended {
--- a/internal/program/recovery_test.go
+++ b/internal/program/recovery_test.go
@@ -146,7 +146,7 @@
 	if err := restored.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if !restored.RecoveredLately(start) || restored.Remaining(rootKey) != 0 || restored.Program(rootKey).Gap != GapPossible {
+	if !restored.RecentlyRecovered(start) || restored.Remaining(rootKey) != 0 || restored.Program(rootKey).Gap != GapPossible {
 		t.Error("a restored replica does not know that the shard was recovered")
 	}
 }
--- a/internal/program/shared_text.go
+++ b/internal/program/shared_text.go
@@ -5,21 +5,21 @@
 	"unique"
 )
 
-// SharedText is a text that the whole process keeps once by its content, such
+// InternedString is a text that the whole process keeps once by its content, such
 // as the system prompt that all programs of a template begin with. The zero
 // value is the empty text.
-type SharedText struct{ handle unique.Handle[string] }
+type InternedString struct{ handle unique.Handle[string] }
 
-// NewSharedText returns the shared copy of a text.
-func NewSharedText(text string) SharedText {
+// Intern returns the shared copy of a text.
+func Intern(text string) InternedString {
 	if text == "" {
-		return SharedText{}
+		return InternedString{}
 	}
-	return SharedText{handle: unique.Make(text)}
+	return InternedString{handle: unique.Make(text)}
 }
 
 // String returns the text.
-func (t SharedText) String() string {
+func (t InternedString) String() string {
 	if t.IsZero() {
 		return ""
 	}
@@ -27,20 +27,20 @@
 }
 
 // IsZero tells whether the text is empty; JSON leaves it out then.
-func (t SharedText) IsZero() bool { return t == SharedText{} }
+func (t InternedString) IsZero() bool { return t == InternedString{} }
 
 // Equal tells whether two texts are the same.
-func (t SharedText) Equal(other SharedText) bool { return t == other }
+func (t InternedString) Equal(other InternedString) bool { return t == other }
 
 // MarshalJSON gives the text as a string.
-func (t SharedText) MarshalJSON() ([]byte, error) { return json.Marshal(t.String()) }
+func (t InternedString) MarshalJSON() ([]byte, error) { return json.Marshal(t.String()) }
 
 // UnmarshalJSON reads a string.
-func (t *SharedText) UnmarshalJSON(data []byte) error {
+func (t *InternedString) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
 		return err
 	}
-	*t = NewSharedText(text)
+	*t = Intern(text)
 	return nil
 }
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -60,7 +60,7 @@
 	}
 	for i, ledger := range contents.Ledgers {
 		frozen := *ledger
-		frozen.Totals, frozen.Orders = maps.Clone(ledger.Totals), maps.Clone(ledger.Orders)
+		frozen.Totals, frozen.Ballots = maps.Clone(ledger.Totals), maps.Clone(ledger.Ballots)
 		contents.Ledgers[i] = &frozen
 	}
 	return contents.encode
@@ -105,7 +105,7 @@
 	if snapshot.hasGaps() {
 		return eris.Wrap(ErrSnapshot, "an entry is null")
 	}
-	restored := NewShardIn(s.memory)
+	restored := NewShardWithMemory(s.memory)
 	for _, program := range snapshot.Programs {
 		program.fillMaps()
 		program.History.warmth = restored.warmth
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -47,7 +47,7 @@
 }
 
 // SettledCall is a call with its outcome. The answer of a model call stands in
-// the program's history, at AnswerAt, and is not kept twice.
+// the program's history, at AnswerIndex, and is not kept twice.
 type SettledCall struct {
 	Sequence    uint64           `json:"sequence"`
 	Kind        structs.CallKind `json:"kind"`
@@ -56,8 +56,8 @@
 	// Charged is what the call took from the budget; an unknown outcome is
 	// charged its whole reservation until it is learnt.
 	Charged structs.Cost `json:"charged,omitempty"`
-	// AnswerAt is the answer's place in the history; -1 without one.
-	AnswerAt int `json:"answer_at"`
+	// AnswerIndex is the answer's place in the history; -1 without one.
+	AnswerIndex int `json:"answer_at"`
 }
 
 // noAnswer marks a settled call without an answer in the history.
@@ -69,7 +69,7 @@
 	Template        structs.TemplateName `json:"template"`
 	Priority        int                  `json:"priority"`
 	Limits          structs.Limits       `json:"limits"`
-	SystemPrompt    SharedText           `json:"system_prompt,omitzero"`
+	SystemPrompt    InternedString       `json:"system_prompt,omitzero"`
 	ApplicationCost structs.Cost         `json:"application_cost,omitempty"`
 	// Budget, Spent and Reserved are kept by the root for its whole family.
 	Budget    structs.Cost `json:"budget,omitempty"`
@@ -80,8 +80,8 @@
 	// Accepted is the highest sequence number accepted.
 	Accepted uint64 `json:"accepted"`
 	Turns    int    `json:"turns"`
-	// Served counts the tokens computed for the program so far.
-	Served int64 `json:"served"`
+	// ServedTokens counts the tokens computed for the program so far.
+	ServedTokens int64 `json:"served"`
 	// History is the conversation without the template's system prompt.
 	History History `json:"history,omitzero"`
 	// HistoryTokens is what the engine last said prompt and answer came to.
@@ -146,8 +146,8 @@
 		return structs.Outcome{}, false
 	}
 	outcome := settled.Outcome
-	if settled.AnswerAt != noAnswer {
-		outcome.Answer = p.History.At(settled.AnswerAt)
+	if settled.AnswerIndex != noAnswer {
+		outcome.Answer = p.History.At(settled.AnswerIndex)
 	}
 	return outcome, true
 }
@@ -171,10 +171,10 @@
 }
 
 // NewShard returns an empty shard with an account of its own.
-func NewShard() *Shard { return NewShardIn(NewMemory(DefaultMemoryLimits())) }
+func NewShard() *Shard { return NewShardWithMemory(NewMemory(DefaultMemoryLimits())) }
 
-// NewShardIn returns an empty shard that is counted in a daemon's account.
-func NewShardIn(memory *Memory) *Shard {
+// NewShardWithMemory returns an empty shard that is counted in a daemon's account.
+func NewShardWithMemory(memory *Memory) *Shard {
 	return &Shard{
 		memory:     memory,
 		footprints: map[structs.ProgramKey]int64{},
--- a/internal/query/client_test.go
+++ b/internal/query/client_test.go
@@ -68,9 +68,9 @@
 func (f *fleet) Application(string, []structs.EngineID) (structs.EngineID, bool) {
 	return "back-end", true
 }
-func (f *fleet) Gone(structs.EngineID) bool   { return false }
-func (f *fleet) Draining(structs.EngineID)    {}
-func (f *fleet) Unreachable(structs.EngineID) {}
+func (f *fleet) IsDelisted(structs.EngineID) bool { return false }
+func (f *fleet) MarkDraining(structs.EngineID)    {}
+func (f *fleet) MarkUnreachable(structs.EngineID) {}
 func (f *fleet) Current() *structs.Configuration {
 	return &structs.Configuration{
 		Templates: map[structs.TemplateName]structs.Template{"order": {Targets: []string{"wholesale"}, Budget: 100, ApplicationCost: 3}},
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -10,9 +10,9 @@
 	"github.com/mintpulley/mintpulley/internal/tokenbucket"
 )
 
-// ErrUnasked: the tenant's owner can not be asked, and this daemon has nothing of
+// ErrOwnerUnreachable: the tenant's owner can not be asked, and this daemon has nothing of
 // its own to let the request pass on.
-var ErrUnasked = eris.New("quota: the owner of the tenant's limit can not be asked")
+var ErrOwnerUnreachable = eris.New("quota: the owner of the tenant's limit can not be asked")
 
 const (
 	// ownerPatience is how long the owner may say nothing until a request passes on
@@ -37,7 +37,7 @@
 // Owner asks the owner of a tenant's limit. It is safe for concurrent use.
 type Owner interface {
 	// AskQuota returns the owner's verdict. An error tells that none could be had.
-	AskQuota(ctx context.Context, ask Ask) (Verdict, error)
+	AskQuota(ctx context.Context, ask Request) (Verdict, error)
 }
 
 // Gate is a daemon's way to the owners of its callers' tenants. Where an owner can
@@ -77,9 +77,9 @@
 	err     error
 }
 
-// Admit asks the owner for a request. It returns its verdict, or ErrUnasked once it
+// Admit asks the owner for a request. It returns its verdict, or ErrOwnerUnreachable once it
 // is certain that none can be had, or ctx ends.
-func (g *Gate) Admit(ctx context.Context, ask Ask) (Verdict, error) {
+func (g *Gate) Admit(ctx context.Context, ask Request) (Verdict, error) {
 	answers := make(chan answer, 1)
 	go func() {
 		// A takeover that the question sets off is of use to later ones, too.
@@ -97,19 +97,19 @@
 		case <-patience.C:
 			after := g.passUnasked(ask.Tenant, time.Now())
 			if after == 0 {
-				return Verdict{Admitted: true, Reason: ReasonUnasked}, nil
+				return Verdict{Admitted: true, Reason: ReasonOwnerSilent}, nil
 			}
 			patience.Reset(after)
 		case <-ctx.Done():
-			return Verdict{}, eris.Wrapf(ErrUnasked, "%v", context.Cause(ctx))
+			return Verdict{}, eris.Wrapf(ErrOwnerUnreachable, "%v", context.Cause(ctx))
 		}
 	}
 }
 
-// Return gives back what a request was admitted on that did not run. It returns at
+// Refund gives back what a request was admitted on that did not run. It returns at
 // once. One whose word is lost only makes the owner refuse a request too many.
-func (g *Gate) Return(ask Ask) {
-	ask.Returned = true
+func (g *Gate) Refund(ask Request) {
+	ask.Refund = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), askTime)
 		defer cancel()
@@ -118,13 +118,13 @@
 }
 
 // take takes the owner's answer.
-func (g *Gate) take(ask Ask, got answer) (Verdict, error) {
+func (g *Gate) take(ask Request, got answer) (Verdict, error) {
 	now := time.Now()
 	if got.err != nil {
 		if g.passUnasked(ask.Tenant, now) == 0 {
-			return Verdict{Admitted: true, Reason: ReasonUnasked}, nil
+			return Verdict{Admitted: true, Reason: ReasonOwnerSilent}, nil
 		}
-		return Verdict{}, eris.Wrapf(ErrUnasked, "%v", got.err)
+		return Verdict{}, eris.Wrapf(ErrOwnerUnreachable, "%v", got.err)
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/quota/gate_test.go
+++ b/internal/quota/gate_test.go
@@ -18,7 +18,7 @@
 }
 
 // AskQuota implements Owner.
-func (o *scriptedOwner) AskQuota(ctx context.Context, _ Ask) (Verdict, error) {
+func (o *scriptedOwner) AskQuota(ctx context.Context, _ Request) (Verdict, error) {
 	o.asked++
 	select {
 	case <-time.After(o.delay):
@@ -38,7 +38,7 @@
 	for begun := time.Now(); time.Since(begun) < length; time.Sleep(each) {
 		requests.Go(func() {
 			asked := time.Now()
-			verdict, err := g.Admit(ctx, Ask{Tenant: "t"})
+			verdict, err := g.Admit(ctx, Request{Tenant: "t"})
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err == nil && verdict.Admitted {
@@ -94,8 +94,8 @@
 		if passed, _ := admitFor(t, g, 20*time.Second, 100*time.Millisecond); passed != 1 {
 			t.Errorf("%d requests passed, want 1", passed)
 		}
-		_, err := g.Admit(t.Context(), Ask{Tenant: "t"})
-		if !errors.Is(err, ErrUnasked) {
+		_, err := g.Admit(t.Context(), Request{Tenant: "t"})
+		if !errors.Is(err, ErrOwnerUnreachable) {
 			t.Errorf("got %v, want that the owner can not be asked", err)
 		}
 	})
@@ -104,10 +104,10 @@
 // TestOwnersVerdictCounts: a request that is not admitted is not counted either.
 func TestOwnersVerdictCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := &scriptedOwner{verdict: Verdict{Reason: ReasonSpent, AfterMS: 40}}
+		owner := &scriptedOwner{verdict: Verdict{Reason: ReasonExhausted, RetryAfterMS: 40}}
 		g := NewGate(owner, testTerms)
-		verdict, err := g.Admit(t.Context(), Ask{Tenant: "t"})
-		if err != nil || verdict.Admitted || verdict.After() != 40*time.Millisecond {
+		verdict, err := g.Admit(t.Context(), Request{Tenant: "t"})
+		if err != nil || verdict.Admitted || verdict.RetryAfter() != 40*time.Millisecond {
 			t.Errorf("got %+v, %v", verdict, err)
 		}
 		if used := g.tenants["t"].used(g.slot(time.Now())); used != 0 {
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -57,7 +57,7 @@
 }
 
 // Decide admits a request or tells when one like it is admitted.
-func (l *Limiter) Decide(ask Ask, now time.Time) Verdict {
+func (l *Limiter) Decide(ask Request, now time.Time) Verdict {
 	b := l.bucketOf(ask, now)
 	b.Refill(now)
 	if now.Sub(b.lookedAt) >= lookInterval {
@@ -65,32 +65,32 @@
 		l.endIdle(b, now)
 	}
 	known := b.programs[ask.Program]
-	if ask.Returned {
+	if ask.Refund {
 		b.giveBack(known)
 	}
 	verdict := Verdict{Tokens: b.Tokens, Programs: len(b.programs)}
 	switch {
-	case ask.Returned:
+	case ask.Refund:
 		return verdict
 	case b.Tokens < 1:
-		verdict.Reason = ReasonSpent
-		verdict.AfterMS = b.timeUntil(1).Milliseconds() + 1
+		verdict.Reason = ReasonExhausted
+		verdict.RetryAfterMS = b.timeUntil(1).Milliseconds() + 1
 		return verdict
-	case known == nil && ask.Begins && l.knowsPrograms(now):
+	case known == nil && ask.MayStartProgram && l.knowsPrograms(now):
 		if room := l.roomFor(b, ask.Route); room > 0 {
-			verdict.Reason = ReasonPrograms
-			verdict.AfterMS = room.Milliseconds() + 1
+			verdict.Reason = ReasonProgramsUnderWay
+			verdict.RetryAfterMS = room.Milliseconds() + 1
 			return verdict
 		}
 	}
 	b.Tokens--
 	b.note(ask, known, now)
-	verdict.Admitted, verdict.Reason = true, ReasonRoom
+	verdict.Admitted, verdict.Reason = true, ReasonAdmitted
 	return verdict
 }
 
 // bucketOf returns a tenant's bucket, with the newest limit that was told.
-func (l *Limiter) bucketOf(ask Ask, now time.Time) *bucket {
+func (l *Limiter) bucketOf(ask Request, now time.Time) *bucket {
 	b := l.tenants[ask.Tenant]
 	if b == nil {
 		b = &bucket{lookedAt: now, programs: map[string]*program{}, byRoute: map[string]int{}}
@@ -111,7 +111,7 @@
 }
 
 // set puts a limit in force, and returns what it makes of the bucket.
-func (b *bucket) set(ask Ask, terms Tolerance) bounds {
+func (b *bucket) set(ask Request, terms Tolerance) bounds {
 	b.limit, b.version = ask.Limit, ask.Version
 	made := terms.boundsOf(ask.Limit)
 	b.Rate, b.Capacity = made.rate, made.capacity
@@ -159,7 +159,7 @@
 }
 
 // note takes a request that was admitted.
-func (b *bucket) note(ask Ask, known *program, now time.Time) {
+func (b *bucket) note(ask Request, known *program, now time.Time) {
 	if ask.Program == "" {
 		return
 	}
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -12,8 +12,8 @@
 // testTerms are those of the operators whose sheet sets any.
 var testTerms = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-func askOf(limit Limit, program string, begins bool) Ask {
-	return Ask{Tenant: "t", Limit: limit, Version: 1, Program: program, Route: "r", Begins: begins}
+func askOf(limit Limit, program string, begins bool) Request {
+	return Request{Tenant: "t", Limit: limit, Version: 1, Program: program, Route: "r", MayStartProgram: begins}
 }
 
 // mostInAnyWindow returns the most moments that lie within one window.
@@ -132,11 +132,11 @@
 				due[ms+250] = append(due[ms+250], step{program: s.program, made: s.made + 1})
 			case s.made == 0:
 				result.refusedFirst++
-			case s.waited+verdict.After() > playedPatience:
+			case s.waited+verdict.RetryAfter() > playedPatience:
 				result.cut++
 			default:
-				again := ms + int(verdict.AfterMS)
-				due[again] = append(due[again], step{s.program, s.made, s.waited + verdict.After()})
+				again := ms + int(verdict.RetryAfterMS)
+				due[again] = append(due[again], step{s.program, s.made, s.waited + verdict.RetryAfter()})
 			}
 		}
 		delete(due, ms)
@@ -148,9 +148,9 @@
 func TestNewestLimitCounts(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
 	limiter := NewLimiter(testTerms, true, now)
-	limiter.Decide(Ask{Tenant: "t", Limit: Limit{10, 10}, Version: 4}, now)
-	limiter.Decide(Ask{Tenant: "t", Limit: Limit{2, 2}, Version: 6}, now)
-	limiter.Decide(Ask{Tenant: "t", Limit: Limit{10, 10}, Version: 5}, now)
+	limiter.Decide(Request{Tenant: "t", Limit: Limit{10, 10}, Version: 4}, now)
+	limiter.Decide(Request{Tenant: "t", Limit: Limit{2, 2}, Version: 6}, now)
+	limiter.Decide(Request{Tenant: "t", Limit: Limit{10, 10}, Version: 5}, now)
 	if got := limiter.tenants["t"].limit; got != (Limit{2, 2}) {
 		t.Errorf("the limit is %+v, want that of version 6", got)
 	}
@@ -164,8 +164,8 @@
 	for verdict.Admitted {
 		verdict = limiter.Decide(askOf(limit, "p", false), now)
 	}
-	if again := limiter.Decide(askOf(limit, "p", false), now.Add(verdict.After())); !again.Admitted || verdict.Reason != ReasonSpent {
-		t.Errorf("refused as %q, and again %s later as %q", verdict.Reason, verdict.After(), again.Reason)
+	if again := limiter.Decide(askOf(limit, "p", false), now.Add(verdict.RetryAfter())); !again.Admitted || verdict.Reason != ReasonExhausted {
+		t.Errorf("refused as %q, and again %s later as %q", verdict.Reason, verdict.RetryAfter(), again.Reason)
 	}
 }
 
@@ -174,7 +174,7 @@
 func BenchmarkDecide(b *testing.B) {
 	now := time.Time{}.Add(time.Hour)
 	limiter := NewLimiter(testTerms, true, now)
-	asks := make([]Ask, 200)
+	asks := make([]Request, 200)
 	for i := range asks {
 		asks[i] = askOf(Limit{1e6, 1e6}, fmt.Sprint("p", i), false)
 		limiter.Decide(asks[i], now)
--- a/internal/relay/quota.go
+++ b/internal/relay/quota.go
@@ -10,16 +10,16 @@
 
 // Quota admits the requests of tenants that have a limit.
 type Quota interface {
-	// Admit returns the verdict on a request. An error wraps quota.ErrUnasked: the owner of
+	// Admit returns the verdict on a request. An error wraps quota.ErrOwnerUnreachable: the owner of
 	// the tenant's limit could not be asked.
-	Admit(ctx context.Context, ask quota.Ask) (quota.Verdict, error)
-	// Return returns the quota of a request that was admitted but did not run.
-	Return(ask quota.Ask)
+	Admit(ctx context.Context, ask quota.Request) (quota.Verdict, error)
+	// Refund returns the quota of a request that was admitted but did not run.
+	Refund(ask quota.Request)
 }
 
 // quotaState is a call's request for quota, and the verdict on it.
 type quotaState struct {
-	asked   quota.Ask
+	asked   quota.Request
 	verdict quota.Verdict
 	// admittedAfter is how long the call waited to be admitted.
 	admittedAfter time.Duration
@@ -48,14 +48,14 @@
 			c.quota.admittedAfter = time.Since(started)
 			return true
 		case !c.waitForQuota(ctx, ask, verdict):
-			c.refuse(Refusal{Reason: ReasonQuota, RetryAfter: verdict.After(), Detail: "The tenant's limit has no room for the request."})
+			c.refuse(Refusal{Reason: ReasonQuota, RetryAfter: verdict.RetryAfter(), Detail: "The tenant's limit has no room for the request."})
 			return false
 		}
 	}
 }
 
-func (c *callHandler) quotaAsk() quota.Ask {
-	ask := quota.Ask{
+func (c *callHandler) quotaAsk() quota.Request {
+	ask := quota.Request{
 		Tenant:  c.call.Tenant.Name,
 		Limit:   quota.Limit{PerSecond: c.call.Tenant.PerSecond, Burst: c.call.Tenant.Burst},
 		Version: c.routesVersion(),
@@ -63,7 +63,7 @@
 	}
 	if program := c.call.Program; program != nil {
 		ask.Program = program.ID
-		ask.Begins = c.call.Route.Kind == kindStream && program.Previous == "" && c.call.ResumeAfter == "" &&
+		ask.MayStartProgram = c.call.Route.Kind == kindStream && program.Previous == "" && c.call.ResumeAfter == "" &&
 			c.relay.sessions.find(program) == ""
 	}
 	return ask
@@ -72,24 +72,24 @@
 // returnQuota returns the call's quota if it was offered to no instance: otherwise a
 // program that has spent its budget and keeps asking would use up its tenant's limit.
 func (c *callHandler) returnQuota() {
-	if c.quota.verdict.Reason == quota.ReasonRoom && c.offers == 0 {
-		c.relay.Quota.Return(c.quota.asked)
+	if c.quota.verdict.Reason == quota.ReasonAdmitted && c.offers == 0 {
+		c.relay.Quota.Refund(c.quota.asked)
 	}
 }
 
 // waitForQuota waits until the limit may have room. It returns false if the request should
 // not wait.
-func (c *callHandler) waitForQuota(ctx context.Context, ask quota.Ask, verdict quota.Verdict) bool {
-	if ask.Begins || ask.Program == "" {
+func (c *callHandler) waitForQuota(ctx context.Context, ask quota.Request, verdict quota.Verdict) bool {
+	if ask.MayStartProgram || ask.Program == "" {
 		return false
 	}
-	if until, bounded := ctx.Deadline(); bounded && time.Now().Add(verdict.After()).After(until) {
+	if until, bounded := ctx.Deadline(); bounded && time.Now().Add(verdict.RetryAfter()).After(until) {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(verdict.After()):
+	case <-time.After(verdict.RetryAfter()):
 		return true
 	}
 }
--- a/internal/relay/quota_test.go
+++ b/internal/relay/quota_test.go
@@ -15,12 +15,12 @@
 type scriptedQuota struct {
 	verdicts []quota.Verdict
 	err      error
-	asked    []quota.Ask
-	returned []quota.Ask
+	asked    []quota.Request
+	returned []quota.Request
 }
 
 // Admit implements Quota.
-func (q *scriptedQuota) Admit(_ context.Context, ask quota.Ask) (quota.Verdict, error) {
+func (q *scriptedQuota) Admit(_ context.Context, ask quota.Request) (quota.Verdict, error) {
 	q.asked = append(q.asked, ask)
 	if q.err != nil {
 		return quota.Verdict{}, q.err
@@ -28,12 +28,12 @@
 	return q.verdicts[min(len(q.asked), len(q.verdicts))-1], nil
 }
 
-// Return implements Quota.
-func (q *scriptedQuota) Return(ask quota.Ask) { q.returned = append(q.returned, ask) }
+// Refund implements Quota.
+func (q *scriptedQuota) Refund(ask quota.Request) { q.returned = append(q.returned, ask) }
 
 var (
-	admittedVerdict = quota.Verdict{Admitted: true, Reason: quota.ReasonRoom}
-	spentVerdict    = quota.Verdict{Reason: quota.ReasonSpent, AfterMS: 100}
+	admittedVerdict = quota.Verdict{Admitted: true, Reason: quota.ReasonAdmitted}
+	spentVerdict    = quota.Verdict{Reason: quota.ReasonExhausted, RetryAfterMS: 100}
 )
 
 // tenantTurn returns a turn of a tenant that has a limit.
@@ -86,7 +86,7 @@
 
 func TestUnreachableQuotaOwnerRefusesAsNotRun(t *testing.T) {
 	h := newHarness(t, step{body: "id: 1\ndata: x\n\n"})
-	h.relay.Quota = &scriptedQuota{err: quota.ErrUnasked}
+	h.relay.Quota = &scriptedQuota{err: quota.ErrOwnerUnreachable}
 	r := h.serve(tenantTurn("t0"))
 	if r.refusal == nil || r.refusal.Reason != ReasonQuotaUnknown || !r.refusal.Reason.PromisesNotRun() || r.refusal.RetryAfter == 0 {
 		t.Errorf("refused with %+v", r.refusal)
--- a/internal/submit/keep_alive_test.go
+++ b/internal/submit/keep_alive_test.go
@@ -34,7 +34,7 @@
 		})
 		w.run(piece)
 	}
-	keepAlive := DefaultSettings().KeepAlive
+	keepAlive := DefaultSettings().KeepAliveInterval
 	w.run(keepAlive - piece - time.Millisecond)
 	if got := w.attaches(); got != 0 {
 		t.Errorf("asked %d times before the leader was silent for %s", got, keepAlive)
--- a/internal/submit/submission.go
+++ b/internal/submit/submission.go
@@ -125,7 +125,7 @@
 		Call:       call,
 		Delivered:  s.delivered(),
 	})
-	s.after(s.submitter.settings.AnswerWait, s.noAnswer)
+	s.after(s.submitter.settings.AnswerTimeout, s.noAnswer)
 }
 
 // delivered returns the answer's beginning if all of it came through here.
@@ -145,14 +145,14 @@
 	}
 	settings := s.submitter.settings
 	untouched := !s.wasAccepted && s.unanswered == 0 && !s.call.Retry
-	hopeless := (route.NoMajority && untouched) || now.Sub(s.lostAt) >= settings.Patience
+	hopeless := (route.NoMajority && untouched) || now.Sub(s.lostAt) >= settings.LeaderTimeout
 	if !hopeless && !s.deadlinePassed(now) {
-		s.after(settings.RoutePause, s.route)
+		s.after(settings.RouteRetryInterval, s.route)
 		return
 	}
-	retryAfter := settings.NoMajorityRetry
+	retryAfter := settings.NoMajorityRetryAfter
 	if !hopeless && !route.NoMajority {
-		retryAfter = settings.LeaderRetry
+		retryAfter = settings.LeaderRetryAfter
 	}
 	s.finish(s.unreachable(untouched, retryAfter))
 }
@@ -209,7 +209,7 @@
 		ResumeAt:   s.received,
 		Retry:      s.call.Retry,
 	})
-	s.after(s.submitter.settings.AnswerWait, s.noAnswer)
+	s.after(s.submitter.settings.AnswerTimeout, s.noAnswer)
 }
 
 // heard notes a sign of life from the leader and waits for the next.
@@ -221,7 +221,7 @@
 	s.silent = 0
 	s.heardAt = s.submitter.clock.Now()
 	if !s.listening {
-		s.listen(s.submitter.settings.KeepAlive)
+		s.listen(s.submitter.settings.KeepAliveInterval)
 	}
 }
 
@@ -234,7 +234,7 @@
 
 // leaderSilent asks a leader of which nothing was heard for a while.
 func (s *Submission) leaderSilent() {
-	keepAlive := s.submitter.settings.KeepAlive
+	keepAlive := s.submitter.settings.KeepAliveInterval
 	quiet := s.submitter.clock.Now().Sub(s.heardAt)
 	if quiet >= 0 && quiet < keepAlive {
 		s.listen(keepAlive - quiet)
--- a/internal/submit/submission_test.go
+++ b/internal/submit/submission_test.go
@@ -57,7 +57,7 @@
 		if waiting.outcome == nil || waiting.outcome.Status != want {
 			t.Fatalf("retry %v: outcome %+v", retry, waiting.outcome)
 		}
-		if waiting.outcome.RetryAfter != DefaultSettings().LeaderRetry {
+		if waiting.outcome.RetryAfter != DefaultSettings().LeaderRetryAfter {
 			t.Errorf("retry %v: come back after %s", retry, waiting.outcome.RetryAfter)
 		}
 	}
--- a/internal/submit/submitter.go
+++ b/internal/submit/submitter.go
@@ -35,31 +35,31 @@
 // Settings bound waiting. All durations are positive.
 type Settings struct {
 	// AnswerWait is how long a leader may take to say Accepted.
-	AnswerWait time.Duration
+	AnswerTimeout time.Duration
 	// KeepAlive is the pause between questions about an accepted call from
 	// which nothing was heard.
-	KeepAlive time.Duration
+	KeepAliveInterval time.Duration
 	// RoutePause is the pause before asking again where a shard is led.
-	RoutePause time.Duration
+	RouteRetryInterval time.Duration
 	// Patience is how long a shard without a leader is waited for.
-	Patience time.Duration
+	LeaderTimeout time.Duration
 	// NoMajorityRetry is when a caller may come back to a shard that has lost
 	// its majority.
-	NoMajorityRetry time.Duration
+	NoMajorityRetryAfter time.Duration
 	// LeaderRetry is when a caller may come back whose time ran out while the
 	// shard had no leader, though it may get one at any moment.
-	LeaderRetry time.Duration
+	LeaderRetryAfter time.Duration
 }
 
 // DefaultSettings returns settings for the fleet sizes of docs/CAPACITY.md.
 func DefaultSettings() Settings {
 	return Settings{
-		AnswerWait:      300 * time.Millisecond,
-		KeepAlive:       time.Second,
-		RoutePause:      100 * time.Millisecond,
-		Patience:        15 * time.Second,
-		NoMajorityRetry: 5 * time.Second,
-		LeaderRetry:     time.Second,
+		AnswerTimeout:        300 * time.Millisecond,
+		KeepAliveInterval:    time.Second,
+		RouteRetryInterval:   100 * time.Millisecond,
+		LeaderTimeout:        15 * time.Second,
+		NoMajorityRetryAfter: 5 * time.Second,
+		LeaderRetryAfter:     time.Second,
 	}
 }
 
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -15,12 +15,12 @@
 
 // Errors of a directory.
 var (
-	// ErrNoName: a tenant has no name.
-	ErrNoName = eris.New("tenant: name: is missing")
-	// ErrTakenName: two tenants have the same name.
-	ErrTakenName = eris.New("tenant: name: is that of another tenant, too")
-	// ErrTakenKey: two tenants have the same key.
-	ErrTakenKey = eris.New("tenant: keys: one is that of another tenant, too")
+	// ErrMissingName: a tenant has no name.
+	ErrMissingName = eris.New("tenant: name: is missing")
+	// ErrDuplicateName: two tenants have the same name.
+	ErrDuplicateName = eris.New("tenant: name: is that of another tenant, too")
+	// ErrDuplicateKey: two tenants have the same key.
+	ErrDuplicateKey = eris.New("tenant: keys: one is that of another tenant, too")
 	// ErrEmptyKey: a key has no characters.
 	ErrEmptyKey = eris.New("tenant: keys: one is empty")
 )
@@ -66,14 +66,14 @@
 	return &Directory{byKey: map[digest]*Tenant{}, names: map[string]struct{}{}}
 }
 
-// Add takes a tenant with its keys. The error is ErrNoName, ErrTakenName,
-// ErrEmptyKey or ErrTakenKey; it names no key.
+// Add takes a tenant with its keys. The error is ErrMissingName, ErrDuplicateName,
+// ErrEmptyKey or ErrDuplicateKey; it names no key.
 func (d *Directory) Add(t *Tenant, keys []string) error {
 	if t.Name == "" {
-		return ErrNoName
+		return ErrMissingName
 	}
 	if _, taken := d.names[t.Name]; taken {
-		return eris.Wrapf(ErrTakenName, "%q", t.Name)
+		return eris.Wrapf(ErrDuplicateName, "%q", t.Name)
 	}
 	d.names[t.Name] = struct{}{}
 	for _, key := range keys {
@@ -81,7 +81,7 @@
 			return ErrEmptyKey
 		}
 		if owner, taken := d.byKey[sha256.Sum256([]byte(key))]; taken && owner != t {
-			return eris.Wrapf(ErrTakenKey, "tenants %q and %q", owner.Name, t.Name)
+			return eris.Wrapf(ErrDuplicateKey, "tenants %q and %q", owner.Name, t.Name)
 		}
 		d.byKey[sha256.Sum256([]byte(key))] = t
 	}
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -36,10 +36,10 @@
 		keys   []string
 		want   error
 	}{
-		"no name":    {Tenant{}, []string{"k2"}, ErrNoName},
-		"taken name": {Tenant{Name: "a"}, []string{"k2"}, ErrTakenName},
+		"no name":    {Tenant{}, []string{"k2"}, ErrMissingName},
+		"taken name": {Tenant{Name: "a"}, []string{"k2"}, ErrDuplicateName},
 		"empty key":  {Tenant{Name: "b"}, []string{""}, ErrEmptyKey},
-		"taken key":  {Tenant{Name: "b"}, []string{"k1"}, ErrTakenKey},
+		"taken key":  {Tenant{Name: "b"}, []string{"k1"}, ErrDuplicateKey},
 	} {
 		d := NewDirectory()
 		if err := d.Add(&Tenant{Name: "a"}, []string{"k1"}); err != nil {
