--- a/internal/backends/directory.go
+++ b/internal/backends/directory.go
@@ -97,7 +97,7 @@
 	d.watch()
 	d.probeApplications()
 	d.findModels()
-	d.Clock.AfterFunc(d.Settings.HoldInterval, d.sweepHolds)
+	d.Clock.AfterFunc(d.Settings.HoldSweepInterval, d.sweepHolds)
 }
 
 // Stop ends the readings.
@@ -174,8 +174,8 @@
 	return listed
 }
 
-// HasLeft tells that a back end is no longer on the platform's list.
-func (d *Directory) HasLeft(id structs.EngineID) bool {
+// IsDelisted reports whether a back end is no longer on the platform's list.
+func (d *Directory) IsDelisted(id structs.EngineID) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	b := d.backEnds[id]
--- a/internal/query/client_test.go
+++ b/internal/query/client_test.go
@@ -68,7 +68,7 @@
 func (f *fleet) Application(string, []structs.EngineID) (structs.EngineID, bool) {
 	return "back-end", true
 }
-func (f *fleet) HasLeft(structs.EngineID) bool    { return false }
+func (f *fleet) IsDelisted(structs.EngineID) bool { return false }
 func (f *fleet) MarkDraining(structs.EngineID)    {}
 func (f *fleet) MarkUnreachable(structs.EngineID) {}
 func (f *fleet) Current() *structs.Configuration {
