--- a/internal/backends/bench_test.go
+++ b/internal/backends/bench_test.go
@@ -26,7 +26,7 @@
 	// named. reading takes the place of the service where it is set.
 	published     [][]structs.Machine
 	versionsAsked []framework.ListVersion
-	reading       func(since framework.ListVersion) framework.ListReading
+	reading       func(since framework.ListVersion) framework.ListResponse
 	listFails     bool
 	// lists are those that OnList was told.
 	lists [][]structs.Machine
@@ -74,10 +74,10 @@
 
 // List plays a service that knows each list that it gave and answers with
 // changes from there.
-func (b *bench) List(since framework.ListVersion, done func(framework.ListReading, error)) {
+func (b *bench) List(since framework.ListVersion, done func(framework.ListResponse, error)) {
 	b.versionsAsked = append(b.versionsAsked, since)
 	if b.listFails {
-		done(framework.ListReading{}, framework.ErrUnreachable)
+		done(framework.ListResponse{}, framework.ErrUnreachable)
 		return
 	}
 	if b.reading != nil {
@@ -88,10 +88,10 @@
 	version := framework.ListVersion(strconv.Itoa(len(b.published) - 1))
 	position, err := strconv.Atoi(string(since))
 	if err != nil {
-		done(framework.WholeList(version, slices.Clone(b.machines)), nil)
+		done(framework.FullListResponse(version, slices.Clone(b.machines)), nil)
 		return
 	}
-	done(framework.ListChanges(since, b.published[position], version, b.machines), nil)
+	done(framework.DeltaListResponse(since, b.published[position], version, b.machines), nil)
 }
 
 // fakeEngines answers at once.
--- a/internal/backends/list.go
+++ b/internal/backends/list.go
@@ -15,7 +15,7 @@
 	d.mutex.Lock()
 	since := d.view.next(d.Settings.WholeListEvery)
 	d.mutex.Unlock()
-	d.Drivers.Machines.List(since, func(reading framework.ListReading, err error) {
+	d.Drivers.Machines.List(since, func(reading framework.ListResponse, err error) {
 		if err == nil {
 			d.takeReading(reading)
 		}
@@ -24,7 +24,7 @@
 }
 
 // takeReading joins a reading to the list and acts on what it shows.
-func (d *Directory) takeReading(reading framework.ListReading) {
+func (d *Directory) takeReading(reading framework.ListResponse) {
 	d.mutex.Lock()
 	changed, err := d.view.take(reading)
 	var machines []structs.Machine
--- a/internal/backends/list_test.go
+++ b/internal/backends/list_test.go
@@ -71,8 +71,8 @@
 	b.run(2 * b.Settings.ListInterval)
 	// Another instance of the service takes over. It knows no version of the
 	// former one and lags behind it.
-	b.reading = func(since framework.ListVersion) framework.ListReading {
-		return framework.WholeList("other-1", []structs.Machine{engine, other})
+	b.reading = func(since framework.ListVersion) framework.ListResponse {
+		return framework.FullListResponse("other-1", []structs.Machine{engine, other})
 	}
 	b.run(2 * b.Settings.ListInterval)
 	b.wantLeaving(t, true, "shown again by an older list")
@@ -83,8 +83,8 @@
 func TestReadingWithAGapIsFollowedByTheWholeList(t *testing.T) {
 	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines[0].State = structs.MachineLeaving
-	b.reading = func(since framework.ListVersion) framework.ListReading {
-		return framework.ListReading{Version: "9", Since: since, Total: 7}
+	b.reading = func(since framework.ListVersion) framework.ListResponse {
+		return framework.ListResponse{Version: "9", Since: since, Total: 7}
 	}
 	b.run(b.Settings.ListInterval)
 	b.reading = nil
--- a/internal/backends/machine_view.go
+++ b/internal/backends/machine_view.go
@@ -36,7 +36,7 @@
 // take joins a reading and returns whether any row changed. After an error the
 // rows stand as they were, and the whole list is to be read next. An empty
 // list is not believed: this daemon's own machine would be on a true one.
-func (v *machineView) take(reading framework.ListReading) (changed bool, err error) {
+func (v *machineView) take(reading framework.ListResponse) (changed bool, err error) {
 	rows, changed := v.joined(reading)
 	whole := reading.Since == ""
 	leadsOn := whole || (reading.Since == v.version && reading.Total == len(rows))
@@ -54,7 +54,7 @@
 }
 
 // joined returns the rows after a reading. Rows that stay are not copied.
-func (v *machineView) joined(reading framework.ListReading) (rows map[string]structs.Machine, changed bool) {
+func (v *machineView) joined(reading framework.ListResponse) (rows map[string]structs.Machine, changed bool) {
 	if reading.Since != "" && len(reading.Machines)+len(reading.Removed) == 0 {
 		return v.rows, false
 	}
--- a/internal/backends/machine_view_test.go
+++ b/internal/backends/machine_view_test.go
@@ -38,13 +38,13 @@
 	s.states = append(s.states, next)
 }
 
-func (s *listService) read(since framework.ListVersion, shown int) framework.ListReading {
+func (s *listService) read(since framework.ListVersion, shown int) framework.ListResponse {
 	version := framework.ListVersion(strconv.Itoa(shown))
 	position, err := strconv.Atoi(string(since))
 	if forgotten := s.random.IntN(10) == 0; err != nil || forgotten {
-		return framework.WholeList(version, s.states[shown])
+		return framework.FullListResponse(version, s.states[shown])
 	}
-	return framework.ListChanges(since, s.states[position], version, s.states[shown])
+	return framework.DeltaListResponse(since, s.states[position], version, s.states[shown])
 }
 
 func sorted(machines []structs.Machine) []structs.Machine {
@@ -75,17 +75,17 @@
 
 func TestReadingWithAGapIsNotTaken(t *testing.T) {
 	before := []structs.Machine{engineRow(engineA), engineRow(engineB)}
-	good := framework.ListChanges("1", before, "2", before[:1])
-	tests := map[string]framework.ListReading{
-		"builds on another version": framework.ListChanges("0", before, "2", before[:1]),
+	good := framework.DeltaListResponse("1", before, "2", before[:1])
+	tests := map[string]framework.ListResponse{
+		"builds on another version": framework.DeltaListResponse("0", before, "2", before[:1]),
 		"a row is missing":          {Version: "2", Since: "1", Total: 1},
-		"empty":                     framework.WholeList("2", nil),
-		"all removed":               framework.ListChanges("1", before, "2", nil),
+		"empty":                     framework.FullListResponse("2", nil),
+		"all removed":               framework.DeltaListResponse("1", before, "2", nil),
 	}
 	for name, reading := range tests {
 		t.Run(name, func(t *testing.T) {
 			view := machineView{}
-			if _, err := view.take(framework.WholeList("1", before)); err != nil {
+			if _, err := view.take(framework.FullListResponse("1", before)); err != nil {
 				t.Fatal(err)
 			}
 			if _, err := view.take(reading); err == nil {
@@ -110,10 +110,10 @@
 	wholes := 0
 	for range 101 {
 		since := view.next(wholeEveryTest)
-		reading := framework.ListChanges(since, machines, "1", machines)
+		reading := framework.DeltaListResponse(since, machines, "1", machines)
 		if since == "" {
 			wholes++
-			reading = framework.WholeList("1", machines)
+			reading = framework.FullListResponse("1", machines)
 		}
 		if _, err := view.take(reading); err != nil {
 			t.Fatal(err)
--- a/internal/command/daemon.go
+++ b/internal/command/daemon.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	<-ctx.Done()
-	bounded, cancel := context.WithTimeout(context.Background(), config.Limits.StopTimeout)
+	bounded, cancel := context.WithTimeout(context.Background(), config.Limits.ShutdownTimeout)
 	defer cancel()
 	return d.Stop(bounded)
 }
@@ -133,13 +133,13 @@
 		{&cli.StringFlag{Name: "engines-driver", Usage: "`NAME` of the engines' dialect"}, "engines.driver",
 			func(c *cli.Command, name string, s *settings.Settings) { s.Engines.Driver = c.String(name) }},
 		{&cli.StringFlag{Name: "applications-driver", Usage: "`NAME` of the applications' dialect"}, "applications.driver",
-			func(c *cli.Command, name string, s *settings.Settings) { s.Apps.Driver = c.String(name) }},
+			func(c *cli.Command, name string, s *settings.Settings) { s.Applications.Driver = c.String(name) }},
 		{&cli.IntFlag{Name: "queue", DefaultText: fromFile, Usage: "`NUMBER` of calls that may wait"}, "limits.queue",
-			func(c *cli.Command, name string, s *settings.Settings) { s.Limits.Queue = c.Int(name) }},
+			func(c *cli.Command, name string, s *settings.Settings) { s.Limits.MaxQueuedCalls = c.Int(name) }},
 		{&cli.DurationFlag{Name: "call-timeout", DefaultText: fromFile, Usage: "`DURATION` a call may take when its caller names none"}, "limits.call_timeout",
 			func(c *cli.Command, name string, s *settings.Settings) { s.Limits.CallTimeout = c.Duration(name) }},
 		{&cli.DurationFlag{Name: "stop-timeout", DefaultText: fromFile, Usage: "`DURATION` a planned stop may take"}, "limits.stop_timeout",
-			func(c *cli.Command, name string, s *settings.Settings) { s.Limits.StopTimeout = c.Duration(name) }},
+			func(c *cli.Command, name string, s *settings.Settings) { s.Limits.ShutdownTimeout = c.Duration(name) }},
 		{&cli.StringFlag{Name: "log-level", Usage: "`LEVEL`: trace, debug, info, warn or error"}, "log_level",
 			func(c *cli.Command, name string, s *settings.Settings) { s.LogLevel = c.String(name) }},
 		{&cli.StringFlag{Name: "log-format", Usage: "`FORMAT`: json or console"}, "log_format",
--- a/internal/configuration/dissemination.go
+++ b/internal/configuration/dissemination.go
@@ -17,7 +17,7 @@
 		return
 	}
 	s.exchange.secondRound = true
-	s.after(s.Settings.SecondRound, func() {
+	s.after(s.Settings.SecondRoundDelay, func() {
 		s.exchange.secondRound = false
 		s.offerToSome()
 	})
@@ -36,7 +36,7 @@
 		return
 	}
 	for _, daemon := range s.somePeers() {
-		s.Transport.Send(daemon, &Offer{Offset: s.state.Next, Digest: s.state.Digest(), Ask: true})
+		s.Transport.Send(daemon, &Offer{Offset: s.state.Next, Digest: s.state.Digest(), ReplyWanted: true})
 	}
 	if !s.graceOver {
 		s.after(s.Settings.PeerGrace/askDivisor, s.askPeers)
--- a/internal/configuration/entry.go
+++ b/internal/configuration/entry.go
@@ -10,13 +10,13 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// EntryLimit bounds the payload of one entry, in bytes. A larger entry is
+// MaxEntryBytes bounds the payload of one entry, in bytes. A larger entry is
 // refused everywhere.
-const EntryLimit = 1 << 20
+const MaxEntryBytes = 1 << 20
 
 // Errors of the entry decoder.
 var (
-	// ErrTooLarge: the payload exceeds EntryLimit.
+	// ErrTooLarge: the payload exceeds MaxEntryBytes.
 	ErrTooLarge = eris.New("configuration: entry too large")
 	// ErrMalformed: the payload is not an entry.
 	ErrMalformed = eris.New("configuration: malformed entry")
@@ -47,15 +47,15 @@
 	if err != nil {
 		return nil, eris.Wrap(ErrMalformed, err.Error())
 	}
-	if len(payload) > EntryLimit {
+	if len(payload) > MaxEntryBytes {
 		return nil, eris.Wrapf(ErrTooLarge, "%d bytes", len(payload))
 	}
 	return payload, nil
 }
 
-// EncodeWhole returns the payload of a change that sets everything that is
+// EncodeFullChange returns the payload of a change that sets everything that is
 // wanted. One name serves as its operation and its operator.
-func EncodeWhole(name string, wanted structs.Configuration) ([]byte, error) {
+func EncodeFullChange(name string, wanted structs.Configuration) ([]byte, error) {
 	return EncodeEntry(Entry{Change: &structs.Change{OperationID: name, Operator: name, Patch: structs.Patch{
 		Models:    structs.Edit[structs.ModelName, structs.Model]{Set: wanted.Models},
 		Templates: structs.Edit[structs.TemplateName, structs.Template]{Set: wanted.Templates},
@@ -66,7 +66,7 @@
 // DecodeEntry reads a payload. Unknown fields are refused: a daemon that
 // ignored a field would fold another configuration than one that knows it.
 func DecodeEntry(payload []byte) (Entry, error) {
-	if len(payload) > EntryLimit {
+	if len(payload) > MaxEntryBytes {
 		return Entry{}, eris.Wrapf(ErrTooLarge, "%d bytes", len(payload))
 	}
 	var entry Entry
--- a/internal/configuration/exchange.go
+++ b/internal/configuration/exchange.go
@@ -46,8 +46,8 @@
 
 func newExchange() exchange { return exchange{} }
 
-// NoteHeard takes a peer's word about itself from a heartbeat.
-func (s *Store) NoteHeard(from structs.DaemonID, note membership.Note) {
+// ReceiveNote takes a peer's word about itself from a heartbeat.
+func (s *Store) ReceiveNote(from structs.DaemonID, note membership.Note) {
 	s.queue.Do(func() { s.receiveOffset(from, note.ConfigurationOffset, note.ConfigurationDigest) })
 }
 
@@ -69,7 +69,7 @@
 }
 
 func (s *Store) receiveOffer(from structs.DaemonID, offer *Offer) {
-	if offer.Ask && !s.stopped && !s.Guards.SkipDissemination {
+	if offer.ReplyWanted && !s.stopped && !s.Guards.SkipDissemination {
 		s.Transport.Send(from, &Offer{Offset: s.state.Next, Digest: s.state.Digest()})
 	}
 	s.receiveOffset(from, offer.Offset, offer.Digest)
--- a/internal/configuration/fold_test.go
+++ b/internal/configuration/fold_test.go
@@ -111,10 +111,10 @@
 	if len(state.Verdicts) != VerdictWindow || len(state.operations) != VerdictWindow {
 		t.Errorf("%d verdicts and %d operations are kept, want %d", len(state.Verdicts), len(state.operations), VerdictWindow)
 	}
-	if _, known := state.Operation("op-10"); known {
+	if _, known := state.OperationVerdict("op-10"); known {
 		t.Error("an operation beyond the window is still known")
 	}
-	if verdict, known := state.Operation("op-1060"); !known || verdict.Offset != 1060 {
+	if verdict, known := state.OperationVerdict("op-1060"); !known || verdict.Offset != 1060 {
 		t.Errorf("a recent operation gives %+v, %v", verdict, known)
 	}
 }
--- a/internal/configuration/interleaving_test.go
+++ b/internal/configuration/interleaving_test.go
@@ -82,12 +82,12 @@
 			truth.Fold(entry)
 		}
 		for _, d := range w.daemons {
-			if status := d.store.Status(); !status.Serving || status.Digest != truth.Digest() || status.Diverged > 0 {
+			if status := d.store.Status(); !status.Serving || status.Digest != truth.Digest() || status.Divergences > 0 {
 				r.Fatalf("%s: %+v, want offset %d digest %x", d.id, status, truth.Next, truth.Digest())
 			}
 		}
 		for _, got := range answers {
-			verdict, known := truth.Operation(got.verdict.OperationID)
+			verdict, known := truth.OperationVerdict(got.verdict.OperationID)
 			if got.count > 1 || (got.err == nil && got.count == 1 && (!known || !verdict.Accepted)) {
 				r.Fatalf("publication answered %+v, the log says %+v", got, verdict)
 			}
--- a/internal/configuration/messages.go
+++ b/internal/configuration/messages.go
@@ -16,8 +16,8 @@
 type Offer struct {
 	Offset structs.LogOffset `json:"offset"`
 	Digest uint64            `json:"digest"`
-	// Ask wants an offer in return, as a daemon that starts does.
-	Ask bool `json:"ask,omitempty"`
+	// ReplyWanted wants an offer in return, as a daemon that starts does.
+	ReplyWanted bool `json:"ask,omitempty"`
 }
 
 // MessageKind implements peer.Message.
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -51,18 +51,18 @@
 type PublishSettings struct {
 	// Timeout is how long to go on before the outcome is given up as unknown.
 	Timeout time.Duration
-	// Pause comes before an operation is looked up after a lost answer, and
+	// RetryDelay comes before an operation is looked up after a lost answer, and
 	// between tries. A reader of the log may lag by as much.
-	Pause time.Duration
-	// Lookups is how often the log is searched before the entry is appended
+	RetryDelay time.Duration
+	// MaximumLookups is how often the log is searched before the entry is appended
 	// again.
-	Lookups int
+	MaximumLookups int
 }
 
 // DefaultPublishSettings returns settings for a log that answers within a
 // second.
 func DefaultPublishSettings() PublishSettings {
-	return PublishSettings{Timeout: 15 * time.Second, Pause: 300 * time.Millisecond, Lookups: 2}
+	return PublishSettings{Timeout: 15 * time.Second, RetryDelay: 300 * time.Millisecond, MaximumLookups: 2}
 }
 
 // publication is one change on its way into force.
@@ -98,7 +98,7 @@
 			return
 		}
 		p.payload = payload
-		if verdict, known := s.state.Operation(change.OperationID); known {
+		if verdict, known := s.state.OperationVerdict(change.OperationID); known {
 			p.end(verdict, nil)
 			return
 		}
@@ -126,9 +126,9 @@
 	case err == nil:
 		p.store.readNow()
 	case eris.Is(err, framework.ErrNotSent), eris.Is(err, framework.ErrRefused):
-		p.store.after(p.settings.Pause, p.append)
+		p.store.after(p.settings.RetryDelay, p.append)
 	default:
-		p.store.after(p.settings.Pause, p.lookUp)
+		p.store.after(p.settings.RetryDelay, p.lookUp)
 	}
 }
 
@@ -153,7 +153,7 @@
 		return
 	}
 	if err != nil {
-		p.store.after(p.settings.Pause, p.lookUp)
+		p.store.after(p.settings.RetryDelay, p.lookUp)
 		return
 	}
 	for _, entry := range entries {
@@ -165,8 +165,8 @@
 	switch {
 	case len(entries) > 0:
 		p.scan(at + structs.LogOffset(len(entries)))
-	case p.lookups < p.settings.Lookups:
-		p.store.after(p.settings.Pause, p.lookUp)
+	case p.lookups < p.settings.MaximumLookups:
+		p.store.after(p.settings.RetryDelay, p.lookUp)
 	default:
 		p.append()
 	}
@@ -194,7 +194,7 @@
 	kept := s.publications[:0]
 	var settled []*publication
 	for _, p := range s.publications {
-		if _, known := s.state.Operation(p.change.OperationID); known && !p.ended {
+		if _, known := s.state.OperationVerdict(p.change.OperationID); known && !p.ended {
 			settled = append(settled, p)
 			continue
 		}
@@ -205,7 +205,7 @@
 	clear(s.publications[len(kept):])
 	s.publications = kept
 	for _, p := range settled {
-		verdict, _ := s.state.Operation(p.change.OperationID)
+		verdict, _ := s.state.OperationVerdict(p.change.OperationID)
 		p.end(verdict, s.state.maker(verdict.Revision))
 	}
 }
--- a/internal/configuration/reader.go
+++ b/internal/configuration/reader.go
@@ -66,8 +66,8 @@
 // interval returns the pause before the next reading.
 func (s *Store) interval() time.Duration {
 	members := 1 + len(s.Peers())
-	interval := s.Settings.Interval * time.Duration(max(members, membersPerInterval)) / membersPerInterval
-	interval = min(interval, max(s.Settings.MaximumInterval, s.Settings.Interval))
+	interval := s.Settings.PollInterval * time.Duration(max(members, membersPerInterval)) / membersPerInterval
+	interval = min(interval, max(s.Settings.MaximumPollInterval, s.Settings.PollInterval))
 	jitter := 1 + jitterFraction*(2*s.random.Float64()-1)
 	return time.Duration(float64(interval) * jitter)
 }
--- a/internal/configuration/resolve/resolve.go
+++ b/internal/configuration/resolve/resolve.go
@@ -90,7 +90,7 @@
 		Budget:          template.Budget,
 		Priority:        template.Priority,
 		Limits:          withDefaults(template.Limits),
-		SystemPrompt:    Fill(template.SystemPrompt, use.Parameters),
+		SystemPrompt:    ExpandPlaceholders(template.SystemPrompt, use.Parameters),
 		ApplicationCost: template.ApplicationCost,
 	}
 	if use.Budget > 0 {
@@ -133,8 +133,8 @@
 	return limits
 }
 
-// Fill replaces "{{name}}" in a template's text by the tenant's parameters.
-func Fill(text string, parameters map[string]string) string {
+// ExpandPlaceholders replaces "{{name}}" in a template's text by the tenant's parameters.
+func ExpandPlaceholders(text string, parameters map[string]string) string {
 	if len(parameters) == 0 {
 		return text
 	}
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -113,9 +113,9 @@
 	return s.Verdicts[at], true
 }
 
-// Operation returns the verdict on the first entry of an operation, if it is
+// OperationVerdict returns the verdict on the first entry of an operation, if it is
 // remembered.
-func (s *State) Operation(id string) (Verdict, bool) {
+func (s *State) OperationVerdict(id string) (Verdict, bool) {
 	offset, found := s.operations[id]
 	if !found {
 		return Verdict{}, false
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -28,11 +28,11 @@
 
 // Settings bound a store.
 type Settings struct {
-	// Interval is the pause between readings of the log in a small fleet. It
-	// grows with the fleet up to MaximumInterval: the first daemon that reads
+	// PollInterval is the pause between readings of the log in a small fleet. It
+	// grows with the fleet up to MaximumPollInterval: the first daemon that reads
 	// an entry tells the others.
-	Interval        time.Duration
-	MaximumInterval time.Duration
+	PollInterval        time.Duration
+	MaximumPollInterval time.Duration
 	// PeerGrace is how long a daemon that starts listens to its peers before it
 	// serves, so that a lagging reader of the log is found out.
 	PeerGrace time.Duration
@@ -40,8 +40,8 @@
 	FetchTimeout time.Duration
 	// Fanout is how many peers are told at once of a new entry.
 	Fanout int
-	// SecondRound is the pause before as many others are told.
-	SecondRound time.Duration
+	// SecondRoundDelay is the pause before as many others are told.
+	SecondRoundDelay time.Duration
 	// SnapshotEvery is how many entries come between snapshots.
 	SnapshotEvery int
 	// SnapshotPause spaces out the daemons that might write a snapshot.
@@ -51,14 +51,14 @@
 // DefaultSettings returns settings for the sizes of the brief.
 func DefaultSettings() Settings {
 	return Settings{
-		Interval:        500 * time.Millisecond,
-		MaximumInterval: 10 * time.Second,
-		PeerGrace:       time.Second,
-		FetchTimeout:    time.Second,
-		Fanout:          3,
-		SecondRound:     250 * time.Millisecond,
-		SnapshotEvery:   256,
-		SnapshotPause:   10 * time.Second,
+		PollInterval:        500 * time.Millisecond,
+		MaximumPollInterval: 10 * time.Second,
+		PeerGrace:           time.Second,
+		FetchTimeout:        time.Second,
+		Fanout:              3,
+		SecondRoundDelay:    250 * time.Millisecond,
+		SnapshotEvery:       256,
+		SnapshotPause:       10 * time.Second,
 	}
 }
 
@@ -99,7 +99,7 @@
 	Serving bool
 	// Diverged counts peers' words that contradict this fold: the log has
 	// given two daemons different entries for one offset.
-	Diverged int
+	Divergences int
 }
 
 // Store keeps the configuration in force.
@@ -178,14 +178,14 @@
 	s.listeners = append(s.listeners, listener)
 }
 
-// History calls done with the verdicts that are remembered, oldest first.
-func (s *Store) History(done func([]Verdict)) {
+// RecentVerdicts calls done with the verdicts that are remembered, oldest first.
+func (s *Store) RecentVerdicts(done func([]Verdict)) {
 	s.queue.Do(func() { done(append([]Verdict(nil), s.state.Verdicts...)) })
 }
 
-// Operation calls done with the verdict on an operation, if it is remembered.
-func (s *Store) Operation(id string, done func(Verdict, bool)) {
-	s.queue.Do(func() { done(s.state.Operation(id)) })
+// OperationVerdict calls done with the verdict on an operation, if it is remembered.
+func (s *Store) OperationVerdict(id string, done func(Verdict, bool)) {
+	s.queue.Do(func() { done(s.state.OperationVerdict(id)) })
 }
 
 // Check calls done with what the verdict on a change would be now.
@@ -293,11 +293,11 @@
 // publish makes the status visible and calls the listeners.
 func (s *Store) publish() {
 	status := &Status{
-		Offset:   s.state.Next,
-		Digest:   s.state.Digest(),
-		Revision: s.state.Revision(),
-		Serving:  s.serving,
-		Diverged: s.diverged,
+		Offset:      s.state.Next,
+		Digest:      s.state.Digest(),
+		Revision:    s.state.Revision(),
+		Serving:     s.serving,
+		Divergences: s.diverged,
 	}
 	if s.serving {
 		status.Configuration = s.state.Configuration
--- a/internal/configuration/world_test.go
+++ b/internal/configuration/world_test.go
@@ -146,7 +146,7 @@
 		}
 		note := d.store.Note()
 		w.network.Deliver(place, network.Place{Address: other.id.Address(), Zone: other.zone}, func() {
-			other.process.Run(func() { other.store.NoteHeard(d.id, note) })
+			other.process.Run(func() { other.store.ReceiveNote(d.id, note) })
 		})
 	}
 	d.process.AfterFunc(heartbeat, func() { w.beat(d) })
@@ -222,8 +222,8 @@
 		if !status.Serving || status.Revision != want || status.Digest != w.daemons[0].store.Digest() {
 			w.t.Errorf("%s: %+v, want revision %d and the digest of all", d.id, status, want)
 		}
-		if status.Diverged > 0 {
-			w.t.Errorf("%s found %d contradictions", d.id, status.Diverged)
+		if status.Divergences > 0 {
+			w.t.Errorf("%s found %d contradictions", d.id, status.Divergences)
 		}
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -104,12 +104,12 @@
 func nodeSettings(config settings.Settings) node.Settings {
 	result := node.DefaultSettings()
 	result.Shards = config.Shards
-	result.QueueLimit = config.Limits.Queue
+	result.QueueLimit = config.Limits.MaxQueuedCalls
 	result.Dispatch.UnknownAfter = config.Limits.UnknownAfter
 	result.Dispatch.StallAfter = config.Limits.StallAfter
 	result.Memory = program.MemoryLimits(config.Memory)
-	result.Configuration.Interval = config.Intervals.Configuration
-	result.Configuration.MaximumInterval = config.Intervals.ConfigurationMaximum
+	result.Configuration.PollInterval = config.Intervals.Configuration
+	result.Configuration.MaximumPollInterval = config.Intervals.ConfigurationMaximum
 	result.Backends.ListInterval = config.Intervals.MachineList
 	result.Backends.LoadInterval = config.Intervals.EngineLoad
 	return result
@@ -121,7 +121,7 @@
 	if err != nil {
 		return drivers, eris.Wrap(err, "settings: engines.driver")
 	}
-	applications, err := framework.ApplicationDrivers.Lookup(config.Apps.Driver)
+	applications, err := framework.ApplicationDrivers.Lookup(config.Applications.Driver)
 	if err != nil {
 		return drivers, eris.Wrap(err, "settings: applications.driver")
 	}
@@ -134,7 +134,7 @@
 		return drivers, eris.Wrap(err, "settings: machine_list.driver")
 	}
 	drivers.Engines = engines(framework.DriverSettings{Timeout: config.Engines.Timeout})
-	drivers.Applications = applications(framework.DriverSettings{Timeout: config.Apps.Timeout})
+	drivers.Applications = applications(framework.DriverSettings{Timeout: config.Applications.Timeout})
 	drivers.Log = eventLog(framework.DriverSettings{Addresses: config.EventLog.Addresses, Timeout: config.EventLog.Timeout})
 	drivers.Machines = machines(framework.DriverSettings{Addresses: config.MachineList.Addresses, Timeout: config.MachineList.Timeout})
 	return drivers, nil
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -33,7 +33,7 @@
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	metrics.RegisterNode(registry, n, traffic)
 	limits := gateway.DefaultLimits()
-	limits.BodyBytes, limits.Timeout = config.Limits.BodyBytes, config.Limits.CallTimeout
+	limits.BodyBytes, limits.Timeout = config.Limits.MaxBodyBytes, config.Limits.CallTimeout
 	callers := gateway.New(gateway.Options{
 		Node:           n,
 		Queries:        n.Queries,
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -96,7 +96,7 @@
 
 // Publish appends a change to the log that sets everything wanted.
 func (c *Cluster) Publish(wanted structs.Configuration) error {
-	payload, err := configuration.EncodeWhole("demo", wanted)
+	payload, err := configuration.EncodeFullChange("demo", wanted)
 	if err != nil {
 		return eris.Wrap(err, "demo: publish")
 	}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -232,16 +232,16 @@
 	plan.reservation = l.withoutGuard(active, reservation)
 	plan.dispatch = open.Attempt + 1
 	record := structs.Record{At: l.Clock.Now(), CallDispatched: &structs.CallDispatched{
-		Key:        active.key,
-		RequestID:  active.call.RequestID,
-		Attempt:    plan.dispatch,
-		BackEnd:    plan.backEnd,
-		Epoch:      l.leadership.Epoch(),
-		BackEndRun: plan.run,
-		Reserved:   plan.reservation.Cost,
-		Price:      plan.price,
-		Disproved:  active.disproved,
-		Hold:       plan.hold,
+		Key:            active.key,
+		RequestID:      active.call.RequestID,
+		Attempt:        plan.dispatch,
+		BackEnd:        plan.backEnd,
+		Epoch:          l.leadership.Epoch(),
+		BackEndRun:     plan.run,
+		Reserved:       plan.reservation.Cost,
+		Price:          plan.price,
+		PreviousNotRun: active.disproved,
+		Hold:           plan.hold,
 
 		AnswerPrefix: active.text.String(),
 	}}
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -87,7 +87,7 @@
 
 // QuotaAsk asks a tenant's home shard for a slice of its quota.
 type QuotaAsk struct {
-	Ask structs.QuotaAsked `json:"ask"`
+	Ask structs.QuotaRequest `json:"ask"`
 }
 
 // QuotaAnswer hands a slice out, or says that nothing more is left.
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -35,7 +35,7 @@
 type quotaQuestion struct {
 	// sentWanted is the total wanted by the latest copy that was sent.
 	sentWanted structs.Cost
-	ask        structs.QuotaAsked
+	ask        structs.QuotaRequest
 	since      time.Time
 	// returning is set while slots are given back; none may be taken then.
 	returning bool
@@ -86,7 +86,7 @@
 	if quota.Kind == structs.QuotaPrograms {
 		used = l.programsLive(quota.Tenant)
 	}
-	question = &quotaQuestion{since: l.Clock.Now(), ask: structs.QuotaAsked{
+	question = &quotaQuestion{since: l.Clock.Now(), ask: structs.QuotaRequest{
 		Quota:  quota,
 		Window: window,
 		Shard:  l.shard,
@@ -105,7 +105,7 @@
 		l.closeQuestion(question, quotaUnanswered)
 		return
 	}
-	question.ask.Order = l.nextOrder()
+	question.ask.Ballot = l.nextOrder()
 	question.sentWanted = question.ask.Wanted
 	route := l.Router.Route(l.Router.Shard(quotaHome(quota.Tenant)))
 	if route.Leader != "" {
@@ -125,7 +125,7 @@
 
 // quotaAsked hands out a slice at the home shard: it is in the ledger of a
 // majority before the answer leaves.
-func (l *leader) quotaAsked(from structs.DaemonID, ask structs.QuotaAsked) {
+func (l *leader) quotaAsked(from structs.DaemonID, ask structs.QuotaRequest) {
 	if l.stopped || l.quotas.granting[ask.Quota] {
 		return
 	}
@@ -144,7 +144,7 @@
 			Quota:  ask.Quota,
 			Window: ask.Window,
 			Shard:  ask.Shard,
-			Order:  ask.Order,
+			Order:  ask.Ballot,
 			Total:  record.QuotaGranted.Total,
 		})
 	})
@@ -154,10 +154,10 @@
 // answer to the latest question counts.
 func (l *leader) quotaAnswered(answer *QuotaAnswer) {
 	question := l.quotas.questions[answer.Quota]
-	if l.stopped || question == nil || question.ask.Order != answer.Order {
+	if l.stopped || question == nil || question.ask.Ballot != answer.Order {
 		return
 	}
-	received := &structs.QuotaReceived{Quota: answer.Quota, Window: answer.Window, Order: answer.Order, Total: answer.Total}
+	received := &structs.QuotaReceived{Quota: answer.Quota, Window: answer.Window, Ballot: answer.Order, Total: answer.Total}
 	l.propose([]structs.Record{{At: l.Clock.Now(), QuotaReceived: received}}, func() {
 		if l.quotas.questions[answer.Quota] != question {
 			return
--- a/internal/dispatch/quota_slots.go
+++ b/internal/dispatch/quota_slots.go
@@ -91,9 +91,9 @@
 		return
 	}
 	delete(l.quotas.idleSince, quota.Tenant)
-	ask := structs.QuotaAsked{Quota: quota, Window: allowance.Window, Shard: l.shard, Held: live, Wanted: live}
+	ask := structs.QuotaRequest{Quota: quota, Window: allowance.Window, Shard: l.shard, Held: live, Wanted: live}
 	question := &quotaQuestion{since: now, ask: ask, returning: true}
 	l.quotas.questions[quota] = question
-	received := &structs.QuotaReceived{Quota: quota, Window: allowance.Window, Order: l.nextOrder(), Total: live}
+	received := &structs.QuotaReceived{Quota: quota, Window: allowance.Window, Ballot: l.nextOrder(), Total: live}
 	l.propose([]structs.Record{{At: now, QuotaReceived: received}}, func() { l.sendQuestion(question) })
 }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -60,8 +60,8 @@
 type staticMachines struct{ machines []structs.Machine }
 
 // List implements framework.MachineList.
-func (s staticMachines) List(_ framework.ListVersion, done func(framework.ListReading, error)) {
-	done(framework.WholeList("", s.machines), nil)
+func (s staticMachines) List(_ framework.ListVersion, done func(framework.ListResponse, error)) {
+	done(framework.FullListResponse("", s.machines), nil)
 }
 
 // loopback delivers messages of the daemon to itself.
--- a/internal/framework/machines.go
+++ b/internal/framework/machines.go
@@ -11,9 +11,9 @@
 // readers compare it and hand it back. The empty version names no state.
 type ListVersion string
 
-// ListReading answers a reading of the machine list: the whole list, or what
+// ListResponse answers a reading of the machine list: the whole list, or what
 // leads from an earlier reading to it. A machine's address names its row.
-type ListReading struct {
+type ListResponse struct {
 	// Version is what the next reading may build on; a list that only gives
 	// whole readings leaves it empty.
 	Version ListVersion `json:"version,omitempty"`
@@ -33,18 +33,18 @@
 	// List reads the list. A service that knows the version since may answer
 	// with changes from there, also when it shows an older list than before;
 	// otherwise, and when since is empty, the answer is the whole list.
-	List(since ListVersion, done func(ListReading, error))
+	List(since ListVersion, done func(ListResponse, error))
 }
 
-// WholeList returns a reading of a whole list.
-func WholeList(version ListVersion, machines []structs.Machine) ListReading {
-	return ListReading{Version: version, Machines: machines, Total: len(machines)}
+// FullListResponse returns a reading of a whole list.
+func FullListResponse(version ListVersion, machines []structs.Machine) ListResponse {
+	return ListResponse{Version: version, Machines: machines, Total: len(machines)}
 }
 
-// ListChanges returns the reading that leads from one state of a list to
+// DeltaListResponse returns the reading that leads from one state of a list to
 // another, ordered by address.
-func ListChanges(since ListVersion, before []structs.Machine, version ListVersion, after []structs.Machine) ListReading {
-	reading := ListReading{Version: version, Since: since, Total: len(after)}
+func DeltaListResponse(since ListVersion, before []structs.Machine, version ListVersion, after []structs.Machine) ListResponse {
+	reading := ListResponse{Version: version, Since: since, Total: len(after)}
 	old := make(map[string]structs.Machine, len(before))
 	for _, machine := range before {
 		old[machine.Address] = machine
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -59,10 +59,10 @@
 
 // impatient shortens the limits that the refusals of hanging back ends rest on.
 func impatient(config *settings.Settings) {
-	config.Limits.Queue = 1
+	config.Limits.MaxQueuedCalls = 1
 	config.Limits.UnknownAfter = 200 * time.Millisecond
 	config.Limits.StallAfter = 400 * time.Millisecond
-	config.Apps.Timeout = 200 * time.Millisecond
+	config.Applications.Timeout = 200 * time.Millisecond
 }
 
 // frailConfiguration has a tenant with one program at a time, and a template
--- a/internal/load/standins.go
+++ b/internal/load/standins.go
@@ -100,7 +100,7 @@
 }
 
 func publish(log *eventlog.Log) error {
-	payload, err := configuration.EncodeWhole("load", StandInConfiguration())
+	payload, err := configuration.EncodeFullChange("load", StandInConfiguration())
 	if err != nil {
 		return eris.Wrap(err, "load: configuration")
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -101,7 +101,7 @@
 	n := &Node{Options: options}
 	n.Membership = n.newMembership()
 	n.Configurations = n.newConfigurations()
-	n.Membership.OnNote(n.Configurations.NoteHeard)
+	n.Membership.OnNote(n.Configurations.ReceiveNote)
 	n.Configurations.Subscribe(func(configuration.Status) { n.Membership.SetNote(n.Configurations.Note()) })
 	n.Scheduler = n.newScheduler()
 	n.Directory = n.newDirectory()
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -21,7 +21,7 @@
 		Digest:   status.Digest,
 		Revision: status.Revision,
 		Serving:  status.Serving,
-		Diverged: status.Diverged,
+		Diverged: status.Divergences,
 	}
 }
 
@@ -35,7 +35,7 @@
 		limit = defaultHistory
 	}
 	verdicts := make(chan []configuration.Verdict, 1)
-	h.Configurations.History(func(all []configuration.Verdict) { verdicts <- all })
+	h.Configurations.RecentVerdicts(func(all []configuration.Verdict) { verdicts <- all })
 	listed := slices.DeleteFunc(<-verdicts, func(verdict configuration.Verdict) bool {
 		return verdict.Reason == configuration.VerdictSnapshot
 	})
@@ -49,7 +49,7 @@
 		known   bool
 	}
 	result := make(chan found, 1)
-	h.Configurations.Operation(r.PathValue("id"), func(verdict configuration.Verdict, known bool) {
+	h.Configurations.OperationVerdict(r.PathValue("id"), func(verdict configuration.Verdict, known bool) {
 		result <- found{verdict, known}
 	})
 	got := <-result
@@ -63,7 +63,7 @@
 // readChange reads a change and puts the operator's own name in it.
 func readChange(w http.ResponseWriter, r *http.Request, operator string) (structs.Change, bool) {
 	var change structs.Change
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, configuration.EntryLimit))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, configuration.MaxEntryBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&change); err != nil {
 		status := http.StatusBadRequest
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -32,8 +32,8 @@
 // Configurations is what the interface needs of the configuration.
 type Configurations interface {
 	Status() configuration.Status
-	History(done func([]configuration.Verdict))
-	Operation(id string, done func(configuration.Verdict, bool))
+	RecentVerdicts(done func([]configuration.Verdict))
+	OperationVerdict(id string, done func(configuration.Verdict, bool))
 	Check(change structs.Change, done func(configuration.Verdict))
 	Publish(change structs.Change, settings configuration.PublishSettings, done func(configuration.Verdict, error))
 }
--- a/internal/plugins/application/httpapp/setup.go
+++ b/internal/plugins/application/httpapp/setup.go
@@ -72,7 +72,7 @@
 	}
 	response, err := d.client.Do(prepared.WithContext(ctx))
 	if err != nil {
-		return httpdriver.EndOfSending(err)
+		return httpdriver.EndForSendError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, answerLimit))
--- a/internal/plugins/engine/openai/stream.go
+++ b/internal/plugins/engine/openai/stream.go
@@ -56,7 +56,7 @@
 	}
 	response, err := d.client.Do(prepared.WithContext(ctx))
 	if err != nil {
-		return httpdriver.EndOfSending(err)
+		return httpdriver.EndForSendError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
--- a/internal/plugins/httpdriver/httpdriver.go
+++ b/internal/plugins/httpdriver/httpdriver.go
@@ -28,10 +28,10 @@
 // RejectedDraining is its value when the back end is leaving.
 const RejectedDraining = "draining"
 
-// EndOfSending returns the end of an attempt whose request got no answer. Only
+// EndForSendError returns the end of an attempt whose request got no answer. Only
 // when no connection was made, so that no byte was sent, is it EndRejected;
 // otherwise it may have run, and is EndLost.
-func EndOfSending(err error) framework.AttemptEnd {
+func EndForSendError(err error) framework.AttemptEnd {
 	var operation *net.OpError
 	if eris.As(err, &operation) && operation.Op == "dial" {
 		return framework.AttemptEnd{Kind: framework.EndRejected, Message: "connection refused"}
--- a/internal/plugins/httpdriver/httpdriver_test.go
+++ b/internal/plugins/httpdriver/httpdriver_test.go
@@ -40,5 +40,5 @@
 		_ = response.Body.Close()
 		t.Fatal("an answer came")
 	}
-	return httpdriver.EndOfSending(err)
+	return httpdriver.EndForSendError(err)
 }
--- a/internal/plugins/machinelist/httplist/setup.go
+++ b/internal/plugins/machinelist/httplist/setup.go
@@ -42,7 +42,7 @@
 }
 
 // List implements framework.MachineList: the first service that answers counts.
-func (l *list) List(since framework.ListVersion, done func(framework.ListReading, error)) {
+func (l *list) List(since framework.ListVersion, done func(framework.ListResponse, error)) {
 	go func() {
 		for _, address := range l.addresses {
 			reading, err := l.readAt(address, since)
@@ -51,36 +51,36 @@
 				return
 			}
 		}
-		done(framework.ListReading{}, eris.Wrap(framework.ErrUnreachable, "machine list"))
+		done(framework.ListResponse{}, eris.Wrap(framework.ErrUnreachable, "machine list"))
 	}()
 }
 
-func (l *list) readAt(address string, since framework.ListVersion) (framework.ListReading, error) {
+func (l *list) readAt(address string, since framework.ListVersion) (framework.ListResponse, error) {
 	var body json.RawMessage
 	request := sling.New().Client(l.client).Get("http://" + address + "/machines").QueryStruct(query{since})
 	response, err := request.ReceiveSuccess(&body)
 	if err != nil {
-		return framework.ListReading{}, eris.Wrap(err, "machine list: read")
+		return framework.ListResponse{}, eris.Wrap(err, "machine list: read")
 	}
 	if response.StatusCode != http.StatusOK {
-		return framework.ListReading{}, eris.Wrapf(framework.ErrUnavailable, "machine list: status %d", response.StatusCode)
+		return framework.ListResponse{}, eris.Wrapf(framework.ErrUnavailable, "machine list: status %d", response.StatusCode)
 	}
 	return decode(body)
 }
 
 // decode reads an answer: a reading, or just the rows of the whole list, which
 // a service sends that knows no versions.
-func decode(body json.RawMessage) (framework.ListReading, error) {
+func decode(body json.RawMessage) (framework.ListResponse, error) {
 	if bytes.HasPrefix(bytes.TrimSpace(body), []byte("[")) {
 		var machines []structs.Machine
 		if err := json.Unmarshal(body, &machines); err != nil {
-			return framework.ListReading{}, eris.Wrap(err, "machine list: rows")
+			return framework.ListResponse{}, eris.Wrap(err, "machine list: rows")
 		}
-		return framework.WholeList("", machines), nil
+		return framework.FullListResponse("", machines), nil
 	}
-	var reading framework.ListReading
+	var reading framework.ListResponse
 	if err := json.Unmarshal(body, &reading); err != nil {
-		return framework.ListReading{}, eris.Wrap(err, "machine list: reading")
+		return framework.ListResponse{}, eris.Wrap(err, "machine list: reading")
 	}
 	return reading, nil
 }
--- a/internal/plugins/machinelist/httplist/setup_test.go
+++ b/internal/plugins/machinelist/httplist/setup_test.go
@@ -20,17 +20,17 @@
 )
 
 // read reads the list of a service once.
-func read(t *testing.T, handler http.Handler, since framework.ListVersion) (framework.ListReading, error) {
+func read(t *testing.T, handler http.Handler, since framework.ListVersion) (framework.ListResponse, error) {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	defer server.Close()
 	list := New(framework.DriverSettings{Addresses: []string{server.Listener.Addr().String()}, Timeout: 10 * time.Second})
 	type answer struct {
-		reading framework.ListReading
+		reading framework.ListResponse
 		err     error
 	}
 	answers := make(chan answer, 1)
-	list.List(since, func(reading framework.ListReading, err error) { answers <- answer{reading, err} })
+	list.List(since, func(reading framework.ListResponse, err error) { answers <- answer{reading, err} })
 	got := <-answers
 	return got.reading, got.err
 }
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(framework.WholeList(first.Version, []structs.Machine{engineRow}), first); diff != "" {
+	if diff := cmp.Diff(framework.FullListResponse(first.Version, []structs.Machine{engineRow}), first); diff != "" {
 		t.Error(diff)
 	}
 	service.Put(toolRow)
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := framework.ListReading{Version: second.Version, Since: first.Version, Machines: []structs.Machine{toolRow}, Total: 2}
+	want := framework.ListResponse{Version: second.Version, Since: first.Version, Machines: []structs.Machine{toolRow}, Total: 2}
 	if diff := cmp.Diff(want, second); diff != "" {
 		t.Error(diff)
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(framework.WholeList("", []structs.Machine{engineRow}), got); diff != "" {
+	if diff := cmp.Diff(framework.FullListResponse("", []structs.Machine{engineRow}), got); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/plugins/queuepolicy/program/setup.go
+++ b/internal/plugins/queuepolicy/program/setup.go
@@ -15,7 +15,7 @@
 type policy struct{}
 
 // Bounds, in seconds. Together they bound how far a call may be put back:
-// nobody is overtaken by calls that arrive more than Bound after it.
+// nobody is overtaken by calls that arrive more than StarvationBound after it.
 const (
 	// remainingWeight is by how many seconds a second of expected work puts a
 	// call back: where there is more work than the engines carry, letting
@@ -29,8 +29,8 @@
 	priorityStep = 1
 	// highestPriority is the top of the scale.
 	highestPriority = 9
-	// Bound is the starvation bound of this policy.
-	Bound = remainingBound + ageBound + priorityStep*highestPriority
+	// StarvationBound is the starvation bound of this policy.
+	StarvationBound = remainingBound + ageBound + priorityStep*highestPriority
 )
 
 // Due implements schedule.QueuePolicy.
--- a/internal/program/admit.go
+++ b/internal/program/admit.go
@@ -82,7 +82,7 @@
 		return refusal
 	}
 	records := acceptRecords(call, now)
-	records[0].CallAccepted.Whole = whole
+	records[0].CallAccepted.WholeConversation = whole
 	return Admission{Verdict: VerdictAccept, Call: call, Records: records}
 }
 
--- a/internal/program/apply.go
+++ b/internal/program/apply.go
@@ -81,7 +81,7 @@
 		return
 	}
 	program.Accepted = call.Sequence
-	if !accepted.Whole {
+	if !accepted.WholeConversation {
 		program.Gap = GapNone
 	}
 	program.ActiveAt = at
@@ -93,7 +93,7 @@
 		program.LastFingerprint = fingerprint
 		program.Repeats = 1
 	}
-	program.Open = append(program.Open, &CallState{Call: call, Stage: StageAccepted, AcceptedAt: at, Whole: accepted.Whole})
+	program.Open = append(program.Open, &CallState{Call: call, Stage: StageAccepted, AcceptedAt: at, Whole: accepted.WholeConversation})
 	s.account(accepted.Key)
 }
 
@@ -106,7 +106,7 @@
 	if call == nil || dispatched.Attempt <= call.Attempt {
 		return
 	}
-	if dispatched.Disproved {
+	if dispatched.PreviousNotRun {
 		root.Reserved -= call.Reserved
 		s.spend(program.Key.Tenant, call.Window, -call.Reserved)
 	} else {
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -44,7 +44,7 @@
 
 func dispatchRecord(key structs.ProgramKey, request string, attempt int, reserved structs.Cost, disproved bool) structs.Record {
 	return structs.Record{At: start, CallDispatched: &structs.CallDispatched{
-		Key: key, RequestID: structs.RequestID(request), Attempt: attempt, BackEnd: "engine", Reserved: reserved, Price: price, Disproved: disproved,
+		Key: key, RequestID: structs.RequestID(request), Attempt: attempt, BackEnd: "engine", Reserved: reserved, Price: price, PreviousNotRun: disproved,
 	}}
 }
 
--- a/internal/program/quota.go
+++ b/internal/program/quota.go
@@ -91,12 +91,12 @@
 // Grant decides at the home shard how much another shard may have in total,
 // and returns the record that hands it out. A question older than one already
 // answered, or about a window that is past, gets nothing.
-func (s *Shard) Grant(ask structs.QuotaAsked, limit structs.Cost, now time.Time) (structs.Record, bool) {
+func (s *Shard) Grant(ask structs.QuotaRequest, limit structs.Cost, now time.Time) (structs.Record, bool) {
 	ledger := s.ledgers[ask.Quota]
 	if ledger == nil || ledger.Window < ask.Window {
 		ledger = newLedger(ask.Quota, ask.Window)
 	}
-	if ledger.Window > ask.Window || !ledger.Orders[ask.Shard].Before(ask.Order) {
+	if ledger.Window > ask.Window || !ledger.Orders[ask.Shard].Before(ask.Ballot) {
 		return structs.Record{}, false
 	}
 	others := structs.Cost(0)
@@ -114,7 +114,7 @@
 		Quota:  ask.Quota,
 		Window: ask.Window,
 		Shard:  ask.Shard,
-		Order:  ask.Order,
+		Ballot: ask.Ballot,
 		Total:  total,
 	}}, true
 }
@@ -134,11 +134,11 @@
 		ledger = newLedger(granted.Quota, granted.Window)
 		s.ledgers[granted.Quota] = ledger
 	}
-	if ledger.Window != granted.Window || !ledger.Orders[granted.Shard].Before(granted.Order) {
+	if ledger.Window != granted.Window || !ledger.Orders[granted.Shard].Before(granted.Ballot) {
 		return
 	}
 	ledger.Totals[granted.Shard] = granted.Total
-	ledger.Orders[granted.Shard] = granted.Order
+	ledger.Orders[granted.Shard] = granted.Ballot
 }
 
 // applyQuotaReceived sets what the shard may use. Answers that were overtaken
@@ -149,11 +149,11 @@
 		allowance = &Allowance{Quota: received.Quota, Window: received.Window}
 		s.allowances[received.Quota] = allowance
 	}
-	if allowance.Window != received.Window || !allowance.Order.Before(received.Order) {
+	if allowance.Window != received.Window || !allowance.Order.Before(received.Ballot) {
 		return
 	}
 	allowance.Granted = received.Total
-	allowance.Order = received.Order
+	allowance.Order = received.Ballot
 }
 
 // spend counts a reservation against the tenant's allowance of its window.
--- a/internal/schedule/scheduler_test.go
+++ b/internal/schedule/scheduler_test.go
@@ -41,8 +41,8 @@
 		t.Fatal("nobody overtook the call: the test shows nothing")
 	}
 	last := overtakers[len(overtakers)-1]
-	if last > program.Bound*time.Second {
-		t.Errorf("a call that arrived %s later overtook it, the bound is %d s", last, program.Bound)
+	if last > program.StarvationBound*time.Second {
+		t.Errorf("a call that arrived %s later overtook it, the bound is %d s", last, program.StarvationBound)
 	}
 }
 
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -62,8 +62,8 @@
 	c.driver("machine_list.driver", settings.MachineList.Driver, framework.MachineLists.Names())
 	c.driver("engines.driver", settings.Engines.Driver, framework.EngineDrivers.Names())
 	c.between("engines.timeout", settings.Engines.Timeout, shortestTimeout, longestTimeout)
-	c.driver("applications.driver", settings.Apps.Driver, framework.ApplicationDrivers.Names())
-	c.between("applications.timeout", settings.Apps.Timeout, shortestTimeout, longestTimeout)
+	c.driver("applications.driver", settings.Applications.Driver, framework.ApplicationDrivers.Names())
+	c.between("applications.timeout", settings.Applications.Timeout, shortestTimeout, longestTimeout)
 	c.limits(settings.Limits)
 	c.intervals(settings.Intervals)
 	c.memory(settings.Memory)
@@ -154,12 +154,12 @@
 }
 
 func (c *checker) limits(limits Limits) {
-	c.within("limits.queue", int64(limits.Queue), 1, maximumQueue)
-	c.within("limits.body_bytes", limits.BodyBytes, minimumBody, maximumBody)
+	c.within("limits.queue", int64(limits.MaxQueuedCalls), 1, maximumQueue)
+	c.within("limits.body_bytes", limits.MaxBodyBytes, minimumBody, maximumBody)
 	c.between("limits.call_timeout", limits.CallTimeout, time.Second, longestCall)
 	c.between("limits.unknown_after", limits.UnknownAfter, shortestTimeout, longestTimeout)
 	c.between("limits.stall_after", limits.StallAfter, shortestTimeout, longestTimeout)
-	c.between("limits.stop_timeout", limits.StopTimeout, time.Second, longestCall)
+	c.between("limits.stop_timeout", limits.ShutdownTimeout, time.Second, longestCall)
 }
 
 func (c *checker) intervals(intervals Intervals) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -28,13 +28,13 @@
 	Zone        structs.ZoneName   `yaml:"zone"`
 	Region      structs.RegionName `yaml:"region"`
 	// Shards is the fixed number of program shards, the same in the whole fleet.
-	Shards      int       `yaml:"shards"`
-	EventLog    Service   `yaml:"event_log"`
-	MachineList Service   `yaml:"machine_list"`
-	Engines     Dialect   `yaml:"engines"`
-	Apps        Dialect   `yaml:"applications"`
-	Limits      Limits    `yaml:"limits"`
-	Intervals   Intervals `yaml:"intervals"`
+	Shards       int           `yaml:"shards"`
+	EventLog     Service       `yaml:"event_log"`
+	MachineList  Service       `yaml:"machine_list"`
+	Engines      BackEndDriver `yaml:"engines"`
+	Applications BackEndDriver `yaml:"applications"`
+	Limits       Limits        `yaml:"limits"`
+	Intervals    Intervals     `yaml:"intervals"`
 	// Memory bounds what programs take in this daemon.
 	Memory Memory `yaml:"memory"`
 	// Operators may use the operators' interface. With none, nobody may.
@@ -52,18 +52,18 @@
 	Timeout   time.Duration `yaml:"timeout"`
 }
 
-// Dialect names the dialect of back ends that are found on the machine list.
-type Dialect struct {
+// BackEndDriver names the dialect of back ends that are found on the machine list.
+type BackEndDriver struct {
 	Driver  string        `yaml:"driver"`
 	Timeout time.Duration `yaml:"timeout"`
 }
 
 // Limits bound what one daemon takes on.
 type Limits struct {
-	// Queue is how many calls may wait in the daemon.
-	Queue int `yaml:"queue"`
-	// BodyBytes is the largest request of a caller.
-	BodyBytes int64 `yaml:"body_bytes"`
+	// MaxQueuedCalls is how many calls may wait in the daemon.
+	MaxQueuedCalls int `yaml:"queue"`
+	// MaxBodyBytes is the largest request of a caller.
+	MaxBodyBytes int64 `yaml:"body_bytes"`
 	// CallTimeout is a call's deadline when its caller names none.
 	CallTimeout time.Duration `yaml:"call_timeout"`
 	// UnknownAfter is when a caller whose back end does not tell what became of
@@ -71,8 +71,8 @@
 	UnknownAfter time.Duration `yaml:"unknown_after"`
 	// StallAfter is how long a back end may show no progress.
 	StallAfter time.Duration `yaml:"stall_after"`
-	// StopTimeout bounds a planned stop; requests that still run then are cut.
-	StopTimeout time.Duration `yaml:"stop_timeout"`
+	// ShutdownTimeout bounds a planned stop; requests that still run then are cut.
+	ShutdownTimeout time.Duration `yaml:"stop_timeout"`
 }
 
 // Intervals are the pauses of what a daemon does again and again.
@@ -110,19 +110,19 @@
 // Default returns settings with everything that has a default.
 func Default() Settings {
 	return Settings{
-		Region:      "local",
-		Shards:      64,
-		EventLog:    Service{Driver: "http", Timeout: 2 * time.Second},
-		MachineList: Service{Driver: "http", Timeout: 2 * time.Second},
-		Engines:     Dialect{Driver: "openai", Timeout: 2 * time.Second},
-		Apps:        Dialect{Driver: "http", Timeout: 30 * time.Second},
+		Region:       "local",
+		Shards:       64,
+		EventLog:     Service{Driver: "http", Timeout: 2 * time.Second},
+		MachineList:  Service{Driver: "http", Timeout: 2 * time.Second},
+		Engines:      BackEndDriver{Driver: "openai", Timeout: 2 * time.Second},
+		Applications: BackEndDriver{Driver: "http", Timeout: 30 * time.Second},
 		Limits: Limits{
-			Queue:        4096,
-			BodyBytes:    16 << 20,
-			CallTimeout:  10 * time.Minute,
-			UnknownAfter: 10 * time.Second,
-			StallAfter:   30 * time.Second,
-			StopTimeout:  5 * time.Minute,
+			MaxQueuedCalls:  4096,
+			MaxBodyBytes:    16 << 20,
+			CallTimeout:     10 * time.Minute,
+			UnknownAfter:    10 * time.Second,
+			StallAfter:      30 * time.Second,
+			ShutdownTimeout: 5 * time.Minute,
 		},
 		Intervals: Intervals{
 			Configuration:        500 * time.Millisecond,
--- a/internal/simulation/drivers/machinelist.go
+++ b/internal/simulation/drivers/machinelist.go
@@ -59,15 +59,15 @@
 
 // read answers a reading with the changes since a version, or the whole list
 // when the version is not one of this list's.
-func (l *MachineList) read(since framework.ListVersion) framework.ListReading {
+func (l *MachineList) read(since framework.ListVersion) framework.ListResponse {
 	position := l.publishedVersion()
 	version := framework.ListVersion(strconv.Itoa(position))
 	after := l.versions[position].machines
 	known, err := strconv.Atoi(string(since))
 	if err != nil || known < 0 || known >= len(l.versions) {
-		return framework.WholeList(version, slices.Clone(after))
+		return framework.FullListResponse(version, slices.Clone(after))
 	}
-	return framework.ListChanges(since, l.versions[known].machines, version, after)
+	return framework.DeltaListResponse(since, l.versions[known].machines, version, after)
 }
 
 // Client returns the list as one process sees it.
@@ -81,10 +81,10 @@
 }
 
 // List implements framework.MachineList.
-func (c *listClient) List(since framework.ListVersion, done func(framework.ListReading, error)) {
-	serve := func(reply func(framework.ListReading, error)) {
+func (c *listClient) List(since framework.ListVersion, done func(framework.ListResponse, error)) {
+	serve := func(reply func(framework.ListResponse, error)) {
 		if c.list.Down {
-			reply(framework.ListReading{}, framework.ErrUnavailable)
+			reply(framework.ListResponse{}, framework.ErrUnavailable)
 			return
 		}
 		reply(c.list.read(since), nil)
--- a/internal/standin/machinelist/machinelist.go
+++ b/internal/standin/machinelist/machinelist.go
@@ -113,7 +113,7 @@
 func (l *List) published() []structs.Machine { return l.read("").Machines }
 
 // read answers a reading that builds on a version.
-func (l *List) read(since framework.ListVersion) framework.ListReading {
+func (l *List) read(since framework.ListVersion) framework.ListResponse {
 	lag := l.Faults.Get().Lag
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -123,10 +123,10 @@
 	}
 	for _, known := range l.history {
 		if l.name(known) == since {
-			return framework.ListChanges(since, known.machines, l.name(shown), shown.machines)
+			return framework.DeltaListResponse(since, known.machines, l.name(shown), shown.machines)
 		}
 	}
-	return framework.WholeList(l.name(shown), shown.machines)
+	return framework.FullListResponse(l.name(shown), shown.machines)
 }
 
 // name returns a version's name, which no other run of a list gives.
--- a/internal/standin/machinelist/machinelist_test.go
+++ b/internal/standin/machinelist/machinelist_test.go
@@ -77,18 +77,18 @@
 	leaving := structs.Machine{Address: "b", State: structs.MachineLeaving}
 	l := New([]structs.Machine{live}, 0)
 	first := l.read("")
-	if diff := cmp.Diff(framework.WholeList(first.Version, []structs.Machine{live}), first); diff != "" {
+	if diff := cmp.Diff(framework.FullListResponse(first.Version, []structs.Machine{live}), first); diff != "" {
 		t.Error(diff)
 	}
 	l.Put(leaving)
 	l.Remove("a")
 	second := l.read(first.Version)
-	want := framework.ListReading{Version: second.Version, Since: first.Version, Machines: []structs.Machine{leaving}, Removed: []string{"a"}, Total: 1}
+	want := framework.ListResponse{Version: second.Version, Since: first.Version, Machines: []structs.Machine{leaving}, Removed: []string{"a"}, Total: 1}
 	if diff := cmp.Diff(want, second); diff != "" {
 		t.Error(diff)
 	}
 	still := l.read(second.Version)
-	if diff := cmp.Diff(framework.ListReading{Version: second.Version, Since: second.Version, Total: 1}, still); diff != "" {
+	if diff := cmp.Diff(framework.ListResponse{Version: second.Version, Since: second.Version, Total: 1}, still); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/structs/record.go
+++ b/internal/structs/record.go
@@ -41,9 +41,9 @@
 type CallAccepted struct {
 	Key  ProgramKey `json:"key"`
 	Call Call       `json:"call"`
-	// Whole is set when the call brought the whole conversation to a program
+	// WholeConversation is set when the call brought the whole conversation to a program
 	// that may lack turns; its messages make up for them once it completed.
-	Whole bool `json:"whole,omitempty"`
+	WholeConversation bool `json:"whole,omitempty"`
 }
 
 // CallDispatched is the intent to send a call to a back end, recorded before
@@ -62,9 +62,9 @@
 	// Price is fixed at dispatch, so that a price change between reservation
 	// and outcome cannot carry a program past its budget.
 	Price Price `json:"price"`
-	// Disproved is set when the former attempt certainly did not run; its
+	// PreviousNotRun is set when the former attempt certainly did not run; its
 	// reservation is freed. Otherwise it stays, since it may have cost.
-	Disproved bool `json:"disproved,omitempty"`
+	PreviousNotRun bool `json:"disproved,omitempty"`
 	// Hold is the engine memory asked for, "" for none. Naming it here records
 	// it before it is taken.
 	Hold HoldID `json:"hold,omitempty"`
@@ -167,13 +167,13 @@
 	Kind   QuotaKind  `json:"kind"`
 }
 
-// QuotaAsked is a shard's question to a tenant's home shard for a slice of the
+// QuotaRequest is a shard's question to a tenant's home shard for a slice of the
 // tenant's quota.
-type QuotaAsked struct {
+type QuotaRequest struct {
 	Quota  QuotaKey    `json:"quota"`
 	Window int64       `json:"window"`
 	Shard  ShardNumber `json:"shard"`
-	Order  Ballot      `json:"order"`
+	Ballot Ballot      `json:"order"`
 	// Held is the total the shard has recorded; Wanted the total it would like.
 	Held   Cost `json:"held"`
 	Wanted Cost `json:"wanted"`
@@ -185,7 +185,7 @@
 	Quota  QuotaKey    `json:"quota"`
 	Window int64       `json:"window"`
 	Shard  ShardNumber `json:"shard"`
-	Order  Ballot      `json:"order"`
+	Ballot Ballot      `json:"order"`
 	Total  Cost        `json:"total"`
 }
 
@@ -194,7 +194,7 @@
 type QuotaReceived struct {
 	Quota  QuotaKey `json:"quota"`
 	Window int64    `json:"window"`
-	Order  Ballot   `json:"order"`
+	Ballot Ballot   `json:"order"`
 	Total  Cost     `json:"total"`
 }
 
