--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -35,7 +35,7 @@
 type quotaRequest struct {
 	// sentWanted is the total wanted by the latest copy that was sent.
 	sentTotal structs.Cost
-	ask       structs.QuotaAsked
+	ask       structs.QuotaRequest
 	since     time.Time
 	// returning is set while slots are given back; none may be taken then.
 	returning bool
@@ -86,7 +86,7 @@
 	if quota.Kind == structs.QuotaPrograms {
 		used = l.programsLive(quota.Tenant)
 	}
-	request = &quotaRequest{since: l.Clock.Now(), ask: structs.QuotaAsked{
+	request = &quotaRequest{since: l.Clock.Now(), ask: structs.QuotaRequest{
 		Quota:  quota,
 		Window: window,
 		Shard:  l.shard,
@@ -105,7 +105,7 @@
 		l.closeQuotaRequest(request, quotaUnanswered)
 		return
 	}
-	request.ask.Order = l.nextBallot()
+	request.ask.Ballot = l.nextBallot()
 	request.sentTotal = request.ask.Wanted
 	route := l.Router.Route(l.Router.Shard(quotaHomeKey(quota.Tenant)))
 	if route.Leader != "" {
@@ -125,7 +125,7 @@
 
 // quotaAsked hands out a slice at the home shard: it is in the ledger of a
 // majority before the answer leaves.
-func (l *leader) handleQuotaRequest(from structs.DaemonID, ask structs.QuotaAsked) {
+func (l *leader) handleQuotaRequest(from structs.DaemonID, ask structs.QuotaRequest) {
 	if l.stopped || l.quotas.granting[ask.Quota] {
 		return
 	}
@@ -144,7 +144,7 @@
 			Quota:  ask.Quota,
 			Window: ask.Window,
 			Shard:  ask.Shard,
-			Order:  ask.Order,
+			Order:  ask.Ballot,
 			Total:  record.QuotaGranted.Total,
 		})
 	})
@@ -154,10 +154,10 @@
 // answer to the latest question counts.
 func (l *leader) handleQuotaAnswer(answer *QuotaAnswer) {
 	request := l.quotas.requests[answer.Quota]
-	if l.stopped || request == nil || request.ask.Order != answer.Order {
+	if l.stopped || request == nil || request.ask.Ballot != answer.Order {
 		return
 	}
-	received := &structs.QuotaReceived{Quota: answer.Quota, Window: answer.Window, Order: answer.Order, Total: answer.Total}
+	received := &structs.QuotaReceived{Quota: answer.Quota, Window: answer.Window, Ballot: answer.Order, Total: answer.Total}
 	l.propose([]structs.Record{{At: l.Clock.Now(), QuotaReceived: received}}, func() {
 		if l.quotas.requests[answer.Quota] != request {
 			return
