--- a/internal/httpconn/pool_test.go
+++ b/internal/httpconn/pool_test.go
@@ -16,14 +16,13 @@
 	"time"
 )
 
-// rawServer answers each request on a connection with the next text; "" closes
-// the connection.
+// rawServer answers each request on a connection with the next text; "" closes the connection.
 type rawServer struct {
 	address string
 	mutex   sync.Mutex
 	answers []string
-	read    []string
-	// skipBody answers before the body is read.
+	bodies  []string
+	// skipBody: answer before the body is read.
 	skipBody bool
 	accepted atomic.Int64
 }
@@ -60,7 +59,7 @@
 		if !s.skipBody {
 			body, _ := io.ReadAll(request.Body)
 			s.mutex.Lock()
-			s.read = append(s.read, string(body))
+			s.bodies = append(s.bodies, string(body))
 			s.mutex.Unlock()
 		}
 		s.mutex.Lock()
@@ -82,7 +81,7 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=10\r\n\r\nok"
 
-func get(body string) *http.Request {
+func newRequest(body string) *http.Request {
 	request := &http.Request{Method: "POST", URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{}, ContentLength: int64(len(body))}
 	if body != "" {
 		request.Body = io.NopCloser(strings.NewReader(body))
@@ -92,7 +91,7 @@
 
 func exchangeBody(t *testing.T, p *Pool, address string, body string) (string, error) {
 	t.Helper()
-	response, err := p.Do(context.Background(), address, Bounds{}, get(body))
+	response, err := p.Do(context.Background(), address, Bounds{}, newRequest(body))
 	if err != nil {
 		return "", err
 	}
@@ -127,7 +126,7 @@
 				s.answers = s.answers[:1]
 				s.answers = append(s.answers, "")
 			}
-			response, err := p.Do(context.Background(), s.address, Bounds{}, get(""))
+			response, err := p.Do(context.Background(), s.address, Bounds{}, newRequest(""))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -150,7 +149,7 @@
 	if _, err := exchangeBody(t, p, s.address, ""); err != nil {
 		t.Fatal(err)
 	}
-	_, err := exchangeBody(t, p, s.address, "") // read, then closed without an answer
+	_, err := exchangeBody(t, p, s.address, "") // the request is read, then the connection closed
 	if !errors.Is(err, ErrBroken) || IsNotSent(err) {
 		t.Errorf("got %v, want %v: the request may have run", err, ErrBroken)
 	}
@@ -159,7 +158,7 @@
 	}
 }
 
-func TestDeadPortIsNotSent(t *testing.T) {
+func TestRequestToAClosedPortIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -174,15 +173,15 @@
 func TestConnectionsAreBounded(t *testing.T) {
 	s := newRawServer(t, okAnswer, okAnswer)
 	p := NewPool(time.Second)
-	first, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, get(""))
+	first, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, newRequest(""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, get("")); !errors.Is(err, ErrNoConnection) || !IsNotSent(err) {
+	if _, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, newRequest("")); !errors.Is(err, ErrNoConnection) || !IsNotSent(err) {
 		t.Errorf("got %v, want %v", err, ErrNoConnection)
 	}
 	_ = first.Body.Close()
-	second, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, get(""))
+	second, err := p.Do(context.Background(), s.address, Bounds{Connections: 1}, newRequest(""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,7 +197,7 @@
 		t.Fatalf("got %q, %v", body, err)
 	}
 	if c := p.takeIdle(s.address); c != nil {
-		t.Error("a connection is kept on which the rest of a body is due")
+		t.Error("a connection is kept although the rest of a body was not sent")
 	}
 }
 
@@ -210,17 +209,17 @@
 	defer func() { _ = listener.Close() }()
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	if _, err := NewPool(time.Second).Do(ctx, listener.Addr().String(), Bounds{}, get("")); !errors.Is(err, ErrBroken) {
+	if _, err := NewPool(time.Second).Do(ctx, listener.Addr().String(), Bounds{}, newRequest("")); !errors.Is(err, ErrBroken) {
 		t.Errorf("got %v, want %v", err, ErrBroken)
 	}
 }
 
 func TestIdleTimeFollowsTheAnswer(t *testing.T) {
 	for value, want := range map[string]time.Duration{
-		"":                 defaultIdle,
+		"":                 defaultIdleTime,
 		"timeout=10":       7 * time.Second,
 		"max=5, timeout=2": 1400 * time.Millisecond,
-		"timeout=x":        defaultIdle,
+		"timeout=x":        defaultIdleTime,
 	} {
 		header := http.Header{}
 		header.Set("Keep-Alive", value)
@@ -230,17 +229,17 @@
 	}
 }
 
-// TestRequestThatIsLateIsNotSent: it was meant to be sent before a time.
+// TestRequestThatIsLateIsNotSent checks that a request is not sent after Bounds.SendBy.
 func TestRequestThatIsLateIsNotSent(t *testing.T) {
 	s := newRawServer(t, okAnswer)
 	p := NewPool(time.Second)
 	late := Bounds{SendBy: time.Now().Add(-time.Millisecond)}
-	if _, err := p.Do(context.Background(), s.address, late, get("")); !errors.Is(err, ErrLate) || !IsNotSent(err) {
-		t.Errorf("got %v, want %v", err, ErrLate)
+	if _, err := p.Do(context.Background(), s.address, late, newRequest("")); !errors.Is(err, ErrSendTooLate) || !IsNotSent(err) {
+		t.Errorf("got %v, want %v", err, ErrSendTooLate)
 	}
-	response, err := p.Do(context.Background(), s.address, Bounds{Connections: 1, SendBy: time.Now().Add(time.Minute)}, get(""))
+	response, err := p.Do(context.Background(), s.address, Bounds{Connections: 1, SendBy: time.Now().Add(time.Minute)}, newRequest(""))
 	if err != nil {
-		t.Fatalf("the connection still counts: %v", err)
+		t.Fatalf("the unused connection still counts: %v", err)
 	}
 	_ = response.Body.Close()
 }
@@ -253,16 +252,16 @@
 		t.Fatal(err)
 	}
 	if err := p.Connect(t.Context(), s.address, one); !errors.Is(err, ErrNoConnection) {
-		t.Errorf("a further one: got %v, want %v", err, ErrNoConnection)
+		t.Errorf("another connection: got %v, want %v", err, ErrNoConnection)
 	}
 	if _, err := exchangeBody(t, p, s.address, ""); err != nil || p.Dials() != 1 {
 		t.Errorf("%v, after %d dials", err, p.Dials())
 	}
 }
 
-// TestRequestThatIsGivenUpIsDropped: the other side sees a reset, not the end of a
-// request that it may go on to serve.
-func TestRequestThatIsGivenUpIsDropped(t *testing.T) {
+// TestRequestToAPeerThatIsCutOffIsDropped checks that the peer sees a reset, not a complete request
+// that it would serve.
+func TestRequestToAPeerThatIsCutOffIsDropped(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -271,7 +270,7 @@
 	ctx, cancel := context.WithCancelCause(t.Context())
 	ended := make(chan error, 1)
 	go func() {
-		_, err := NewPool(time.Second).Do(ctx, listener.Addr().String(), Bounds{}, get("body"))
+		_, err := NewPool(time.Second).Do(ctx, listener.Addr().String(), Bounds{}, newRequest("body"))
 		ended <- err
 	}()
 	conn, err := listener.Accept()
@@ -282,11 +281,11 @@
 	if _, err := io.ReadFull(conn, make([]byte, 10)); err != nil {
 		t.Fatal(err)
 	}
-	cancel(ErrGivenUp)
+	cancel(ErrPeerCutOff)
 	if err := <-ended; !errors.Is(err, ErrBroken) || IsNotSent(err) {
 		t.Errorf("got %v, want %v", err, ErrBroken)
 	}
 	if _, err := io.ReadAll(conn); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the other side got %v", err)
+		t.Errorf("the peer got %v", err)
 	}
 }
--- a/internal/httpconn/socket_linux.go
+++ b/internal/httpconn/socket_linux.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// isQuiet tells whether an idle connection is still open and has no bytes to
-// read: such bytes belong to no request that is under way.
-func isQuiet(c net.Conn) bool {
+// isReusable reports whether an idle connection is open and has no bytes to read. Such bytes would
+// belong to no request.
+func isReusable(c net.Conn) bool {
 	system, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/ledger/evacuations_test.go
+++ b/internal/ledger/evacuations_test.go
@@ -10,28 +10,28 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// testEvacuations are a daemon's news, and what it heard of others.
+// testEvacuations is a daemon's knowledge, with the changes that it learned from others.
 type testEvacuations struct {
 	zone.Evacuations
 	mutex sync.Mutex
-	heard []zone.Change
+	heard []zone.EvacuationChange
 }
 
-func (e *testEvacuations) AskEvacuations() int64 { return e.Asking() }
+func (e *testEvacuations) KnownEvacuationsEnd() int64 { return e.KnownEnd() }
 
-func (e *testEvacuations) TellEvacuations(asked int64, now time.Time) *zone.News {
-	return e.Tell(asked, now)
+func (e *testEvacuations) EvacuationUpdateAfter(asked int64, now time.Time) *zone.EvacuationUpdate {
+	return e.UpdateAfter(asked, now)
 }
 
-func (e *testEvacuations) HearEvacuations(news *zone.News, now time.Time) {
+func (e *testEvacuations) ApplyEvacuationUpdate(news *zone.EvacuationUpdate, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.heard = append(e.heard, e.Hear(news, now)...)
+	e.heard = append(e.heard, e.ApplyUpdate(news, now)...)
 }
 
-// TestDaemonThatDoesNotReachTheStoreHearsOfEvacuations: from the holders that it asks for
-// its callers' turns, with the age, and just as well that the zone was taken back.
-func TestDaemonThatDoesNotReachTheStoreHearsOfEvacuations(t *testing.T) {
+// TestDaemonThatDoesNotReachTheStoreLearnsOfEvacuations: it learns of them, with their age,
+// from the holders it sends requests to, and also that a zone was taken back.
+func TestDaemonThatDoesNotReachTheStoreLearnsOfEvacuations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		cut := f.ids()[0]
@@ -41,32 +41,32 @@
 			f.service(id).Evacuations = news[string(id)]
 		}
 		synctest.Wait()
-		tell := func(reading zone.Reading) { // what the store tells all others
+		tell := func(reading zone.OrderSnapshot) { // what all others read from the store
 			for id, e := range news {
 				if id != string(cut) {
-					e.Take(reading, time.Now())
+					e.ApplySnapshot(reading, time.Now())
 				}
 			}
 		}
 		ask := func(name string) {
 			for i := range 20 {
-				turn := Turn{ID: fmt.Sprint(name, i), Program: fmt.Sprint(name, i), BudgetTokens: 100, MostTokens: 1, Retention: time.Minute}
+				turn := Turn{ID: fmt.Sprint(name, i), Program: fmt.Sprint(name, i), BudgetTokens: 100, MaxTokens: 1, Retention: time.Minute}
 				if _, err := f.service(cut).Begin(testContext(t), turn); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		tell(zone.Reading{End: 8, Orders: []zone.Order{{Zone: "c", Offset: 7}}})
+		tell(zone.OrderSnapshot{End: 8, Orders: []zone.EvacuationOrder{{Zone: "c", Offset: 7}}})
 		orderedAt := time.Now()
 		time.Sleep(10 * time.Second)
 		ask("first")
 		own := news[string(cut)]
-		if since, evacuated := own.Since("c"); !evacuated || since.Sub(orderedAt).Abs() > 100*time.Millisecond {
+		if since, evacuated := own.EvacuatedSince("c"); !evacuated || since.Sub(orderedAt).Abs() > 100*time.Millisecond {
 			t.Fatalf("evacuated: %v, since %s after the order", evacuated, since.Sub(orderedAt))
 		}
-		tell(zone.Reading{End: 9})
+		tell(zone.OrderSnapshot{End: 9})
 		ask("second")
-		if _, evacuated := own.Since("c"); evacuated || len(own.heard) != 2 {
+		if _, evacuated := own.EvacuatedSince("c"); evacuated || len(own.heard) != 2 {
 			t.Errorf("evacuated: %v, after it was taken back; heard %+v", evacuated, own.heard)
 		}
 	})
--- a/internal/ledger/state_test.go
+++ b/internal/ledger/state_test.go
@@ -21,7 +21,7 @@
 				a.settle(id, used)
 			} else {
 				most := rapid.Int64Range(0, 100).Draw(t, "most")
-				a.reserve(Turn{ID: id, BudgetTokens: budget, MostTokens: most})
+				a.reserve(Turn{ID: id, BudgetTokens: budget, MaxTokens: most})
 			}
 			if a.committed() > budget {
 				t.Fatalf("step %d: %d committed of %d", i, a.committed(), budget)
@@ -34,8 +34,8 @@
 	s := newState(time.Now())
 	now := time.Now()
 	s.end(Outcome{Turn: "a", Program: "p"}, now)
-	if _, got := s.begin(Turn{ID: "a", Program: "p", MostTokens: 5}, now); got != resultOver {
-		t.Errorf("got %q, want %q", got, resultOver)
+	if _, got := s.begin(Turn{ID: "a", Program: "p", MaxTokens: 5}, now); got != resultEnded {
+		t.Errorf("got %q, want %q", got, resultEnded)
 	}
 }
 
@@ -45,11 +45,11 @@
 	s.begin(Turn{ID: "a", Program: "p", Retention: time.Minute}, start)
 	s.end(Outcome{Turn: "a", Program: "p", Kept: &KeptTurn{ID: "a", Input: []byte("x")}}, start)
 	s.begin(Turn{ID: "b", Program: "p", Previous: "a"}, start.Add(50*time.Second))
-	s.expire(start.Add(time.Minute+keepMargin+time.Second), 100)
+	s.expire(start.Add(time.Minute+retentionMargin+time.Second), 100)
 	if s.turns["a"] == nil || s.accounts["p"] == nil {
 		t.Fatal("a record was dropped that was used 21 s ago")
 	}
-	s.expire(start.Add(50*time.Second+time.Minute+keepMargin+time.Second), 100)
+	s.expire(start.Add(50*time.Second+time.Minute+retentionMargin+time.Second), 100)
 	if s.turns["a"] != nil || s.accounts["p"] != nil {
 		t.Error("a record was kept beyond its retention")
 	}
@@ -91,12 +91,12 @@
 	})
 }
 
-// TestAccountIsKeptFromTheEndOfATurnThatIsNotReservedThere: its holder may have died
-// with the reservation. The program's budget must not begin anew.
+// TestAccountIsKeptFromTheEndOfATurnThatIsNotReservedThere: the holder may have died with
+// the reservation. The program's budget must not start over.
 func TestAccountIsKeptFromTheEndOfATurnThatIsNotReservedThere(t *testing.T) {
 	s := newState(time.Now())
 	start := time.Now()
-	s.begin(Turn{ID: "a", Program: "p", Retention: time.Minute, BudgetTokens: 100, MostTokens: 75}, start)
+	s.begin(Turn{ID: "a", Program: "p", Retention: time.Minute, BudgetTokens: 100, MaxTokens: 75}, start)
 	late := start.Add(time.Minute)
 	s.end(Outcome{Turn: "b", Program: "p", UsedTokens: 5}, late)
 	s.expire(late.Add(time.Minute), 100)
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestChainIsKeptAsLongAsItsLastTurn: the records of earlier turns do not tell that
-// a later one goes on from them.
+// TestChainIsKeptAsLongAsItsLastTurn: the records of earlier turns do not show that a later
+// one continues from them.
 func TestChainIsKeptAsLongAsItsLastTurn(t *testing.T) {
 	start := time.Now()
 	first := newState(start)
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback finds addresses on this machine for what is started in one
-// process: the demonstration, the load driver's stand-ins, and tests.
+// Package loopback provides addresses on this machine for servers that run in one process: the
+// demonstration, the stand-ins of the load driver, and tests.
 package loopback
 
 import (
@@ -17,36 +17,35 @@
 
 const (
 	host = "127.0.0.1"
-	// anyPort is the loopback address with a port that the system picks.
-	anyPort = host + ":0"
-	// freePorts is how many ports below those that the system picks are given,
-	// and leastPort the lowest that may be.
-	freePorts = 10000
-	leastPort = 2000
-	// freeTries bounds the tries to find a free one.
-	freeTries = 100
-	// portRangeFile tells from which ports the system picks; where there is
-	// none, usualFirstSystemPort holds.
-	portRangeFile        = "/proc/sys/net/ipv4/ip_local_port_range"
-	usualFirstSystemPort = 32768
+	// ephemeralAddress is the loopback address with a port chosen by the kernel.
+	ephemeralAddress = host + ":0"
+	// freePortCount is the number of ports below the kernel's ephemeral range from which
+	// FreeAddress chooses, and minPort the lowest port that may be used.
+	freePortCount = 10000
+	minPort       = 2000
+	// maxAttempts is the maximum number of attempts to find a free port.
+	maxAttempts = 100
+	// portRangeFile contains the kernel's ephemeral port range; defaultEphemeralStart is assumed if
+	// it cannot be read.
+	portRangeFile         = "/proc/sys/net/ipv4/ip_local_port_range"
+	defaultEphemeralStart = 32768
 )
 
-// headerTimeout bounds how long a client may take to send a request's header.
+// headerTimeout is how long a client may take to send a request header.
 const headerTimeout = time.Second
 
-// ErrListen is returned when no port can be listened on.
+// ErrListen: no port could be listened on.
 var ErrListen = eris.New("loopback: cannot listen")
 
-// FreeAddress returns an "IP:PORT" that nothing listens on now, of a port that
-// the system does not pick for others and that this process was not given
-// before. It is not reserved: who listens on it by number may take it before the
-// caller does. The error is ErrListen.
+// FreeAddress returns an "IP:PORT" on which nothing listens now. The port is outside the ephemeral
+// range, and was not returned to this process before. It is not reserved: another process may
+// listen on it before the caller does. The error is ErrListen.
 func FreeAddress() (string, error) {
-	first := firstSystemPort() - freePorts
-	for range freeTries {
-		port := first + rand.IntN(freePorts)
-		if first < leastPort {
-			port = 0 // there is no room below
+	first := ephemeralStart() - freePortCount
+	for range maxAttempts {
+		port := first + rand.IntN(freePortCount)
+		if first < minPort {
+			port = 0 // there are not enough ports below
 		}
 		listener, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port)))
 		if err != nil {
@@ -54,15 +53,15 @@
 		}
 		address := listener.Addr().String()
 		_ = listener.Close()
-		if given.add(address) {
+		if returnedAddresses.add(address) {
 			return address, nil
 		}
 	}
 	return "", eris.Wrap(ErrListen, "no port was free")
 }
 
-// given are the addresses that this process was given.
-var given addressSet
+// returnedAddresses are the addresses returned so far.
+var returnedAddresses addressSet
 
 // addressSet is safe for concurrent use. The zero value is empty.
 type addressSet struct {
@@ -70,7 +69,7 @@
 	addresses map[string]bool
 }
 
-// add returns false if the address was in the set.
+// add adds an address; it returns false if the set contained it.
 func (s *addressSet) add(address string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -84,25 +83,25 @@
 	return true
 }
 
-// firstSystemPort is the first of the ports from which the system picks.
-func firstSystemPort() int {
+// ephemeralStart returns the first port of the kernel's ephemeral range.
+func ephemeralStart() int {
 	text, err := os.ReadFile(portRangeFile)
 	if err != nil {
-		return usualFirstSystemPort
+		return defaultEphemeralStart
 	}
 	fields := strings.Fields(string(text))
 	if len(fields) == 0 {
-		return usualFirstSystemPort
+		return defaultEphemeralStart
 	}
 	port, err := strconv.Atoi(fields[0])
 	if err != nil {
-		return usualFirstSystemPort
+		return defaultEphemeralStart
 	}
 	return port
 }
 
-// Serve answers HTTP on a port that the system picks and returns the "IP:PORT".
-// The caller closes the server. The error is ErrListen.
+// Serve serves HTTP on a port chosen by the kernel and returns the "IP:PORT". The caller closes the
+// server. The error is ErrListen.
 func Serve(handler http.Handler) (*http.Server, string, error) {
 	listener, err := listen()
 	if err != nil {
@@ -114,7 +113,7 @@
 }
 
 func listen() (net.Listener, error) {
-	listener, err := net.Listen("tcp", anyPort)
+	listener, err := net.Listen("tcp", ephemeralAddress)
 	if err != nil {
 		return nil, eris.Wrap(ErrListen, err.Error())
 	}
--- a/internal/peer/tcp/inbound.go
+++ b/internal/peer/tcp/inbound.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// acceptPause is how long accepting rests after an error.
-	acceptPause = 50 * time.Millisecond
-	// lineLimit bounds one message in bytes.
-	lineLimit = 64 << 20
+	// acceptRetryDelay is the delay before accepting again after an error.
+	acceptRetryDelay = 50 * time.Millisecond
+	// maxLineSize is the maximum size of a message in bytes.
+	maxLineSize = 64 << 20
 )
 
-// acceptConnections accepts until the transport closes. After an error, as when
-// the process has too many files open, it tries again.
+// acceptConnections accepts connections until the transport closes. It retries after an error, for
+// example if the process has too many open files.
 func (t *Transport) acceptConnections() {
 	defer t.workers.Done()
 	for {
@@ -28,7 +28,7 @@
 		}
 		if err != nil {
 			t.logger.Warn().Err(err).Msg("Connection not accepted.")
-			t.sleep(acceptPause)
+			t.sleep(acceptRetryDelay)
 			continue
 		}
 		t.mutex.Lock()
@@ -37,14 +37,14 @@
 			_ = conn.Close() // the transport is closed
 			return
 		}
-		t.accept[conn] = struct{}{}
+		t.accepted[conn] = struct{}{}
 		t.workers.Add(1)
 		t.mutex.Unlock()
 		go t.readFrom(conn)
 	}
 }
 
-// sleep pauses for d, or until the transport closes.
+// sleep waits for d, or until the transport closes.
 func (t *Transport) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -59,12 +59,12 @@
 	defer t.workers.Done()
 	defer func() {
 		t.mutex.Lock()
-		delete(t.accept, conn)
+		delete(t.accepted, conn)
 		t.mutex.Unlock()
 		_ = conn.Close() // its messages end here
 	}()
 	scanner := bufio.NewScanner(conn)
-	scanner.Buffer(make([]byte, 0, bufferSize), lineLimit)
+	scanner.Buffer(make([]byte, 0, bufferSize), maxLineSize)
 	var decoder peer.Decoder
 	for scanner.Scan() {
 		if !t.receive(&decoder, scanner.Bytes()) {
@@ -73,12 +73,12 @@
 	}
 	// Other errors are those of connections that end.
 	if errors.Is(scanner.Err(), bufio.ErrTooLong) {
-		t.logger.Warn().Str("from", conn.RemoteAddr().String()).Int("limit", lineLimit).Msg("Message refused. It is too long.")
+		t.logger.Warn().Str("from", conn.RemoteAddr().String()).Int("limit", maxLineSize).Msg("Message refused. It is too long.")
 	}
 }
 
-// receive handles one line. It returns false when the sender cannot be
-// understood; its connection is closed then.
+// receive handles one line. It returns false if the line cannot be decoded; the connection is then
+// closed.
 func (t *Transport) receive(decoder *peer.Decoder, line []byte) bool {
 	from, to, message, err := decoder.Decode(line)
 	if err != nil {
--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -15,23 +15,23 @@
 	"github.com/mintpulley/mintpulley/internal/route"
 )
 
-// heldUp is the ledger's error for a shard that has been held up for a while.
+// heldUp returns the ledger's error for a shard that has been held up for a while.
 func heldUp(kind admission.Kind, lasted time.Duration) error {
-	return &ledger.HeldUpError{Kind: kind, Since: time.Now().Add(-lasted)}
+	return &ledger.UnavailableError{Kind: kind, Since: time.Now().Add(-lasted)}
 }
 
-func TestTurnIsRefusedAtOnceIfItsOutageOutlastsItsCaller(t *testing.T) {
+func TestTurnIsRefusedAtOnceIfOutageOutlastsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
-		h.ledger.err = heldUp(admission.StoreOut, 5*time.Second)
+		h.ledger.err = heldUp(admission.StoreUnavailable, 5*time.Second)
 		call := newTurn(newRoute(route.KindStream))
 		call.Deadline = call.Received.Add(3 * time.Second)
 		got := h.serve(call)
 		if held := time.Since(call.Received); held > 0 {
 			t.Errorf("held for %s", held)
 		}
-		if got.refusal == nil || got.refusal.Reason != ReasonLedger || got.refusal.RetryAfter < 5*time.Second {
-			t.Errorf("refused with %+v: an outage of five seconds lasts on for as long, with even odds", got.refusal)
+		if got.refusal == nil || got.refusal.Reason != ReasonLedgerUnavailable || got.refusal.RetryAfter < 5*time.Second {
+			t.Errorf("refused with %+v: the median remaining duration of a five-second outage is at least as long", got.refusal)
 		}
 		if len(h.ledger.abandoned) != 1 {
 			t.Errorf("abandoned %v", h.ledger.abandoned)
@@ -39,12 +39,12 @@
 	})
 }
 
-// TestProgramWithoutRoomInTheStoreIsRefusedAtOnce: it hears when there may be room, and nothing of it
-// is reserved.
-func TestProgramWithoutRoomInTheStoreIsRefusedAtOnce(t *testing.T) {
+// A program for which the store has no capacity is refused with a Retry-After, and nothing
+// is reserved for it.
+func TestProgramIsRefusedAtOnceWhenStoreIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
-		h.ledger.err = &ledger.CrowdedError{Back: 3 * time.Second}
+		h.ledger.err = &ledger.StoreCapacityError{RetryAfter: 3 * time.Second}
 		call := newTurn(newRoute(route.KindStream))
 		got := h.serve(call)
 		if held := time.Since(call.Received); held > 0 || len(h.driver.sent) > 0 || len(h.ledger.turns) != 1 {
@@ -59,22 +59,22 @@
 	})
 }
 
-func TestTurnIsRefusedOnceItsHopeIsOver(t *testing.T) {
+func TestTurnIsRefusedOnceItCannotBeServedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		began := time.Now()
-		h.ledger.err = &ledger.HeldUpError{Kind: admission.StoreOut, Since: began}
+		h.ledger.err = &ledger.UnavailableError{Kind: admission.StoreUnavailable, Since: began}
 		call := newTurn(newRoute(route.KindStream))
 		call.Deadline = call.Received.Add(6 * time.Second)
-		decision := h.relay.Admission.Decide(admission.Wait{Kind: admission.StoreOut, Since: began, Worthless: call.Deadline}, began)
+		decision := h.relay.Admission.Decide(admission.HeldUpRequest{Kind: admission.StoreUnavailable, Since: began, LatestStart: call.Deadline}, began)
 		got := h.serve(call)
-		if got.refusal == nil || !time.Now().Equal(decision.Until) {
-			t.Errorf("refused with %+v after %s, want %s", got.refusal, time.Since(began), decision.Until.Sub(began))
+		if got.refusal == nil || !time.Now().Equal(decision.WaitUntil) {
+			t.Errorf("refused with %+v after %s, want %s", got.refusal, time.Since(began), decision.WaitUntil.Sub(began))
 		}
 	})
 }
 
-func TestShardThatMovesIsWaitedForAndLearnedFrom(t *testing.T) {
+func TestTurnWaitsForMovingShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		h.ledger.err = heldUp(admission.ShardMoving, 0)
@@ -87,37 +87,37 @@
 	})
 }
 
-func TestCallerThatLeavesSoonIsNotHeldUntilThen(t *testing.T) {
+func TestTurnIsRefusedAtOnceIfOutageOutlastsPatience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
-		h.ledger.err = heldUp(admission.StoreOut, 2*time.Second)
+		h.ledger.err = heldUp(admission.StoreUnavailable, 2*time.Second)
 		call := newTurn(newRoute(route.KindStream))
 		call.Deadline = call.Received.Add(time.Minute)
 		call.Patience = 2 * time.Second
 		h.serve(call)
 		if held := time.Since(call.Received); held > 0 {
-			t.Errorf("held for %s, and the caller leaves after %s", held, call.Patience)
+			t.Errorf("held for %s although the caller leaves after %s", held, call.Patience)
 		}
 	})
 }
 
-func TestUrgentCallersComeBackFirst(t *testing.T) {
+func TestUrgentCallersGetShorterRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		returns := func(priority int) time.Duration {
 			h := newHarness(t, step{body: eventOne})
-			h.ledger.err = heldUp(admission.StoreOut, 4*time.Second)
+			h.ledger.err = heldUp(admission.StoreUnavailable, 4*time.Second)
 			call := newTurn(newRoute(route.KindStream))
 			call.Route.Priority = priority
 			call.Deadline = call.Received.Add(time.Second)
 			return h.serve(call).refusal.RetryAfter
 		}
 		if first, last := returns(0), returns(5); first >= last {
-			t.Errorf("the urgent comes back after %s, the other after %s", first, last)
+			t.Errorf("Retry-After of the urgent call is %s, of the other %s", first, last)
 		}
 	})
 }
 
-func TestFullServiceIsWaitedForByWhatIsKnownOfIt(t *testing.T) {
+func TestWaitForFullServiceDependsOnHowLongItWasFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{status: 503, notRun: true})
 		call := func(left time.Duration) *Call {
@@ -131,38 +131,38 @@
 		second := call(held)
 		got := h.serve(second)
 		if held == 0 || time.Since(second.Received) > 0 {
-			t.Errorf("held for %s, and then %s though it had been full for as long as there was time", held, time.Since(second.Received))
+			t.Errorf("held for %s, and then %s although the service had been full for longer than the time left", held, time.Since(second.Received))
 		}
 		if got.refusal == nil || got.refusal.Reason != ReasonFull || got.refusal.RetryAfter < held {
 			t.Errorf("refused with %+v", got.refusal)
 		}
-		time.Sleep(2 * fullGap) // nobody knows any more
+		time.Sleep(2 * fullServiceTTL) // until the refusals of the service are forgotten
 		third := call(time.Second)
 		h.serve(third)
 		if time.Since(third.Received) < held/2 {
-			t.Errorf("held for %s by what was long ago", time.Since(third.Received))
+			t.Errorf("held for %s: old refusals still count", time.Since(third.Received))
 		}
 	})
 }
 
-func TestRequestIsOfferedThoughItHasLessTimeThanUsual(t *testing.T) {
+func TestRequestWithLessTimeThanUsualIsStillOffered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		call := newTurn(newRoute(route.KindStream))
 		call.Deadline = call.Received.Add(time.Second)
-		h.relay.serving.note(call.Route.Name, servingTime{first: 2 * time.Second, whole: 5 * time.Second})
+		h.relay.serving.observe(call.Route.Name, servingTime{untilFirst: 2 * time.Second, total: 5 * time.Second})
 		if got := h.serve(call); !got.ended {
 			t.Errorf("refused with %+v", got.refusal)
 		}
 	})
 }
 
-func TestRefusalTellsWhatItRestsOn(t *testing.T) {
+func TestRefusalLogsItsForecast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		lines := &bytes.Buffer{}
 		h.relay.Logger = zerolog.New(lines)
-		h.ledger.err = heldUp(admission.StoreOut, 4*time.Second)
+		h.ledger.err = heldUp(admission.StoreUnavailable, 4*time.Second)
 		call := newTurn(newRoute(route.KindStream))
 		call.Deadline = call.Received.Add(time.Second)
 		h.relay.Serve(context.Background(), call, &recorder{})
@@ -170,27 +170,27 @@
 	})
 }
 
-func TestHeldUpRequestsAreCountedByWhatBecameOfThem(t *testing.T) {
+func TestHeldUpRequestsAreCountedByOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, step{body: eventOne})
 		h.ledger.err = heldUp(admission.ShardMoving, 0)
 		time.AfterFunc(400*time.Millisecond, func() { h.ledger.setError(nil) })
 		h.serve(newTurn(newRoute(route.KindStream)))
 		h.serve(newTurn(newRoute(route.KindStream))) // not held up
-		h.ledger.setError(heldUp(admission.StoreOut, time.Hour))
+		h.ledger.setError(heldUp(admission.StoreUnavailable, time.Hour))
 		h.serve(newTurn(newRoute(route.KindStream)))
 		count := func(by admission.Kind, outcome string) float64 {
 			written := &dto.Metric{}
-			if err := h.relay.Metrics.waits.WithLabelValues(by.String(), outcome).Write(written); err != nil {
+			if err := h.relay.Metrics.heldUpRequests.WithLabelValues(by.String(), outcome).Write(written); err != nil {
 				t.Fatal(err)
 			}
 			return written.GetCounter().GetValue()
 		}
-		if served, refused := count(admission.ShardMoving, heldUpServed), count(admission.StoreOut, heldUpRefused); served != 1 || refused != 1 {
+		if served, refused := count(admission.ShardMoving, heldUpServed), count(admission.StoreUnavailable, heldUpRefused); served != 1 || refused != 1 {
 			t.Errorf("%v served, %v refused", served, refused)
 		}
-		if others := count(admission.ShardMoving, heldUpRefused) + count(admission.StoreOut, heldUpServed); others != 0 {
-			t.Errorf("%v counted as what they were not", others)
+		if others := count(admission.ShardMoving, heldUpRefused) + count(admission.StoreUnavailable, heldUpServed); others != 0 {
+			t.Errorf("%v counted with the wrong outcome", others)
 		}
 	})
 }
--- a/internal/relaydaemon/cold_test.go
+++ b/internal/relaydaemon/cold_test.go
@@ -13,9 +13,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// TestColdBackEndsAreSharedAmongDaemonsOnRecord: the record is read again when a request
-// asks for it, and while it can't be read a cold back end gets nothing.
-func TestColdBackEndsAreSharedAmongDaemonsOnRecord(t *testing.T) {
+// TestColdBackEndsAreSharedAmongListedDaemons checks that daemons share the rate of a cold back
+// end, that a request causes the list of daemons to be read again, and that a cold back end gets no
+// requests while that list cannot be read.
+func TestColdBackEndsAreSharedAmongListedDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
 		ctx, stop := context.WithCancel(t.Context())
@@ -23,16 +24,16 @@
 		var registries []*memberRegistry
 		for _, address := range []string{"a:1", "a:2"} {
 			registry := newTestRegistry(s, address)
-			registry.cold.SetServices(map[string]*route.Service{"s": {Name: "s", ColdPerSecond: 10}})
+			registry.coldLimiter.SetServices(map[string]*route.Service{"s": {Name: "s", ColdRequestsPerSecond: 10}})
 			registry.incarnation()
 			running.Go(func() { registry.run(ctx, func([]structs.Machine) {}) })
 			registries = append(registries, registry)
 		}
-		cold := &instance.Instance{ID: "i", Service: "s", ReportsCold: true, ColdFor: time.Hour, HeardAt: time.Now()}
+		cold := &instance.Instance{ID: "i", Service: "s", HasColdFor: true, ColdFor: time.Hour, ReceivedAt: time.Now()}
 		sent := func() (count int) {
 			for range 60 {
 				for _, registry := range registries {
-					if _, reserved := registry.cold.Reserve(cold, time.Now()); reserved {
+					if _, reserved := registry.coldLimiter.Reserve(cold, time.Now()); reserved {
 						count++
 					}
 				}
@@ -47,12 +48,12 @@
 		s.SetDown(true)
 		time.Sleep(4 * time.Second)
 		if got := sent(); got != 0 {
-			t.Errorf("%d requests though who else sends is unknown", got)
+			t.Errorf("%d requests although the other daemons are unknown", got)
 		}
 		s.SetDown(false)
 		time.Sleep(2 * time.Second)
 		if got := sent(); got < 8 || got > 22 {
-			t.Errorf("%d requests in three seconds after the store's return, want some 20", got)
+			t.Errorf("%d requests in three seconds after the outage, want some 20", got)
 		}
 		stop()
 		running.Wait()
--- a/internal/relaydaemon/cutoff_test.go
+++ b/internal/relaydaemon/cutoff_test.go
@@ -14,39 +14,40 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// cutZones returns the belief of a daemon in zone a that finds others cut off.
-func cutZones(cut ...string) *zone.Reachability {
+// reachabilityWithCut returns the reachability as seen by a daemon in zone a from which the given
+// zones are cut off.
+func reachabilityWithCut(cut ...string) *zone.Reachability {
 	zones := zone.NewReachability(zone.NewTopology("a", "", map[string]string{"b": "", "c": ""}))
 	for _, name := range []string{"a", "b", "c"} {
-		zones.NoteDaemons(name, 5)
+		zones.SetDaemonCount(name, 5)
 	}
-	hear(zones, 600*time.Millisecond, cut...)
+	simulateReach(zones, 600*time.Millisecond, cut...)
 	return zones
 }
 
-// hear plays a while in which some zones are silent, and the others answer. The store
-// does not.
-func hear(zones *zone.Reachability, length time.Duration, cut ...string) {
-	waiting := map[string]zone.Waiting{}
-	for _, name := range cut {
-		waiting[name] = zone.Waiting{Overdue: 1, Silent: 1}
+// simulateReach simulates a span in which the back ends of some zones do not answer while others
+// do. If there are silent zones, the store does not answer either.
+func simulateReach(zones *zone.Reachability, length time.Duration, silentZones ...string) {
+	waiting := map[string]zone.UnresponsiveBackends{}
+	for _, name := range silentZones {
+		waiting[name] = zone.UnresponsiveBackends{Overdue: 1, Silent: 1}
 	}
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(zone.StepInterval) {
 		now := time.Now()
 		plan := zones.Step(waiting, now)
 		for name := range plan.Probe {
 			if _, silent := waiting[name]; !silent {
-				zones.Answered(name, now.Add(1))
+				zones.RecordProbeReply(name, now.Add(1))
 			}
 		}
 		if plan.ProbeStore {
-			zones.StoreAsked(len(cut) == 0, now, now)
+			zones.RecordStoreCall(len(silentZones) == 0, now, now)
 		}
 	}
 }
 
-// picks counts how often each instance is chosen.
-func picks(pool *instance.Pool, count int, excluded ...string) map[string]int {
+// countChoices counts how often each instance is chosen.
+func countChoices(pool *instance.Pool, count int, excluded ...string) map[string]int {
 	counts := map[string]int{}
 	for range count {
 		if chosen, found := pool.Take(instance.Query{Service: "s", Preferred: "i-b", Excluded: excluded}); found {
@@ -59,23 +60,23 @@
 
 func TestNoRequestGoesToAZoneThatIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &Daemon{zones: cutZones("b"), cold: warmup.NewLimiter(warmup.Options{})}
+		d := &Daemon{zones: reachabilityWithCut("b"), coldLimiter: warmup.NewLimiter(warmup.Options{})}
 		pool := instance.NewPool(rand.New(rand.NewPCG(1, 1)), d.placementPlugins())
 		near := instance.Instance{ID: "i-a", Service: "s", Zone: "a", Slots: 4, State: instance.StateReady}
 		there := instance.Instance{ID: "i-b", Service: "s", Zone: "b", Slots: 4, State: instance.StateReady}
 		pool.Replace([]instance.Instance{near, there})
-		if got := picks(pool, 50); got["i-b"] != 0 {
+		if got := countChoices(pool, 50); got["i-b"] != 0 {
 			t.Errorf("cut off: %v", got)
 		}
-		if got := picks(pool, 50, "i-a"); got["i-b"] != 50 {
-			t.Errorf("nothing else serves: %v", got)
+		if got := countChoices(pool, 50, "i-a"); got["i-b"] != 50 {
+			t.Errorf("no other instance: %v", got)
 		}
-		hear(d.zones, 250*time.Millisecond)
-		if got := picks(pool, 50); d.zones.IsCut("b") || got["i-b"] != 0 {
-			t.Errorf("right after the cut, cut off %v: %v", d.zones.IsCut("b"), got)
+		simulateReach(d.zones, 250*time.Millisecond)
+		if got := countChoices(pool, 50); d.zones.IsCutOff("b") || got["i-b"] != 0 {
+			t.Errorf("right after the cut, cut off %v: %v", d.zones.IsCutOff("b"), got)
 		}
 		time.Sleep(zone.RampTime)
-		if got := picks(pool, 50); got["i-b"] != 50 {
+		if got := countChoices(pool, 50); got["i-b"] != 50 {
 			t.Errorf("after the ramp: %v", got)
 		}
 	})
@@ -83,50 +84,50 @@
 
 func TestDaemonThatIsCutOffIsNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := keyDaemon(t, "key")
-		d.zones = cutZones()
+		d := newKeyDaemon(t, "key")
+		d.zones = reachabilityWithCut()
 		if d.RedirectsCallers() {
-			t.Fatal("sends callers away while all is well")
+			t.Fatal("redirects callers without a cut")
 		}
 		d.confirmRoutes(time.Now())
-		hear(d.zones, time.Second, "b", "c")
+		simulateReach(d.zones, time.Second, "b", "c")
 		if !d.RedirectsCallers() || d.isReady() {
 			t.Fatal("ready though it is cut off")
 		}
-		if !d.honours(t, "key") {
-			t.Error("a key that was confirmed lately is not honoured")
+		if !d.accepts(t, "key") {
+			t.Error("a recently confirmed key is not accepted")
 		}
 		time.Sleep(d.settings.revocationTime())
 		asked := time.Now()
-		_, refusal := d.Identify(t.Context(), KeyQuestion{Route: &route.Route{}, Key: "key", Left: 3 * time.Second})
+		_, refusal := d.Identify(t.Context(), IdentifyQuery{Route: &route.Route{}, Key: "key", Left: 3 * time.Second})
 		if refusal == nil || refusal.Reason != relay.ReasonKeysUnconfirmed || time.Since(asked) != 0 {
 			t.Errorf("refused after %s: %+v", time.Since(asked), refusal)
 		}
-		hear(d.zones, 600*time.Millisecond)
+		simulateReach(d.zones, 600*time.Millisecond)
 		if d.RedirectsCallers() {
-			t.Error("still sends callers away 0.6 s after the cut")
+			t.Error("still redirects callers 0.6 s after the cut")
 		}
 	})
 }
 
-func TestRestingConnectionsAreClosedOnceCallersAreRedirected(t *testing.T) {
-	for name, cutFor := range map[string]time.Duration{"long": 2 * noticeTime, "short": noticeTime / 2} {
+func TestIdleConnectionsAreClosedOnceCallersAreRedirected(t *testing.T) {
+	for name, cutFor := range map[string]time.Duration{"long": 2 * rerouteTime, "short": rerouteTime / 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				front := newDrainTest(t)
 				caller := front.dial(t)
 				caller.send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
 				caller.expectAnswer("/a ")
-				d := &Daemon{front: front.server, zones: cutZones()}
-				hear(d.zones, time.Second, "b", "c")
-				d.expireRestingAfterReroute()
-				hear(d.zones, noticeTime/2, "b", "c")
+				d := &Daemon{front: front.server, zones: reachabilityWithCut()}
+				simulateReach(d.zones, time.Second, "b", "c")
+				d.expireIdleAfterReroute()
+				simulateReach(d.zones, rerouteTime/2, "b", "c")
 				if !d.RedirectsCallers() || front.server.count() != 1 {
 					t.Fatalf("cut off: %v, with %d connections", d.RedirectsCallers(), front.server.count())
 				}
-				hear(d.zones, cutFor-noticeTime/2, "b", "c")
-				hear(d.zones, 2*noticeTime)
-				if kept := front.server.count() == 1; kept != (cutFor < noticeTime) {
+				simulateReach(d.zones, cutFor-rerouteTime/2, "b", "c")
+				simulateReach(d.zones, 2*rerouteTime)
+				if kept := front.server.count() == 1; kept != (cutFor < rerouteTime) {
 					t.Errorf("kept: %v", kept)
 				}
 			})
@@ -134,14 +135,14 @@
 	}
 }
 
-func TestFleetOfOneZoneHasNoPartInIt(t *testing.T) {
+func TestFleetOfOneZoneDoesNotWatchForCuts(t *testing.T) {
 	d := &Daemon{}
-	d.watchZones()
+	d.prepareReachWatch()
 	inChoice := slices.ContainsFunc(d.placementPlugins().Scorers, func(s instance.Scorer) bool {
 		_, isPart := s.(cutOffZones)
 		return isPart
 	})
 	if d.reach != nil || inChoice || d.RedirectsCallers() {
-		t.Error("it has")
+		t.Error("a fleet of one zone watches for cuts")
 	}
 }
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -28,14 +28,12 @@
 )
 
 const (
-	// memoryShare is the part of the memory that the runtime aims to stay in.
+	// memoryShare is the share of the machine's memory that is set as the runtime's soft limit.
 	memoryShare = 0.7
-	// heapGrowth is by how many percent the heap may grow until it is collected.
-	// Memory costs operators more than the processor time of collecting: in a run of 11
-	// daemons for each value, 30 in place of the runtime's 100 took 13 MB at the peak in
-	// place of 18, and 23% more processor time.
-	heapGrowth = 30
-	megabyte   = 1 << 20
+	// gcPercent is the garbage collector's target percentage. It is lower than the default of 100,
+	// as memory costs operators more than the processor time of collecting.
+	gcPercent = 30
+	megabyte  = 1 << 20
 )
 
 // Daemon is a running relay daemon.
@@ -45,76 +43,77 @@
 	adapter  Adapter
 
 	// admission decides how long requests wait.
-	admission *admission.Admission
+	admission *admission.Controller
 	relay     *relay.Relay
 	ledger    *ledger.Service
-	// regional are the ledgers of single regions.
+	// regional are the ledgers of the regions.
 	regional   *regionalLedgers
 	membership *membership.Membership
 	transport  *tcp.Transport
 	pool       *instance.Pool
-	// topology is which zones there are, and how far each is.
+	// topology are the zones of the fleet and their distances.
 	topology zone.Topology
-	// evacuations are which zones the operators evacuated.
+	// evacuations are the zones that the operators evacuated.
 	evacuations zone.Evacuations
-	// zones is which zones this daemon is cut off from, and reach finds that out; nil
-	// in a fleet of one zone.
+	// zones are the zones that this daemon is cut off from, and reach detects them; both are nil in
+	// a fleet of one zone.
 	zones    *zone.Reachability
-	reach    *reach.Watch
+	reach    *reach.Monitor
 	registry *memberRegistry
-	// cold limits the requests to cold instances.
-	cold *warmup.Limiter
-	// store is reached by way of other daemons where this one does not reach it.
+	// coldLimiter limits the requests to cold instances.
+	coldLimiter *warmup.Limiter
+	// store calls the store by way of other daemons where this one does not reach it.
 	store *proxy.Service
-	// records is where the operators' records are read: at the store, or of a neighbour while
-	// they are large.
-	records *fanout.Service
-	figures *prometheus.Registry
-	// watchMetrics count the readings of what is followed in the store.
+	// operatorRecords reads the operators' records: from the store, or from a neighbour while they
+	// are large.
+	operatorRecords *fanout.Service
+	metrics         *prometheus.Registry
+	// watchMetrics count the reads of watched partitions.
 	watchMetrics *store.WatchMetrics
-	// servers are all servers but front, the one that callers reach.
+	// servers are all HTTP servers except front, which serves callers.
 	servers []*http.Server
 	front   *frontServer
 
 	table atomic.Pointer[route.Table]
-	// refused: newer routes than those in force could not be understood.
-	refused atomic.Bool
-	// keys tells when the routes in force, keys included, were last confirmed.
-	keys *confirmation
-	// hasTable is closed once routes are known.
-	hasTable  chan struct{}
-	startedAt time.Time
-	stopping  stopMark
-	stopOnce  sync.Once
-	cancel    context.CancelFunc
-	workers   sync.WaitGroup
+	// hasRefusedRoutes is set while newer routes than those in force could not be parsed.
+	hasRefusedRoutes atomic.Bool
+	// routesConfirmation is the time as of which the routes in force, keys included, are known to
+	// be the newest.
+	routesConfirmation *confirmation
+	// tableReady is closed once routes are known.
+	tableReady chan struct{}
+	startedAt  time.Time
+	stopping   stopMark
+	stopOnce   sync.Once
+	cancel     context.CancelFunc
+	workers    sync.WaitGroup
 }
 
-// Start opens the listeners and sets the daemon going.
-func Start(settings Settings, logger zerolog.Logger, lost *LostLines) (*Daemon, error) {
-	boundMemory(settings)
+// Start opens the listeners and starts the daemon.
+func Start(settings Settings, logger zerolog.Logger, dropped *DroppedLines) (*Daemon, error) {
+	limitMemory(settings)
 	newAdapter, err := Adapters.Lookup(settings.Adapter)
 	if err != nil {
 		return nil, err
 	}
-	figures := newFigures(lost)
+	metrics := newMetricsRegistry(dropped)
 	d := &Daemon{
 		settings: settings,
 		logger:   logger,
-		figures:  figures,
+		metrics:  metrics,
 
-		watchMetrics: store.NewWatchMetrics(figures),
+		watchMetrics: store.NewWatchMetrics(metrics),
 
-		hasTable: make(chan struct{}),
-		keys:     newConfirmation(),
+		tableReady:         make(chan struct{}),
+		routesConfirmation: newConfirmation(),
 
 		startedAt: time.Now(),
-		admission: &admission.Admission{},
+		admission: &admission.Controller{},
 		topology:  settings.topology(),
 		adapter: newAdapter(AdapterOptions{
 			StoreAddress: settings.StoreAddress,
-			Logger:       part(logger, "adapter"),
-			Registry:     figures,
+			Logger:       componentLogger(logger, "adapter"),
+			Registry:     metrics,
 		}),
 	}
 	d.preparePlacement()
@@ -130,30 +129,30 @@
 	return d, nil
 }
 
-// boundMemory makes the runtime keep within the settings' memory.
-func boundMemory(settings Settings) {
+// limitMemory configures the runtime for the settings' memory limit.
+func limitMemory(settings Settings) {
 	if settings.MemoryMegabytes > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryMegabytes) * megabyte))
 	}
-	debug.SetGCPercent(heapGrowth)
+	debug.SetGCPercent(gcPercent)
 }
 
-// newFigures returns a registry with the figures of the log.
-func newFigures(lost *LostLines) *prometheus.Registry {
-	figures := prometheus.NewRegistry()
-	figures.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
+// newMetricsRegistry returns a metrics registry with the metrics of the log.
+func newMetricsRegistry(dropped *DroppedLines) *prometheus.Registry {
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Namespace: "mintpulley", Subsystem: "log", Name: "lines_lost_total", Help: "Log lines that were dropped.",
-	}, func() float64 { return float64(lost.Count()) }))
-	return figures
+	}, func() float64 { return float64(dropped.Count()) }))
+	return registry
 }
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-func part(logger zerolog.Logger, name string) zerolog.Logger {
+func componentLogger(logger zerolog.Logger, name string) zerolog.Logger {
 	return logger.With().Str("part", name).Logger()
 }
 
-// run starts what works in the background.
+// run starts the background goroutines.
 func (d *Daemon) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
@@ -163,21 +162,21 @@
 	d.regional.setRunner(func(service *ledger.Service) { d.workers.Go(func() { service.Run(ctx) }) })
 	d.workers.Go(func() { d.watchRoutes(ctx) })
 	d.workers.Go(func() { d.watchInstances(ctx) })
-	d.workers.Go(func() { d.watchReach(ctx) })
+	d.workers.Go(func() { d.runReachWatch(ctx) })
 }
 
-// Table implements Gateway. The first routes are waited for while it is likely that
-// they come within the time that the caller has left.
+// Table implements Gateway. It waits for the first routes while they are likely to arrive before
+// the caller's deadline.
 func (d *Daemon) Table(ctx context.Context, left time.Duration) *route.Table {
 	if table := d.table.Load(); table != nil || left <= 0 {
 		return table
 	}
 	now := time.Now()
-	wait := admission.Wait{Kind: admission.RoutesUnknown, Since: d.startedAt, Worthless: now.Add(left)}
-	timer := time.NewTimer(d.admission.Decide(wait, now).Until.Sub(now))
+	wait := admission.HeldUpRequest{Kind: admission.RoutesUnknown, Since: d.startedAt, LatestStart: now.Add(left)}
+	timer := time.NewTimer(d.admission.Decide(wait, now).WaitUntil.Sub(now))
 	defer timer.Stop()
 	select {
-	case <-d.hasTable:
+	case <-d.tableReady:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -185,8 +184,8 @@
 }
 
 // Watch implements Gateway.
-func (d *Daemon) Watch(ctx context.Context, request string, responder relay.Responder, serve func(relay.Responder)) {
-	d.relay.Watch(ctx, request, responder, serve)
+func (d *Daemon) EnsureEnding(ctx context.Context, request string, responder relay.Responder, serve func(relay.Responder)) {
+	d.relay.EnsureEnding(ctx, request, responder, serve)
 }
 
 // Serve implements Gateway.
@@ -194,14 +193,14 @@
 	d.relay.Serve(ctx, call, responder)
 }
 
-// isReady tells whether the daemon may get requests. One that is cut off can not serve
-// most of them: their callers are better led to another zone.
+// isReady reports whether the daemon should get requests. One that is cut off should not, since it
+// cannot serve most of them and another zone could.
 func (d *Daemon) isReady() bool {
-	return !d.RedirectsCallers() && d.table.Load() != nil && d.pool.Listed() && d.ledger.IsSettled()
+	return !d.RedirectsCallers() && d.table.Load() != nil && d.pool.HasList() && d.ledger.DiscoveryDone()
 }
 
 var (
-	_ Gateway              = (*Daemon)(nil)
-	_ ledger.Confirmations = (*Daemon)(nil)
-	_ ledger.Evacuations   = (*Daemon)(nil)
+	_ Gateway                   = (*Daemon)(nil)
+	_ ledger.RouteConfirmations = (*Daemon)(nil)
+	_ ledger.Evacuations        = (*Daemon)(nil)
 )
--- a/internal/relaydaemon/front_connection.go
+++ b/internal/relaydaemon/front_connection.go
@@ -12,16 +12,16 @@
 type phase int
 
 const (
-	// phaseResting lasts until the first byte of the next request.
-	phaseResting phase = iota
-	// phaseHead lasts until the request's head was read.
-	phaseHead
-	// phaseServing lasts until its answer ended.
+	// phaseIdle lasts until the first byte of the next request.
+	phaseIdle phase = iota
+	// phaseHeader lasts until the request's header was read.
+	phaseHeader
+	// phaseServing lasts until the answer was written.
 	phaseServing
 )
 
-// frontConnection is a caller's connection. It bounds how long each phase may take:
-// net/http's own bounds can not be changed once a server runs.
+// frontConnection is a caller's connection with a timeout for each phase. The timeouts of
+// http.Server cannot be changed while it runs.
 type frontConnection struct {
 	net.Conn
 
@@ -30,11 +30,11 @@
 	phase  phase
 	// since is when the phase began.
 	since time.Time
-	// reuse is for how long the caller may use the connection again after its latest answer,
-	// and reusableUntil when a request that it sends in time has arrived.
+	// reuse is how long the caller may reuse the connection after its latest answer, as announced
+	// to it. Until reusableUntil, a request that the caller sends in time may still arrive.
 	reuse         time.Duration
 	reusableUntil time.Time
-	// expired: the wait for the next request was ended, to make the server close the connection.
+	// expired: the read deadline was set to the past, so that the server closes the connection.
 	expired bool
 }
 
@@ -42,13 +42,13 @@
 func (c *frontConnection) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if n > 0 {
-		c.noteArrived(time.Now())
+		c.onBytesArrived(time.Now())
 	}
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn. The server sets none between its own uses: then
-// that of the phase holds.
+// SetReadDeadline implements net.Conn. When the server clears its deadline, that of the phase
+// applies.
 func (c *frontConnection) SetReadDeadline(at time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -58,127 +58,128 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// phaseEnd is when the phase must have ended; zero if nothing bounds it. The mutex must
-// be held.
+// phaseEnd returns the deadline of the phase, zero if there is none. The caller must hold the
+// mutex.
 func (c *frontConnection) phaseEnd() time.Time {
 	switch {
-	case c.phase == phaseResting && c.limits.IdleTime > 0:
-		end := c.since.Add(c.limits.IdleTime)
+	case c.phase == phaseIdle && c.limits.IdleTimeout > 0:
+		end := c.since.Add(c.limits.IdleTimeout)
 		if end.Before(c.reusableUntil) {
-			return c.reusableUntil // the caller was told a longer time, by an earlier limit
+			return c.reusableUntil // a longer time was announced under an earlier limit
 		}
 		return end
-	case c.phase == phaseHead && c.limits.HeadTime > 0:
-		return c.since.Add(c.limits.HeadTime)
+	case c.phase == phaseHeader && c.limits.HeaderTimeout > 0:
+		return c.since.Add(c.limits.HeaderTimeout)
 	}
 	return time.Time{}
 }
 
-// enter begins a phase.
+// enter starts a phase.
 func (c *frontConnection) enter(next phase, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.begin(next, now)
 }
 
-// begin is enter. The mutex must be held.
+// begin is enter for callers that hold the mutex.
 func (c *frontConnection) begin(next phase, now time.Time) {
 	c.phase, c.since = next, now
-	c.bound()
+	c.applyDeadline()
 }
 
-// setLimits puts limits in force, for the current phase, too.
+// setLimits applies limits, also to the current phase.
 func (c *frontConnection) setLimits(limits route.Limits) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.limits = limits
 	if !c.expired {
-		c.bound()
+		c.applyDeadline()
 	}
 }
 
-// bound makes reads fail from the end of the phase on. The mutex must be held.
-func (c *frontConnection) bound() {
-	_ = c.Conn.SetReadDeadline(c.phaseEnd()) // fails on a connection that is closed
+// applyDeadline sets the read deadline to the end of the phase. The caller must hold the mutex.
+func (c *frontConnection) applyDeadline() {
+	_ = c.Conn.SetReadDeadline(c.phaseEnd()) // fails if the connection is closed
 }
 
-// grantReuse returns for how long the caller may use the connection again after the answer
-// that begins now.
+// grantReuse returns how long the caller may reuse the connection after the answer that begins now,
+// and records it.
 func (c *frontConnection) grantReuse() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.reuse = reuseWithin(c.limits.IdleTime)
+	c.reuse = reuseWithin(c.limits.IdleTimeout)
 	return c.reuse
 }
 
-// restAfterAnswer begins phaseResting after an answer: it lasts at least for as long as that
-// lets the caller use the connection again.
-func (c *frontConnection) restAfterAnswer(now time.Time) {
+// idleAfterAnswer starts phaseIdle after an answer. It lasts at least as long as the caller may
+// reuse the connection.
+func (c *frontConnection) idleAfterAnswer(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	least := c.reuse
 	if least > 0 {
-		least += requestTravel
+		least += requestTransitTime
 	}
-	c.rest(least, now)
+	c.startIdle(least, now)
 }
 
-// restFor begins phaseResting, which lasts at least for a while.
-func (c *frontConnection) restFor(least time.Duration, now time.Time) {
+// idleFor starts phaseIdle with a minimum duration.
+func (c *frontConnection) idleFor(least time.Duration, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.rest(least, now)
+	c.startIdle(least, now)
 }
 
-// rest is restFor. The mutex must be held.
-func (c *frontConnection) rest(least time.Duration, now time.Time) {
+// startIdle is idleFor for callers that hold the mutex.
+func (c *frontConnection) startIdle(least time.Duration, now time.Time) {
 	c.reusableUntil = now.Add(least)
-	c.begin(phaseResting, now)
+	c.begin(phaseIdle, now)
 }
 
-// noteArrived begins phaseHead when the first bytes of a request arrive, also if the wait
-// for them was just ended.
-func (c *frontConnection) noteArrived(now time.Time) {
+// onBytesArrived starts phaseHeader when the first bytes of a request arrive, even if the
+// connection has just expired.
+func (c *frontConnection) onBytesArrived(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.phase != phaseResting {
+	if c.phase != phaseIdle {
 		return
 	}
 	c.expired = false
-	c.begin(phaseHead, now)
+	c.begin(phaseHeader, now)
 }
 
-// expire makes the server close the connection if it rests and its caller may not use it
-// again. The server closes it itself when its reading fails: it then has no byte of a
-// request.
+// expire makes the server close the connection if it is idle and its caller may no longer reuse it.
+// It sets a read deadline instead of closing, so that a request whose first byte has already
+// arrived is still served.
 func (c *frontConnection) expire(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.phase == phaseResting && !now.Before(c.reusableUntil) {
+	if c.phase == phaseIdle && !now.Before(c.reusableUntil) {
 		c.expireNow(now)
 	}
 }
 
-// expireNow is expire for a connection that rests. The mutex must be held.
+// expireNow expires an idle connection. The caller must hold the mutex.
 func (c *frontConnection) expireNow(now time.Time) {
 	c.expired = true
-	_ = c.Conn.SetReadDeadline(now) // fails on a connection that is closed
+	_ = c.Conn.SetReadDeadline(now) // fails if the connection is closed
 }
 
-// endRest is expire, whatever the caller was told; false if the connection does not rest.
-func (c *frontConnection) endRest(now time.Time) bool {
+// forceExpire expires the connection even if its caller may still reuse it; false if it is not
+// idle.
+func (c *frontConnection) forceExpire(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.reusableUntil = now
-	if c.phase != phaseResting {
+	if c.phase != phaseIdle {
 		return false
 	}
 	c.expireNow(now)
 	return true
 }
 
-// CloseWrite closes the writing side only: net/http looks for this method and uses it
-// where closing at once would reset the connection.
+// CloseWrite closes the write side. net/http looks for this method, and uses it where closing the
+// connection at once would reset it.
 func (c *frontConnection) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
--- a/internal/relaydaemon/front_limits_test.go
+++ b/internal/relaydaemon/front_limits_test.go
@@ -16,15 +16,15 @@
 func limitsTest(t *testing.T, body func(t *testing.T, d *drainTest)) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrainTest(t)
-		d.server.setLimits(route.Limits{HeadTime: testHeadTime, IdleTime: testIdleTime})
+		d.server.setLimits(route.Limits{HeaderTimeout: testHeadTime, IdleTimeout: testIdleTime})
 		body(t, d)
 	})
 }
 
-func TestRestingConnectionIsClosedAtTheOperatorsLimit(t *testing.T) {
+func TestIdleConnectionIsClosedAtTheOperatorsLimit(t *testing.T) {
 	limitsTest(t, func(t *testing.T, d *drainTest) {
 		c := d.dial(t)
-		for range 3 { // four fifths of the limit are within it
+		for range 3 { // four fifths of the limit are allowed
 			time.Sleep(testIdleTime * 4 / 5)
 			c.send("GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
 			c.expectAnswer("/x ")
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestSlowHeadIsClosedAtTheOperatorsLimit(t *testing.T) {
+func TestSlowHeaderIsClosedAtTheOperatorsLimit(t *testing.T) {
 	limitsTest(t, func(t *testing.T, d *drainTest) {
 		c := d.dial(t)
 		time.Sleep(testIdleTime / 2)
@@ -66,14 +66,14 @@
 	})
 }
 
-// TestNewLimitHoldsForOpenConnections: a connection that rests already is closed when
-// it has rested for as long as the newer limit allows.
+// TestNewLimitHoldsForOpenConnections checks that an idle connection is closed once it has been
+// idle for as long as a newer limit allows.
 func TestNewLimitHoldsForOpenConnections(t *testing.T) {
 	limitsTest(t, func(t *testing.T, d *drainTest) {
 		c := d.dial(t)
 		begun := time.Now()
 		time.Sleep(time.Second)
-		d.server.setLimits(route.Limits{HeadTime: testHeadTime, IdleTime: 2 * time.Second})
+		d.server.setLimits(route.Limits{HeaderTimeout: testHeadTime, IdleTimeout: 2 * time.Second})
 		c.expectClosed()
 		if took := time.Since(begun); took != 2*time.Second {
 			t.Errorf("closed after %s, want 2s", took)
--- a/internal/relaydaemon/join.go
+++ b/internal/relaydaemon/join.go
@@ -19,20 +19,19 @@
 )
 
 const (
-	// ledgerSpace is the prefix of the store's spaces of the ledger's shards; a number
-	// follows.
+	// ledgerSpace is the prefix of the store's spaces for the ledger's shards; a number follows.
 	ledgerSpace = "ledger-"
-	// ledgerDirectory is the store's space of the directory of the shards' holders.
+	// ledgerDirectory is the store's space for the directory of the shards' holders.
 	ledgerDirectory = "ledger-holders"
-	// recordShare is the part of the memory that the text of turns may take
-	// which the ledger is to put on record: some hundred turns on the smallest machines.
-	// As much again may wait for room there: turns that are ready hold less than they did
-	// under way, as their histories are dropped.
-	recordShare = 0.1
+	// recordMemoryShare is the share of the memory that the text of turns being written to the
+	// ledger may take: a few hundred turns on the smallest machines. The same amount again may wait
+	// to be written. Finished turns hold less memory than running ones, as their histories are
+	// dropped.
+	recordMemoryShare = 0.1
 )
 
-// join makes the daemon a member of the fleet, with its share of the ledger. The order
-// matters: each part uses those before it.
+// join makes the daemon a member of the fleet and creates its components. The order matters, as
+// each component uses those before it.
 func (d *Daemon) join() error {
 	receiver := &receiverSlot{}
 	if err := d.joinMembers(receiver); err != nil {
@@ -41,14 +40,14 @@
 	d.joinStore()
 	d.joinLedger()
 	d.joinRelay()
-	d.watchZones()
+	d.prepareReachWatch()
 	receiver.daemon.Store(d)
 	return nil
 }
 
-// joinMembers prepares the registry, the transport to other daemons, and membership.
+// joinMembers creates the registry, the transport to other daemons, and the membership.
 func (d *Daemon) joinMembers(receiver peer.Handler) error {
-	d.registry = newMemberRegistry(d.adapter.Store(), d.settings, d.cold, part(d.logger, "members"))
+	d.registry = newMemberRegistry(d.adapter.Store(), d.settings, d.coldLimiter, componentLogger(d.logger, "members"))
 	self := structs.Daemon{
 		ID:     structs.NewDaemonID(d.settings.PeerAddress, d.registry.incarnation()),
 		Zone:   structs.ZoneName(d.settings.Zone),
@@ -56,8 +55,8 @@
 
 		Capacity: d.settings.capacity(),
 	}
-	sent := newTraffic(d.topology, d.figures)
-	transport, err := tcp.Listen(self.ID, receiver, sent.count, part(d.logger, "peer"))
+	sent := newTraffic(d.topology, d.metrics)
+	transport, err := tcp.Listen(self.ID, receiver, sent.count, componentLogger(d.logger, "peer"))
 	if err != nil {
 		return err
 	}
@@ -68,73 +67,73 @@
 		Random:    newRandom(),
 		Transport: transport,
 		Settings:  membershipSettings(),
-		Logger:    part(d.logger, "membership"),
+		Logger:    componentLogger(d.logger, "membership"),
 	})
 	sent.members = d.membership.Lookup
 	return nil
 }
 
-// joinStore prepares calls to the store, directly or by way of other daemons.
+// joinStore creates the store client, which calls the store directly or by way of other daemons.
 func (d *Daemon) joinStore() {
 	d.store = proxy.New(proxy.Options{
 		Self:      d.membership.Self.ID,
 		Region:    d.membership.Self.Region,
-		Direct:    store.NewMeter(d.adapter.Store(), d.figures, part(d.logger, "store")),
+		Direct:    store.NewMeter(d.adapter.Store(), d.metrics, componentLogger(d.logger, "store")),
 		Transport: d.transport,
 		View:      d.membership,
 		Random:    newRandom(),
 		MayHelp:   mayHelp,
-		Logger:    part(d.logger, "store"),
-		Metrics:   proxy.NewMetrics(d.figures),
+		Logger:    componentLogger(d.logger, "store"),
+		Metrics:   proxy.NewMetrics(d.metrics),
 	})
-	d.registry.store, d.registry.contact = d.store, d.store
-	d.records = fanout.New(fanout.Options{
+	d.registry.store, d.registry.connectivity = d.store, d.store
+	d.operatorRecords = fanout.New(fanout.Options{
 		Store:     d.store,
 		Partition: d.adapter.RoutesPartition(),
 		Self:      d.membership.Self,
 		View:      d.membership,
 		Transport: d.transport,
 		ReadRate:  d.settings.StoreReadMegabytes * 1e6,
-		Logger:    part(d.logger, "records"),
-		Metrics:   fanout.NewMetrics(d.figures),
+		Logger:    componentLogger(d.logger, "records"),
+		Metrics:   fanout.NewMetrics(d.metrics),
 	})
 }
 
-// joinLedger prepares the ledger of all daemons; those of regions are started when they
+// joinLedger creates the ledger of the whole fleet. The ledgers of regions are started when they
 // are needed.
 func (d *Daemon) joinLedger() {
 	options := ledger.Options{
-		Self:       d.membership.Self.ID,
-		Store:      d.store,
-		Contact:    d.store,
-		Transport:  d.transport,
-		View:       d.membership,
-		Partitions: ledgerPartitions(d.settings),
-		Directory:  store.Partition{Space: ledgerDirectory},
-		SettleTime: ledger.DefaultSettleTime,
-		Admission:  d.admission,
-		Expected:   d.registry.count,
-		Quota:      d.settings.quotaTerms(),
-		Machine:    machineClock(d.settings.PeerAddress),
+		Self:             d.membership.Self.ID,
+		Store:            d.store,
+		Connectivity:     d.store,
+		Transport:        d.transport,
+		View:             d.membership,
+		Partitions:       ledgerPartitions(d.settings),
+		Directory:        store.Partition{Space: ledgerDirectory},
+		DiscoveryTimeout: ledger.DefaultDiscoveryTimeout,
+		Admission:        d.admission,
+		ExpectedDaemons:  d.registry.count,
+		Quota:            d.settings.quotaTerms(),
+		Machine:          machineClock(d.settings.PeerAddress),
 
 		StoreReadBytes: d.settings.StoreReadMegabytes * 1e6,
 		StoreBytes:     d.settings.StoreMegabytes * 1e6,
 
 		Confirmations: d,
 		Evacuations:   d,
-		Logger:        part(d.logger, "ledger"),
-		Metrics:       ledger.NewMetrics(d.figures),
+		Logger:        componentLogger(d.logger, "ledger"),
+		Metrics:       ledger.NewMetrics(d.metrics),
 	}
 	d.ledger = ledger.NewService(options)
 	d.regional = newRegionalLedgers(d.topology, options)
 }
 
-// joinRelay prepares the relay of callers' requests.
+// joinRelay creates the relay for callers' requests.
 func (d *Daemon) joinRelay() {
 	d.relay = relay.New(relay.Options{
 		Pool:      d.pool,
 		Driver:    d.adapter.Driver(),
-		Ledger:    d.regional.ledgerWith(d.ledger),
+		Ledger:    d.regional.combinedLedger(d.ledger),
 		Quota:     quota.NewGate(d.ledger, d.settings.quotaTerms()),
 		Table:     d.table.Load,
 		RoutesAge: d.routesAge,
@@ -142,19 +141,19 @@
 
 		Evacuations: &d.evacuations,
 		Zones:       d.zones,
-		RerouteTime: noticeTime,
+		RerouteTime: rerouteTime,
 
 		StoppingSince: d.stopping.Since,
 
-		Admission:   d.admission,
-		RecordBytes: int64(recordShare * float64(d.settings.MemoryMegabytes) * megabyte),
-		Logger:      part(d.logger, "relay"),
-		Metrics:     relay.NewMetrics(d.figures),
+		Admission:             d.admission,
+		MaxPendingRecordBytes: int64(recordMemoryShare * float64(d.settings.MemoryMegabytes) * megabyte),
+		Logger:                componentLogger(d.logger, "relay"),
+		Metrics:               relay.NewMetrics(d.metrics),
 	})
 }
 
-// membershipSettings look for other daemons every 50 ms after the start, as daemons that
-// start after the loss of all of them must find each other within some 0.1 s.
+// membershipSettings search for other daemons every 50 ms after the start, so that daemons which
+// start after the loss of all of them find each other within about 0.1 s.
 func membershipSettings() membership.Settings {
 	settings := membership.DefaultSettings()
 	settings.FirstJoinTime = 600 * time.Millisecond
@@ -173,7 +172,7 @@
 	return partitions
 }
 
-// receiverSlot lets the transport start before the parts that it serves.
+// receiverSlot lets the transport start before the components that receive its messages.
 type receiverSlot struct{ daemon atomic.Pointer[Daemon] }
 
 // Receive implements peer.Handler.
@@ -182,7 +181,7 @@
 	if d == nil {
 		return
 	}
-	if !d.membership.Receive(from, message) && !d.store.Receive(from, message) && !d.records.Receive(from, message) &&
+	if !d.membership.Receive(from, message) && !d.store.Receive(from, message) && !d.operatorRecords.Receive(from, message) &&
 		!d.receiveReach(from, message) && !d.ledger.Receive(from, message) {
 		d.regional.receive(from, message)
 	}
--- a/internal/relaydaemon/listen.go
+++ b/internal/relaydaemon/listen.go
@@ -12,20 +12,19 @@
 )
 
 const (
-	// headerTimeout and idleTimeout are what callers may take for a request's
-	// head, and how long their connections may rest, until the operators' limits are
-	// known.
+	// headerTimeout and idleTimeout limit how long callers may take to send a request's header, and
+	// how long their connections may be idle, until the operators' limits are known.
 	headerTimeout = 15 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// headerLimit is the longest head of a request that is read, in bytes, whatever
-	// operators allow: it is held in memory.
+	// headerLimit is the maximum size of a request's header in bytes, whatever the operators allow:
+	// it is held in memory.
 	headerLimit = 256 << 10
-	// metricsPath is where figures are read.
+	// metricsPath is the path of the metrics endpoint.
 	metricsPath = "/metrics"
 )
 
-// listen opens the daemon's listeners and serves on them. Figures come last and
-// are not needed to serve: if their address is taken, the daemon goes without.
+// listen opens the daemon's listeners and serves on them. Metrics come last and are optional: if
+// their address is taken, the daemon runs without them.
 func (d *Daemon) listen() error {
 	if err := d.serve(d.settings.ReadyAddress, d.adapter.Ready(d.isReady)); err != nil {
 		return err
@@ -37,9 +36,9 @@
 		return nil
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET "+metricsPath, promhttp.HandlerFor(d.figures, promhttp.HandlerOpts{}))
+	mux.Handle("GET "+metricsPath, promhttp.HandlerFor(d.metrics, promhttp.HandlerOpts{}))
 	if err := d.serve(d.settings.MetricsAddress, mux); err != nil {
-		d.logger.Error().Err(err).Str("metrics_address", d.settings.MetricsAddress).Msg("Figures can not be read.")
+		d.logger.Error().Err(err).Str("metrics_address", d.settings.MetricsAddress).Msg("Metrics address not available. Metrics are not served.")
 	}
 	return nil
 }
@@ -49,8 +48,8 @@
 	if err != nil {
 		return eris.Wrap(err, "relaydaemon: listen")
 	}
-	server := newServer(d.adapter.Front(d), part(d.logger, "http"))
-	server.ReadHeaderTimeout, server.IdleTimeout = 0, 0 // the front server's own bounds hold
+	server := newServer(d.adapter.Front(d), componentLogger(d.logger, "http"))
+	server.ReadHeaderTimeout, server.IdleTimeout = 0, 0 // the front server enforces its own limits
 	d.front = newFrontServer(server, listener, d.RedirectsCallers)
 	return nil
 }
@@ -60,7 +59,7 @@
 	if err != nil {
 		return eris.Wrap(err, "relaydaemon: listen")
 	}
-	server := newServer(handler, part(d.logger, "http"))
+	server := newServer(handler, componentLogger(d.logger, "http"))
 	d.servers = append(d.servers, server)
 	go func() { _ = server.Serve(listener) }() // ends when the server is closed
 	return nil
@@ -72,6 +71,6 @@
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    headerLimit,
-		ErrorLog:          log.New(serverLines{logger}, "", 0),
+		ErrorLog:          log.New(serverErrorLog{logger}, "", 0),
 	}
 }
--- a/internal/relaydaemon/watch.go
+++ b/internal/relaydaemon/watch.go
@@ -7,68 +7,67 @@
 	"github.com/mintpulley/mintpulley/internal/store"
 )
 
-// shortestDrain is the shortest time that operators give daemons to stop sending to an
+// minInstanceDrain is the shortest time that operators give daemons to stop sending requests to an
 // instance that leaves.
-const shortestDrain = 2 * time.Second
+const minInstanceDrain = 2 * time.Second
 
-// How operators' and back ends' records are watched. A reading whose connection goes silent is
-// made once more Wait + Answer after it began: that stays below shortestDrain, with time left for
-// a second one that hangs (2 x Answer) and for a request on its way, and below the two seconds
-// within which operators expect new routes in force. Back ends write often: Pause has their
-// changes read together. Each reading confirms the routes, and with them the keys.
+// Settings of the watchers of the operators' and back ends' records. A read whose connection goes
+// silent is sent again Wait + AnswerTimeout after it began. That stays below minInstanceDrain, with
+// time left for a second read that hangs (2 x AnswerTimeout) and for a request in flight, and below
+// the two seconds within which operators expect new routes in force. Back ends write often, so
+// Pause batches their changes. Each read confirms the routes, and with them the keys.
 var (
 	routesWatch = store.WatchSettings{
-		Wait: 1200 * time.Millisecond, Answer: 400 * time.Millisecond, Retry: 150 * time.Millisecond,
+		Wait: 1200 * time.Millisecond, AnswerTimeout: 400 * time.Millisecond, RetryInterval: 150 * time.Millisecond,
 	}
 	instancesWatch = store.WatchSettings{
-		Wait: 600 * time.Millisecond, Answer: 400 * time.Millisecond, Retry: 150 * time.Millisecond,
+		Wait: 600 * time.Millisecond, AnswerTimeout: 400 * time.Millisecond, RetryInterval: 150 * time.Millisecond,
 		Pause: 500 * time.Millisecond,
 	}
 )
 
-// watchRoutes follows the operators' routes until ctx ends.
+// watchRoutes follows the operators' records until ctx ends.
 func (d *Daemon) watchRoutes(ctx context.Context) {
 	watcher := store.Watcher{
-		Store:     d.records,
-		Contact:   d.store,
-		Partition: d.adapter.RoutesPartition(),
-		Settings:  routesWatch,
-		OnAdvance: d.takeOperators,
-		OnRead:    d.confirmRoutes,
-		Hurry:     d.keys.hurry.Asked(),
-		Expected:  d.keys.newerRoutes.Asked(),
-		Metrics:   d.watchMetrics,
-		Logger:    &d.logger,
-		OnContact: func(err error) {
-			d.keys.noteContact(err)
-			d.contact("routes")(err)
+		Store:          d.operatorRecords,
+		Connectivity:   d.store,
+		Partition:      d.adapter.RoutesPartition(),
+		Settings:       routesWatch,
+		OnAdvance:      d.applyOperatorRecords,
+		OnRead:         d.confirmRoutes,
+		Refresh:        d.routesConfirmation.refresh.Asked(),
+		ChangeExpected: d.routesConfirmation.newerRoutes.Asked(),
+		Metrics:        d.watchMetrics,
+		Logger:         &d.logger,
+		OnConnectivity: func(err error) {
+			d.routesConfirmation.recordConnectivity(err)
+			d.logConnectivity("routes")(err)
 		},
 	}
 	watcher.Run(ctx)
 }
 
-// takeOperators puts the operators' records in force. Evacuations come first: a
-// daemon that starts sends nothing before it has routes.
-func (d *Daemon) takeOperators(records map[string]store.Record, end int64) {
-	d.takeEvacuations(d.adapter.Evacuations(records, end))
-	d.takeRoutes(records)
+// applyOperatorRecords applies the operators' records. Evacuations come first: a daemon that starts
+// sends no request before it has routes.
+func (d *Daemon) applyOperatorRecords(records map[string]store.Record, end int64) {
+	d.applyEvacuations(d.adapter.Evacuations(records, end))
+	d.applyRoutes(records)
 }
 
-// confirmRoutes takes note that the routes in force are the newest. They are not
-// while newer ones could not be understood, which may take keys away.
+// confirmRoutes records that the routes in force are the newest as of a time. While newer ones
+// could not be parsed, which may revoke keys, it records nothing.
 func (d *Daemon) confirmRoutes(asOf time.Time) {
-	if !d.refused.Load() && d.table.Load() != nil {
-		d.keys.note(asOf)
+	if !d.hasRefusedRoutes.Load() && d.table.Load() != nil {
+		d.routesConfirmation.confirm(asOf)
 	}
 }
 
-// takeRoutes puts the newest routes in force. Routes that cannot be understood
-// or that are older change nothing.
-func (d *Daemon) takeRoutes(records map[string]store.Record) {
+// applyRoutes applies the newest routes. Routes that cannot be parsed or are older change nothing.
+func (d *Daemon) applyRoutes(records map[string]store.Record) {
 	table, err := d.adapter.Routes(records)
-	d.refused.Store(err != nil)
+	d.hasRefusedRoutes.Store(err != nil)
 	if err != nil {
-		d.logger.Error().Err(err).Msg("Routes refused. Those before stay in force.")
+		d.logger.Error().Err(err).Msg("Routes refused. The previous ones stay in force.")
 		return
 	}
 	if table == nil {
@@ -78,51 +77,52 @@
 	if before != nil && table.Version <= before.Version {
 		return
 	}
-	d.cold.SetServices(table.Services)
-	if table.IsBound() {
+	d.coldLimiter.SetServices(table.Services)
+	if table.RestrictsRegions() {
 		d.regional.startAll()
 	}
 	d.table.Store(table)
 	d.front.setLimits(table.Limits)
 	if before == nil {
-		close(d.hasTable)
+		close(d.tableReady)
 	}
-	d.logger.Info().Int64("version", table.Version).Dur("head_time", table.Limits.HeadTime).
-		Dur("idle_time", table.Limits.IdleTime).Msg("Routes in force.")
+	d.logger.Info().Int64("version", table.Version).Dur("head_time", table.Limits.HeaderTimeout).
+		Dur("idle_time", table.Limits.IdleTimeout).Msg("Routes in force.")
 }
 
 // watchInstances follows the list of back ends until ctx ends.
 func (d *Daemon) watchInstances(ctx context.Context) {
 	watcher := store.Watcher{
-		Store:     d.store,
-		Contact:   d.store,
-		Partition: d.adapter.InstancesPartition(),
-		Settings:  instancesWatch,
-		Metrics:   d.watchMetrics,
-		Logger:    &d.logger,
+		Store:        d.store,
+		Connectivity: d.store,
+		Partition:    d.adapter.InstancesPartition(),
+		Settings:     instancesWatch,
+		Metrics:      d.watchMetrics,
+		Logger:       &d.logger,
 		OnChange: func(records map[string]store.Record) {
-			d.adapter.Forget(d.pool.Replace(d.adapter.Instances(records)))
+			d.adapter.CloseIdle(d.pool.Replace(d.adapter.Instances(records)))
 		},
-		OnRead: d.pool.Confirm,
-		OnContact: func(err error) {
+		OnRead: d.pool.ConfirmList,
+		OnConnectivity: func(err error) {
 			if err != nil {
-				d.pool.NoteLost()
+				d.pool.MarkListUnavailable()
 			} else {
-				d.pool.NoteReturned()
+				d.pool.MarkListAvailable()
 			}
-			d.contact("instances")(err)
+			d.logConnectivity("instances")(err)
 		},
 	}
 	watcher.Run(ctx)
 }
 
-// contact logs when what is followed in the store is lost and regained.
-func (d *Daemon) contact(what string) func(error) {
+// logConnectivity returns a function that logs when the store becomes unreachable for a watcher,
+// and when it answers again.
+func (d *Daemon) logConnectivity(what string) func(error) {
 	return func(err error) {
 		if err != nil {
-			d.logger.Warn().Str("watch", what).Err(err).Msg("Store lost. What was read last stays in force.")
+			d.logger.Warn().Str("watch", what).Err(err).Msg("Store unreachable. The records read last stay in force.")
 			return
 		}
-		d.logger.Info().Str("watch", what).Msg("Store regained.")
+		d.logger.Info().Str("watch", what).Msg("Store reachable again.")
 	}
 }
--- a/internal/store/fanout/network_test.go
+++ b/internal/store/fanout/network_test.go
@@ -23,7 +23,8 @@
 	largeCapacity = 44
 )
 
-// fleet is daemons over one busy store, in three zones, every fifth of them a large machine.
+// fleet is a set of daemons with one busy store, in three zones. Every fifth daemon is a large
+// machine.
 type fleet struct {
 	store     *busyStore
 	followers []*follower
@@ -32,11 +33,11 @@
 	index     map[structs.DaemonID]int
 
 	mutex sync.Mutex
-	// freeAt is when a daemon's link has sent what was given to it.
+	// freeAt is when each daemon's link has sent all messages queued so far.
 	freeAt []time.Time
 	sent   int
-	// spoil, if set, changes a message on its way, or loses it with nil.
-	spoil spoiler
+	// tamper, if set, changes or drops messages.
+	tamper tamperFunc
 }
 
 func newFleet(daemons int) *fleet {
@@ -66,7 +67,7 @@
 	return f
 }
 
-// run lets the daemons follow both partitions until end, which waits for what is under way.
+// run lets the daemons follow both partitions until end is called, which waits for calls in flight.
 func (f *fleet) run(t *testing.T) (end func()) {
 	ctx, stop := context.WithCancel(t.Context())
 	for i, follower := range f.followers {
@@ -84,10 +85,10 @@
 	return f.sent
 }
 
-func (f *fleet) setSpoil(spoil spoiler) {
+func (f *fleet) setTamper(tamper tamperFunc) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.spoil = spoil
+	f.tamper = tamper
 }
 
 // Members implements membership.View.
@@ -99,7 +100,7 @@
 // Subscribe implements membership.View.
 func (f *fleet) Subscribe(func(membership.Member)) {}
 
-// transport carries one daemon's messages over its link of 30 Mbit/s.
+// transport sends one daemon's messages over its link of 30 Mbit/s.
 type transport struct {
 	fleet *fleet
 	self  int
@@ -110,8 +111,8 @@
 	f, to := t.fleet, t.fleet.index[id]
 	f.mutex.Lock()
 	f.sent++
-	if f.spoil != nil {
-		message = f.spoil(t.self, to, message)
+	if f.tamper != nil {
+		message = f.tamper(t.self, to, message)
 	}
 	if message == nil {
 		f.mutex.Unlock()
--- a/internal/store/fanout/serve.go
+++ b/internal/store/fanout/serve.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Receive takes a message that arrived; false means it is another part's.
+// Receive handles a message; it returns false if the message belongs to another component.
 func (s *Service) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch message := message.(type) {
 	case *Request:
@@ -22,37 +22,37 @@
 	return true
 }
 
-// serve answers a request, now or after the next reading.
+// serve answers a request, now or after the next read.
 func (s *Service) serve(from structs.DaemonID, w waiter) {
 	if w.request.Partition != s.Partition || w.request.At < 0 {
 		s.answer(from, w, &Response{Result: resultUnable})
 		return
 	}
-	if packed, has := s.replica.bundleOf(w.request.Bundle); has {
+	if packed, has := s.replica.bundleByHash(w.request.Bundle); has {
 		s.answer(from, w, pieceOf(packed, w.request.At))
 		return
 	}
-	if w.request.Bundle == "" && s.replica.await(from, w) {
+	if w.request.Bundle == "" && s.replica.hold(from, w) {
 		return
 	}
 	if response := s.responseTo(w); response.Result != resultUnchanged {
 		s.answer(from, w, response)
 		return
 	}
-	s.answer(from, w, &Response{Result: resultUnable}) // too many wait
+	s.answer(from, w, &Response{Result: resultUnable}) // too many requests wait
 }
 
-// take takes what a reading brought, and answers those that waited for it.
-func (s *Service) take(got reading, packed *bundle) {
-	due := s.replica.take(got, packed)
+// apply stores the result of a read, and answers the requests that waited for it.
+func (s *Service) apply(got readResult, packed *bundle) {
+	due := s.replica.apply(got, packed)
 	for _, from := range slices.Sorted(maps.Keys(due)) {
 		s.answer(from, due[from], s.responseTo(due[from]))
 	}
 }
 
-// responseTo returns the answer to a request by what this daemon has read by now.
+// responseTo builds the answer to a request from what this daemon has read so far.
 func (s *Service) responseTo(w waiter) *Response {
-	packed, asOf, known := s.replica.since(w.request.From)
+	packed, asOf, known := s.replica.bundleSince(w.request.From)
 	switch {
 	case !known:
 		return &Response{Result: resultUnable}
@@ -64,17 +64,17 @@
 	return first
 }
 
-// pieceOf returns the piece of a bundle that begins at a byte.
+// pieceOf returns the piece of a bundle at position at.
 func pieceOf(packed *bundle, at int) *Response {
 	at = min(at, len(packed.data))
 	return &Response{
-		Result: resultPiece, Bundle: packed.name, Size: len(packed.data),
-		At: at, Data: packed.data[at:min(at+pieceBytes, len(packed.data))],
+		Result: resultPiece, Bundle: packed.hash, Size: len(packed.data),
+		At: at, Data: packed.data[at:min(at+pieceSize, len(packed.data))],
 	}
 }
 
 func (s *Service) answer(to structs.DaemonID, w waiter, response *Response) {
 	response.Number = w.request.Number
-	s.Metrics.served(response.Result)
+	s.Metrics.countAnswer(response.Result)
 	s.Transport.Send(to, response)
 }
--- a/internal/store/memory/memory_test.go
+++ b/internal/store/memory/memory_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	if err := s.Append(ctx, p, store.Writer{Name: "w", Epoch: 2, Sequence: 2}, record); !errors.Is(err, store.ErrFenced) {
-		t.Errorf("a former epoch: got %v", err)
+		t.Errorf("an earlier epoch: got %v", err)
 	}
 }
 
@@ -41,11 +41,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p := store.Partition{Space: "x"}
 	changes := make(chan map[string]string, 100)
-	contact := make(chan error, 100)
+	connectivity := make(chan error, 100)
 	done := make(chan struct{})
 	watcher := store.Watcher{
 		Store: s, Partition: p,
-		Settings: store.WatchSettings{Wait: 20 * time.Millisecond, Answer: time.Second, Retry: time.Millisecond},
+		Settings: store.WatchSettings{Wait: 20 * time.Millisecond, AnswerTimeout: time.Second, RetryInterval: time.Millisecond},
 		OnChange: func(records map[string]store.Record) {
 			values := map[string]string{}
 			for key, record := range records {
@@ -53,7 +53,7 @@
 			}
 			changes <- values
 		},
-		OnContact: func(err error) { contact <- err },
+		OnConnectivity: func(err error) { connectivity <- err },
 	}
 	go func() {
 		defer close(done)
@@ -75,12 +75,12 @@
 	put("a", "1")
 	expect(map[string]string{"a": "1"})
 	s.SetDown(true)
-	if err := <-contact; err == nil {
-		t.Error("the outage was not told")
+	if err := <-connectivity; err == nil {
+		t.Error("the outage was not reported")
 	}
 	s.SetDown(false)
-	if err := <-contact; err != nil {
-		t.Errorf("the end of the outage was not told: %v", err)
+	if err := <-connectivity; err != nil {
+		t.Errorf("the end of the outage was not reported: %v", err)
 	}
 	put("a", "")
 	expect(map[string]string{})
--- a/internal/zone/reach/messages.go
+++ b/internal/zone/reach/messages.go
@@ -2,21 +2,21 @@
 
 import "github.com/mintpulley/mintpulley/internal/peer"
 
-// Probe asks a daemon for a ProbeReply. On the wire they are a question and an answer.
+// Probe asks a daemon for a ProbeReply.
 type Probe struct{}
 
 // ProbeReply answers a Probe.
 type ProbeReply struct {
-	// Zone is where the daemon that answers stands.
+	// Zone is the zone of the daemon that replies.
 	Zone string `json:"z"`
 }
 
-// Finding tells that the sender has just found a zone cut off.
-type Finding struct {
+// CutOffReport reports that the sender has just found a zone cut off.
+type CutOffReport struct {
 	Zone string `json:"z"`
 }
 
-// Suspicion tells that the sender hears nothing of a zone, and probes its daemons.
+// Suspicion reports that the sender gets no replies from a zone that it probes.
 type Suspicion struct {
 	Zone string `json:"z"`
 }
@@ -28,7 +28,7 @@
 func (*ProbeReply) MessageKind() peer.Kind { return "reach.answer" }
 
 // MessageKind implements peer.Message.
-func (*Finding) MessageKind() peer.Kind { return "reach.finding" }
+func (*CutOffReport) MessageKind() peer.Kind { return "reach.finding" }
 
 // MessageKind implements peer.Message.
 func (*Suspicion) MessageKind() peer.Kind { return "reach.suspicion" }
@@ -36,6 +36,6 @@
 func init() {
 	peer.Register(peer.ClassControl, &Probe{})
 	peer.Register(peer.ClassControl, &ProbeReply{})
-	peer.Register(peer.ClassControl, &Finding{})
+	peer.Register(peer.ClassControl, &CutOffReport{})
 	peer.Register(peer.ClassControl, &Suspicion{})
 }
