--- a/internal/relaydaemon/cutoff.go
+++ b/internal/relaydaemon/cutoff.go
@@ -26,26 +26,26 @@
 
 // cutOffZones is an instance.Scorer that keeps requests away from zones that are cut off, unless no
 // other instance is available.
-type cutOffZones struct{ zones *zone.Reachability }
+type cutOffZones struct{ reachability *zone.Reachability }
 
 // Cost implements instance.Scorer.
 func (c cutOffZones) Cost(_ *instance.Query, candidate *instance.Instance, now time.Time) float64 {
-	if c.zones.IsCutOff(candidate.Zone) {
+	if c.reachability.IsCutOff(candidate.Zone) {
 		return cutOffCost
 	}
-	return rampCost * (1 - c.zones.Weight(candidate.Zone, now))
+	return rampCost * (1 - c.reachability.Weight(candidate.Zone, now))
 }
 
-// prepareReachWatch creates the watch for zones that this daemon is cut off from. A fleet of one
-// zone has none.
-func (d *Daemon) prepareReachWatch() {
-	if d.zones == nil {
+// prepareReachMonitor creates the monitor that detects which zones this daemon is cut off from. A
+// fleet of one zone has none.
+func (d *Daemon) prepareReachMonitor() {
+	if d.reachability == nil {
 		return
 	}
-	d.reach = reach.New(reach.Options{
+	d.reachMonitor = reach.New(reach.Options{
 		Self:         d.membership.Self.ID,
 		Zone:         d.settings.Zone,
-		Reachability: d.zones,
+		Reachability: d.reachability,
 		Connections:  d.relay,
 		Transport:    d.transport,
 		View:         d.membership,
@@ -58,13 +58,14 @@
 	})
 }
 
-// runReachWatch runs the watch until ctx ends.
-func (d *Daemon) runReachWatch(ctx context.Context) {
-	if d.reach == nil {
+// runReachMonitor runs the monitor until ctx ends. In a fleet of one zone it only watches for
+// silent back ends.
+func (d *Daemon) runReachMonitor(ctx context.Context) {
+	if d.reachMonitor == nil {
 		d.relay.WatchSilence(ctx)
 		return
 	}
-	d.reach.Run(ctx)
+	d.reachMonitor.Run(ctx)
 }
 
 // expireIdleAfterReroute closes idle connections once the platform routes new ones to other
@@ -72,7 +73,7 @@
 // serve them without being refused first. Connections that their caller may still reuse stay open.
 func (d *Daemon) expireIdleAfterReroute() {
 	time.AfterFunc(rerouteTime, func() {
-		if _, isCut := d.cutOffSince(); isCut {
+		if _, isCutOff := d.cutOffSince(); isCutOff {
 			d.front.expireIdle(time.Now())
 		}
 	})
@@ -88,21 +89,21 @@
 // receiveReach handles a message of package reach; it returns false if the message belongs to
 // another component.
 func (d *Daemon) receiveReach(from structs.DaemonID, message peer.Message) bool {
-	return d.reach != nil && d.reach.Receive(from, message)
+	return d.reachMonitor != nil && d.reachMonitor.Receive(from, message)
 }
 
 // cutOffSince returns since when this daemon has been cut off from the store and most of the fleet.
-func (d *Daemon) cutOffSince() (since time.Time, isCut bool) {
-	if d.zones == nil {
+func (d *Daemon) cutOffSince() (since time.Time, isCutOff bool) {
+	if d.reachability == nil {
 		return time.Time{}, false
 	}
-	return d.zones.IsolatedSince()
+	return d.reachability.IsolatedSince()
 }
 
 // RedirectsCallers reports whether callers should send their next request on a new connection,
 // because the platform routes new connections to other daemons: while this daemon stops or is cut
 // off.
 func (d *Daemon) RedirectsCallers() bool {
-	_, isCut := d.cutOffSince()
-	return isCut || d.stopping.Load()
+	_, isCutOff := d.cutOffSince()
+	return isCutOff || d.stopping.Load()
 }
--- a/internal/relaydaemon/cutoff_test.go
+++ b/internal/relaydaemon/cutoff_test.go
@@ -60,7 +60,7 @@
 
 func TestNoRequestGoesToAZoneThatIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &Daemon{zones: reachabilityWithCut("b"), coldLimiter: warmup.NewLimiter(warmup.Options{})}
+		d := &Daemon{reachability: reachabilityWithCut("b"), coldLimiter: warmup.NewLimiter(warmup.Options{})}
 		pool := instance.NewPool(rand.New(rand.NewPCG(1, 1)), d.placementPlugins())
 		near := instance.Instance{ID: "i-a", Service: "s", Zone: "a", Slots: 4, State: instance.StateReady}
 		there := instance.Instance{ID: "i-b", Service: "s", Zone: "b", Slots: 4, State: instance.StateReady}
@@ -71,9 +71,9 @@
 		if got := countChoices(pool, 50, "i-a"); got["i-b"] != 50 {
 			t.Errorf("no other instance: %v", got)
 		}
-		simulateReach(d.zones, 250*time.Millisecond)
-		if got := countChoices(pool, 50); d.zones.IsCutOff("b") || got["i-b"] != 0 {
-			t.Errorf("right after the cut, cut off %v: %v", d.zones.IsCutOff("b"), got)
+		simulateReach(d.reachability, 250*time.Millisecond)
+		if got := countChoices(pool, 50); d.reachability.IsCutOff("b") || got["i-b"] != 0 {
+			t.Errorf("right after the cut, cut off %v: %v", d.reachability.IsCutOff("b"), got)
 		}
 		time.Sleep(zone.RampTime)
 		if got := countChoices(pool, 50); got["i-b"] != 50 {
@@ -85,12 +85,12 @@
 func TestDaemonThatIsCutOffIsNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newKeyDaemon(t, "key")
-		d.zones = reachabilityWithCut()
+		d.reachability = reachabilityWithCut()
 		if d.RedirectsCallers() {
 			t.Fatal("redirects callers without a cut")
 		}
 		d.confirmRoutes(time.Now())
-		simulateReach(d.zones, time.Second, "b", "c")
+		simulateReach(d.reachability, time.Second, "b", "c")
 		if !d.RedirectsCallers() || d.isReady() {
 			t.Fatal("ready though it is cut off")
 		}
@@ -103,7 +103,7 @@
 		if refusal == nil || refusal.Reason != relay.ReasonKeysUnconfirmed || time.Since(asked) != 0 {
 			t.Errorf("refused after %s: %+v", time.Since(asked), refusal)
 		}
-		simulateReach(d.zones, 600*time.Millisecond)
+		simulateReach(d.reachability, 600*time.Millisecond)
 		if d.RedirectsCallers() {
 			t.Error("still redirects callers 0.6 s after the cut")
 		}
@@ -118,15 +118,15 @@
 				caller := front.dial(t)
 				caller.send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
 				caller.expectAnswer("/a ")
-				d := &Daemon{front: front.server, zones: reachabilityWithCut()}
-				simulateReach(d.zones, time.Second, "b", "c")
+				d := &Daemon{front: front.server, reachability: reachabilityWithCut()}
+				simulateReach(d.reachability, time.Second, "b", "c")
 				d.expireIdleAfterReroute()
-				simulateReach(d.zones, rerouteTime/2, "b", "c")
+				simulateReach(d.reachability, rerouteTime/2, "b", "c")
 				if !d.RedirectsCallers() || front.server.count() != 1 {
 					t.Fatalf("cut off: %v, with %d connections", d.RedirectsCallers(), front.server.count())
 				}
-				simulateReach(d.zones, cutFor-rerouteTime/2, "b", "c")
-				simulateReach(d.zones, 2*rerouteTime)
+				simulateReach(d.reachability, cutFor-rerouteTime/2, "b", "c")
+				simulateReach(d.reachability, 2*rerouteTime)
 				if kept := front.server.count() == 1; kept != (cutFor < rerouteTime) {
 					t.Errorf("kept: %v", kept)
 				}
@@ -137,12 +137,12 @@
 
 func TestFleetOfOneZoneDoesNotWatchForCuts(t *testing.T) {
 	d := &Daemon{}
-	d.prepareReachWatch()
+	d.prepareReachMonitor()
 	inChoice := slices.ContainsFunc(d.placementPlugins().Scorers, func(s instance.Scorer) bool {
 		_, isPart := s.(cutOffZones)
 		return isPart
 	})
-	if d.reach != nil || inChoice || d.RedirectsCallers() {
+	if d.reachMonitor != nil || inChoice || d.RedirectsCallers() {
 		t.Error("a fleet of one zone watches for cuts")
 	}
 }
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -55,11 +55,11 @@
 	topology zone.Topology
 	// evacuations are the zones that the operators evacuated.
 	evacuations zone.Evacuations
-	// zones are the zones that this daemon is cut off from, and reach detects them; both are nil in
-	// a fleet of one zone.
-	zones    *zone.Reachability
-	reach    *reach.Monitor
-	registry *memberRegistry
+	// reachability tells which zones this daemon is cut off from, and reachMonitor detects it; both
+	// are nil in a fleet of one zone.
+	reachability *zone.Reachability
+	reachMonitor *reach.Monitor
+	registry     *memberRegistry
 	// coldLimiter limits the requests to cold instances.
 	coldLimiter *warmup.Limiter
 	// store calls the store by way of other daemons where this one does not reach it.
@@ -162,7 +162,7 @@
 	d.regional.setRunner(func(service *ledger.Service) { d.workers.Go(func() { service.Run(ctx) }) })
 	d.workers.Go(func() { d.watchRoutes(ctx) })
 	d.workers.Go(func() { d.watchInstances(ctx) })
-	d.workers.Go(func() { d.runReachWatch(ctx) })
+	d.workers.Go(func() { d.runReachMonitor(ctx) })
 }
 
 // Table implements Gateway. It waits for the first routes while they are likely to arrive before
--- a/internal/relaydaemon/join.go
+++ b/internal/relaydaemon/join.go
@@ -40,7 +40,7 @@
 	d.joinStore()
 	d.joinLedger()
 	d.joinRelay()
-	d.prepareReachWatch()
+	d.prepareReachMonitor()
 	receiver.daemon.Store(d)
 	return nil
 }
@@ -113,7 +113,7 @@
 		DiscoveryTimeout: ledger.DefaultDiscoveryTimeout,
 		Admission:        d.admission,
 		ExpectedDaemons:  d.registry.count,
-		Quota:            d.settings.quotaTerms(),
+		Quota:            d.settings.quotaTolerance(),
 		Machine:          machineClock(d.settings.PeerAddress),
 
 		StoreReadBytes: d.settings.StoreReadMegabytes * 1e6,
@@ -134,13 +134,13 @@
 		Pool:      d.pool,
 		Driver:    d.adapter.Driver(),
 		Ledger:    d.regional.combinedLedger(d.ledger),
-		Quota:     quota.NewGate(d.ledger, d.settings.quotaTerms()),
+		Quota:     quota.NewGate(d.ledger, d.settings.quotaTolerance()),
 		Table:     d.table.Load,
 		RoutesAge: d.routesAge,
 		Daemons:   func() int { return len(d.membership.Members()) },
 
 		Evacuations: &d.evacuations,
-		Zones:       d.zones,
+		Zones:       d.reachability,
 		RerouteTime: rerouteTime,
 
 		StoppingSince: d.stopping.Since,
--- a/internal/relaydaemon/keys.go
+++ b/internal/relaydaemon/keys.go
@@ -179,7 +179,7 @@
 		left = assumedPatience
 	}
 	now := time.Now()
-	if _, isCut := d.cutOffSince(); isCut {
+	if _, isCutOff := d.cutOffSince(); isCutOff {
 		return d.routesConfirmation.await(ctx, maxAge, now) // another daemon can answer at once
 	}
 	wait := admission.HeldUpRequest{Kind: admission.StoreUnavailable, Since: d.routesConfirmation.outageStart(now), LatestStart: now.Add(left)}
@@ -189,7 +189,7 @@
 func (d *Daemon) refuseUnconfirmed(query IdentifyQuery) *relay.Refusal {
 	now := time.Now()
 	after := d.admission.Decide(admission.HeldUpRequest{Kind: admission.StoreUnavailable, Since: d.routesConfirmation.outageStart(now)}, now).MedianRemaining
-	if since, isCut := d.cutOffSince(); isCut {
+	if since, isCutOff := d.cutOffSince(); isCutOff {
 		after = relay.RetryAfterReroute(since, rerouteTime)
 	}
 	return d.refuseKey(query, relay.Refusal{
--- a/internal/relaydaemon/placement.go
+++ b/internal/relaydaemon/placement.go
@@ -21,8 +21,8 @@
 		},
 		Reservers: []instance.Reserver{d.coldLimiter},
 	}
-	if d.zones != nil {
-		plugins.Scorers = append(plugins.Scorers, cutOffZones{d.zones})
+	if d.reachability != nil {
+		plugins.Scorers = append(plugins.Scorers, cutOffZones{d.reachability})
 	}
 	return plugins
 }
@@ -30,14 +30,14 @@
 // preparePlacement creates the pool of instances and the plug-ins that choose from it.
 func (d *Daemon) preparePlacement() {
 	d.coldLimiter = warmup.NewLimiter(warmup.Options{
-		Tolerance:   d.settings.coldTerms(),
+		Tolerance:   d.settings.coldTolerance(),
 		OwnAddress:  d.settings.PeerAddress,
 		ZoneReturns: &d.evacuations,
 		Logger:      componentLogger(d.logger, "warmup"),
 		Metrics:     warmup.NewMetrics(d.metrics),
 	})
 	if len(d.topology.Zones()) > 1 {
-		d.zones = zone.NewReachability(d.topology)
+		d.reachability = zone.NewReachability(d.topology)
 	}
 	d.pool = instance.NewPool(newRandom(), d.placementPlugins())
 	d.registerZones(d.metrics)
--- a/internal/relaydaemon/settings.go
+++ b/internal/relaydaemon/settings.go
@@ -229,7 +229,7 @@
 	return time.Duration(s.EvacuationMS * float64(time.Millisecond))
 }
 
-func (s *Settings) quotaTerms() quota.Tolerance {
+func (s *Settings) quotaTolerance() quota.Tolerance {
 	return quota.Tolerance{
 		Window:  time.Duration(s.QuotaWindowSeconds * float64(time.Second)),
 		Overage: s.QuotaOverage,
@@ -237,7 +237,7 @@
 	}
 }
 
-func (s *Settings) coldTerms() warmup.Tolerance {
+func (s *Settings) coldTolerance() warmup.Tolerance {
 	return warmup.Tolerance{Overage: s.ColdOverage, Slack: s.ColdSlack}
 }
 
--- a/internal/relaydaemon/zones.go
+++ b/internal/relaydaemon/zones.go
@@ -17,22 +17,22 @@
 )
 
 // applyEvacuations applies the operators' orders that were read from the store.
-func (d *Daemon) applyEvacuations(reading zone.OrderSnapshot) {
+func (d *Daemon) applyEvacuations(snapshot zone.OrderSnapshot) {
 	now := time.Now()
-	d.reportEvacuations(d.evacuations.ApplySnapshot(reading, now), reading.End, sourceStore, now)
+	d.reportEvacuations(d.evacuations.ApplySnapshot(snapshot, now), snapshot.End, sourceStore, now)
 }
 
 // KnownEvacuationsEnd implements ledger.Evacuations.
 func (d *Daemon) KnownEvacuationsEnd() int64 { return d.evacuations.KnownEnd() }
 
 // EvacuationUpdateAfter implements ledger.Evacuations.
-func (d *Daemon) EvacuationUpdateAfter(asked int64, now time.Time) *zone.EvacuationUpdate {
-	return d.evacuations.UpdateAfter(asked, now)
+func (d *Daemon) EvacuationUpdateAfter(knownEnd int64, now time.Time) *zone.EvacuationUpdate {
+	return d.evacuations.UpdateAfter(knownEnd, now)
 }
 
 // ApplyEvacuationUpdate implements ledger.Evacuations.
-func (d *Daemon) ApplyEvacuationUpdate(news *zone.EvacuationUpdate, now time.Time) {
-	d.reportEvacuations(d.evacuations.ApplyUpdate(news, now), news.End, sourceDaemon, now)
+func (d *Daemon) ApplyEvacuationUpdate(update *zone.EvacuationUpdate, now time.Time) {
+	d.reportEvacuations(d.evacuations.ApplyUpdate(update, now), update.End, sourceDaemon, now)
 }
 
 // reportEvacuations logs changes, and reports to admission how long ended evacuations lasted.
@@ -72,7 +72,7 @@
 	}
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: "mintpulley", Subsystem: "zone", Name: "unknown_evacuated", Help: "Evacuated zones that the settings do not name.",
-	}, func() float64 { return float64(d.unknownEvacuated()) }))
+	}, func() float64 { return float64(d.countUnknownEvacuated()) }))
 }
 
 func zoneGauge(name, help, zoneName string, value func() float64) prometheus.GaugeFunc {
@@ -81,7 +81,7 @@
 	}, value)
 }
 
-func (d *Daemon) unknownEvacuated() int {
+func (d *Daemon) countUnknownEvacuated() int {
 	count := 0
 	for _, order := range d.evacuations.InForce() {
 		if _, known := d.topology.RegionOf(order.Zone); !known {
--- a/internal/relaydaemon/zones_test.go
+++ b/internal/relaydaemon/zones_test.go
@@ -42,13 +42,13 @@
 }
 
 func (a *testAdapter) Evacuations(records map[string]store.Record, end int64) zone.OrderSnapshot {
-	reading := zone.OrderSnapshot{End: end}
+	snapshot := zone.OrderSnapshot{End: end}
 	for key, record := range records {
 		if key != "routes" {
-			reading.Orders = append(reading.Orders, zone.EvacuationOrder{Zone: key, Offset: record.Offset})
+			snapshot.Orders = append(snapshot.Orders, zone.EvacuationOrder{Zone: key, Offset: record.Offset})
 		}
 	}
-	return reading
+	return snapshot
 }
 
 // trimmingStore reports trimmed records on demand, so that the watcher lists all keys again.
@@ -226,8 +226,8 @@
 				t.Errorf("no %s in:\n%s", want, o.lines.String())
 			}
 		}
-		if o.unknownEvacuated() != 2 { // these settings name no zones
-			t.Errorf("%d evacuated zones that the settings do not name", o.unknownEvacuated())
+		if o.countUnknownEvacuated() != 2 { // these settings name no zones
+			t.Errorf("%d evacuated zones that the settings do not name", o.countUnknownEvacuated())
 		}
 	})
 }
