--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -15,12 +15,12 @@
 
 // Pressure implements replication.Application.
 func (c *Coordinator) Pressure() replication.Pressure {
-	kept, limits := c.Memory.Kept(), c.Memory.Limits()
+	kept, limits := c.Memory.ProgramBytes(), c.Memory.Limits()
 	switch {
 	case kept >= limits.Calls:
-		return replication.PressureAll
+		return replication.PressureRefuseAll
 	case kept >= limits.NewPrograms:
-		return replication.PressureNew
+		return replication.PressureRefuseNew
 	default:
 		return replication.PressureNone
 	}
@@ -32,20 +32,20 @@
 func (l *leader) shedForMemory(follower attachment, call structs.Call, admission program.Admission) bool {
 	pressure := l.leadership.Pressure()
 	starts := admission.Records[0].ProgramStarted != nil && call.Key.Parent().Program == ""
-	if pressure == replication.PressureNone || (pressure == replication.PressureNew && !starts) {
+	if pressure == replication.PressureNone || (pressure == replication.PressureRefuseNew && !starts) {
 		return false
 	}
 	refusal := structs.Refused(structs.ReasonMemoryFull, "",
-		fmt.Sprintf("A daemon that holds the program has no memory for %s.", whatHasNoRoom(pressure)), retryAfterMemory)
+		fmt.Sprintf("A daemon that holds the program has no memory for %s.", refusedKind(pressure)), retryAfterMemory)
 	if l.machine.Program(call.Key) != nil {
-		l.decide(call.Key, call.RequestID, "refuse", refusal.Message)
+		l.recordStep(call.Key, call.RequestID, "refuse", refusal.Message)
 	}
-	l.refuseForNow(follower, call, refusal)
+	l.refuseTemporarily(follower, call, refusal)
 	return true
 }
 
-func whatHasNoRoom(pressure replication.Pressure) string {
-	if pressure == replication.PressureNew {
+func refusedKind(pressure replication.Pressure) string {
+	if pressure == replication.PressureRefuseNew {
 		return "new programs"
 	}
 	return "more calls"
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestFullDaemonRefusesNewProgramsAndThenCalls(t *testing.T) {
+func TestFullDaemonRefusesNewProgramsThenCalls(t *testing.T) {
 	f := newFixture(t)
 	f.application.end.Body = make([]byte, 600<<10)
 	f.wantCompleted("first program", numbered(1))
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestMemoryIsFreeAgainOnceProgramsAreForgotten(t *testing.T) {
+func TestMemoryIsFreedWhenProgramsAreRemoved(t *testing.T) {
 	f := newFixture(t)
 	f.application.end.Body = make([]byte, 1100<<10)
 	last := numbered(1)
@@ -74,10 +74,10 @@
 func TestFullFollowerRefusesNewPrograms(t *testing.T) {
 	f := newFixture(t)
 	f.wantCompleted("first program", numbered(1))
-	f.group.pressure = replication.PressureNew
+	f.group.pressure = replication.PressureRefuseNew
 	f.wantRefusedForMemory("second program", numbered(2))
 	f.wantCompleted("call of a program under way", nextOf(1, 2))
-	f.group.pressure = replication.PressureAll
+	f.group.pressure = replication.PressureRefuseAll
 	f.wantRefusedForMemory("call of a program under way", nextOf(1, 3))
 	f.group.pressure = replication.PressureNone
 	f.wantCompleted("second program with room again", numbered(2))
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -39,7 +39,7 @@
 func (n *Node) newScheduler() *schedule.Scheduler {
 	return schedule.NewWithOptions(schedule.Options{
 		Clock:          n.Clock,
-		Limit:          n.Settings.QueueLimit,
+		QueueLimit:     n.Settings.QueueLimit,
 		Zone:           n.Self.Zone,
 		Profile:        schedule.DefaultProfile(),
 		Configurations: n.Configurations,
@@ -90,7 +90,7 @@
 		Engines:        n.Drivers.Engines,
 		Configurations: n.Configurations,
 		Router:         n,
-		Queues:         queues{n.Scheduler},
+		Queues:         schedulerQueues{n.Scheduler},
 		Settings:       settings,
 		Guards:         n.Guards.Placement,
 		Logger:         n.Logger.With().Str("part", "placement").Logger(),
--- a/internal/replication/extra_routes_test.go
+++ b/internal/replication/extra_routes_test.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func TestAskerThatLacksRoutesIsToldOfOthers(t *testing.T) {
+func TestDaemonMissingManyRoutesGetsExtraRoutes(t *testing.T) {
 	const shards = 30
 	f, _ := startThree(t, 32, shards)
 	outsider := f.start(4, "a")
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestLackedRoutesAreAskedForInTurn(t *testing.T) {
+func TestMissingRoutesAreRequestedInTurn(t *testing.T) {
 	f, _ := startThree(t, 33, 100)
 	outsider := f.start(4, "a")
 	f.run(50 * time.Millisecond)
@@ -49,16 +49,16 @@
 }
 
 // stayInPlace keeps leaders from moving replicas to a fresh daemon for the next
-// Settings.MoveInterval: one that is to know nothing must not be made a member.
-func stayInPlace(f *testFleet, daemons []*testDaemon) {
+// Settings.RebalanceInterval: one that is to know nothing must not be made a member.
+func delayRebalancing(f *testFleet, daemons []*testDaemon) {
 	for _, d := range daemons {
 		d.manager.movedAt = f.clock.Now()
 	}
 }
 
-func TestRoutesToldUnaskedLeaveOutThoseAskedAndUnknown(t *testing.T) {
+func TestExtraRoutesOmitRequestedAndUnknownShards(t *testing.T) {
 	f, daemons := startThree(t, 34, 6)
-	stayInPlace(f, daemons)
+	delayRebalancing(f, daemons)
 	holder := daemons[0].manager
 	if diff := cmp.Diff([]structs.ShardNumber{5, 0, 2, 3}, holder.knownFrom(5, []structs.ShardNumber{1, 4})); diff != "" {
 		t.Error(diff)
@@ -70,8 +70,8 @@
 	}
 }
 
-func TestRoutesToldUnaskedAreBounded(t *testing.T) {
-	f, daemons := startThree(t, 35, extraRoutesLimit)
+func TestExtraRoutesAreRateLimited(t *testing.T) {
+	f, daemons := startThree(t, 35, maxExtraRoutes)
 	told := 0
 	const seconds = 20
 	for range seconds {
@@ -80,14 +80,14 @@
 		}
 		f.run(time.Second)
 	}
-	if limit := (askBurst + askRate*seconds) / extraRouteSize; told > limit || told < limit/2 {
+	if limit := (requestBurstBytes + requestBytesPerSecond*seconds) / extraRouteSize; told > limit || told < limit/2 {
 		t.Errorf("%d routes told in %d s, want at most %d", told, seconds, limit)
 	}
 }
 
-func TestStaleHearsayGivesWayToTheHolder(t *testing.T) {
+func TestStaleRouteIsReplacedByTheHoldersRoute(t *testing.T) {
 	f, daemons := startThree(t, 36, 1)
-	stayInPlace(f, daemons)
+	delayRebalancing(f, daemons)
 	outsider := f.start(4, "a")
 	f.run(50 * time.Millisecond)
 	leader := f.leaderOf(0)
--- a/internal/replication/route_lookup_test.go
+++ b/internal/replication/route_lookup_test.go
@@ -7,8 +7,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func TestRepeatedQuestionsAreBounded(t *testing.T) {
-	a := allowance{}
+func TestRepeatedRouteRequestsAreRateLimited(t *testing.T) {
+	a := byteBudget{}
 	now := time.Unix(0, 0)
 	granted := 0
 	const size, seconds = 1000, 60
@@ -20,12 +20,12 @@
 		}
 		now = now.Add(time.Second)
 	}
-	if limit := askBurst + askRate*seconds; granted > limit || granted < limit-2*size {
+	if limit := requestBurstBytes + requestBytesPerSecond*seconds; granted > limit || granted < limit-2*size {
 		t.Errorf("%d bytes granted in %d s, want about %d", granted, seconds, limit)
 	}
 }
 
-func TestQuestionsOfAMomentGoTogether(t *testing.T) {
+func TestConcurrentRouteRequestsAreBatched(t *testing.T) {
 	const shards = 20
 	f, _ := startThree(t, 31, shards)
 	outsider := f.start(4, "a")
@@ -45,8 +45,8 @@
 		t.Errorf("%d messages to three daemons", len(questions))
 	}
 	for shard := range structs.ShardNumber(shards) {
-		if asked[shard] != firstAskCount {
-			t.Errorf("shard %d is asked of %d daemons, want %d", shard, asked[shard], firstAskCount)
+		if asked[shard] != firstRequestFanout {
+			t.Errorf("shard %d is asked of %d daemons, want %d", shard, asked[shard], firstRequestFanout)
 		}
 	}
 }
--- a/internal/schedule/estimates.go
+++ b/internal/schedule/estimates.go
@@ -8,33 +8,38 @@
 )
 
 const (
-	// followedTurns is how many turns of a template are told apart; later
-	// ones count as the last.
-	followedTurns = 32
+	// trackedTurns is how many turns of a template have their own statistics;
+	// later ones share those of the last.
+	trackedTurns = 32
 	// learningRate is the weight of a new observation in a moving mean.
 	learningRate = 0.05
-	// fastLearning is the weight while few observations were made.
-	fastLearning = 0.3
-	// fewObservations is how many count as few.
-	fewObservations = 10
-	// priorReturns and priorWeight are the belief before any observation that
-	// a program comes back after a turn.
-	priorReturns = 0.8
-	priorWeight  = 4
-	// maximumPrograms bounds the programs followed between their calls.
+	// initialLearningRate is the least weight of each of the first
+	// initialObservations observations.
+	initialLearningRate = 0.3
+	// initialObservations is how many observations are weighted higher, and
+	// from how many pauses on a pause histogram is used.
+	initialObservations = 10
+	// priorReturnProbability and priorWeight are the prior for the probability
+	// that a program makes another call after a turn.
+	priorReturnProbability = 0.8
+	priorWeight            = 4
+	// maximumPrograms bounds the programs whose state is kept between calls.
 	maximumPrograms = 1 << 15
-	// defaultAnswerTokens is expected of a template never seen before.
+	// defaultAnswerTokens is the expected answer length for a template without
+	// observations.
 	defaultAnswerTokens = 128
-	// defaultServiceSeconds is expected of a call never seen before.
+	// defaultServiceSeconds is the expected service time without observations.
 	defaultServiceSeconds = 1
-	// defaultPauseSeconds is the pause expected of a template never seen before.
+	// defaultPauseSeconds is the expected pause for a template without
+	// observations.
 	defaultPauseSeconds = 2
-	// unknownPauseSeconds is how long to wait for the return of a template
-	// whose pauses are not known.
+	// unknownPauseSeconds is how long to hold a cache for a template with too
+	// few observed pauses.
 	unknownPauseSeconds = 30
 )
 
-// mean is a moving mean that learns fast at first.
+// mean is an exponential moving mean that weights the first observations
+// higher.
 type mean struct {
 	value        float64
 	observations int
@@ -42,95 +47,100 @@
 
 func (m *mean) add(value float64) {
 	rate := learningRate
-	if m.observations < fewObservations {
-		rate = max(fastLearning, 1/float64(m.observations+1))
+	if m.observations < initialObservations {
+		rate = max(initialLearningRate, 1/float64(m.observations+1))
 	}
 	m.observations++
 	m.value += rate * (value - m.value)
 }
 
-func (m *mean) or(standard float64) float64 {
+func (m *mean) valueOr(standard float64) float64 {
 	if m.observations == 0 {
 		return standard
 	}
 	return m.value
 }
 
-// turnStatistics are what was seen of one turn of a template.
+// turnStatistics holds the observations of one turn of a template.
 type turnStatistics struct {
-	reached float64
-	service mean
-	answer  mean
-	// remainingTurns and remainingSeconds are derived from later turns.
+	reached        float64
+	serviceSeconds mean
+	answerTokens   mean
+	// remainingTurns and remainingSeconds are derived from this turn and later
+	// ones.
 	remainingTurns   float64
 	remainingSeconds float64
 }
 
-// templateStatistics learn how programs of a template usually go.
+// templateStatistics learns the typical course of a template's programs.
 type templateStatistics struct {
-	turns [followedTurns]turnStatistics
-	// shared is the length of the prefix that its programs have in common.
-	shared mean
-	// pause follows the pauses after all turns.
+	turns [trackedTurns]turnStatistics
+	// sharedPrefixTokens is the length of the prompt prefix that the template's
+	// programs share.
+	sharedPrefixTokens mean
+	// pause covers the pauses after all turns.
 	pause pauseStatistics
-	// stale counts observations since the derived figures were computed.
-	stale int
+	// sinceRefresh counts observations since the derived values were computed.
+	sinceRefresh int
 }
 
-// refreshAfter is how many observations may pass before the figures derived
-// from them are computed again.
+// refreshAfter is the number of observations after which the derived values are
+// recomputed.
 const refreshAfter = 32
 
-func turnIndex(turn int) int { return min(max(turn, 1), followedTurns) - 1 }
+func turnIndex(turn int) int { return min(max(turn, 1), trackedTurns) - 1 }
 
-// returns is the probability that a program comes back after a turn.
-func (t *templateStatistics) returns(index int) float64 {
-	if index == followedTurns-1 {
-		return priorReturns
+// returnProbability returns the probability that a program makes another call
+// after a turn.
+func (t *templateStatistics) returnProbability(index int) float64 {
+	if index == trackedTurns-1 {
+		return priorReturnProbability
 	}
 	here, next := t.turns[index].reached, t.turns[index+1].reached
-	probability := (next + priorReturns*priorWeight) / (here + priorWeight)
+	probability := (next + priorReturnProbability*priorWeight) / (here + priorWeight)
 	return min(probability, 1)
 }
 
-// refresh computes what remains after each turn, from the last to the first.
+// refresh computes the expected remainder after each turn, from the last turn
+// to the first.
 func (t *templateStatistics) refresh() {
-	t.stale = 0
-	last := &t.turns[followedTurns-1]
-	last.remainingTurns = priorReturns / (1 - priorReturns)
-	last.remainingSeconds = (1 + last.remainingTurns) * last.service.or(defaultServiceSeconds)
-	for index := followedTurns - 2; index >= 0; index-- {
+	t.sinceRefresh = 0
+	last := &t.turns[trackedTurns-1]
+	last.remainingTurns = priorReturnProbability / (1 - priorReturnProbability)
+	last.remainingSeconds = (1 + last.remainingTurns) * last.serviceSeconds.valueOr(defaultServiceSeconds)
+	for index := trackedTurns - 2; index >= 0; index-- {
 		here, next := &t.turns[index], &t.turns[index+1]
-		returns := t.returns(index)
+		returns := t.returnProbability(index)
 		here.remainingTurns = returns * (1 + next.remainingTurns)
-		here.remainingSeconds = here.service.or(defaultServiceSeconds) + returns*next.remainingSeconds
+		here.remainingSeconds = here.serviceSeconds.valueOr(defaultServiceSeconds) + returns*next.remainingSeconds
 	}
 }
 
-func (t *templateStatistics) observed() {
-	t.stale++
-	if t.stale >= refreshAfter {
+func (t *templateStatistics) recordObservation() {
+	t.sinceRefresh++
+	if t.sinceRefresh >= refreshAfter {
 		t.refresh()
 	}
 }
 
-// programState is what is remembered of a program between its calls.
+// programState is what the scheduler remembers of a program between its calls.
 type programState struct {
-	key        structs.ProgramKey
-	finishedAt time.Time
-	turn       int
-	engine     structs.EngineID
-	served     float64
-	position   *list.Element
-	// kept is the cache that an engine keeps for it over a pause, nil for none.
-	kept *keptCache
-}
-
-// estimates learn online how programs go on.
+	key           structs.ProgramKey
+	finishedAt    time.Time
+	turn          int
+	engine        structs.EngineID
+	servedSeconds float64
+	position      *list.Element
+	// held is the cache that an engine holds for the program over a pause, nil
+	// for none.
+	held *heldCache
+}
+
+// estimates learns from finished calls how programs are likely to continue.
 type estimates struct {
 	templates map[structs.TemplateName]*templateStatistics
 	programs  map[structs.ProgramKey]*programState
-	// order lists programs from the longest to the shortest time unseen.
+	// order lists programs from the least to the most recently seen.
 	order *list.List
 }
 
@@ -152,14 +162,14 @@
 	return known
 }
 
-// arrived learns from a call's arrival and returns the program's state.
-func (e *estimates) arrived(item *Item, now time.Time) *programState {
+// recordArrival learns from a call's arrival and returns its program's state.
+func (e *estimates) recordArrival(item *Item, now time.Time) *programState {
 	state := e.programs[item.Key]
 	if state == nil {
 		state = &programState{key: item.Key}
 		state.position = e.order.PushBack(state)
 		e.programs[item.Key] = state
-		e.bound()
+		e.evictOldest()
 	} else {
 		e.order.MoveToBack(state.position)
 	}
@@ -169,42 +179,42 @@
 		if state.turn > 0 && !state.finishedAt.IsZero() {
 			statistics.pause.add(now.Sub(state.finishedAt).Seconds())
 		}
-		statistics.observed()
+		statistics.recordObservation()
 		state.turn = item.Turn
 	}
 	return state
 }
 
-func (e *estimates) bound() {
+func (e *estimates) evictOldest() {
 	for len(e.programs) > maximumPrograms {
 		oldest := e.order.Remove(e.order.Front()).(*programState)
 		delete(e.programs, oldest.key)
 	}
 }
 
-// finished learns from a call's end.
-func (e *estimates) finished(item *Item, engine structs.EngineID, result Result, now time.Time) {
+// recordFinish learns from a call's end.
+func (e *estimates) recordFinish(item *Item, engine structs.EngineID, result Result, now time.Time) {
 	statistics := e.template(item.Template)
 	turn := &statistics.turns[turnIndex(item.Turn)]
 	if result.Started && !result.Failed {
-		turn.service.add(result.Took.Seconds())
-		turn.answer.add(float64(result.Usage.CompletionTokens))
+		turn.serviceSeconds.add(result.Duration.Seconds())
+		turn.answerTokens.add(float64(result.Usage.CompletionTokens))
 		if item.Turn <= 1 {
-			statistics.shared.add(float64(result.Usage.CachedTokens))
+			statistics.sharedPrefixTokens.add(float64(result.Usage.CachedTokens))
 		}
-		statistics.observed()
+		statistics.recordObservation()
 	}
 	state := e.programs[item.Key]
 	if state == nil {
 		return
 	}
-	if result.Ended {
+	if result.ProgramEnded {
 		e.forget(state)
 		return
 	}
 	state.finishedAt = now
 	state.engine = engine
-	state.served += result.Took.Seconds()
+	state.servedSeconds += result.Duration.Seconds()
 }
 
 func (e *estimates) forget(state *programState) {
@@ -212,23 +222,23 @@
 	delete(e.programs, state.key)
 }
 
-// outlook returns what is expected of a program at a call.
+// outlook returns the forecast for a program at one of its calls.
 func (e *estimates) outlook(item *Item) Outlook {
 	statistics := e.template(item.Template)
 	index := turnIndex(item.Turn)
 	turn := &statistics.turns[index]
 	outlook := Outlook{
-		RemainingTurns:   turn.remainingTurns,
-		RemainingSeconds: turn.remainingSeconds,
-		AnswerTokens:     turn.answer.or(defaultAnswerTokens),
-		Returns:          statistics.returns(index),
-		PauseSeconds:     statistics.pause.mean.or(defaultPauseSeconds),
+		RemainingTurns:    turn.remainingTurns,
+		RemainingSeconds:  turn.remainingSeconds,
+		AnswerTokens:      turn.answerTokens.valueOr(defaultAnswerTokens),
+		ReturnProbability: statistics.returnProbability(index),
+		PauseSeconds:      statistics.pause.mean.valueOr(defaultPauseSeconds),
 	}
 	if item.MaximumTokens > 0 {
 		outlook.AnswerTokens = min(outlook.AnswerTokens, float64(item.MaximumTokens))
 	}
 	if state := e.programs[item.Key]; state != nil {
-		outlook.ServedSeconds = state.served
+		outlook.ServedSeconds = state.servedSeconds
 	}
 	return outlook
 }
--- a/internal/schedule/hold.go
+++ b/internal/schedule/hold.go
@@ -7,8 +7,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// boundBelief sizes the mirror of an engine's cache.
-func (s *Scheduler) boundBelief(report structs.LoadReport) {
+// setCacheCapacity sets the capacity of the mirror of an engine's cache.
+func (s *Scheduler) setCacheCapacity(report structs.LoadReport) {
 	if report.CacheCapacityTokens <= 0 {
 		return
 	}
@@ -17,19 +17,19 @@
 	}
 }
 
-// hold decides whether an engine should pin a call's cache over the pause that
-// follows, and for how long. The price of memory is what a token-second of it
-// is worth to others: under a churn of c tokens a second the cache turns over
-// in capacity/c seconds, and a token that stays that long has saved about one
-// token's prompt work.
-func (s *Scheduler) hold(entry *waitingItem, view *EngineView, now time.Time) (bool, time.Duration) {
+// decideHold decides whether an engine should hold a call's cache over the
+// pause that follows, and for how long. The price of memory is the value of a
+// token-second to other calls: at a churn of c tokens per second the cache
+// turns over in capacity/c seconds, and a token that stays that long saves
+// about one token of prefill work.
+func (s *Scheduler) decideHold(entry *waitingItem, view *EngineView, now time.Time) (bool, time.Duration) {
 	if !s.profile.ManageHolds {
-		return s.profile.PinAlways, entry.HoldTime
+		return s.profile.HoldAlways, entry.HoldTime
 	}
 	if entry.HoldTime <= 0 {
 		return false, 0
 	}
-	seconds, gain := s.estimates.template(entry.Template).pause.keep(entry.outlook.Returns, s.memoryPrice(view, now))
+	seconds, gain := s.estimates.template(entry.Template).pause.bestHold(entry.outlook.ReturnProbability, s.memoryPrice(view, now))
 	if gain <= 0 {
 		return false, 0
 	}
@@ -37,23 +37,24 @@
 }
 
 const (
-	// freeMemory is the part of a cache below which memory costs latency
-	// nothing.
-	freeMemory = 0.6
-	// latencyPrice is the part of the price that counts for latency alone: it
-	// pays to keep nearly all caches and let new programs wait.
-	latencyPrice = 0.1
+	// freeMemoryFraction is the fraction of the cache up to which memory use
+	// does not cost latency.
+	freeMemoryFraction = 0.6
+	// latencyPriceFraction is the fraction of the price that applies when
+	// operators favour latency: it pays to hold nearly all caches and let new
+	// programs wait.
+	latencyPriceFraction = 0.1
 )
 
-// memoryPrice returns the worth of holding a token for a second, in parts of
-// the work of computing it. For latency it is nothing while memory is free;
-// operators who weigh cache pay for idle memory in any case.
+// memoryPrice returns the value of holding a token for a second, relative to
+// the work of computing it. For latency it is zero while memory is free; with a
+// cache weight, idle memory has a price too.
 func (s *Scheduler) memoryPrice(view *EngineView, now time.Time) float64 {
 	capacity := float64(view.Load.CacheCapacityTokens)
 	if capacity == 0 {
 		return 0
 	}
-	occupied := float64(view.AssignedTokens+view.KeptTokens) / capacity
-	pressure := min(max(occupied-freeMemory, 0)/(1-freeMemory), 1)
-	return view.churn.current(now) / capacity * ((1-s.weight)*latencyPrice*pressure + s.weight)
+	occupied := float64(view.AssignedTokens+view.HeldTokens) / capacity
+	pressure := min(max(occupied-freeMemoryFraction, 0)/(1-freeMemoryFraction), 1)
+	return view.churn.current(now) / capacity * ((1-s.cacheWeight)*latencyPriceFraction*pressure + s.cacheWeight)
 }
--- a/internal/storecapacity/capacity_test.go
+++ b/internal/storecapacity/capacity_test.go
@@ -18,7 +18,7 @@
 	programLength = 4 * time.Second
 	programSteps  = int(programLength / step)
 	step          = 100 * time.Millisecond
-	testParts     = 8
+	testShards    = 8
 )
 
 // model is a store with programs that begin at some rate. It models one shard, whose usage
@@ -138,9 +138,9 @@
 	return m.refused - before
 }
 
-// TestUsualLoadAndBurstsAreLetIn: a sustainable load and short bursts of twice that are
+// TestUsualLoadAndBurstsAreAdmitted: a sustainable load and short bursts of twice that are
 // never refused.
-func TestUsualLoadAndBurstsAreLetIn(t *testing.T) {
+func TestUsualLoadAndBurstsAreAdmitted(t *testing.T) {
 	m := &model{}
 	for range 4 {
 		m.run(3e6, 40*time.Second)
@@ -154,13 +154,13 @@
 func TestGateWithoutAPlanAdmits(t *testing.T) {
 	var g Gate
 	for range 3 {
-		if admitted, _ := g.Admit(PlanFor(Profile{}, testBound), testParts, start); !admitted {
+		if admitted, _ := g.Admit(PlanFor(Profile{}, testBound), testShards, start); !admitted {
 			t.Error("refused where nothing is known")
 		}
 	}
 }
 
-func TestProfileGoesOn(t *testing.T) {
+func TestProfileAfter(t *testing.T) {
 	p := Profile{Expiring: []int64{100, 200, 400}, Rate: 10, RetentionMS: 12_000}
 	got := p.after(SlotLength / 2)
 	want := Profile{Expiring: []int64{150, 300, 200 + 25}, Rate: 10, RetentionMS: 12_000}
@@ -190,8 +190,8 @@
 	}
 }
 
-func TestEstimateSpeaksForPartsThatWereNotHeardOf(t *testing.T) {
-	e := NewEstimate(testParts)
+func TestEstimateCoversUnreportedShards(t *testing.T) {
+	e := NewEstimate(testShards)
 	if _, known := e.Sum(start); known {
 		t.Error("there is an estimate without reports")
 	}
@@ -201,7 +201,7 @@
 	e.Note(6, Profile{Expiring: []int64{-1}, RetentionMS: 1}, start)
 	e.Note(7, Profile{Expiring: make([]int64, slotsLimit+1), RetentionMS: 1}, start)
 	sum, known := e.Sum(start)
-	if want := int64(testParts / 2 * 400); !known || sum.Bytes() != want {
+	if want := int64(testShards / 2 * 400); !known || sum.Bytes() != want {
 		t.Errorf("%d bytes, want %d", sum.Bytes(), want)
 	}
 	if _, known := e.Sum(start.Add(reportTTL + time.Second)); known {
@@ -209,9 +209,9 @@
 	}
 }
 
-// TestWhatIsKeptForLongIsNotTakenToBeDropped: bytes that expire beyond the last slot must
+// TestLateExpiryIsNotCountedAsFreed: bytes that expire beyond the last slot must
 // not count as freed.
-func TestWhatIsKeptForLongIsNotTakenToBeDropped(t *testing.T) {
+func TestLateExpiryIsNotCountedAsFreed(t *testing.T) {
 	p := Profile{RetentionMS: time.Hour.Milliseconds()}
 	p.Add(int64(0.82*testBound), time.Hour)
 	if len(p.Expiring) != slotsLimit {
@@ -222,35 +222,35 @@
 	}
 }
 
-// heardOf returns the mean part of 48 shards of which a daemon has a report, if 48 daemons
+// reportedShare returns the mean part of 48 shards of which a daemon has a report, if 48 daemons
 // each ask three holders per second, after three seconds.
-func heardOf(passOn bool) float64 {
-	const parts = 48
-	estimates := make([]*Estimate, parts)
+func reportedShare(passOn bool) float64 {
+	const shards = 48
+	estimates := make([]*Estimate, shards)
 	for i := range estimates {
-		estimates[i] = NewEstimate(parts)
+		estimates[i] = NewEstimate(shards)
 	}
 	for tenth := range 30 {
 		now := start.Add(time.Duration(tenth) * 100 * time.Millisecond)
 		for i, e := range estimates {
 			e.Note(i, Profile{Expiring: []int64{0, 100}, RetentionMS: 10_000}, now)
 		}
-		for i := range parts / 3 {
-			holder := (i*7 + 11*tenth) % parts
-			estimates[(3*i+tenth)%parts].Merge(estimates[holder].Reports(holder, passOn, now), now)
+		for i := range shards / 3 {
+			holder := (i*7 + 11*tenth) % shards
+			estimates[(3*i+tenth)%shards].Merge(estimates[holder].Reports(holder, passOn, now), now)
 		}
 	}
 	heard := 0
 	for _, e := range estimates {
 		heard += len(e.reports)
 	}
-	return float64(heard) / parts
+	return float64(heard) / shards
 }
 
 // TestReportsArePassedOn: a daemon that asks few holders receives reports of other shards
 // from them.
 func TestReportsArePassedOn(t *testing.T) {
-	with, without := heardOf(true), heardOf(false)
+	with, without := reportedShare(true), reportedShare(false)
 	if with < 1.5*without {
 		t.Errorf("reports of %.1f of all shards, and of %.1f if they are not passed on", with, without)
 	}
@@ -264,12 +264,12 @@
 
 func BenchmarkPlan(b *testing.B) {
 	e := NewEstimate(48)
-	for part := range 48 {
+	for shard := range 48 {
 		p := Profile{Rate: 60_000, RetentionMS: testLife.Milliseconds()}
 		for second := range 70 {
 			p.Add(60_000, time.Duration(second)*time.Second)
 		}
-		e.Note(part, p, start)
+		e.Note(shard, p, start)
 	}
 	for b.Loop() {
 		sum, _ := e.Sum(start.Add(time.Second))
