--- a/internal/dispatch/active_call.go
+++ b/internal/dispatch/active_call.go
@@ -12,38 +12,38 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// stage is how far a call has come in this leader's memory.
+// stage is the progress of a call at this leader.
 type stage int
 
 const (
-	// stageProposed: its acceptance is being recorded.
+	// stageProposed: the acceptance is being recorded.
 	stageProposed stage = iota
-	// stageWaiting: accepted; calls of the program before it are not settled.
+	// stageWaiting: accepted; earlier calls of the program are not settled yet.
 	stageWaiting
-	// stageWaitingForQuota: waits for a slice of the tenant's quota.
+	// stageWaitingForQuota: waiting for a slice of the tenant's quota.
 	stageWaitingForQuota
-	// stageQueued: waits for an engine.
+	// stageQueued: waiting for an engine.
 	stageQueued
 	// stageRecording: the intent is being recorded.
 	stageRecording
-	// stageRunning: sent; its stream is read.
+	// stageRunning: sent; its stream is being read.
 	stageRunning
-	// stageInspecting: sent, and the back end is asked what became of it.
+	// stageInspecting: sent, and the back end is being asked for its status.
 	stageInspecting
 	// stageSettling: the outcome is being recorded.
 	stageSettling
-	// stageFinished: its outcome is known, perhaps from the end of its program.
-	// Records of it that are still under way have no effect.
+	// stageFinished: the outcome is known, possibly because the program ended.
+	// Records of the call that are still being proposed have no effect.
 	stageFinished
 )
 
-// attachment is one caller's daemon that follows a call.
+// attachment is a daemon that follows a call for its caller.
 type attachment struct {
 	daemon     structs.DaemonID
 	submission SubmissionID
 }
 
-// activeCall is a call without an outcome, at its shard's leader.
+// activeCall is a call without an outcome at its shard's leader.
 type activeCall struct {
 	leader      *leader
 	key         structs.ProgramKey
@@ -52,36 +52,39 @@
 	attachments []attachment
 	// text is the answer so far.
 	text strings.Builder
-	// resumeText is answer text that a caller had before this leader.
+	// deliveredText is answer text that a caller received before this leader
+	// took over.
 	deliveredText string
-	// gaps counts the resumed streams in a row that began behind text.
+	// gaps counts consecutive resumed streams that began behind the end of
+	// text.
 	gaps int
 
 	item       *schedule.Item
 	assignment *schedule.Assignment
-	// moved is set once the attempt's cache transfer was asked for.
+	// transferRequested is set once the attempt's cache transfer was requested.
 	transferRequested bool
 	avoid             []structs.EngineID
 	stream            framework.Stream
-	// exchange counts attempts and inspections here; callbacks of former
-	// ones are ignored.
+	// generation counts attempts and inspections of this leader; callbacks of
+	// earlier ones are ignored.
 	generation   int
 	startedAt    time.Time
 	firstChunkAt time.Time
-	// progressAt is when the back end last showed progress.
+	// lastProgressAt is when the back end last made progress.
 	lastProgressAt time.Time
 
 	inspectingSince time.Time
 	inspectDelay    time.Duration
 	reportedUnknown bool
-	// disproved is set when the recorded attempt certainly did not run.
+	// disproved is set when it is certain that the recorded attempt did not
+	// run.
 	disproved bool
 	// mayHaveRun is set once any attempt could have had an effect.
 	mayHaveRun  bool
 	cancelled   bool
 	detachTimer clock.Timer
-	// sentBefore is set when a caller says that another copy of the call may
-	// be under way.
+	// sentBefore is set when a caller reports that another copy of the call may
+	// be in flight.
 	sentBefore bool
 }
 
@@ -91,7 +94,7 @@
 	return active
 }
 
-// sortedCalls returns all active calls in a fixed order.
+// sortedCalls returns all active calls in a deterministic order.
 func (l *leader) sortedCalls() []*activeCall {
 	all := make([]*activeCall, 0, len(l.calls))
 	for _, active := range l.calls {
@@ -108,7 +111,7 @@
 	return all
 }
 
-// attach adds a follower and sends it what it lacks of the answer.
+// attach adds a follower and sends it the missing part of the answer.
 func (a *activeCall) attach(from attachment, resumeAt int64, delivered string) {
 	if a.detachTimer != nil {
 		a.detachTimer.Stop()
@@ -149,7 +152,8 @@
 	a.text.WriteString(a.deliveredText)
 }
 
-// abandon drops the call from this leader's memory, touching no back end.
+// abandon drops the call from this leader's memory without contacting its back
+// end.
 func (a *activeCall) abandon() {
 	a.generation++
 	if a.stream != nil {
@@ -162,7 +166,7 @@
 	a.leaveScheduler(schedule.Result{})
 }
 
-// leaveScheduler takes the call out of the queue or hands its place back.
+// leaveScheduler removes the call from the queue or returns its slot.
 func (a *activeCall) leaveScheduler(result schedule.Result) {
 	if a.assignment != nil {
 		a.leader.Scheduler.Finished(*a.assignment, result)
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// submit admits a call, or attaches to it when it is known.
+// submit admits a call, or attaches to it if it is known.
 func (l *leader) submit(from structs.DaemonID, submit *Submit) {
 	follower := attachment{daemon: from, submission: submit.Submission}
 	call := submit.Call
@@ -51,7 +51,7 @@
 }
 
 // acceptWithinLimits accepts an admitted call unless memory, the queue or the
-// tenant's programs leave no room for it.
+// tenant's limit of programs has no room for it.
 func (l *leader) acceptWithinLimits(follower attachment, submit *Submit, call structs.Call, admission program.Admission) {
 	if l.shedForMemory(follower, call, admission) || l.shedProgram(follower, call, admission) {
 		return
@@ -62,7 +62,7 @@
 	l.accept(follower, submit, admission)
 }
 
-// attachAgain goes on answering a call without its content.
+// reattach continues to answer a call whose content was not sent again.
 func (l *leader) reattach(from structs.DaemonID, attach *Attach) {
 	follower := attachment{daemon: from, submission: attach.Submission}
 	if outcome, refused := l.refusals.find(follower); refused {
@@ -81,7 +81,7 @@
 	l.Transport.Send(from, &NotKnown{Submission: attach.Submission})
 }
 
-// shedProgram turns a new program away while the queue has no room for it. Nothing
+// shedProgram refuses a new program while the queue has no room for it. Nothing
 // is recorded, so that a flood of new programs costs the replicas nothing.
 func (l *leader) shedProgram(follower attachment, call structs.Call, admission program.Admission) bool {
 	if admission.Records[0].ProgramStarted == nil || call.Kind != structs.CallModel {
@@ -108,7 +108,8 @@
 	}
 }
 
-// policyFor resolves the configuration for a call, or says why it may not run.
+// policyFor resolves the configuration for a call, or returns why it may not
+// run.
 func (l *leader) policyFor(call *structs.Call) (program.Policy, *structs.Outcome) {
 	asked := *call
 	if asked.Template == "" {
@@ -117,8 +118,8 @@
 	return resolve.Call(l.Configurations.Current(), &asked)
 }
 
-// templateOf returns the template of a program, or of the nearest ancestor for
-// a sub-agent that does not name one; "" when none is known.
+// templateOf returns the template of a program, or of the nearest ancestor if a
+// sub-agent does not name one; "" when none is known.
 func (l *leader) templateOf(key structs.ProgramKey) structs.TemplateName {
 	for ; key.Program != ""; key = key.Parent() {
 		if p := l.machine.Program(key); p != nil {
@@ -131,7 +132,7 @@
 	return ""
 }
 
-// answerKnown answers a request whose outcome is recorded.
+// answerSettled answers a request whose outcome is recorded.
 func (l *leader) answerSettled(follower attachment, call structs.Call) {
 	p := l.machine.Program(call.Key)
 	if p == nil {
@@ -154,8 +155,9 @@
 	l.sendOutcome(follower, outcome)
 }
 
-// accept records the call in its program's order. The caller hears Accepted
-// only once that is acknowledged; a caller that asks again meanwhile attaches.
+// accept records the call in its program's order. Accepted is sent to the
+// caller only once the record is acknowledged; a caller that submits again in
+// the meantime attaches.
 func (l *leader) accept(follower attachment, submit *Submit, admission program.Admission) {
 	call := admission.Call
 	active := l.newActiveCall(call.Key, &call)
@@ -195,8 +197,7 @@
 	l.advance(active.key)
 }
 
-// acceptDetail tells operators what was accepted. A call with an adapter waits
-// until an engine has it.
+// acceptDetail describes an accepted call for operators.
 func acceptDetail(call *structs.Call) string {
 	if call.Adapter == "" {
 		return fmt.Sprintf("Call %d of the program.", call.Sequence)
@@ -215,8 +216,8 @@
 	l.proposed[active.key] = rest
 }
 
-// detach ends an attachment. A call that nobody follows any more goes on for a
-// while, since the caller may come back at another daemon.
+// detach removes an attachment. A call without attachments continues for
+// DetachGrace, since the caller may come back through another daemon.
 func (l *leader) detach(from structs.DaemonID, m *Detach) {
 	active := l.calls[callKey{m.Key, m.RequestID}]
 	if active == nil || l.stopped {
--- a/internal/dispatch/answer_codec.go
+++ b/internal/dispatch/answer_codec.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Parts of an Answer's JSON.
+// Fixed parts of the JSON form of Answer.
 const (
 	answerSubmission = `{"submission":`
 	answerChunks     = `,"chunks":[`
--- a/internal/dispatch/answer_codec_test.go
+++ b/internal/dispatch/answer_codec_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// FuzzScanAnswer holds the hand-written reader to encoding/json: whatever it
-// takes, encoding/json takes too, with the same result.
+// FuzzScanAnswer checks that encoding/json accepts whatever the hand-written
+// reader accepts, with the same result.
 func FuzzScanAnswer(f *testing.F) {
 	f.Add([]byte(`{"submission":7,"chunks":[{"o":0,"t":"x"},{"o":1,"t":"\n\"\\"}]}`))
 	f.Add([]byte(`{"submission":07,"chunks":[{"o":0,"t":"\ud83e"}]}`))
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -10,11 +10,11 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// retryWithoutBackEnd is when a caller may come back to a target that no live
-// machine serves.
+// retryWithoutBackEnd is the retry-after time when no live machine serves the
+// target.
 const retryWithoutBackEnd = 2 * time.Second
 
-// advance starts the call whose turn it is.
+// advance starts the program's next call.
 func (l *leader) advance(key structs.ProgramKey) {
 	p := l.machine.Program(key)
 	if p == nil {
@@ -31,7 +31,7 @@
 	}
 }
 
-// begin sends a call on its way to a back end.
+// begin sends a call towards a back end, by way of the quota and the scheduler.
 func (l *leader) begin(p *program.Program, active *activeCall) {
 	if !active.mayHaveRun && l.pastDeadline(active) {
 		l.settle(active, structs.Refused(structs.ReasonDeadline, "", "The deadline passed before the call was sent.", 0))
@@ -53,11 +53,11 @@
 	l.Scheduler.Enqueue(active.item)
 }
 
-// configurationPause is the pause before looking again for a configuration.
+// configurationRetry is the interval between checks for a configuration.
 const configurationRetry = 100 * time.Millisecond
 
-// beginLater keeps a call that a former leader accepted until this daemon,
-// which may have started a moment ago, knows prices and limits.
+// beginWhenConfigured postpones a call that a former leader accepted. A daemon
+// that has just started may lead before it knows prices and limits.
 func (l *leader) beginWhenConfigured(active *activeCall) {
 	l.after(configurationRetry, func() {
 		if active.stage == stageWaiting {
@@ -112,8 +112,8 @@
 	return cache.extend(p, call)
 }
 
-// queueRefused ends a call that the scheduler will not place. It was never
-// sent in this attempt; whether a former attempt ran decides the wording.
+// queueRefused settles a call that the scheduler refused. An earlier attempt
+// may have run, which changes the outcome.
 func (l *leader) queueRefused(active *activeCall, item *schedule.Item, outcome structs.Outcome) {
 	if active.item != item {
 		return
@@ -123,8 +123,8 @@
 	l.settle(active, l.amendIfMayHaveRun(active, outcome))
 }
 
-// withoutDisproof turns a refusal into a failure when an attempt may have run:
-// not_run is only ever said of what certainly was not run.
+// amendIfMayHaveRun turns a refusal into a failure or an unknown outcome when
+// an attempt may have run: not_run is only reported when it is certain.
 func (l *leader) amendIfMayHaveRun(active *activeCall, outcome structs.Outcome) structs.Outcome {
 	if !active.mayHaveRun || l.Guards.SkipRunCheck {
 		return outcome
@@ -138,9 +138,9 @@
 	return outcome
 }
 
-// lostCost is what a call that failed for want of an engine may have cost: the
-// worst case of its latest attempt, unless that certainly did not run. Former
-// attempts are charged in any case.
+// lostCost is the possible cost of a call that failed because no engine took
+// it: the worst case of its latest attempt, unless that certainly did not run.
+// Earlier attempts are charged separately.
 func (l *leader) lostCost(active *activeCall) structs.Cost {
 	open := l.openCall(active)
 	if open == nil || active.disproved {
@@ -149,8 +149,8 @@
 	return open.Reserved
 }
 
-// assigned takes an engine's place: reserve the worst case, record the
-// intent, and only then send.
+// assigned continues a call that was assigned to an engine: it reserves the
+// worst-case cost, records the intent, and only then sends the call.
 func (l *leader) assigned(active *activeCall, assignment schedule.Assignment) {
 	if l.stopped || active.item != assignment.Item {
 		l.Scheduler.Finished(assignment, schedule.Result{})
@@ -175,7 +175,7 @@
 	l.recordIntent(active, intent{backEnd: assignment.Engine, backEndRun: assignment.EngineRun, price: price, hold: hold})
 }
 
-// priceOf returns what a call costs now.
+// priceOf returns the current price of a call.
 func (l *leader) priceOf(p *program.Program, call *structs.Call) structs.Price {
 	if call.Kind != structs.CallModel {
 		return structs.Price{Call: p.ApplicationCost}
@@ -183,7 +183,7 @@
 	return resolve.ModelPrice(l.Configurations.Current(), call.Model)
 }
 
-// intent is what a dispatch is about to do.
+// intent describes a dispatch before it is made.
 type intent struct {
 	backEnd     structs.EngineID
 	backEndRun  int64
@@ -209,7 +209,8 @@
 	return p.OpenCall(active.call.RequestID)
 }
 
-// recordIntent reserves and records; the effect follows the acknowledgement.
+// recordIntent reserves the cost and records the intent; the call is sent after
+// the acknowledgement.
 func (l *leader) recordIntent(active *activeCall, plan intent) {
 	p, open := l.machine.Program(active.key), l.openCall(active)
 	if open == nil {
@@ -258,7 +259,7 @@
 	l.propose([]structs.Record{record}, func() { l.intentRecorded(active, plan, record.At) })
 }
 
-// describeAttempt gathers what a reservation depends on.
+// describeAttempt collects the inputs of a reservation.
 func (l *leader) describeAttempt(active *activeCall, open *program.CallState, price structs.Price) program.Attempt {
 	attempt := program.Attempt{
 		Call:          active.call,
@@ -272,7 +273,8 @@
 	return attempt
 }
 
-// withoutGuard fills in a reservation that a broken guard refused.
+// reservationWithoutBudget fills in a reservation that was refused but is
+// ignored by SkipBudget.
 func (l *leader) reservationWithoutBudget(active *activeCall, reservation program.Reservation) program.Reservation {
 	if l.Guards.SkipBudget && reservation.MaximumTokens == 0 {
 		reservation.MaximumTokens = max(active.call.MaximumTokens, 1)
@@ -280,9 +282,9 @@
 	return reservation
 }
 
-// intentRecorded sends the call, after its cache if that is to be moved. A
-// holder that stalled since it proposed may have been replaced without knowing,
-// so it asks its group first.
+// intentRecorded sends the call, after the cache transfer if one is planned. A
+// leader that stalled after it proposed the intent may have been replaced
+// without knowing, so it confirms its leadership first.
 func (l *leader) intentRecorded(active *activeCall, plan intent, proposedAt time.Time) {
 	if active.stage != stageRecording {
 		return
--- a/internal/dispatch/await_configuration.go
+++ b/internal/dispatch/await_configuration.go
@@ -2,14 +2,14 @@
 
 import "github.com/mintpulley/mintpulley/internal/structs"
 
-// configurationWaits bounds how often a submission waits configurationPause for
-// the first configuration of this daemon: two seconds at most, twice what a
-// daemon that starts takes to hear its peers.
+// configurationWaits bounds how often a submission waits configurationRetry for
+// the first configuration: two seconds in total, twice the time that a starting
+// daemon takes to learn it from its peers.
 const configurationWaits = 20
 
-// refuseUnresolved answers a call that the configuration does not let run. A
-// daemon that started a moment ago may lead before it knows any configuration:
-// the call is looked at again a little later then.
+// refuseUnresolved refuses a call that the configuration does not allow. A
+// daemon that has just started may lead before it knows any configuration; the
+// call is then submitted again a little later.
 func (l *leader) refuseUnresolved(follower attachment, submit *Submit, refusal structs.Outcome) {
 	waits := l.unconfigured[follower]
 	if refusal.Reason != structs.ReasonNoConfiguration || waits >= configurationWaits {
@@ -21,8 +21,8 @@
 	l.after(configurationRetry, func() { l.resubmit(follower, submit, waits+1) })
 }
 
-// submitAgain takes up a submission that waited for a configuration, unless
-// another copy of it has been taken up since.
+// resubmit submits a call that waited for a configuration, unless another copy
+// of it was submitted in the meantime.
 func (l *leader) resubmit(follower attachment, submit *Submit, waits int) {
 	if l.unconfigured[follower] != waits {
 		return
--- a/internal/dispatch/builders_test.go
+++ b/internal/dispatch/builders_test.go
@@ -6,7 +6,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// assignmentOf gives the held item the one engine.
+// assignmentOf assigns the held item to the engine.
 func assignmentOf(f *fixture) schedule.Assignment {
 	f.scheduler.assigned++
 	return schedule.Assignment{Item: f.scheduler.held[0], Engine: engineID, EngineRun: 1, Hold: true}
--- a/internal/dispatch/coordinator.go
+++ b/internal/dispatch/coordinator.go
@@ -1,7 +1,7 @@
-// Package dispatch carries calls from their acceptance to their outcome at
-// the leader of each shard: it keeps the order of a program's calls, records
-// every intent before its effect, sends calls to back ends, retries and
-// resumes them, and finds out what became of calls that a former leader sent.
+// Package dispatch carries calls from acceptance to outcome at the leader of
+// each shard. It keeps the order of a program's calls, records every intent
+// before it takes effect, sends calls to back ends, retries and resumes them,
+// and finds out what became of calls that a former leader sent.
 package dispatch
 
 import (
@@ -18,80 +18,85 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Scheduler chooses engines for model calls. It is called from shard queues
-// and must not call back synchronously.
+// Scheduler chooses engines for model calls. It is called from shard queues and
+// must not call back synchronously.
 type Scheduler interface {
 	// Enqueue takes an item; its Assign or Refuse is called later, once.
 	Enqueue(item *schedule.Item)
-	// NewProgramRefusal returns the refusal that the first call of a tenant's next
-	// program would meet now; false when there is room.
+	// NewProgramRefusal returns the refusal that the first call of a tenant's
+	// next program would get now, and false when there is room.
 	NewProgramRefusal(tenant structs.TenantName) (structs.Outcome, bool)
-	// Remove takes back an item that was neither assigned nor refused. It
-	// returns false when that was too late.
+	// Remove removes an item that was neither assigned nor refused. It returns
+	// false when the item was assigned or refused already.
 	Remove(item *schedule.Item) bool
-	// Finished hands an assignment back.
+	// Finished returns the slot of an assignment.
 	Finished(assignment schedule.Assignment, result schedule.Result)
-	// RecordTransfer teaches how long it took to move some tokens of cache.
+	// RecordTransfer reports the duration of a cache transfer.
 	RecordTransfer(tokens int64, took time.Duration)
-	// ProgramEnded tells that no call of a program follows.
+	// ProgramEnded reports that a program makes no more calls.
 	ProgramEnded(key structs.ProgramKey)
 }
 
-// Configurations gives the configuration in force, nil before the first.
+// Configurations provides the configuration in force, nil before the first.
 type Configurations interface {
 	Current() *structs.Configuration
 }
 
-// Directory finds back ends that take new work.
+// Directory finds back ends and collects reports of their state.
 type Directory interface {
-	// Application returns a back end for a target, and its run (0: unknown).
+	// Application returns a back end for a target that is not in avoid, and
+	// whether there is one.
 	Application(target string, avoid []structs.EngineID) (structs.EngineID, bool)
-	// HasLeft tells that a back end has left the fleet for good.
+	// HasLeft reports whether a back end has left the fleet for good.
 	HasLeft(backEnd structs.EngineID) bool
-	// MarkDraining records a back end's own word that it is leaving.
+	// MarkDraining records that a back end reported that it is draining.
 	MarkDraining(backEnd structs.EngineID)
 	// MarkUnreachable records that a connection to a back end broke.
 	MarkUnreachable(backEnd structs.EngineID)
 }
 
-// Router tells where shards are led.
+// Router provides the shard of a program and the route to its leader.
 type Router interface {
 	Shard(key structs.ProgramKey) structs.ShardNumber
 	Route(shard structs.ShardNumber) replication.Route
 }
 
-// Settings bound waiting and retrying. All durations are positive.
+// Settings bounds waiting and retrying. All durations are positive.
 type Settings struct {
-	// Retention is how long an ended program is remembered.
+	// Retention is how long an ended program is kept.
 	Retention time.Duration
-	// SequenceWait is how long a call waits for lower sequence numbers.
+	// SequenceWait is how long a call waits for calls with lower sequence
+	// numbers.
 	SequenceWait time.Duration
-	// ConfirmAfter is the age of an intent beyond which the epoch is checked
-	// again before sending.
+	// ConfirmAfter is the age of an intent beyond which the leadership is
+	// confirmed before the call is sent.
 	ConfirmAfter time.Duration
-	// InspectInterval is the first pause between inspections of a back end
+	// InspectInterval is the first interval between inspections of a back end
 	// whose answer was lost; it doubles up to InspectMaximum.
 	InspectInterval time.Duration
 	InspectMaximum  time.Duration
-	// RerunAfter is how long an unreachable back end is asked before a
+	// RerunAfter is how long an unreachable back end is inspected before a
 	// repeatable call is run elsewhere.
 	RerunAfter time.Duration
-	// UnknownAfter is when a caller is told that the outcome is unknown.
+	// UnknownAfter is when the caller is told that the outcome is unknown for
+	// now.
 	UnknownAfter time.Duration
-	// StallAfter is how long a back end may show no progress.
+	// StallAfter is how long a back end may make no progress.
 	StallAfter time.Duration
-	// GiveUpAfter is when an outcome is recorded as unknown.
+	// GiveUpAfter is when the outcome is recorded as unknown.
 	GiveUpAfter time.Duration
 	// MaximumAttempts bounds the attempts of one call.
 	MaximumAttempts int
-	// RetryFraction and RetryBurst bound retries to a share of dispatches.
+	// RetryFraction and RetryBurst bound retries to a fraction of first
+	// attempts.
 	RetryFraction float64
 	RetryBurst    float64
-	// ExpireInterval is the pause between looks for expired programs.
+	// ExpireInterval is the interval between checks for expired programs and
+	// calls.
 	ExpireInterval time.Duration
-	// DetachGrace is how long a call without any caller goes on.
+	// DetachGrace is how long a call continues without any caller attached.
 	DetachGrace time.Duration
-	// ReleaseInterval is the pause between tries to release a hold.
+	// ReleaseInterval is the interval between attempts to release a hold.
 	ReleaseInterval time.Duration
 	// DefaultHoldTime bounds holds when the template does not.
 	DefaultHoldTime time.Duration
@@ -119,7 +124,7 @@
 	}
 }
 
-// Options gives a Coordinator what it works with.
+// Options configures a Coordinator.
 type Options struct {
 	Self           structs.DaemonID
 	Clock          clock.Clock
@@ -130,38 +135,40 @@
 	Directory      Directory
 	Router         Router
 	Settings       Settings
-	// Memory counts what the programs of this daemon take; nil has the defaults.
+	// Memory accounts for the memory of this daemon's programs; nil means the
+	// default limits.
 	Memory *program.Memory
 	Logger zerolog.Logger
-	// Guards are all on in production; see Guards.
+	// Guards is the zero value in production.
 	Guards Guards
 }
 
 // Guards lets a simulation switch off one protection at a time, to show that
-// its checker notices. The zero value has every guard on.
+// its checker detects that. The zero value has every protection on.
 type Guards struct {
-	// SkipOrder sends calls of a program without waiting for the former one.
+	// SkipOrder sends calls of a program without waiting for the previous one.
 	SkipOrder bool
 	// SkipIntent sends before the intent is acknowledged.
 	SkipIntent bool
-	// SkipBudget reserves nothing.
+	// SkipBudget ignores budgets and tenants' spending quotas.
 	SkipBudget bool
 	// SkipRelease never releases holds.
 	SkipRelease bool
-	// SkipInspect runs a call again without asking what became of it.
+	// SkipInspect reruns a call without inspecting its attempt.
 	SkipInspect bool
-	// SkipRecovery takes a shard that lost all its holders for one that lost
+	// SkipRecovery treats a shard that lost all its replicas as one that lost
 	// nothing.
 	SkipRecovery bool
-	// SkipRunCheck refuses as not run what may have been run.
+	// SkipRunCheck reports not_run for calls that may have run.
 	SkipRunCheck bool
 	// SkipKnown forgets which request identifiers were used.
 	SkipKnown bool
-	// SkipResume restarts broken streams at the wrong place.
+	// SkipResume resumes streams from the beginning instead of where the caller
+	// left off.
 	SkipResume bool
-	// SkipHistory loses a finished call's messages.
+	// SkipHistory records finished calls without their answer.
 	SkipHistory bool
-	// SkipIsolation sends a call behind another program's history.
+	// SkipIsolation sends a call with another program's history.
 	SkipIsolation bool
 }
 
@@ -206,7 +213,7 @@
 	}
 }
 
-// leader returns the leader of a shard here, or nil.
+// leader returns this daemon's leader of a shard, or nil.
 func (c *Coordinator) leader(shard structs.ShardNumber) *leader {
 	return c.leaders.Get(shard)
 }
@@ -249,7 +256,7 @@
 }
 
 // withLeader runs task on the shard's queue if this daemon leads the shard in
-// the epoch that the sender believes in, and redirects the sender otherwise.
+// the epoch that the sender expects, and redirects the sender otherwise.
 func (c *Coordinator) withLeader(from structs.DaemonID, submission SubmissionID, key structs.ProgramKey, epoch structs.Epoch, task func(*leader)) {
 	shard := c.Router.Shard(key)
 	l := c.leader(shard)
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -4,11 +4,11 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// decisionsPerProgram bounds what is kept for operators to read.
+// decisionsPerProgram bounds the decisions kept per program.
 const decisionsPerProgram = 64
 
-// decisionLog keeps the latest decisions of each program. It is not
-// replicated: after a takeover it begins with the takeover.
+// decisionLog keeps the latest decisions of each program for operators. It is
+// not replicated: after a takeover it starts empty.
 type decisionLog struct {
 	programs map[structs.ProgramKey][]structs.Decision
 }
@@ -27,16 +27,16 @@
 
 func (d *decisionLog) forget(key structs.ProgramKey) { delete(d.programs, key) }
 
-// of returns the kept decisions of a program, oldest first.
+// of returns the decisions of a program, oldest first.
 func (d *decisionLog) of(key structs.ProgramKey) []structs.Decision { return d.programs[key] }
 
-// decide notes a step and its reason.
+// recordStep records a step of a call with its reason.
 func (l *leader) recordStep(key structs.ProgramKey, request structs.RequestID, step, detail string) {
 	l.recordDecision(key, structs.Decision{At: l.Clock.Now(), RequestID: request, Step: step, Detail: detail})
 }
 
-// note keeps a decision and logs it with the request's trace, by which the
-// lines of all daemons that touched the request are found.
+// recordDecision keeps a decision and logs it with the request's trace, which
+// connects the log lines of all daemons about the request.
 func (l *leader) recordDecision(key structs.ProgramKey, decision structs.Decision) {
 	l.decisions.add(key, decision)
 	event := l.Logger.Info()
--- a/internal/dispatch/describe.go
+++ b/internal/dispatch/describe.go
@@ -8,9 +8,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// describe answers a question about one program. The epoch is confirmed first,
-// so that a leader that was replaced without knowing does not deny a request
-// which its successor has accepted. Without a majority there is no answer.
+// describe answers a query about one program. Leadership is confirmed first, so
+// that a replaced leader does not deny a request that its successor has
+// accepted. Without a majority there is no answer.
 func (l *leader) describe(from structs.DaemonID, request *Describe) {
 	l.leadership.Confirm(func(err error) {
 		if err != nil || l.stopped {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// String names a stage for people.
+// String returns the name of a stage for operators.
 func (s stage) String() string {
 	switch s {
 	case stageProposed:
@@ -150,8 +150,8 @@
 }
 
 // endOnRequest ends a program for its caller, and answers once that is
-// recorded. While the program's start is being recorded there is no answer
-// yet; the asker asks again.
+// recorded. While the program's start is being recorded there is no answer; the
+// sender asks again.
 func (l *leader) endOnRequest(from structs.DaemonID, request *EndProgram) {
 	p := l.machine.Program(request.Key)
 	switch {
@@ -178,7 +178,7 @@
 	})
 }
 
-// endWaiter is a daemon that asked for the end of a program.
+// endWaiter is a daemon that waits for the end of a program.
 type endWaiter struct {
 	daemon structs.DaemonID
 	query  QueryID
@@ -190,7 +190,7 @@
 	}
 }
 
-// answerEndWaiters tells those who asked for an end that it is recorded.
+// answerEndWaiters reports a recorded end to the daemons that wait for it.
 func (l *leader) answerEndWaiters(p *program.Program) {
 	for _, waiter := range l.endWaiters[p.Key] {
 		l.Transport.Send(waiter.daemon, &ProgramEnded{Query: waiter.query, Known: true, Reason: p.EndReason})
@@ -198,8 +198,8 @@
 	delete(l.endWaiters, p.Key)
 }
 
-// cancelOnRequest stops a call for its caller. A call whose acceptance is being
-// recorded gets no answer yet; the asker asks again.
+// cancelOnRequest cancels a call for its caller. While the call's acceptance is
+// being recorded there is no answer; the sender asks again.
 func (l *leader) cancelOnRequest(from structs.DaemonID, request *CancelCall) {
 	if active := l.calls[callKey{request.Key, request.RequestID}]; active != nil {
 		l.cancelCall(active)
--- a/internal/dispatch/describe_messages.go
+++ b/internal/dispatch/describe_messages.go
@@ -8,16 +8,17 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// QueryID names one question, unique in the run of the daemon that asks.
+// QueryID identifies a query, unique within the run of the daemon that sends
+// it.
 type QueryID uint64
 
-// Describe asks a shard's leader what it knows of a program.
+// Describe asks a shard's leader for the state of a program.
 type Describe struct {
 	Query QueryID            `json:"query"`
 	Key   structs.ProgramKey `json:"key"`
-	// RequestID asks for the whole outcome of one call, "" for none.
+	// RequestID asks for the complete outcome of one call, "" for none.
 	RequestID structs.RequestID `json:"request_id,omitempty"`
-	// WithHistory and WithDecisions ask for these too.
+	// WithHistory and WithDecisions ask for these in addition.
 	WithHistory   bool `json:"with_history,omitempty"`
 	WithDecisions bool `json:"with_decisions,omitempty"`
 }
@@ -34,17 +35,18 @@
 // List asks one daemon for the programs of the shards that it leads.
 type List struct {
 	Query QueryID `json:"query"`
-	// Tenant limits the answer to one tenant's programs, "" to none.
+	// Tenant restricts the answer to one tenant's programs; "" means all
+	// tenants.
 	Tenant structs.TenantName `json:"tenant,omitempty"`
 	// Limit bounds the number of programs in the answer.
 	Limit int `json:"limit"`
 }
 
-// Listed answers List: live programs first, then the latest begun.
+// Listed answers List: live programs first, then the most recently started.
 type Listed struct {
 	Query    QueryID          `json:"query"`
 	Programs []ProgramSummary `json:"programs"`
-	// Total counts the programs that fit, also those beyond the limit.
+	// Total counts the matching programs, including those beyond the limit.
 	Total int `json:"total"`
 }
 
@@ -60,28 +62,28 @@
 	Redirect *replication.Route `json:"redirect,omitempty"`
 	// Known is false when the shard has no such program.
 	Known bool `json:"known"`
-	// Reason is why it ended, perhaps before it was asked to.
+	// Reason is why the program ended, possibly before the request.
 	Reason structs.Reason `json:"reason,omitempty"`
 }
 
-// CancelCall asks a shard's leader to stop a call.
+// CancelCall asks a shard's leader to cancel a call.
 type CancelCall struct {
 	Query     QueryID            `json:"query"`
 	Key       structs.ProgramKey `json:"key"`
 	RequestID structs.RequestID  `json:"request_id"`
 }
 
-// CallCancelled answers CancelCall. The call may still run to its end when its
+// CallCancelled answers CancelCall. The call may still run to its end if its
 // back end cannot stop it.
 type CallCancelled struct {
 	Query    QueryID            `json:"query"`
 	Redirect *replication.Route `json:"redirect,omitempty"`
-	// Request is nil when the program has not seen the call.
+	// Request is nil when the program does not know the call.
 	Request *RequestStatus `json:"request,omitempty"`
 }
 
-// ProgramSummary is one program in a line. Budget, Spent and Reserved are those
-// of its whole family.
+// ProgramSummary summarizes a program. Budget, Spent and Reserved are those of
+// its whole family.
 type ProgramSummary struct {
 	Key             structs.ProgramKey   `json:"key"`
 	Template        structs.TemplateName `json:"template"`
@@ -106,15 +108,14 @@
 	LastEngine      structs.EngineID     `json:"last_engine,omitempty"`
 }
 
-// ProgramDescription is all that a leader tells about one program.
+// ProgramDescription is the complete answer about one program.
 type ProgramDescription struct {
 	ProgramSummary
 	Limits  structs.Limits `json:"limits"`
 	Open    []OpenCall     `json:"open,omitempty"`
 	Settled []SettledCall  `json:"settled,omitempty"`
 	Held    []structs.Hold `json:"held,omitempty"`
-	// Request is the call that was asked for; nil when the program has not
-	// seen it.
+	// Request is the requested call; nil when the program does not know it.
 	Request   *RequestStatus     `json:"request,omitempty"`
 	History   []structs.Message  `json:"history,omitempty"`
 	Decisions []structs.Decision `json:"decisions,omitempty"`
@@ -128,7 +129,7 @@
 	Model     structs.ModelName `json:"model,omitempty"`
 	Target    string            `json:"target,omitempty"`
 	Operation string            `json:"operation,omitempty"`
-	// Stage is how far it has come: "waiting", "queued", "running", ...
+	// Stage is the name of a stage: "waiting", "queued", "running", ...
 	Stage        string           `json:"stage"`
 	Attempt      int              `json:"attempt,omitempty"`
 	BackEnd      structs.EngineID `json:"back_end,omitempty"`
@@ -140,7 +141,7 @@
 	TraceID     string `json:"trace_id,omitempty"`
 }
 
-// SettledCall is a call with its outcome, without the answer's content.
+// SettledCall is a call with its outcome, without the content of the answer.
 type SettledCall struct {
 	RequestID structs.RequestID     `json:"request_id"`
 	Sequence  uint64                `json:"sequence"`
@@ -152,13 +153,14 @@
 	Charged   structs.Cost          `json:"charged,omitempty"`
 }
 
-// RequestStatus is what became of one call: Outcome, or Open while it has none.
+// RequestStatus is the state of one call: its Outcome, or Open while it has
+// none.
 type RequestStatus struct {
 	Open    *OpenCall        `json:"open,omitempty"`
 	Outcome *structs.Outcome `json:"outcome,omitempty"`
 }
 
-// Kinds of message for questions.
+// Kinds of the query messages.
 const (
 	KindDescribe      peer.Kind = "dispatch.describe"
 	KindDescribed     peer.Kind = "dispatch.described"
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -84,7 +84,7 @@
 	f.engine.status = framework.AttemptStatus{State: framework.AttemptRunning, StartedUnixNano: 1, Fenced: true}
 	f.group.lead()
 	f.run(3 * time.Second)
-	// Epoch 2, behind the first dispatch.
+	// Epoch 2, after the first dispatch.
 	const want structs.Epoch = 2<<16 | 2
 	if len(f.engine.inspected) == 0 || f.engine.inspected[0] != want {
 		t.Fatalf("inspections %v, want one in epoch %d", f.engine.inspected, want)
@@ -329,9 +329,9 @@
 	}
 }
 
-// TestProgramThatEndsWhileAnIntentIsRecordedSendsNothing has a program end
-// between the proposal of a call's intent and its acknowledgement: the end
-// comes first in the log, so that the call was refused, and must not be sent.
+// The program ends between the proposal of a call's intent and its
+// acknowledgement. The end comes first in the log, so the call was refused and
+// must not be sent.
 func TestProgramEndDuringIntentSendsNothing(t *testing.T) {
 	f := newFixture(t)
 	f.scheduler.holdBack = true
--- a/internal/dispatch/early.go
+++ b/internal/dispatch/early.go
@@ -9,22 +9,22 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// earlySubmit is a submission that waits for lower sequence numbers.
+// outOfOrderSubmit is a submission that waits for lower sequence numbers.
 type outOfOrderSubmit struct {
 	from   attachment
 	submit *Submit
 	timer  clock.Timer
 }
 
-// retryAfterOrder is when a caller may send a call again whose predecessors
+// retryAfterMissingCalls is the retry-after time of a call whose predecessors
 // have not arrived.
 const retryAfterMissingCalls = time.Second
 
-// startWait is how long a later call waits for the first of its program, which
-// may take another way.
+// firstCallWait is how long a later call waits for the first one of its
+// program, which may arrive by another route.
 const firstCallWait = time.Second
 
-// waitForOrder keeps a submission until the calls before it have arrived.
+// waitForPredecessors keeps a submission until the calls before it arrive.
 func (l *leader) waitForPredecessors(follower attachment, submit *Submit) {
 	key := submit.Call.Key
 	for _, waiting := range l.outOfOrder[key] {
@@ -56,7 +56,7 @@
 	l.refuseTemporarily(waiting.from, waiting.submit.Call, refusal)
 }
 
-// admitEarly submits again what waited for the call just accepted.
+// resubmitOutOfOrder submits the calls that waited for the accepted one.
 func (l *leader) resubmitOutOfOrder(key structs.ProgramKey) {
 	waiting := l.outOfOrder[key]
 	delete(l.outOfOrder, key)
--- a/internal/dispatch/fence_test.go
+++ b/internal/dispatch/fence_test.go
@@ -8,9 +8,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// TestInspectionFencesWhatThisLeaderSent has a back end that answers "absent
-// and fenced" while the first request may still be on its way: the fence must
-// stop that one and let the next one pass.
+// A back end answers "absent and fenced" while the first request may still be
+// in flight: the fence must stop that one and let the next one pass.
 func TestInspectionFencesOwnEarlierDispatches(t *testing.T) {
 	f := newFixture(t)
 	f.application.end = framework.AttemptEnd{Kind: framework.EndLost}
@@ -31,9 +30,9 @@
 	}
 }
 
-// TestRefusedCallPassesItsOwnFences refuses a call after inspections whose
-// fences the back end keeps, and submits it again, as a caller that was told
-// "not run" may: the new dispatches must pass the old fences.
+// A call is refused after inspections whose fences the back end keeps. The
+// caller, told "not run", submits it again: the new dispatches must pass the
+// old fences.
 func TestResubmittedCallPassesEarlierFences(t *testing.T) {
 	f := newFixture(t)
 	f.application.end = framework.AttemptEnd{Kind: framework.EndLost}
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -25,7 +25,7 @@
 
 var begin = time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC)
 
-// fakeEngine answers when the test says so.
+// fakeEngine leaves answers to the test.
 type fakeEngine struct {
 	framework.EngineDriver
 	requests  []framework.EngineRequest
@@ -35,7 +35,7 @@
 	statusErr error
 	released  []structs.HoldID
 	cancelled []structs.AttemptID
-	// transfers are answered when the test says so.
+	// transfers are completed by the test through moved.
 	transfers []framework.Transfer
 	moved     []func(int64, error)
 }
@@ -80,7 +80,7 @@
 	observer.End(framework.AttemptEnd{Kind: framework.EndCompleted, FinishReason: "stop", Usage: structs.Usage{PromptTokens: 10, CompletionTokens: 5}, HoldTaken: true})
 }
 
-// fakeApplication answers each invocation as the test says.
+// fakeApplication answers each invocation with end.
 type fakeApplication struct {
 	invoked   []framework.ApplicationRequest
 	inspected []structs.Epoch
@@ -99,7 +99,7 @@
 	done(a.status, a.statusErr)
 }
 
-// fakeScheduler assigns the one engine at once, or holds items back.
+// fakeScheduler assigns every item to the engine at once, or holds items back.
 type fakeScheduler struct {
 	held     []*schedule.Item
 	full     bool
@@ -107,9 +107,9 @@
 	assigned int
 	finished int
 	ended    int
-	// transfer goes along with the next assignments.
+	// transfer is added to the next assignments.
 	transfer schedule.Transfer
-	// taught is what Transferred was told last.
+	// transferredTokens is the argument of the last RecordTransfer.
 	transferredTokens int64
 }
 
@@ -149,19 +149,19 @@
 
 func (f fixedConfiguration) Current() *structs.Configuration { return f.fixture.configuration }
 
-// fakeGroup is a group of one whose leadership the test hands on.
+// fakeGroup is a group of one replica. The test moves its leadership.
 type fakeGroup struct {
 	queue       serial.Queue
 	machine     replication.StateMachine
 	application replication.Application
-	// pressure is what the other members say.
+	// pressure is that of the other members.
 	pressure replication.Pressure
 	epoch    structs.Epoch
-	// lose drops proposals; stall delays their acknowledgement.
+	// lose drops proposals; delay collects their acknowledgements in stall.
 	lose  bool
 	stall []func(error)
 	delay bool
-	// refuseConfirm makes Confirm fail, as after a takeover elsewhere.
+	// refuseConfirm makes Confirm fail, as after a takeover by another daemon.
 	refuseConfirm bool
 	records       []structs.Record
 }
@@ -198,14 +198,14 @@
 	}
 }
 
-// lead starts the next epoch on the state as committed.
+// lead starts the next epoch on the committed state.
 func (g *fakeGroup) lead() {
 	g.epoch++
 	g.lose, g.delay, g.refuseConfirm = false, false, false
 	g.queue.Do(func() { g.application.Lead(0, g.machine, g) })
 }
 
-// fixture is one daemon with everything around it under the test's control.
+// fixture is one daemon whose surroundings are controlled by the test.
 type fixture struct {
 	t           *testing.T
 	clock       *clock.Virtual
@@ -286,10 +286,10 @@
 func (f *fixture) Learn(structs.ShardNumber, replication.Route) {}
 func (f *fixture) Alive(structs.DaemonID) bool                  { return true }
 
-// run lets virtual time pass.
+// run advances the virtual clock.
 func (f *fixture) run(d time.Duration) { f.clock.RunUntil(f.clock.Now().Add(d)) }
 
-// answerTo collects what one caller gets.
+// recordedCaller records what one caller receives.
 type recordedCaller struct {
 	text     string
 	outcomes []structs.Outcome
--- a/internal/dispatch/holds.go
+++ b/internal/dispatch/holds.go
@@ -9,14 +9,14 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// release is a hold that an engine is being asked to free. It is asked until
-// it acknowledges or has left the fleet.
+// release is the release of a hold at its engine. It is retried until the
+// engine acknowledges or has left the fleet.
 type release struct {
 	hold  structs.Hold
 	timer clock.Timer
 }
 
-// holdTime is how long a program's engine memory may be kept over a pause.
+// holdTime is how long an engine may hold the program's cache over a pause.
 func (l *leader) holdTime(p *program.Program) time.Duration {
 	if p.Limits.HoldTime > 0 {
 		return p.Limits.HoldTime
@@ -24,8 +24,8 @@
 	return l.Settings.DefaultHoldTime
 }
 
-// releaseStaleHolds frees engine memory that the program no longer needs:
-// everything once it ended or paused too long, and else all but its latest.
+// releaseStaleHolds releases holds that the program no longer needs: all of
+// them once it has ended or paused too long, else all but the latest.
 func (l *leader) releaseStaleHolds(p *program.Program) {
 	if l.Guards.SkipRelease || len(p.Holds) == 0 {
 		return
@@ -37,10 +37,10 @@
 	}
 }
 
-// holdWanted tells whether a hold belongs to an open call, or to the program's
-// latest model call: one that waits will use it, and over a pause it is kept
-// for as long as that is worth it. A tool that
-// hangs thus costs the program its cache first.
+// isHoldNeeded reports whether a hold belongs to an open call or to the
+// program's latest model call. The latter is needed while the next model call
+// waits, and over a pause for up to holdLimit, so that a program with a hanging
+// tool loses its cache.
 func (l *leader) isHoldNeeded(p *program.Program, hold structs.Hold) bool {
 	for _, open := range p.Open {
 		if open.Hold == hold.ID {
@@ -56,8 +56,8 @@
 	return l.Clock.Now().Sub(p.ModelSettledAt) < l.holdLimit(p, hold.ID)
 }
 
-// holdBound is how long a hold is kept over a pause: what the scheduler found
-// worth it, or after a takeover what the template allows.
+// holdLimit is how long a hold is kept over a pause: as long as the scheduler
+// decided, or after a takeover as long as the template allows.
 func (l *leader) holdLimit(p *program.Program, id structs.HoldID) time.Duration {
 	if bound, chosen := l.holdFor[id]; chosen {
 		return min(bound, l.holdTime(p))
@@ -79,7 +79,7 @@
 	return holds
 }
 
-// release asks the engine to free a hold, again and again until it is free.
+// release asks the engine to release a hold, with retries.
 func (l *leader) release(hold structs.Hold) {
 	if _, underWay := l.releases[hold.ID]; underWay {
 		return
@@ -120,8 +120,8 @@
 	l.propose([]structs.Record{record}, func() { l.forgetRelease(hold.ID) })
 }
 
-// checkHold frees memory that an engine pins for a program which has ended, or
-// which this shard does not account for.
+// checkHold releases a hold of a program that has ended, or one that this shard
+// has no record of.
 func (l *leader) checkHold(hold structs.Hold) {
 	if l.stopped || l.Guards.SkipRelease {
 		return
--- a/internal/dispatch/inspect.go
+++ b/internal/dispatch/inspect.go
@@ -10,9 +10,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// inspect asks the back end of a recorded attempt what became of it. The
-// question carries this epoch, so that back ends with fences will not take the
-// attempt from a former holder that wakes later.
+// inspect asks the back end of a recorded attempt for its status. The request
+// carries this leader's epoch, so that back ends with fences refuse the attempt
+// if a former leader still sends it later.
 func (l *leader) inspect(active *activeCall) {
 	open := l.openCall(active)
 	if open == nil {
@@ -93,9 +93,10 @@
 	}
 }
 
-// absent acts on a back end that does not know the attempt. That disproves it
-// only if the back end is still in the run it was sent to and will refuse it
-// from now on; otherwise it may have run, or may yet be sent by a paused holder.
+// attemptAbsent handles a back end that does not know the attempt. That
+// disproves the attempt only if the back end has not restarted since and will
+// refuse the attempt from now on. Otherwise it may have run, or a paused leader
+// may still send it.
 func (l *leader) attemptAbsent(active *activeCall, open *program.CallState, status framework.AttemptStatus) {
 	sameRun := status.StartedUnixNano == 0 || (open.BackEndRun != 0 && status.StartedUnixNano == open.BackEndRun)
 	if sameRun && status.Fenced {
@@ -110,7 +111,7 @@
 	l.inspectAgain(active)
 }
 
-// unreachable acts on a back end that does not answer.
+// backEndUnreachable handles a back end that does not answer.
 func (l *leader) backEndUnreachable(active *activeCall, open *program.CallState) {
 	waited := l.Clock.Now().Sub(active.inspectingSince)
 	mayRepeat := active.call.Kind == structs.CallModel || active.call.Repeatable
@@ -121,8 +122,9 @@
 	l.inspectAgain(active)
 }
 
-// inspectAgain asks later. Callers learn in time that the outcome is unknown,
-// and the record says so at last; the program's next call waits until then.
+// inspectAgain schedules the next inspection. Callers are told after
+// UnknownAfter that the outcome is unknown for now; after GiveUpAfter that is
+// recorded. The program's next call waits until then.
 func (l *leader) inspectAgain(active *activeCall) {
 	waited := l.Clock.Now().Sub(active.inspectingSince)
 	if waited >= l.Settings.GiveUpAfter {
@@ -157,7 +159,7 @@
 	}
 }
 
-// stalledOutcome ends a repeatable call whose back end hangs: the caller may
+// stalledOutcome settles a repeatable call whose back end hangs: the caller may
 // safely send it again.
 func stalledOutcome() structs.Outcome {
 	return structs.Outcome{
@@ -171,7 +173,7 @@
 	l.Transport.Send(follower.daemon, &Settled{Submission: follower.submission, Outcome: unknownOutcome(), Provisional: true})
 }
 
-// rerun sends the call again after its attempt was lost or disproved.
+// rerun dispatches the call again after its attempt was lost or disproved.
 func (l *leader) rerun(active *activeCall, why string) {
 	active.inspectingSince = time.Time{}
 	l.recordStep(active.key, active.call.RequestID, "rerun", why)
--- a/internal/dispatch/leader.go
+++ b/internal/dispatch/leader.go
@@ -10,14 +10,14 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// callKey names a call inside a shard.
+// callKey identifies a call within a shard.
 type callKey struct {
 	program structs.ProgramKey
 	request structs.RequestID
 }
 
-// leader runs one shard in one epoch. Everything below runs on the shard's
-// queue, which takes the place of a lock.
+// leader leads one shard in one epoch. All of its state is accessed on the
+// shard's queue, which takes the place of a lock.
 type leader struct {
 	*Coordinator
 	shard      structs.ShardNumber
@@ -29,16 +29,16 @@
 	calls map[callKey]*activeCall
 	// proposed holds calls whose acceptance is being recorded, in order.
 	proposed map[structs.ProgramKey][]structs.Call
-	// early holds submissions that arrived before lower sequence numbers.
+	// outOfOrder holds submissions that arrived before lower sequence numbers.
 	outOfOrder map[structs.ProgramKey][]*outOfOrderSubmit
-	// unconfigured counts how often submissions waited for a configuration.
+	// unconfigured counts how often a submission waited for a configuration.
 	unconfigured map[attachment]int
 	// ending holds programs whose end is being recorded.
 	ending map[structs.ProgramKey]bool
-	// endWaiters holds who asked for the end of a program.
+	// endWaiters holds the daemons that wait for the end of a program.
 	endWaiters map[structs.ProgramKey][]endWaiter
 	releases   map[structs.HoldID]*release
-	// holdFor is how long the scheduler wants holds kept over a pause.
+	// holdFor is how long the scheduler decided to keep holds over a pause.
 	holdFor  map[structs.HoldID]time.Duration
 	refusals *refusalCache
 	quotas   *quotaState
@@ -72,8 +72,8 @@
 	}
 }
 
-// start takes up what the former leader left: calls without an outcome go on,
-// dispatched ones after asking the back end what became of them.
+// start continues the calls that the former leader left without an outcome,
+// dispatched ones after an inspection of their back end.
 func (l *leader) start() {
 	for _, p := range l.machine.Programs() {
 		for _, open := range p.Open {
@@ -91,8 +91,9 @@
 	l.scheduleExpiry()
 }
 
-// stop drops all work in memory without touching any back end: the successor
-// will ask them. Callers' daemons notice the silence and follow the route.
+// stop drops all work in memory without contacting back ends: the successor
+// will inspect them. Daemons that follow calls notice the silence and look up
+// the new route.
 func (l *leader) stop() {
 	if l.stopped {
 		return
@@ -123,8 +124,8 @@
 	})
 }
 
-// propose records, and runs done on success. After a lost leadership nothing
-// more is done here: the successor decides.
+// propose records, and runs done on success. After lost leadership nothing more
+// happens here: the successor decides.
 func (l *leader) propose(records []structs.Record, done func()) {
 	l.leadership.Propose(records, func(err error) {
 		if l.stopped {
@@ -147,7 +148,7 @@
 	})
 }
 
-// expirePrograms ends programs past their time and forgets ended ones.
+// expirePrograms ends expired programs and removes ended ones after Retention.
 func (l *leader) expirePrograms() {
 	now := l.Clock.Now()
 	for _, record := range l.machine.Expired(now, l.Settings.Retention) {
@@ -175,7 +176,7 @@
 	})
 }
 
-// endProgram records a program's end and carries out what follows from it.
+// endProgram records a program's end and handles its consequences.
 func (l *leader) endProgram(key structs.ProgramKey, reason structs.Reason) {
 	if l.ending[key] {
 		return
@@ -188,8 +189,8 @@
 	})
 }
 
-// programEnded settles or cancels what an ended program and its descendants
-// still have under way, and frees their engine memory.
+// programEnded settles or cancels the open calls of an ended program and its
+// descendants, and releases their holds.
 func (l *leader) programEnded(key structs.ProgramKey) {
 	for _, active := range l.sortedCalls() {
 		p := l.machine.Program(active.key)
--- a/internal/dispatch/list.go
+++ b/internal/dispatch/list.go
@@ -10,10 +10,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// maximumListed bounds the programs of one answer.
+// maximumListed bounds the programs in one answer.
 const maximumListed = 10000
 
-// receiveQuestion handles the questions of describe_messages.go.
+// receiveQuery handles the queries of describe_messages.go.
 func (c *Coordinator) receiveQuery(from structs.DaemonID, message peer.Message) bool {
 	switch m := message.(type) {
 	case *Describe:
@@ -38,7 +38,7 @@
 	return true
 }
 
-// askLeader runs task on the shard's queue if it is led here.
+// runOnLeader runs task on the shard's queue if this daemon leads the shard.
 func (c *Coordinator) runOnLeader(key structs.ProgramKey, task func(*leader), redirect func(replication.Route)) {
 	shard := c.Router.Shard(key)
 	l := c.leader(shard)
@@ -55,7 +55,8 @@
 	})
 }
 
-// list collects the summaries of all shards led here, one queue after another.
+// list collects the summaries of all shards led by this daemon, one queue after
+// another.
 func (c *Coordinator) list(from structs.DaemonID, request *List) {
 	leaders := c.leaders.All()
 	collected := &listing{missing: len(leaders), answer: func(programs []ProgramSummary) {
@@ -83,7 +84,7 @@
 	return summaries
 }
 
-// listing waits for the shards' parts of a list.
+// listing collects the shards' parts of a list.
 type listing struct {
 	mutex    sync.Mutex
 	missing  int
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -9,8 +9,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// retryAfterMemory is when a caller may come back to a shard whose daemons have
-// no memory left: programs end, and are forgotten, all the time.
+// retryAfterMemory is the retry-after time when a daemon of the shard's group
+// has no memory left. Memory is freed as ended programs are removed.
 const retryAfterMemory = 10 * time.Second
 
 // Pressure implements replication.Application.
@@ -26,9 +26,9 @@
 	}
 }
 
-// shedForMemory turns a call away for which a daemon of the shard's group has no
-// memory: a new program's at the lower limit, any at the higher one. A
-// sub-agent belongs to a program under way. Nothing is recorded.
+// shedForMemory refuses a call when a daemon of the shard's group is short of
+// memory: a new program at the lower limit, any call at the higher one. A
+// sub-agent counts as part of a program in progress. Nothing is recorded.
 func (l *leader) shedForMemory(follower attachment, call structs.Call, admission program.Admission) bool {
 	pressure := l.leadership.Pressure()
 	starts := admission.Records[0].ProgramStarted != nil && call.Key.Parent().Program == ""
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -18,7 +18,7 @@
 	return caller.outcomes[0]
 }
 
-// nextOf is a further call of a program.
+// nextOf returns a further call of a program.
 func nextOf(program, call int) structs.Call {
 	next := numbered(program)
 	next.RequestID = structs.RequestID(fmt.Sprintf("r%d-%d", program, call))
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -6,58 +6,58 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// SubmissionID names one attachment of a gateway to one request, unique in
-// the run of the daemon that sends it.
+// SubmissionID identifies an attachment of a gateway to a request, unique
+// within the run of the daemon that sends it.
 type SubmissionID uint64
 
 // Submit asks a shard's leader to run a call, or to attach to it if it is
 // known. It may be sent again at any time; the call still runs once.
 type Submit struct {
 	Submission SubmissionID `json:"submission"`
-	// Epoch is the leadership this copy is meant for. A leader of another
-	// epoch redirects it, so that a copy which was long under way is never
-	// taken up after another leader refused the call.
+	// Epoch is the leadership that this copy is meant for. A leader of another
+	// epoch redirects it, so that a delayed copy is never accepted after
+	// another leader refused the call.
 	Epoch structs.Epoch `json:"epoch"`
 	Call  structs.Call  `json:"call"`
-	// Delivered is answer text the caller already has; should the engine be
-	// gone, another goes on behind it.
+	// Delivered is answer text that the caller already has. If the engine is
+	// gone, another one continues after it.
 	Delivered string `json:"delivered,omitempty"`
-	// Resent is set when a leader may have taken an earlier copy of this
+	// Resent is set when a leader may have accepted an earlier copy of this
 	// submission.
 	Resent bool `json:"resent,omitempty"`
 }
 
-// Attach asks a leader to go on answering a call it has accepted, without
-// sending the call's content again.
+// Attach asks a leader to continue to answer a call that it has accepted,
+// without sending the call's content again.
 type Attach struct {
 	Submission SubmissionID       `json:"submission"`
 	Epoch      structs.Epoch      `json:"epoch"`
 	Key        structs.ProgramKey `json:"key"`
 	RequestID  structs.RequestID  `json:"request_id"`
 	ResumeAt   int64              `json:"resume_at"`
-	// Retry is the call's: its caller may have sent another copy.
+	// Retry is Call.Retry: the caller may have sent another copy.
 	Retry bool `json:"retry,omitempty"`
 }
 
-// NotKnown answers an Attach to a call that the leader does not have.
+// NotKnown answers an Attach to a call that the leader does not know.
 type NotKnown struct {
 	Submission SubmissionID `json:"submission"`
 }
 
-// Accepted tells that the leader holds the call, and that silence from now on
-// means it waits or runs. It answers every Submit that has no other answer.
+// Accepted reports that the leader has the call; without further messages it is
+// waiting or running. It answers every Submit that has no other answer.
 type Accepted struct {
 	Submission SubmissionID `json:"submission"`
 }
 
-// Redirected tells that this daemon does not lead the call's shard. The call
+// Redirected reports that this daemon does not lead the call's shard. The call
 // was not touched.
 type Redirected struct {
 	Submission SubmissionID      `json:"submission"`
 	Route      replication.Route `json:"route"`
 }
 
-// Answer carries the next pieces of a streamed answer.
+// Answer carries the next chunks of a streamed answer.
 type Answer struct {
 	Submission SubmissionID    `json:"submission"`
 	Chunks     []structs.Chunk `json:"chunks"`
@@ -71,7 +71,7 @@
 	Provisional bool `json:"open,omitempty"`
 }
 
-// Detach ends an attachment. Cancel also stops the call.
+// Detach removes an attachment. Cancel also stops the call.
 type Detach struct {
 	Submission SubmissionID       `json:"submission"`
 	Key        structs.ProgramKey `json:"key"`
@@ -79,8 +79,8 @@
 	Cancel     bool               `json:"cancel,omitempty"`
 }
 
-// HoldSeen tells a shard's leader of engine memory that an engine pins, so
-// that it can release what no live program accounts for.
+// HoldSeen reports a hold found at an engine to the program's shard leader,
+// which releases it if no live program accounts for it.
 type HoldSeen struct {
 	Hold structs.Hold `json:"hold"`
 }
@@ -90,7 +90,7 @@
 	Ask structs.QuotaAsked `json:"ask"`
 }
 
-// QuotaAnswer hands a slice out, or says that nothing more is left.
+// QuotaAnswer grants a slice. Total may be less than was requested.
 type QuotaAnswer struct {
 	Quota  structs.QuotaKey    `json:"quota"`
 	Window int64               `json:"window"`
@@ -99,7 +99,7 @@
 	Total  structs.Cost        `json:"total"`
 }
 
-// Kinds of message of this package.
+// Kinds of the messages of this package.
 const (
 	KindSubmit       peer.Kind = "dispatch.submit"
 	KindAttach       peer.Kind = "dispatch.attach"
--- a/internal/dispatch/prompt_blocks.go
+++ b/internal/dispatch/prompt_blocks.go
@@ -6,9 +6,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// promptBlocks keeps the block hashes of a program's history, so that each
-// call hashes only what is new. It is rebuilt when it does not fit, after a
-// takeover for instance.
+// promptBlocks caches the block hashes of a program's history, so that each
+// call hashes only what is new. It starts empty after a takeover.
 type promptBlocks struct {
 	hasher   prefix.Hasher
 	blocks   []structs.BlockHash
@@ -16,7 +15,7 @@
 	started  bool
 }
 
-// extend returns the blocks and tokens of the program's prompt for a call.
+// extend returns the block hashes and the token count of the prompt for a call.
 func (b *promptBlocks) extend(p *program.Program, call *structs.Call) ([]structs.BlockHash, int64) {
 	if !b.started && !p.SystemPrompt.IsZero() {
 		b.blocks = b.hasher.Write(structs.Message{Role: "system", Content: p.SystemPrompt.String()}, b.blocks)
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -8,36 +8,39 @@
 )
 
 const (
-	// quotaSlices is into how many slices a tenant's quota is cut at most: few
-	// enough to ask seldom, many enough to leave something for other shards.
+	// quotaSlices is the number of slices into which a tenant's quota is
+	// divided: few enough to keep requests rare, many enough to leave some for
+	// other shards.
 	quotaSlices = 64
-	// quotaRetry is the pause before an unanswered question is asked again.
+	// quotaRetry is the interval after which an unanswered request is sent
+	// again.
 	quotaRetry = 300 * time.Millisecond
-	// quotaPatience is how long calls wait for a slice before they are refused.
+	// quotaTimeout is how long calls wait for a slice before they are refused.
 	quotaTimeout = 5 * time.Second
 )
 
-// quotaBroker is a leader's memory of what it asks of tenants' home shards, and,
-// as a home shard, of what it is handing out. Neither needs to survive: totals
-// and the order of questions are in the records.
+// quotaState tracks a leader's requests to tenants' home shards and, as a home
+// shard, the slices it is granting. It need not survive a takeover: totals and
+// the order of requests are recorded.
 type quotaState struct {
-	// count numbers this leadership's questions.
+	// count numbers the requests of this leadership.
 	count    uint64
 	requests map[structs.QuotaKey]*quotaRequest
-	// granting marks quotas of which a slice is being recorded; a second one
-	// must not be worked out before the first is in the ledger.
+	// granting marks quotas for which a grant is being recorded. The next grant
+	// must be computed from a ledger that contains it.
 	granting map[structs.QuotaKey]bool
 	// idleSince is when a tenant's program slots were first seen unused.
 	idleSince map[structs.TenantName]time.Time
 }
 
-// quotaQuestion is a question under way and who waits for its answer.
+// quotaRequest is an open request with the calls and submissions that wait for
+// its answer.
 type quotaRequest struct {
-	// sentWanted is the total wanted by the latest copy that was sent.
+	// sentTotal is the total requested by the latest copy sent.
 	sentTotal structs.Cost
 	ask       structs.QuotaAsked
 	since     time.Time
-	// returning is set while slots are given back; none may be taken then.
+	// returning is set while slots are being returned; none may be taken then.
 	returning bool
 	calls     []*activeCall
 	submits   []quotaSubmit
@@ -51,7 +54,7 @@
 	}
 }
 
-// quotaHome returns the key whose shard keeps a tenant's ledgers.
+// quotaHomeKey returns the key whose shard keeps a tenant's quota ledgers.
 func quotaHomeKey(tenant structs.TenantName) structs.ProgramKey {
 	return structs.ProgramKey{Tenant: tenant}
 }
@@ -70,7 +73,7 @@
 	return limit, limit > 0
 }
 
-// question asks for more of a quota, unless that is under way.
+// requestQuota requests more of a quota, or adds to the open request.
 func (l *leader) requestQuota(quota structs.QuotaKey, needed structs.Cost) *quotaRequest {
 	request := l.quotas.requests[quota]
 	if request != nil {
@@ -98,7 +101,8 @@
 	return request
 }
 
-// sendQuestion asks the home shard until it answers or patience ends.
+// sendQuotaRequest sends a request to the home shard until it is answered or
+// quotaTimeout has passed.
 func (l *leader) sendQuotaRequest(request *quotaRequest) {
 	quota := request.ask.Quota
 	if l.Clock.Now().Sub(request.since) >= quotaTimeout {
@@ -123,8 +127,8 @@
 	return structs.Ballot{Epoch: l.leadership.Epoch(), Count: l.quotas.count}
 }
 
-// quotaAsked hands out a slice at the home shard: it is in the ledger of a
-// majority before the answer leaves.
+// handleQuotaRequest grants a slice at the home shard. The grant is recorded
+// before the answer is sent.
 func (l *leader) handleQuotaRequest(from structs.DaemonID, ask structs.QuotaAsked) {
 	if l.stopped || l.quotas.granting[ask.Quota] {
 		return
@@ -150,8 +154,8 @@
 	})
 }
 
-// quotaAnswered records a slice before anything is spent of it. Only the
-// answer to the latest question counts.
+// handleQuotaAnswer records a granted slice before anything is spent of it.
+// Only the answer to the latest copy of the request counts.
 func (l *leader) handleQuotaAnswer(answer *QuotaAnswer) {
 	request := l.quotas.requests[answer.Quota]
 	if l.stopped || request == nil || request.ask.Order != answer.Order {
@@ -170,20 +174,20 @@
 	})
 }
 
-// quotaResult is how a question ended.
+// quotaResult is how a request ended.
 type quotaResult int
 
 const (
-	// quotaExtended: all that was asked for was granted.
+	// quotaExtended: the requested total was granted.
 	quotaExtended quotaResult = iota
-	// quotaExhausted: the tenant has no more.
+	// quotaExhausted: the tenant's quota is used up.
 	quotaExhausted
 	// quotaUnanswered: the home shard did not answer in time.
 	quotaUnanswered
 )
 
-// closeQuestion lets everybody who waited try again. When there is no more to
-// be had, those whom the slice does not cover are refused.
+// closeQuotaRequest lets everything that waited for the request try again. When
+// less than requested was granted, what the slice does not cover is refused.
 func (l *leader) closeQuotaRequest(request *quotaRequest, result quotaResult) {
 	delete(l.quotas.requests, request.ask.Quota)
 	for _, active := range request.calls {
--- a/internal/dispatch/quota_slots.go
+++ b/internal/dispatch/quota_slots.go
@@ -8,10 +8,11 @@
 )
 
 const (
-	// retryWithoutSlot is when a caller may come back whose tenant has as many
-	// live programs as it may.
+	// retryWithoutSlot is the retry-after time when the tenant has reached its
+	// limit of live programs.
 	retryWithoutSlot = 5 * time.Second
-	// slotIdle is how long a program slot stays unused before it is given back.
+	// slotIdleTimeout is how long a program slot stays unused before it is
+	// returned.
 	slotIdleTimeout = 5 * time.Second
 )
 
@@ -21,8 +22,8 @@
 	submit   *Submit
 }
 
-// waitForProgramSlot keeps the first call of a program back while its tenant
-// has no slot left in this shard. It returns false when the call may go on.
+// waitForProgramSlot holds back the first call of a program while its tenant
+// has no slot left in this shard. It returns false when the call may proceed.
 func (l *leader) waitForProgramSlot(follower attachment, submit *Submit, admission program.Admission) bool {
 	started := admission.Records[0].ProgramStarted
 	if started == nil || started.Key.Program.Parent() != "" {
@@ -42,7 +43,8 @@
 	return true
 }
 
-// programsLive counts a tenant's programs here, with those being recorded.
+// programsLive counts a tenant's live programs in this shard, including those
+// being recorded.
 func (l *leader) programsLive(tenant structs.TenantName) structs.Cost {
 	live := l.machine.LivePrograms(tenant)
 	for key := range l.proposed {
@@ -63,8 +65,8 @@
 		"The tenant has as many live programs as it may.", retryWithoutSlot))
 }
 
-// returnProgramSlots gives unused slots back, so that other shards can have
-// them. The smaller total is recorded here before the home shard hears of it.
+// returnProgramSlots returns unused slots, so that other shards can use them.
+// The smaller total is recorded here before it is sent to the home shard.
 func (l *leader) returnProgramSlots() {
 	for _, quota := range l.machine.ProgramQuotas() {
 		if l.quotas.requests[quota] != nil {
--- a/internal/dispatch/quota_spending.go
+++ b/internal/dispatch/quota_spending.go
@@ -5,8 +5,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// waitForSpending keeps a call back while its tenant's allowance here does not
-// cover it. It returns false when the call may go on.
+// waitForBudget holds back a call while its tenant's allowance in this shard
+// does not cover it. It returns false when the call may proceed.
 func (l *leader) waitForBudget(p *program.Program, active *activeCall) bool {
 	quota := structs.QuotaKey{Tenant: active.key.Tenant, Kind: structs.QuotaSpending}
 	if _, bounded := l.quotaLimit(quota); !bounded {
--- a/internal/dispatch/refusal_memory.go
+++ b/internal/dispatch/refusal_memory.go
@@ -2,12 +2,12 @@
 
 import "github.com/mintpulley/mintpulley/internal/structs"
 
-// rememberedRefusals bounds the memory of refused submissions in one shard.
+// maximumRefusals bounds the remembered refusals of one shard.
 const maximumRefusals = 1024
 
-// refusalMemory keeps the latest refusals of a leadership that no record
-// keeps. A gateway may have sent a submission twice; were the second copy
-// accepted after the first was refused, "not run" would have been a lie.
+// refusalCache keeps the latest unrecorded refusals of a leadership. A gateway
+// may send a submission twice: accepting the second copy after the first was
+// refused as not run would make that answer wrong.
 type refusalCache struct {
 	outcomes map[attachment]structs.Outcome
 	order    []attachment
--- a/internal/dispatch/refuse.go
+++ b/internal/dispatch/refuse.go
@@ -5,8 +5,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// settleWith sends an outcome. Refusals that no record keeps are remembered,
-// so that a second copy of the same submission meets the same answer.
+// sendOutcome sends an outcome. Refusals are remembered, so that a second copy
+// of the same submission gets the same answer.
 func (l *leader) sendOutcome(follower attachment, outcome structs.Outcome) {
 	if outcome.Status == structs.OutcomeNotRun {
 		l.refusals.add(follower, outcome)
@@ -14,9 +14,9 @@
 	l.Transport.Send(follower.daemon, &Settled{Submission: follower.submission, Outcome: outcome})
 }
 
-// refuseForGood answers a call that this program will never take. Of a call
-// that may have been sent before, another leader may know more: the epoch is
-// confirmed first, and a leader that was replaced stays silent.
+// refusePermanently refuses a call that this program will never accept. If the
+// call may have been sent before, another leader may have accepted it, so
+// leadership is confirmed first and a replaced leader stays silent.
 func (l *leader) refusePermanently(follower attachment, call structs.Call, refusal structs.Outcome) {
 	if !call.Retry {
 		l.sendOutcome(follower, refusal)
@@ -29,9 +29,9 @@
 	})
 }
 
-// refuseForNow answers a call that is not taken now and may be later. An earlier
-// copy of it may still be under way, in a daemon that is paused for instance,
-// and be taken then; so a caller that sent it before is not told "not run".
+// refuseTemporarily refuses a call that may be accepted later. An earlier copy
+// of it may still be in flight, for instance in a paused daemon, and be
+// accepted then; a caller that sent it before is therefore not told "not run".
 func (l *leader) refuseTemporarily(follower attachment, call structs.Call, refusal structs.Outcome) {
 	if call.Retry && !l.Guards.SkipRunCheck {
 		refusal.Status = structs.OutcomeUnknown
--- a/internal/dispatch/refused_copy_test.go
+++ b/internal/dispatch/refused_copy_test.go
@@ -9,14 +9,14 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// sentBefore is a copy of a request of which another may be under way.
+// sentBefore returns a copy of a request of which another may be in flight.
 func sentBefore(request string) structs.Call {
 	call := breadOrder(request)
 	call.Retry = true
 	return call
 }
 
-// rejecting is an application that takes nothing.
+// rejecting makes the application reject every call.
 func (f *fixture) rejecting() {
 	f.application.end = framework.AttemptEnd{Kind: framework.EndRejected, Message: "draining"}
 }
@@ -28,9 +28,8 @@
 	}
 }
 
-// TestRefusalOfOneCopyProvesNothingOfAnother has a copy come after the other
-// was accepted and refused: it is accepted anew and runs, so that the first
-// must not have been called not run.
+// A copy arrives after another one was accepted and refused. It is accepted
+// anew and runs, so the first must not have been reported as not run.
 func TestRefusedCopyIsUnknownWhileAnotherMayRun(t *testing.T) {
 	f := newFixture(t)
 	f.rejecting()
@@ -41,8 +40,8 @@
 	f.wantCompleted("the second copy", sentBefore("a"))
 }
 
-// TestCopyThatJoinsACallMakesItsRefusalUnknown has the caller's second copy
-// join the first, before or after a takeover, while a third may be under way.
+// The caller's second copy joins the first, before or after a takeover, while a
+// third may be in flight.
 func TestAttachedCopyMakesRefusalUnknown(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		f := newFixture(t)
@@ -62,8 +61,8 @@
 	}
 }
 
-// TestRefusalForGoodIsNotRunForEveryCopy ends the program of a refused call: no
-// copy of it will be taken any more.
+// The program of a refused call ends: no copy of the call can be accepted any
+// more.
 func TestPermanentRefusalIsNotRunForEveryCopy(t *testing.T) {
 	f := newFixture(t)
 	f.scheduler.holdBack = true
--- a/internal/dispatch/retry_budget.go
+++ b/internal/dispatch/retry_budget.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// retryBudget bounds retries to a fraction of first attempts, so that a
-// failing back end does not multiply the load on the rest. It is a bucket that
-// each first attempt fills by the fraction and each retry empties by one.
+// retryBudget bounds retries to a fraction of first attempts, so that a failing
+// back end does not multiply the load on the others. It is a token bucket: each
+// first attempt adds the fraction, each retry takes one.
 type retryBudget struct {
 	mutex    sync.Mutex
 	fraction float64
@@ -23,7 +23,7 @@
 	b.tokens = min(b.tokens+b.fraction, b.burst)
 }
 
-// retry takes a retry from the bucket, or returns false.
+// retry takes a token from the bucket and reports whether there was one.
 func (b *retryBudget) retry() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -8,7 +8,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// send lets the call leave for its back end.
+// send sends the call to its back end.
 func (l *leader) send(active *activeCall, plan intent) {
 	if active.cancelled {
 		active.disproved = !active.mayHaveRun
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -10,10 +10,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// retryAfterOverload is when a caller may come back whose call found no room.
+// retryAfterOverload is the retry-after time of a call that no back end took.
 const retryAfterOverload = time.Second
 
-// attemptEnded acts on a back end's last word about an attempt.
+// attemptEnded handles the end of an attempt.
 func (l *leader) attemptEnded(active *activeCall, end framework.AttemptEnd) {
 	if end.Draining {
 		if open := l.openCall(active); open != nil {
@@ -108,14 +108,14 @@
 	l.retry(active, max(end.RetryAfter, retryAfterOverload))
 }
 
-// disprove notes that the recorded attempt did not run.
+// disprove records that the recorded attempt did not run.
 func (l *leader) disprove(active *activeCall) {
 	active.disproved = true
 	open := l.openCall(active)
 	active.mayHaveRun = open != nil && open.LostReserved > 0
 }
 
-// retry sends a call on its way again, within the bounds on retries.
+// retry dispatches a call again, within the bounds on retries.
 func (l *leader) retry(active *activeCall, retryAfter time.Duration) {
 	open := l.openCall(active)
 	if open == nil {
@@ -136,7 +136,7 @@
 	l.begin(l.machine.Program(active.key), active)
 }
 
-// settle records an outcome, and ends the program when the call asked for it.
+// settle records an outcome, and ends the program if the call requested it.
 func (l *leader) settle(active *activeCall, outcome structs.Outcome) {
 	active.stage = stageSettling
 	active.generation++
@@ -165,9 +165,9 @@
 	})
 }
 
-// settleCancelled records the end of a call stopped on request. What it cost
-// is not known exactly once it was sent: text that arrived is counted, and the
-// prompt as the bound says.
+// settleCancelled settles a call that was cancelled on request. The exact usage
+// is unknown once the call was sent: the text that arrived is counted, and the
+// upper bound of the prompt.
 func (l *leader) settleCancelled(active *activeCall) {
 	open := l.openCall(active)
 	if open == nil {
@@ -190,7 +190,8 @@
 	})
 }
 
-// finish tells all followers the outcome and starts what waited for it.
+// finish sends the outcome to all followers and starts the calls that waited
+// for it.
 func (l *leader) finish(active *activeCall, outcome structs.Outcome) {
 	active.abandon()
 	active.stage = stageFinished
@@ -211,9 +212,9 @@
 	l.advance(active.key)
 }
 
-// withoutFinality turns a refusal for now into an unknown one when a copy of
-// the call may be under way and would be accepted anew. The record says
-// not_run; a caller may not conclude from it that no copy runs.
+// amendIfCopyMayRun turns a temporary refusal into an unknown outcome when a
+// copy of the call may be in flight and would be accepted anew. The record says
+// not_run, but the caller must not conclude that no copy runs.
 func (l *leader) amendIfCopyMayRun(active *activeCall, outcome structs.Outcome) structs.Outcome {
 	refusedForNow := outcome.Status == structs.OutcomeNotRun && outcome.RetryAfter > 0
 	if !refusedForNow || !active.sentBefore || l.Guards.SkipRunCheck || l.wouldRefuseCopies(active) {
@@ -223,22 +224,22 @@
 	return outcome
 }
 
-// refusesCopies tells whether a copy of a refused call would meet a refusal as
-// well: its program has ended, or went on without the call.
+// wouldRefuseCopies reports whether a copy of a refused call would be refused
+// as well, because its program has ended or continued without the call.
 func (l *leader) wouldRefuseCopies(active *activeCall) bool {
 	p := l.machine.Program(active.key)
 	return p != nil && (p.Ended || p.Settled[active.call.RequestID] != nil)
 }
 
-// sendMissingText delivers answer text that was never streamed here, when the
-// outcome came from a record.
+// sendMissingText sends answer text that was not streamed by this leader, when
+// the outcome comes from a record.
 func (l *leader) sendMissingText(active *activeCall, text string) {
 	if known := active.text.Len(); known < len(text) {
 		active.broadcast([]structs.Chunk{{Offset: int64(known), Text: text[known:]}})
 	}
 }
 
-// cancelCall stops a call wherever it is.
+// cancelCall cancels a call in any stage.
 func (l *leader) cancelCall(active *activeCall) {
 	active.cancelled = true
 	switch active.stage {
@@ -251,7 +252,7 @@
 			l.cancelAtEngine(active)
 		}
 	case stageProposed, stageRecording, stageInspecting, stageSettling, stageFinished:
-		// The step under way looks at active.cancelled when it is done.
+		// The current step checks active.cancelled when it is done.
 	}
 }
 
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -5,7 +5,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// observer hands an engine's stream to the shard's queue.
+// observer posts the events of an engine's stream to the shard's queue.
 type observer struct {
 	active     *activeCall
 	generation int
@@ -30,8 +30,8 @@
 	})
 }
 
-// chunksArrived keeps and passes on answer text. Text that is already there is
-// cut; a gap means that the stream cannot be trusted any more.
+// chunksArrived stores and forwards answer text. Text that is already known is
+// cut off; after a gap the stream is not used any further.
 func (l *leader) chunksArrived(active *activeCall, chunks []structs.Chunk) {
 	active.lastProgressAt = l.Clock.Now()
 	if active.firstChunkAt.IsZero() {
@@ -58,12 +58,12 @@
 	}
 }
 
-// maximumGaps bounds how often a stream is read again from where its text
-// broke off before the call moves to another engine.
+// maximumGaps bounds how often a stream with a gap is resumed before the call
+// moves to another engine.
 const maximumGaps = 3
 
-// streamBroken reads a stream with a gap again, or gives its engine up when it
-// does not have the text that is missing.
+// streamBroken resumes a stream that has a gap, or moves the call to another
+// engine after maximumGaps.
 func (l *leader) streamBroken(active *activeCall) {
 	active.gaps++
 	if active.gaps > maximumGaps {
--- a/internal/dispatch/times.go
+++ b/internal/dispatch/times.go
@@ -5,8 +5,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// enforceTimes stops calls whose deadline has passed and takes calls away from
-// engines that show no progress.
+// enforceTimeouts stops calls whose deadline has passed and moves calls away
+// from engines that make no progress.
 func (l *leader) enforceTimeouts() {
 	for _, active := range l.sortedCalls() {
 		switch {
@@ -29,7 +29,7 @@
 	case stageRunning:
 		l.cancelCall(active)
 	case stageProposed, stageRecording, stageInspecting, stageSettling, stageFinished:
-		// These steps end by themselves and look at the deadline then.
+		// These steps end by themselves and check the deadline then.
 	}
 }
 
@@ -40,8 +40,8 @@
 	return l.Clock.Now().Sub(active.lastProgressAt) >= l.Settings.StallAfter
 }
 
-// abandonAttempt stops listening to an attempt and asks its engine to stop it,
-// without waiting for the answer: its reservation stays.
+// abandonAttempt stops listening to an attempt and asks its engine to cancel
+// it, without waiting for the answer. The cost stays reserved.
 func (l *leader) abandonAttempt(active *activeCall) {
 	active.generation++
 	if active.stream != nil {
--- a/internal/dispatch/transfer.go
+++ b/internal/dispatch/transfer.go
@@ -9,9 +9,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// holdOf names the engine memory that a dispatch may take, "" for none: what is
-// kept over the pause that follows, and what a transfer brings before it. The
-// name is recorded with the intent, before anything is taken.
+// newHoldID names the hold that a dispatch may take, "" for none: for the cache
+// held over the following pause, or for the cache that a transfer brings. It is
+// recorded with the intent, before anything is held.
 func (l *leader) newHoldID(active *activeCall, assignment *schedule.Assignment) structs.HoldID {
 	keeps := assignment.Hold && !active.call.EndProgram
 	if !keeps && assignment.Transfer.From == "" {
@@ -27,10 +27,9 @@
 	return hold
 }
 
-// moveCache has the program's cache copied to the engine that the call goes to,
-// if the scheduler chose so, and returns whether it did; done follows then. A
-// transfer that fails or takes too long costs only the time: the engine
-// computes what did not come.
+// transferCache transfers the program's cache to the call's engine if the
+// scheduler decided so, and reports whether it did; done is called afterwards.
+// A failed or slow transfer costs only time: the engine computes the rest.
 func (l *leader) transferCache(active *activeCall, plan intent, done func()) bool {
 	assignment := active.assignment
 	if assignment == nil || assignment.Transfer.From == "" || active.cancelled || active.transferRequested {
@@ -51,7 +50,8 @@
 	return true
 }
 
-// cacheMoved frees what the sender holds of a cache that is now elsewhere.
+// cacheTransferred records a transfer and releases the sender's holds on the
+// transferred cache.
 func (l *leader) cacheTransferred(active *activeCall, transfer framework.Transfer, tokens int64, took time.Duration, err error) {
 	if err != nil {
 		l.recordStep(active.key, active.call.RequestID, "move", fmt.Sprintf("The cache did not come from %s: %v", transfer.From, err))
--- a/internal/dispatch/transfer_test.go
+++ b/internal/dispatch/transfer_test.go
@@ -14,8 +14,9 @@
 
 const sender structs.EngineID = "10.0.0.7:8000"
 
-// moving has a program with one answered call, held at the fake engine, and a
-// second call whose cache is to be moved. The fake engine plays both ends.
+// moving returns a fixture with a program that has one answered call, held at
+// the fake engine, and a second call whose cache is to be transferred. The fake
+// engine plays both ends.
 func moving(t *testing.T) (*fixture, *recordedCaller) {
 	f := newFixture(t)
 	f.submit(modelCall("a"))
@@ -26,7 +27,7 @@
 	return f, caller
 }
 
-// lastHold is the hold that the latest dispatch recorded.
+// lastHold returns the hold of the last recorded dispatch.
 func (f *fixture) lastHold() structs.HoldID {
 	for _, record := range slices.Backward(f.group.records) {
 		if record.CallDispatched != nil {
@@ -36,7 +37,7 @@
 	return ""
 }
 
-// lastOutcome is the outcome that was recorded last.
+// lastOutcome returns the last recorded outcome.
 func (f *fixture) lastOutcome() structs.Outcome {
 	for _, record := range slices.Backward(f.group.records) {
 		if record.CallSettled != nil {
@@ -87,9 +88,9 @@
 	}
 }
 
-// TestCrashBetweenExportAndImport has the leader die while the cache is on its
-// way. The successor finds the hold recorded, sends the call anew, and has the
-// engine give up what came for nobody, or will come.
+// The leader crashes during a cache transfer. The successor finds the hold
+// recorded, sends the call again, and makes the engine release what the
+// transfer brought or will bring.
 func TestCrashBetweenExportAndImport(t *testing.T) {
 	f, caller := moving(t)
 	orphan := f.lastHold()
--- a/internal/historycost/history.go
+++ b/internal/historycost/history.go
@@ -1,5 +1,5 @@
-// Package historycost measures what the histories of programs cost to keep:
-// their size as the fleet stores them, compressed, and as memory.
+// Package historycost measures the cost of keeping the histories of programs:
+// their size encoded and compressed, and in memory.
 package historycost
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// ErrCompress is returned when the compressor cannot be made.
+// ErrCompress is returned when encoding or compression fails.
 var ErrCompress = eris.New("historycost: compressor not available")
 
 // The text is synthetic: words drawn by a Zipf law from a made-up vocabulary,
@@ -29,27 +29,29 @@
 	BytesPerToken = 4
 )
 
-// Cost is what one program's history of some turns takes.
+// Cost is the size of one program's history.
 type Cost struct {
 	Turns int `json:"turns"`
-	// TextBytes is the conversation's text; Tokens follows from it.
+	// TextBytes is the size of the conversation's text; Tokens is derived from
+	// it.
 	TextBytes int64 `json:"text_bytes"`
 	Tokens    int64 `json:"tokens"`
-	// EncodedBytes is the history as JSON, the form it travels in.
+	// EncodedBytes is the size of the history as JSON, the form in which it is
+	// sent.
 	EncodedBytes int64 `json:"encoded_bytes"`
-	// CompressedBytes is that through zstd as one piece, PerTurnBytes with
-	// each turn compressed alone as it comes.
+	// CompressedBytes is the size of the whole history compressed by zstd,
+	// PerTurnBytes the sum with each turn compressed separately.
 	CompressedBytes int64 `json:"compressed_bytes"`
 	PerTurnBytes    int64 `json:"per_turn_compressed_bytes"`
 }
 
-// Ratio is how many times smaller the whole history gets.
+// Ratio is the compression ratio of the whole history.
 func (c Cost) Ratio() float64 { return float64(c.EncodedBytes) / float64(c.CompressedBytes) }
 
-// PerTurnRatio is how many times smaller it gets turn by turn.
+// PerTurnRatio is the compression ratio with each turn compressed separately.
 func (c Cost) PerTurnRatio() float64 { return float64(c.EncodedBytes) / float64(c.PerTurnBytes) }
 
-// writer makes synthetic conversations.
+// writer generates synthetic conversations.
 type writer struct {
 	words []string
 	zipf  *rand.Zipf
@@ -104,7 +106,7 @@
 	}
 }
 
-// Measure makes a history of some turns and weighs it.
+// Measure generates a history and measures it.
 func Measure(turns int, seed uint64) (Cost, error) {
 	encoder, err := zstd.NewWriter(nil)
 	if err != nil {
--- a/internal/historycost/shard.go
+++ b/internal/historycost/shard.go
@@ -12,32 +12,33 @@
 // templatePrompt is the length of the template's system prompt in words.
 const templatePrompt = 1000
 
-// warmUpTurns are enough for each of the compressor's parts to have been used.
+// warmUpTurns is enough turns to use all parts of the compressor.
 const warmUpTurns = 64
 
-// ShardCost is what programs take in one replica of a real program.Shard.
+// ShardCost is the cost of programs in one replica of a program.Shard.
 type ShardCost struct {
 	Turns    int `json:"turns"`
 	Programs int `json:"programs"`
-	// HeapBytes is the live heap per program after collection.
+	// HeapBytes is the live heap per program after garbage collection.
 	HeapBytes int64 `json:"heap_bytes_per_program"`
-	// AccountedBytes is what the daemon's account says, per program.
+	// AccountedBytes is the size by the daemon's memory accounting, per
+	// program.
 	AccountedBytes int64 `json:"counted_bytes_per_program"`
-	// ApplyTime is the time per call to fold its three records in.
+	// ApplyTime is the time per call to apply its three records.
 	ApplyTime time.Duration `json:"apply_ns_per_call"`
-	// FreezeTime is the time for which a snapshot stops a shard, per program,
-	// SnapshotTime the time to make it, and SnapshotBytes its size.
+	// FreezeTime is the time for which a snapshot blocks a shard, per program,
+	// SnapshotTime the time to encode it, and SnapshotBytes its size.
 	FreezeTime    time.Duration `json:"freeze_ns_per_program"`
 	SnapshotTime  time.Duration `json:"snapshot_ns_per_program"`
 	SnapshotBytes int64         `json:"snapshot_bytes_per_program"`
-	// FirstPromptTime is the time to make a call's prompt when the program was
-	// not read before, NextPromptTime that of the call after it.
+	// FirstPromptTime is the time to build a call's prompt when the program was
+	// not read before, NextPromptTime that of the next call.
 	FirstPromptTime time.Duration `json:"first_prompt_ns"`
 	NextPromptTime  time.Duration `json:"next_prompt_ns"`
 }
 
-// MeasureShard fills a shard with programs of some turns each and weighs it. Its
-// times are wall times on one thread and differ between runs.
+// MeasureShard fills a shard with programs and measures it. The times are wall
+// times on one thread and differ between runs.
 func MeasureShard(programs, turns int, seed uint64) ShardCost {
 	w := newWriter(seed)
 	prompt := w.text(templatePrompt)
@@ -73,7 +74,7 @@
 	return cost
 }
 
-// warmUp lets the process make what all shards share, which is not weighed.
+// warmUp initializes what all shards share, which is not measured.
 func (w *writer) warmUp() {
 	shard := program.NewShard()
 	key := structs.ProgramKey{Tenant: "tenant", Program: "first"}
@@ -85,7 +86,7 @@
 	shard.Program(key).Prompt(&structs.Call{})
 }
 
-// promptTime makes the prompt of each program once and returns the mean time.
+// promptTime builds the prompt of each program once and returns the mean time.
 func promptTime(shard *program.Shard, keys []structs.ProgramKey) time.Duration {
 	started := time.Now()
 	for _, key := range keys {
@@ -102,8 +103,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// records returns what the calls of one program leave in a shard's log, a call
-// a slice. Texts are copies, as they are when they come out of the log.
+// records returns the log records of the calls of one program, by call. Texts
+// are copies, as they are when read from a log.
 func (w *writer) records(key structs.ProgramKey, prompt string, turns int) [][]structs.Record {
 	started := structs.Record{ProgramStarted: &structs.ProgramStarted{Key: key, SystemPrompt: string([]byte(prompt))}}
 	batches := make([][]structs.Record, turns)
--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -7,9 +7,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// startAdapters loads adapters that are in want: one that no engine has as soon
-// as a call waits for it, one that some have once calls have waited for long.
-// Place is made for them by unloading what was not in use for AdapterStay.
+// startAdapters loads adapters that need engines: one that no engine has as
+// soon as a call waits for it, others once calls have waited for
+// HighUseDuration. It makes room by unloading adapters that were unused for
+// AdapterRetention.
 func (c *controller) startAdapters(configuration *structs.Configuration, engines []structs.EngineID, fleet loads) {
 	c.unloadUnreferenced(configuration, engines)
 	for _, load := range fleet.sorted() {
@@ -36,7 +37,7 @@
 }
 
 // engineForAdapter returns the least busy engine that serves the model and has
-// place for the adapter.
+// a free adapter slot.
 func (c *controller) engineForAdapter(engines []structs.EngineID, wanted structs.ModelAdapter) (structs.EngineID, bool) {
 	best, bestRunning, found := structs.EngineID(""), 0, false
 	for _, engine := range engines {
@@ -52,7 +53,8 @@
 	return best, found
 }
 
-// lacksAdapter tells whether an engine serves an adapter's model without it.
+// lacksAdapter reports whether an engine serves the adapter's model without the
+// adapter.
 func (c *controller) lacksAdapter(load structs.LoadReport, wanted structs.ModelAdapter) bool {
 	return load.Role != structs.RolePrefill && slices.Contains(load.Models, wanted.Model) && !load.Serves(wanted)
 }
@@ -61,8 +63,8 @@
 	return load.MaximumAdapters > 0 && len(load.Adapters) >= load.MaximumAdapters
 }
 
-// makePlace unloads the adapter that was unused for longest at an engine that
-// could load another instead, if that is long enough.
+// freeAdapterSlot unloads the adapter that was unused for longest, if for at
+// least AdapterRetention, at an engine that could load the wanted one instead.
 func (c *controller) freeAdapterSlot(engines []structs.EngineID, fleet loads, wanted structs.ModelAdapter) {
 	if c.slotWillFree(engines, wanted) {
 		return
@@ -89,8 +91,8 @@
 	}
 }
 
-// placeComes tells whether an engine will have place for an adapter once its
-// present order is carried out.
+// slotWillFree reports whether an engine will have a slot for an adapter once
+// its current order is done.
 func (c *controller) slotWillFree(engines []structs.EngineID, wanted structs.ModelAdapter) bool {
 	return slices.ContainsFunc(engines, func(engine structs.EngineID) bool {
 		load, known := c.latestReport(engine)
@@ -103,7 +105,7 @@
 	})
 }
 
-// unloadForgotten frees adapters that no template names any more.
+// unloadUnreferenced unloads adapters that no template refers to any more.
 func (c *controller) unloadUnreferenced(configuration *structs.Configuration, engines []structs.EngineID) {
 	var named map[structs.ModelAdapter]bool
 	for _, engine := range engines {
@@ -124,7 +126,7 @@
 	}
 }
 
-// configuredAdapters returns every adapter that calls may be made with.
+// configuredAdapters returns the adapters that templates and tenants refer to.
 func configuredAdapters(configuration *structs.Configuration) map[structs.ModelAdapter]bool {
 	named := map[structs.ModelAdapter]bool{}
 	note := func(adapters map[structs.ModelName]structs.AdapterName) {
--- a/internal/placement/adapters_test.go
+++ b/internal/placement/adapters_test.go
@@ -8,15 +8,15 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// adapterSlots is how many adapters each engine of these tests has place for.
+// adapterSlots is the number of adapters that each engine can load.
 const adapterSlots = 2
 
 func adapterOf(number int) structs.ModelAdapter {
 	return structs.ModelAdapter{Model: small, Adapter: structs.AdapterName(fmt.Sprintf("a%d", number))}
 }
 
-// newAdapterWorld has four engines with two places for adapters each, and a
-// template for each of some adapters.
+// newAdapterWorld returns four engines with two adapter slots each, and a
+// template for each of the given number of adapters.
 func newAdapterWorld(adapters int) *world {
 	w := newWorld()
 	w.engines.loadTime = 2 * time.Second
@@ -33,7 +33,7 @@
 	return w
 }
 
-// want has calls wait for some adapters until an engine serves them.
+// want makes calls wait for some adapters until an engine serves them.
 func (w *world) want(calls int, numbers ...int) {
 	w.waiting = nil
 	for _, number := range numbers {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestAdaptersDoNotFlap has calls for ten adapters come in turn at engines that
-// have place for eight: what is loaded stays for AdapterStay after its use.
+// Calls for ten adapters arrive in turn at engines with slots for eight: a
+// loaded adapter must stay for AdapterRetention after its last use.
 func TestAdaptersDoNotFlap(t *testing.T) {
 	const adapters, hour = 10, time.Hour
 	w := newAdapterWorld(adapters)
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestReplacedLeaderIsSilent has an engine restart, and so forget its fence,
-// while a leader that was replaced does not know it yet.
+// An engine restarts, and so forgets its fence, while a replaced leader does
+// not know yet that it was replaced.
 func TestReplacedLeaderSendsNoOrders(t *testing.T) {
 	w := newAdapterWorld(1)
 	w.engines.deaf = true
@@ -169,8 +169,7 @@
 	}
 }
 
-// TestEngineThatStillReadsGetsNoOther has an order given up whose effect the
-// engine is still working on.
+// An order timed out, but the engine is still carrying it out.
 func TestLoadingEngineGetsNoOtherOrder(t *testing.T) {
 	w := newAdapterWorld(2)
 	for _, load := range w.engines.loads {
@@ -198,8 +197,7 @@
 	}
 }
 
-// TestReadingIsBoundedFleetWide has another control shard tell of engines that
-// read already.
+// Another control shard reports engines that are loading already.
 func TestLoadingIsBoundedFleetWide(t *testing.T) {
 	w := newAdapterWorld(4)
 	w.manager.Settings.Shards = 2
--- a/internal/placement/controller.go
+++ b/internal/placement/controller.go
@@ -11,8 +11,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// controller leads one control shard in one epoch. Everything runs on the
-// shard's queue.
+// controller leads one control shard in one epoch. All of its state is accessed
+// on the shard's queue.
 type controller struct {
 	*Manager
 	shard      structs.ShardNumber
@@ -27,21 +27,21 @@
 	reports    map[structs.EngineID]report
 	demand     map[structs.DaemonID]receivedDemand
 	summaries  map[structs.ShardNumber]receivedSummary
-	// highSince is when a model or an adapter was first seen above HighUse.
+	// highSince is since when a model or an adapter has needed more engines.
 	highSince map[structs.ModelAdapter]time.Time
-	// adapterUse is when adapters were last seen in use, or first seen.
+	// adapterLastUsed is when an adapter was last seen in use, or first seen.
 	adapterLastUsed map[engineAdapter]time.Time
 	// proposed holds orders that are being recorded.
 	proposed map[structs.EngineID]structs.Order
 }
 
-// adapterPlace is an adapter at one engine.
+// engineAdapter is an adapter on one engine.
 type engineAdapter struct {
 	engine  structs.EngineID
 	adapter structs.ModelAdapter
 }
 
-// report is an engine's load report and when it was read.
+// report is an engine's load report and when it was received.
 type report struct {
 	load structs.LoadReport
 	at   time.Time
@@ -92,7 +92,7 @@
 	})
 }
 
-// tick looks at the engines, carries on with orders in force, and starts new
+// tick requests load reports, continues the orders in force, and issues new
 // ones when it is this shard's turn.
 func (c *controller) tick() {
 	engines := c.enginesOf(c.shard)
@@ -108,14 +108,14 @@
 	c.timer = c.Clock.AfterFunc(c.Settings.Period, func() { c.post(c.tick) })
 }
 
-// isTurn tells whether this control shard may start reading in this period.
+// isTurn reports whether this control shard may start loads in this period.
 func (c *controller) isTurn() bool {
 	period := c.Clock.Now().UnixNano() / int64(c.Settings.Period)
 	return period%int64(c.Settings.Shards) == int64(c.shard-c.Settings.FirstShard)
 }
 
-// knowsOthers tells whether all other control shards were heard of lately. A
-// leader that hears nothing for long goes on alone.
+// hasAllSummaries reports whether summaries of all other control shards have
+// arrived. A leader that has waited for ReportTTL proceeds without them.
 func (c *controller) hasAllSummaries() bool {
 	now := c.Clock.Now()
 	if now.Sub(c.startedAt) > c.Settings.ReportTTL {
@@ -147,7 +147,7 @@
 	}
 }
 
-// latest returns an engine's report unless it is old.
+// latestReport returns an engine's load report unless it has expired.
 func (c *controller) latestReport(engine structs.EngineID) (structs.LoadReport, bool) {
 	seen, known := c.reports[engine]
 	if !known || c.Clock.Now().Sub(seen.at) > c.Settings.ReportTTL {
@@ -156,7 +156,7 @@
 	return seen.load, true
 }
 
-// forgetGone drops engines that the platform no longer lists.
+// forgetRemoved drops the state of engines that the platform no longer lists.
 func (c *controller) forgetRemoved(engines []structs.EngineID) {
 	if len(engines) == 0 {
 		return
@@ -172,7 +172,7 @@
 	}
 }
 
-// keepsUse tells whether an adapter is still at a listed engine.
+// hasAdapter reports whether a listed engine still has an adapter.
 func (c *controller) hasAdapter(engines []structs.EngineID, place engineAdapter) bool {
 	if !slices.Contains(engines, place.engine) {
 		return false
@@ -194,8 +194,8 @@
 	c.summaries[summary.From] = receivedSummary{models: summary.Models, loading: summary.Loading, at: c.Clock.Now()}
 }
 
-// worthTelling leaves out adapters that no call waits for and no engine reads:
-// there may be as many as tenants, and nobody decides about them.
+// relevantLoads omits adapters that no call waits for and no engine loads:
+// there may be as many as tenants, and no decision depends on them.
 func relevantLoads(own []ModelLoad, fleet loads) []ModelLoad {
 	return slices.DeleteFunc(own, func(load ModelLoad) bool {
 		return load.Adapter != "" && load.Loading == 0 && fleet.of(load.ModelAdapter).Waiting == 0
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -7,8 +7,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// startOrders sets roles, and starts one change of a model and the loads of
-// adapters that are in want, as far as the weight store's rate allows.
+// startOrders issues orders for roles, adapters and at most one model change,
+// within the bound on engines that load weights.
 func (c *controller) startOrders(engines []structs.EngineID, fleet loads) {
 	configuration := c.Configurations.Current()
 	if configuration == nil {
@@ -28,8 +28,9 @@
 	c.updateVersion(configuration, engines, fleet)
 }
 
-// underprovisioned returns models that lack engines, the worst first: those below
-// their configured minimum, then those in high use for long.
+// underprovisioned returns models that need engines, the worst first: those
+// below their configured minimum, then those above HighUtilization for
+// HighUseDuration.
 func (c *controller) underprovisioned(configuration *structs.Configuration, fleet loads) []structs.ModelName {
 	var lacking []ModelLoad
 	for _, load := range fleet.sorted() {
@@ -59,8 +60,8 @@
 	return names
 }
 
-// reassignable finds an engine of this shard that may change: an empty one, or the
-// least busy of a model that can spare it even after losing it.
+// reassignable finds an engine of this shard that may load another model: an
+// empty one, or the least busy one whose model can spare it.
 func (c *controller) reassignable(configuration *structs.Configuration, engines []structs.EngineID, fleet loads, wanted structs.ModelName) (structs.EngineID, bool) {
 	best, bestRunning, found := structs.EngineID(""), 0, false
 	for _, engine := range engines {
@@ -93,8 +94,8 @@
 	return remaining.utilization() <= c.Settings.LowUtilization
 }
 
-// leastEngines returns how many engines a model is never taken below; one that
-// is not configured needs none.
+// minimumEngines returns the least number of engines that a model keeps; an
+// unconfigured one needs none.
 func minimumEngines(configuration *structs.Configuration, model structs.ModelName) int {
 	entry, configured := configuration.Models[model]
 	if !configured {
--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -29,8 +29,7 @@
 	}
 }
 
-// TestDemandFindsTheLeader has a daemon that no longer leads get what others
-// still send it.
+// A daemon that no longer leads a control shard still receives demand for it.
 func TestDemandIsRedirectedToLeader(t *testing.T) {
 	w := newWorld()
 	w.manager.Follow(0)
--- a/internal/placement/fuzz_test.go
+++ b/internal/placement/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzRestore gives a control shard snapshots that no daemon of ours would
-// write. It must take one or keep what it has.
+// FuzzRestore feeds malformed snapshots to a control shard, which must accept a
+// snapshot or keep its state.
 func FuzzRestore(f *testing.F) {
 	f.Add([]byte(`[null]`))
 	f.Add([]byte(`[{"engine":"10.0.0.1:8000","fence":3,"in_force":null}]`))
--- a/internal/placement/loads.go
+++ b/internal/placement/loads.go
@@ -6,7 +6,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// loads sums up models, and adapters of models, by name.
+// loads holds the load of models and of their adapters.
 type loads map[structs.ModelAdapter]*ModelLoad
 
 func (l loads) of(wanted structs.ModelAdapter) *ModelLoad {
@@ -43,7 +43,8 @@
 	}
 }
 
-// use returns the share of a model's capacity that its calls would take.
+// utilization returns the fraction of a model's capacity that its running and
+// waiting calls would take.
 func (m ModelLoad) utilization() float64 {
 	if m.Capacity == 0 {
 		return float64(m.Running + m.Waiting)
@@ -51,8 +52,8 @@
 	return float64(m.Running+m.Waiting) / float64(m.Capacity)
 }
 
-// ownLoad sums up the engines of this control shard and the demand that
-// daemons told it of.
+// ownLoad sums up the engines of this control shard and the demand that daemons
+// reported to it.
 func (c *controller) ownLoad(engines []structs.EngineID) []ModelLoad {
 	sums := loads{}
 	for _, engine := range engines {
@@ -71,9 +72,9 @@
 	return sums.sorted()
 }
 
-// addEngine counts an engine for the model that it serves, or for the one it
-// is being told to load, and for its adapters. One that only prefills gets no
-// calls.
+// addEngine counts an engine for the model that it serves or is ordered to
+// load, and for its adapters. Prefill-only engines get no calls and are not
+// counted.
 func (c *controller) addEngine(sums loads, engine structs.EngineID) {
 	load, known := c.latestReport(engine)
 	if !known || load.Draining || load.Role == structs.RolePrefill {
@@ -105,8 +106,8 @@
 	}
 }
 
-// servedModel returns the model that an engine counts for: the one it is to
-// load, or the first that it is not to unload.
+// servedModel returns the model that an engine counts for: the one it is
+// ordered to load, or the first that it is not ordered to unload.
 func servedModel(load structs.LoadReport, order *structs.Order) (structs.ModelName, bool) {
 	if order != nil && order.Kind == structs.OrderLoadModel {
 		return order.Model, true
@@ -120,8 +121,8 @@
 	return "", false
 }
 
-// servedAdapters returns the adapters that an engine has or is to load, but not
-// one that it is to unload.
+// servedAdapters returns the adapters that an engine has or is ordered to load,
+// without one that it is ordered to unload.
 func servedAdapters(load structs.LoadReport, order *structs.Order) []structs.ModelAdapter {
 	var served []structs.ModelAdapter
 	for _, adapter := range load.Adapters {
@@ -142,9 +143,9 @@
 	return served
 }
 
-// fleetLoad adds what the other control shards said lately. Calls for an
-// adapter are in want of the model too, unless they merely wait for the first
-// engine to load the adapter.
+// fleetLoad adds the unexpired summaries of the other control shards. Calls
+// that wait for an adapter also count for the model, unless they merely wait
+// for the first engine to load the adapter.
 func (c *controller) fleetLoad(own []ModelLoad) loads {
 	sums := loads{}
 	sums.add(own)
@@ -168,8 +169,8 @@
 	return sums
 }
 
-// inWant tells whether a model uses too much of its engines, or calls wait for
-// an adapter although engines serve it and none more is reading it.
+// needsEngines reports whether a model's utilization is high, or calls wait for
+// an adapter that engines serve and no further engine is loading.
 func (c *controller) needsEngines(load *ModelLoad) bool {
 	if load.Adapter != "" {
 		return load.Waiting > 0 && load.Engines > 0 && load.Loading == 0
@@ -177,8 +178,7 @@
 	return load.utilization() >= c.Settings.HighUtilization
 }
 
-// noteHighUse remembers since when models and adapters have been in want of
-// engines.
+// updateHighSince tracks since when models and adapters have needed engines.
 func (c *controller) updateHighSince(fleet loads) {
 	now := c.Clock.Now()
 	for wanted := range c.highSince {
@@ -193,7 +193,8 @@
 	}
 }
 
-// sustained tells whether something has been in want of engines for long.
+// sustained reports whether a model or adapter has needed engines for
+// HighUseDuration.
 func (c *controller) sustained(wanted structs.ModelAdapter) bool {
 	since, high := c.highSince[wanted]
 	return high && c.Clock.Now().Sub(since) >= c.Settings.HighUseDuration
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -14,40 +14,40 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Settings bound how fast placement moves. All durations are positive.
+// Settings bounds how fast placement changes. All durations are positive.
 type Settings struct {
-	// FirstShard and Shards give the range of control shards.
+	// FirstShard and Shards are the range of control shards.
 	FirstShard structs.ShardNumber
 	Shards     int
-	// Period is the pause between looks. One control shard at a time may have
-	// engines read weights, in turn, and a model is started once per period.
+	// Period is the interval between decisions. The control shards take turns
+	// to start loads, and one model load is started per period.
 	Period time.Duration
-	// MaximumLoading bounds the engines of the whole fleet that read from the
-	// weight store at a time, where operators set no other bound.
+	// MaximumLoading bounds the engines of the whole fleet that load weights at
+	// a time, unless the configuration sets another bound.
 	MaximumLoading int
-	// HighUtilization is the share of a model's batches in use above which it gets
-	// another engine; LowUse that below which it may give one up.
+	// HighUtilization is the utilization from which on a model gets another
+	// engine; LowUtilization that below which it may lose one.
 	HighUtilization float64
 	LowUtilization  float64
-	// HighUseDuration is how long a model must be above HighUse.
+	// HighUseDuration is how long the utilization must be high.
 	HighUseDuration time.Duration
-	// Cooldown is how long an engine stays as it is after a change.
+	// Cooldown is how long an engine keeps its model after a change.
 	Cooldown time.Duration
-	// OrderTimeout is when an order that is not carried out is given up.
+	// OrderTimeout is how long an order may take before it is abandoned.
 	OrderTimeout time.Duration
-	// FailureBackoff is how long an engine whose order was refused or given up
-	// gets no other.
+	// FailureBackoff is how long an engine gets no other order after one was
+	// refused or timed out.
 	FailureBackoff time.Duration
-	// AdapterRetention is how long an adapter stays at an engine after it was last
-	// seen in use, also when others are in want of its place.
+	// AdapterRetention is how long an adapter stays loaded after its last use,
+	// even if others need its slot.
 	AdapterRetention time.Duration
-	// ReportTTL is when another shard's summary, a daemon's demand or an
-	// engine's report no longer counts.
+	// ReportTTL is how long another shard's summary, a daemon's demand or an
+	// engine's load report is valid.
 	ReportTTL time.Duration
 }
 
-// DefaultSettings returns settings for one control shard. FirstShard is the
-// node's to set: control shards follow the program shards.
+// DefaultSettings returns settings for one control shard. The node sets
+// FirstShard: control shards follow the program shards.
 func DefaultSettings() Settings {
 	return Settings{
 		Shards:           1,
@@ -64,33 +64,33 @@
 	}
 }
 
-// Router tells where shards are led.
+// Router provides the routes to shard leaders.
 type Router interface {
 	Route(shard structs.ShardNumber) replication.Route
-	// Learn takes a route that another daemon named; one without a leader has
-	// this daemon ask around.
+	// Learn records a route that another daemon reported. A route without a
+	// leader makes this daemon look for one.
 	Learn(shard structs.ShardNumber, route replication.Route)
 }
 
-// Configurations gives the configuration in force, nil before the first.
+// Configurations provides the configuration in force, nil before the first.
 type Configurations interface {
 	Current() *structs.Configuration
 }
 
-// Queues tells how many calls of this daemon wait, by model, in order.
+// Queues provides the number of this daemon's waiting calls by model, sorted.
 type Queues interface {
 	WaitingByModel() []ModelWaiting
 }
 
-// Guards switch off what keeps promises, so that the simulation can show that
-// its checks notice. All are off in a daemon.
+// Guards lets a simulation switch off protections, to show that its checks
+// detect that. The zero value has every protection on.
 type Guards struct {
-	// SkipRecord gives orders without recording them, and does not look
-	// whether the engine still carries one out.
+	// SkipRecord sends orders without recording them, and ignores orders in
+	// progress.
 	SkipRecord bool
 }
 
-// Options gives a Manager what it works with.
+// Options configures a Manager.
 type Options struct {
 	Self           structs.DaemonID
 	Clock          clock.Clock
@@ -114,7 +114,7 @@
 	mutex     sync.Mutex
 	engines   []structs.EngineID
 	hadDemand bool
-	// rotation is where the next report of adapters in want begins.
+	// rotation is the index at which the next report of adapter demand begins.
 	rotation int
 	stopped  bool
 }
@@ -124,7 +124,7 @@
 	return &Manager{Options: options}
 }
 
-// Owns tells whether a shard is a control shard.
+// Owns reports whether a shard is a control shard.
 func (m *Manager) Owns(shard structs.ShardNumber) bool { return shard >= m.Settings.FirstShard }
 
 // NewStateMachine implements replication.Application.
@@ -149,17 +149,17 @@
 	}
 }
 
-// Start begins to tell of this daemon's demand.
+// Start starts the reports of this daemon's demand.
 func (m *Manager) Start() { m.reportDemand() }
 
-// Stop ends that.
+// Stop stops the reports of this daemon's demand.
 func (m *Manager) Stop() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.stopped = true
 }
 
-// MachinesListed takes the platform's list of machines.
+// MachinesListed applies the platform's list of machines.
 func (m *Manager) MachinesListed(machines []structs.Machine) {
 	var engines []structs.EngineID
 	for _, machine := range machines {
@@ -172,7 +172,7 @@
 	m.engines = engines
 }
 
-// enginesOf returns the listed engines that a control shard answers for.
+// enginesOf returns the listed engines that a control shard is responsible for.
 func (m *Manager) enginesOf(shard structs.ShardNumber) []structs.EngineID {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -204,8 +204,9 @@
 	return true
 }
 
-// toController hands a message to the control shard's leader here, or tells the
-// sender where else it is: a route that nobody corrects stays wrong for ever.
+// toController passes a message to this daemon's leader of the control shard,
+// or sends the route back: without a correction the sender would keep using the
+// wrong one.
 func (m *Manager) toController(from structs.DaemonID, shard structs.ShardNumber, task func(*controller)) {
 	if c := m.controllers.Get(shard); c != nil {
 		c.post(func() { task(c) })
@@ -218,8 +219,8 @@
 	m.Transport.Send(from, answer)
 }
 
-// reportDemand sends what waits here to the control shards of the models. A
-// daemon where nothing waits says so once and is then silent.
+// reportDemand sends the waiting calls to the control shards of their models. A
+// daemon whose queue has become empty reports that once and is then silent.
 func (m *Manager) reportDemand() {
 	m.mutex.Lock()
 	stopped, hadDemand := m.stopped, m.hadDemand
@@ -237,12 +238,12 @@
 	m.Clock.AfterFunc(m.Settings.Period, m.reportDemand)
 }
 
-// reportedAdapters bounds the adapters of one report of demand, so that its
-// size does not follow the number of tenants.
+// maximumReportedAdapters bounds the adapters in one report of demand, so that
+// its size does not grow with the number of tenants.
 const maximumReportedAdapters = 32
 
-// rotate leaves out of a long list the adapters that are not due in this
-// report; the next report begins behind this one's last.
+// rotate limits a report to maximumReportedAdapters adapters; the next report
+// continues after its last.
 func (m *Manager) rotate(waiting []ModelWaiting) []ModelWaiting {
 	var models, adapters []ModelWaiting
 	for _, entry := range waiting {
--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -10,17 +10,17 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// fenceEpochShift puts the epoch above the count in a fence, so that every
+// fenceEpochShift places the epoch above the count in a fence, so that every
 // order of a later leadership has a higher fence.
 const fenceEpochShift = 32
 
-// readsWeights tells whether an order has the engine read from the weight store.
+// loadsWeights reports whether an order makes the engine load weights.
 func loadsWeights(order structs.Order) bool {
 	return order.Kind == structs.OrderLoadModel || order.Kind == structs.OrderLoadAdapter
 }
 
-// ordered returns the order that an engine is carrying out, nil for none: one
-// in force, or one that is being recorded.
+// currentOrder returns the order that an engine is carrying out, in force or
+// being recorded; nil for none.
 func (c *controller) currentOrder(engine structs.EngineID) *structs.Order {
 	if order, pending := c.proposed[engine]; pending {
 		return &order
@@ -28,7 +28,7 @@
 	return c.state.Engine(engine).InForce
 }
 
-// ownReading counts the engines of this shard that are told to read weights.
+// ownLoading counts the engines of this shard that are ordered to load weights.
 func (c *controller) ownLoading() int {
 	count := 0
 	for _, engine := range c.state.InForce() {
@@ -44,7 +44,8 @@
 	return count
 }
 
-// mayRead returns how many more engines may be told to read weights, fleet-wide.
+// loadsAllowed returns how many more engines may be ordered to load weights,
+// fleet-wide.
 func (c *controller) loadsAllowed(configuration *structs.Configuration) int {
 	reading := c.ownLoading()
 	now := c.Clock.Now()
@@ -56,8 +57,9 @@
 	return max(cmp.Or(configuration.Fleet.WeightReaders, c.Settings.MaximumLoading)-reading, 0)
 }
 
-// idle returns the report of an engine that may be given an order: nothing is
-// in force there, no former order still shows, and none failed a moment ago.
+// readyForOrder returns the load report of an engine and whether it may get an
+// order: it has none, is not loading for an earlier one, and none failed within
+// FailureBackoff.
 func (c *controller) readyForOrder(engine structs.EngineID) (structs.LoadReport, bool) {
 	load, known := c.latestReport(engine)
 	if !known || load.Draining {
@@ -71,14 +73,14 @@
 	return load, c.currentOrder(engine) == nil && !reading && !failed
 }
 
-// settled tells whether an engine has been as it is for long enough to have
-// its model changed.
+// cooledDown reports whether an engine's last model change is at least Cooldown
+// ago.
 func (c *controller) cooledDown(engine structs.EngineID) bool {
 	return c.Clock.Now().Sub(c.state.Engine(engine).ChangedAt) >= c.Settings.Cooldown
 }
 
-// driveOrders gives orders in force again until the engine shows that it has
-// obeyed: an answer may be lost, and an order is the same however often given.
+// resendOrders sends orders in force again until the engine's load report shows
+// that they are done. Answers may be lost, and orders are idempotent.
 func (c *controller) resendOrders() {
 	now := c.Clock.Now()
 	for _, engine := range c.state.InForce() {
@@ -95,9 +97,9 @@
 	}
 }
 
-// give sends an order that is in force. An engine that restarted has forgotten
-// its fence, so a leader that was replaced without knowing must not send: the
-// group is asked first.
+// sendOrder sends an order in force. A restarted engine has forgotten its
+// fence, so a leader that was replaced without knowing must not send: it
+// confirms its leadership first.
 func (c *controller) sendOrder(order structs.Order) {
 	c.leadership.Confirm(func(err error) {
 		current := c.state.Engine(order.Engine).InForce
@@ -110,7 +112,7 @@
 	})
 }
 
-// answered gives an order up that the engine refuses for good.
+// handleOrderAnswer abandons an order that the engine refuses permanently.
 func (c *controller) handleOrderAnswer(order structs.Order, err error) {
 	current := c.state.Engine(order.Engine).InForce
 	if current == nil || *current != order || !eris.Is(err, framework.ErrRefused) {
@@ -120,7 +122,8 @@
 	c.settleOrder(order, false)
 }
 
-// obeyed tells whether a report read after the order shows its effect.
+// isDone reports whether a load report received after the order shows its
+// effect.
 func (c *controller) isDone(engine EngineState) bool {
 	seen, known := c.reports[engine.Engine]
 	if !known || !seen.at.After(engine.IssuedAt) {
@@ -144,9 +147,9 @@
 	}
 }
 
-// settleOrder records an order's end. A load that is done is followed, in the
-// same proposal, by the unload of the model it replaces: between the two the
-// engine would count for both.
+// settleOrder records an order's end. A completed load is followed, in the same
+// proposal, by the unload of the model it replaces; in between, the engine
+// would count for both.
 func (c *controller) settleOrder(order structs.Order, done bool) {
 	now := c.Clock.Now()
 	records := []structs.Record{{At: now, OrderSettled: &structs.OrderSettled{Engine: order.Engine, Fence: order.Fence, Done: done}}}
@@ -161,8 +164,8 @@
 	})
 }
 
-// unloadAfter returns the order that frees the memory of the model which a
-// loaded one replaces. The next tick gives it.
+// unloadAfter returns the order to unload the model that a loaded one replaces.
+// It is sent on the next tick.
 func (c *controller) unloadAfter(loaded structs.Order) (structs.Order, bool) {
 	if loaded.Kind != structs.OrderLoadModel {
 		return structs.Order{}, false
@@ -175,14 +178,14 @@
 	return structs.Order{}, false
 }
 
-// nextFence returns a fence above all of this and earlier leaderships: engines
-// refuse what a former leader still sends.
+// nextFence returns a fence above all those of this and earlier leaderships, so
+// that engines refuse late orders of a former leader.
 func (c *controller) nextFence() uint64 {
 	c.fenceCount++
 	return uint64(c.leadership.Epoch())<<fenceEpochShift | c.fenceCount
 }
 
-// issue records an order and then gives it.
+// issue records an order and then sends it.
 func (c *controller) issue(order structs.Order) {
 	order.Fence = c.nextFence()
 	if c.Guards.SkipRecord {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -22,7 +22,8 @@
 	large structs.ModelName = "large"
 )
 
-// fakeEngines obey orders after a load time, unless their answers are lost.
+// fakeEngines carry out orders after a load time, unless their answers are
+// lost.
 type fakeEngines struct {
 	framework.EngineDriver
 	clock    *clock.Virtual
@@ -31,9 +32,9 @@
 	orders   []structs.Order
 	loadTime time.Duration
 	deaf     bool
-	// refusing engines answer ErrRefused; orderedAt is when orders came.
+	// refusing engines answer ErrRefused; orderedAt is when orders arrived.
 	refusing bool
-	// singleVersion engines serve nothing while they read another version.
+	// singleVersion engines serve nothing while they load another version.
 	singleVersion bool
 	orderedAt     []time.Time
 }
@@ -114,7 +115,7 @@
 	epoch structs.Epoch
 	state *State
 	lost  bool
-	// replaced is set once another daemon leads without this one's knowing.
+	// replaced is set when another daemon leads and this one does not know it.
 	replaced bool
 	manager  *Manager
 }
@@ -151,8 +152,8 @@
 	manager *Manager
 	waiting []ModelWaiting
 	current *structs.Configuration
-	// routed, if set, is where the world says that shards are led; learned
-	// holds the routes that the manager was told.
+	// routed, if set, is the leader of all shards; learned holds the routes
+	// that the manager learned.
 	routed  structs.DaemonID
 	learned []replication.Route
 }
@@ -171,7 +172,7 @@
 	return replication.Route{Leader: cmp.Or(w.routed, "d"), Epoch: w.group.epoch}
 }
 
-// newWorld has four engines with the small model, none with the large.
+// newWorld returns four engines with the small model, none with the large one.
 func newWorld() *world {
 	w := &world{clock: clock.NewVirtual(time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC))}
 	w.engines = &fakeEngines{clock: w.clock, loads: map[structs.EngineID]*structs.LoadReport{}, fences: map[structs.EngineID]uint64{}, loadTime: 20 * time.Second}
--- a/internal/placement/roles.go
+++ b/internal/placement/roles.go
@@ -6,7 +6,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// setRoles brings engines to the roles that operators fixed.
+// setRoles orders engines to take their configured roles.
 func (c *controller) setRoles(configuration *structs.Configuration, engines []structs.EngineID) {
 	for _, engine := range engines {
 		load, idle := c.readyForOrder(engine)
--- a/internal/placement/roles_test.go
+++ b/internal/placement/roles_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestPrefillingEnginesServeNoModel has two of four engines prefill only: the
-// others are too few for the model, so an empty engine gets it.
+// Two of four engines are prefill-only: the others are too few for the model,
+// so an empty engine gets it.
 func TestPrefillEnginesDoNotCountAsServing(t *testing.T) {
 	w := newWorld()
 	w.engines.loads["e4"].Models = nil
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -1,9 +1,9 @@
-// Package placement decides which engine holds which model, in which version,
-// and which adapters. Control shards share the engines by hash; each is a
-// replicated log like those of programs, so that an order outlives the daemon
-// that gave it and at most one order is in force for an engine. Models and
-// adapters follow demand by fenced orders, slowly enough not to flap and never
-// faster than the weight store allows.
+// Package placement decides which engine has which model, in which version, and
+// which adapters. The engines are divided among control shards by hash. Each
+// control shard is a replicated log, so that an order survives the daemon that
+// issued it and at most one order is in force per engine. Models and adapters
+// follow demand by fenced orders, slowly enough to avoid flapping and within
+// the bound on engines that load weights.
 package placement
 
 import (
@@ -18,18 +18,19 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// EngineState is what is recorded of one engine.
+// EngineState is the recorded state of one engine.
 type EngineState struct {
 	Engine structs.EngineID `json:"engine"`
-	// Fence is the highest fence of an order to it.
+	// Fence is the highest fence of an order to the engine.
 	Fence uint64 `json:"fence"`
 	// InForce is the order that is being carried out, nil for none.
 	InForce *structs.Order `json:"in_force,omitempty"`
 	// IssuedAt is when the order in force was recorded.
 	IssuedAt time.Time `json:"issued_at,omitzero"`
-	// ChangedAt is when the engine last completed an order about a model.
+	// ChangedAt is when the engine last completed an order to load or unload a
+	// model.
 	ChangedAt time.Time `json:"changed_at,omitzero"`
-	// FailedAt is when an order to it was last given up.
+	// FailedAt is when an order to the engine was last refused or abandoned.
 	FailedAt time.Time `json:"failed_at,omitzero"`
 }
 
@@ -39,10 +40,10 @@
 	engines map[structs.EngineID]*EngineState
 }
 
-// NewState returns the state without any engine.
+// NewState returns a state without engines.
 func NewState() *State { return &State{engines: map[structs.EngineID]*EngineState{}} }
 
-// Engine returns what is recorded of an engine; a zero state for a new one.
+// Engine returns the recorded state of an engine; the zero state for a new one.
 func (s *State) Engine(id structs.EngineID) EngineState {
 	if state := s.engines[id]; state != nil {
 		return *state
@@ -50,7 +51,7 @@
 	return EngineState{Engine: id}
 }
 
-// InForce returns the engines with an order in force, in order.
+// InForce returns the engines with an order in force, sorted.
 func (s *State) InForce() []EngineState {
 	var busy []EngineState
 	for _, state := range s.sorted() {
@@ -77,8 +78,8 @@
 	}
 }
 
-// applyIssued puts an order in force. An engine that still has one, or has seen
-// a higher fence, keeps what it has.
+// applyIssued puts an order in force, unless the engine still has one or has
+// seen a higher fence.
 func (s *State) applyIssued(at time.Time, issued *structs.OrderIssued) {
 	order := issued.Order
 	state := s.engines[order.Engine]
--- a/internal/placement/versions.go
+++ b/internal/placement/versions.go
@@ -2,7 +2,7 @@
 
 import "github.com/mintpulley/mintpulley/internal/structs"
 
-// updateVersion brings one engine to the configured version of its model.
+// updateVersion starts the load of the configured version on one engine.
 func (c *controller) updateVersion(configuration *structs.Configuration, engines []structs.EngineID, fleet loads) {
 	for _, engine := range engines {
 		load, idle := c.readyForOrder(engine)
@@ -21,11 +21,12 @@
 	}
 }
 
-// engineForVersion returns the engine that may read the new version of an
-// engine's model now: that engine itself, if enough others serve the model
-// meanwhile, since some engines serve nothing while they read and all come back
-// with an empty cache. One at a time always may, or the change would never
-// end; but a model's only engine waits for a second one, if any can be had.
+// engineForVersion returns the engine that may load the new version of an
+// engine's model now. It is that engine itself if enough others serve the model
+// in the meantime, since some engines serve nothing while they load and all
+// lose their cache. One engine at a time may always load, or the change would
+// never end; but a model's only engine waits for a second one, if there is one
+// to reassign.
 func (c *controller) engineForVersion(configuration *structs.Configuration, engines []structs.EngineID, fleet loads, engine structs.EngineID) (structs.EngineID, bool) {
 	load := c.reports[engine].load
 	model := load.Models[0]
--- a/internal/placement/versions_test.go
+++ b/internal/placement/versions_test.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// publishVersion puts a version of the small model into force.
+// publishVersion puts a version of the small model in force.
 func (w *world) publishVersion(version string, minimum int) {
 	w.current = &structs.Configuration{Models: map[structs.ModelName]structs.Model{
 		small: {ContextTokens: 1000, Version: version, MinimumEngines: minimum},
@@ -24,8 +24,8 @@
 	return count
 }
 
-// leastServing runs for a while and returns the fewest engines that served the
-// small model at any second.
+// leastServing runs for a while and returns the least number of engines that
+// served the small model at any second.
 func (w *world) leastServing(d time.Duration) int {
 	least := w.serving(small)
 	for range int(d / time.Second) {
--- a/internal/schedule/fairness.go
+++ b/internal/schedule/fairness.go
@@ -20,8 +20,8 @@
 	active  bool
 }
 
-// fairness keeps the accounts of all tenants. It is a start-time fair queue
-// over engine time.
+// fairness keeps the accounts of all tenants, for weighted fair sharing of
+// engine time.
 type fairness struct {
 	enabled   bool
 	tolerance float64
