--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -157,7 +157,7 @@
 	// pressure is that of the other members.
 	pressure replication.Pressure
 	epoch    structs.Epoch
-	// lose drops proposals; delay collects their acknowledgements in stall.
+	// delayAcks collects the acknowledgements of proposals in delayedAcks.
 	dropProposals bool
 	delayedAcks   []func(error)
 	delayAcks     bool
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -18,7 +18,7 @@
 	return caller.outcomes[0]
 }
 
-// nextOf returns a further call of a program.
+// laterCall returns a further call of a program.
 func laterCall(program, call int) structs.Call {
 	next := numberedCall(program)
 	next.RequestID = structs.RequestID(fmt.Sprintf("r%d-%d", program, call))
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -25,7 +25,7 @@
 type quotaState struct {
 	// count numbers the requests of this leadership.
 	count    uint64
-	requests map[structs.QuotaKey]*quotaRequest
+	requests map[structs.QuotaKey]*openQuotaRequest
 	// granting marks quotas for which a grant is being recorded. The next grant
 	// must be computed from a ledger that contains it.
 	granting map[structs.QuotaKey]bool
@@ -33,9 +33,9 @@
 	idleSince map[structs.TenantName]time.Time
 }
 
-// quotaRequest is an open request with the calls and submissions that wait for
+// openQuotaRequest is an open request with the calls and submissions that wait for
 // its answer.
-type quotaRequest struct {
+type openQuotaRequest struct {
 	// sentTotal is the total requested by the latest copy sent.
 	sentTotal structs.Cost
 	ask       structs.QuotaAsked
@@ -48,7 +48,7 @@
 
 func newQuotaState() *quotaState {
 	return &quotaState{
-		requests:  map[structs.QuotaKey]*quotaRequest{},
+		requests:  map[structs.QuotaKey]*openQuotaRequest{},
 		granting:  map[structs.QuotaKey]bool{},
 		idleSince: map[structs.TenantName]time.Time{},
 	}
@@ -74,7 +74,7 @@
 }
 
 // requestQuota requests more of a quota, or adds to the open request.
-func (l *leader) requestQuota(quota structs.QuotaKey, needed structs.Cost) *quotaRequest {
+func (l *leader) requestQuota(quota structs.QuotaKey, needed structs.Cost) *openQuotaRequest {
 	request := l.quotas.requests[quota]
 	if request != nil {
 		if !request.returning {
@@ -89,7 +89,7 @@
 	if quota.Kind == structs.QuotaPrograms {
 		used = l.programsLive(quota.Tenant)
 	}
-	request = &quotaRequest{since: l.Clock.Now(), ask: structs.QuotaAsked{
+	request = &openQuotaRequest{since: l.Clock.Now(), ask: structs.QuotaAsked{
 		Quota:  quota,
 		Window: window,
 		Shard:  l.shard,
@@ -103,7 +103,7 @@
 
 // sendQuotaRequest sends a request to the home shard until it is answered or
 // quotaTimeout has passed.
-func (l *leader) sendQuotaRequest(request *quotaRequest) {
+func (l *leader) sendQuotaRequest(request *openQuotaRequest) {
 	quota := request.ask.Quota
 	if l.Clock.Now().Sub(request.since) >= quotaTimeout {
 		l.closeQuotaRequest(request, quotaUnanswered)
@@ -188,7 +188,7 @@
 
 // closeQuotaRequest lets everything that waited for the request try again. When
 // less than requested was granted, what the slice does not cover is refused.
-func (l *leader) closeQuotaRequest(request *quotaRequest, result quotaResult) {
+func (l *leader) closeQuotaRequest(request *openQuotaRequest, result quotaResult) {
 	delete(l.quotas.requests, request.ask.Quota)
 	for _, active := range request.calls {
 		if active.stage == stageWaitingForQuota {
--- a/internal/dispatch/quota_slots.go
+++ b/internal/dispatch/quota_slots.go
@@ -94,7 +94,7 @@
 	}
 	delete(l.quotas.idleSince, quota.Tenant)
 	ask := structs.QuotaAsked{Quota: quota, Window: allowance.Window, Shard: l.shard, Held: live, Wanted: live}
-	request := &quotaRequest{since: now, ask: ask, returning: true}
+	request := &openQuotaRequest{since: now, ask: ask, returning: true}
 	l.quotas.requests[quota] = request
 	received := &structs.QuotaReceived{Quota: quota, Window: allowance.Window, Order: l.nextBallot(), Total: live}
 	l.propose([]structs.Record{{At: now, QuotaReceived: received}}, func() { l.sendQuotaRequest(request) })
--- a/internal/dispatch/quota_test.go
+++ b/internal/dispatch/quota_test.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// boundedTenant sets the tenant's quotas.
+// setTenantQuotas sets the tenant's quotas.
 func (f *fixture) setTenantQuotas(budgetPerHour structs.Cost, programs int) {
 	tenant := f.configuration.Tenants["bakery"]
 	tenant.BudgetPerHour = budgetPerHour
--- a/internal/dispatch/refused_copy_test.go
+++ b/internal/dispatch/refused_copy_test.go
@@ -9,14 +9,14 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// sentBefore returns a copy of a request of which another may be in flight.
+// resentCall returns a copy of a request of which another may be in flight.
 func resentCall(request string) structs.Call {
 	call := applicationCall(request)
 	call.Retry = true
 	return call
 }
 
-// rejecting makes the application reject every call.
+// rejectAllCalls makes the application reject every call.
 func (f *fixture) rejectAllCalls() {
 	f.application.end = framework.AttemptEnd{Kind: framework.EndRejected, Message: "draining"}
 }
--- a/internal/dispatch/transfer_test.go
+++ b/internal/dispatch/transfer_test.go
@@ -14,7 +14,7 @@
 
 const sender structs.EngineID = "10.0.0.7:8000"
 
-// moving returns a fixture with a program that has one answered call, held at
+// newTransferFixture returns a fixture with a program that has one answered call, held at
 // the fake engine, and a second call whose cache is to be transferred. The fake
 // engine plays both ends.
 func newTransferFixture(t *testing.T) (*fixture, *recordedCaller) {
--- a/internal/historycost/shard.go
+++ b/internal/historycost/shard.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// templatePrompt is the length of the template's system prompt in words.
+// templatePromptWords is the length of the template's system prompt in words.
 const templatePromptWords = 1000
 
 // warmUpTurns is enough turns to use all parts of the compressor.
--- a/internal/placement/adapters_test.go
+++ b/internal/placement/adapters_test.go
@@ -33,7 +33,7 @@
 	return w
 }
 
-// want makes calls wait for some adapters until an engine serves them.
+// setDemand sets the adapters that calls wait for until an engine serves them.
 func (w *world) setDemand(calls int, numbers ...int) {
 	w.waiting = nil
 	for _, number := range numbers {
@@ -154,14 +154,14 @@
 // not know yet that it was replaced.
 func TestReplacedLeaderSendsNoOrders(t *testing.T) {
 	w := newAdapterWorld(1)
-	w.engines.deaf = true
+	w.engines.unreachable = true
 	w.setDemand(1, 0)
 	w.run(20 * time.Second)
 	if len(w.group.state.InForce()) != 1 {
 		t.Fatalf("orders in force: %+v", w.group.state.InForce())
 	}
 	w.group.replaced = true
-	w.engines.deaf = false
+	w.engines.unreachable = false
 	w.engines.restart(w.group.state.InForce()[0].Engine)
 	w.run(time.Minute)
 	if len(w.engines.orders) != 0 {
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -104,9 +104,9 @@
 	Logger         zerolog.Logger
 }
 
-// Manager runs the control shards that this daemon leads, and tells leaders
-// elsewhere of this daemon's demand. It implements replication.Application
-// for control shards.
+// Manager runs the control shards that this daemon leads, and reports this
+// daemon's demand to the leaders of the others. It implements
+// replication.Application for control shards.
 type Manager struct {
 	Options
 	controllers replication.LeaderTable[controller]
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -22,16 +22,16 @@
 	large structs.ModelName = "large"
 )
 
-// fakeEngines carry out orders after a load time, unless their answers are
-// lost.
+// fakeEngines carry out orders after a load time, unless they are unreachable
+// or refuse.
 type fakeEngines struct {
 	framework.EngineDriver
-	clock    *clock.Virtual
-	loads    map[structs.EngineID]*structs.LoadReport
-	fences   map[structs.EngineID]uint64
-	orders   []structs.Order
-	loadTime time.Duration
-	deaf     bool
+	clock       *clock.Virtual
+	loads       map[structs.EngineID]*structs.LoadReport
+	fences      map[structs.EngineID]uint64
+	orders      []structs.Order
+	loadTime    time.Duration
+	unreachable bool
 	// refusing engines answer ErrRefused; orderedAt is when orders arrived.
 	refusing bool
 	// singleVersion engines serve nothing while they load another version.
@@ -44,7 +44,7 @@
 }
 
 func (f *fakeEngines) Order(order structs.Order, done func(error)) {
-	if f.deaf {
+	if f.unreachable {
 		done(framework.ErrUnreachable)
 		return
 	}
@@ -109,29 +109,29 @@
 	delete(f.fences, engine)
 }
 
-// group is a control shard of one replica whose leadership can move.
-type group struct {
-	queue serial.Queue
-	epoch structs.Epoch
-	state *State
-	lost  bool
+// fakeGroup is a control shard of one replica whose leadership can move.
+type fakeGroup struct {
+	queue         serial.Queue
+	epoch         structs.Epoch
+	state         *State
+	dropProposals bool
 	// replaced is set when another daemon leads and this one does not know it.
 	replaced bool
 	manager  *Manager
 }
 
-func (g *group) Epoch() structs.Epoch { return g.epoch }
-func (g *group) Queue() *serial.Queue { return &g.queue }
+func (g *fakeGroup) Epoch() structs.Epoch { return g.epoch }
+func (g *fakeGroup) Queue() *serial.Queue { return &g.queue }
 
-func (g *group) Pressure() replication.Pressure { return replication.PressureNone }
+func (g *fakeGroup) Pressure() replication.Pressure { return replication.PressureNone }
 
-func (g *group) Confirm(done func(error)) {
+func (g *fakeGroup) Confirm(done func(error)) {
 	if !g.replaced {
 		done(nil)
 	}
 }
-func (g *group) Propose(records []structs.Record, done func(error)) {
-	if g.lost {
+func (g *fakeGroup) Propose(records []structs.Record, done func(error)) {
+	if g.dropProposals {
 		return
 	}
 	for _, record := range records {
@@ -140,7 +140,7 @@
 	g.queue.Do(func() { done(nil) })
 }
 
-func (g *group) lead() {
+func (g *fakeGroup) lead() {
 	g.epoch++
 	g.queue.Do(func() { g.manager.Lead(0, g.state, g) })
 }
@@ -148,7 +148,7 @@
 type world struct {
 	clock   *clock.Virtual
 	engines *fakeEngines
-	group   *group
+	group   *fakeGroup
 	manager *Manager
 	waiting []ModelWaiting
 	current *structs.Configuration
@@ -191,7 +191,7 @@
 		Self: "d", Clock: w.clock, Transport: w, Engines: w.engines, Configurations: w, Router: w, Queues: w, Settings: settings, Logger: zerolog.Nop(),
 	})
 	w.manager.MachinesListed(machines)
-	w.group = &group{state: NewState(), manager: w.manager}
+	w.group = &fakeGroup{state: NewState(), manager: w.manager}
 	w.group.lead()
 	w.manager.Start()
 	return w
@@ -251,7 +251,7 @@
 
 func TestOneOrderInForceThroughTakeover(t *testing.T) {
 	w := newWorld()
-	w.engines.deaf = true
+	w.engines.unreachable = true
 	w.waiting = []ModelWaiting{{ModelAdapter: structs.ModelAdapter{Model: large}, Calls: 30}}
 	w.run(time.Minute)
 	before := w.group.state.InForce()
@@ -259,7 +259,7 @@
 		t.Fatal("no order in force")
 	}
 	w.group.lead()
-	w.engines.deaf = false
+	w.engines.unreachable = false
 	w.run(time.Minute)
 	given := map[structs.EngineID]int{}
 	for _, order := range w.engines.orders {
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -141,5 +141,6 @@
 	return nil
 }
 
-// Discard implements replication.StateMachine; nothing counts these states.
+// Discard implements replication.StateMachine. The memory of control shards is
+// not accounted for.
 func (s *State) Discard() {}
