--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -212,7 +212,7 @@
 	return count
 }
 
-func TestModelInDemandGetsEnginesAboveOthersMinimum(t *testing.T) {
+func TestDemandMovesEnginesDownToOthersMinimum(t *testing.T) {
 	w := newWorld()
 	w.waiting = []ModelWaiting{{ModelAdapter: structs.ModelAdapter{Model: large}, Calls: 30}}
 	w.run(time.Minute)
