--- a/internal/dispatch/fence_test.go
+++ b/internal/dispatch/fence_test.go
@@ -8,14 +8,13 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// TestInspectionFencesWhatThisLeaderSent has a back end that answers "absent
-// and fenced" while the first request may still be on its way: the fence must
-// stop that one and let the next one pass.
+// A back end answers "absent and fenced" while the first request may still be
+// in flight: the fence must stop that one and let the next one pass.
 func TestInspectionFencesOwnEarlierDispatches(t *testing.T) {
 	f := newFixture(t)
 	f.application.end = framework.AttemptEnd{Kind: framework.EndLost}
 	f.application.status = framework.AttemptStatus{State: framework.AttemptAbsent, Fenced: true}
-	f.submit(breadOrder("a"))
+	f.submit(applicationCall("a"))
 	f.run(10 * time.Minute)
 	sent, fences := f.application.invoked, f.application.inspected
 	if len(sent) < 2 || len(fences) < len(sent)-1 {
@@ -31,16 +30,16 @@
 	}
 }
 
-// TestRefusedCallPassesItsOwnFences refuses a call after inspections whose
-// fences the back end keeps, and submits it again, as a caller that was told
-// "not run" may: the new dispatches must pass the old fences.
+// A call is refused after inspections whose fences the back end keeps. The
+// caller, told "not run", submits it again: the new dispatches must pass the
+// old fences.
 func TestResubmittedCallPassesEarlierFences(t *testing.T) {
 	f := newFixture(t)
 	f.application.end = framework.AttemptEnd{Kind: framework.EndLost}
 	f.application.status = framework.AttemptStatus{State: framework.AttemptAbsent, Fenced: true}
 	for round := range 3 {
 		first := len(f.application.invoked)
-		caller, _ := f.submit(breadOrder("a"))
+		caller, _ := f.submit(applicationCall("a"))
 		f.run(10 * time.Minute)
 		if status := caller.status(t); status != structs.OutcomeNotRun {
 			t.Fatalf("round %d: outcome %q", round, status)
--- a/internal/dispatch/quota_spending.go
+++ b/internal/dispatch/quota_spending.go
@@ -5,8 +5,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// waitForSpending keeps a call back while its tenant's allowance here does not
-// cover it. It returns false when the call may go on.
+// waitForBudget holds back a call while its tenant's allowance in this shard
+// does not cover it. It returns false when the call may proceed.
 func (l *leader) waitForBudget(p *program.Program, active *activeCall) bool {
 	quota := structs.QuotaKey{Tenant: active.key.Tenant, Kind: structs.QuotaSpending}
 	if _, bounded := l.quotaLimit(quota); !bounded {
@@ -47,7 +47,7 @@
 		retryAfter := program.WindowEnd(program.WindowOf(structs.QuotaSpending, now)).Sub(now)
 		message := "The tenant's budget for this hour is spent or reserved."
 		if result == quotaUnanswered {
-			retryAfter, message = quotaTimeout, "The tenant's budget could not be asked for."
+			retryAfter, message = quotaTimeout, "The shard that keeps the tenant's budget did not answer."
 		}
 		l.settle(active, l.amendIfMayHaveRun(active, structs.Refused(structs.ReasonTenantQuota, "budget_per_hour", message, retryAfter)))
 		return
--- a/internal/dispatch/refused_copy_test.go
+++ b/internal/dispatch/refused_copy_test.go
@@ -9,40 +9,39 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// sentBefore is a copy of a request of which another may be under way.
-func sentBefore(request string) structs.Call {
-	call := breadOrder(request)
+// resentCall returns a copy of a request of which another may be in flight.
+func resentCall(request string) structs.Call {
+	call := applicationCall(request)
 	call.Retry = true
 	return call
 }
 
-// rejecting is an application that takes nothing.
-func (f *fixture) rejecting() {
+// rejectAllCalls makes the application reject every call.
+func (f *fixture) rejectAllCalls() {
 	f.application.end = framework.AttemptEnd{Kind: framework.EndRejected, Message: "draining"}
 }
 
-func (f *fixture) wantUnknownForNow(who string, caller *recordedCaller) {
+func (f *fixture) wantUnknownWithRetry(who string, caller *recordedCaller) {
 	f.t.Helper()
 	if status := caller.status(f.t); status != structs.OutcomeUnknown || caller.outcomes[0].RetryAfter == 0 {
-		f.t.Errorf("%s: %+v, want unknown with a time to come back", who, caller.outcomes[0])
+		f.t.Errorf("%s: %+v, want unknown with a retry-after time", who, caller.outcomes[0])
 	}
 }
 
-// TestRefusalOfOneCopyProvesNothingOfAnother has a copy come after the other
-// was accepted and refused: it is accepted anew and runs, so that the first
-// must not have been called not run.
+// A copy arrives after another one was accepted and refused. It is accepted
+// anew and runs, so the first must not have been reported as not run.
 func TestRefusedCopyIsUnknownWhileAnotherMayRun(t *testing.T) {
 	f := newFixture(t)
-	f.rejecting()
-	first, _ := f.submit(sentBefore("a"))
+	f.rejectAllCalls()
+	first, _ := f.submit(resentCall("a"))
 	f.run(time.Minute)
-	f.wantUnknownForNow("the first copy", first)
+	f.wantUnknownWithRetry("the first copy", first)
 	f.application.end = framework.AttemptEnd{Kind: framework.EndCompleted}
-	f.wantCompleted("the second copy", sentBefore("a"))
+	f.wantCompleted("the second copy", resentCall("a"))
 }
 
-// TestCopyThatJoinsACallMakesItsRefusalUnknown has the caller's second copy
-// join the first, before or after a takeover, while a third may be under way.
+// The caller's second copy joins the first, before or after a takeover, while a
+// third may be in flight.
 func TestAttachedCopyMakesRefusalUnknown(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		f := newFixture(t)
@@ -58,12 +57,12 @@
 		held := f.scheduler.held[len(f.scheduler.held)-1]
 		held.Refuse(structs.Refused(structs.ReasonOverloaded, "", "Full.", time.Second))
 		f.run(time.Second)
-		f.wantUnknownForNow("the copy that joined", caller)
+		f.wantUnknownWithRetry("the copy that joined", caller)
 	}
 }
 
-// TestRefusalForGoodIsNotRunForEveryCopy ends the program of a refused call: no
-// copy of it will be taken any more.
+// The program of a refused call ends: no copy of the call can be accepted any
+// more.
 func TestPermanentRefusalIsNotRunForEveryCopy(t *testing.T) {
 	f := newFixture(t)
 	f.scheduler.holdBack = true
--- a/internal/placement/adapters_test.go
+++ b/internal/placement/adapters_test.go
@@ -8,15 +8,15 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// adapterSlots is how many adapters each engine of these tests has place for.
+// adapterSlots is the number of adapters that each engine can load.
 const adapterSlots = 2
 
 func adapterOf(number int) structs.ModelAdapter {
 	return structs.ModelAdapter{Model: small, Adapter: structs.AdapterName(fmt.Sprintf("a%d", number))}
 }
 
-// newAdapterWorld has four engines with two places for adapters each, and a
-// template for each of some adapters.
+// newAdapterWorld returns four engines with two adapter slots each, and a
+// template for each of the given number of adapters.
 func newAdapterWorld(adapters int) *world {
 	w := newWorld()
 	w.engines.loadTime = 2 * time.Second
@@ -33,8 +33,8 @@
 	return w
 }
 
-// want has calls wait for some adapters until an engine serves them.
-func (w *world) want(calls int, numbers ...int) {
+// setDemand sets the adapters that calls wait for until an engine serves them.
+func (w *world) setDemand(calls int, numbers ...int) {
 	w.waiting = nil
 	for _, number := range numbers {
 		w.waiting = append(w.waiting, ModelWaiting{ModelAdapter: adapterOf(number), Calls: calls})
@@ -64,7 +64,7 @@
 
 func TestAdapterIsLoadedWhenACallWaitsForIt(t *testing.T) {
 	w := newAdapterWorld(1)
-	w.want(1, 0)
+	w.setDemand(1, 0)
 	w.run(20 * time.Second)
 	if got := w.servingAdapter(0); got != 1 {
 		t.Errorf("%d engines serve the adapter, want one", got)
@@ -76,15 +76,15 @@
 
 func TestAdapterInSustainedDemandGetsMoreEngines(t *testing.T) {
 	w := newAdapterWorld(1)
-	w.want(30, 0)
+	w.setDemand(30, 0)
 	w.run(2 * time.Minute)
 	if got := w.servingAdapter(0); got < 2 {
 		t.Errorf("%d engines serve an adapter that calls have waited for over two minutes", got)
 	}
 }
 
-// TestAdaptersDoNotFlap has calls for ten adapters come in turn at engines that
-// have place for eight: what is loaded stays for AdapterStay after its use.
+// Calls for ten adapters arrive in turn at engines with slots for eight: a
+// loaded adapter must stay for AdapterRetention after its last use.
 func TestAdaptersDoNotFlap(t *testing.T) {
 	const adapters, hour = 10, time.Hour
 	w := newAdapterWorld(adapters)
@@ -92,7 +92,7 @@
 	for round := 0; w.clock.Now().Sub(start) < hour; round++ {
 		number := round % adapters
 		if w.servingAdapter(number) == 0 {
-			w.want(1, number)
+			w.setDemand(1, number)
 		} else {
 			w.waiting = nil
 		}
@@ -119,19 +119,19 @@
 
 func TestAdapterNamedByNoTemplateIsUnloaded(t *testing.T) {
 	w := newAdapterWorld(1)
-	w.want(1, 0)
+	w.setDemand(1, 0)
 	w.run(20 * time.Second)
 	w.waiting = nil
 	w.current = &structs.Configuration{Models: w.current.Models}
 	w.run(5 * time.Minute)
 	if got := w.servingAdapter(0); got != 0 {
-		t.Errorf("%d engines still serve an adapter that nobody may use", got)
+		t.Errorf("%d engines still serve an adapter that no template refers to", got)
 	}
 }
 
 func TestAdapterIsReloadedAfterEngineRestart(t *testing.T) {
 	w := newAdapterWorld(1)
-	w.want(1, 0)
+	w.setDemand(1, 0)
 	w.run(11 * time.Second)
 	if len(w.group.state.InForce()) != 1 {
 		t.Fatalf("orders in force: %+v", w.group.state.InForce())
@@ -139,7 +139,7 @@
 	w.engines.restart(w.group.state.InForce()[0].Engine)
 	w.run(20 * time.Second)
 	if got := w.servingAdapter(0); got != 1 {
-		t.Errorf("%d engines serve the adapter after the one that read it restarted", got)
+		t.Errorf("%d engines serve the adapter after the engine that loaded it restarted", got)
 	}
 	fences := map[uint64]bool{}
 	for _, order := range w.engines.orders {
@@ -150,43 +150,42 @@
 	}
 }
 
-// TestReplacedLeaderIsSilent has an engine restart, and so forget its fence,
-// while a leader that was replaced does not know it yet.
+// An engine restarts, and so forgets its fence, while a replaced leader does
+// not know yet that it was replaced.
 func TestReplacedLeaderSendsNoOrders(t *testing.T) {
 	w := newAdapterWorld(1)
-	w.engines.deaf = true
-	w.want(1, 0)
+	w.engines.unreachable = true
+	w.setDemand(1, 0)
 	w.run(20 * time.Second)
 	if len(w.group.state.InForce()) != 1 {
 		t.Fatalf("orders in force: %+v", w.group.state.InForce())
 	}
 	w.group.replaced = true
-	w.engines.deaf = false
+	w.engines.unreachable = false
 	w.engines.restart(w.group.state.InForce()[0].Engine)
 	w.run(time.Minute)
 	if len(w.engines.orders) != 0 {
-		t.Errorf("a leader without its group's word gave %+v", w.engines.orders)
+		t.Errorf("a leader that could not confirm its leadership sent %+v", w.engines.orders)
 	}
 }
 
-// TestEngineThatStillReadsGetsNoOther has an order given up whose effect the
-// engine is still working on.
+// An order timed out, but the engine is still carrying it out.
 func TestLoadingEngineGetsNoOtherOrder(t *testing.T) {
 	w := newAdapterWorld(2)
 	for _, load := range w.engines.loads {
 		load.Loading = []structs.ModelName{large}
 	}
-	w.want(1, 0, 1)
+	w.setDemand(1, 0, 1)
 	w.run(5 * time.Minute)
 	if len(w.engines.orders) != 0 {
-		t.Errorf("engines that read weights were given %+v", w.engines.orders)
+		t.Errorf("loading engines were sent %+v", w.engines.orders)
 	}
 }
 
 func TestRefusedOrderIsRetriedAfterBackoff(t *testing.T) {
 	w := newAdapterWorld(1)
 	w.engines.refusing = true
-	w.want(1, 0)
+	w.setDemand(1, 0)
 	w.run(20 * time.Second)
 	if busy := w.group.state.InForce(); len(busy) > 1 {
 		t.Errorf("refused orders are still in force: %+v", busy)
@@ -194,22 +193,21 @@
 	w.engines.refusing = false
 	w.run(20 * time.Second)
 	if got := w.servingAdapter(0); got != 1 {
-		t.Errorf("%d engines serve the adapter once orders are taken again", got)
+		t.Errorf("%d engines serve the adapter once orders are accepted again", got)
 	}
 }
 
-// TestReadingIsBoundedFleetWide has another control shard tell of engines that
-// read already.
+// Another control shard reports engines that are loading already.
 func TestLoadingIsBoundedFleetWide(t *testing.T) {
 	w := newAdapterWorld(4)
 	w.manager.Settings.Shards = 2
 	w.engines.loadTime = time.Hour
-	w.want(1, 0, 1, 2, 3)
+	w.setDemand(1, 0, 1, 2, 3)
 	for range 30 {
 		w.manager.Receive("other", &Summary{To: 0, From: 1, Loading: w.manager.Settings.MaximumLoading - 1})
 		w.run(2 * time.Second)
 	}
 	if got := len(w.engines.orders); got > 1 {
-		t.Errorf("%d engines were told to read, with place for one more in the fleet", got)
+		t.Errorf("%d engines were ordered to load, but only one more may load fleet-wide", got)
 	}
 }
