--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -97,7 +97,7 @@
 func (l *leader) attachToActive(active *activeCall, follower attachment, submit *Submit) {
 	if submit.Call.Sequence != 0 && submit.Call.Sequence != active.call.Sequence {
 		l.sendOutcome(follower, structs.Refused(structs.ReasonRequestConflict, "request_id",
-			fmt.Sprintf("The request identifier was already used for call %d.", active.call.Sequence), 0))
+			fmt.Sprintf("The request identifier was used for call %d.", active.call.Sequence), 0))
 		return
 	}
 	l.Transport.Send(follower.daemon, &Accepted{Submission: follower.submission})
@@ -172,14 +172,14 @@
 	l.dropProposed(active)
 	p := l.machine.Program(active.key)
 	if p == nil {
-		l.finish(active, structs.Refused(structs.ReasonProgramEnded, "", "The program ended before the call was accepted.", 0))
+		l.finish(active, structs.Refused(structs.ReasonProgramEnded, "", "The program ended first.", 0))
 		return
 	}
 	open := p.OpenCall(active.call.RequestID)
 	if open == nil {
 		outcome, settled := p.Outcome(active.call.RequestID)
 		if !settled {
-			outcome = structs.Refused(structs.ReasonProgramEnded, "", "The program ended before the call was accepted.", 0)
+			outcome = structs.Refused(structs.ReasonProgramEnded, "", "The program ended first.", 0)
 		}
 		l.finish(active, outcome)
 		return
--- a/internal/dispatch/inspect.go
+++ b/internal/dispatch/inspect.go
@@ -155,7 +155,7 @@
 	return structs.Outcome{
 		Status:  structs.OutcomeUnknown,
 		Reason:  structs.ReasonConnectionLost,
-		Message: "The back end may or may not have run the call. Send it again with the same request identifier.",
+		Message: "The back end may or may not have run the call. Ask again with the same request identifier.",
 	}
 }
 
--- a/internal/dispatch/out_of_order.go
+++ b/internal/dispatch/out_of_order.go
@@ -51,7 +51,7 @@
 		"Calls with lower sequence numbers did not arrive.", retryAfterMissingCalls)
 	if l.machine.Program(key) == nil {
 		refusal = structs.Refused(structs.ReasonUnknownProgram, "program",
-			"The program is not known, and only call 1 starts a program.", 0)
+			"No such program is under way, and only call 1 starts one.", 0)
 	}
 	l.refuseTemporarily(waiting.from, waiting.submit.Call, refusal)
 }
--- a/internal/dispatch/quota_slots.go
+++ b/internal/dispatch/quota_slots.go
@@ -62,7 +62,7 @@
 		return
 	}
 	l.refuseTemporarily(waiting.follower, waiting.submit.Call, structs.Refused(structs.ReasonTenantQuota, "programs",
-		"The tenant has reached its limit of live programs.", retryWithoutSlot))
+		"The tenant has as many live programs as it may.", retryWithoutSlot))
 }
 
 // returnProgramSlots returns unused slots, so that other shards can use them.
--- a/internal/dispatch/quota_spending.go
+++ b/internal/dispatch/quota_spending.go
@@ -47,7 +47,7 @@
 		retryAfter := program.WindowEnd(program.WindowOf(structs.QuotaSpending, now)).Sub(now)
 		message := "The tenant's budget for this hour is spent or reserved."
 		if result == quotaUnanswered {
-			retryAfter, message = quotaTimeout, "The shard that keeps the tenant's budget did not answer."
+			retryAfter, message = quotaTimeout, "The tenant's budget could not be asked for."
 		}
 		l.settle(active, l.amendIfMayHaveRun(active, structs.Refused(structs.ReasonTenantQuota, "budget_per_hour", message, retryAfter)))
 		return
--- a/internal/schedule/overload.go
+++ b/internal/schedule/overload.go
@@ -27,7 +27,7 @@
 func (s *Scheduler) overloaded(now time.Time) structs.Outcome {
 	waiting := len(s.waiting)
 	return structs.Refused(structs.ReasonOverloaded, "",
-		fmt.Sprintf("The queue is full: %d calls are waiting.", waiting), s.dequeueRate.retryAfter(waiting, now))
+		fmt.Sprintf("%d calls wait already.", waiting), s.dequeueRate.retryAfter(waiting, now))
 }
 
 // makeRoom makes room in the queue for an arrival. A full queue refuses a call
