--- a/internal/configuration/benchmark_test.go
+++ b/internal/configuration/benchmark_test.go
@@ -32,7 +32,7 @@
 }
 
 // fullState folds a configuration with the letter's models.
-func fullState(b *testing.B, tenants int) *State {
+func stateWithTenants(b *testing.B, tenants int) *State {
 	b.Helper()
 	patch := structs.Patch{
 		Models:    structs.Edit[structs.ModelName, structs.Model]{Set: map[structs.ModelName]structs.Model{}},
@@ -61,7 +61,7 @@
 }
 
 // oneTenant is a change of one tenant of many.
-func oneTenant(b *testing.B, offset, base, tenants int) framework.LogEntry {
+func tenantChange(b *testing.B, offset, base, tenants int) framework.LogEntry {
 	name := structs.TenantName(fmt.Sprintf("tenant-%d", base%tenants))
 	tenant := benchmarkTenant(base % tenants)
 	tenant.Programs = 100 + base
@@ -75,11 +75,11 @@
 func BenchmarkFold(b *testing.B) {
 	for _, tenants := range []int{525, 1050, benchmarkTenants} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
-			state := fullState(b, tenants)
+			state := stateWithTenants(b, tenants)
 			offset, bytes := 1, 0
 			b.ReportAllocs()
 			for b.Loop() {
-				entry := oneTenant(b, offset, offset, tenants)
+				entry := tenantChange(b, offset, offset, tenants)
 				bytes += len(entry.Payload)
 				if verdict, _ := state.Fold(entry); !verdict.Accepted {
 					b.Fatalf("refused: %+v", verdict)
@@ -98,9 +98,9 @@
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			for b.Loop() {
 				before := heapBytes()
-				state := fullState(b, tenants)
+				state := stateWithTenants(b, tenants)
 				for offset := 1; offset <= VerdictWindow; offset++ {
-					state.Fold(oneTenant(b, offset, offset, tenants))
+					state.Fold(tenantChange(b, offset, offset, tenants))
 				}
 				b.ReportMetric(float64(heapBytes()-before), "heap-bytes")
 				runtime.KeepAlive(state)
@@ -120,9 +120,9 @@
 // BenchmarkSnapshot is the cost of packing and of unpacking a full state with
 // a full window of verdicts.
 func BenchmarkSnapshot(b *testing.B) {
-	state := fullState(b, benchmarkTenants)
+	state := stateWithTenants(b, benchmarkTenants)
 	for offset := 1; offset <= VerdictWindow; offset++ {
-		state.Fold(oneTenant(b, offset, offset, benchmarkTenants))
+		state.Fold(tenantChange(b, offset, offset, benchmarkTenants))
 	}
 	data, err := EncodeSnapshot(state)
 	if err != nil {
--- a/internal/configuration/convergence_test.go
+++ b/internal/configuration/convergence_test.go
@@ -32,36 +32,36 @@
 }
 
 func measureConvergence(b *testing.B, daemons int) {
-	w := newWorld(b, daemons, configuration.Guards{})
-	w.neighbours = 1
-	w.network.Settings.BreakChance = 0.02
+	f := newFleet(b, daemons, configuration.Guards{})
+	f.neighbours = 1
+	f.network.Settings.BreakChance = 0.02
 	bytes := 0
-	w.network.Count = func(_, _ structs.DaemonID, _ peer.Class, _ peer.Kind, size int) { bytes += size }
-	w.append("first", 0, 0)
-	w.run(30 * time.Second)
+	f.network.Count = func(_, _ structs.DaemonID, _ peer.Class, _ peer.Kind, size int) { bytes += size }
+	f.append("first", 0, 0)
+	f.run(30 * time.Second)
 	bytes = 0
-	began := w.clock.Now()
+	began := f.clock.Now()
 	var delays []float64
 	for change := 1; change <= convergenceChanges; change++ {
-		w.append(fmt.Sprintf("change-%d", change), change, change)
-		delays = append(delays, w.untilRevision(structs.Revision(change+1)).Seconds())
-		w.run(convergencePause)
+		f.append(fmt.Sprintf("change-%d", change), change, change)
+		delays = append(delays, f.runUntilRevision(structs.Revision(change+1)).Seconds())
+		f.run(convergencePause)
 	}
 	slices.Sort(delays)
 	b.ReportMetric(delays[len(delays)/2], "p50-virtual-s")
 	b.ReportMetric(delays[len(delays)-1], "max-virtual-s")
-	b.ReportMetric(float64(bytes)/float64(daemons)/w.clock.Now().Sub(began).Seconds(), "bytes/daemon/s")
+	b.ReportMetric(float64(bytes)/float64(daemons)/f.clock.Now().Sub(began).Seconds(), "bytes/daemon/s")
 }
 
 // untilRevision runs until all daemons have a revision.
-func (w *world) untilRevision(revision structs.Revision) time.Duration {
-	began := w.clock.Now()
-	for _, d := range w.daemons {
+func (f *fleet) runUntilRevision(revision structs.Revision) time.Duration {
+	began := f.clock.Now()
+	for _, d := range f.daemons {
 		for d.store.Revision() < revision {
-			w.run(10 * time.Millisecond)
+			f.run(10 * time.Millisecond)
 		}
 	}
-	return w.clock.Now().Sub(began)
+	return f.clock.Now().Sub(began)
 }
 
 // BenchmarkStart times a fresh daemon at the letter's size, in virtual seconds
@@ -77,28 +77,28 @@
 }
 
 func measureStart(b *testing.B, logDown bool) {
-	w := newWorld(b, 3, configuration.Guards{})
-	w.append("first", 0, 0)
+	f := newFleet(b, 3, configuration.Guards{})
+	f.append("first", 0, 0)
 	for i := range 3 {
-		w.appendTenants(fmt.Sprintf("tenants-%d", i), 1+i, 700*i, 700)
+		f.appendTenants(fmt.Sprintf("tenants-%d", i), 1+i, 700*i, 700)
 	}
 	for base := 4; base < 3000; base++ {
-		w.append(fmt.Sprintf("change-%d", base), base, base)
+		f.append(fmt.Sprintf("change-%d", base), base, base)
 	}
-	w.run(2 * time.Minute)
-	w.log.Down = logDown
+	f.run(2 * time.Minute)
+	f.log.Down = logDown
 	fromPeers := 0
-	w.network.Count = func(_, to structs.DaemonID, _ peer.Class, _ peer.Kind, size int) {
-		if to.Address() == w.daemons[1].id.Address() {
+	f.network.Count = func(_, to structs.DaemonID, _ peer.Class, _ peer.Kind, size int) {
+		if to.Address() == f.daemons[1].id.Address() {
 			fromPeers += size
 		}
 	}
-	began := w.clock.Now()
-	fresh := w.start(1, configuration.Guards{})
+	began := f.clock.Now()
+	fresh := f.start(1, configuration.Guards{})
 	for !fresh.store.Serving() {
-		w.run(10 * time.Millisecond)
+		f.run(10 * time.Millisecond)
 	}
-	b.ReportMetric(w.clock.Now().Sub(began).Seconds(), "virtual-s")
+	b.ReportMetric(f.clock.Now().Sub(began).Seconds(), "virtual-s")
 	b.ReportMetric(float64(fromPeers), "peer-bytes")
 	b.ReportMetric(float64(fresh.entriesRead["configuration"]), "log-entries")
 	b.ReportMetric(float64(fresh.bytesRead), "log-bytes")
--- a/internal/configuration/interleaving_test.go
+++ b/internal/configuration/delivery_order_test.go
@@ -64,24 +64,24 @@
 // each publication gets one answer which the log bears out.
 func TestStoresConvergeThroughFaults(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := newWorld(t, 4, configuration.Guards{})
-		w.append("first", 0, 0)
-		w.run(2 * time.Second)
+		f := newFleet(t, 4, configuration.Guards{})
+		f.append("first", 0, 0)
+		f.run(2 * time.Second)
 		var answers []*answer
 		for step := range rapid.IntRange(5, 30).Draw(r, "steps") {
-			if got := w.randomStep(r, step); got != nil {
+			if got := f.randomStep(r, step); got != nil {
 				answers = append(answers, got)
 			}
-			w.run(time.Duration(rapid.IntRange(0, 1500).Draw(r, "pause")) * time.Millisecond)
+			f.run(time.Duration(rapid.IntRange(0, 1500).Draw(r, "pause")) * time.Millisecond)
 		}
-		w.network.HealAll()
-		w.log.Down, w.log.ReadLag, w.log.LostAnswers = false, 0, 0
-		w.run(30 * time.Second)
+		f.network.HealAll()
+		f.log.Down, f.log.ReadLag, f.log.LostAnswers = false, 0, 0
+		f.run(30 * time.Second)
 		truth := configuration.NewState()
-		for _, entry := range w.log.Entries(framework.StreamConfiguration) {
+		for _, entry := range f.log.Entries(framework.StreamConfiguration) {
 			truth.Fold(entry)
 		}
-		for _, d := range w.daemons {
+		for _, d := range f.daemons {
 			if status := d.store.Status(); !status.Serving || status.Digest != truth.Digest() || status.Divergences > 0 {
 				r.Fatalf("%s: %+v, want offset %d digest %x", d.id, status, truth.Next, truth.Digest())
 			}
@@ -96,34 +96,34 @@
 }
 
 // randomStep brings about one fault, repair or publication.
-func (w *world) randomStep(r *rapid.T, step int) *answer {
-	i := rapid.IntRange(0, len(w.daemons)-1).Draw(r, "daemon")
+func (f *fleet) randomStep(r *rapid.T, step int) *answer {
+	i := rapid.IntRange(0, len(f.daemons)-1).Draw(r, "daemon")
 	zone := fmt.Sprintf("zone-%d", rapid.IntRange(0, 2).Draw(r, "zone"))
 	switch rapid.IntRange(0, 8).Draw(r, "step") {
 	case 0:
-		w.network.Cut(zone, "log")
+		f.network.Cut(zone, "log")
 	case 1:
-		w.network.Cut(zone, "")
-		w.network.Cut("", zone)
+		f.network.Cut(zone, "")
+		f.network.Cut("", zone)
 	case 2:
-		w.network.HealAll()
+		f.network.HealAll()
 	case 3:
-		w.log.Down = !w.log.Down
+		f.log.Down = !f.log.Down
 	case 4:
-		w.log.ReadLag = time.Duration(rapid.IntRange(0, 5000).Draw(r, "lag")) * time.Millisecond
+		f.log.ReadLag = time.Duration(rapid.IntRange(0, 5000).Draw(r, "lag")) * time.Millisecond
 	case 5:
-		w.log.LostAnswers = rapid.Float64Range(0, 1).Draw(r, "lost")
+		f.log.LostAnswers = rapid.Float64Range(0, 1).Draw(r, "lost")
 	case 6:
-		w.start(i, configuration.Guards{})
+		f.start(i, configuration.Guards{})
 	default:
-		d := w.daemons[i]
-		return w.publish(d, fmt.Sprintf("step-%d", step), int(d.store.Revision()), step+1)
+		d := f.daemons[i]
+		return f.publish(d, fmt.Sprintf("step-%d", step), int(d.store.Revision()), step+1)
 	}
 	return nil
 }
 
 // The check of a change alone comes to the same as a check of all that results.
-func TestChangesAreCheckedAsTheWhole(t *testing.T) {
+func TestChangeValidationMatchesFullValidation(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		state := configuration.NewState()
 		state.Fold(configuration.Encoded(t, 0, "first", 0, configuration.FirstPatch()))
--- a/internal/configuration/diff.go
+++ b/internal/configuration/diff.go
@@ -16,7 +16,7 @@
 		Templates: editBetween(current.Templates, wanted.Templates, prune),
 		Tenants:   editBetween(current.Tenants, wanted.Tenants, prune),
 	}
-	if fleet != nil && hashOf("", "", *fleet) != hashOf("", "", current.Fleet) {
+	if fleet != nil && hashValue("", "", *fleet) != hashValue("", "", current.Fleet) {
 		policy := *fleet
 		patch.Fleet = &policy
 	}
@@ -27,7 +27,7 @@
 	var edit structs.Edit[Name, Value]
 	for name, value := range wanted {
 		before, exists := current[name]
-		if exists && hashOf("", "", before) == hashOf("", "", value) {
+		if exists && hashValue("", "", before) == hashValue("", "", value) {
 			continue
 		}
 		if edit.Set == nil {
--- a/internal/configuration/dissemination.go
+++ b/internal/configuration/dissemination.go
@@ -12,42 +12,42 @@
 	if s.Guards.SkipDissemination {
 		return
 	}
-	s.offerToSome()
-	if s.exchange.secondRound {
+	s.offerToRandomPeers()
+	if s.peerSync.secondRoundPending {
 		return
 	}
-	s.exchange.secondRound = true
+	s.peerSync.secondRoundPending = true
 	s.after(s.Settings.SecondRoundDelay, func() {
-		s.exchange.secondRound = false
-		s.offerToSome()
+		s.peerSync.secondRoundPending = false
+		s.offerToRandomPeers()
 	})
 }
 
-func (s *Store) offerToSome() {
-	for _, daemon := range s.somePeers() {
+func (s *Store) offerToRandomPeers() {
+	for _, daemon := range s.randomPeers() {
 		s.Transport.Send(daemon, &Offer{Offset: s.state.Next, Digest: s.state.Digest()})
 	}
 }
 
 // askPeers asks a few peers how far they are, without waiting for heartbeats,
 // and others again until the grace is over: at first the list may be empty.
-func (s *Store) askPeers() {
+func (s *Store) requestPeerOffsets() {
 	if s.Guards.SkipDissemination {
 		return
 	}
-	for _, daemon := range s.somePeers() {
+	for _, daemon := range s.randomPeers() {
 		s.Transport.Send(daemon, &Offer{Offset: s.state.Next, Digest: s.state.Digest(), ReplyWanted: true})
 	}
 	if !s.graceOver {
-		s.after(s.Settings.PeerGrace/askDivisor, s.askPeers)
+		s.after(s.Settings.PeerGrace/offsetRequestsPerGrace, s.requestPeerOffsets)
 	}
 }
 
 // askDivisor is how many times within its grace a starting daemon asks.
-const askDivisor = 4
+const offsetRequestsPerGrace = 4
 
 // somePeers draws Fanout peers at random.
-func (s *Store) somePeers() []structs.DaemonID {
+func (s *Store) randomPeers() []structs.DaemonID {
 	peers := s.Peers()
 	if s.Transport == nil {
 		return nil
--- a/internal/configuration/files/files.go
+++ b/internal/configuration/files/files.go
@@ -22,17 +22,17 @@
 	// Fleet is nil when no file names a fleet policy.
 	Fleet *structs.FleetPolicy
 
-	places []place
+	files []fileLines
 }
 
 // place is what one file contains.
-type place struct {
+type fileLines struct {
 	file  string
 	lines yamlfile.Lines
 }
 
 // content is one file.
-type content struct {
+type fileContent struct {
 	Models    map[structs.ModelName]structs.Model       `yaml:"models"`
 	Templates map[structs.TemplateName]structs.Template `yaml:"templates"`
 	Tenants   map[structs.TenantName]structs.Tenant     `yaml:"tenants"`
@@ -47,7 +47,7 @@
 
 // Load reads files and all .yaml and .yml files of directories.
 func Load(paths []string) (*Wanted, []yamlfile.Problem) {
-	return load(paths, list, os.ReadFile)
+	return load(paths, listFiles, os.ReadFile)
 }
 
 // LoadFS reads all .yaml files of directories of a file system.
@@ -81,7 +81,7 @@
 }
 
 // list returns the files that a path stands for, in order.
-func list(name string) ([]string, error) {
+func listFiles(name string) ([]string, error) {
 	entries, err := os.ReadDir(name)
 	if err != nil {
 		if info, statErr := os.Stat(name); statErr == nil && !info.IsDir() {
@@ -109,38 +109,38 @@
 	}}
 	var problems []yamlfile.Problem
 	for _, source := range sources {
-		var read content
+		var read fileContent
 		lines, found := yamlfile.Decode(source.Name, source.Data, &read)
 		problems = append(problems, found...)
-		m := merger{wanted: wanted, place: place{file: source.Name, lines: lines}}
+		m := merger{wanted: wanted, current: fileLines{file: source.Name, lines: lines}}
 		mergeKind(&m, "models", wanted.Configuration.Models, read.Models)
 		mergeKind(&m, "templates", wanted.Configuration.Templates, read.Templates)
 		mergeKind(&m, "tenants", wanted.Configuration.Tenants, read.Tenants)
 		m.fleet(read.Fleet)
 		problems = append(problems, m.problems...)
-		wanted.places = append(wanted.places, m.place)
+		wanted.files = append(wanted.files, m.current)
 	}
 	return wanted, problems
 }
 
 type merger struct {
 	wanted   *Wanted
-	place    place
+	current  fileLines
 	problems []yamlfile.Problem
 }
 
 // given reports a name that an earlier file gives too.
-func (m *merger) given(field string) {
+func (m *merger) reportDuplicate(field string) {
 	first := m.wanted.Locate(configuration.Problem{Field: field})
 	m.problems = append(m.problems, yamlfile.Problem{
-		File: m.place.file, Line: m.place.lines.Line(field), Field: field, Reason: "is given in " + first.File + " too",
+		File: m.current.file, Line: m.current.lines.Line(field), Field: field, Reason: "is given in " + first.File + " too",
 	})
 }
 
 func mergeKind[Name ~string, Value any](m *merger, kind string, into, from map[Name]Value) {
 	for _, name := range slices.Sorted(maps.Keys(from)) {
 		if _, taken := into[name]; taken {
-			m.given(kind + "." + string(name))
+			m.reportDuplicate(kind + "." + string(name))
 			continue
 		}
 		into[name] = from[name]
@@ -151,7 +151,7 @@
 	switch {
 	case policy == nil:
 	case m.wanted.Fleet != nil:
-		m.given("fleet")
+		m.reportDuplicate("fleet")
 	default:
 		m.wanted.Fleet = policy
 		m.wanted.Configuration.Fleet = *policy
@@ -167,7 +167,7 @@
 		if !strings.Contains(at, ".") && at != "fleet" {
 			break // "tenants" alone may stand in any file
 		}
-		for _, place := range w.places {
+		for _, place := range w.files {
 			if line, known := place.lines[at]; known {
 				best.File, best.Line = place.file, line
 				return best
@@ -203,9 +203,9 @@
 // rest cannot be judged.
 func (w *Wanted) CheckAll(current *structs.Configuration, unread []yamlfile.Problem) []yamlfile.Problem {
 	problems := slices.Clone(unread)
-	if !slices.ContainsFunc(unread, wholeFile) {
+	if !slices.ContainsFunc(unread, concernsWholeFile) {
 		for _, problem := range w.Check(current) {
-			if !follows(problem, unread) {
+			if !isConsequence(problem, unread) {
 				problems = append(problems, problem)
 			}
 		}
@@ -214,10 +214,10 @@
 	return problems
 }
 
-func wholeFile(problem yamlfile.Problem) bool { return problem.Field == "" }
+func concernsWholeFile(problem yamlfile.Problem) bool { return problem.Field == "" }
 
 // follows tells whether a failed check concerns a value that could not be read.
-func follows(problem yamlfile.Problem, unread []yamlfile.Problem) bool {
+func isConsequence(problem yamlfile.Problem, unread []yamlfile.Problem) bool {
 	for at := problem.Field; at != ""; at = parent(at) {
 		if slices.ContainsFunc(unread, func(other yamlfile.Problem) bool { return other.Field == at }) {
 			return true
--- a/internal/configuration/world_test.go
+++ b/internal/configuration/fleet_test.go
@@ -23,13 +23,13 @@
 const heartbeat = time.Second
 
 // world is a few stores on a virtual clock with one log.
-type world struct {
-	t       testing.TB
-	clock   *clock.Virtual
-	network *network.Network
-	log     *drivers.EventLog
-	daemons []*daemon
-	runs    uint64
+type fleet struct {
+	t            testing.TB
+	clock        *clock.Virtual
+	network      *network.Network
+	log          *drivers.EventLog
+	daemons      []*daemon
+	incarnations uint64
 	// neighbours is how many daemons hear a daemon's heartbeats, 0 for all.
 	neighbours int
 }
@@ -67,63 +67,63 @@
 	r.store.Receive(from, message)
 }
 
-func newWorld(t testing.TB, daemons int, guards configuration.Guards) *world {
+func newFleet(t testing.TB, daemons int, guards configuration.Guards) *fleet {
 	c := clock.NewVirtual(time.Unix(1_000_000, 0))
 	n := network.New(c, rand.New(rand.NewPCG(1, 1)), network.DefaultSettings())
-	w := &world{t: t, clock: c, network: n}
-	w.log = drivers.NewEventLog(n, network.Place{Address: "log"}, rand.New(rand.NewPCG(2, 2)))
+	f := &fleet{t: t, clock: c, network: n}
+	f.log = drivers.NewEventLog(n, network.Place{Address: "log"}, rand.New(rand.NewPCG(2, 2)))
 	for i := range daemons {
-		w.daemons = append(w.daemons, nil)
-		w.start(i, guards)
+		f.daemons = append(f.daemons, nil)
+		f.start(i, guards)
 	}
-	return w
+	return f
 }
 
 // start runs daemon number i, in place of its former run.
-func (w *world) start(i int, guards configuration.Guards) *daemon {
-	w.runs++
+func (f *fleet) start(i int, guards configuration.Guards) *daemon {
+	f.incarnations++
 	zone := structs.ZoneName(fmt.Sprintf("zone-%d", i%3))
-	d := &daemon{id: structs.NewDaemonID(fmt.Sprintf("10.0.0.%d:1", i), w.runs), zone: zone, process: network.NewProcess(w.clock, 0), entriesRead: map[framework.StreamName]int{}}
-	endpoint := w.network.Attach(structs.Daemon{ID: d.id, Zone: zone}, d.process)
+	d := &daemon{id: structs.NewDaemonID(fmt.Sprintf("10.0.0.%d:1", i), f.incarnations), zone: zone, process: network.NewProcess(f.clock, 0), entriesRead: map[framework.StreamName]int{}}
+	endpoint := f.network.Attach(structs.Daemon{ID: d.id, Zone: zone}, d.process)
 	settings := configuration.DefaultSettings()
 	settings.SnapshotEvery = 16
 	settings.SnapshotPause = time.Second
 	d.store = configuration.NewStore(configuration.Options{
 		Self:      d.id,
 		Clock:     d.process,
-		Log:       &countingLog{EventLog: w.log.Client(network.Client{Network: w.network, Process: d.process, Place: endpoint.Place()}), daemon: d},
+		Log:       &countingLog{EventLog: f.log.Client(network.Client{Network: f.network, Process: d.process, Place: endpoint.Place()}), daemon: d},
 		Transport: endpoint,
-		Peers:     func() []structs.DaemonID { return w.others(d) },
+		Peers:     func() []structs.DaemonID { return f.others(d) },
 		Settings:  settings,
 		Guards:    guards,
 		Logger:    zerolog.Nop(),
 	})
 	endpoint.Handle(receiver{d.store})
-	w.watch(d, guards)
-	if former := w.daemons[i]; former != nil {
+	f.failOnRollback(d, guards)
+	if former := f.daemons[i]; former != nil {
 		former.process.Kill()
 	}
-	w.daemons[i] = d
+	f.daemons[i] = d
 	d.store.Start()
-	w.beat(d)
+	f.sendHeartbeats(d)
 	return d
 }
 
 // watch fails the test when a store goes back.
-func (w *world) watch(d *daemon, guards configuration.Guards) {
+func (f *fleet) failOnRollback(d *daemon, guards configuration.Guards) {
 	var offset structs.LogOffset
 	var revision structs.Revision
 	d.store.Subscribe(func(status configuration.Status) {
 		if !guards.AcceptOlder && (status.Offset < offset || status.Revision < revision) {
-			w.t.Errorf("%s went back from offset %d to %d", d.id, offset, status.Offset)
+			f.t.Errorf("%s went back from offset %d to %d", d.id, offset, status.Offset)
 		}
 		offset, revision = status.Offset, status.Revision
 	})
 }
 
-func (w *world) others(self *daemon) []structs.DaemonID {
+func (f *fleet) others(self *daemon) []structs.DaemonID {
 	var ids []structs.DaemonID
-	for _, d := range w.daemons {
+	for _, d := range f.daemons {
 		if d != nil && d != self {
 			ids = append(ids, d.id)
 		}
@@ -132,52 +132,52 @@
 }
 
 // beat tells a daemon's note to its neighbours, as heartbeats would.
-func (w *world) beat(d *daemon) {
+func (f *fleet) sendHeartbeats(d *daemon) {
 	place := network.Place{Address: d.id.Address(), Zone: d.zone}
-	self := slices.Index(w.daemons, d)
-	count := len(w.daemons) - 1
-	if w.neighbours > 0 {
-		count = min(count, w.neighbours)
+	self := slices.Index(f.daemons, d)
+	count := len(f.daemons) - 1
+	if f.neighbours > 0 {
+		count = min(count, f.neighbours)
 	}
 	for step := 1; step <= count; step++ {
-		other := w.daemons[(self+step)%len(w.daemons)]
+		other := f.daemons[(self+step)%len(f.daemons)]
 		if other == nil {
 			continue
 		}
 		note := d.store.Note()
-		w.network.Deliver(place, network.Place{Address: other.id.Address(), Zone: other.zone}, func() {
+		f.network.Deliver(place, network.Place{Address: other.id.Address(), Zone: other.zone}, func() {
 			other.process.Run(func() { other.store.ReceiveNote(d.id, note) })
 		})
 	}
-	d.process.AfterFunc(heartbeat, func() { w.beat(d) })
+	d.process.AfterFunc(heartbeat, func() { f.sendHeartbeats(d) })
 }
 
-func (w *world) run(d time.Duration) { w.clock.RunUntil(w.clock.Now().Add(d)) }
+func (f *fleet) run(d time.Duration) { f.clock.RunUntil(f.clock.Now().Add(d)) }
 
 // append puts a change that raises the tenant's share at the end of the log.
-func (w *world) append(operation string, base, share int) {
+func (f *fleet) append(operation string, base, share int) {
 	patch := configuration.FirstPatch()
 	if base > 0 {
 		patch = structs.Patch{Tenants: configuration.TenantEdit("shop-1", share)}
 	}
-	entry := configuration.Encoded(w.t, 0, operation, base, patch)
-	w.log.Append("configuration", operation, entry.Payload)
+	entry := configuration.Encoded(f.t, 0, operation, base, patch)
+	f.log.Append("configuration", operation, entry.Payload)
 }
 
 // appendTenants puts a change that sets many tenants at the end of the log.
-func (w *world) appendTenants(operation string, base, first, count int) {
+func (f *fleet) appendTenants(operation string, base, first, count int) {
 	set := map[structs.TenantName]structs.Tenant{}
 	for i := first; i < first+count; i++ {
 		name := structs.TenantName(fmt.Sprintf("tenant-%d", i))
-		set[name] = manyTenant(i)
+		set[name] = tenantWithUniqueKey(i)
 	}
 	patch := structs.Patch{Tenants: structs.Edit[structs.TenantName, structs.Tenant]{Set: set}}
-	entry := configuration.Encoded(w.t, 0, operation, base, patch)
-	w.log.Append(framework.StreamConfiguration, operation, entry.Payload)
+	entry := configuration.Encoded(f.t, 0, operation, base, patch)
+	f.log.Append(framework.StreamConfiguration, operation, entry.Payload)
 }
 
 // manyTenant is a tenant with a key of its own, which does not compress.
-func manyTenant(number int) structs.Tenant {
+func tenantWithUniqueKey(number int) structs.Tenant {
 	return structs.Tenant{
 		KeyHashes: []string{fmt.Sprintf("%x", sha256.Sum256(fmt.Append(nil, number)))},
 		Share:     1,
@@ -186,14 +186,14 @@
 }
 
 // fill appends count changes, each on top of the one before.
-func (w *world) fill(count int) {
+func (f *fleet) appendChanges(count int) {
 	for base := range count {
-		w.append(fmt.Sprintf("fill-%d", base), base, base+1)
+		f.append(fmt.Sprintf("fill-%d", base), base, base+1)
 	}
 }
 
 // publish publishes through a daemon and returns where the answer will stand.
-func (w *world) publish(d *daemon, operation string, base, share int) *answer {
+func (f *fleet) publish(d *daemon, operation string, base, share int) *answer {
 	got := &answer{}
 	change := structs.Change{
 		OperationID: operation,
@@ -215,15 +215,15 @@
 }
 
 // requireRevision fails unless all serve the revision with one digest.
-func (w *world) requireRevision(want structs.Revision) {
-	w.t.Helper()
-	for _, d := range w.daemons {
+func (f *fleet) requireRevision(want structs.Revision) {
+	f.t.Helper()
+	for _, d := range f.daemons {
 		status := d.store.Status()
-		if !status.Serving || status.Revision != want || status.Digest != w.daemons[0].store.Digest() {
-			w.t.Errorf("%s: %+v, want revision %d and the digest of all", d.id, status, want)
+		if !status.Serving || status.Revision != want || status.Digest != f.daemons[0].store.Digest() {
+			f.t.Errorf("%s: %+v, want revision %d and the digest of all", d.id, status, want)
 		}
 		if status.Divergences > 0 {
-			w.t.Errorf("%s found %d contradictions", d.id, status.Divergences)
+			f.t.Errorf("%s found %d contradictions", d.id, status.Divergences)
 		}
 	}
 }
--- a/internal/configuration/fold.go
+++ b/internal/configuration/fold.go
@@ -16,33 +16,33 @@
 		return Verdict{}, false
 	}
 	s.Next++
-	verdict := s.judge(entry)
+	verdict := s.applyEntry(entry)
 	verdict.Offset = entry.Offset
 	verdict.Revision = s.Revision()
-	s.remember(verdict)
+	s.recordVerdict(verdict)
 	return s.Verdicts[len(s.Verdicts)-1], true
 }
 
 // judge applies the entry if it may be applied.
-func (s *State) judge(logEntry framework.LogEntry) Verdict {
+func (s *State) applyEntry(logEntry framework.LogEntry) Verdict {
 	entry, err := DecodeEntry(logEntry.Payload)
 	if err != nil {
 		return Verdict{Reason: VerdictMalformed, Problems: []Problem{{Reason: err.Error()}}}
 	}
 	if entry.Snapshot != nil {
-		return s.judgeSnapshot(logEntry.Offset, *entry.Snapshot)
+		return s.applySnapshotNotice(logEntry.Offset, *entry.Snapshot)
 	}
 	verdict, next := s.Check(entry.Change)
 	if verdict.Accepted {
-		s.contents = contentsAfter(s.contents, s.Configuration, &entry.Change.Patch)
-		s.keys.change(s.Configuration, &entry.Change.Patch.Tenants)
+		s.contentHash = contentHashAfter(s.contentHash, s.Configuration, &entry.Change.Patch)
+		s.keys.update(s.Configuration, &entry.Change.Patch.Tenants)
 		s.Configuration = next
 	}
 	return verdict
 }
 
 // judgeSnapshot takes note of a snapshot if its digest is that of this fold.
-func (s *State) judgeSnapshot(offset structs.LogOffset, notice SnapshotNotice) Verdict {
+func (s *State) applySnapshotNotice(offset structs.LogOffset, notice SnapshotNotice) Verdict {
 	before, known := s.Verdict(notice.Offset - 1)
 	if !known || before.Digest != notice.Digest || notice.Offset > offset {
 		return Verdict{Reason: VerdictBadSnapshot}
@@ -71,12 +71,12 @@
 		verdict.Reason = VerdictStaleBase
 		return verdict, nil
 	}
-	problems := checkChange(change)
+	problems := checkChangeMetadata(change)
 	next, patchProblems := ApplyPatch(s.Configuration, &change.Patch)
 	problems = append(problems, patchProblems...)
 	problems = append(problems, validateChange(next, &change.Patch, s.keys)...)
 	if len(problems) > 0 {
-		verdict.Reason, verdict.Problems = VerdictInvalid, truncate(problems)
+		verdict.Reason, verdict.Problems = VerdictInvalid, truncateProblems(problems)
 		return verdict, nil
 	}
 	verdict.Accepted = true
@@ -126,31 +126,31 @@
 }
 
 // contentsAfter brings the sum of hashes up to date with a patch.
-func contentsAfter(sum uint64, current *structs.Configuration, patch *structs.Patch) uint64 {
+func contentHashAfter(sum uint64, current *structs.Configuration, patch *structs.Patch) uint64 {
 	if current == nil {
 		current = &structs.Configuration{}
-		sum += hashOf("fleet", "", current.Fleet)
+		sum += hashValue("fleet", "", current.Fleet)
 	}
-	sum += editDifference("model", current.Models, &patch.Models)
-	sum += editDifference("template", current.Templates, &patch.Templates)
-	sum += editDifference("tenant", current.Tenants, &patch.Tenants)
+	sum += contentHashDelta("model", current.Models, &patch.Models)
+	sum += contentHashDelta("template", current.Templates, &patch.Templates)
+	sum += contentHashDelta("tenant", current.Tenants, &patch.Tenants)
 	if patch.Fleet != nil {
-		sum += hashOf("fleet", "", *patch.Fleet) - hashOf("fleet", "", current.Fleet)
+		sum += hashValue("fleet", "", *patch.Fleet) - hashValue("fleet", "", current.Fleet)
 	}
 	return sum
 }
 
-func editDifference[Name ~string, Value any](kind string, current map[Name]Value, edit *structs.Edit[Name, Value]) uint64 {
+func contentHashDelta[Name ~string, Value any](kind string, current map[Name]Value, edit *structs.Edit[Name, Value]) uint64 {
 	var difference uint64
 	for name, value := range edit.Set {
-		difference += hashOf(kind, string(name), value)
+		difference += hashValue(kind, string(name), value)
 		if before, existed := current[name]; existed {
-			difference -= hashOf(kind, string(name), before)
+			difference -= hashValue(kind, string(name), before)
 		}
 	}
 	for _, name := range edit.Remove {
 		if before, existed := current[name]; existed {
-			difference -= hashOf(kind, string(name), before)
+			difference -= hashValue(kind, string(name), before)
 		}
 	}
 	return difference
--- a/internal/configuration/fold_test.go
+++ b/internal/configuration/fold_test.go
@@ -83,7 +83,7 @@
 	if share := state.Configuration.Tenants["shop-1"].Share; share != 3 {
 		t.Errorf("share is %d, want 3", share)
 	}
-	if state.contents != contentsOf(state.Configuration) {
+	if state.contentHash != contentHashOf(state.Configuration) {
 		t.Error("the running sum of the contents differs from the sum made anew")
 	}
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestVerdictsBeyondWindowAreForgotten(t *testing.T) {
 	state := NewState()
 	state.Fold(encoded(t, 0, "first", 0, firstPatch()))
 	for i := 1; i < VerdictWindow+50; i++ {
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestValidateFindsAll(t *testing.T) {
+func TestValidateReportsEveryProblem(t *testing.T) {
 	patch := firstPatch()
 	priority := 12
 	patch.Templates.Set["order"] = structs.Template{Models: []structs.ModelName{"small", "absent", "small"}, SystemPrompt: "For {{shop}}", Parameters: []string{"town"}, Priority: 10, Adapters: map[structs.ModelName]structs.AdapterName{"other": "two words"}}
--- a/internal/configuration/fuzz_test.go
+++ b/internal/configuration/fuzz_test.go
@@ -30,7 +30,7 @@
 		if one.Digest() != other.Digest() {
 			t.Error("two folds of one log differ")
 		}
-		if one.contents != contentsOf(one.Configuration) {
+		if one.contentHash != contentHashOf(one.Configuration) {
 			t.Error("the running sum of the contents differs from the sum made anew")
 		}
 		if problems := Validate(one.Configuration); len(problems) > 0 {
--- a/internal/configuration/exchange.go
+++ b/internal/configuration/peer_sync.go
@@ -12,39 +12,39 @@
 
 const (
 	// entriesBytes bounds the payloads of one Entries message.
-	entriesBytes = 32 << 10
+	maximumEntriesBytes = 32 << 10
 	// partBytes bounds the data of one SnapshotPart.
-	partBytes = 32 << 10
+	snapshotPartBytes = 32 << 10
 	// maximumParts bounds what a peer may claim of a snapshot.
-	maximumParts = snapshotMemory / partBytes
+	maximumSnapshotParts = maximumSnapshotBytes / snapshotPartBytes
 	// aheadLimit bounds the peers remembered as being ahead.
-	aheadLimit = 16
+	maximumAheadPeers = 16
 )
 
 // ahead is a peer that has folded further.
-type ahead struct {
+type aheadPeer struct {
 	peer   structs.DaemonID
 	offset structs.LogOffset
 }
 
 // exchange is the store's dealing with its peers.
-type exchange struct {
+type peerSync struct {
 	// hasPeerOffset is set once any peer told its offset; highest is the highest told.
 	hasPeerOffset bool
-	highest       structs.LogOffset
+	highestOffset structs.LogOffset
 	// ahead are peers that can hand over entries, the latest told last.
-	ahead []ahead
+	ahead []aheadPeer
 	// asked is the peer that a fetch is under way at, "" for none.
-	asked   structs.DaemonID
-	timeout clock.Timer
+	fetchingFrom structs.DaemonID
+	fetchTimer   clock.Timer
 	// secondRound is set while another round of offers is to come.
-	secondRound bool
+	secondRoundPending bool
 	// incoming gathers a snapshot; outgoing is the one being handed out.
 	incoming incomingSnapshot
 	outgoing outgoingSnapshot
 }
 
-func newExchange() exchange { return exchange{} }
+func newPeerSync() peerSync { return peerSync{} }
 
 // ReceiveNote takes a peer's word about itself from a heartbeat.
 func (s *Store) ReceiveNote(from structs.DaemonID, note membership.Note) {
@@ -80,19 +80,19 @@
 	if s.stopped || s.Guards.SkipDissemination || from == s.Self {
 		return
 	}
-	s.exchange.hasPeerOffset = true
-	s.exchange.highest = max(s.exchange.highest, offset)
+	s.peerSync.hasPeerOffset = true
+	s.peerSync.highestOffset = max(s.peerSync.highestOffset, offset)
 	if offset > s.state.Next {
-		s.rememberAhead(from, offset)
+		s.addAheadPeer(from, offset)
 		s.fetch()
 		return
 	}
-	s.compare(from, offset, digest)
-	s.considerServing()
+	s.compareDigest(from, offset, digest)
+	s.startServingIfCaughtUp()
 }
 
 // compare finds out whether a peer folded other entries than this store.
-func (s *Store) compare(from structs.DaemonID, offset structs.LogOffset, digest uint64) {
+func (s *Store) compareDigest(from structs.DaemonID, offset structs.LogOffset, digest uint64) {
 	verdict, known := s.state.Verdict(offset - 1)
 	if !known || verdict.Digest == digest {
 		return
@@ -103,61 +103,61 @@
 }
 
 // rememberAhead keeps a peer that is ahead.
-func (s *Store) rememberAhead(from structs.DaemonID, offset structs.LogOffset) {
-	kept := slices.DeleteFunc(s.exchange.ahead, func(entry ahead) bool {
+func (s *Store) addAheadPeer(from structs.DaemonID, offset structs.LogOffset) {
+	kept := slices.DeleteFunc(s.peerSync.ahead, func(entry aheadPeer) bool {
 		return entry.peer == from || entry.offset <= s.state.Next
 	})
-	if len(kept) == aheadLimit {
+	if len(kept) == maximumAheadPeers {
 		kept = kept[1:]
 	}
-	s.exchange.ahead = append(kept, ahead{peer: from, offset: offset})
+	s.peerSync.ahead = append(kept, aheadPeer{peer: from, offset: offset})
 }
 
 // fetch asks one peer at a time for what is missing.
 func (s *Store) fetch() {
-	if s.exchange.asked != "" || s.stopped {
+	if s.peerSync.fetchingFrom != "" || s.stopped {
 		return
 	}
-	for len(s.exchange.ahead) > 0 {
-		last := s.exchange.ahead[len(s.exchange.ahead)-1]
+	for len(s.peerSync.ahead) > 0 {
+		last := s.peerSync.ahead[len(s.peerSync.ahead)-1]
 		if last.offset > s.state.Next {
-			s.ask(last.peer, &Fetch{From: s.state.Next})
+			s.sendFetch(last.peer, &Fetch{From: s.state.Next})
 			return
 		}
-		s.exchange.ahead = s.exchange.ahead[:len(s.exchange.ahead)-1]
+		s.peerSync.ahead = s.peerSync.ahead[:len(s.peerSync.ahead)-1]
 	}
 }
 
 // ask sends a fetch and gives the peer up when it does not answer in time.
-func (s *Store) ask(daemon structs.DaemonID, request *Fetch) {
-	s.exchange.asked = daemon
+func (s *Store) sendFetch(daemon structs.DaemonID, request *Fetch) {
+	s.peerSync.fetchingFrom = daemon
 	s.Transport.Send(daemon, request)
 	var timer clock.Timer
 	timer = s.Clock.AfterFunc(s.Settings.FetchTimeout, func() {
 		s.queue.Do(func() {
-			if s.exchange.timeout != timer {
+			if s.peerSync.fetchTimer != timer {
 				return
 			}
-			s.exchange.asked = ""
-			s.dropAhead(daemon)
+			s.peerSync.fetchingFrom = ""
+			s.removeAheadPeer(daemon)
 			s.fetch()
 		})
 	})
-	s.exchange.timeout = timer
+	s.peerSync.fetchTimer = timer
 }
 
-func (s *Store) dropAhead(daemon structs.DaemonID) {
-	s.exchange.ahead = slices.DeleteFunc(s.exchange.ahead, func(entry ahead) bool { return entry.peer == daemon })
+func (s *Store) removeAheadPeer(daemon structs.DaemonID) {
+	s.peerSync.ahead = slices.DeleteFunc(s.peerSync.ahead, func(entry aheadPeer) bool { return entry.peer == daemon })
 }
 
 // endFetch ends the fetch that is under way at a peer.
 func (s *Store) endFetch(from structs.DaemonID) {
-	if s.exchange.asked != from {
+	if s.peerSync.fetchingFrom != from {
 		return
 	}
-	s.exchange.asked = ""
-	s.exchange.timeout.Stop()
-	s.exchange.timeout = nil
+	s.peerSync.fetchingFrom = ""
+	s.peerSync.fetchTimer.Stop()
+	s.peerSync.fetchTimer = nil
 }
 
 // answerFetch answers a peer's fetch.
@@ -165,14 +165,14 @@
 	if s.stopped || s.Guards.SkipDissemination {
 		return
 	}
-	if request.Part > 0 && request.SnapshotOffset == s.exchange.outgoing.offset {
-		s.sendPart(to, request.Part)
+	if request.Part > 0 && request.SnapshotOffset == s.peerSync.outgoing.offset {
+		s.sendSnapshotPart(to, request.Part)
 		return
 	}
-	entries, kept := s.retained.from(request.From, entriesBytes)
+	entries, kept := s.retained.entriesFrom(request.From, maximumEntriesBytes)
 	if !kept && request.From < s.state.Next {
-		s.packOutgoing()
-		s.sendPart(to, 0)
+		s.prepareOutgoingSnapshot()
+		s.sendSnapshotPart(to, 0)
 		return
 	}
 	s.Transport.Send(to, &Entries{Entries: entries, Offset: s.state.Next, Digest: s.state.Digest()})
@@ -189,7 +189,7 @@
 		entries = append(entries, framework.LogEntry{Offset: entry.Offset, Payload: entry.Payload})
 	}
 	if !s.fold(entries) && message.Offset > s.state.Next {
-		s.dropAhead(from)
+		s.removeAheadPeer(from)
 		s.fetch()
 		return
 	}
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -73,11 +73,11 @@
 	payload  []byte
 	// from is where a search of the log begins: the operation was not folded
 	// before it.
-	from    structs.LogOffset
-	lookups int
-	begun   time.Time
-	ended   bool
-	done    func(Verdict, error)
+	searchFrom structs.LogOffset
+	lookups    int
+	begun      time.Time
+	completed  bool
+	done       func(Verdict, error)
 }
 
 // Publish appends a change and calls done once with the fold's verdict on it.
@@ -87,19 +87,19 @@
 // lagging reader hide it even so, the fold applies it once.
 func (s *Store) Publish(change structs.Change, settings PublishSettings, done func(Verdict, error)) {
 	s.queue.Do(func() {
-		p := &publication{store: s, settings: settings, change: change, begun: s.Clock.Now(), from: s.state.Next, done: done}
+		p := &publication{store: s, settings: settings, change: change, begun: s.Clock.Now(), searchFrom: s.state.Next, done: done}
 		payload, err := EncodeEntry(Entry{Change: &change})
 		if err != nil {
-			p.end(Verdict{OperationID: change.OperationID, Reason: VerdictMalformed, Problems: []Problem{{Reason: err.Error()}}}, nil)
+			p.complete(Verdict{OperationID: change.OperationID, Reason: VerdictMalformed, Problems: []Problem{{Reason: err.Error()}}}, nil)
 			return
 		}
-		if problems := checkChange(&change); len(problems) > 0 {
-			p.end(Verdict{OperationID: change.OperationID, Reason: VerdictInvalid, Problems: problems}, nil)
+		if problems := checkChangeMetadata(&change); len(problems) > 0 {
+			p.complete(Verdict{OperationID: change.OperationID, Reason: VerdictInvalid, Problems: problems}, nil)
 			return
 		}
 		p.payload = payload
 		if verdict, known := s.state.OperationVerdict(change.OperationID); known {
-			p.end(verdict, nil)
+			p.complete(verdict, nil)
 			return
 		}
 		s.publications = append(s.publications, p)
@@ -110,7 +110,7 @@
 
 // append sends the entry to the log.
 func (p *publication) append() {
-	if p.ended {
+	if p.completed {
 		return
 	}
 	s := p.store
@@ -122,9 +122,9 @@
 
 func (p *publication) appended(err error) {
 	switch {
-	case p.ended || p.store.stopped:
+	case p.completed || p.store.stopped:
 	case err == nil:
-		p.store.readNow()
+		p.store.readOnce()
 	case eris.Is(err, framework.ErrNotSent), eris.Is(err, framework.ErrRefused):
 		p.store.after(p.settings.RetryDelay, p.append)
 	default:
@@ -135,21 +135,21 @@
 // lookUp searches the log for the operation after a lost answer.
 func (p *publication) lookUp() {
 	p.lookups++
-	p.scan(max(p.from, p.store.state.Next))
+	p.scan(max(p.searchFrom, p.store.state.Next))
 }
 
 func (p *publication) scan(at structs.LogOffset) {
-	if p.ended {
+	if p.completed {
 		return
 	}
 	s := p.store
-	s.Log.Read(framework.StreamConfiguration, at, readLimit, func(entries []framework.LogEntry, err error) {
+	s.Log.Read(framework.StreamConfiguration, at, maximumReadEntries, func(entries []framework.LogEntry, err error) {
 		s.queue.Do(func() { p.scanned(at, entries, err) })
 	})
 }
 
 func (p *publication) scanned(at structs.LogOffset, entries []framework.LogEntry, err error) {
-	if p.ended || p.store.stopped {
+	if p.completed || p.store.stopped {
 		return
 	}
 	if err != nil {
@@ -158,7 +158,7 @@
 	}
 	for _, entry := range entries {
 		if entry.OperationID == p.change.OperationID {
-			p.store.readNow()
+			p.store.readOnce()
 			return
 		}
 	}
@@ -173,15 +173,15 @@
 }
 
 func (p *publication) expire() {
-	if !p.ended {
-		p.ended = true
+	if !p.completed {
+		p.completed = true
 		p.done(Verdict{OperationID: p.change.OperationID, Base: p.change.Base, Revision: p.store.state.Revision()}, ErrOutcomeUnknown)
 	}
 }
 
 // end reports a verdict.
-func (p *publication) end(verdict Verdict, inForce *Verdict) {
-	p.ended = true
+func (p *publication) complete(verdict Verdict, inForce *Verdict) {
+	p.completed = true
 	if verdict.Accepted {
 		p.done(verdict, nil)
 		return
@@ -190,15 +190,15 @@
 }
 
 // settlePublications ends the publications whose verdict is known by now.
-func (s *Store) settlePublications() {
+func (s *Store) completePublications() {
 	kept := s.publications[:0]
 	var settled []*publication
 	for _, p := range s.publications {
-		if _, known := s.state.OperationVerdict(p.change.OperationID); known && !p.ended {
+		if _, known := s.state.OperationVerdict(p.change.OperationID); known && !p.completed {
 			settled = append(settled, p)
 			continue
 		}
-		if !p.ended {
+		if !p.completed {
 			kept = append(kept, p)
 		}
 	}
@@ -206,12 +206,12 @@
 	s.publications = kept
 	for _, p := range settled {
 		verdict, _ := s.state.OperationVerdict(p.change.OperationID)
-		p.end(verdict, s.state.maker(verdict.Revision))
+		p.complete(verdict, s.state.revisionVerdict(verdict.Revision))
 	}
 }
 
 // maker returns the verdict on the change that made a revision.
-func (s *State) maker(revision structs.Revision) *Verdict {
+func (s *State) revisionVerdict(revision structs.Revision) *Verdict {
 	for i := len(s.Verdicts) - 1; i >= 0; i-- {
 		if s.Verdicts[i].Accepted && s.Verdicts[i].Revision == revision {
 			verdict := s.Verdicts[i]
--- a/internal/configuration/reader.go
+++ b/internal/configuration/reader.go
@@ -8,11 +8,11 @@
 
 const (
 	// readLimit bounds the entries of one reading.
-	readLimit = 100
+	maximumReadEntries = 100
 	// membersPerInterval is the fleet size up to which each daemon reads the
 	// log at the shortest interval; beyond it the fleet as a whole reads about
 	// as often as such a fleet does.
-	membersPerInterval = 8
+	membersAtPollInterval = 8
 	// jitterFraction spreads the readings of daemons that started together.
 	jitterFraction = 0.2
 )
@@ -27,14 +27,14 @@
 		s.rereadAll(NewState())
 		return
 	}
-	s.Log.Read(framework.StreamConfiguration, from, readLimit, func(entries []framework.LogEntry, err error) {
-		s.queue.Do(func() { s.read(entries, err) })
+	s.Log.Read(framework.StreamConfiguration, from, maximumReadEntries, func(entries []framework.LogEntry, err error) {
+		s.queue.Do(func() { s.handleRead(entries, err) })
 	})
 }
 
 // readNow reads once besides the regular readings.
-func (s *Store) readNow() {
-	s.Log.Read(framework.StreamConfiguration, s.state.Next, readLimit, func(entries []framework.LogEntry, err error) {
+func (s *Store) readOnce() {
+	s.Log.Read(framework.StreamConfiguration, s.state.Next, maximumReadEntries, func(entries []framework.LogEntry, err error) {
 		s.queue.Do(func() {
 			if !s.stopped && err == nil {
 				s.fold(entries)
@@ -43,7 +43,7 @@
 	})
 }
 
-func (s *Store) read(entries []framework.LogEntry, err error) {
+func (s *Store) handleRead(entries []framework.LogEntry, err error) {
 	if s.stopped {
 		return
 	}
@@ -52,13 +52,13 @@
 		s.after(s.interval(), s.poll)
 		return
 	}
-	if s.fold(entries) && len(entries) == readLimit {
+	if s.fold(entries) && len(entries) == maximumReadEntries {
 		s.poll()
 		return
 	}
-	if len(entries) < readLimit {
+	if len(entries) < maximumReadEntries {
 		s.logCaughtUp = true
-		s.considerServing()
+		s.startServingIfCaughtUp()
 	}
 	s.after(s.interval(), s.poll)
 }
@@ -66,7 +66,7 @@
 // interval returns the pause before the next reading.
 func (s *Store) interval() time.Duration {
 	members := 1 + len(s.Peers())
-	interval := s.Settings.PollInterval * time.Duration(max(members, membersPerInterval)) / membersPerInterval
+	interval := s.Settings.PollInterval * time.Duration(max(members, membersAtPollInterval)) / membersAtPollInterval
 	interval = min(interval, max(s.Settings.MaximumPollInterval, s.Settings.PollInterval))
 	jitter := 1 + jitterFraction*(2*s.random.Float64()-1)
 	return time.Duration(float64(interval) * jitter)
@@ -75,12 +75,12 @@
 // rereadAll is the broken reader behind Guards.AcceptOlder: it folds what a
 // reader returns from the beginning and takes the result, older or not.
 func (s *Store) rereadAll(fresh *State) {
-	s.Log.Read(framework.StreamConfiguration, fresh.Next, readLimit, func(entries []framework.LogEntry, err error) {
-		s.queue.Do(func() { s.reread(fresh, entries, err) })
+	s.Log.Read(framework.StreamConfiguration, fresh.Next, maximumReadEntries, func(entries []framework.LogEntry, err error) {
+		s.queue.Do(func() { s.handleReread(fresh, entries, err) })
 	})
 }
 
-func (s *Store) reread(fresh *State, entries []framework.LogEntry, err error) {
+func (s *Store) handleReread(fresh *State, entries []framework.LogEntry, err error) {
 	if s.stopped {
 		return
 	}
@@ -88,7 +88,7 @@
 	for _, entry := range entries {
 		fresh.Fold(entry)
 	}
-	if err == nil && fresh.Next > before && len(entries) == readLimit {
+	if err == nil && fresh.Next > before && len(entries) == maximumReadEntries {
 		s.rereadAll(fresh)
 		return
 	}
@@ -96,7 +96,7 @@
 		s.state = fresh
 		s.retained.clear()
 		s.logCaughtUp = true
-		s.considerServing()
+		s.startServingIfCaughtUp()
 		s.publish()
 	}
 	s.after(s.interval(), s.poll)
--- a/internal/configuration/recover.go
+++ b/internal/configuration/recover.go
@@ -17,8 +17,8 @@
 type recovery struct {
 	store *Store
 	// known has an entry, unknown may be beyond the end.
-	known, unknown structs.LogOffset
-	notices        []SnapshotNotice
+	lowerBound, upperBound structs.LogOffset
+	notices                []SnapshotNotice
 }
 
 // recover brings a fresh store up from the log and then begins to poll. Any
@@ -28,8 +28,8 @@
 		s.poll()
 		return
 	}
-	r := &recovery{store: s, known: -1, unknown: structs.LogOffset(s.Settings.SnapshotEvery)}
-	r.grow()
+	r := &recovery{store: s, lowerBound: -1, upperBound: structs.LogOffset(s.Settings.SnapshotEvery)}
+	r.findUpperBound()
 }
 
 // read reads the log on behalf of the recovery, and polls instead on failure.
@@ -49,48 +49,48 @@
 }
 
 // grow doubles the offset until there is no entry.
-func (r *recovery) grow() {
-	r.read(framework.StreamConfiguration, r.unknown, 1, func(entries []framework.LogEntry) {
+func (r *recovery) findUpperBound() {
+	r.read(framework.StreamConfiguration, r.upperBound, 1, func(entries []framework.LogEntry) {
 		if len(entries) == 0 {
-			r.halve()
+			r.bisectEnd()
 			return
 		}
-		r.known = r.unknown
-		r.unknown *= 2
-		r.grow()
+		r.lowerBound = r.upperBound
+		r.upperBound *= 2
+		r.findUpperBound()
 	})
 }
 
 // halve narrows the end down to the length of a window.
-func (r *recovery) halve() {
-	if r.known < 0 {
+func (r *recovery) bisectEnd() {
+	if r.lowerBound < 0 {
 		r.store.poll() // short enough to fold from the beginning
 		return
 	}
 	window := structs.LogOffset(r.store.Settings.SnapshotEvery)
-	if r.unknown-r.known <= window {
-		r.searchBack(max(r.known-window, 0), r.unknown)
+	if r.upperBound-r.lowerBound <= window {
+		r.scanBackward(max(r.lowerBound-window, 0), r.upperBound)
 		return
 	}
-	middle := (r.known + r.unknown) / 2
+	middle := (r.lowerBound + r.upperBound) / 2
 	r.read(framework.StreamConfiguration, middle, 1, func(entries []framework.LogEntry) {
 		if len(entries) == 0 {
-			r.unknown = middle
+			r.upperBound = middle
 		} else {
-			r.known = middle
+			r.lowerBound = middle
 		}
-		r.halve()
+		r.bisectEnd()
 	})
 }
 
 // searchBack reads a window for notices, and the window before it if there
 // are none.
-func (r *recovery) searchBack(first, end structs.LogOffset) {
-	r.scan(first, first, end)
+func (r *recovery) scanBackward(first, end structs.LogOffset) {
+	r.scanWindow(first, first, end)
 }
 
-func (r *recovery) scan(at, first, end structs.LogOffset) {
-	limit := min(readLimit, int(end-at))
+func (r *recovery) scanWindow(at, first, end structs.LogOffset) {
+	limit := min(maximumReadEntries, int(end-at))
 	r.read(framework.StreamConfiguration, at, limit, func(entries []framework.LogEntry) {
 		for _, entry := range entries {
 			if decoded, err := DecodeEntry(entry.Payload); err == nil && decoded.Snapshot != nil {
@@ -100,12 +100,12 @@
 		at += structs.LogOffset(len(entries))
 		switch {
 		case len(entries) > 0 && at < end:
-			r.scan(at, first, end)
+			r.scanWindow(at, first, end)
 		case len(r.notices) > 0:
-			r.load()
+			r.loadSnapshot()
 		case first > 0:
 			window := structs.LogOffset(r.store.Settings.SnapshotEvery)
-			r.searchBack(max(first-window, 0), first)
+			r.scanBackward(max(first-window, 0), first)
 		default:
 			r.store.poll()
 		}
@@ -113,7 +113,7 @@
 }
 
 // load takes the latest snapshot that is good.
-func (r *recovery) load() {
+func (r *recovery) loadSnapshot() {
 	s := r.store
 	if len(r.notices) == 0 {
 		s.poll()
@@ -127,13 +127,13 @@
 	r.notices = r.notices[:len(r.notices)-1]
 	r.read(StreamSnapshots, notice.StoredAt, 1, func(entries []framework.LogEntry) {
 		if len(entries) == 0 || entries[0].Offset != notice.StoredAt {
-			r.load()
+			r.loadSnapshot()
 			return
 		}
 		state, err := DecodeSnapshot(entries[0].Payload, notice.Digest)
 		if err != nil || state.Next != notice.Offset {
 			s.Logger.Warn().Err(err).Msg("Configuration snapshot in the log refused.")
-			r.load()
+			r.loadSnapshot()
 			return
 		}
 		s.adopt(state)
--- a/internal/configuration/resolve/resolve_test.go
+++ b/internal/configuration/resolve/resolve_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestCallFillsInTheTenantsValues(t *testing.T) {
+func TestCallAppliesTenantOverrides(t *testing.T) {
 	call := structs.Call{Key: structs.ProgramKey{Tenant: "shop"}, Kind: structs.CallModel, Model: "small"}
 	policy, refusal := Call(testConfiguration(), &call)
 	if refusal != nil {
--- a/internal/configuration/retained.go
+++ b/internal/configuration/retained_entries.go
@@ -6,28 +6,28 @@
 )
 
 // retainedBytes bounds the payloads kept for peers that lag.
-const retainedBytes = 1 << 20
+const maximumRetainedBytes = 1 << 20
 
 // retained keeps the latest entries as they stand in the log.
-type retained struct {
+type retainedEntries struct {
 	entries []framework.LogEntry
 	bytes   int
 }
 
-func (r *retained) add(entry framework.LogEntry) {
+func (r *retainedEntries) add(entry framework.LogEntry) {
 	r.entries = append(r.entries, entry)
 	r.bytes += len(entry.Payload)
-	for r.bytes > retainedBytes && len(r.entries) > 1 {
+	for r.bytes > maximumRetainedBytes && len(r.entries) > 1 {
 		r.bytes -= len(r.entries[0].Payload)
 		r.entries = r.entries[1:]
 	}
 }
 
-func (r *retained) clear() { *r = retained{} }
+func (r *retainedEntries) clear() { *r = retainedEntries{} }
 
 // from returns entries from an offset on, at most limit bytes but at least
 // one; false when that offset is no longer kept.
-func (r *retained) from(offset structs.LogOffset, limit int) ([]PeerEntry, bool) {
+func (r *retainedEntries) entriesFrom(offset structs.LogOffset, limit int) ([]PeerEntry, bool) {
 	if len(r.entries) == 0 || offset < r.entries[0].Offset {
 		return nil, false
 	}
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -11,7 +11,7 @@
 var ErrBadSnapshot = eris.New("configuration: bad snapshot")
 
 // snapshotMemory bounds an unpacked snapshot, in bytes.
-const snapshotMemory = 256 << 20
+const maximumSnapshotBytes = 256 << 20
 
 // EncodeSnapshot packs a state. Key hashes do not compress; everything else
 // repeats from tenant to tenant.
@@ -31,7 +31,7 @@
 // DecodeSnapshot unpacks a state and checks it against the digest that was
 // told of.
 func DecodeSnapshot(data []byte, digest uint64) (*State, error) {
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(snapshotMemory))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maximumSnapshotBytes))
 	if err != nil {
 		return nil, eris.Wrap(ErrBadSnapshot, err.Error())
 	}
--- a/internal/configuration/snapshot_transfer.go
+++ b/internal/configuration/snapshot_transfer.go
@@ -20,10 +20,10 @@
 
 // packOutgoing keeps a packed snapshot as long as the entries behind it are
 // at hand, so that handing one over survives the changes made meanwhile.
-func (s *Store) packOutgoing() {
-	out := &s.exchange.outgoing
+func (s *Store) prepareOutgoingSnapshot() {
+	out := &s.peerSync.outgoing
 	if out.data != nil {
-		if _, kept := s.retained.from(out.offset, 0); kept || out.offset == s.state.Next {
+		if _, kept := s.retained.entriesFrom(out.offset, 0); kept || out.offset == s.state.Next {
 			return
 		}
 	}
@@ -35,54 +35,54 @@
 	*out = outgoingSnapshot{offset: s.state.Next, digest: s.state.Digest(), data: data}
 }
 
-func (s *Store) sendPart(to structs.DaemonID, part int) {
-	out := &s.exchange.outgoing
-	first := part * partBytes
+func (s *Store) sendSnapshotPart(to structs.DaemonID, part int) {
+	out := &s.peerSync.outgoing
+	first := part * snapshotPartBytes
 	if first >= len(out.data) {
 		return
 	}
-	end := min(first+partBytes, len(out.data))
+	end := min(first+snapshotPartBytes, len(out.data))
 	s.Transport.Send(to, &SnapshotPart{
 		Offset: out.offset,
 		Digest: out.digest,
 		Part:   part,
-		Parts:  (len(out.data) + partBytes - 1) / partBytes,
+		Parts:  (len(out.data) + snapshotPartBytes - 1) / snapshotPartBytes,
 		Data:   out.data[first:end],
 	})
 }
 
 // receiveSnapshotPart gathers a snapshot from a peer.
 func (s *Store) receiveSnapshotPart(from structs.DaemonID, part *SnapshotPart) {
-	if s.stopped || s.exchange.asked != from {
+	if s.stopped || s.peerSync.fetchingFrom != from {
 		return
 	}
 	s.endFetch(from)
-	incoming := &s.exchange.incoming
+	incoming := &s.peerSync.incoming
 	if part.Part == 0 {
-		*incoming = incomingSnapshot{offset: part.Offset, digest: part.Digest, parts: min(part.Parts, maximumParts)}
+		*incoming = incomingSnapshot{offset: part.Offset, digest: part.Digest, parts: min(part.Parts, maximumSnapshotParts)}
 	}
 	if part.Offset != incoming.offset || part.Digest != incoming.digest || part.Part != incoming.next || part.Offset <= s.state.Next {
 		*incoming = incomingSnapshot{}
-		s.dropAhead(from)
+		s.removeAheadPeer(from)
 		s.fetch()
 		return
 	}
 	incoming.data = append(incoming.data, part.Data...)
 	incoming.next++
 	if incoming.next < incoming.parts {
-		s.ask(from, &Fetch{From: s.state.Next, SnapshotOffset: incoming.offset, Part: incoming.next})
+		s.sendFetch(from, &Fetch{From: s.state.Next, SnapshotOffset: incoming.offset, Part: incoming.next})
 		return
 	}
-	s.unpackIncoming(from)
+	s.adoptIncomingSnapshot(from)
 }
 
-func (s *Store) unpackIncoming(from structs.DaemonID) {
-	incoming := s.exchange.incoming
-	s.exchange.incoming = incomingSnapshot{}
+func (s *Store) adoptIncomingSnapshot(from structs.DaemonID) {
+	incoming := s.peerSync.incoming
+	s.peerSync.incoming = incomingSnapshot{}
 	state, err := DecodeSnapshot(incoming.data, incoming.digest)
 	if err != nil {
 		s.Logger.Error().Err(err).Str("peer", string(from)).Msg("Configuration snapshot refused.")
-		s.dropAhead(from)
+		s.removeAheadPeer(from)
 		s.fetch()
 		return
 	}
--- a/internal/configuration/snapshot_writer.go
+++ b/internal/configuration/snapshot_writer.go
@@ -11,7 +11,7 @@
 )
 
 // maximumRank bounds the pause before a snapshot in a large fleet.
-const maximumRank = 30
+const maximumSnapshotRank = 30
 
 // snapshotWriter keeps at most one snapshot under way.
 type snapshotWriter struct{ pending bool }
@@ -20,12 +20,12 @@
 // turns in an order that differs from snapshot to snapshot; whoever finds at
 // its turn that another's notice came meanwhile does nothing. Two snapshots of
 // one offset do no harm.
-func (s *Store) considerSnapshot() {
+func (s *Store) scheduleSnapshotIfDue() {
 	if s.writer.pending || !s.snapshotDue() {
 		return
 	}
 	s.writer.pending = true
-	s.after(time.Duration(s.rank())*s.Settings.SnapshotPause, s.writeSnapshot)
+	s.after(time.Duration(s.snapshotRank())*s.Settings.SnapshotPause, s.writeSnapshot)
 }
 
 func (s *Store) snapshotDue() bool {
@@ -33,7 +33,7 @@
 }
 
 // rank is this daemon's turn among its peers for the next snapshot.
-func (s *Store) rank() int {
+func (s *Store) snapshotRank() int {
 	turn := func(daemon structs.DaemonID) uint64 {
 		return xxhash.Sum64String(fmt.Sprint(daemon, s.state.Snapshot.Offset))
 	}
@@ -43,7 +43,7 @@
 			rank++
 		}
 	}
-	return min(rank, maximumRank)
+	return min(rank, maximumSnapshotRank)
 }
 
 // writeSnapshot stores the snapshot first and tells of it afterwards, so that
@@ -57,7 +57,7 @@
 	data, err := EncodeSnapshot(s.state)
 	if err != nil {
 		s.Logger.Error().Err(err).Msg("Configuration snapshot not packed.")
-		s.snapshotEnded()
+		s.finishSnapshot()
 		return
 	}
 	notice := SnapshotNotice{Offset: s.state.Next, Digest: s.state.Digest()}
@@ -65,7 +65,7 @@
 	s.Log.Append(StreamSnapshots, operation, data, func(storedAt structs.LogOffset, err error) {
 		s.queue.Do(func() {
 			if err != nil || s.stopped {
-				s.snapshotEnded()
+				s.finishSnapshot()
 				return
 			}
 			notice.StoredAt = storedAt
@@ -80,18 +80,18 @@
 	payload, err := EncodeEntry(Entry{Snapshot: &notice})
 	if err != nil {
 		s.Logger.Error().Err(err).Msg("Notice of a configuration snapshot not encoded.")
-		s.snapshotEnded()
+		s.finishSnapshot()
 		return
 	}
 	s.Log.Append(framework.StreamConfiguration, operation, payload, func(structs.LogOffset, error) {
-		s.queue.Do(s.snapshotEnded)
+		s.queue.Do(s.finishSnapshot)
 	})
 }
 
 // snapshotEnded leaves time for the notice to be read before the next plan.
-func (s *Store) snapshotEnded() {
+func (s *Store) finishSnapshot() {
 	s.after(s.Settings.SnapshotPause, func() {
 		s.writer.pending = false
-		s.considerSnapshot()
+		s.scheduleSnapshotIfDue()
 	})
 }
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -71,16 +71,16 @@
 
 	// contents is the sum of the hashes of all named values, kept up to date
 	// by each change instead of hashing the whole configuration again.
-	contents uint64
+	contentHash uint64
 	// operations finds the first entry of an operation within the window.
 	operations map[string]structs.LogOffset
 	// keys finds the tenant of a key.
-	keys keyOwners
+	keys keyIndex
 }
 
 // NewState returns the fold of nothing.
 func NewState() *State {
-	return &State{operations: map[string]structs.LogOffset{}, keys: keyOwners{}}
+	return &State{operations: map[string]structs.LogOffset{}, keys: keyIndex{}}
 }
 
 // Revision returns the revision in force, 0 before the first.
@@ -95,7 +95,7 @@
 // same configuration and will judge later entries alike.
 func (s *State) Digest() uint64 {
 	var buffer [5 * 8]byte
-	for i, part := range []uint64{uint64(s.Next), uint64(s.Revision()), s.contents, s.Chain, s.Snapshot.Digest} {
+	for i, part := range []uint64{uint64(s.Next), uint64(s.Revision()), s.contentHash, s.Chain, s.Snapshot.Digest} {
 		binary.LittleEndian.PutUint64(buffer[8*i:], part)
 	}
 	return xxhash.Sum64(buffer[:])
@@ -124,8 +124,8 @@
 }
 
 // remember adds a verdict and forgets those beyond the window.
-func (s *State) remember(verdict Verdict) {
-	s.Chain = chain(s.Chain, &verdict)
+func (s *State) recordVerdict(verdict Verdict) {
+	s.Chain = chainHash(s.Chain, &verdict)
 	verdict.Digest = s.Digest()
 	s.Verdicts = append(s.Verdicts, verdict)
 	if verdict.OperationID != "" && verdict.Reason != VerdictDuplicate {
@@ -133,21 +133,21 @@
 	}
 	surplus := len(s.Verdicts) - VerdictWindow
 	for i := range max(surplus, 0) {
-		s.forget(&s.Verdicts[i])
+		s.forgetOperation(&s.Verdicts[i])
 	}
 	if surplus > 0 {
 		s.Verdicts = slices.Delete(s.Verdicts, 0, surplus)
 	}
 }
 
-func (s *State) forget(verdict *Verdict) {
+func (s *State) forgetOperation(verdict *Verdict) {
 	if offset, found := s.operations[verdict.OperationID]; found && offset == verdict.Offset {
 		delete(s.operations, verdict.OperationID)
 	}
 }
 
 // chain hashes a verdict onto the hash of those before it.
-func chain(before uint64, verdict *Verdict) uint64 {
+func chainHash(before uint64, verdict *Verdict) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	var number [8]byte
@@ -162,11 +162,11 @@
 
 // restore rebuilds what is derived from the exported fields.
 func (s *State) restore() {
-	s.contents = contentsOf(s.Configuration)
-	s.keys = keyOwners{}
+	s.contentHash = contentHashOf(s.Configuration)
+	s.keys = keyIndex{}
 	if s.Configuration != nil {
 		for name, tenant := range s.Configuration.Tenants {
-			s.keys.add(name, tenant)
+			s.keys.addKeys(name, tenant)
 		}
 	}
 	s.operations = make(map[string]structs.LogOffset, len(s.Verdicts))
@@ -180,25 +180,25 @@
 
 // contentsOf sums the hashes of all named values. A sum does not depend on
 // the order in which the values came.
-func contentsOf(configuration *structs.Configuration) uint64 {
+func contentHashOf(configuration *structs.Configuration) uint64 {
 	if configuration == nil {
 		return 0
 	}
-	sum := hashOf("fleet", "", configuration.Fleet)
+	sum := hashValue("fleet", "", configuration.Fleet)
 	for name, model := range configuration.Models {
-		sum += hashOf("model", string(name), model)
+		sum += hashValue("model", string(name), model)
 	}
 	for name, template := range configuration.Templates {
-		sum += hashOf("template", string(name), template)
+		sum += hashValue("template", string(name), template)
 	}
 	for name, tenant := range configuration.Tenants {
-		sum += hashOf("tenant", string(name), tenant)
+		sum += hashValue("tenant", string(name), tenant)
 	}
 	return sum
 }
 
 // hashOf hashes one named value by its canonical JSON.
-func hashOf[Value any](kind, name string, value Value) uint64 {
+func hashValue[Value any](kind, name string, value Value) uint64 {
 	text, err := json.Marshal(value)
 	if err != nil {
 		// Only a float that is no number cannot be written; checks refuse it.
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -114,7 +114,7 @@
 
 	// The rest belongs to the queue.
 	state    *State
-	retained retained
+	retained retainedEntries
 	stopped  bool
 	// graceOver is set once Settings.PeerGrace has passed since the start. A
 	// timer tells, as the wall clock may jump.
@@ -123,7 +123,7 @@
 	diverged  int
 	// logCaughtUp is set by a reading that ended at the log's end.
 	logCaughtUp bool
-	exchange    exchange
+	peerSync    peerSync
 	writer      snapshotWriter
 	// publications wait for the verdict on their change, oldest first.
 	publications []*publication
@@ -139,7 +139,7 @@
 		Options:  options,
 		random:   rand.New(rand.NewPCG(seed, uint64(len(options.Self)))),
 		state:    NewState(),
-		exchange: newExchange(),
+		peerSync: newPeerSync(),
 	}
 	s.status.Store(&Status{Digest: s.state.Digest()})
 	return s
@@ -201,9 +201,9 @@
 	s.queue.Do(func() {
 		s.after(s.Settings.PeerGrace, func() {
 			s.graceOver = true
-			s.considerServing()
+			s.startServingIfCaughtUp()
 		})
-		s.askPeers()
+		s.requestPeerOffsets()
 		s.recover()
 	})
 }
@@ -235,7 +235,7 @@
 		s.logVerdict(&verdict)
 	}
 	if changed {
-		s.advanced()
+		s.afterAdvance()
 	}
 	return changed
 }
@@ -259,35 +259,35 @@
 	}
 	s.state = state
 	s.retained.clear()
-	s.advanced()
+	s.afterAdvance()
 	return true
 }
 
 // advanced follows each step forward: publish, tell a few peers, and see to
 // snapshots.
-func (s *Store) advanced() {
-	s.considerServing()
+func (s *Store) afterAdvance() {
+	s.startServingIfCaughtUp()
 	s.publish()
-	s.settlePublications()
+	s.completePublications()
 	s.offerToPeers()
-	s.considerSnapshot()
+	s.scheduleSnapshotIfDue()
 }
 
 // considerServing lets a daemon that started serve once its grace is over and
 // it has caught up: with every peer it has heard, and with the log or, where
 // the log does not answer, with at least one peer. Without that a restart could
 // take a configuration back that callers had already seen in force.
-func (s *Store) considerServing() {
+func (s *Store) startServingIfCaughtUp() {
 	if s.serving || s.stopped {
 		return
 	}
-	caughtUp := s.logCaughtUp || s.exchange.hasPeerOffset
-	if !s.graceOver || !caughtUp || s.state.Next < s.exchange.highest {
+	caughtUp := s.logCaughtUp || s.peerSync.hasPeerOffset
+	if !s.graceOver || !caughtUp || s.state.Next < s.peerSync.highestOffset {
 		return
 	}
 	s.serving = true
 	s.publish()
-	s.considerSnapshot()
+	s.scheduleSnapshotIfDue()
 }
 
 // publish makes the status visible and calls the listeners.
--- a/internal/configuration/store_test.go
+++ b/internal/configuration/store_test.go
@@ -15,24 +15,24 @@
 )
 
 func TestChangeComesIntoForceEverywhere(t *testing.T) {
-	w := newWorld(t, 6, configuration.Guards{})
-	w.append("first", 0, 0)
-	w.run(3 * time.Second)
-	w.requireRevision(1)
-	got := w.publish(w.daemons[2], "second", 1, 2)
-	w.run(time.Second)
+	f := newFleet(t, 6, configuration.Guards{})
+	f.append("first", 0, 0)
+	f.run(3 * time.Second)
+	f.requireRevision(1)
+	got := f.publish(f.daemons[2], "second", 1, 2)
+	f.run(time.Second)
 	if got.count != 1 || got.err != nil || got.verdict.Revision != 2 {
 		t.Errorf("publication answered %+v", got)
 	}
-	w.requireRevision(2)
+	f.requireRevision(2)
 }
 
 func TestRacingOperators(t *testing.T) {
-	w := newWorld(t, 3, configuration.Guards{})
-	w.append("first", 0, 0)
-	w.run(3 * time.Second)
-	answers := []*answer{w.publish(w.daemons[0], "a", 1, 5), w.publish(w.daemons[1], "b", 1, 6)}
-	w.run(3 * time.Second)
+	f := newFleet(t, 3, configuration.Guards{})
+	f.append("first", 0, 0)
+	f.run(3 * time.Second)
+	answers := []*answer{f.publish(f.daemons[0], "a", 1, 5), f.publish(f.daemons[1], "b", 1, 6)}
+	f.run(3 * time.Second)
 	accepted, refused := answers[0], answers[1]
 	if accepted.err != nil {
 		accepted, refused = refused, accepted
@@ -44,119 +44,119 @@
 	if conflict.Verdict.Reason != configuration.VerdictStaleBase || conflict.InForce == nil || conflict.InForce.OperationID != accepted.verdict.OperationID {
 		t.Errorf("the conflict is %v", conflict)
 	}
-	w.requireRevision(2)
+	f.requireRevision(2)
 }
 
 func TestLostAppendAnswers(t *testing.T) {
-	w := newWorld(t, 3, configuration.Guards{})
-	w.append("first", 0, 0)
-	w.run(3 * time.Second)
-	w.log.LostAnswers = 1
-	w.log.ReadLag = 1500 * time.Millisecond
-	got := w.publish(w.daemons[0], "second", 1, 2)
-	w.run(20 * time.Second)
+	f := newFleet(t, 3, configuration.Guards{})
+	f.append("first", 0, 0)
+	f.run(3 * time.Second)
+	f.log.LostAnswers = 1
+	f.log.ReadLag = 1500 * time.Millisecond
+	got := f.publish(f.daemons[0], "second", 1, 2)
+	f.run(20 * time.Second)
 	if got.count != 1 || got.err != nil || got.verdict.Revision != 2 {
 		t.Errorf("publication answered %+v", got)
 	}
-	w.requireRevision(2)
+	f.requireRevision(2)
 }
 
 func TestOutcomeUnknownWhileLogIsDown(t *testing.T) {
-	w := newWorld(t, 3, configuration.Guards{})
-	w.append("first", 0, 0)
-	w.run(3 * time.Second)
-	w.log.Down = true
-	got := w.publish(w.daemons[0], "second", 1, 2)
-	w.run(20 * time.Second)
+	f := newFleet(t, 3, configuration.Guards{})
+	f.append("first", 0, 0)
+	f.run(3 * time.Second)
+	f.log.Down = true
+	got := f.publish(f.daemons[0], "second", 1, 2)
+	f.run(20 * time.Second)
 	if got.count != 1 || !eris.Is(got.err, configuration.ErrOutcomeUnknown) {
 		t.Errorf("publication answered %+v", got)
 	}
-	w.log.Down = false
-	again := w.publish(w.daemons[1], "second", 1, 2)
-	w.run(5 * time.Second)
+	f.log.Down = false
+	again := f.publish(f.daemons[1], "second", 1, 2)
+	f.run(5 * time.Second)
 	if again.err != nil {
 		t.Errorf("publication under the same identifier answered %+v", again)
 	}
-	w.requireRevision(2)
+	f.requireRevision(2)
 }
 
 func TestZoneCutOffFromLogFollowsPeers(t *testing.T) {
-	w := newWorld(t, 6, configuration.Guards{})
-	w.append("first", 0, 0)
-	w.run(3 * time.Second)
-	w.network.Cut("zone-0", "log")
-	w.network.Cut("zone-1", "log")
-	w.append("second", 1, 2)
-	w.run(3 * time.Second)
-	w.requireRevision(2)
+	f := newFleet(t, 6, configuration.Guards{})
+	f.append("first", 0, 0)
+	f.run(3 * time.Second)
+	f.network.Cut("zone-0", "log")
+	f.network.Cut("zone-1", "log")
+	f.append("second", 1, 2)
+	f.run(3 * time.Second)
+	f.requireRevision(2)
 }
 
-func TestLaggingReaderNeverTakesBack(t *testing.T) {
-	w := newWorld(t, 3, configuration.Guards{})
-	w.fill(5)
-	w.run(3 * time.Second)
-	w.log.ReadLag = time.Hour
+func TestLaggingReaderNeverRollsBack(t *testing.T) {
+	f := newFleet(t, 3, configuration.Guards{})
+	f.appendChanges(5)
+	f.run(3 * time.Second)
+	f.log.ReadLag = time.Hour
 	for base := 5; base < 10; base++ {
-		w.append(fmt.Sprintf("late-%d", base), base, base)
-		w.run(200 * time.Millisecond)
+		f.append(fmt.Sprintf("late-%d", base), base, base)
+		f.run(200 * time.Millisecond)
 	}
-	w.run(5 * time.Second)
-	w.log.ReadLag = 0
-	w.run(3 * time.Second)
-	w.requireRevision(10)
+	f.run(5 * time.Second)
+	f.log.ReadLag = 0
+	f.run(3 * time.Second)
+	f.requireRevision(10)
 }
 
 // A daemon that restarts while the log is down must not serve before it has
 // the configuration of the peers that it can hear.
-func TestFreshDaemonServesNothingOlder(t *testing.T) {
-	for name, prepare := range map[string]func(*world){
-		"log down":    func(w *world) { w.log.Down = true },
-		"log lagging": func(w *world) { w.log.ReadLag = 1000 * time.Hour },
-		"log good":    func(*world) {},
+func TestRestartedDaemonServesNoOlderRevision(t *testing.T) {
+	for name, prepare := range map[string]func(*fleet){
+		"log down":    func(f *fleet) { f.log.Down = true },
+		"log lagging": func(f *fleet) { f.log.ReadLag = 1000 * time.Hour },
+		"log good":    func(*fleet) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 3, configuration.Guards{})
-			w.fill(40)
-			w.run(10 * time.Second)
-			w.requireRevision(40)
-			prepare(w)
-			fresh := w.start(1, configuration.Guards{})
+			f := newFleet(t, 3, configuration.Guards{})
+			f.appendChanges(40)
+			f.run(10 * time.Second)
+			f.requireRevision(40)
+			prepare(f)
+			fresh := f.start(1, configuration.Guards{})
 			fresh.store.Subscribe(func(status configuration.Status) {
 				if status.Configuration != nil && status.Revision < 40 {
 					t.Errorf("served revision %d", status.Revision)
 				}
 			})
-			w.run(3 * time.Second)
-			w.requireRevision(40)
+			f.run(3 * time.Second)
+			f.requireRevision(40)
 		})
 	}
 }
 
 func TestFreshDaemonAloneWithoutLogServesNothing(t *testing.T) {
-	w := newWorld(t, 1, configuration.Guards{})
-	w.log.Down = true
-	w.run(time.Minute)
-	if w.daemons[0].store.Serving() {
+	f := newFleet(t, 1, configuration.Guards{})
+	f.log.Down = true
+	f.run(time.Minute)
+	if f.daemons[0].store.Serving() {
 		t.Error("a daemon that has read nothing and heard nobody serves")
 	}
 }
 
 func TestStartFromSnapshotInLog(t *testing.T) {
-	w := newWorld(t, 1, configuration.Guards{})
-	w.append("first", 0, 0)
-	w.run(2 * time.Second)
+	f := newFleet(t, 1, configuration.Guards{})
+	f.append("first", 0, 0)
+	f.run(2 * time.Second)
 	for base := 1; base < 100; base++ {
-		w.append(fmt.Sprintf("op-%d", base), base, base)
-		w.run(time.Second)
+		f.append(fmt.Sprintf("op-%d", base), base, base)
+		f.run(time.Second)
 	}
-	snapshots := len(w.log.Entries(configuration.StreamSnapshots))
+	snapshots := len(f.log.Entries(configuration.StreamSnapshots))
 	if snapshots < 4 || snapshots > 10 {
 		t.Errorf("%d snapshots of 100 entries, want one per 16 or so", snapshots)
 	}
-	digest := w.daemons[0].store.Digest()
-	offset := w.daemons[0].store.Offset()
-	fresh := w.start(0, configuration.Guards{})
-	w.run(3 * time.Second)
+	digest := f.daemons[0].store.Digest()
+	offset := f.daemons[0].store.Offset()
+	fresh := f.start(0, configuration.Guards{})
+	f.run(3 * time.Second)
 	if fresh.store.Digest() != digest || fresh.store.Offset() != offset || !fresh.store.Serving() {
 		t.Errorf("the fresh daemon stands at %+v, want offset %d digest %x", fresh.store.Status(), offset, digest)
 	}
@@ -168,33 +168,33 @@
 // A fleet that starts on a long log leaves a snapshot behind even when no
 // change follows.
 func TestSnapshotWithoutFurtherChange(t *testing.T) {
-	w := newWorld(t, 3, configuration.Guards{})
-	w.fill(40)
-	w.run(20 * time.Second)
-	if snapshots := len(w.log.Entries(configuration.StreamSnapshots)); snapshots != 1 {
+	f := newFleet(t, 3, configuration.Guards{})
+	f.appendChanges(40)
+	f.run(20 * time.Second)
+	if snapshots := len(f.log.Entries(configuration.StreamSnapshots)); snapshots != 1 {
 		t.Errorf("%d snapshots, want 1", snapshots)
 	}
 }
 
 // Peers that have forgotten the first entries hand over a snapshot in parts.
 func TestStartFromPeersSnapshot(t *testing.T) {
-	w := newWorld(t, 3, configuration.Guards{})
-	w.append("first", 0, 0)
+	f := newFleet(t, 3, configuration.Guards{})
+	f.append("first", 0, 0)
 	for i := range 9 {
-		w.appendTenants(fmt.Sprintf("tenants-%d", i), 1+i, 400*i, 800)
+		f.appendTenants(fmt.Sprintf("tenants-%d", i), 1+i, 400*i, 800)
 	}
-	w.run(5 * time.Second)
-	w.requireRevision(10)
-	w.log.Down = true
+	f.run(5 * time.Second)
+	f.requireRevision(10)
+	f.log.Down = true
 	parts := 0
-	w.network.Observe = func(_, _ structs.DaemonID, kind peer.Kind, _ int) {
+	f.network.Observe = func(_, _ structs.DaemonID, kind peer.Kind, _ int) {
 		if kind == (*configuration.SnapshotPart)(nil).MessageKind() {
 			parts++
 		}
 	}
-	w.start(1, configuration.Guards{})
-	w.run(3 * time.Second)
-	w.requireRevision(10)
+	f.start(1, configuration.Guards{})
+	f.run(3 * time.Second)
+	f.requireRevision(10)
 	if parts < 3 {
 		t.Errorf("%d parts of a snapshot were sent, want several", parts)
 	}
@@ -203,25 +203,25 @@
 // Each guard that is switched off must break what it guards.
 func TestGuards(t *testing.T) {
 	t.Run("configuration_late", func(t *testing.T) {
-		w := newWorld(t, 3, configuration.Guards{SkipDissemination: true})
-		w.append("first", 0, 0)
-		w.run(3 * time.Second)
-		w.append("second", 1, 2)
-		w.run(time.Minute)
-		if revision := w.daemons[0].store.Revision(); revision != 1 {
+		f := newFleet(t, 3, configuration.Guards{SkipDissemination: true})
+		f.append("first", 0, 0)
+		f.run(3 * time.Second)
+		f.append("second", 1, 2)
+		f.run(time.Minute)
+		if revision := f.daemons[0].store.Revision(); revision != 1 {
 			t.Errorf("revision %d is in force, want 1: the guard has no effect", revision)
 		}
 	})
 	t.Run("configuration_reverted", func(t *testing.T) {
-		w := newWorld(t, 3, configuration.Guards{AcceptOlder: true})
+		f := newFleet(t, 3, configuration.Guards{AcceptOlder: true})
 		back := false
-		w.daemons[0].store.Subscribe(func(status configuration.Status) {
+		f.daemons[0].store.Subscribe(func(status configuration.Status) {
 			back = back || (status.Configuration == nil && status.Serving)
 		})
-		w.append("first", 0, 0)
-		w.run(3 * time.Second)
-		w.log.ReadLag = time.Hour
-		w.run(time.Minute)
+		f.append("first", 0, 0)
+		f.run(3 * time.Second)
+		f.log.ReadLag = time.Hour
+		f.run(time.Minute)
 		if !back {
 			t.Error("a lagging reader took nothing back: the guard has no effect")
 		}
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -11,26 +11,26 @@
 
 // Bounds of a configuration. They are part of the fold.
 const (
-	nameBytes         = 128
-	maximumModels     = 1_000
-	maximumTemplates  = 10_000
-	maximumTenants    = 100_000
-	maximumCost       = structs.Cost(1e15)
-	maximumTokenCost  = structs.Cost(1e9)
-	maximumContext    = 100_000_000
-	maximumEngines    = 100_000
-	maximumPromptSize = 256 << 10
-	maximumParameter  = 16 << 10
-	maximumPriority   = 9
-	maximumShare      = 1_000_000
-	maximumPrograms   = 10_000_000
-	maximumTurns      = 1_000_000
-	maximumTokens     = 1_000_000_000
-	maximumDuration   = 365 * 24 * time.Hour
-	keyHashBytes      = 32
-	commentBytes      = 1024
+	maximumNameBytes      = 128
+	maximumModels         = 1_000
+	maximumTemplates      = 10_000
+	maximumTenants        = 100_000
+	maximumCost           = structs.Cost(1e15)
+	maximumTokenCost      = structs.Cost(1e9)
+	maximumContextTokens  = 100_000_000
+	maximumEngines        = 100_000
+	maximumPromptBytes    = 256 << 10
+	maximumParameterBytes = 16 << 10
+	maximumPriority       = 9
+	maximumShare          = 1_000_000
+	maximumPrograms       = 10_000_000
+	maximumTurns          = 1_000_000
+	maximumTokens         = 1_000_000_000
+	maximumDuration       = 365 * 24 * time.Hour
+	keyHashBytes          = 32
+	maximumCommentBytes   = 1024
 	// problemLimit bounds the problems kept with a verdict.
-	problemLimit = 20
+	maximumProblems = 20
 )
 
 // Problem is one failed check.
@@ -64,8 +64,8 @@
 }
 
 func (c *checker) name(field, name string, pattern *regexp.Regexp) {
-	if len(name) > nameBytes || !pattern.MatchString(name) {
-		c.add(field, "is not a name: want at most %d of A-Z a-z 0-9 . _ - , the first a letter or digit", nameBytes)
+	if len(name) > maximumNameBytes || !pattern.MatchString(name) {
+		c.add(field, "is not a name: want at most %d of A-Z a-z 0-9 . _ - , the first a letter or digit", maximumNameBytes)
 	}
 }
 
@@ -94,7 +94,7 @@
 	for _, name := range sortedNames(configuration.Templates) {
 		c.template(configuration, name)
 	}
-	keys := keyOwners{}
+	keys := keyIndex{}
 	for _, name := range sortedNames(configuration.Tenants) {
 		c.tenant(configuration, name, keys.claim)
 	}
@@ -106,15 +106,15 @@
 // out of a good one. A patch of tenants needs only these checked, which keeps
 // the cost of a change independent of the number of tenants; models and
 // templates are referred to from anywhere and change seldom.
-func validateChange(next *structs.Configuration, patch *structs.Patch, keys keyOwners) []Problem {
+func validateChange(next *structs.Configuration, patch *structs.Patch, keys keyIndex) []Problem {
 	if !patch.Models.Empty() || !patch.Templates.Empty() {
 		return Validate(next)
 	}
 	c := &checker{}
 	within(c, "tenants", len(next.Tenants), 0, maximumTenants)
-	claimed := keyOwners{}
+	claimed := keyIndex{}
 	claim := func(hash string, tenant structs.TenantName) (structs.TenantName, bool) {
-		if owner, taken := keys[hash]; taken && keeps(&patch.Tenants, owner) {
+		if owner, taken := keys[hash]; taken && leavesUnchanged(&patch.Tenants, owner) {
 			return owner, false
 		}
 		return claimed.claim(hash, tenant)
@@ -127,25 +127,25 @@
 }
 
 // keeps reports whether an edit leaves a tenant as it is.
-func keeps(edit *structs.Edit[structs.TenantName, structs.Tenant], tenant structs.TenantName) bool {
+func leavesUnchanged(edit *structs.Edit[structs.TenantName, structs.Tenant], tenant structs.TenantName) bool {
 	_, set := edit.Set[tenant]
 	return !set && !slices.Contains(edit.Remove, tenant)
 }
 
 // checkChange checks what surrounds the patch.
-func checkChange(change *structs.Change) []Problem {
+func checkChangeMetadata(change *structs.Change) []Problem {
 	c := &checker{}
 	c.name("operation_id", change.OperationID, modelName)
 	c.name("operator", change.Operator, modelName)
-	within(c, "comment (bytes)", len(change.Comment), 0, commentBytes)
+	within(c, "comment (bytes)", len(change.Comment), 0, maximumCommentBytes)
 	return c.problems
 }
 
 // truncate keeps a verdict small.
-func truncate(problems []Problem) []Problem {
-	if len(problems) <= problemLimit {
+func truncateProblems(problems []Problem) []Problem {
+	if len(problems) <= maximumProblems {
 		return problems
 	}
-	rest := len(problems) - problemLimit
-	return append(problems[:problemLimit:problemLimit], Problem{Reason: fmt.Sprintf("and %d more", rest)})
+	rest := len(problems) - maximumProblems
+	return append(problems[:maximumProblems:maximumProblems], Problem{Reason: fmt.Sprintf("and %d more", rest)})
 }
--- a/internal/configuration/validate_template.go
+++ b/internal/configuration/validate_template.go
@@ -13,7 +13,7 @@
 	c.name(field, string(name), modelName)
 	within(c, field+".prompt_cost", model.PromptCost, 0, maximumTokenCost)
 	within(c, field+".completion_cost", model.CompletionCost, 0, maximumTokenCost)
-	within(c, field+".context_tokens", model.ContextTokens, 1, maximumContext)
+	within(c, field+".context_tokens", model.ContextTokens, 1, maximumContextTokens)
 	within(c, field+".minimum_engines", model.MinimumEngines, 0, maximumEngines)
 	if model.Version != "" {
 		c.name(field+".version", model.Version, modelName)
@@ -64,7 +64,7 @@
 
 // prompt checks that a prompt's placeholders and the parameters agree.
 func (c *checker) prompt(field string, template *structs.Template) {
-	within(c, field+".system_prompt (bytes)", len(template.SystemPrompt), 0, maximumPromptSize)
+	within(c, field+".system_prompt (bytes)", len(template.SystemPrompt), 0, maximumPromptBytes)
 	for i, parameter := range template.Parameters {
 		at := fmt.Sprintf("%s.parameters[%d]", field, i)
 		c.name(at, parameter, plainName)
--- a/internal/configuration/validate_tenant.go
+++ b/internal/configuration/validate_tenant.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func (c *checker) tenant(configuration *structs.Configuration, name structs.TenantName, claim claimKey) {
+func (c *checker) tenant(configuration *structs.Configuration, name structs.TenantName, claim claimFunc) {
 	tenant := configuration.Tenants[name]
 	field := "tenants." + string(name)
 	c.name(field, string(name), plainName)
@@ -34,7 +34,7 @@
 
 // keyHash checks one key. A key belongs to one tenant: nobody could tell
 // otherwise whose a call is.
-func (c *checker) keyHash(field, hash string, tenant structs.TenantName, claim claimKey) {
+func (c *checker) keyHash(field, hash string, tenant structs.TenantName, claim claimFunc) {
 	decoded, err := hex.DecodeString(hash)
 	if err != nil || len(decoded) != keyHashBytes || hash != strings.ToLower(hash) {
 		c.add(field, "is not a SHA-256 digest in %d lower-case hexadecimal digits", 2*keyHashBytes)
@@ -61,7 +61,7 @@
 		if !slices.Contains(template.Parameters, parameter) {
 			c.add(at, "the template has no such parameter")
 		}
-		within(c, at+" (bytes)", len(use.Parameters[parameter]), 1, maximumParameter)
+		within(c, at+" (bytes)", len(use.Parameters[parameter]), 1, maximumParameterBytes)
 	}
 	within(c, field+".budget", use.Budget, 0, maximumCost)
 	c.adapters(field+".adapters", &template, use.Adapters)
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -105,7 +105,7 @@
 		l.closeQuestion(question, quotaUnanswered)
 		return
 	}
-	question.ask.Ballot = l.nextOrder()
+	question.ask.BallotNumber = l.nextOrder()
 	question.sentWanted = question.ask.Wanted
 	route := l.Router.Route(l.Router.Shard(quotaHome(quota.Tenant)))
 	if route.Leader != "" {
@@ -144,7 +144,7 @@
 			Quota:  ask.Quota,
 			Window: ask.Window,
 			Shard:  ask.Shard,
-			Order:  ask.Ballot,
+			Order:  ask.BallotNumber,
 			Total:  record.QuotaGranted.Total,
 		})
 	})
@@ -154,10 +154,10 @@
 // answer to the latest question counts.
 func (l *leader) quotaAnswered(answer *QuotaAnswer) {
 	question := l.quotas.questions[answer.Quota]
-	if l.stopped || question == nil || question.ask.Ballot != answer.Order {
+	if l.stopped || question == nil || question.ask.BallotNumber != answer.Order {
 		return
 	}
-	received := &structs.QuotaReceived{Quota: answer.Quota, Window: answer.Window, Ballot: answer.Order, Total: answer.Total}
+	received := &structs.QuotaReceived{Quota: answer.Quota, Window: answer.Window, BallotNumber: answer.Order, Total: answer.Total}
 	l.propose([]structs.Record{{At: l.Clock.Now(), QuotaReceived: received}}, func() {
 		if l.quotas.questions[answer.Quota] != question {
 			return
--- a/internal/dispatch/quota_slots.go
+++ b/internal/dispatch/quota_slots.go
@@ -94,6 +94,6 @@
 	ask := structs.QuotaRequest{Quota: quota, Window: allowance.Window, Shard: l.shard, Held: live, Wanted: live}
 	question := &quotaQuestion{since: now, ask: ask, returning: true}
 	l.quotas.questions[quota] = question
-	received := &structs.QuotaReceived{Quota: quota, Window: allowance.Window, Ballot: l.nextOrder(), Total: live}
+	received := &structs.QuotaReceived{Quota: quota, Window: allowance.Window, BallotNumber: l.nextOrder(), Total: live}
 	l.propose([]structs.Record{{At: now, QuotaReceived: received}}, func() { l.sendQuestion(question) })
 }
--- a/internal/dispatch/quota_test.go
+++ b/internal/dispatch/quota_test.go
@@ -68,17 +68,17 @@
 func TestOldQuotaQuestionGetsNothing(t *testing.T) {
 	shard := program.NewShard()
 	quota := structs.QuotaKey{Tenant: "bakery", Kind: structs.QuotaSpending}
-	ask := structs.QuotaRequest{Quota: quota, Window: 7, Shard: 3, Ballot: structs.Ballot{Epoch: 2, Count: 5}, Wanted: 60}
+	ask := structs.QuotaRequest{Quota: quota, Window: 7, Shard: 3, BallotNumber: structs.Ballot{Epoch: 2, Count: 5}, Wanted: 60}
 	record, granted := shard.Grant(ask, 100, begin)
 	if !granted || record.QuotaGranted.Total != 60 {
 		t.Fatalf("granted %v: %+v", granted, record.QuotaGranted)
 	}
 	shard.Apply(record)
-	ask.Ballot.Count = 4
+	ask.BallotNumber.Count = 4
 	if _, granted := shard.Grant(ask, 100, begin); granted {
 		t.Error("an older question was answered")
 	}
-	other := structs.QuotaRequest{Quota: quota, Window: 7, Shard: 4, Ballot: structs.Ballot{Epoch: 1, Count: 1}, Wanted: 60}
+	other := structs.QuotaRequest{Quota: quota, Window: 7, Shard: 4, BallotNumber: structs.Ballot{Epoch: 1, Count: 1}, Wanted: 60}
 	if record, _ := shard.Grant(other, 100, begin); record.QuotaGranted.Total != 40 {
 		t.Errorf("the second shard got %d, want what is left: 40", record.QuotaGranted.Total)
 	}
@@ -92,7 +92,7 @@
 	shard := program.NewShard()
 	quota := structs.QuotaKey{Tenant: "bakery", Kind: structs.QuotaPrograms}
 	receive := func(count uint64, total structs.Cost) {
-		shard.Apply(structs.Record{QuotaReceived: &structs.QuotaReceived{Quota: quota, Ballot: structs.Ballot{Epoch: 1, Count: count}, Total: total}})
+		shard.Apply(structs.Record{QuotaReceived: &structs.QuotaReceived{Quota: quota, BallotNumber: structs.Ballot{Epoch: 1, Count: count}, Total: total}})
 	}
 	receive(1, 5)
 	receive(3, 2)
--- a/internal/plugins/application/httpapp/setup.go
+++ b/internal/plugins/application/httpapp/setup.go
@@ -26,9 +26,9 @@
 	// defaultTimeout bounds one request.
 	defaultTimeout = 30 * time.Second
 	// answerLimit bounds an answer in bytes.
-	answerLimit = 4 << 20
+	maximumAnswerBytes = 4 << 20
 	// connectionsPerService bounds idle connections kept to one back end.
-	connectionsPerService = 64
+	idleConnectionsPerBackEnd = 64
 )
 
 // Headers of a request.
@@ -50,7 +50,7 @@
 
 // New returns a client of application back ends.
 func New(settings framework.DriverSettings) framework.ApplicationDriver {
-	return &driver{client: httpdriver.NewClient(connectionsPerService), timeout: settings.TimeoutOr(defaultTimeout)}
+	return &driver{client: httpdriver.NewClient(idleConnectionsPerBackEnd), timeout: settings.TimeoutOr(defaultTimeout)}
 }
 
 // Invoke implements framework.ApplicationDriver.
@@ -59,7 +59,7 @@
 }
 
 func (d *driver) invoke(request framework.ApplicationRequest) framework.AttemptEnd {
-	ctx, cancel := d.bounded(request.Deadline)
+	ctx, cancel := d.requestContext(request.Deadline)
 	defer cancel()
 	prepared, err := sling.New().Post("http://"+string(request.BackEnd)+"/operations/"+request.Operation).
 		Set(HeaderAttempt, string(request.Attempt)).
@@ -75,16 +75,16 @@
 		return httpdriver.EndForSendError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, answerLimit))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswerBytes))
 	if err != nil {
 		return framework.AttemptEnd{Kind: framework.EndLost, Message: err.Error()}
 	}
-	return endOf(response, body)
+	return endOfResponse(response, body)
 }
 
 // bounded ends a request at its deadline, or earlier after the driver's
 // timeout: a service that hangs is then asked what became of the request.
-func (d *driver) bounded(deadline time.Time) (context.Context, context.CancelFunc) {
+func (d *driver) requestContext(deadline time.Time) (context.Context, context.CancelFunc) {
 	latest := time.Now().Add(d.timeout)
 	if !deadline.IsZero() && deadline.Before(latest) {
 		latest = deadline
@@ -92,7 +92,7 @@
 	return context.WithDeadline(context.Background(), latest)
 }
 
-func endOf(response *http.Response, body []byte) framework.AttemptEnd {
+func endOfResponse(response *http.Response, body []byte) framework.AttemptEnd {
 	end := framework.AttemptEnd{Kind: framework.EndCompleted, Body: body, BodyStatus: response.StatusCode}
 	if response.Header.Get(HeaderRejected) != "" {
 		end.Kind = framework.EndRejected
--- a/internal/plugins/engine/openai/event.go
+++ b/internal/plugins/engine/openai/event.go
@@ -24,7 +24,7 @@
 
 // line takes one line; done is set at the mark of the end. Lines that are no
 // data, comments for instance, change nothing.
-func (p *eventParser) line(line []byte) (done bool, malformed error) {
+func (p *eventParser) parseLine(line []byte) (done bool, malformed error) {
 	data, isData := bytes.CutPrefix(line, dataPrefix)
 	if !isData {
 		return false, nil
@@ -41,31 +41,31 @@
 	if err := json.Unmarshal(data, &event); err != nil {
 		return false, err
 	}
-	p.event(&event)
+	p.applyEvent(&event)
 	return false, nil
 }
 
-func (p *eventParser) event(event *Event) {
+func (p *eventParser) applyEvent(event *Event) {
 	for i := range event.Choices {
-		p.choice(event, &event.Choices[i])
+		p.applyChoice(event, &event.Choices[i])
 	}
 	if event.Cancelled {
 		p.end.Kind = framework.EndCancelled
 	}
 	if event.Usage != nil {
-		p.end.Usage = usageOf(event.Usage)
+		p.end.Usage = fromWireUsage(event.Usage)
 	}
 	if event.HoldTaken {
 		p.end.HoldTaken = true
 	}
 }
 
-func (p *eventParser) choice(event *Event, choice *Choice) {
+func (p *eventParser) applyChoice(event *Event, choice *Choice) {
 	if choice.Delta.Content != "" {
 		p.chunks = append(p.chunks, structs.Chunk{Offset: event.Offset, Text: choice.Delta.Content})
 	}
 	for _, piece := range choice.Delta.ToolCalls {
-		p.toolCall(piece)
+		p.addToolCallDelta(piece)
 	}
 	if choice.FinishReason != nil {
 		p.end.Kind = framework.EndCompleted
@@ -79,7 +79,7 @@
 const maximumToolCalls = 128
 
 // toolCall adds a piece to the tool call with its index.
-func (p *eventParser) toolCall(piece ToolCallDelta) {
+func (p *eventParser) addToolCallDelta(piece ToolCallDelta) {
 	if piece.Index < 0 || piece.Index >= maximumToolCalls {
 		return
 	}
@@ -101,9 +101,9 @@
 
 // Parts of the event of a token, as engines of the dialect write it.
 var (
-	textEventHead   = []byte(`"choices":[{"index":0,"delta":{"content":`)
+	textEventPrefix = []byte(`"choices":[{"index":0,"delta":{"content":`)
 	textEventOffset = []byte(`},"finish_reason":null}],"offset":`)
-	textEventEnd    = []byte(`}`)
+	textEventSuffix = []byte(`}`)
 )
 
 // scanTextEvent reads the event of a token without encoding/json, which took a
@@ -113,7 +113,7 @@
 	if !ok {
 		return structs.Chunk{}, false
 	}
-	if rest, ok = bytes.CutPrefix(skipNames(rest), textEventHead); !ok {
+	if rest, ok = bytes.CutPrefix(skipMetadataFields(rest), textEventPrefix); !ok {
 		return structs.Chunk{}, false
 	}
 	text, rest, ok := jsontext.ScanString(rest)
@@ -124,14 +124,14 @@
 		return structs.Chunk{}, false
 	}
 	offset, rest, ok := jsontext.ScanInteger(rest)
-	if !ok || !bytes.Equal(rest, textEventEnd) {
+	if !ok || !bytes.Equal(rest, textEventSuffix) {
 		return structs.Chunk{}, false
 	}
 	return structs.Chunk{Offset: offset, Text: text}, true
 }
 
 // skipNames passes over the fields that say nothing new in each event.
-func skipNames(data []byte) []byte {
+func skipMetadataFields(data []byte) []byte {
 	for _, key := range [][]byte{[]byte(`"id":`), []byte(`"object":`), []byte(`"created":`), []byte(`"model":`)} {
 		rest, found := bytes.CutPrefix(data, key)
 		if !found {
--- a/internal/plugins/engine/openai/event_test.go
+++ b/internal/plugins/engine/openai/event_test.go
@@ -112,7 +112,7 @@
 	parser := &eventParser{}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := parser.line(line); err != nil {
+		if _, err := parser.parseLine(line); err != nil {
 			b.Fatal(err)
 		}
 		parser.takeChunks()
--- a/internal/plugins/engine/openai/message.go
+++ b/internal/plugins/engine/openai/message.go
@@ -74,7 +74,7 @@
 // encodeRequest returns a request's body: the caller's parameters, and behind
 // them the fields of the request, which no parameter may stand for.
 func encodeRequest(request framework.EngineRequest) ([]byte, error) {
-	encoded, err := json.Marshal(requestOf(request))
+	encoded, err := json.Marshal(toWireRequest(request))
 	if err != nil {
 		return nil, eris.Wrap(err, "openai: encode request")
 	}
--- a/internal/plugins/engine/openai/setup.go
+++ b/internal/plugins/engine/openai/setup.go
@@ -23,7 +23,7 @@
 	// defaultTimeout bounds one request that is not a stream.
 	defaultTimeout = 2 * time.Second
 	// connectionsPerEngine bounds idle connections kept to one engine.
-	connectionsPerEngine = 256
+	idleConnectionsPerEngine = 256
 )
 
 func init() {
@@ -37,13 +37,13 @@
 
 // New returns a driver for all engines of the dialect.
 func New(settings framework.DriverSettings) framework.EngineDriver {
-	return &driver{client: httpdriver.NewClient(connectionsPerEngine), timeout: settings.TimeoutOr(defaultTimeout)}
+	return &driver{client: httpdriver.NewClient(idleConnectionsPerEngine), timeout: settings.TimeoutOr(defaultTimeout)}
 }
 
 // Cancel implements framework.EngineDriver.
 func (d *driver) Cancel(engine structs.EngineID, attempt structs.AttemptID, done func(error)) {
 	request := sling.New().Post(url(engine, PathCancel)).BodyJSON(CancelRequest{Attempt: attempt})
-	go func() { done(d.exchange(request, nil)) }()
+	go func() { done(d.roundTrip(request, nil)) }()
 }
 
 // Inspect implements framework.EngineDriver.
@@ -51,7 +51,7 @@
 	request := sling.New().Get(url(engine, PathAttempts)).QueryStruct(InspectQuery{Attempt: attempt, Epoch: epoch})
 	go func() {
 		var status framework.AttemptStatus
-		err := d.exchange(request, &status)
+		err := d.roundTrip(request, &status)
 		done(status, err)
 	}()
 }
@@ -59,7 +59,7 @@
 // Release implements framework.EngineDriver.
 func (d *driver) Release(hold structs.Hold, done func(error)) {
 	request := sling.New().Post(url(hold.Engine, PathRelease)).BodyJSON(ReleaseRequest{Hold: hold.ID})
-	go func() { done(d.exchange(request, nil)) }()
+	go func() { done(d.roundTrip(request, nil)) }()
 }
 
 // Holds implements framework.EngineDriver.
@@ -67,7 +67,7 @@
 	request := sling.New().Get(url(engine, PathHolds))
 	go func() {
 		var holds []structs.Hold
-		err := d.exchange(request, &holds)
+		err := d.roundTrip(request, &holds)
 		done(holds, err)
 	}()
 }
@@ -77,7 +77,7 @@
 	request := sling.New().Get(url(engine, PathLoad))
 	go func() {
 		var report structs.LoadReport
-		err := d.exchange(request, &report)
+		err := d.roundTrip(request, &report)
 		report.Engine = engine
 		done(report, err)
 	}()
@@ -88,7 +88,7 @@
 	request := sling.New().Get(url(engine, PathCacheEvents)).QueryStruct(EventsQuery{After: after})
 	go func() {
 		var events []structs.CacheEvent
-		err := d.exchange(request, &events)
+		err := d.roundTrip(request, &events)
 		done(events, err)
 	}()
 }
@@ -96,7 +96,7 @@
 // Order implements framework.EngineDriver.
 func (d *driver) Order(order structs.Order, done func(error)) {
 	request := sling.New().Post(url(order.Engine, PathOrders)).BodyJSON(order)
-	go func() { done(d.exchange(request, nil)) }()
+	go func() { done(d.roundTrip(request, nil)) }()
 }
 
 // Transfer implements framework.EngineDriver.
@@ -105,7 +105,7 @@
 	request := sling.New().Post(url(transfer.To, PathTransfer)).BodyJSON(question)
 	go func() {
 		var answer TransferAnswer
-		err := d.exchange(request, &answer)
+		err := d.roundTrip(request, &answer)
 		done(answer.Tokens, err)
 	}()
 }
@@ -113,7 +113,7 @@
 func url(engine structs.EngineID, path string) string { return "http://" + string(engine) + path }
 
 // exchange sends one short request and reads its JSON answer.
-func (d *driver) exchange(request *sling.Sling, answer any) error {
+func (d *driver) roundTrip(request *sling.Sling, answer any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), d.timeout)
 	defer cancel()
 	prepared, err := request.Request()
--- a/internal/plugins/engine/openai/stream.go
+++ b/internal/plugins/engine/openai/stream.go
@@ -19,9 +19,9 @@
 
 const (
 	// streamBuffer is the size of a stream's read buffer in bytes.
-	streamBuffer = 8 << 10
+	streamBufferBytes = 8 << 10
 	// errorLimit bounds what is read of an error answer in bytes.
-	errorLimit = 4 << 10
+	maximumErrorBytes = 4 << 10
 )
 
 // stream implements framework.Stream.
@@ -60,14 +60,14 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return refused(response)
+		return endOfErrorResponse(response)
 	}
 	return readStream(response.Body, observer)
 }
 
 // refused reads an answer that is not a stream.
-func refused(response *http.Response) framework.AttemptEnd {
-	body, _ := io.ReadAll(io.LimitReader(response.Body, errorLimit)) // what came is the message
+func endOfErrorResponse(response *http.Response) framework.AttemptEnd {
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maximumErrorBytes)) // what came is the message
 	end := framework.AttemptEnd{Kind: framework.EndFailed, Reason: structs.ReasonBackEnd, Message: string(body)}
 	if rejected := response.Header.Get(HeaderRejected); rejected != "" {
 		end.Kind = framework.EndRejected
@@ -81,7 +81,7 @@
 
 // readStream hands on the pieces of a stream, all that are at hand at once.
 func readStream(body io.Reader, observer framework.EngineObserver) framework.AttemptEnd {
-	reader := bufio.NewReaderSize(body, streamBuffer)
+	reader := bufio.NewReaderSize(body, streamBufferBytes)
 	parser := &eventParser{end: framework.AttemptEnd{Kind: framework.EndLost, Message: "the stream broke off"}}
 	var long []byte
 	for {
@@ -90,7 +90,7 @@
 			flush(observer, parser.takeChunks())
 			return parser.end
 		}
-		done, malformed := parser.line(line)
+		done, malformed := parser.parseLine(line)
 		if malformed != nil {
 			flush(observer, parser.takeChunks())
 			return framework.AttemptEnd{Kind: framework.EndLost, Message: "malformed event: " + malformed.Error()}
--- a/internal/plugins/engine/openai/wire.go
+++ b/internal/plugins/engine/openai/wire.go
@@ -148,7 +148,7 @@
 	After uint64 `url:"after"`
 }
 
-func usageOf(usage *Usage) structs.Usage {
+func fromWireUsage(usage *Usage) structs.Usage {
 	if usage == nil {
 		return structs.Usage{}
 	}
@@ -159,7 +159,7 @@
 	}
 }
 
-func requestOf(request framework.EngineRequest) Request {
+func toWireRequest(request framework.EngineRequest) Request {
 	return Request{
 		Model:         string(request.Model),
 		Messages:      request.Messages,
--- a/internal/plugins/machinelist/httplist/setup_test.go
+++ b/internal/plugins/machinelist/httplist/setup_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestRowsAloneAreTheWholeList(t *testing.T) {
+func TestBareArrayIsTheWholeList(t *testing.T) {
 	plain := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(` [{"kind":"engine","address":"10.0.0.1:8000","zone":"a","region":"r","state":"live"}]`))
 	})
--- a/internal/plugins/queuepolicy/leastattained/setup.go
+++ b/internal/plugins/queuepolicy/leastattained/setup.go
@@ -16,9 +16,9 @@
 
 // penaltyBound is the most seconds by which a call is put back: no call is
 // overtaken by one that arrives later than this after it.
-const penaltyBound = 30
+const maximumPenaltySeconds = 30
 
 // Due implements schedule.QueuePolicy.
 func (policy) Due(_ *schedule.Item, outlook schedule.Outlook, arrival float64) float64 {
-	return arrival + min(outlook.ServedSeconds, penaltyBound)
+	return arrival + min(outlook.ServedSeconds, maximumPenaltySeconds)
 }
--- a/internal/plugins/queuepolicy/program/setup.go
+++ b/internal/plugins/queuepolicy/program/setup.go
@@ -22,21 +22,21 @@
 	// short programs go first shortens the mean.
 	remainingWeight = 4
 	// remainingBound is the most that expected work puts a call back.
-	remainingBound = 80
+	maximumRemainingSeconds = 80
 	// ageBound is the most that the age of its program puts a call forward.
-	ageBound = 60
+	maximumAgeSeconds = 60
 	// priorityStep is what one step of priority is worth.
-	priorityStep = 1
+	secondsPerPriority = 1
 	// highestPriority is the top of the scale.
 	highestPriority = 9
 	// StarvationBound is the starvation bound of this policy.
-	StarvationBound = remainingBound + ageBound + priorityStep*highestPriority
+	StarvationBound = maximumRemainingSeconds + maximumAgeSeconds + secondsPerPriority*highestPriority
 )
 
 // Due implements schedule.QueuePolicy.
 func (policy) Due(item *schedule.Item, outlook schedule.Outlook, arrival float64) float64 {
-	age := min(max(item.EnqueuedAt.Sub(item.ProgramStartedAt).Seconds(), 0), ageBound)
-	remaining := min(remainingWeight*outlook.RemainingSeconds, remainingBound)
-	priority := float64(min(max(item.Priority, 0), highestPriority)) * priorityStep
+	age := min(max(item.EnqueuedAt.Sub(item.ProgramStartedAt).Seconds(), 0), maximumAgeSeconds)
+	remaining := min(remainingWeight*outlook.RemainingSeconds, maximumRemainingSeconds)
+	priority := float64(min(max(item.Priority, 0), highestPriority)) * secondsPerPriority
 	return arrival + remaining - age - priority
 }
--- a/internal/plugins/scorer/group/setup.go
+++ b/internal/plugins/scorer/group/setup.go
@@ -21,7 +21,7 @@
 // spreadSeconds is the most that a template's least preferred engine costs. A
 // busy engine costs more than that, so that a template in demand spills over
 // to its next engines.
-const spreadSeconds = 0.02
+const maximumSpreadSeconds = 0.02
 
 // Score implements schedule.Scorer.
 func (scorer) Score(candidate *schedule.Candidate) float64 {
@@ -29,5 +29,5 @@
 		return 0
 	}
 	rank := xxhash.Sum64String(string(candidate.Item.Template) + "\x00" + string(candidate.Engine.Engine.ID))
-	return spreadSeconds * float64(rank) / math.MaxUint64
+	return maximumSpreadSeconds * float64(rank) / math.MaxUint64
 }
--- a/internal/plugins/scorer/prefix/setup.go
+++ b/internal/plugins/scorer/prefix/setup.go
@@ -16,12 +16,12 @@
 
 // batchShare is how often work that is done twice delays the other calls of a
 // batch: once while it runs, and again those that queue up meanwhile.
-const batchShare = 4
+const batchDelayFactor = 4
 
 // Score implements schedule.Scorer.
 func (scorer) Score(candidate *schedule.Candidate) float64 {
 	perToken := candidate.Engine.PrefillSecondsPerToken
 	work := float64(candidate.MissTokens()) * perToken
-	waste := float64(candidate.AvoidableTokens()) * perToken * batchShare * candidate.MeanOccupied
+	waste := float64(candidate.AvoidableTokens()) * perToken * batchDelayFactor * candidate.MeanOccupied
 	return work + waste*(1+candidate.CacheWeight)
 }
--- a/internal/plugins/scorer/prefixaffinity/setup.go
+++ b/internal/plugins/scorer/prefixaffinity/setup.go
@@ -16,7 +16,7 @@
 
 const (
 	// hitSeconds outweighs every difference of load for a whole hit.
-	hitSeconds = 1e6
+	fullMissPenaltySeconds = 1e6
 	// imbalanceCalls and imbalanceRatio tell when an engine has too many more
 	// calls than the least loaded one.
 	imbalanceCalls = 16
@@ -27,8 +27,8 @@
 func (scorer) Score(candidate *schedule.Candidate) float64 {
 	load := float64(candidate.Engine.Occupied())
 	if float64(candidate.Engine.Occupied()) > imbalanceCalls+imbalanceRatio*float64(candidate.LeastOccupied) {
-		return hitSeconds + load
+		return fullMissPenaltySeconds + load
 	}
 	missed := float64(candidate.MissTokens()) / float64(max(candidate.Item.PromptTokens, 1))
-	return hitSeconds*missed + load
+	return fullMissPenaltySeconds*missed + load
 }
--- a/internal/plugins/scorer/sessionaffinity/setup.go
+++ b/internal/plugins/scorer/sessionaffinity/setup.go
@@ -16,7 +16,7 @@
 
 const (
 	// strangerSeconds outweighs every difference of load.
-	strangerSeconds = 1e6
+	otherEnginePenaltySeconds = 1e6
 	// overloadCalls and overloadRatio tell when an engine has too many more
 	// calls than the least loaded one.
 	overloadCalls = 16
@@ -30,5 +30,5 @@
 	if candidate.Item.LastEngine == candidate.Engine.Engine.ID && !overloaded {
 		return load
 	}
-	return strangerSeconds + load
+	return otherEnginePenaltySeconds + load
 }
--- a/internal/program/quota.go
+++ b/internal/program/quota.go
@@ -96,7 +96,7 @@
 	if ledger == nil || ledger.Window < ask.Window {
 		ledger = newLedger(ask.Quota, ask.Window)
 	}
-	if ledger.Window > ask.Window || !ledger.Orders[ask.Shard].Before(ask.Ballot) {
+	if ledger.Window > ask.Window || !ledger.Orders[ask.Shard].Before(ask.BallotNumber) {
 		return structs.Record{}, false
 	}
 	others := structs.Cost(0)
@@ -111,11 +111,11 @@
 		total = ask.Held
 	}
 	return structs.Record{At: now, QuotaGranted: &structs.QuotaGranted{
-		Quota:  ask.Quota,
-		Window: ask.Window,
-		Shard:  ask.Shard,
-		Ballot: ask.Ballot,
-		Total:  total,
+		Quota:        ask.Quota,
+		Window:       ask.Window,
+		Shard:        ask.Shard,
+		BallotNumber: ask.BallotNumber,
+		Total:        total,
 	}}, true
 }
 
@@ -134,11 +134,11 @@
 		ledger = newLedger(granted.Quota, granted.Window)
 		s.ledgers[granted.Quota] = ledger
 	}
-	if ledger.Window != granted.Window || !ledger.Orders[granted.Shard].Before(granted.Ballot) {
+	if ledger.Window != granted.Window || !ledger.Orders[granted.Shard].Before(granted.BallotNumber) {
 		return
 	}
 	ledger.Totals[granted.Shard] = granted.Total
-	ledger.Orders[granted.Shard] = granted.Ballot
+	ledger.Orders[granted.Shard] = granted.BallotNumber
 }
 
 // applyQuotaReceived sets what the shard may use. Answers that were overtaken
@@ -149,11 +149,11 @@
 		allowance = &Allowance{Quota: received.Quota, Window: received.Window}
 		s.allowances[received.Quota] = allowance
 	}
-	if allowance.Window != received.Window || !allowance.Order.Before(received.Ballot) {
+	if allowance.Window != received.Window || !allowance.Order.Before(received.BallotNumber) {
 		return
 	}
 	allowance.Granted = received.Total
-	allowance.Order = received.Ballot
+	allowance.Order = received.BallotNumber
 }
 
 // spend counts a reservation against the tenant's allowance of its window.
--- a/internal/program/recovery_test.go
+++ b/internal/program/recovery_test.go
@@ -155,7 +155,7 @@
 	shard := NewShard()
 	quota := structs.QuotaKey{Tenant: "bakery", Kind: structs.QuotaSpending}
 	shard.Apply(structs.Record{At: start, ShardRecovered: &structs.ShardRecovered{}})
-	ask := structs.QuotaRequest{Quota: quota, Window: WindowOf(quota.Kind, start), Shard: 3, Ballot: structs.Ballot{Epoch: 1, Count: 1}, Held: 10, Wanted: 50}
+	ask := structs.QuotaRequest{Quota: quota, Window: WindowOf(quota.Kind, start), Shard: 3, BallotNumber: structs.Ballot{Epoch: 1, Count: 1}, Held: 10, Wanted: 50}
 	record, granted := shard.Grant(ask, 100, start)
 	if !granted || record.QuotaGranted.Total != 10 {
 		t.Errorf("granted %v, want the 10 that the shard holds already", record.QuotaGranted)
@@ -180,8 +180,8 @@
 	call := userCall(rootKey, "open", shard.Program(rootKey).Accepted+1)
 	shard.Apply(structs.Record{At: start, CallAccepted: &structs.CallAccepted{Key: rootKey, Call: call}})
 	quota := structs.QuotaKey{Tenant: "bakery", Kind: structs.QuotaSpending}
-	shard.Apply(structs.Record{At: start, QuotaReceived: &structs.QuotaReceived{Quota: quota, Ballot: structs.Ballot{Epoch: 1, Count: 1}, Total: 5}})
-	shard.Apply(structs.Record{At: start, QuotaGranted: &structs.QuotaGranted{Quota: quota, Shard: 1, Ballot: structs.Ballot{Epoch: 1, Count: 1}, Total: 5}})
+	shard.Apply(structs.Record{At: start, QuotaReceived: &structs.QuotaReceived{Quota: quota, BallotNumber: structs.Ballot{Epoch: 1, Count: 1}, Total: 5}})
+	shard.Apply(structs.Record{At: start, QuotaGranted: &structs.QuotaGranted{Quota: quota, Shard: 1, BallotNumber: structs.Ballot{Epoch: 1, Count: 1}, Total: 5}})
 	want, err := shard.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -190,8 +190,8 @@
 	shard.Apply(dispatchRecord(rootKey, "open", 1, 10, false))
 	shard.Apply(settleRecord(rootKey, "open", completed("done", 3)))
 	talk(t, shard, rootKey, 20, 3000, start.Add(time.Minute))
-	shard.Apply(structs.Record{At: start, QuotaReceived: &structs.QuotaReceived{Quota: quota, Ballot: structs.Ballot{Epoch: 1, Count: 2}, Total: 50}})
-	shard.Apply(structs.Record{At: start, QuotaGranted: &structs.QuotaGranted{Quota: quota, Shard: 2, Ballot: structs.Ballot{Epoch: 1, Count: 2}, Total: 50}})
+	shard.Apply(structs.Record{At: start, QuotaReceived: &structs.QuotaReceived{Quota: quota, BallotNumber: structs.Ballot{Epoch: 1, Count: 2}, Total: 50}})
+	shard.Apply(structs.Record{At: start, QuotaGranted: &structs.QuotaGranted{Quota: quota, Shard: 2, BallotNumber: structs.Ballot{Epoch: 1, Count: 2}, Total: 50}})
 	got, err := encode()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -32,7 +32,7 @@
 	shortestTimeout  = 10 * time.Millisecond
 	longestTimeout   = time.Hour
 	longestCall      = 24 * time.Hour
-	nameBytes        = 128
+	maximumNameBytes = 128
 	keyHashBytes     = 32
 )
 
@@ -61,9 +61,9 @@
 	c.service("machine_list", settings.MachineList)
 	c.driver("machine_list.driver", settings.MachineList.Driver, framework.MachineLists.Names())
 	c.driver("engines.driver", settings.Engines.Driver, framework.EngineDrivers.Names())
-	c.between("engines.timeout", settings.Engines.Timeout, shortestTimeout, longestTimeout)
+	c.durationWithin("engines.timeout", settings.Engines.Timeout, shortestTimeout, longestTimeout)
 	c.driver("applications.driver", settings.Applications.Driver, framework.ApplicationDrivers.Names())
-	c.between("applications.timeout", settings.Applications.Timeout, shortestTimeout, longestTimeout)
+	c.durationWithin("applications.timeout", settings.Applications.Timeout, shortestTimeout, longestTimeout)
 	c.limits(settings.Limits)
 	c.intervals(settings.Intervals)
 	c.memory(settings.Memory)
@@ -110,8 +110,8 @@
 	switch {
 	case value == "":
 		c.add(field, "is missing")
-	case len(value) > nameBytes || !plainName.MatchString(value):
-		c.add(field, "is %q, want at most %d of A-Z a-z 0-9 . _ - , the first a letter or digit", value, nameBytes)
+	case len(value) > maximumNameBytes || !plainName.MatchString(value):
+		c.add(field, "is %q, want at most %d of A-Z a-z 0-9 . _ - , the first a letter or digit", value, maximumNameBytes)
 	}
 }
 
@@ -121,7 +121,7 @@
 	}
 }
 
-func (c *checker) between(field string, value, low, high time.Duration) {
+func (c *checker) durationWithin(field string, value, low, high time.Duration) {
 	if value < low || value > high {
 		c.add(field, "is %s, want %s to %s", value, low, high)
 	}
@@ -150,30 +150,30 @@
 			c.add(at, "%s is listed twice", address)
 		}
 	}
-	c.between(field+".timeout", service.Timeout, shortestTimeout, longestTimeout)
+	c.durationWithin(field+".timeout", service.Timeout, shortestTimeout, longestTimeout)
 }
 
 func (c *checker) limits(limits Limits) {
 	c.within("limits.queue", int64(limits.MaxQueuedCalls), 1, maximumQueue)
 	c.within("limits.body_bytes", limits.MaxBodyBytes, minimumBody, maximumBody)
-	c.between("limits.call_timeout", limits.CallTimeout, time.Second, longestCall)
-	c.between("limits.unknown_after", limits.UnknownAfter, shortestTimeout, longestTimeout)
-	c.between("limits.stall_after", limits.StallAfter, shortestTimeout, longestTimeout)
-	c.between("limits.stop_timeout", limits.ShutdownTimeout, time.Second, longestCall)
+	c.durationWithin("limits.call_timeout", limits.CallTimeout, time.Second, longestCall)
+	c.durationWithin("limits.unknown_after", limits.UnknownAfter, shortestTimeout, longestTimeout)
+	c.durationWithin("limits.stall_after", limits.StallAfter, shortestTimeout, longestTimeout)
+	c.durationWithin("limits.stop_timeout", limits.ShutdownTimeout, time.Second, longestCall)
 }
 
 func (c *checker) intervals(intervals Intervals) {
-	c.between("intervals.configuration", intervals.Configuration, shortestInterval, longestInterval)
-	c.between("intervals.configuration_maximum", intervals.ConfigurationMaximum, intervals.Configuration, longestInterval)
-	c.between("intervals.machine_list", intervals.MachineList, shortestInterval, longestInterval)
-	c.between("intervals.engine_load", intervals.EngineLoad, shortestInterval, longestInterval)
+	c.durationWithin("intervals.configuration", intervals.Configuration, shortestInterval, longestInterval)
+	c.durationWithin("intervals.configuration_maximum", intervals.ConfigurationMaximum, intervals.Configuration, longestInterval)
+	c.durationWithin("intervals.machine_list", intervals.MachineList, shortestInterval, longestInterval)
+	c.durationWithin("intervals.engine_load", intervals.EngineLoad, shortestInterval, longestInterval)
 }
 
 func (c *checker) memory(memory Memory) {
 	c.within("memory.new_programs", memory.NewPrograms, minimumMemory, maximumMemory)
 	c.within("memory.calls", memory.Calls, memory.NewPrograms, maximumMemory)
 	c.within("memory.unpacked", memory.Unpacked, 0, maximumMemory)
-	c.between("memory.warm_time", memory.WarmTime, shortestInterval, longestInterval)
+	c.durationWithin("memory.warm_time", memory.WarmTime, shortestInterval, longestInterval)
 }
 
 func (c *checker) operators(operators []Operator) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestOverridesGoBeforeTheFile(t *testing.T) {
+func TestOverridesTakePrecedenceOverFile(t *testing.T) {
 	overrides := []settings.Override{
 		{Field: "zone", Flag: "--zone", Apply: func(s *settings.Settings) { s.Zone = "zone-b" }},
 		{Field: "shards", Flag: "--shards", Apply: func(s *settings.Settings) { s.Shards = -1 }},
--- a/internal/structs/record.go
+++ b/internal/structs/record.go
@@ -170,10 +170,10 @@
 // QuotaRequest is a shard's question to a tenant's home shard for a slice of the
 // tenant's quota.
 type QuotaRequest struct {
-	Quota  QuotaKey    `json:"quota"`
-	Window int64       `json:"window"`
-	Shard  ShardNumber `json:"shard"`
-	Ballot Ballot      `json:"order"`
+	Quota        QuotaKey    `json:"quota"`
+	Window       int64       `json:"window"`
+	Shard        ShardNumber `json:"shard"`
+	BallotNumber Ballot      `json:"order"`
 	// Held is the total the shard has recorded; Wanted the total it would like.
 	Held   Cost `json:"held"`
 	Wanted Cost `json:"wanted"`
@@ -182,20 +182,20 @@
 // QuotaGranted is recorded at the tenant's home shard before the answer leaves,
 // so that a successor never hands the same slice to another shard.
 type QuotaGranted struct {
-	Quota  QuotaKey    `json:"quota"`
-	Window int64       `json:"window"`
-	Shard  ShardNumber `json:"shard"`
-	Ballot Ballot      `json:"order"`
-	Total  Cost        `json:"total"`
+	Quota        QuotaKey    `json:"quota"`
+	Window       int64       `json:"window"`
+	Shard        ShardNumber `json:"shard"`
+	BallotNumber Ballot      `json:"order"`
+	Total        Cost        `json:"total"`
 }
 
 // QuotaReceived is recorded at the asking shard before it uses a slice, and
 // before it gives part of one back.
 type QuotaReceived struct {
-	Quota  QuotaKey `json:"quota"`
-	Window int64    `json:"window"`
-	Ballot Ballot   `json:"order"`
-	Total  Cost     `json:"total"`
+	Quota        QuotaKey `json:"quota"`
+	Window       int64    `json:"window"`
+	BallotNumber Ballot   `json:"order"`
+	Total        Cost     `json:"total"`
 }
 
 // Decision is one step the fleet took for a program and why; the leader keeps
--- a/internal/yamlfile/decode.go
+++ b/internal/yamlfile/decode.go
@@ -17,9 +17,9 @@
 	// SizeLimit is the largest file that is read, in bytes.
 	SizeLimit = 8 << 20
 	// nodeLimit bounds the nodes visited, aliases followed each time.
-	nodeLimit = 200_000
+	maximumNodes = 200_000
 	// depthLimit bounds how deep values nest.
-	depthLimit = 32
+	maximumDepth = 32
 )
 
 // Decode reads YAML over the value that target points to. Fields that the
@@ -72,8 +72,8 @@
 // value reads one node into one value.
 func (d *decoder) value(node *yaml.Node, field string, value reflect.Value, depth int) {
 	d.visited++
-	if d.visited > nodeLimit || depth > depthLimit {
-		if d.visited == nodeLimit+1 || depth == depthLimit+1 {
+	if d.visited > maximumNodes || depth > maximumDepth {
+		if d.visited == maximumNodes+1 || depth == maximumDepth+1 {
 			d.add(node.Line, field, "is nested too deep or too large")
 		}
 		return
@@ -189,11 +189,11 @@
 
 func (d *decoder) scalar(node *yaml.Node, field string, value reflect.Value) {
 	if node.Kind != yaml.ScalarNode {
-		d.add(node.Line, field, "is %s, want %s", describe(node), wanted(value))
+		d.add(node.Line, field, "is %s, want %s", describe(node), expectedType(value))
 		return
 	}
 	if !assign(node, value) {
-		d.add(node.Line, field, "is %s, want %s", describe(node), wanted(value))
+		d.add(node.Line, field, "is %s, want %s", describe(node), expectedType(value))
 	}
 }
 
@@ -240,22 +240,22 @@
 	case yaml.SequenceNode:
 		return "a list"
 	default:
-		return strconv.Quote(shorten(node.Value))
+		return strconv.Quote(truncate(node.Value))
 	}
 }
 
 // shownBytes bounds how much of a wrong value is repeated.
-const shownBytes = 40
+const maximumQuotedBytes = 40
 
-func shorten(text string) string {
-	if len(text) <= shownBytes {
+func truncate(text string) string {
+	if len(text) <= maximumQuotedBytes {
 		return text
 	}
-	return text[:shownBytes] + "..."
+	return text[:maximumQuotedBytes] + "..."
 }
 
 // wanted names what a value takes.
-func wanted(value reflect.Value) string {
+func expectedType(value reflect.Value) string {
 	switch {
 	case value.Type() == durationType:
 		return "a duration such as 500ms or 2h"
