--- a/internal/configuration/benchmark_test.go
+++ b/internal/configuration/benchmark_test.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Sizes of the letter: tenants and models in steady use.
+// Size of a production configuration.
 const (
 	benchmarkTenants   = 2100
 	benchmarkModels    = 18
@@ -31,7 +31,7 @@
 	}
 }
 
-// fullState folds a configuration with the letter's models.
+// stateWithTenants returns a state with a production-size configuration.
 func stateWithTenants(b *testing.B, tenants int) *State {
 	b.Helper()
 	patch := structs.Patch{
@@ -60,7 +60,7 @@
 	return state
 }
 
-// oneTenant is a change of one tenant of many.
+// tenantChange returns a log entry that changes one of many tenants.
 func tenantChange(b *testing.B, offset, base, tenants int) framework.LogEntry {
 	name := structs.TenantName(fmt.Sprintf("tenant-%d", base%tenants))
 	tenant := benchmarkTenant(base % tenants)
@@ -70,8 +70,8 @@
 	})
 }
 
-// BenchmarkFold is the cost of one change of one tenant among many; the bytes
-// of its entry are reported too.
+// BenchmarkFold measures the fold of a change of one tenant among many, and the
+// size of its entry.
 func BenchmarkFold(b *testing.B) {
 	for _, tenants := range []int{525, 1050, benchmarkTenants} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
@@ -91,8 +91,7 @@
 	}
 }
 
-// BenchmarkMemory is the heap that a state with a full window of verdicts
-// holds.
+// BenchmarkMemory measures the heap of a state with a full window of verdicts.
 func BenchmarkMemory(b *testing.B) {
 	for _, tenants := range []int{525, 1050, benchmarkTenants} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
@@ -117,8 +116,8 @@
 	return int64(statistics.HeapAlloc)
 }
 
-// BenchmarkSnapshot is the cost of packing and of unpacking a full state with
-// a full window of verdicts.
+// BenchmarkSnapshot measures encoding and decoding of a snapshot with a full
+// window of verdicts.
 func BenchmarkSnapshot(b *testing.B) {
 	state := stateWithTenants(b, benchmarkTenants)
 	for offset := 1; offset <= VerdictWindow; offset++ {
--- a/internal/configuration/convergence_test.go
+++ b/internal/configuration/convergence_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// convergenceChanges is how many changes are timed.
+	// convergenceChanges is the number of measured changes.
 	convergenceChanges = 50
-	// convergencePause is 86,400 s over the letter's 2,900 changes a day.
+	// convergencePause is the mean time between changes at 2,900 changes a day.
 	convergencePause = 30 * time.Second
 )
 
-// BenchmarkConvergence times changes from their place in the log to the last
-// daemon, in virtual seconds, and counts the bytes of the exchange. One daemon
-// hears each heartbeat; the network breaks one connection in fifty messages.
+// BenchmarkConvergence measures the virtual time from the append of a change
+// until the last daemon has folded it, and the bytes sent between daemons. Each
+// heartbeat reaches one daemon; 2% of messages break their connection.
 func BenchmarkConvergence(b *testing.B) {
 	for _, daemons := range []int{3, 50, 100, 200, 400} {
 		b.Run(fmt.Sprintf("daemons=%d", daemons), func(b *testing.B) {
@@ -53,7 +53,8 @@
 	b.ReportMetric(float64(bytes)/float64(daemons)/f.clock.Now().Sub(began).Seconds(), "bytes/daemon/s")
 }
 
-// untilRevision runs until all daemons have a revision.
+// runUntilRevision runs until all daemons have reached a revision, and returns
+// the virtual time that it took.
 func (f *fleet) runUntilRevision(revision structs.Revision) time.Duration {
 	began := f.clock.Now()
 	for _, d := range f.daemons {
@@ -64,8 +65,8 @@
 	return f.clock.Now().Sub(began)
 }
 
-// BenchmarkStart times a fresh daemon at the letter's size, in virtual seconds
-// until it serves, and counts what it reads of the log or gets from peers.
+// BenchmarkStart measures the virtual time until a starting daemon serves a
+// production-size configuration, and what it reads from the log and from peers.
 func BenchmarkStart(b *testing.B) {
 	for _, down := range []bool{false, true} {
 		b.Run(fmt.Sprintf("log-down=%t", down), func(b *testing.B) {
--- a/internal/configuration/delivery_order_test.go
+++ b/internal/configuration/delivery_order_test.go
@@ -12,8 +12,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Whatever order entries come in, as often as they come: states that have got
-// all of them agree, and none ever goes back.
+// Guards against a fold that depends on the order or number of deliveries, or
+// that rolls back.
 func TestAnyDeliveryOrderConverges(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		entries := drawEntries(t, r)
@@ -27,7 +27,7 @@
 			before := state.Next
 			state.Fold(entries[at])
 			if state.Next < before {
-				r.Fatalf("went back from %d to %d", before, state.Next)
+				r.Fatalf("rolled back from %d to %d", before, state.Next)
 			}
 			if verdict, known := want.Verdict(state.Next - 1); known && verdict.Digest != state.Digest() {
 				r.Fatalf("at offset %d the digest is %x, want %x", state.Next, state.Digest(), verdict.Digest)
@@ -42,7 +42,7 @@
 	})
 }
 
-// drawEntries draws a log in which operations repeat, race and break.
+// drawEntries draws a log with duplicate, conflicting and invalid operations.
 func drawEntries(t *testing.T, r *rapid.T) []framework.LogEntry {
 	count := rapid.IntRange(1, 20).Draw(r, "entries")
 	entries := make([]framework.LogEntry, 0, count)
@@ -59,9 +59,9 @@
 	return entries
 }
 
-// Stores that go through cuts, a log that is down, lags or loses answers, and
-// restarts, agree in the end; world.watch sees that none goes back, and that
-// each publication gets one answer which the log bears out.
+// Stores must converge after network partitions, log failures and restarts. No
+// store may roll back (checked by failOnRollback), and the single answer to each
+// publication must match the log.
 func TestStoresConvergeThroughFaults(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f := newFleet(t, 4, configuration.Guards{})
@@ -95,7 +95,7 @@
 	})
 }
 
-// randomStep brings about one fault, repair or publication.
+// randomStep causes one random fault, repair or publication.
 func (f *fleet) randomStep(r *rapid.T, step int) *answer {
 	i := rapid.IntRange(0, len(f.daemons)-1).Draw(r, "daemon")
 	zone := fmt.Sprintf("zone-%d", rapid.IntRange(0, 2).Draw(r, "zone"))
@@ -122,7 +122,8 @@
 	return nil
 }
 
-// The check of a change alone comes to the same as a check of all that results.
+// Incremental validation of a change must agree with validation of the whole
+// resulting configuration.
 func TestChangeValidationMatchesFullValidation(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		state := configuration.NewState()
@@ -139,7 +140,8 @@
 	})
 }
 
-// drawTenants draws a change of tenants that may share keys and miss parts.
+// drawTenants draws an edit of tenants that may have conflicting keys or miss
+// required values.
 func drawTenants(r *rapid.T) structs.Patch {
 	names := []structs.TenantName{"shop-1", "shop-2", "shop-3"}
 	patch := structs.Patch{Tenants: structs.Edit[structs.TenantName, structs.Tenant]{Set: map[structs.TenantName]structs.Tenant{}}}
--- a/internal/configuration/diff.go
+++ b/internal/configuration/diff.go
@@ -4,9 +4,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Diff returns the patch that turns current into wanted. Without prune, what
-// wanted does not name stays; with prune, it is removed. A nil fleet policy
-// leaves the policy.
+// Diff returns the patch that turns current into wanted. Names that wanted does
+// not contain are removed with prune and kept without. A nil fleet policy keeps
+// the current one.
 func Diff(current *structs.Configuration, wanted *structs.Configuration, fleet *structs.FleetPolicy, prune bool) structs.Patch {
 	if current == nil {
 		current = &structs.Configuration{}
@@ -46,7 +46,7 @@
 	return edit
 }
 
-// ChangeKind tells what a patch does to one name.
+// ChangeKind is what a patch does to one named value.
 type ChangeKind string
 
 // Kinds of change.
@@ -56,14 +56,14 @@
 	ChangeRemove ChangeKind = "remove"
 )
 
-// NamedChange is one line of a patch's summary.
+// NamedChange is one change in the summary of a patch.
 type NamedChange struct {
 	Kind ChangeKind `json:"kind"`
-	// Field is the path to the value, such as "tenants.tally".
+	// Field is the path of the value, such as "tenants.tally".
 	Field string `json:"field"`
 }
 
-// Summary lists what a patch does to a configuration, by kind and name.
+// Summary lists the changes of a patch to a configuration by kind and name.
 func Summary(current *structs.Configuration, patch *structs.Patch) []NamedChange {
 	if current == nil {
 		current = &structs.Configuration{}
--- a/internal/configuration/dissemination.go
+++ b/internal/configuration/dissemination.go
@@ -4,10 +4,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// offerToPeers offers a new entry to a few peers at once, and to others a little
-// later: one round alone leaves out a few daemons of a large fleet. They ask
-// for what they lack, and tell others in turn; heartbeats reach whom the offers
-// missed.
+// offerToPeers offers the present offset to random peers in two rounds, since
+// one round of gossip misses some daemons of a large fleet. Peers fetch what
+// they lack and send offers in turn; heartbeats reach those that got no offer.
 func (s *Store) offerToPeers() {
 	if s.Guards.SkipDissemination {
 		return
@@ -29,8 +28,9 @@
 	}
 }
 
-// askPeers asks a few peers how far they are, without waiting for heartbeats,
-// and others again until the grace is over: at first the list may be empty.
+// requestPeerOffsets requests the offset of random peers, without waiting for
+// heartbeats. It repeats until the grace is over, since the list of peers may be
+// empty at first.
 func (s *Store) requestPeerOffsets() {
 	if s.Guards.SkipDissemination {
 		return
@@ -43,10 +43,11 @@
 	}
 }
 
-// askDivisor is how many times within its grace a starting daemon asks.
+// offsetRequestsPerGrace is how often a starting daemon requests offsets within
+// Settings.PeerGrace.
 const offsetRequestsPerGrace = 4
 
-// somePeers draws Fanout peers at random.
+// randomPeers returns up to Settings.Fanout peers drawn at random.
 func (s *Store) randomPeers() []structs.DaemonID {
 	peers := s.Peers()
 	if s.Transport == nil {
--- a/internal/configuration/entry.go
+++ b/internal/configuration/entry.go
@@ -10,15 +10,15 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// MaxEntryBytes bounds the payload of one entry, in bytes. A larger entry is
-// refused everywhere.
+// MaxEntryBytes bounds the payload of one entry. It must be the same in every
+// daemon: larger entries are malformed.
 const MaxEntryBytes = 1 << 20
 
 // Errors of the entry decoder.
 var (
-	// ErrTooLarge: the payload exceeds MaxEntryBytes.
+	// ErrTooLarge is returned for a payload that exceeds MaxEntryBytes.
 	ErrTooLarge = eris.New("configuration: entry too large")
-	// ErrMalformed: the payload is not an entry.
+	// ErrMalformed is returned for a payload that is not a valid entry.
 	ErrMalformed = eris.New("configuration: malformed entry")
 )
 
@@ -26,22 +26,23 @@
 // of the pointers is set.
 type Entry struct {
 	Change *structs.Change `json:"change,omitempty"`
-	// Snapshot tells where a snapshot of the fold was stored.
+	// Snapshot announces a stored snapshot.
 	Snapshot *SnapshotNotice `json:"snapshot,omitempty"`
 }
 
-// SnapshotNotice says that a snapshot of the fold exists.
+// SnapshotNotice announces a snapshot of the state and its location.
 type SnapshotNotice struct {
-	// Offset is the first configuration entry that the snapshot lacks.
+	// Offset is the first configuration entry that the snapshot does not
+	// include.
 	Offset structs.LogOffset `json:"offset"`
-	// Digest is the digest of the fold at Offset.
+	// Digest is the digest of the state at Offset.
 	Digest uint64 `json:"digest"`
-	// StoredAt is the snapshot's place in the stream of snapshots.
+	// StoredAt is the snapshot's offset in StreamSnapshots.
 	StoredAt structs.LogOffset `json:"stored_at"`
 }
 
-// EncodeEntry returns the payload of an entry. Maps are written in the order
-// of their keys, so equal entries have equal bytes.
+// EncodeEntry returns the payload of an entry. Map keys are sorted, so equal
+// entries have equal bytes.
 func EncodeEntry(entry Entry) ([]byte, error) {
 	payload, err := json.Marshal(entry)
 	if err != nil {
@@ -53,8 +54,9 @@
 	return payload, nil
 }
 
-// EncodeFullChange returns the payload of a change that sets everything that is
-// wanted. One name serves as its operation and its operator.
+// EncodeFullChange returns the payload of a change that sets all models,
+// templates and tenants of a configuration. The name is used as the operation
+// identifier and as the operator.
 func EncodeFullChange(name string, wanted structs.Configuration) ([]byte, error) {
 	return EncodeEntry(Entry{Change: &structs.Change{OperationID: name, Operator: name, Patch: structs.Patch{
 		Models:    structs.Edit[structs.ModelName, structs.Model]{Set: wanted.Models},
@@ -63,8 +65,8 @@
 	}}})
 }
 
-// DecodeEntry reads a payload. Unknown fields are refused: a daemon that
-// ignored a field would fold another configuration than one that knows it.
+// DecodeEntry decodes a payload. Unknown fields are an error: a daemon that
+// ignored a field would fold a different configuration than one that knows it.
 func DecodeEntry(payload []byte) (Entry, error) {
 	if len(payload) > MaxEntryBytes {
 		return Entry{}, eris.Wrapf(ErrTooLarge, "%d bytes", len(payload))
--- a/internal/configuration/export_test.go
+++ b/internal/configuration/export_test.go
@@ -1,6 +1,6 @@
 package configuration
 
-// What the tests outside the package share with those inside.
+// Exports for the tests in package configuration_test.
 var (
 	FirstPatch = firstPatch
 	TenantEdit = tenantEdit
--- a/internal/configuration/files/files.go
+++ b/internal/configuration/files/files.go
@@ -1,5 +1,5 @@
-// Package files reads operators' configuration from YAML files and
-// directories, and finds the file and line of whatever is wrong.
+// Package files reads operators' configuration from YAML files and directories,
+// and reports each problem with its file and line.
 package files
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/mintpulley/mintpulley/internal/yamlfile"
 )
 
-// Wanted is what the files ask for.
+// Wanted is the configuration that a set of files describes.
 type Wanted struct {
 	Configuration structs.Configuration
 	// Fleet is nil when no file names a fleet policy.
@@ -25,13 +25,13 @@
 	files []fileLines
 }
 
-// place is what one file contains.
+// fileLines are the lines of the fields of one file.
 type fileLines struct {
 	file  string
 	lines yamlfile.Lines
 }
 
-// content is one file.
+// fileContent is the decoded content of one file.
 type fileContent struct {
 	Models    map[structs.ModelName]structs.Model       `yaml:"models"`
 	Templates map[structs.TemplateName]structs.Template `yaml:"templates"`
@@ -39,26 +39,26 @@
 	Fleet     *structs.FleetPolicy                      `yaml:"fleet"`
 }
 
-// Source is one file's name and bytes.
+// Source is the name and content of one file.
 type Source struct {
 	Name string
 	Data []byte
 }
 
-// Load reads files and all .yaml and .yml files of directories.
+// Load reads files, and all .yaml and .yml files of directories.
 func Load(paths []string) (*Wanted, []yamlfile.Problem) {
 	return load(paths, listFiles, os.ReadFile)
 }
 
-// LoadFS reads all .yaml files of directories of a file system.
+// LoadFS reads all .yaml files of directories in a file system.
 func LoadFS(system fs.FS, directories ...string) (*Wanted, []yamlfile.Problem) {
 	list := func(directory string) ([]string, error) { return fs.Glob(system, path.Join(directory, "*.yaml")) }
 	read := func(name string) ([]byte, error) { return fs.ReadFile(system, name) }
 	return load(directories, list, read)
 }
 
-// load reads the files that paths stand for. What cannot be read is a problem,
-// and the rest is parsed.
+// load reads and parses the files that paths stand for. It reports unreadable
+// files as problems and parses the others.
 func load(paths []string, list func(string) ([]string, error), read func(string) ([]byte, error)) (*Wanted, []yamlfile.Problem) {
 	var sources []Source
 	var problems []yamlfile.Problem
@@ -80,7 +80,7 @@
 	return wanted, append(problems, found...)
 }
 
-// list returns the files that a path stands for, in order.
+// listFiles returns a file itself, or the YAML files of a directory in order.
 func listFiles(name string) ([]string, error) {
 	entries, err := os.ReadDir(name)
 	if err != nil {
@@ -99,8 +99,8 @@
 	return names, nil
 }
 
-// Parse reads sources that are in memory already. It finds what cannot be
-// read and names that two files give; Check finds the rest.
+// Parse decodes and merges sources. It reports syntax and type errors and names
+// that occur in two files; Check validates the result.
 func Parse(sources []Source) (*Wanted, []yamlfile.Problem) {
 	wanted := &Wanted{Configuration: structs.Configuration{
 		Models:    map[structs.ModelName]structs.Model{},
@@ -129,7 +129,7 @@
 	problems []yamlfile.Problem
 }
 
-// given reports a name that an earlier file gives too.
+// reportDuplicate reports a name that an earlier file has defined.
 func (m *merger) reportDuplicate(field string) {
 	first := m.wanted.Locate(configuration.Problem{Field: field})
 	m.problems = append(m.problems, yamlfile.Problem{
@@ -158,8 +158,8 @@
 	}
 }
 
-// Locate turns a failed check into a problem with file and line. What no file
-// names is said to be in force already.
+// Locate adds file and line to a problem. A field that occurs in no file is
+// attributed to the configuration "in force".
 func (w *Wanted) Locate(problem configuration.Problem) yamlfile.Problem {
 	field := strings.TrimSuffix(problem.Field, " (bytes)")
 	best := yamlfile.Problem{File: "in force", Field: problem.Field, Reason: problem.Reason}
@@ -177,7 +177,7 @@
 	return best
 }
 
-// parent returns the path without its last step.
+// parent returns the path without its last element.
 func parent(field string) string {
 	cut := strings.LastIndexAny(field, ".[")
 	if cut < 0 {
@@ -186,8 +186,8 @@
 	return field[:cut]
 }
 
-// Check returns everything that would be wrong with the configuration if the
-// files came into force over current, which may be nil.
+// Check returns the problems of the configuration that results from applying the
+// files to current, which may be nil.
 func (w *Wanted) Check(current *structs.Configuration) []yamlfile.Problem {
 	patch := configuration.Diff(current, &w.Configuration, w.Fleet, false)
 	next, _ := configuration.ApplyPatch(current, &patch)
@@ -198,9 +198,9 @@
 	return problems
 }
 
-// CheckAll returns what could not be read of the files, as Load found it, and
-// what is wrong besides, by file and line. Where a whole file is missing the
-// rest cannot be judged.
+// CheckAll returns the problems that Load reported (unread) and those that Check
+// finds, sorted by file and line. It skips Check if a whole file could not be
+// read, since other files may refer to it.
 func (w *Wanted) CheckAll(current *structs.Configuration, unread []yamlfile.Problem) []yamlfile.Problem {
 	problems := slices.Clone(unread)
 	if !slices.ContainsFunc(unread, concernsWholeFile) {
@@ -216,7 +216,8 @@
 
 func concernsWholeFile(problem yamlfile.Problem) bool { return problem.Field == "" }
 
-// follows tells whether a failed check concerns a value that could not be read.
+// isConsequence reports whether a problem concerns a value that could not be
+// read.
 func isConsequence(problem yamlfile.Problem, unread []yamlfile.Problem) bool {
 	for at := problem.Field; at != ""; at = parent(at) {
 		if slices.ContainsFunc(unread, func(other yamlfile.Problem) bool { return other.Field == at }) {
--- a/internal/configuration/fleet_test.go
+++ b/internal/configuration/fleet_test.go
@@ -19,10 +19,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// heartbeat is the pause between the notes that daemons hear of each other.
+// heartbeat is the interval between heartbeats.
 const heartbeat = time.Second
 
-// world is a few stores on a virtual clock with one log.
+// fleet is a simulated fleet of stores with one log on a virtual clock.
 type fleet struct {
 	t            testing.TB
 	clock        *clock.Virtual
@@ -30,17 +30,18 @@
 	log          *drivers.EventLog
 	daemons      []*daemon
 	incarnations uint64
-	// neighbours is how many daemons hear a daemon's heartbeats, 0 for all.
+	// neighbours is the number of daemons that receive a daemon's heartbeats; 0
+	// means all.
 	neighbours int
 }
 
-// daemon is one run of one daemon.
+// daemon is one incarnation of a daemon.
 type daemon struct {
 	id      structs.DaemonID
 	zone    structs.ZoneName
 	process *network.Process
 	store   *configuration.Store
-	// entriesRead counts what it got from the log by stream.
+	// entriesRead counts the entries read from the log by stream.
 	entriesRead map[framework.StreamName]int
 	bytesRead   int
 }
@@ -79,7 +80,7 @@
 	return f
 }
 
-// start runs daemon number i, in place of its former run.
+// start starts daemon number i and kills its former incarnation.
 func (f *fleet) start(i int, guards configuration.Guards) *daemon {
 	f.incarnations++
 	zone := structs.ZoneName(fmt.Sprintf("zone-%d", i%3))
@@ -109,13 +110,13 @@
 	return d
 }
 
-// watch fails the test when a store goes back.
+// failOnRollback fails the test when a store's offset or revision decreases.
 func (f *fleet) failOnRollback(d *daemon, guards configuration.Guards) {
 	var offset structs.LogOffset
 	var revision structs.Revision
 	d.store.Subscribe(func(status configuration.Status) {
 		if !guards.AcceptOlder && (status.Offset < offset || status.Revision < revision) {
-			f.t.Errorf("%s went back from offset %d to %d", d.id, offset, status.Offset)
+			f.t.Errorf("%s rolled back from offset %d to %d", d.id, offset, status.Offset)
 		}
 		offset, revision = status.Offset, status.Revision
 	})
@@ -131,7 +132,7 @@
 	return ids
 }
 
-// beat tells a daemon's note to its neighbours, as heartbeats would.
+// sendHeartbeats delivers a daemon's note to its neighbours at each heartbeat.
 func (f *fleet) sendHeartbeats(d *daemon) {
 	place := network.Place{Address: d.id.Address(), Zone: d.zone}
 	self := slices.Index(f.daemons, d)
@@ -154,7 +155,7 @@
 
 func (f *fleet) run(d time.Duration) { f.clock.RunUntil(f.clock.Now().Add(d)) }
 
-// append puts a change that raises the tenant's share at the end of the log.
+// append appends a change of the tenant's share to the log.
 func (f *fleet) append(operation string, base, share int) {
 	patch := configuration.FirstPatch()
 	if base > 0 {
@@ -164,7 +165,7 @@
 	f.log.Append("configuration", operation, entry.Payload)
 }
 
-// appendTenants puts a change that sets many tenants at the end of the log.
+// appendTenants appends a change that sets many tenants to the log.
 func (f *fleet) appendTenants(operation string, base, first, count int) {
 	set := map[structs.TenantName]structs.Tenant{}
 	for i := first; i < first+count; i++ {
@@ -176,7 +177,7 @@
 	f.log.Append(framework.StreamConfiguration, operation, entry.Payload)
 }
 
-// manyTenant is a tenant with a key of its own, which does not compress.
+// tenantWithUniqueKey returns a tenant whose key hash does not compress.
 func tenantWithUniqueKey(number int) structs.Tenant {
 	return structs.Tenant{
 		KeyHashes: []string{fmt.Sprintf("%x", sha256.Sum256(fmt.Append(nil, number)))},
@@ -185,14 +186,15 @@
 	}
 }
 
-// fill appends count changes, each on top of the one before.
+// appendChanges appends count changes, each based on the one before.
 func (f *fleet) appendChanges(count int) {
 	for base := range count {
 		f.append(fmt.Sprintf("fill-%d", base), base, base+1)
 	}
 }
 
-// publish publishes through a daemon and returns where the answer will stand.
+// publish publishes a change through a daemon and returns its answer, which is
+// filled in later.
 func (f *fleet) publish(d *daemon, operation string, base, share int) *answer {
 	got := &answer{}
 	change := structs.Change{
@@ -214,7 +216,8 @@
 	err     error
 }
 
-// requireRevision fails unless all serve the revision with one digest.
+// requireRevision fails the test unless all daemons serve the revision with the
+// same digest.
 func (f *fleet) requireRevision(want structs.Revision) {
 	f.t.Helper()
 	for _, d := range f.daemons {
@@ -223,7 +226,7 @@
 			f.t.Errorf("%s: %+v, want revision %d and the digest of all", d.id, status, want)
 		}
 		if status.Divergences > 0 {
-			f.t.Errorf("%s found %d contradictions", d.id, status.Divergences)
+			f.t.Errorf("%s found %d divergences", d.id, status.Divergences)
 		}
 	}
 }
--- a/internal/configuration/fold.go
+++ b/internal/configuration/fold.go
@@ -8,9 +8,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Fold applies the entry at the state's next offset and returns its verdict.
-// An entry at any other offset is ignored and false returned: a lagging
-// reader's older entries never take the state back.
+// Fold applies the entry at the state's next offset and returns its verdict. It
+// ignores an entry at any other offset and returns false, so that older entries
+// from a stale read never roll the state back.
 func (s *State) Fold(entry framework.LogEntry) (Verdict, bool) {
 	if entry.Offset != s.Next {
 		return Verdict{}, false
@@ -23,7 +23,8 @@
 	return s.Verdicts[len(s.Verdicts)-1], true
 }
 
-// judge applies the entry if it may be applied.
+// applyEntry decodes an entry, applies it if it is accepted, and returns the
+// verdict.
 func (s *State) applyEntry(logEntry framework.LogEntry) Verdict {
 	entry, err := DecodeEntry(logEntry.Payload)
 	if err != nil {
@@ -41,7 +42,8 @@
 	return verdict
 }
 
-// judgeSnapshot takes note of a snapshot if its digest is that of this fold.
+// applySnapshotNotice records an announced snapshot if its digest matches this
+// state at the snapshot's offset.
 func (s *State) applySnapshotNotice(offset structs.LogOffset, notice SnapshotNotice) Verdict {
 	before, known := s.Verdict(notice.Offset - 1)
 	if !known || before.Digest != notice.Digest || notice.Offset > offset {
@@ -53,8 +55,8 @@
 	return Verdict{Reason: VerdictSnapshot}
 }
 
-// Check tells what the verdict on a change would be if it came next in the
-// log, and the configuration that it would bring into force.
+// Check returns the verdict that a change would get as the next entry of the
+// log, and the resulting configuration if it is accepted.
 func (s *State) Check(change *structs.Change) (Verdict, *structs.Configuration) {
 	verdict := Verdict{
 		OperationID: change.OperationID,
@@ -84,8 +86,8 @@
 	return verdict, next
 }
 
-// ApplyPatch returns the configuration after a patch, as a new value that
-// shares what did not change, and what is wrong with the patch itself.
+// ApplyPatch returns the patched configuration as a new value, which shares
+// unchanged maps with current, and the problems of the patch itself.
 func ApplyPatch(current *structs.Configuration, patch *structs.Patch) (*structs.Configuration, []Problem) {
 	if current == nil {
 		current = &structs.Configuration{}
@@ -125,7 +127,7 @@
 	return next
 }
 
-// contentsAfter brings the sum of hashes up to date with a patch.
+// contentHashAfter returns the content hash after a patch of current.
 func contentHashAfter(sum uint64, current *structs.Configuration, patch *structs.Patch) uint64 {
 	if current == nil {
 		current = &structs.Configuration{}
@@ -156,7 +158,7 @@
 	return difference
 }
 
-// sortedNames returns the keys of a map in order.
+// sortedNames returns the keys of a map in ascending order.
 func sortedNames[Name ~string, Value any](values map[Name]Value) []Name {
 	return slices.Sorted(maps.Keys(values))
 }
--- a/internal/configuration/fold_test.go
+++ b/internal/configuration/fold_test.go
@@ -14,7 +14,7 @@
 // keyHash returns a well-formed hash that differs by number.
 func keyHash(number int) string { return fmt.Sprintf("%064x", number+1) }
 
-// firstPatch brings in one model, one template and one tenant.
+// firstPatch sets one model, one template and one tenant.
 func firstPatch() structs.Patch {
 	return structs.Patch{
 		Models: structs.Edit[structs.ModelName, structs.Model]{Set: map[structs.ModelName]structs.Model{
@@ -58,7 +58,7 @@
 		encoded(t, 4, "broken", 2, structs.Patch{Tenants: invalid}),
 		{Offset: 5, Payload: []byte(`{"change":{"operation_id":"x","surprise":1}}`)},
 		encoded(t, 6, "racer-b-again", 2, structs.Patch{Tenants: tenantEdit("shop-1", 3)}),
-		// Built on the revision in force by now, but refused before: stays so.
+		// Based on the revision in force, but its operation was refused before.
 		encoded(t, 7, "racer-b", 3, structs.Patch{Tenants: tenantEdit("shop-1", 9)}),
 	}
 	state := NewState()
@@ -84,7 +84,7 @@
 		t.Errorf("share is %d, want 3", share)
 	}
 	if state.contentHash != contentHashOf(state.Configuration) {
-		t.Error("the running sum of the contents differs from the sum made anew")
+		t.Error("the incremental content hash differs from the recomputed one")
 	}
 }
 
@@ -109,7 +109,7 @@
 		state.Fold(encoded(t, i, fmt.Sprintf("op-%d", i), i, structs.Patch{Tenants: tenantEdit("shop-1", i)}))
 	}
 	if len(state.Verdicts) != VerdictWindow || len(state.operations) != VerdictWindow {
-		t.Errorf("%d verdicts and %d operations are kept, want %d", len(state.Verdicts), len(state.operations), VerdictWindow)
+		t.Errorf("state has %d verdicts and %d operations, want %d", len(state.Verdicts), len(state.operations), VerdictWindow)
 	}
 	if _, known := state.OperationVerdict("op-10"); known {
 		t.Error("an operation beyond the window is still known")
@@ -135,10 +135,10 @@
 	want, _ := state.Fold(next)
 	got, _ := restored.Fold(next)
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("a restored state judges otherwise (-want +got):\n%s", diff)
+		t.Errorf("verdict of the restored state (-want +got):\n%s", diff)
 	}
 	if _, err := DecodeSnapshot(data, state.Digest()+1); err == nil {
-		t.Error("a snapshot with another digest was taken")
+		t.Error("a snapshot with another digest was accepted")
 	}
 }
 
--- a/internal/configuration/fuzz_test.go
+++ b/internal/configuration/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/mintpulley/mintpulley/internal/framework"
 )
 
-// Whatever stands in the log: the fold goes on, agrees with itself, and its
-// running sum stays true.
+// FuzzFold checks for any payload that the fold advances, is deterministic, keeps
+// a correct content hash and never accepts an invalid configuration.
 func FuzzFold(f *testing.F) {
 	for _, seed := range []string{
 		`{"change":{"operation_id":"a","operator":"o","base":1,"patch":{"tenants":{"set":{"shop-2":{"share":1}}}}}}`,
@@ -28,13 +28,13 @@
 			}
 		}
 		if one.Digest() != other.Digest() {
-			t.Error("two folds of one log differ")
+			t.Error("two folds of the same log differ")
 		}
 		if one.contentHash != contentHashOf(one.Configuration) {
-			t.Error("the running sum of the contents differs from the sum made anew")
+			t.Error("the incremental content hash differs from the recomputed one")
 		}
 		if problems := Validate(one.Configuration); len(problems) > 0 {
-			t.Errorf("a configuration came into force that fails checks: %v", problems)
+			t.Errorf("an invalid configuration is in force: %v", problems)
 		}
 	})
 }
@@ -51,7 +51,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		got, err := DecodeSnapshot(data, state.Digest())
 		if err == nil && got.Digest() != state.Digest() {
-			t.Error("a snapshot with another digest was taken")
+			t.Error("a snapshot with another digest was accepted")
 		}
 	})
 }
--- a/internal/configuration/key_index.go
+++ b/internal/configuration/key_index.go
@@ -4,10 +4,11 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// keyOwners finds the tenant of a key.
+// keyIndex maps a key hash to its tenant.
 type keyIndex map[string]structs.TenantName
 
-// claim gives a key to a tenant; false and the owner when it is taken.
+// claim assigns a key to a tenant. It returns the owner and whether the key was
+// free.
 func (k keyIndex) claim(hash string, tenant structs.TenantName) (structs.TenantName, bool) {
 	if owner, taken := k[hash]; taken {
 		return owner, false
@@ -16,7 +17,7 @@
 	return tenant, true
 }
 
-// change brings the owners up to date with an accepted patch.
+// update applies the tenants' edit of an accepted patch.
 func (k keyIndex) update(current *structs.Configuration, edit *structs.Edit[structs.TenantName, structs.Tenant]) {
 	if current != nil {
 		for name := range edit.Set {
@@ -43,5 +44,6 @@
 	}
 }
 
-// claimKey gives a key to a tenant, or tells who has it.
+// claimFunc assigns a key to a tenant. It returns the owner and whether the key
+// was free.
 type claimFunc func(hash string, tenant structs.TenantName) (structs.TenantName, bool)
--- a/internal/configuration/messages.go
+++ b/internal/configuration/messages.go
@@ -12,23 +12,23 @@
 	peer.Register(peer.ClassControl, &SnapshotPart{})
 }
 
-// Offer tells a neighbour how far the sender has folded the log.
+// Offer announces the sender's offset and digest to a peer.
 type Offer struct {
 	Offset structs.LogOffset `json:"offset"`
 	Digest uint64            `json:"digest"`
-	// ReplyWanted wants an offer in return, as a daemon that starts does.
+	// ReplyWanted requests an offer in return; starting daemons set it.
 	ReplyWanted bool `json:"ask,omitempty"`
 }
 
 // MessageKind implements peer.Message.
 func (*Offer) MessageKind() peer.Kind { return "configuration.offer" }
 
-// Fetch asks for the entries from an offset on. A daemon that has forgotten
+// Fetch requests the entries from an offset on. A daemon that no longer retains
 // them answers with the first part of a snapshot.
 type Fetch struct {
 	From structs.LogOffset `json:"from"`
-	// SnapshotOffset and Part ask for one more part of a snapshot that the
-	// daemon has begun to hand over; Part 0 asks for entries.
+	// SnapshotOffset and Part request a further part of a snapshot whose first
+	// part was received; Part 0 requests entries.
 	SnapshotOffset structs.LogOffset `json:"snapshot_offset,omitempty"`
 	Part           int               `json:"part,omitempty"`
 }
@@ -36,13 +36,14 @@
 // MessageKind implements peer.Message.
 func (*Fetch) MessageKind() peer.Kind { return "configuration.fetch" }
 
-// PeerEntry is one entry of the log as a peer hands it over.
+// PeerEntry is one entry of the log as sent by a peer.
 type PeerEntry struct {
 	Offset  structs.LogOffset `json:"offset"`
 	Payload []byte            `json:"payload"`
 }
 
-// Entries answers Fetch, oldest first. Offset and Digest are the sender's.
+// Entries answers a Fetch with entries, oldest first. Offset and Digest are the
+// sender's.
 type Entries struct {
 	Entries []PeerEntry       `json:"entries,omitempty"`
 	Offset  structs.LogOffset `json:"offset"`
@@ -52,11 +53,11 @@
 // MessageKind implements peer.Message.
 func (*Entries) MessageKind() peer.Kind { return "configuration.entries" }
 
-// SnapshotPart answers Fetch with a piece of a packed snapshot.
+// SnapshotPart answers a Fetch with one part of an encoded snapshot.
 type SnapshotPart struct {
 	Offset structs.LogOffset `json:"offset"`
 	Digest uint64            `json:"digest"`
-	// Part counts from 0; Parts is how many there are.
+	// Part counts from 0; Parts is the number of parts.
 	Part  int    `json:"part"`
 	Parts int    `json:"parts"`
 	Data  []byte `json:"data"`
--- a/internal/configuration/peer_sync.go
+++ b/internal/configuration/peer_sync.go
@@ -11,47 +11,50 @@
 )
 
 const (
-	// entriesBytes bounds the payloads of one Entries message.
+	// maximumEntriesBytes bounds the payloads of one Entries message.
 	maximumEntriesBytes = 32 << 10
-	// partBytes bounds the data of one SnapshotPart.
+	// snapshotPartBytes bounds the data of one SnapshotPart.
 	snapshotPartBytes = 32 << 10
-	// maximumParts bounds what a peer may claim of a snapshot.
+	// maximumSnapshotParts bounds the number of parts that a peer may announce.
 	maximumSnapshotParts = maximumSnapshotBytes / snapshotPartBytes
-	// aheadLimit bounds the peers remembered as being ahead.
+	// maximumAheadPeers bounds the list of peers that are ahead.
 	maximumAheadPeers = 16
 )
 
-// ahead is a peer that has folded further.
+// aheadPeer is a peer with a higher offset than this store.
 type aheadPeer struct {
 	peer   structs.DaemonID
 	offset structs.LogOffset
 }
 
-// exchange is the store's dealing with its peers.
+// peerSync is the state of the exchange with peers.
 type peerSync struct {
-	// hasPeerOffset is set once any peer told its offset; highest is the highest told.
+	// hasPeerOffset is set once any peer has reported its offset;
+	// highestOffset is the highest one reported.
 	hasPeerOffset bool
 	highestOffset structs.LogOffset
-	// ahead are peers that can hand over entries, the latest told last.
+	// ahead lists the peers to fetch entries from, in the order in which they
+	// reported their offset.
 	ahead []aheadPeer
-	// asked is the peer that a fetch is under way at, "" for none.
+	// fetchingFrom is the peer with a fetch in flight, "" for none; fetchTimer
+	// is the timeout of that fetch.
 	fetchingFrom structs.DaemonID
 	fetchTimer   clock.Timer
-	// secondRound is set while another round of offers is to come.
+	// secondRoundPending is set while the second round of offers is scheduled.
 	secondRoundPending bool
-	// incoming gathers a snapshot; outgoing is the one being handed out.
+	// incoming is the snapshot being received, outgoing the one being sent.
 	incoming incomingSnapshot
 	outgoing outgoingSnapshot
 }
 
 func newPeerSync() peerSync { return peerSync{} }
 
-// ReceiveNote takes a peer's word about itself from a heartbeat.
+// ReceiveNote handles the offset and digest of a peer's heartbeat.
 func (s *Store) ReceiveNote(from structs.DaemonID, note membership.Note) {
 	s.queue.Do(func() { s.receiveOffset(from, note.ConfigurationOffset, note.ConfigurationDigest) })
 }
 
-// Receive handles the messages of this package; false for all others.
+// Receive handles the messages of this package and returns false for all others.
 func (s *Store) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch m := message.(type) {
 	case *Offer:
@@ -75,7 +78,8 @@
 	s.receiveOffset(from, offer.Offset, offer.Digest)
 }
 
-// receiveOffset notes how far a peer is and fetches what this store lacks.
+// receiveOffset records a peer's offset, and fetches the missing entries if the
+// peer is ahead.
 func (s *Store) receiveOffset(from structs.DaemonID, offset structs.LogOffset, digest uint64) {
 	if s.stopped || s.Guards.SkipDissemination || from == s.Self {
 		return
@@ -91,7 +95,8 @@
 	s.startServingIfCaughtUp()
 }
 
-// compare finds out whether a peer folded other entries than this store.
+// compareDigest counts a divergence if a peer has another digest than this store
+// at the same offset.
 func (s *Store) compareDigest(from structs.DaemonID, offset structs.LogOffset, digest uint64) {
 	verdict, known := s.state.Verdict(offset - 1)
 	if !known || verdict.Digest == digest {
@@ -102,7 +107,7 @@
 	s.publish()
 }
 
-// rememberAhead keeps a peer that is ahead.
+// addAheadPeer records a peer that is ahead, and drops those that no longer are.
 func (s *Store) addAheadPeer(from structs.DaemonID, offset structs.LogOffset) {
 	kept := slices.DeleteFunc(s.peerSync.ahead, func(entry aheadPeer) bool {
 		return entry.peer == from || entry.offset <= s.state.Next
@@ -113,7 +118,7 @@
 	s.peerSync.ahead = append(kept, aheadPeer{peer: from, offset: offset})
 }
 
-// fetch asks one peer at a time for what is missing.
+// fetch requests missing entries from one peer at a time.
 func (s *Store) fetch() {
 	if s.peerSync.fetchingFrom != "" || s.stopped {
 		return
@@ -128,7 +133,7 @@
 	}
 }
 
-// ask sends a fetch and gives the peer up when it does not answer in time.
+// sendFetch sends a fetch, and tries another peer if it is not answered in time.
 func (s *Store) sendFetch(daemon structs.DaemonID, request *Fetch) {
 	s.peerSync.fetchingFrom = daemon
 	s.Transport.Send(daemon, request)
@@ -150,7 +155,7 @@
 	s.peerSync.ahead = slices.DeleteFunc(s.peerSync.ahead, func(entry aheadPeer) bool { return entry.peer == daemon })
 }
 
-// endFetch ends the fetch that is under way at a peer.
+// endFetch ends the fetch in flight at a peer, if there is one.
 func (s *Store) endFetch(from structs.DaemonID) {
 	if s.peerSync.fetchingFrom != from {
 		return
@@ -160,7 +165,8 @@
 	s.peerSync.fetchTimer = nil
 }
 
-// answerFetch answers a peer's fetch.
+// answerFetch answers with a snapshot part or with entries. A peer whose offset
+// is no longer retained gets the first part of a snapshot.
 func (s *Store) answerFetch(to structs.DaemonID, request *Fetch) {
 	if s.stopped || s.Guards.SkipDissemination {
 		return
@@ -178,7 +184,7 @@
 	s.Transport.Send(to, &Entries{Entries: entries, Offset: s.state.Next, Digest: s.state.Digest()})
 }
 
-// receiveEntries folds what a peer handed over and asks for more.
+// receiveEntries folds the entries of a peer and fetches more if needed.
 func (s *Store) receiveEntries(from structs.DaemonID, message *Entries) {
 	if s.stopped || s.Guards.SkipDissemination {
 		return
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -11,21 +11,22 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// ErrOutcomeUnknown: the change may have been appended and may yet come into
-// force. Publishing it again under the same operation identifier is safe.
+// ErrOutcomeUnknown: the change may have been appended and may still take
+// effect. Publishing it again under the same operation identifier is safe.
 var ErrOutcomeUnknown = eris.New("configuration: it is not known whether the change was appended; publish it again under the same operation identifier")
 
-// RefusedError is a change that the fold refused.
+// RefusedError reports a change that the fold did not accept.
 type RefusedError struct {
 	Verdict Verdict
-	// InForce is the change that made the revision in force, if it is known.
+	// InForce is the verdict on the change that created the revision in force,
+	// nil if unknown.
 	InForce *Verdict
 }
 
-// Error explains the refusal to an operator.
+// Error implements error.
 func (e *RefusedError) Error() string { return Explain(e.Verdict, e.InForce) }
 
-// Explain says in words why an entry was not applied and what to do.
+// Explain describes to an operator why an entry was not applied and what to do.
 func Explain(verdict Verdict, inForce *Verdict) string {
 	switch verdict.Reason {
 	case VerdictStaleBase:
@@ -41,21 +42,21 @@
 		}
 		return "the change was refused: " + strings.Join(reasons, "; ")
 	case VerdictDuplicate:
-		return fmt.Sprintf("the operation stands in the log already, at offset %d", verdict.FirstOffset)
+		return fmt.Sprintf("the operation is already in the log, at offset %d", verdict.FirstOffset)
 	default:
 		return string(verdict.Reason)
 	}
 }
 
-// PublishSettings bound a publication.
+// PublishSettings holds the timeout and retry settings of a publication.
 type PublishSettings struct {
-	// Timeout is how long to go on before the outcome is given up as unknown.
+	// Timeout is how long to wait for the verdict before ErrOutcomeUnknown.
 	Timeout time.Duration
-	// RetryDelay comes before an operation is looked up after a lost answer, and
-	// between tries. A reader of the log may lag by as much.
+	// RetryDelay is the pause before each retry, and before the operation is
+	// looked up after a lost answer. It allows for stale reads of the log.
 	RetryDelay time.Duration
-	// MaximumLookups is how often the log is searched before the entry is appended
-	// again.
+	// MaximumLookups is how often the log is searched for the operation before
+	// it is appended again.
 	MaximumLookups int
 }
 
@@ -65,14 +66,14 @@
 	return PublishSettings{Timeout: 15 * time.Second, RetryDelay: 300 * time.Millisecond, MaximumLookups: 2}
 }
 
-// publication is one change on its way into force.
+// publication is one change that is being published.
 type publication struct {
 	store    *Store
 	settings PublishSettings
 	change   structs.Change
 	payload  []byte
-	// from is where a search of the log begins: the operation was not folded
-	// before it.
+	// searchFrom is the offset at which a search of the log begins: the
+	// operation was not folded before it.
 	searchFrom structs.LogOffset
 	lookups    int
 	begun      time.Time
@@ -80,11 +81,11 @@
 	done       func(Verdict, error)
 }
 
-// Publish appends a change and calls done once with the fold's verdict on it.
-// The error is nil when the change came into force, a *RefusedError when it
-// was refused, or ErrOutcomeUnknown. After an append whose answer was lost the
-// operation is looked up in the log before it is appended again; should a
-// lagging reader hide it even so, the fold applies it once.
+// Publish appends a change and calls done once with the verdict on it. The error
+// is nil when the change was accepted, a *RefusedError when it was not, or
+// ErrOutcomeUnknown. After an append whose answer was lost, the operation is
+// looked up in the log before it is appended again; if a stale read hides it,
+// the fold drops the second entry as a duplicate.
 func (s *Store) Publish(change structs.Change, settings PublishSettings, done func(Verdict, error)) {
 	s.queue.Do(func() {
 		p := &publication{store: s, settings: settings, change: change, begun: s.Clock.Now(), searchFrom: s.state.Next, done: done}
@@ -132,7 +133,8 @@
 	}
 }
 
-// lookUp searches the log for the operation after a lost answer.
+// lookUp searches the log for the operation after the answer to an append was
+// lost.
 func (p *publication) lookUp() {
 	p.lookups++
 	p.scan(max(p.searchFrom, p.store.state.Next))
@@ -179,7 +181,7 @@
 	}
 }
 
-// end reports a verdict.
+// complete calls done with a verdict.
 func (p *publication) complete(verdict Verdict, inForce *Verdict) {
 	p.completed = true
 	if verdict.Accepted {
@@ -189,7 +191,7 @@
 	p.done(verdict, &RefusedError{Verdict: verdict, InForce: inForce})
 }
 
-// settlePublications ends the publications whose verdict is known by now.
+// completePublications completes the publications whose verdict is known.
 func (s *Store) completePublications() {
 	kept := s.publications[:0]
 	var settled []*publication
@@ -210,7 +212,8 @@
 	}
 }
 
-// maker returns the verdict on the change that made a revision.
+// revisionVerdict returns the verdict on the change that created a revision, nil
+// if it is not in the window.
 func (s *State) revisionVerdict(revision structs.Revision) *Verdict {
 	for i := len(s.Verdicts) - 1; i >= 0; i-- {
 		if s.Verdicts[i].Accepted && s.Verdicts[i].Revision == revision {
--- a/internal/configuration/reader.go
+++ b/internal/configuration/reader.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// readLimit bounds the entries of one reading.
+	// maximumReadEntries bounds the entries of one read.
 	maximumReadEntries = 100
-	// membersPerInterval is the fleet size up to which each daemon reads the
-	// log at the shortest interval; beyond it the fleet as a whole reads about
-	// as often as such a fleet does.
+	// membersAtPollInterval is the fleet size up to which each daemon polls the
+	// log at Settings.PollInterval. In a larger fleet the interval grows with the
+	// size, which keeps the total rate of reads constant.
 	membersAtPollInterval = 8
-	// jitterFraction spreads the readings of daemons that started together.
+	// jitterFraction spreads the reads of daemons that started together.
 	jitterFraction = 0.2
 )
 
-// poll reads the log once and again after a pause.
+// poll reads the log and schedules the next read.
 func (s *Store) poll() {
 	if s.Guards.SkipDissemination && s.serving {
 		return
@@ -32,7 +32,7 @@
 	})
 }
 
-// readNow reads once besides the regular readings.
+// readOnce reads the log outside the regular polling.
 func (s *Store) readOnce() {
 	s.Log.Read(framework.StreamConfiguration, s.state.Next, maximumReadEntries, func(entries []framework.LogEntry, err error) {
 		s.queue.Do(func() {
@@ -48,7 +48,7 @@
 		return
 	}
 	if err != nil {
-		s.Logger.Debug().Err(err).Msg("Configuration log not read.")
+		s.Logger.Debug().Err(err).Msg("Configuration log could not be read.")
 		s.after(s.interval(), s.poll)
 		return
 	}
@@ -63,7 +63,7 @@
 	s.after(s.interval(), s.poll)
 }
 
-// interval returns the pause before the next reading.
+// interval returns the pause before the next read, with jitter.
 func (s *Store) interval() time.Duration {
 	members := 1 + len(s.Peers())
 	interval := s.Settings.PollInterval * time.Duration(max(members, membersAtPollInterval)) / membersAtPollInterval
@@ -72,8 +72,8 @@
 	return time.Duration(float64(interval) * jitter)
 }
 
-// rereadAll is the broken reader behind Guards.AcceptOlder: it folds what a
-// reader returns from the beginning and takes the result, older or not.
+// rereadAll implements the fault of Guards.AcceptOlder: it folds the log from
+// the beginning and replaces the state by the result, even if that is older.
 func (s *Store) rereadAll(fresh *State) {
 	s.Log.Read(framework.StreamConfiguration, fresh.Next, maximumReadEntries, func(entries []framework.LogEntry, err error) {
 		s.queue.Do(func() { s.handleReread(fresh, entries, err) })
--- a/internal/configuration/recover.go
+++ b/internal/configuration/recover.go
@@ -5,24 +5,25 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// StreamSnapshots carries packed snapshots of the fold. A notice in the
-// configuration stream tells where each stands, so that a fresh daemon finds
-// the latest without reading the others.
+// StreamSnapshots carries encoded snapshots of the state. A notice in the
+// configuration stream gives the offset of each, so that a starting daemon
+// loads the latest without reading the others.
 const StreamSnapshots framework.StreamName = "configuration-snapshots"
 
-// recovery looks for the latest snapshot: it finds the end of the
-// configuration stream by halving, reads back to the latest notice of a
-// snapshot, and loads that. Peers may bring the store up meanwhile; what is
-// furthest wins.
+// recovery loads the latest snapshot: it finds the end of the configuration
+// stream by exponential search and bisection, scans backward to the latest
+// snapshot notice and loads that snapshot. Peers may advance the store
+// meanwhile; the higher offset wins.
 type recovery struct {
 	store *Store
-	// known has an entry, unknown may be beyond the end.
+	// An entry exists at lowerBound (-1: none found); upperBound may be beyond
+	// the end.
 	lowerBound, upperBound structs.LogOffset
 	notices                []SnapshotNotice
 }
 
-// recover brings a fresh store up from the log and then begins to poll. Any
-// failure falls back to folding from where the store is.
+// recover restores a starting store from the log and then begins to poll. On
+// any failure the store folds the log from its present offset.
 func (s *Store) recover() {
 	if s.Guards.AcceptOlder {
 		s.poll()
@@ -32,7 +33,8 @@
 	r.findUpperBound()
 }
 
-// read reads the log on behalf of the recovery, and polls instead on failure.
+// read reads entries and passes them to next. On an error it abandons the
+// recovery and starts polling.
 func (r *recovery) read(stream framework.StreamName, from structs.LogOffset, limit int, next func([]framework.LogEntry)) {
 	s := r.store
 	s.Log.Read(stream, from, limit, func(entries []framework.LogEntry, err error) {
@@ -48,7 +50,7 @@
 	})
 }
 
-// grow doubles the offset until there is no entry.
+// findUpperBound doubles the offset until no entry is found.
 func (r *recovery) findUpperBound() {
 	r.read(framework.StreamConfiguration, r.upperBound, 1, func(entries []framework.LogEntry) {
 		if len(entries) == 0 {
@@ -61,7 +63,7 @@
 	})
 }
 
-// halve narrows the end down to the length of a window.
+// bisectEnd narrows the end of the stream down to one snapshot window.
 func (r *recovery) bisectEnd() {
 	if r.lowerBound < 0 {
 		r.store.poll() // short enough to fold from the beginning
@@ -83,8 +85,8 @@
 	})
 }
 
-// searchBack reads a window for notices, and the window before it if there
-// are none.
+// scanBackward scans a window for snapshot notices, and the windows before it
+// until it finds one.
 func (r *recovery) scanBackward(first, end structs.LogOffset) {
 	r.scanWindow(first, first, end)
 }
@@ -112,7 +114,7 @@
 	})
 }
 
-// load takes the latest snapshot that is good.
+// loadSnapshot adopts the latest snapshot that is valid.
 func (r *recovery) loadSnapshot() {
 	s := r.store
 	if len(r.notices) == 0 {
@@ -132,7 +134,7 @@
 		}
 		state, err := DecodeSnapshot(entries[0].Payload, notice.Digest)
 		if err != nil || state.Next != notice.Offset {
-			s.Logger.Warn().Err(err).Msg("Configuration snapshot in the log refused.")
+			s.Logger.Warn().Err(err).Msg("Configuration snapshot in the log rejected.")
 			r.loadSnapshot()
 			return
 		}
--- a/internal/configuration/resolve/resolve.go
+++ b/internal/configuration/resolve/resolve.go
@@ -1,5 +1,5 @@
-// Package resolve looks up what the configuration in force says about one
-// tenant, template and call.
+// Package resolve determines the policy of a call from the configuration in
+// force.
 package resolve
 
 import (
@@ -12,11 +12,11 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// retryWithoutConfiguration is when a caller may come back to a daemon that
-// has not read any configuration yet.
+// retryWithoutConfiguration is the retry delay given to a caller while a daemon
+// has no configuration.
 const retryWithoutConfiguration = 2 * time.Second
 
-// Limits that hold where a template sets none.
+// Default limits for a template that sets none.
 const (
 	DefaultTurns       = 200
 	DefaultWallTime    = 2 * time.Hour
@@ -25,7 +25,7 @@
 	DefaultSubAgents   = 32
 )
 
-// Call returns the policy for a call, or the refusal when it may not run.
+// Call returns the policy for a call, or the outcome of a refused call.
 func Call(configuration *structs.Configuration, call *structs.Call) (program.Policy, *structs.Outcome) {
 	if configuration == nil {
 		return refuse(structs.ReasonNoConfiguration, "", "No configuration is in force yet.", retryWithoutConfiguration)
@@ -51,7 +51,7 @@
 	return result, nil
 }
 
-// templateName returns the template asked for, or the tenant's only one.
+// templateName returns the requested template, or the tenant's only one.
 func templateName(tenant structs.Tenant, call *structs.Call) (structs.TemplateName, *structs.Outcome) {
 	if call.Template != "" {
 		return call.Template, nil
@@ -102,8 +102,8 @@
 	return result
 }
 
-// adapter returns what a model call runs with: the tenant's own choice goes
-// before its template's.
+// adapter returns the adapter of a model call. The tenant's setting takes
+// precedence over the template's.
 func adapter(template *structs.Template, use *structs.TenantTemplate, call *structs.Call) structs.AdapterName {
 	if call.Kind != structs.CallModel {
 		return ""
@@ -133,7 +133,8 @@
 	return limits
 }
 
-// ExpandPlaceholders replaces "{{name}}" in a template's text by the tenant's parameters.
+// ExpandPlaceholders replaces each "{{name}}" in a text by the parameter of that
+// name.
 func ExpandPlaceholders(text string, parameters map[string]string) string {
 	if len(parameters) == 0 {
 		return text
@@ -145,7 +146,7 @@
 	return strings.NewReplacer(pairs...).Replace(text)
 }
 
-// ModelPrice returns what a model costs now.
+// ModelPrice returns the price of a model in a configuration.
 func ModelPrice(configuration *structs.Configuration, model structs.ModelName) structs.Price {
 	entry := configuration.Models[model]
 	return structs.Price{Prompt: entry.PromptCost, Completion: entry.CompletionCost}
--- a/internal/configuration/retained_entries.go
+++ b/internal/configuration/retained_entries.go
@@ -5,10 +5,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// retainedBytes bounds the payloads kept for peers that lag.
+// maximumRetainedBytes bounds the payloads retained for peers that lag.
 const maximumRetainedBytes = 1 << 20
 
-// retained keeps the latest entries as they stand in the log.
+// retainedEntries holds the latest entries of the log in order.
 type retainedEntries struct {
 	entries []framework.LogEntry
 	bytes   int
@@ -25,8 +25,8 @@
 
 func (r *retainedEntries) clear() { *r = retainedEntries{} }
 
-// from returns entries from an offset on, at most limit bytes but at least
-// one; false when that offset is no longer kept.
+// entriesFrom returns entries from an offset on: up to limit bytes, but at least
+// one if there is any. It returns false when that offset is no longer retained.
 func (r *retainedEntries) entriesFrom(offset structs.LogOffset, limit int) ([]PeerEntry, bool) {
 	if len(r.entries) == 0 || offset < r.entries[0].Offset {
 		return nil, false
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -7,14 +7,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrBadSnapshot: the bytes are not the snapshot that was told of.
+// ErrBadSnapshot is returned for data that is not the announced snapshot.
 var ErrBadSnapshot = eris.New("configuration: bad snapshot")
 
-// snapshotMemory bounds an unpacked snapshot, in bytes.
+// maximumSnapshotBytes bounds a decompressed snapshot.
 const maximumSnapshotBytes = 256 << 20
 
-// EncodeSnapshot packs a state. Key hashes do not compress; everything else
-// repeats from tenant to tenant.
+// EncodeSnapshot encodes a state as JSON compressed with zstd.
 func EncodeSnapshot(state *State) ([]byte, error) {
 	text, err := json.Marshal(state)
 	if err != nil {
@@ -28,8 +27,7 @@
 	return encoder.EncodeAll(text, nil), nil
 }
 
-// DecodeSnapshot unpacks a state and checks it against the digest that was
-// told of.
+// DecodeSnapshot decodes a state and verifies it against the announced digest.
 func DecodeSnapshot(data []byte, digest uint64) (*State, error) {
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maximumSnapshotBytes))
 	if err != nil {
@@ -54,7 +52,8 @@
 	return state, nil
 }
 
-// contiguous reports whether there is one verdict per entry up to Next.
+// contiguous reports whether the verdicts have consecutive offsets that end just
+// before Next.
 func contiguous(state *State) bool {
 	first := state.Next
 	if len(state.Verdicts) > 0 {
--- a/internal/configuration/snapshot_transfer.go
+++ b/internal/configuration/snapshot_transfer.go
@@ -18,8 +18,9 @@
 	data   []byte
 }
 
-// packOutgoing keeps a packed snapshot as long as the entries behind it are
-// at hand, so that handing one over survives the changes made meanwhile.
+// prepareOutgoingSnapshot encodes a snapshot to send to peers. It reuses the
+// previous one while the entries after it are retained, so that a transfer is
+// not interrupted by changes made meanwhile.
 func (s *Store) prepareOutgoingSnapshot() {
 	out := &s.peerSync.outgoing
 	if out.data != nil {
@@ -29,7 +30,7 @@
 	}
 	data, err := EncodeSnapshot(s.state)
 	if err != nil {
-		s.Logger.Error().Err(err).Msg("Configuration snapshot not packed.")
+		s.Logger.Error().Err(err).Msg("Configuration snapshot could not be encoded.")
 		return
 	}
 	*out = outgoingSnapshot{offset: s.state.Next, digest: s.state.Digest(), data: data}
@@ -51,7 +52,8 @@
 	})
 }
 
-// receiveSnapshotPart gathers a snapshot from a peer.
+// receiveSnapshotPart adds a part to the incoming snapshot. It fetches the next
+// part, or adopts the snapshot once it is complete.
 func (s *Store) receiveSnapshotPart(from structs.DaemonID, part *SnapshotPart) {
 	if s.stopped || s.peerSync.fetchingFrom != from {
 		return
@@ -81,7 +83,7 @@
 	s.peerSync.incoming = incomingSnapshot{}
 	state, err := DecodeSnapshot(incoming.data, incoming.digest)
 	if err != nil {
-		s.Logger.Error().Err(err).Str("peer", string(from)).Msg("Configuration snapshot refused.")
+		s.Logger.Error().Err(err).Str("peer", string(from)).Msg("Configuration snapshot from a peer rejected.")
 		s.removeAheadPeer(from)
 		s.fetch()
 		return
--- a/internal/configuration/snapshot_writer.go
+++ b/internal/configuration/snapshot_writer.go
@@ -10,16 +10,17 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// maximumRank bounds the pause before a snapshot in a large fleet.
+// maximumSnapshotRank bounds the delay before a snapshot in a large fleet.
 const maximumSnapshotRank = 30
 
-// snapshotWriter keeps at most one snapshot under way.
+// snapshotWriter ensures that at most one snapshot is scheduled or being
+// written.
 type snapshotWriter struct{ pending bool }
 
-// considerSnapshot plans a snapshot when the latest is old. The daemons take
-// turns in an order that differs from snapshot to snapshot; whoever finds at
-// its turn that another's notice came meanwhile does nothing. Two snapshots of
-// one offset do no harm.
+// scheduleSnapshotIfDue schedules a snapshot when enough entries follow the
+// latest one. Daemons are delayed by their rank, which differs from snapshot to
+// snapshot; a daemon writes none if another's notice has arrived by then. Two
+// snapshots of one offset are harmless.
 func (s *Store) scheduleSnapshotIfDue() {
 	if s.writer.pending || !s.snapshotDue() {
 		return
@@ -32,7 +33,7 @@
 	return s.serving && int(s.state.Next-s.state.Snapshot.Offset) >= s.Settings.SnapshotEvery
 }
 
-// rank is this daemon's turn among its peers for the next snapshot.
+// snapshotRank returns this daemon's rank among its peers for the next snapshot.
 func (s *Store) snapshotRank() int {
 	turn := func(daemon structs.DaemonID) uint64 {
 		return xxhash.Sum64String(fmt.Sprint(daemon, s.state.Snapshot.Offset))
@@ -46,9 +47,9 @@
 	return min(rank, maximumSnapshotRank)
 }
 
-// writeSnapshot stores the snapshot first and tells of it afterwards, so that
-// no notice ever stands without its snapshot. If either append fails, nothing
-// is known to be lost: the next turn writes another.
+// writeSnapshot stores a snapshot and then appends its notice, so that no notice
+// exists without its snapshot. If either append fails, a later attempt writes
+// another snapshot.
 func (s *Store) writeSnapshot() {
 	if !s.snapshotDue() {
 		s.writer.pending = false
@@ -56,7 +57,7 @@
 	}
 	data, err := EncodeSnapshot(s.state)
 	if err != nil {
-		s.Logger.Error().Err(err).Msg("Configuration snapshot not packed.")
+		s.Logger.Error().Err(err).Msg("Configuration snapshot could not be encoded.")
 		s.finishSnapshot()
 		return
 	}
@@ -74,12 +75,12 @@
 	})
 }
 
-// appendNotice writes the entry that tells readers of a snapshot. After an error
-// the next plan writes a snapshot again.
+// appendNotice appends the entry that announces a snapshot. Whether that fails
+// does not matter: without the notice, a snapshot is due again.
 func (s *Store) appendNotice(operation string, notice SnapshotNotice) {
 	payload, err := EncodeEntry(Entry{Snapshot: &notice})
 	if err != nil {
-		s.Logger.Error().Err(err).Msg("Notice of a configuration snapshot not encoded.")
+		s.Logger.Error().Err(err).Msg("Notice of a configuration snapshot could not be encoded.")
 		s.finishSnapshot()
 		return
 	}
@@ -88,7 +89,8 @@
 	})
 }
 
-// snapshotEnded leaves time for the notice to be read before the next plan.
+// finishSnapshot allows time for the notice to be read before the next snapshot
+// can be scheduled.
 func (s *Store) finishSnapshot() {
 	s.after(s.Settings.SnapshotPause, func() {
 		s.writer.pending = false
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -10,33 +10,33 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// VerdictWindow is how many of the latest verdicts the fold remembers. It is
-// part of the fold, since an operation is recognised as a duplicate within it:
-// it must be the same in every daemon.
+// VerdictWindow is the number of latest verdicts that the state keeps. An
+// operation is recognized as a duplicate within this window, so it must be the
+// same in every daemon.
 const VerdictWindow = 1024
 
-// VerdictReason tells why an entry was not applied.
+// VerdictReason is the reason why an entry was not applied.
 type VerdictReason string
 
-// Reasons of a verdict. An applied change has none.
+// Reasons of a verdict. An accepted change has none.
 const (
-	// VerdictStaleBase: the change builds on another revision than the one in
-	// force at its place in the log.
+	// VerdictStaleBase: the change's base is not the revision in force at its
+	// offset.
 	VerdictStaleBase VerdictReason = "stale_base"
-	// VerdictInvalid: the configuration that would result fails a check.
+	// VerdictInvalid: the resulting configuration fails validation.
 	VerdictInvalid VerdictReason = "invalid"
-	// VerdictDuplicate: an entry with the same operation came before.
+	// VerdictDuplicate: an earlier entry has the same operation identifier.
 	VerdictDuplicate VerdictReason = "duplicate"
-	// VerdictMalformed: the payload cannot be read.
+	// VerdictMalformed: the payload cannot be decoded.
 	VerdictMalformed VerdictReason = "malformed"
-	// VerdictSnapshot: the entry tells of a snapshot and changes nothing.
+	// VerdictSnapshot: the entry announces a snapshot and changes nothing.
 	VerdictSnapshot VerdictReason = "snapshot"
-	// VerdictBadSnapshot: the snapshot told of is not one of this fold.
+	// VerdictBadSnapshot: the digest of the announced snapshot does not match
+	// this state.
 	VerdictBadSnapshot VerdictReason = "bad_snapshot"
 )
 
-// Verdict is what the fold decided about one entry. Every daemon comes to the
-// same one.
+// Verdict is the result of folding one entry. It is the same in every daemon.
 type Verdict struct {
 	Offset      structs.LogOffset `json:"offset"`
 	OperationID string            `json:"operation_id,omitempty"`
@@ -47,38 +47,40 @@
 	Revision structs.Revision `json:"revision"`
 	Accepted bool             `json:"accepted"`
 	Reason   VerdictReason    `json:"reason,omitempty"`
-	// Problems say what an invalid change would break.
+	// Problems lists why a change is invalid or an entry malformed.
 	Problems []Problem `json:"problems,omitempty"`
-	// FirstOffset is the first entry of a duplicated operation.
+	// FirstOffset is the offset of the first entry of a duplicate operation.
 	FirstOffset structs.LogOffset `json:"first_offset,omitempty"`
-	// Digest is the digest of the fold after the entry.
+	// Digest is the digest of the state after the entry.
 	Digest uint64 `json:"digest"`
 }
 
-// State is the fold of the configuration stream up to an offset. It depends
-// on the entries alone. It is not safe for concurrent use.
+// State is the result of folding the configuration stream up to an offset. It
+// depends on the entries alone. It is not safe for concurrent use.
 type State struct {
-	// Next is the first offset not folded yet.
+	// Next is the first offset that is not folded yet.
 	Next structs.LogOffset `json:"next"`
 	// Configuration is the one in force; nil before the first.
 	Configuration *structs.Configuration `json:"configuration"`
-	// Verdicts are the latest, oldest first, one per entry.
+	// Verdicts are the latest VerdictWindow verdicts, oldest first, one per
+	// entry.
 	Verdicts []Verdict `json:"verdicts"`
-	// Chain hashes all verdicts so far, those forgotten included.
+	// Chain is the hash chain over all verdicts so far, including those that
+	// have left the window.
 	Chain uint64 `json:"chain"`
-	// Snapshot is the latest snapshot told of.
+	// Snapshot is the latest announced snapshot.
 	Snapshot SnapshotNotice `json:"snapshot"`
 
-	// contents is the sum of the hashes of all named values, kept up to date
-	// by each change instead of hashing the whole configuration again.
+	// contentHash is the sum of the hashes of all named values. Each change
+	// updates it incrementally.
 	contentHash uint64
-	// operations finds the first entry of an operation within the window.
+	// operations maps an operation identifier to its first offset in the window.
 	operations map[string]structs.LogOffset
-	// keys finds the tenant of a key.
+	// keys maps a key hash to its tenant.
 	keys keyIndex
 }
 
-// NewState returns the fold of nothing.
+// NewState returns an empty state.
 func NewState() *State {
 	return &State{operations: map[string]structs.LogOffset{}, keys: keyIndex{}}
 }
@@ -91,8 +93,8 @@
 	return s.Configuration.Revision
 }
 
-// Digest identifies the whole state: two folds with equal digests have the
-// same configuration and will judge later entries alike.
+// Digest identifies the whole state: two states with equal digests have the
+// same configuration and give the same verdicts on later entries.
 func (s *State) Digest() uint64 {
 	var buffer [5 * 8]byte
 	for i, part := range []uint64{uint64(s.Next), uint64(s.Revision()), s.contentHash, s.Chain, s.Snapshot.Digest} {
@@ -101,7 +103,8 @@
 	return xxhash.Sum64(buffer[:])
 }
 
-// Verdict returns the verdict on the entry at an offset, if it is remembered.
+// Verdict returns the verdict on the entry at an offset, and false if it is not
+// in the window.
 func (s *State) Verdict(offset structs.LogOffset) (Verdict, bool) {
 	if len(s.Verdicts) == 0 {
 		return Verdict{}, false
@@ -113,8 +116,8 @@
 	return s.Verdicts[at], true
 }
 
-// OperationVerdict returns the verdict on the first entry of an operation, if it is
-// remembered.
+// OperationVerdict returns the verdict on the first entry of an operation, and
+// false if it is not in the window.
 func (s *State) OperationVerdict(id string) (Verdict, bool) {
 	offset, found := s.operations[id]
 	if !found {
@@ -123,7 +126,7 @@
 	return s.Verdict(offset)
 }
 
-// remember adds a verdict and forgets those beyond the window.
+// recordVerdict appends a verdict and drops those beyond the window.
 func (s *State) recordVerdict(verdict Verdict) {
 	s.Chain = chainHash(s.Chain, &verdict)
 	verdict.Digest = s.Digest()
@@ -146,7 +149,7 @@
 	}
 }
 
-// chain hashes a verdict onto the hash of those before it.
+// chainHash extends the hash chain by a verdict.
 func chainHash(before uint64, verdict *Verdict) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -160,7 +163,7 @@
 	return digest.Sum64()
 }
 
-// restore rebuilds what is derived from the exported fields.
+// restore rebuilds the unexported fields from the exported ones.
 func (s *State) restore() {
 	s.contentHash = contentHashOf(s.Configuration)
 	s.keys = keyIndex{}
@@ -178,8 +181,8 @@
 	}
 }
 
-// contentsOf sums the hashes of all named values. A sum does not depend on
-// the order in which the values came.
+// contentHashOf sums the hashes of all named values. The sum does not depend on
+// map order and can be updated per value.
 func contentHashOf(configuration *structs.Configuration) uint64 {
 	if configuration == nil {
 		return 0
@@ -197,11 +200,11 @@
 	return sum
 }
 
-// hashOf hashes one named value by its canonical JSON.
+// hashValue hashes one named value by its JSON, in which map keys are sorted.
 func hashValue[Value any](kind, name string, value Value) uint64 {
 	text, err := json.Marshal(value)
 	if err != nil {
-		// Only a float that is no number cannot be written; checks refuse it.
+		// Only NaN and infinite floats cannot be marshaled; validation rejects them.
 		text = []byte(err.Error())
 	}
 	var digest xxhash.Digest
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -1,12 +1,13 @@
-// Package configuration folds the operators' stream of changes into the
-// configuration in force. The fold depends on the log alone, so that every
-// daemon that has folded up to the same offset has the same configuration.
+// Package configuration folds the log of the operators' changes into the
+// configuration in force. The fold is deterministic and depends on the log
+// alone: daemons that have folded up to the same offset have the same
+// configuration.
 //
-// Daemons read the log, tell each other how far they are and hand each other
-// what is missing, so that a daemon cut off from the log follows through one
-// that is not. A store never goes back: entries are folded one after another,
-// and a daemon that starts serves no configuration before it has caught up
-// with the log and with the peers it can hear.
+// Daemons poll the log, announce their offset to each other and fetch missing
+// entries from peers, so that a daemon partitioned from the log follows through
+// one that is not. A store never rolls back: entries are folded in order, and a
+// starting daemon serves no configuration before it has caught up with the log
+// and with the peers that it can reach.
 package configuration
 
 import (
@@ -26,29 +27,30 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Settings bound a store.
+// Settings holds the intervals and sizes of a store.
 type Settings struct {
-	// PollInterval is the pause between readings of the log in a small fleet. It
+	// PollInterval is the pause between reads of the log in a small fleet. It
 	// grows with the fleet up to MaximumPollInterval: the first daemon that reads
-	// an entry tells the others.
+	// an entry offers it to the others.
 	PollInterval        time.Duration
 	MaximumPollInterval time.Duration
-	// PeerGrace is how long a daemon that starts listens to its peers before it
-	// serves, so that a lagging reader of the log is found out.
+	// PeerGrace is how long a starting daemon collects its peers' offsets before
+	// it serves, so that it notices when its reads of the log are stale.
 	PeerGrace time.Duration
-	// FetchTimeout is how long a peer may take to hand over what is missing.
+	// FetchTimeout is how long a peer may take to answer a fetch.
 	FetchTimeout time.Duration
-	// Fanout is how many peers are told at once of a new entry.
+	// Fanout is how many peers get an offer of a new entry in one round.
 	Fanout int
-	// SecondRoundDelay is the pause before as many others are told.
+	// SecondRoundDelay is the pause before the second round of offers, again to
+	// Fanout peers.
 	SecondRoundDelay time.Duration
-	// SnapshotEvery is how many entries come between snapshots.
+	// SnapshotEvery is the number of entries between snapshots.
 	SnapshotEvery int
-	// SnapshotPause spaces out the daemons that might write a snapshot.
+	// SnapshotPause staggers the daemons that could write a due snapshot.
 	SnapshotPause time.Duration
 }
 
-// DefaultSettings returns settings for the sizes of the brief.
+// DefaultSettings returns the default settings of a daemon.
 func DefaultSettings() Settings {
 	return Settings{
 		PollInterval:        500 * time.Millisecond,
@@ -62,43 +64,43 @@
 	}
 }
 
-// Guards switches protections off, so that the simulation can show that its
-// checks notice. All are off in a daemon.
+// Guards disables protections by setting their field, so that simulation tests
+// can prove that their checks detect the fault. A daemon sets none.
 type Guards struct {
-	// SkipDissemination (configuration_late): once it serves, the store stops
-	// reading the log, and never tells or asks peers.
+	// SkipDissemination (configuration_late): the store neither offers nor
+	// fetches, and stops reading the log once it serves.
 	SkipDissemination bool
-	// AcceptOlder (configuration_reverted): the store takes whatever a reader
-	// of the log returns for the whole log.
+	// AcceptOlder (configuration_reverted): the store replaces its state with
+	// each read of the log, even a stale one.
 	AcceptOlder bool
 }
 
-// Options gives a Store what it works with.
+// Options are the dependencies and settings of a Store.
 type Options struct {
 	Self      structs.DaemonID
 	Clock     clock.Clock
 	Log       framework.EventLog
 	Transport peer.Transport
-	// Peers returns the daemons that may be told and asked, in a fixed order,
-	// without this one. Nil means none.
+	// Peers returns the other daemons to exchange messages with, in a fixed
+	// order. Nil means none.
 	Peers    func() []structs.DaemonID
 	Settings Settings
 	Guards   Guards
 	Logger   zerolog.Logger
 }
 
-// Status is what a store publishes of itself after each step.
+// Status is the published state of a store, updated after each fold.
 type Status struct {
-	// Configuration is the one in force; nil before the first, and while the
-	// store has not caught up yet.
+	// Configuration is the one in force; nil before the first and until the
+	// store has caught up.
 	Configuration *structs.Configuration
 	Offset        structs.LogOffset
 	Digest        uint64
 	Revision      structs.Revision
-	// Serving is set once the store has caught up after its start.
+	// Serving is set once the store has caught up after it started.
 	Serving bool
-	// Diverged counts peers' words that contradict this fold: the log has
-	// given two daemons different entries for one offset.
+	// Divergences counts peers' digests that contradict this fold: the log has
+	// returned different entries for one offset.
 	Divergences int
 }
 
@@ -112,24 +114,24 @@
 	listenerMutex sync.Mutex
 	listeners     []func(Status)
 
-	// The rest belongs to the queue.
+	// The fields below are accessed only on the queue.
 	state    *State
 	retained retainedEntries
 	stopped  bool
-	// graceOver is set once Settings.PeerGrace has passed since the start. A
-	// timer tells, as the wall clock may jump.
+	// graceOver is set by a timer once Settings.PeerGrace has passed since the
+	// start; comparing wall-clock times would be wrong after a clock jump.
 	graceOver bool
 	serving   bool
 	diverged  int
-	// logCaughtUp is set by a reading that ended at the log's end.
+	// logCaughtUp is set by a read that reached the end of the log.
 	logCaughtUp bool
 	peerSync    peerSync
 	writer      snapshotWriter
-	// publications wait for the verdict on their change, oldest first.
+	// publications are the pending publications, oldest first.
 	publications []*publication
 }
 
-// NewStore returns a store that has folded nothing.
+// NewStore returns an empty store.
 func NewStore(options Options) *Store {
 	if options.Peers == nil {
 		options.Peers = func() []structs.DaemonID { return nil }
@@ -145,50 +147,52 @@
 	return s
 }
 
-// Status returns what the store last published.
+// Status returns the status as last published.
 func (s *Store) Status() Status { return *s.status.Load() }
 
 // Current returns the configuration in force, nil before the first and until
-// the store has caught up. It must not be changed.
+// the store has caught up. Callers must not modify it.
 func (s *Store) Current() *structs.Configuration { return s.status.Load().Configuration }
 
 // Offset returns the first offset that is not folded yet.
 func (s *Store) Offset() structs.LogOffset { return s.status.Load().Offset }
 
-// Digest identifies the fold at Offset.
+// Digest returns the digest of the state at Offset.
 func (s *Store) Digest() uint64 { return s.status.Load().Digest }
 
 // Revision returns the revision in force, 0 before the first.
 func (s *Store) Revision() structs.Revision { return s.status.Load().Revision }
 
-// Serving reports whether the store has caught up after its start.
+// Serving reports whether the store has caught up after it started.
 func (s *Store) Serving() bool { return s.status.Load().Serving }
 
-// Note returns the store's word about itself for heartbeats.
+// Note returns the offset and digest to send with heartbeats.
 func (s *Store) Note() membership.Note {
 	status := s.status.Load()
 	return membership.Note{ConfigurationOffset: status.Offset, ConfigurationDigest: status.Digest}
 }
 
-// Subscribe calls listener after each step that changed the status. It must
-// be called before Start.
+// Subscribe registers a listener that is called after each change of the
+// status. It must be called before Start.
 func (s *Store) Subscribe(listener func(Status)) {
 	s.listenerMutex.Lock()
 	defer s.listenerMutex.Unlock()
 	s.listeners = append(s.listeners, listener)
 }
 
-// RecentVerdicts calls done with the verdicts that are remembered, oldest first.
+// RecentVerdicts calls done with the verdicts in the window, oldest first.
 func (s *Store) RecentVerdicts(done func([]Verdict)) {
 	s.queue.Do(func() { done(append([]Verdict(nil), s.state.Verdicts...)) })
 }
 
-// OperationVerdict calls done with the verdict on an operation, if it is remembered.
+// OperationVerdict calls done with the verdict on an operation, and false if it
+// is not in the window.
 func (s *Store) OperationVerdict(id string, done func(Verdict, bool)) {
 	s.queue.Do(func() { done(s.state.OperationVerdict(id)) })
 }
 
-// Check calls done with what the verdict on a change would be now.
+// Check calls done with the verdict that a change would get now, without
+// applying it.
 func (s *Store) Check(change structs.Change, done func(Verdict)) {
 	s.queue.Do(func() {
 		verdict, _ := s.state.Check(&change)
@@ -196,7 +200,7 @@
 	})
 }
 
-// Start begins to read the log and to listen to peers.
+// Start recovers the state from the log and begins to poll it.
 func (s *Store) Start() {
 	s.queue.Do(func() {
 		s.after(s.Settings.PeerGrace, func() {
@@ -208,10 +212,10 @@
 	})
 }
 
-// Stop ends all timers.
+// Stop makes all timers ineffective.
 func (s *Store) Stop() { s.queue.Do(func() { s.stopped = true }) }
 
-// after runs task on the queue, d from now, unless the store was stopped.
+// after runs task on the queue after d, unless the store is stopped by then.
 func (s *Store) after(d time.Duration, task func()) {
 	s.Clock.AfterFunc(d, func() {
 		s.queue.Do(func() {
@@ -222,7 +226,8 @@
 	})
 }
 
-// fold applies what continues the state and returns whether anything did.
+// fold applies the entries that continue the state, skips the others, and
+// reports whether it applied any.
 func (s *Store) fold(entries []framework.LogEntry) bool {
 	changed := false
 	for _, entry := range entries {
@@ -252,7 +257,8 @@
 		Str("operation", verdict.OperationID).Bool("accepted", verdict.Accepted).Msg("Configuration entry folded.")
 }
 
-// adopt takes a state that is ahead of the present one.
+// adopt replaces the state by one with a higher offset and reports whether it
+// did.
 func (s *Store) adopt(state *State) bool {
 	if state.Next <= s.state.Next {
 		return false
@@ -263,8 +269,9 @@
 	return true
 }
 
-// advanced follows each step forward: publish, tell a few peers, and see to
-// snapshots.
+// afterAdvance runs after each advance of the state: it publishes the status,
+// completes publications, offers the entries to peers and schedules a snapshot
+// if one is due.
 func (s *Store) afterAdvance() {
 	s.startServingIfCaughtUp()
 	s.publish()
@@ -273,10 +280,10 @@
 	s.scheduleSnapshotIfDue()
 }
 
-// considerServing lets a daemon that started serve once its grace is over and
-// it has caught up: with every peer it has heard, and with the log or, where
-// the log does not answer, with at least one peer. Without that a restart could
-// take a configuration back that callers had already seen in force.
+// startServingIfCaughtUp lets a starting daemon serve once its grace is over
+// and it has caught up with every peer that reported an offset, and with the
+// log or, while the log is unavailable, at least one peer. Otherwise a restart
+// could roll back a configuration that callers have already seen in force.
 func (s *Store) startServingIfCaughtUp() {
 	if s.serving || s.stopped {
 		return
@@ -290,7 +297,7 @@
 	s.scheduleSnapshotIfDue()
 }
 
-// publish makes the status visible and calls the listeners.
+// publish stores the status and calls the listeners if it has changed.
 func (s *Store) publish() {
 	status := &Status{
 		Offset:      s.state.Next,
--- a/internal/configuration/store_test.go
+++ b/internal/configuration/store_test.go
@@ -106,8 +106,8 @@
 	f.requireRevision(10)
 }
 
-// A daemon that restarts while the log is down must not serve before it has
-// the configuration of the peers that it can hear.
+// A restarted daemon must not serve an older configuration than its peers, even
+// while the log is down or returns stale reads.
 func TestRestartedDaemonServesNoOlderRevision(t *testing.T) {
 	for name, prepare := range map[string]func(*fleet){
 		"log down":    func(f *fleet) { f.log.Down = true },
@@ -137,7 +137,7 @@
 	f.log.Down = true
 	f.run(time.Minute)
 	if f.daemons[0].store.Serving() {
-		t.Error("a daemon that has read nothing and heard nobody serves")
+		t.Error("a daemon serves without having read the log or reached a peer")
 	}
 }
 
@@ -158,14 +158,14 @@
 	fresh := f.start(0, configuration.Guards{})
 	f.run(3 * time.Second)
 	if fresh.store.Digest() != digest || fresh.store.Offset() != offset || !fresh.store.Serving() {
-		t.Errorf("the fresh daemon stands at %+v, want offset %d digest %x", fresh.store.Status(), offset, digest)
+		t.Errorf("the status of the fresh daemon is %+v, want offset %d digest %x", fresh.store.Status(), offset, digest)
 	}
 	if read := fresh.entriesRead[framework.StreamConfiguration]; read >= int(offset) || fresh.entriesRead[configuration.StreamSnapshots] != 1 {
 		t.Errorf("the fresh daemon read %v entries of %d, want one snapshot and few entries", fresh.entriesRead, offset)
 	}
 }
 
-// A fleet that starts on a long log leaves a snapshot behind even when no
+// A fleet that starts on a long log must write a snapshot even if no further
 // change follows.
 func TestSnapshotWithoutFurtherChange(t *testing.T) {
 	f := newFleet(t, 3, configuration.Guards{})
@@ -176,7 +176,7 @@
 	}
 }
 
-// Peers that have forgotten the first entries hand over a snapshot in parts.
+// Peers that no longer retain the first entries must send a snapshot in parts.
 func TestStartFromPeersSnapshot(t *testing.T) {
 	f := newFleet(t, 3, configuration.Guards{})
 	f.append("first", 0, 0)
@@ -200,7 +200,7 @@
 	}
 }
 
-// Each guard that is switched off must break what it guards.
+// Each disabled guard must cause the fault that it prevents.
 func TestGuards(t *testing.T) {
 	t.Run("configuration_late", func(t *testing.T) {
 		f := newFleet(t, 3, configuration.Guards{SkipDissemination: true})
@@ -223,7 +223,7 @@
 		f.log.ReadLag = time.Hour
 		f.run(time.Minute)
 		if !back {
-			t.Error("a lagging reader took nothing back: the guard has no effect")
+			t.Error("a stale read caused no rollback: the guard has no effect")
 		}
 	})
 }
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -9,7 +9,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Bounds of a configuration. They are part of the fold.
+// Bounds of a configuration. They affect verdicts, so they must be the same in
+// every daemon.
 const (
 	maximumNameBytes      = 128
 	maximumModels         = 1_000
@@ -29,13 +30,13 @@
 	maximumDuration       = 365 * 24 * time.Hour
 	keyHashBytes          = 32
 	maximumCommentBytes   = 1024
-	// problemLimit bounds the problems kept with a verdict.
+	// maximumProblems bounds the problems listed in a verdict.
 	maximumProblems = 20
 )
 
-// Problem is one failed check.
+// Problem is one validation failure.
 type Problem struct {
-	// Field is the path to the value, such as "tenants.tally.share".
+	// Field is the path of the value, such as "tenants.tally.share".
 	Field  string `json:"field,omitempty"`
 	Reason string `json:"reason"`
 }
@@ -49,14 +50,14 @@
 }
 
 var (
-	// plainName is a name that may stand in keys and paths.
+	// plainName matches names that are safe in keys and URL paths.
 	plainName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
-	// modelName may also hold "/" and ":", as published model names do.
+	// modelName also allows "/" and ":", which occur in published model names.
 	modelName   = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]*$`)
 	placeholder = regexp.MustCompile(`\{\{([^{}]*)\}\}`)
 )
 
-// checker gathers problems.
+// checker collects problems.
 type checker struct{ problems []Problem }
 
 func (c *checker) add(field, format string, arguments ...any) {
@@ -81,8 +82,7 @@
 	}
 }
 
-// Validate returns everything that is wrong with a configuration, in a fixed
-// order.
+// Validate returns all problems of a configuration in a fixed order.
 func Validate(configuration *structs.Configuration) []Problem {
 	c := &checker{}
 	within(c, "models", len(configuration.Models), 0, maximumModels)
@@ -102,10 +102,10 @@
 	return c.problems
 }
 
-// validateChange returns what is wrong with a configuration that a patch made
-// out of a good one. A patch of tenants needs only these checked, which keeps
-// the cost of a change independent of the number of tenants; models and
-// templates are referred to from anywhere and change seldom.
+// validateChange returns the problems of next, which results from a patch of a
+// valid configuration. For a patch of tenants it checks only the tenants that
+// are set, so that the cost does not depend on the number of tenants. A patch of
+// models or templates, to which any tenant may refer, needs full validation.
 func validateChange(next *structs.Configuration, patch *structs.Patch, keys keyIndex) []Problem {
 	if !patch.Models.Empty() || !patch.Templates.Empty() {
 		return Validate(next)
@@ -126,13 +126,13 @@
 	return c.problems
 }
 
-// keeps reports whether an edit leaves a tenant as it is.
+// leavesUnchanged reports whether an edit neither sets nor removes a tenant.
 func leavesUnchanged(edit *structs.Edit[structs.TenantName, structs.Tenant], tenant structs.TenantName) bool {
 	_, set := edit.Set[tenant]
 	return !set && !slices.Contains(edit.Remove, tenant)
 }
 
-// checkChange checks what surrounds the patch.
+// checkChangeMetadata checks the fields of a change other than its patch.
 func checkChangeMetadata(change *structs.Change) []Problem {
 	c := &checker{}
 	c.name("operation_id", change.OperationID, modelName)
@@ -141,7 +141,7 @@
 	return c.problems
 }
 
-// truncate keeps a verdict small.
+// truncateProblems bounds the size of a verdict.
 func truncateProblems(problems []Problem) []Problem {
 	if len(problems) <= maximumProblems {
 		return problems
--- a/internal/configuration/validate_template.go
+++ b/internal/configuration/validate_template.go
@@ -51,7 +51,7 @@
 	c.adapters(field+".adapters", &template, template.Adapters)
 }
 
-// adapters checks that adapters are for models that the template may call.
+// adapters checks that each adapter is for a model of the template.
 func (c *checker) adapters(field string, template *structs.Template, adapters map[structs.ModelName]structs.AdapterName) {
 	for _, model := range sortedNames(adapters) {
 		at := field + "." + string(model)
@@ -62,7 +62,7 @@
 	}
 }
 
-// prompt checks that a prompt's placeholders and the parameters agree.
+// prompt checks that the placeholders of the system prompt match the parameters.
 func (c *checker) prompt(field string, template *structs.Template) {
 	within(c, field+".system_prompt (bytes)", len(template.SystemPrompt), 0, maximumPromptBytes)
 	for i, parameter := range template.Parameters {
--- a/internal/configuration/validate_tenant.go
+++ b/internal/configuration/validate_tenant.go
@@ -32,8 +32,8 @@
 	c.queuePolicy(field+".queue_policy", tenant.QueuePolicy)
 }
 
-// keyHash checks one key. A key belongs to one tenant: nobody could tell
-// otherwise whose a call is.
+// keyHash checks one key hash. A key must belong to one tenant only, since calls
+// are attributed to tenants by key.
 func (c *checker) keyHash(field, hash string, tenant structs.TenantName, claim claimFunc) {
 	decoded, err := hex.DecodeString(hash)
 	if err != nil || len(decoded) != keyHashBytes || hash != strings.ToLower(hash) {
