--- a/internal/framework/machines.go
+++ b/internal/framework/machines.go
@@ -7,58 +7,59 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// ListVersion names one state of the platform's machine list. It is opaque:
-// readers compare it and hand it back. The empty version names no state.
+// ListVersion identifies one state of the platform's machine list. It is opaque:
+// clients only compare it and send it back. The empty version means no state.
 type ListVersion string
 
-// ListResponse answers a reading of the machine list: the whole list, or what
-// leads from an earlier reading to it. A machine's address names its row.
+// ListResponse answers a read of the machine list with the whole list, or with
+// the changes since an earlier version. A row is identified by the machine's
+// address.
 type ListResponse struct {
-	// Version is what the next reading may build on; a list that only gives
-	// whole readings leaves it empty.
+	// Version may be the base of the next read; a service without versions,
+	// which always returns the whole list, leaves it empty.
 	Version ListVersion `json:"version,omitempty"`
-	// Since is the version that the changes lead from. It is empty for the
-	// whole list.
+	// Since is the base version of the changes. It is empty for the whole list.
 	Since ListVersion `json:"since,omitempty"`
-	// Machines are the rows that are new or differ, or all rows.
+	// Machines are the added and changed rows, or all rows.
 	Machines []structs.Machine `json:"machines,omitempty"`
-	// Removed are the addresses of rows that are there no more.
+	// Removed are the addresses of removed rows.
 	Removed []string `json:"removed,omitempty"`
-	// Total counts the rows of the list as of Version.
+	// Total is the number of rows of the list at Version.
 	Total int `json:"total"`
 }
 
-// MachineList is the platform's lagging list of live and leaving machines.
+// MachineList is the platform's eventually consistent list of live and leaving
+// machines.
 type MachineList interface {
 	// List reads the list. A service that knows the version since may answer
-	// with changes from there, also when it shows an older list than before;
-	// otherwise, and when since is empty, the answer is the whole list.
+	// with the changes since then, even if its own state is older. Otherwise, and
+	// when since is empty, it answers with the whole list.
 	List(since ListVersion, done func(ListResponse, error))
 }
 
-// FullListResponse returns a reading of a whole list.
+// FullListResponse returns a response with the whole list.
 func FullListResponse(version ListVersion, machines []structs.Machine) ListResponse {
 	return ListResponse{Version: version, Machines: machines, Total: len(machines)}
 }
 
-// DeltaListResponse returns the reading that leads from one state of a list to
-// another, ordered by address.
+// DeltaListResponse returns a response with the changes from one state of a list
+// to another, ordered by address.
 func DeltaListResponse(since ListVersion, before []structs.Machine, version ListVersion, after []structs.Machine) ListResponse {
-	reading := ListResponse{Version: version, Since: since, Total: len(after)}
+	response := ListResponse{Version: version, Since: since, Total: len(after)}
 	old := make(map[string]structs.Machine, len(before))
 	for _, machine := range before {
 		old[machine.Address] = machine
 	}
 	for _, machine := range after {
 		if known, found := old[machine.Address]; !found || known != machine {
-			reading.Machines = append(reading.Machines, machine)
+			response.Machines = append(response.Machines, machine)
 		}
 		delete(old, machine.Address)
 	}
 	for address := range old {
-		reading.Removed = append(reading.Removed, address)
+		response.Removed = append(response.Removed, address)
 	}
-	slices.SortFunc(reading.Machines, func(a, b structs.Machine) int { return strings.Compare(a.Address, b.Address) })
-	slices.Sort(reading.Removed)
-	return reading
+	slices.SortFunc(response.Machines, func(a, b structs.Machine) int { return strings.Compare(a.Address, b.Address) })
+	slices.Sort(response.Removed)
+	return response
 }
--- a/internal/framework/registries.go
+++ b/internal/framework/registries.go
@@ -6,16 +6,16 @@
 	"github.com/mintpulley/mintpulley/internal/kernel"
 )
 
-// DriverSettings is what a driver factory gets.
+// DriverSettings are the arguments of a driver factory.
 type DriverSettings struct {
-	// Addresses are the service's replicas, "IP:PORT". Drivers of engines and
-	// applications get none: they are told the address with each call.
+	// Addresses are the service's replicas, "IP:PORT". They are empty for
+	// drivers of engines and applications, which get the address with each call.
 	Addresses []string
 	// Timeout bounds one request that is not a stream.
 	Timeout time.Duration
 }
 
-// TimeoutOr returns the timeout, or the driver's own when none is set.
+// TimeoutOr returns the timeout, or the driver's own default if none is set.
 func (s DriverSettings) TimeoutOr(own time.Duration) time.Duration {
 	if s.Timeout == 0 {
 		return own
@@ -23,7 +23,7 @@
 	return s.Timeout
 }
 
-// Factories of drivers, by the dialect's name in the settings.
+// Registries of driver factories, by the driver's name in the settings.
 var (
 	EngineDrivers      kernel.Registry[func(DriverSettings) EngineDriver]
 	ApplicationDrivers kernel.Registry[func(DriverSettings) ApplicationDriver]
--- a/internal/jsontext/append.go
+++ b/internal/jsontext/append.go
@@ -1,14 +1,14 @@
-// Package jsontext appends JSON strings to buffers, for the few messages that
-// are written once per token.
+// Package jsontext encodes and scans simple JSON values without reflection, for
+// the messages that are sent once per token.
 package jsontext
 
 import "unicode/utf8"
 
-// hexDigits are those of escapes.
+// hexDigits are the digits of \u escapes.
 const hexDigits = "0123456789abcdef"
 
-// AppendString appends text as a JSON string. Bytes that are not UTF-8 become
-// the replacement character, as with encoding/json.
+// AppendString appends text as a JSON string. Bytes that are not valid UTF-8
+// become the replacement character, as in encoding/json.
 func AppendString[T string | []byte](buffer []byte, text T) []byte {
 	buffer = append(buffer, '"')
 	start := 0
--- a/internal/jsontext/scan.go
+++ b/internal/jsontext/scan.go
@@ -5,9 +5,9 @@
 	"unicode/utf8"
 )
 
-// ScanString reads a JSON string at the beginning of data and returns what
-// follows it. ok is false for anything but a string whose escapes are simple:
-// the caller then leaves the work to encoding/json.
+// ScanString scans a JSON string at the beginning of data and returns the rest
+// of data. ok is false for anything else and for strings with \u or other rare
+// escapes; the caller then falls back to encoding/json.
 func ScanString(data []byte) (text string, rest []byte, ok bool) {
 	if len(data) == 0 || data[0] != '"' {
 		return "", nil, false
@@ -26,7 +26,7 @@
 	return "", nil, false
 }
 
-// scanEscaped goes on at the first escape.
+// scanEscaped continues ScanString at the first escape.
 func scanEscaped(data []byte, at int) (string, []byte, bool) {
 	buffer := make([]byte, 0, len(data))
 	buffer = append(buffer, data[:at]...)
@@ -69,10 +69,11 @@
 	}
 }
 
-// maximumDigits is how many digits certainly fit an int64.
+// maximumDigits is the number of decimal digits that always fit an int64.
 const maximumDigits = 18
 
-// ScanInteger reads a whole number that is not negative.
+// ScanInteger scans a non-negative integer at the beginning of data and returns
+// the rest of data.
 func ScanInteger(data []byte) (number int64, rest []byte, ok bool) {
 	end := 0
 	for end < len(data) && data[end] >= '0' && data[end] <= '9' {
@@ -88,13 +89,14 @@
 	return number, data[end:], true
 }
 
-// AppendField appends a key with its colon and a whole number.
+// AppendField appends key, which must be encoded and include the colon, and an
+// integer.
 func AppendField(buffer []byte, key string, number int64) []byte {
 	buffer = append(buffer, key...)
 	return strconv.AppendInt(buffer, number, 10)
 }
 
-// SkipScalar passes over a string without escapes or a whole number.
+// SkipScalar skips an ASCII string without escapes or a non-negative integer.
 func SkipScalar(data []byte) (rest []byte, ok bool) {
 	if len(data) == 0 || data[0] != '"' {
 		_, rest, ok = ScanInteger(data)
--- a/internal/kernel/registry.go
+++ b/internal/kernel/registry.go
@@ -1,6 +1,6 @@
-// Package kernel holds the registries through which plug-ins make themselves
-// known. It knows no plug-in by name: a plug-in's setup.go calls Register from
-// init, and package plugins/all imports every plug-in for that effect.
+// Package kernel provides the registry of plug-ins. A plug-in calls Register
+// from init in its setup.go; package plugins imports every plug-in for that side
+// effect.
 package kernel
 
 import (
@@ -11,17 +11,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrUnknownPlugin is returned for a name that no plug-in registered.
+// ErrUnknownPlugin is returned for a name that is not registered.
 var ErrUnknownPlugin = eris.New("kernel: unknown plug-in")
 
-// Registry maps names to plug-ins of one kind. The zero value is ready.
+// Registry maps names to plug-ins of one kind. The zero value is ready to use.
 type Registry[T any] struct {
 	mutex   sync.RWMutex
 	entries map[string]T
 }
 
-// Register adds a plug-in. It panics when the name is taken: that is a
-// programming error, found at start-up.
+// Register adds a plug-in. It panics if the name is already registered, which is
+// a programming error.
 func (r *Registry[T]) Register(name string, plugin T) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -45,7 +45,7 @@
 	return plugin, nil
 }
 
-// Names returns the registered names in order.
+// Names returns the registered names in ascending order.
 func (r *Registry[T]) Names() []string {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
--- a/internal/plugins/all.go
+++ b/internal/plugins/all.go
@@ -1,5 +1,4 @@
-// Package plugins imports every plug-in, so that each registers itself. This
-// list is the one place that names them.
+// Package plugins imports all plug-ins, which register themselves.
 package plugins
 
 import (
--- a/internal/plugins/application/httpapp/setup.go
+++ b/internal/plugins/application/httpapp/setup.go
@@ -1,4 +1,4 @@
-// Package httpapp speaks to application back ends and tool services over HTTP.
+// Package httpapp is the HTTP driver for application back ends and tool services.
 // It registers itself as "http".
 package httpapp
 
@@ -19,15 +19,15 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Name is the dialect's name in the settings.
+// Name is the driver's name in the settings.
 const Name = "http"
 
 const (
 	// defaultTimeout bounds one request.
 	defaultTimeout = 30 * time.Second
-	// answerLimit bounds an answer in bytes.
+	// maximumAnswerBytes bounds the body of a response.
 	maximumAnswerBytes = 4 << 20
-	// connectionsPerService bounds idle connections kept to one back end.
+	// idleConnectionsPerBackEnd bounds the idle connections to one back end.
 	idleConnectionsPerBackEnd = 64
 )
 
@@ -48,7 +48,7 @@
 	timeout time.Duration
 }
 
-// New returns a client of application back ends.
+// New returns a driver for application back ends and tool services.
 func New(settings framework.DriverSettings) framework.ApplicationDriver {
 	return &driver{client: httpdriver.NewClient(idleConnectionsPerBackEnd), timeout: settings.TimeoutOr(defaultTimeout)}
 }
@@ -82,8 +82,9 @@
 	return endOfResponse(response, body)
 }
 
-// bounded ends a request at its deadline, or earlier after the driver's
-// timeout: a service that hangs is then asked what became of the request.
+// requestContext returns a context that ends at the request's deadline, or after
+// the driver's timeout if that is earlier, so that the request to a hung service
+// can be inspected in time.
 func (d *driver) requestContext(deadline time.Time) (context.Context, context.CancelFunc) {
 	latest := time.Now().Add(d.timeout)
 	if !deadline.IsZero() && deadline.Before(latest) {
@@ -108,7 +109,7 @@
 	return end
 }
 
-// inspectQuery is the query of an inspection.
+// inspectQuery holds the query parameters of an inspection.
 type inspectQuery struct {
 	Attempt structs.AttemptID `url:"attempt"`
 	Epoch   structs.Epoch     `url:"epoch"`
@@ -133,7 +134,7 @@
 		defer func() { _ = response.Body.Close() }()
 		var status framework.AttemptStatus
 		if err := json.NewDecoder(response.Body).Decode(&status); err != nil || response.StatusCode != http.StatusOK {
-			done(framework.AttemptStatus{}, eris.Wrap(framework.ErrUnreachable, "inspect"))
+			done(framework.AttemptStatus{}, eris.Wrap(framework.ErrUnreachable, "inspect: unexpected response"))
 			return
 		}
 		done(status, nil)
--- a/internal/plugins/engine/openai/event.go
+++ b/internal/plugins/engine/openai/event.go
@@ -14,16 +14,16 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// eventParser reads the lines of a stream. The end it holds is what the stream
-// has said so far about how the attempt ended.
+// eventParser parses the lines of a stream. Its end is the result of the attempt
+// according to the events so far.
 type eventParser struct {
 	chunks    []structs.Chunk
 	end       framework.AttemptEnd
 	toolCalls []structs.ToolCall
 }
 
-// line takes one line; done is set at the mark of the end. Lines that are no
-// data, comments for instance, change nothing.
+// parseLine parses one line and returns done for the end marker. Lines without
+// data, such as comments, are ignored.
 func (p *eventParser) parseLine(line []byte) (done bool, malformed error) {
 	data, isData := bytes.CutPrefix(line, dataPrefix)
 	if !isData {
@@ -78,7 +78,7 @@
 // maximumToolCalls bounds the tool calls of one answer.
 const maximumToolCalls = 128
 
-// toolCall adds a piece to the tool call with its index.
+// addToolCallDelta appends a fragment to the tool call with its index.
 func (p *eventParser) addToolCallDelta(piece ToolCallDelta) {
 	if piece.Index < 0 || piece.Index >= maximumToolCalls {
 		return
@@ -92,22 +92,23 @@
 	call.Arguments += piece.Function.Arguments
 }
 
-// takeChunks returns the pieces read since the last call.
+// takeChunks returns the chunks parsed since the last call.
 func (p *eventParser) takeChunks() []structs.Chunk {
 	chunks := p.chunks
 	p.chunks = nil
 	return chunks
 }
 
-// Parts of the event of a token, as engines of the dialect write it.
+// Fixed parts of the JSON of an event with text only, as engines write it.
 var (
 	textEventPrefix = []byte(`"choices":[{"index":0,"delta":{"content":`)
 	textEventOffset = []byte(`},"finish_reason":null}],"offset":`)
 	textEventSuffix = []byte(`}`)
 )
 
-// scanTextEvent reads the event of a token without encoding/json, which took a
-// seventh of a daemon's processor time. Events of any other form are left to it.
+// scanTextEvent parses an event with text only. It avoids encoding/json, whose
+// cost for every token is significant, and returns false for events of any other
+// form.
 func scanTextEvent(data []byte) (structs.Chunk, bool) {
 	rest, ok := bytes.CutPrefix(data, []byte("{"))
 	if !ok {
@@ -130,7 +131,8 @@
 	return structs.Chunk{Offset: offset, Text: text}, true
 }
 
-// skipNames passes over the fields that say nothing new in each event.
+// skipMetadataFields skips the fields that are the same in all events of a
+// stream.
 func skipMetadataFields(data []byte) []byte {
 	for _, key := range [][]byte{[]byte(`"id":`), []byte(`"object":`), []byte(`"created":`), []byte(`"model":`)} {
 		rest, found := bytes.CutPrefix(data, key)
--- a/internal/plugins/engine/openai/event_test.go
+++ b/internal/plugins/engine/openai/event_test.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// collector keeps what a stream delivers.
+// collector records the chunks of a stream.
 type collector struct{ chunks []structs.Chunk }
 
 func (c *collector) Chunks(chunks []structs.Chunk) { c.chunks = append(c.chunks, chunks...) }
@@ -30,7 +30,7 @@
 	end := readStream(strings.NewReader(body), &got)
 	want := []structs.Chunk{{Offset: 0, Text: "twenty "}, {Offset: 7, Text: "žemlí"}}
 	if diff := cmp.Diff(want, got.chunks); diff != "" {
-		t.Errorf("pieces (-want +got):\n%s", diff)
+		t.Errorf("chunks (-want +got):\n%s", diff)
 	}
 	wantEnd := framework.AttemptEnd{
 		Kind: framework.EndCompleted, FinishReason: "tool_calls", HoldTaken: true,
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestRequestInOpenAIsForm(t *testing.T) {
+func TestEncodeRequestInOpenAIForm(t *testing.T) {
 	encoded, err := encodeRequest(framework.EngineRequest{
 		Model: "m",
 		Messages: []structs.Message{
@@ -84,7 +84,7 @@
 	}
 }
 
-// FuzzReadStream: a stream never panics, and the short way of reading an event
+// FuzzReadStream checks that no stream causes a panic and that scanTextEvent
 // agrees with encoding/json.
 func FuzzReadStream(f *testing.F) {
 	f.Add([]byte("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"},\"finish_reason\":null}],\"offset\":0}\n\ndata: [DONE]\n"))
--- a/internal/plugins/engine/openai/message.go
+++ b/internal/plugins/engine/openai/message.go
@@ -9,10 +9,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// MessageList is a prompt in OpenAI's form.
+// MessageList is a prompt that is encoded in OpenAI's form.
 type MessageList []structs.Message
 
-// wireMessage is one message in OpenAI's form.
+// wireMessage is a message in OpenAI's form.
 type wireMessage struct {
 	Role       string         `json:"role"`
 	Content    string         `json:"content"`
@@ -27,7 +27,7 @@
 	Function Function `json:"function"`
 }
 
-// Function is a function's name and its arguments as JSON text.
+// Function is the name of a function and its arguments as JSON text.
 type Function struct {
 	Name      string `json:"name,omitempty"`
 	Arguments string `json:"arguments"`
@@ -71,8 +71,9 @@
 // errParameters is returned for parameters that are not a JSON object.
 var errParameters = eris.New("openai: the parameters are not a JSON object")
 
-// encodeRequest returns a request's body: the caller's parameters, and behind
-// them the fields of the request, which no parameter may stand for.
+// encodeRequest returns the body of a request: the caller's parameters, followed
+// by the fields of the request, which take precedence over parameters of the
+// same name.
 func encodeRequest(request framework.EngineRequest) ([]byte, error) {
 	encoded, err := json.Marshal(toWireRequest(request))
 	if err != nil {
--- a/internal/plugins/engine/openai/setup.go
+++ b/internal/plugins/engine/openai/setup.go
@@ -1,5 +1,5 @@
-// Package openai speaks to model engines in OpenAI's dialect, extended by the
-// paths of wire.go for what schedulers need. It registers itself as "openai".
+// Package openai is the driver for model engines with an OpenAI-compatible API,
+// extended by the paths in wire.go. It registers itself as "openai".
 package openai
 
 import (
@@ -16,13 +16,13 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Name is the dialect's name in the settings.
+// Name is the driver's name in the settings.
 const Name = "openai"
 
 const (
 	// defaultTimeout bounds one request that is not a stream.
 	defaultTimeout = 2 * time.Second
-	// connectionsPerEngine bounds idle connections kept to one engine.
+	// idleConnectionsPerEngine bounds the idle connections to one engine.
 	idleConnectionsPerEngine = 256
 )
 
@@ -35,7 +35,7 @@
 	timeout time.Duration
 }
 
-// New returns a driver for all engines of the dialect.
+// New returns a driver for all OpenAI-compatible engines.
 func New(settings framework.DriverSettings) framework.EngineDriver {
 	return &driver{client: httpdriver.NewClient(idleConnectionsPerEngine), timeout: settings.TimeoutOr(defaultTimeout)}
 }
@@ -101,8 +101,8 @@
 
 // Transfer implements framework.EngineDriver.
 func (d *driver) Transfer(transfer framework.Transfer, done func(int64, error)) {
-	question := TransferRequest{From: transfer.From, Program: transfer.Program, Hold: transfer.Hold}
-	request := sling.New().Post(url(transfer.To, PathTransfer)).BodyJSON(question)
+	body := TransferRequest{From: transfer.From, Program: transfer.Program, Hold: transfer.Hold}
+	request := sling.New().Post(url(transfer.To, PathTransfer)).BodyJSON(body)
 	go func() {
 		var answer TransferAnswer
 		err := d.roundTrip(request, &answer)
@@ -112,7 +112,8 @@
 
 func url(engine structs.EngineID, path string) string { return "http://" + string(engine) + path }
 
-// exchange sends one short request and reads its JSON answer.
+// roundTrip sends a request and decodes its JSON response into answer, unless
+// that is nil.
 func (d *driver) roundTrip(request *sling.Sling, answer any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), d.timeout)
 	defer cancel()
--- a/internal/plugins/engine/openai/stream.go
+++ b/internal/plugins/engine/openai/stream.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// streamBuffer is the size of a stream's read buffer in bytes.
+	// streamBufferBytes is the size of a stream's read buffer.
 	streamBufferBytes = 8 << 10
-	// errorLimit bounds what is read of an error answer in bytes.
+	// maximumErrorBytes bounds the part of an error response that is read.
 	maximumErrorBytes = 4 << 10
 )
 
 // stream implements framework.Stream.
 type stream struct{ cancel context.CancelFunc }
 
-// Detach implements framework.Stream. Closing the connection does not stop the
-// attempt at the engine.
+// Detach implements framework.Stream. It closes the connection, which does not
+// cancel the attempt at the engine.
 func (s *stream) Detach() { s.cancel() }
 
 // Start implements framework.EngineDriver.
@@ -65,7 +65,8 @@
 	return readStream(response.Body, observer)
 }
 
-// refused reads an answer that is not a stream.
+// endOfErrorResponse returns the end of an attempt whose response is not a
+// stream.
 func endOfErrorResponse(response *http.Response) framework.AttemptEnd {
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maximumErrorBytes)) // what came is the message
 	end := framework.AttemptEnd{Kind: framework.EndFailed, Reason: structs.ReasonBackEnd, Message: string(body)}
@@ -79,7 +80,8 @@
 	return end
 }
 
-// readStream hands on the pieces of a stream, all that are at hand at once.
+// readStream passes the chunks of a stream to the observer, in one batch for all
+// that are buffered.
 func readStream(body io.Reader, observer framework.EngineObserver) framework.AttemptEnd {
 	reader := bufio.NewReaderSize(body, streamBufferBytes)
 	parser := &eventParser{end: framework.AttemptEnd{Kind: framework.EndLost, Message: "the stream broke off"}}
@@ -105,8 +107,8 @@
 	}
 }
 
-// readLine returns the next line. Lines longer than the reader's buffer are put
-// together in long, which is used again.
+// readLine returns the next line. Lines longer than the reader's buffer are
+// assembled in long, which is reused.
 func readLine(reader *bufio.Reader, long *[]byte) ([]byte, error) {
 	line, err := reader.ReadSlice('\n')
 	if !eris.Is(err, bufio.ErrBufferFull) {
--- a/internal/plugins/engine/openai/wire.go
+++ b/internal/plugins/engine/openai/wire.go
@@ -19,18 +19,18 @@
 	PathCacheEvents = "/scheduler/cache_events"
 	PathOrders      = "/scheduler/orders"
 	PathTransfer    = "/scheduler/transfer"
-	// PathExport is what engines ask of each other for a transfer.
+	// PathExport is requested by engines from each other for a transfer.
 	PathExport = "/scheduler/export"
 )
 
-// HeaderRejected is set on answers that say the request certainly did not run.
+// HeaderRejected is set on responses to requests that certainly did not run.
 const HeaderRejected = httpdriver.HeaderRejected
 
-// RejectedDraining is its value when the engine is leaving.
+// RejectedDraining is the value of HeaderRejected when the engine is draining.
 const RejectedDraining = httpdriver.RejectedDraining
 
-// Request is the body of a completion: OpenAI's fields, and what a scheduler
-// adds under "scheduler".
+// Request is the body of a completion request: OpenAI's fields, and the
+// extension under "scheduler".
 type Request struct {
 	Model         string         `json:"model"`
 	Messages      MessageList    `json:"messages"`
@@ -40,12 +40,12 @@
 	Scheduler     Extension      `json:"scheduler"`
 }
 
-// StreamOptions asks for the usage at the end of a stream.
+// StreamOptions requests the usage at the end of a stream.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Extension is what a scheduler adds to a completion.
+// Extension holds the fields that extend OpenAI's protocol.
 type Extension struct {
 	Attempt      structs.AttemptID   `json:"attempt,omitempty"`
 	Epoch        structs.Epoch       `json:"epoch,omitempty"`
@@ -57,43 +57,44 @@
 	Hold         structs.HoldID      `json:"hold,omitempty"`
 	Discard      bool                `json:"discard,omitempty"`
 	Program      structs.ProgramKey  `json:"program"`
-	// Deadline is when nobody waits any more.
+	// Deadline is when the caller stops waiting; zero means none.
 	Deadline time.Time `json:"deadline,omitzero"`
 }
 
 // Event is one server-sent event of a streamed completion.
 type Event struct {
-	// ID, Object, Created and Model are for clients without the extension.
+	// ID, Object, Created and Model are for clients that do not know the
+	// extension.
 	ID      string   `json:"id,omitempty"`
 	Object  string   `json:"object,omitempty"`
 	Created int64    `json:"created,omitempty"`
 	Model   string   `json:"model,omitempty"`
 	Choices []Choice `json:"choices"`
 	Usage   *Usage   `json:"usage,omitempty"`
-	// Offset is the number of answer bytes before this piece.
+	// Offset is the number of bytes of answer text before this event.
 	Offset int64 `json:"offset"`
-	// HoldTaken is set on the last event when the hold is in place.
+	// HoldTaken is set on the last event if the requested hold is in place.
 	HoldTaken bool `json:"hold_taken,omitempty"`
-	// Cancelled is set on the last event of a stopped attempt.
+	// Cancelled is set on the last event of a cancelled attempt.
 	Cancelled bool `json:"cancelled,omitempty"`
 }
 
-// Choice is OpenAI's choice of a streamed completion.
+// Choice is one choice of a streamed completion.
 type Choice struct {
 	Index        int     `json:"index"`
 	Delta        Delta   `json:"delta"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Delta is the new text of a choice.
+// Delta is the new content of a choice.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
-	// ToolCalls come in pieces; those with the same index belong together.
+	// ToolCalls are fragments; those with the same index form one tool call.
 	ToolCalls []ToolCallDelta `json:"tool_calls,omitempty"`
 }
 
-// ToolCallDelta is a piece of a tool call.
+// ToolCallDelta is a fragment of a tool call.
 type ToolCallDelta struct {
 	Index    int      `json:"index"`
 	ID       string   `json:"id,omitempty"`
@@ -101,7 +102,7 @@
 	Function Function `json:"function"`
 }
 
-// Usage is OpenAI's count of tokens.
+// Usage is the token usage in OpenAI's form.
 type Usage struct {
 	PromptTokens        int64               `json:"prompt_tokens"`
 	CompletionTokens    int64               `json:"completion_tokens"`
@@ -109,41 +110,43 @@
 	PromptTokensDetails PromptTokensDetails `json:"prompt_tokens_details"`
 }
 
-// PromptTokensDetails tells how much of the prompt was cached.
+// PromptTokensDetails holds the number of cached prompt tokens.
 type PromptTokensDetails struct {
 	CachedTokens int64 `json:"cached_tokens"`
 }
 
-// CancelRequest names the attempt to stop.
+// CancelRequest is the body of a request to PathCancel.
 type CancelRequest struct {
 	Attempt structs.AttemptID `json:"attempt"`
 }
 
-// ReleaseRequest names the hold to free.
+// ReleaseRequest is the body of a request to PathRelease.
 type ReleaseRequest struct {
 	Hold structs.HoldID `json:"hold"`
 }
 
-// TransferRequest asks an engine to fetch a program's cache from another.
+// TransferRequest is the body of a request to PathTransfer: the engine fetches a
+// program's cache from another.
 type TransferRequest struct {
 	From    structs.EngineID   `json:"from"`
 	Program structs.ProgramKey `json:"program"`
-	// Hold is what the receiver pins the cache under.
+	// Hold is the identifier under which the receiver pins the cache.
 	Hold structs.HoldID `json:"hold,omitempty"`
 }
 
-// TransferAnswer tells how much of the program's cache is there now.
+// TransferAnswer holds the number of the program's tokens that the engine has
+// cached.
 type TransferAnswer struct {
 	Tokens int64 `json:"tokens"`
 }
 
-// InspectQuery is the query of an inspection.
+// InspectQuery holds the query parameters of PathAttempts.
 type InspectQuery struct {
 	Attempt structs.AttemptID `url:"attempt"`
 	Epoch   structs.Epoch     `url:"epoch"`
 }
 
-// EventsQuery is the query for cache events.
+// EventsQuery holds the query parameters of PathCacheEvents.
 type EventsQuery struct {
 	After uint64 `url:"after"`
 }
--- a/internal/plugins/eventlog/httplog/setup.go
+++ b/internal/plugins/eventlog/httplog/setup.go
@@ -1,4 +1,4 @@
-// Package httplog speaks to the platform's append-only log service over HTTP.
+// Package httplog is the HTTP driver for the platform's append-only log service.
 // It registers itself as "http".
 package httplog
 
@@ -13,7 +13,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Name is the dialect's name in the settings.
+// Name is the driver's name in the settings.
 const Name = "http"
 
 // defaultTimeout bounds one append or read at one address.
@@ -34,19 +34,19 @@
 	return &eventLog{client: client, addresses: settings.Addresses}
 }
 
-// appendRequest is the body of an append.
+// appendRequest is the request body of an append.
 type appendRequest struct {
 	OperationID string `json:"operation_id"`
 	Payload     []byte `json:"payload"`
 }
 
-// appendResponse is its answer.
+// appendResponse is the response body of an append.
 type appendResponse struct {
 	Offset structs.LogOffset `json:"offset"`
 }
 
-// Append implements framework.EventLog. Only the first address is asked: a
-// second try elsewhere could append twice.
+// Append implements framework.EventLog. It uses only the first address: a retry
+// at another could append twice.
 func (l *eventLog) Append(stream framework.StreamName, operationID string, payload []byte, done func(structs.LogOffset, error)) {
 	go func() {
 		var answer appendResponse
@@ -61,13 +61,14 @@
 	}()
 }
 
-// readQuery is the query of a read.
+// readQuery holds the query parameters of a read.
 type readQuery struct {
 	From  structs.LogOffset `url:"from"`
 	Limit int               `url:"limit"`
 }
 
-// Read implements framework.EventLog.
+// Read implements framework.EventLog. It tries the addresses in order and returns
+// the first answer.
 func (l *eventLog) Read(stream framework.StreamName, from structs.LogOffset, limit int, done func([]framework.LogEntry, error)) {
 	go func() {
 		var last error
--- a/internal/plugins/filter/serving/setup.go
+++ b/internal/plugins/filter/serving/setup.go
@@ -1,5 +1,5 @@
-// Package serving keeps calls from engines that only prefill, and those for an
-// adapter from engines that have not loaded it.
+// Package serving filters out engines that only prefill, and for a call with an
+// adapter those that have not loaded it.
 package serving
 
 import (
--- a/internal/plugins/httpdriver/httpdriver.go
+++ b/internal/plugins/httpdriver/httpdriver.go
@@ -1,5 +1,5 @@
-// Package httpdriver holds what the drivers that speak HTTP have in common: their
-// client, and how an error of the connection and a rejected request are understood.
+// Package httpdriver holds the common parts of HTTP drivers: the client, and the
+// interpretation of connection errors and rejected requests.
 package httpdriver
 
 import (
@@ -11,9 +11,9 @@
 	"github.com/mintpulley/mintpulley/internal/framework"
 )
 
-// NewClient returns a client that keeps up to a number of idle connections to
-// each back end, and any number in all. It asks for no compression, which would
-// hold back the pieces of a stream.
+// NewClient returns a client with a limit of idle connections per back end and
+// no limit in total. It disables compression, which would delay the events of a
+// stream.
 func NewClient(idleConnectionsPerBackEnd int) *http.Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.MaxIdleConnsPerHost = idleConnectionsPerBackEnd
@@ -22,15 +22,15 @@
 	return &http.Client{Transport: transport}
 }
 
-// HeaderRejected is set on answers that say the request certainly did not run.
+// HeaderRejected is set on responses to requests that certainly did not run.
 const HeaderRejected = "X-Rejected"
 
-// RejectedDraining is its value when the back end is leaving.
+// RejectedDraining is the value of HeaderRejected when the back end is draining.
 const RejectedDraining = "draining"
 
-// EndForSendError returns the end of an attempt whose request got no answer. Only
-// when no connection was made, so that no byte was sent, is it EndRejected;
-// otherwise it may have run, and is EndLost.
+// EndForSendError returns the end of an attempt whose request got no response.
+// It is EndRejected if no connection was established, so that no byte was sent,
+// and otherwise EndLost, since the request may have run.
 func EndForSendError(err error) framework.AttemptEnd {
 	var operation *net.OpError
 	if eris.As(err, &operation) && operation.Op == "dial" {
--- a/internal/plugins/httpdriver/httpdriver_test.go
+++ b/internal/plugins/httpdriver/httpdriver_test.go
@@ -10,13 +10,13 @@
 	"github.com/mintpulley/mintpulley/internal/plugins/httpdriver"
 )
 
-func TestRefusedConnectionWasNotSent(t *testing.T) {
+func TestRefusedConnectionIsRejected(t *testing.T) {
 	if end := endOfPost(t, loopbacktest.FreeAddress(t)); end.Kind != framework.EndRejected {
-		t.Errorf("nobody listens, and the end is %s: %s", end.Kind, end.Message)
+		t.Errorf("without a listener, the end is %s: %s", end.Kind, end.Message)
 	}
 }
 
-func TestBrokenConnectionMayHaveRun(t *testing.T) {
+func TestBrokenConnectionIsLost(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 		}
 	}()
 	if end := endOfPost(t, listener.Addr().String()); end.Kind != framework.EndLost {
-		t.Errorf("the connection broke, and the end is %s: %s", end.Kind, end.Message)
+		t.Errorf("after a broken connection, the end is %s: %s", end.Kind, end.Message)
 	}
 }
 
@@ -38,7 +38,7 @@
 	response, err := http.Post("http://"+address, "text/plain", nil)
 	if err == nil {
 		_ = response.Body.Close()
-		t.Fatal("an answer came")
+		t.Fatal("the request was answered")
 	}
 	return httpdriver.EndForSendError(err)
 }
--- a/internal/plugins/machinelist/httplist/setup.go
+++ b/internal/plugins/machinelist/httplist/setup.go
@@ -1,5 +1,5 @@
-// Package httplist reads the platform's machine list over HTTP. It registers
-// itself as "http".
+// Package httplist is the HTTP driver for the platform's machine list. It
+// registers itself as "http".
 package httplist
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Name is the dialect's name in the settings.
+// Name is the driver's name in the settings.
 const Name = "http"
 
-// defaultTimeout bounds one reading of the list at one address.
+// defaultTimeout bounds one read of the list at one address.
 const defaultTimeout = time.Second
 
 func init() {
@@ -30,24 +30,25 @@
 	addresses []string
 }
 
-// New returns a reader of the list.
+// New returns a client of the machine list.
 func New(settings framework.DriverSettings) framework.MachineList {
 	client := &http.Client{Timeout: settings.TimeoutOr(defaultTimeout)}
 	return &list{client: client, addresses: settings.Addresses}
 }
 
-// query is the question for changes.
+// query holds the query parameters of a read.
 type query struct {
 	Since framework.ListVersion `url:"since"`
 }
 
-// List implements framework.MachineList: the first service that answers counts.
+// List implements framework.MachineList. It tries the addresses in order and
+// returns the first answer.
 func (l *list) List(since framework.ListVersion, done func(framework.ListResponse, error)) {
 	go func() {
 		for _, address := range l.addresses {
-			reading, err := l.readAt(address, since)
+			response, err := l.readAt(address, since)
 			if err == nil {
-				done(reading, nil)
+				done(response, nil)
 				return
 			}
 		}
@@ -68,19 +69,19 @@
 	return decode(body)
 }
 
-// decode reads an answer: a reading, or just the rows of the whole list, which
-// a service sends that knows no versions.
+// decode decodes a framework.ListResponse, or a bare array with the rows of the
+// whole list, as sent by services without versions.
 func decode(body json.RawMessage) (framework.ListResponse, error) {
 	if bytes.HasPrefix(bytes.TrimSpace(body), []byte("[")) {
 		var machines []structs.Machine
 		if err := json.Unmarshal(body, &machines); err != nil {
-			return framework.ListResponse{}, eris.Wrap(err, "machine list: rows")
+			return framework.ListResponse{}, eris.Wrap(err, "machine list: decode rows")
 		}
 		return framework.FullListResponse("", machines), nil
 	}
-	var reading framework.ListResponse
-	if err := json.Unmarshal(body, &reading); err != nil {
-		return framework.ListResponse{}, eris.Wrap(err, "machine list: reading")
+	var response framework.ListResponse
+	if err := json.Unmarshal(body, &response); err != nil {
+		return framework.ListResponse{}, eris.Wrap(err, "machine list: decode response")
 	}
-	return reading, nil
+	return response, nil
 }
--- a/internal/plugins/machinelist/httplist/setup_test.go
+++ b/internal/plugins/machinelist/httplist/setup_test.go
@@ -19,23 +19,23 @@
 	toolRow   = structs.Machine{Kind: structs.MachineTool, Address: "10.0.0.2:8000", Name: "stock", Zone: "a", Region: "r", State: structs.MachineLeaving}
 )
 
-// read reads the list of a service once.
+// read performs one read of the list served by handler.
 func read(t *testing.T, handler http.Handler, since framework.ListVersion) (framework.ListResponse, error) {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	defer server.Close()
 	list := New(framework.DriverSettings{Addresses: []string{server.Listener.Addr().String()}, Timeout: 10 * time.Second})
 	type answer struct {
-		reading framework.ListResponse
-		err     error
+		response framework.ListResponse
+		err      error
 	}
 	answers := make(chan answer, 1)
-	list.List(since, func(reading framework.ListResponse, err error) { answers <- answer{reading, err} })
+	list.List(since, func(response framework.ListResponse, err error) { answers <- answer{response, err} })
 	got := <-answers
-	return got.reading, got.err
+	return got.response, got.err
 }
 
-func TestChangesOfAServiceWithVersions(t *testing.T) {
+func TestVersionedServiceReturnsChanges(t *testing.T) {
 	service := machinelist.New([]structs.Machine{engineRow}, 0)
 	first, err := read(t, service, "")
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestListThatCannotBeRead(t *testing.T) {
+func TestMalformedListFails(t *testing.T) {
 	for _, body := range []string{"[{", `"rows"`, `{"machines":7}`} {
 		_, err := read(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(body)) }), "")
 		if !errors.Is(err, framework.ErrUnreachable) {
--- a/internal/plugins/queuepolicy/all.go
+++ b/internal/plugins/queuepolicy/all.go
@@ -1,4 +1,4 @@
-// Package queuepolicy imports every queue policy, so that each registers itself.
+// Package queuepolicy imports all queue policies, which register themselves.
 package queuepolicy
 
 import (
--- a/internal/plugins/queuepolicy/fcfs/setup.go
+++ b/internal/plugins/queuepolicy/fcfs/setup.go
@@ -1,11 +1,11 @@
-// Package fcfs orders calls by their arrival.
+// Package fcfs is the first-come, first-served queue policy.
 package fcfs
 
 import (
 	"github.com/mintpulley/mintpulley/internal/schedule"
 )
 
-// Name is how operators choose the policy.
+// Name is the policy's name in the configuration.
 const Name = "fcfs"
 
 func init() {
--- a/internal/plugins/queuepolicy/leastattained/setup.go
+++ b/internal/plugins/queuepolicy/leastattained/setup.go
@@ -1,11 +1,12 @@
-// Package leastattained lets programs go first that have had the least engine time.
+// Package leastattained is a least-attained-service queue policy: it prefers
+// programs that have used the least engine time.
 package leastattained
 
 import (
 	"github.com/mintpulley/mintpulley/internal/schedule"
 )
 
-// Name is how operators choose the policy.
+// Name is the policy's name in the configuration.
 const Name = "least-attained"
 
 func init() {
@@ -14,8 +15,8 @@
 
 type policy struct{}
 
-// penaltyBound is the most seconds by which a call is put back: no call is
-// overtaken by one that arrives later than this after it.
+// maximumPenaltySeconds bounds the delay of a call. It prevents starvation: no
+// call is overtaken by one that arrives more than this time later.
 const maximumPenaltySeconds = 30
 
 // Due implements schedule.QueuePolicy.
--- a/internal/plugins/queuepolicy/program/setup.go
+++ b/internal/plugins/queuepolicy/program/setup.go
@@ -1,11 +1,12 @@
-// Package program orders calls by the latency of their whole programs: an old program goes before a new one, and one that is nearly done before one that has far to go.
+// Package program is a queue policy for a low mean latency of whole
+// programs: it prefers older programs and those with less remaining work.
 package program
 
 import (
 	"github.com/mintpulley/mintpulley/internal/schedule"
 )
 
-// Name is how operators choose the policy.
+// Name is the policy's name in the configuration.
 const Name = "program"
 
 func init() {
@@ -14,20 +15,19 @@
 
 type policy struct{}
 
-// Bounds, in seconds. Together they bound how far a call may be put back:
-// nobody is overtaken by calls that arrive more than StarvationBound after it.
+// Weights and bounds in seconds. They prevent starvation: no call is overtaken by
+// one that arrives more than StarvationBound later.
 const (
-	// remainingWeight is by how many seconds a second of expected work puts a
-	// call back: where there is more work than the engines carry, letting
-	// short programs go first shortens the mean.
+	// remainingWeight is the delay of a call per second of remaining work. Under
+	// overload, preferring short programs reduces the mean latency.
 	remainingWeight = 4
-	// remainingBound is the most that expected work puts a call back.
+	// maximumRemainingSeconds bounds the delay by remaining work.
 	maximumRemainingSeconds = 80
-	// ageBound is the most that the age of its program puts a call forward.
+	// maximumAgeSeconds bounds the advance by the age of the program.
 	maximumAgeSeconds = 60
-	// priorityStep is what one step of priority is worth.
+	// secondsPerPriority is the advance per step of priority.
 	secondsPerPriority = 1
-	// highestPriority is the top of the scale.
+	// highestPriority is the maximum priority.
 	highestPriority = 9
 	// StarvationBound is the starvation bound of this policy.
 	StarvationBound = maximumRemainingSeconds + maximumAgeSeconds + secondsPerPriority*highestPriority
--- a/internal/plugins/queuepolicy/shortest/setup.go
+++ b/internal/plugins/queuepolicy/shortest/setup.go
@@ -1,11 +1,12 @@
-// Package shortest lets programs go first that have the least work ahead, as learned from others of their template.
+// Package shortest is a shortest-remaining-time-first queue policy. The remaining
+// time of a program is estimated from other programs of its template.
 package shortest
 
 import (
 	"github.com/mintpulley/mintpulley/internal/schedule"
 )
 
-// Name is how operators choose the policy.
+// Name is the policy's name in the configuration.
 const Name = "shortest-remaining"
 
 func init() {
@@ -14,8 +15,8 @@
 
 type policy struct{}
 
-// penaltyBound is the most seconds by which a call is put back: no call is
-// overtaken by one that arrives later than this after it.
+// maximumPenaltySeconds bounds the delay of a call. It prevents starvation: no
+// call is overtaken by one that arrives more than this time later.
 const maximumPenaltySeconds = 30
 
 // Due implements schedule.QueuePolicy.
--- a/internal/plugins/scorer/all.go
+++ b/internal/plugins/scorer/all.go
@@ -1,4 +1,4 @@
-// Package scorer imports every scorer and filter, so that each registers itself.
+// Package scorer imports all scorers and filters, which register themselves.
 package scorer
 
 import (
--- a/internal/plugins/scorer/group/setup.go
+++ b/internal/plugins/scorer/group/setup.go
@@ -1,4 +1,5 @@
-// Package group lets the first calls of a template gather on the same engines, so that few engines hold its prefix.
+// Package group routes the first calls of a template to the same engines by
+// rendezvous hashing, so that few engines cache its prefix.
 package group
 
 import (
@@ -18,9 +19,8 @@
 
 type scorer struct{}
 
-// spreadSeconds is the most that a template's least preferred engine costs. A
-// busy engine costs more than that, so that a template in demand spills over
-// to its next engines.
+// maximumSpreadSeconds is the score of a template's least preferred engine. Load
+// outweighs it, so that a template in demand spills over to further engines.
 const maximumSpreadSeconds = 0.02
 
 // Score implements schedule.Scorer.
--- a/internal/plugins/scorer/leastloaded/setup.go
+++ b/internal/plugins/scorer/leastloaded/setup.go
@@ -1,4 +1,5 @@
-// Package leastloaded takes the engine with the fewest calls; a baseline of the experiments.
+// Package leastloaded scores the engine with the fewest present calls best. It
+// is a baseline for experiments.
 package leastloaded
 
 import (
--- a/internal/plugins/scorer/prefix/setup.go
+++ b/internal/plugins/scorer/prefix/setup.go
@@ -1,4 +1,5 @@
-// Package prefix counts the prompt work that an engine would have to do, for the call itself and for those that share its batch.
+// Package prefix scores the prefill time of a call at an engine, and the delay
+// that avoidable prefill causes to other calls in the batch.
 package prefix
 
 import (
@@ -14,8 +15,8 @@
 
 type scorer struct{}
 
-// batchShare is how often work that is done twice delays the other calls of a
-// batch: once while it runs, and again those that queue up meanwhile.
+// batchDelayFactor is how often avoidable prefill counts for each call in the
+// batch: it delays running calls, and those that are queued meanwhile.
 const batchDelayFactor = 4
 
 // Score implements schedule.Scorer.
--- a/internal/plugins/scorer/prefixaffinity/setup.go
+++ b/internal/plugins/scorer/prefixaffinity/setup.go
@@ -1,4 +1,6 @@
-// Package prefixaffinity sends a call where most of its prompt is cached, and to the least loaded engine when loads are far apart; a baseline of the experiments, after the cache-aware routers of inference servers.
+// Package prefixaffinity scores the engine with the longest cached prefix best,
+// and the least loaded engine when loads are imbalanced. It is a baseline for
+// experiments, modelled on the cache-aware routers of inference servers.
 package prefixaffinity
 
 import (
@@ -15,10 +17,11 @@
 type scorer struct{}
 
 const (
-	// hitSeconds outweighs every difference of load for a whole hit.
+	// fullMissPenaltySeconds is the score of a prompt that is not cached at all;
+	// it outweighs any difference in load.
 	fullMissPenaltySeconds = 1e6
-	// imbalanceCalls and imbalanceRatio tell when an engine has too many more
-	// calls than the least loaded one.
+	// An engine with more than imbalanceCalls plus imbalanceRatio times the calls
+	// of the least loaded one is avoided.
 	imbalanceCalls = 16
 	imbalanceRatio = 1.5
 )
--- a/internal/plugins/scorer/queue/setup.go
+++ b/internal/plugins/scorer/queue/setup.go
@@ -1,4 +1,5 @@
-// Package queue counts the prompt work that an engine has yet to do, and how its batch slows the answer.
+// Package queue scores the prefill backlog of an engine and the slowdown of
+// decoding by the size of its batch.
 package queue
 
 import (
@@ -14,8 +15,7 @@
 
 type scorer struct{}
 
-// stepSecondsPerCall is by how much a call slows each step of its batch, for
-// itself and for the others in it.
+// stepSecondsPerCall is the time that each call in a batch adds to a decode step.
 const stepSecondsPerCall = 0.002
 
 // Score implements schedule.Scorer.
--- a/internal/plugins/scorer/roundrobin/setup.go
+++ b/internal/plugins/scorer/roundrobin/setup.go
@@ -1,4 +1,5 @@
-// Package roundrobin takes engines in turn; a baseline of the experiments.
+// Package roundrobin scores the engine with the fewest calls so far best, which
+// takes engines in turn. It is a baseline for experiments.
 package roundrobin
 
 import (
--- a/internal/plugins/scorer/sessionaffinity/setup.go
+++ b/internal/plugins/scorer/sessionaffinity/setup.go
@@ -1,4 +1,6 @@
-// Package sessionaffinity sends a program back to the engine that served it last, and spills over to the least loaded one when that engine is overloaded; a baseline of the experiments.
+// Package sessionaffinity scores a program's last engine best, and spills over
+// to the least loaded engine when that one is overloaded. It is a baseline for
+// experiments.
 package sessionaffinity
 
 import (
@@ -15,10 +17,10 @@
 type scorer struct{}
 
 const (
-	// strangerSeconds outweighs every difference of load.
+	// otherEnginePenaltySeconds outweighs any difference in load.
 	otherEnginePenaltySeconds = 1e6
-	// overloadCalls and overloadRatio tell when an engine has too many more
-	// calls than the least loaded one.
+	// An engine with more than overloadCalls plus overloadRatio times the calls
+	// of the least loaded one is overloaded.
 	overloadCalls = 16
 	overloadRatio = 2
 )
--- a/internal/plugins/scorer/transfer/setup.go
+++ b/internal/plugins/scorer/transfer/setup.go
@@ -1,5 +1,4 @@
-// Package transfer counts the time in which a program's cache is moved to the
-// engine.
+// Package transfer scores the time to transfer a program's cache to the engine.
 package transfer
 
 import (
--- a/internal/plugins/scorer/zone/setup.go
+++ b/internal/plugins/scorer/zone/setup.go
@@ -1,4 +1,4 @@
-// Package zone counts the delay to an engine in another zone.
+// Package zone scores the network latency to an engine in another zone.
 package zone
 
 import (
@@ -14,8 +14,7 @@
 
 type scorer struct{}
 
-// crossZoneSeconds is a round trip between zones of a region, for the request
-// and the first token.
+// crossZoneSeconds is the round-trip time between zones of a region.
 const crossZoneSeconds = 0.003
 
 // Score implements schedule.Scorer.
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -13,7 +13,7 @@
 	"github.com/mintpulley/mintpulley/internal/yamlfile"
 )
 
-// Formats of the log.
+// Log formats.
 const (
 	LogFormatJSON    = "json"
 	LogFormatConsole = "console"
@@ -42,7 +42,7 @@
 	plainName  = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 )
 
-// Check returns everything that is wrong with settings, without file or line.
+// Check returns all problems of the settings, without file and line.
 func Check(settings Settings) []yamlfile.Problem {
 	c := &checker{}
 	c.ownAddress("peer_address", settings.PeerAddress)
@@ -79,8 +79,8 @@
 	c.problems = append(c.problems, yamlfile.Problem{Field: field, Reason: fmt.Sprintf(format, arguments...)})
 }
 
-// address checks an address by IP number. Names are refused: a machine must
-// not need a name service to find its fleet.
+// address checks an IP address with port. Host names are not allowed, so that a
+// daemon does not depend on DNS to reach its fleet.
 func (c *checker) address(field, value string) (netip.AddrPort, bool) {
 	if value == "" {
 		c.add(field, "is missing, want an address such as 10.0.0.1:7000")
@@ -98,7 +98,7 @@
 	return address, true
 }
 
-// ownAddress checks an address that others use to reach this daemon.
+// ownAddress checks an address at which others reach this daemon.
 func (c *checker) ownAddress(field, value string) {
 	address, good := c.address(field, value)
 	if good && address.Addr().IsUnspecified() {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks a daemon's settings: a YAML file, flags
-// over it, and a check of every field that names all that is wrong at once.
+// Package settings loads a daemon's settings from a YAML file and flags, which
+// take precedence, and validates every field. It reports all problems at once.
 package settings
 
 import (
@@ -13,21 +13,24 @@
 	"github.com/mintpulley/mintpulley/internal/yamlfile"
 )
 
-// ErrUnreadable: the settings file cannot be read.
+// ErrUnreadable is returned when the settings file cannot be read.
 var ErrUnreadable = eris.New("settings: cannot read the file")
 
 // Settings is the content of a daemon's settings file.
 type Settings struct {
-	// PeerAddress is where other daemons reach this one, "IP:PORT".
+	// PeerAddress is the address at which other daemons reach this one,
+	// "IP:PORT".
 	PeerAddress string `yaml:"peer_address"`
-	// PeerListen is where it listens for them, "IP:PORT", if the peer address
-	// leads here by way of another; "" means the peer address itself.
+	// PeerListen is the address to listen on for other daemons, "IP:PORT", if it
+	// differs from PeerAddress, as with port forwarding; "" means PeerAddress.
 	PeerListen string `yaml:"peer_listen"`
-	// HTTPAddress is where callers and operators reach it, "IP:PORT".
+	// HTTPAddress is the address at which callers and operators reach this
+	// daemon, "IP:PORT".
 	HTTPAddress string             `yaml:"http_address"`
 	Zone        structs.ZoneName   `yaml:"zone"`
 	Region      structs.RegionName `yaml:"region"`
-	// Shards is the fixed number of program shards, the same in the whole fleet.
+	// Shards is the number of program shards. It is fixed and must be the same
+	// in the whole fleet.
 	Shards       int           `yaml:"shards"`
 	EventLog     Service       `yaml:"event_log"`
 	MachineList  Service       `yaml:"machine_list"`
@@ -35,9 +38,9 @@
 	Applications BackEndDriver `yaml:"applications"`
 	Limits       Limits        `yaml:"limits"`
 	Intervals    Intervals     `yaml:"intervals"`
-	// Memory bounds what programs take in this daemon.
+	// Memory bounds the memory that programs use in this daemon.
 	Memory Memory `yaml:"memory"`
-	// Operators may use the operators' interface. With none, nobody may.
+	// Operators may use the operators' interface. If empty, nobody may.
 	Operators []Operator `yaml:"operators"`
 	// LogLevel is "trace", "debug", "info", "warn" or "error".
 	LogLevel string `yaml:"log_level"`
@@ -45,69 +48,72 @@
 	LogFormat string `yaml:"log_format"`
 }
 
-// Service names an outside service and its dialect.
+// Service selects the driver and the replicas of an external service.
 type Service struct {
 	Driver    string        `yaml:"driver"`
 	Addresses []string      `yaml:"addresses"`
 	Timeout   time.Duration `yaml:"timeout"`
 }
 
-// BackEndDriver names the dialect of back ends that are found on the machine list.
+// BackEndDriver selects the driver of back ends, whose addresses come from the
+// machine list.
 type BackEndDriver struct {
 	Driver  string        `yaml:"driver"`
 	Timeout time.Duration `yaml:"timeout"`
 }
 
-// Limits bound what one daemon takes on.
+// Limits bounds the calls of one daemon.
 type Limits struct {
-	// MaxQueuedCalls is how many calls may wait in the daemon.
+	// MaxQueuedCalls is the maximum number of queued calls.
 	MaxQueuedCalls int `yaml:"queue"`
-	// MaxBodyBytes is the largest request of a caller.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64 `yaml:"body_bytes"`
-	// CallTimeout is a call's deadline when its caller names none.
+	// CallTimeout is the default deadline of a call.
 	CallTimeout time.Duration `yaml:"call_timeout"`
-	// UnknownAfter is when a caller whose back end does not tell what became of
-	// a call hears that the outcome is unknown.
+	// UnknownAfter is how long a back end may fail to report the outcome of a
+	// call before the caller is told that the outcome is unknown.
 	UnknownAfter time.Duration `yaml:"unknown_after"`
-	// StallAfter is how long a back end may show no progress.
+	// StallAfter is how long a back end may make no progress on a call.
 	StallAfter time.Duration `yaml:"stall_after"`
-	// ShutdownTimeout bounds a planned stop; requests that still run then are cut.
+	// ShutdownTimeout bounds a graceful shutdown. Requests that still run at its
+	// end are aborted.
 	ShutdownTimeout time.Duration `yaml:"stop_timeout"`
 }
 
-// Intervals are the pauses of what a daemon does again and again.
+// Intervals are the pauses between periodic reads.
 type Intervals struct {
-	// Configuration is the pause between readings of the log in a small fleet;
-	// it grows with the fleet up to ConfigurationMaximum.
+	// Configuration is the pause between reads of the configuration log in a
+	// small fleet; it grows with the fleet up to ConfigurationMaximum.
 	Configuration        time.Duration `yaml:"configuration"`
 	ConfigurationMaximum time.Duration `yaml:"configuration_maximum"`
-	// MachineList is the pause between readings of the machine list.
+	// MachineList is the pause between reads of the machine list.
 	MachineList time.Duration `yaml:"machine_list"`
-	// EngineLoad is the pause between readings of engines' load reports.
+	// EngineLoad is the pause between reads of an engine's load report.
 	EngineLoad time.Duration `yaml:"engine_load"`
 }
 
-// Memory bounds what programs take in the daemon, in bytes.
+// Memory bounds the memory that programs use in a daemon, in bytes.
 type Memory struct {
-	// NewPrograms is the size from which no new program is taken on, and Calls
-	// the one from which no call is, not of programs under way either.
+	// NewPrograms is the size from which new programs are refused. Calls is the
+	// size from which all calls are, including those of running programs.
 	NewPrograms int64 `yaml:"new_programs"`
 	Calls       int64 `yaml:"calls"`
-	// Unpacked bounds the unpacked copies of histories, beside the above.
+	// Unpacked bounds the decompressed copies of histories, which are not
+	// counted above.
 	Unpacked int64 `yaml:"unpacked"`
-	// WarmTime is how long a history stays unpacked after its last reading.
+	// WarmTime is how long a history stays decompressed after its last use.
 	WarmTime time.Duration `yaml:"warm_time"`
 }
 
-// Operator is a person or program that may use the operators' interface.
+// Operator is an account that may use the operators' interface.
 type Operator struct {
-	// Name stands in the history of the configuration.
+	// Name identifies the operator in the history of the configuration.
 	Name string `yaml:"name"`
 	// KeyHash is the hex SHA-256 digest of the operator's bearer key.
 	KeyHash string `yaml:"key_hash"`
 }
 
-// Default returns settings with everything that has a default.
+// Default returns the default settings; fields without a default are empty.
 func Default() Settings {
 	return Settings{
 		Region:       "local",
@@ -136,20 +142,20 @@
 	}
 }
 
-// Override sets one field in place of the file.
+// Override sets one field and takes precedence over the file.
 type Override struct {
-	// Field is the path of the field, Flag where the value came from.
+	// Field is the path of the field, Flag the name of the flag that set it.
 	Field string
 	Flag  string
 	Apply func(*Settings)
 }
 
-// Read reads and checks a settings file. The error is ErrUnreadable or
+// Read loads a settings file without overrides. The error is ErrUnreadable or
 // yamlfile.Problems.
 func Read(path string) (Settings, error) { return Load(path, nil) }
 
-// Load reads a settings file over the defaults, lays overrides over it and
-// checks the result. An empty path stands for no file.
+// Load applies a settings file and then the overrides to the default settings,
+// and validates the result. An empty path means no file.
 func Load(path string, overrides []Override) (Settings, error) {
 	settings := Default()
 	var lines yamlfile.Lines
@@ -182,7 +188,7 @@
 	return settings, nil
 }
 
-// locate says where the value of a failed check came from.
+// locate adds the flag, or the file and line, from which an invalid value came.
 func locate(found yamlfile.Problem, path string, lines yamlfile.Lines, flags map[string]string) yamlfile.Problem {
 	if flag, overridden := flags[found.Field]; overridden {
 		found.File = flag
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -84,7 +84,7 @@
 FILE:15: operators[0].key_hash: is not a SHA-256 digest in 64 lower-case hexadecimal digits
 FILE:16: log_level: is "loud", want one of trace, debug, info, warn, error`, "FILE", path)
 	if err == nil {
-		t.Fatal("the settings were taken")
+		t.Fatal("the settings were accepted")
 	}
 	if diff := cmp.Diff(want, err.Error()); diff != "" {
 		t.Errorf("problems (-want +got):\n%s", diff)
--- a/internal/structs/adapter.go
+++ b/internal/structs/adapter.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// ModelAdapter names an adapter together with the model that it is for.
+// ModelAdapter identifies an adapter of a model.
 type ModelAdapter struct {
 	Model   ModelName   `json:"model"`
 	Adapter AdapterName `json:"adapter,omitempty"`
@@ -16,17 +16,17 @@
 	return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Adapter, b.Adapter))
 }
 
-// EngineAdapter is an adapter at an engine.
+// EngineAdapter is the state of an adapter at an engine.
 type EngineAdapter struct {
 	ModelAdapter
-	// Loading is set while it is read from the weight store.
+	// Loading is set while its weights are read from the weight store.
 	Loading bool `json:"loading,omitempty"`
-	// Running counts the requests for it in the batch and in the queue.
+	// Running is the number of requests for it in the batch and in the queue.
 	Running int `json:"running,omitempty"`
 }
 
-// Serves tells whether the engine has a model loaded, and the adapter if one
-// is named.
+// Serves reports whether the engine has loaded a model, and the adapter if one
+// is given.
 func (r *LoadReport) Serves(wanted ModelAdapter) bool {
 	if !slices.Contains(r.Models, wanted.Model) {
 		return false
--- a/internal/structs/call.go
+++ b/internal/structs/call.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// CallKind tells which sort of back end serves a call.
+// CallKind is the kind of back end that serves a call.
 type CallKind string
 
 // Kinds of call.
@@ -15,20 +15,20 @@
 	CallTool        CallKind = "tool"
 )
 
-// HistoryMode tells how the messages of a model call relate to the history
-// that the fleet keeps for the program.
+// HistoryMode is how the messages of a model call relate to the stored history
+// of the program.
 type HistoryMode string
 
 // Modes of history.
 const (
-	// HistoryFull: the messages are the whole conversation; they must start
-	// with the kept history.
+	// HistoryFull: the messages are the whole conversation; they must start with
+	// the stored history.
 	HistoryFull HistoryMode = "full"
-	// HistoryAppend: the messages are new; the kept history goes before them.
+	// HistoryAppend: the messages are appended to the stored history.
 	HistoryAppend HistoryMode = "append"
 )
 
-// ToolCall is a model's wish to have a tool run by the caller.
+// ToolCall is a model's request that the caller run a tool.
 type ToolCall struct {
 	ID        string `json:"id"`
 	Name      string `json:"name"`
@@ -44,13 +44,13 @@
 	ToolCalls  []ToolCall `json:"tool_calls,omitempty"`
 }
 
-// Call is one request of a program, as a gateway hands it to the fleet.
+// Call is one request of a program, as accepted by a gateway.
 type Call struct {
 	Key       ProgramKey   `json:"key"`
 	Template  TemplateName `json:"template"`
 	RequestID RequestID    `json:"request_id"`
-	// Sequence orders the calls of a program, from 1. 0 asks for the next
-	// number when the call reaches the shard's leader.
+	// Sequence orders the calls of a program, from 1. 0 means that the shard's
+	// leader assigns the next number.
 	Sequence   uint64      `json:"sequence"`
 	Kind       CallKind    `json:"kind"`
 	Repeatable bool        `json:"repeatable"`
@@ -60,8 +60,8 @@
 	Adapter       AdapterName `json:"adapter,omitempty"`
 	Messages      []Message   `json:"messages,omitempty"`
 	MaximumTokens int64       `json:"maximum_tokens,omitempty"`
-	// Parameters is a JSON object of engine parameters (sampling, tools) that
-	// pass through unchanged; empty for none.
+	// Parameters is a JSON object of engine parameters (sampling, tools), which
+	// is passed through unchanged; empty for none.
 	Parameters json.RawMessage `json:"parameters,omitempty"`
 	// Target, Operation and Body are for application and tool calls.
 	Target    string `json:"target,omitempty"`
@@ -69,22 +69,22 @@
 	Body      []byte `json:"body,omitempty"`
 	// EndProgram ends the program once this call has its outcome.
 	EndProgram bool `json:"end_program,omitempty"`
-	// Anonymous is set when the program was made for this call alone; it ends
-	// with the call even if that is refused.
+	// Anonymous is set when the program was created for this call alone; it ends
+	// with the call, even if the call is refused.
 	Anonymous bool `json:"anonymous,omitempty"`
-	// ResumeAt is how many bytes of answer text the caller already has.
+	// ResumeAt is the number of bytes of answer text that the caller has.
 	ResumeAt int64 `json:"resume_at,omitempty"`
 	// Retry is set when the caller may have sent the request before, to this
-	// daemon or another; nobody may then say that it was not run without
-	// having asked the shard's leader.
+	// daemon or another. A daemon must then ask the shard's leader before it
+	// answers that the call was not run.
 	Retry bool `json:"retry,omitempty"`
 	// Deadline is when the caller stops waiting; zero means none.
 	Deadline time.Time `json:"deadline,omitzero"`
-	// TraceID follows one request through logs of every daemon.
+	// TraceID correlates the log lines of one request across daemons.
 	TraceID string `json:"trace_id,omitempty"`
 }
 
-// Usage counts the tokens of an answered model call.
+// Usage is the token usage of a model call.
 type Usage struct {
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CachedTokens     int64 `json:"cached_tokens"`
@@ -96,15 +96,15 @@
 
 // Ends of a call.
 const (
-	// OutcomeCompleted: the whole answer is recorded.
+	// OutcomeCompleted: the complete answer is recorded.
 	OutcomeCompleted OutcomeStatus = "completed"
-	// OutcomeFailed: the back end ran it and answered with an error.
+	// OutcomeFailed: the back end ran the call and answered with an error.
 	OutcomeFailed OutcomeStatus = "failed"
-	// OutcomeNotRun: it certainly was not run.
+	// OutcomeNotRun: the call was certainly not run.
 	OutcomeNotRun OutcomeStatus = "not_run"
-	// OutcomeUnknown: it may or may not have run.
+	// OutcomeUnknown: the call may or may not have been run.
 	OutcomeUnknown OutcomeStatus = "outcome_unknown"
-	// OutcomeCancelled: it was stopped on request, after it may have started.
+	// OutcomeCancelled: the call was cancelled on request and may have started.
 	OutcomeCancelled OutcomeStatus = "cancelled"
 )
 
@@ -140,22 +140,22 @@
 	ReasonCancelled        Reason = "cancelled"
 	ReasonCompleted        Reason = "completed"
 	ReasonStalled          Reason = "stalled"
-	// ReasonRecordsLost: all holders of the program's records were lost, and
-	// what the platform's log kept cannot tell.
+	// ReasonRecordsLost: all replicas of the program's records were lost, and
+	// the platform's log does not contain the answer either.
 	ReasonRecordsLost Reason = "records_lost"
-	// ReasonHistoryGap: turns of the program may be missing; the whole
-	// conversation makes up for them.
+	// ReasonHistoryGap: turns of the program may be missing; the caller must
+	// send the whole conversation to restore them.
 	ReasonHistoryGap Reason = "history_gap"
 )
 
-// Outcome is the recorded end of a call.
+// Outcome is the recorded result of a call.
 type Outcome struct {
 	Status OutcomeStatus `json:"status"`
 	Reason Reason        `json:"reason,omitempty"`
 	// Field names the offending field of a refused request.
 	Field   string `json:"field,omitempty"`
 	Message string `json:"message,omitempty"`
-	// RetryAfter tells a refused caller when to come back.
+	// RetryAfter is when a refused caller may retry.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 	// Answer is the model's answer; Body is the application's.
 	Answer       Message `json:"answer,omitzero"`
@@ -177,11 +177,11 @@
 	}
 }
 
-// Chunk is one piece of a streamed answer.
+// Chunk is one part of a streamed answer.
 type Chunk struct {
-	// Offset is the number of bytes of answer text before this piece. Bytes,
-	// because they mean the same to every engine and after the answer was
-	// recorded, while token boundaries do not.
+	// Offset is the number of bytes of answer text before this chunk. It counts
+	// bytes because token boundaries differ between engines and are not
+	// recorded.
 	Offset int64  `json:"o"`
 	Text   string `json:"t"`
 }
--- a/internal/structs/configuration.go
+++ b/internal/structs/configuration.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Configuration is the state that operators' published changes fold into.
-// A value that is in force is never modified; a change makes a new one.
+// Configuration is the result of all accepted changes. It is immutable once in
+// force; a change creates a new value.
 type Configuration struct {
 	Revision  Revision                  `json:"revision" yaml:"revision"`
 	Models    map[ModelName]Model       `json:"models" yaml:"models"`
@@ -14,54 +14,56 @@
 
 // Model is a model that callers may request.
 type Model struct {
-	// PromptCost and CompletionCost are per token, in millionths of a credit.
+	// PromptCost and CompletionCost are per token.
 	PromptCost     Cost `json:"prompt_cost" yaml:"prompt_cost"`
 	CompletionCost Cost `json:"completion_cost" yaml:"completion_cost"`
-	// ContextTokens bounds prompt and answer together.
+	// ContextTokens bounds the sum of prompt and answer tokens.
 	ContextTokens int64 `json:"context_tokens" yaml:"context_tokens"`
-	// Version is the weight version engines should serve.
+	// Version is the weight version that engines should serve.
 	Version string `json:"version,omitempty" yaml:"version,omitempty"`
-	// MinimumEngines is how many engines should always hold it.
+	// MinimumEngines is how many engines should always have it loaded.
 	MinimumEngines int `json:"minimum_engines,omitempty" yaml:"minimum_engines,omitempty"`
 }
 
 // QueuePolicyName names a queue policy plug-in.
 type QueuePolicyName string
 
-// Template describes a kind of agent service; tenants fill in parameters.
+// Template describes a kind of program, for which tenants provide parameters.
 type Template struct {
 	Models []ModelName `json:"models" yaml:"models"`
-	// Targets names the applications and tools its programs may call.
+	// Targets names the applications and tools that its programs may call.
 	Targets []string `json:"targets,omitempty" yaml:"targets,omitempty"`
-	// SystemPrompt is the prefix that all programs of the template share.
+	// SystemPrompt is the prompt prefix of all programs of the template.
 	// "{{name}}" is replaced by the tenant's parameter of that name.
 	SystemPrompt string `json:"system_prompt,omitempty" yaml:"system_prompt,omitempty"`
-	// Parameters names what a tenant must fill in.
+	// Parameters names the parameters that a tenant must provide.
 	Parameters []string `json:"parameters,omitempty" yaml:"parameters,omitempty"`
-	// Budget is the most one program may cost, with its sub-agents.
+	// Budget bounds the cost of one program including its sub-agents.
 	Budget Cost `json:"budget" yaml:"budget"`
 	// Priority is 0 (lowest) to 9 (highest).
 	Priority int    `json:"priority" yaml:"priority"`
 	Limits   Limits `json:"limits" yaml:"limits"`
 	// ApplicationCost is the fixed cost of an application or tool call.
 	ApplicationCost Cost `json:"application_cost,omitempty" yaml:"application_cost,omitempty"`
-	// Adapters gives, by model, the adapter that its programs' calls use.
+	// Adapters maps a model to the adapter that its programs' calls use.
 	Adapters map[ModelName]AdapterName `json:"adapters,omitempty" yaml:"adapters,omitempty"`
 }
 
-// Limits contain runaway programs. Zero means the default of the daemon.
+// Limits bounds runaway programs. Zero means the daemon's default.
 type Limits struct {
 	Turns         int           `json:"turns,omitempty" yaml:"turns,omitempty"`
 	HistoryTokens int64         `json:"history_tokens,omitempty" yaml:"history_tokens,omitempty"`
 	AnswerTokens  int64         `json:"answer_tokens,omitempty" yaml:"answer_tokens,omitempty"`
 	WallTime      time.Duration `json:"wall_time,omitempty" yaml:"wall_time,omitempty"`
-	// IdleTime ends a program whose caller has not come back.
+	// IdleTime is how long a program may have no call before it is ended.
 	IdleTime time.Duration `json:"idle_time,omitempty" yaml:"idle_time,omitempty"`
-	// HoldTime is how long engine memory is kept over a tool pause.
+	// HoldTime is how long engine memory is held while a tool runs between two
+	// calls.
 	HoldTime time.Duration `json:"hold_time,omitempty" yaml:"hold_time,omitempty"`
-	// Repetitions is how many identical calls in a row end the program.
+	// Repetitions is the number of identical consecutive calls that ends the
+	// program.
 	Repetitions int `json:"repetitions,omitempty" yaml:"repetitions,omitempty"`
-	// SubAgents bounds the live children of one program.
+	// SubAgents bounds the number of live children of one program.
 	SubAgents int `json:"sub_agents,omitempty" yaml:"sub_agents,omitempty"`
 }
 
@@ -71,72 +73,73 @@
 	KeyHashes []string `json:"key_hashes" yaml:"key_hashes"`
 	// Templates holds the parameters for each template the tenant may use.
 	Templates map[TemplateName]TenantTemplate `json:"templates" yaml:"templates"`
-	// Share weighs the tenant against others when engines are short; from 1.
+	// Share is the tenant's weight when engines are contended; from 1.
 	Share int `json:"share" yaml:"share"`
-	// BudgetPerHour bounds what all its programs may cost; 0 means unbounded.
+	// BudgetPerHour bounds the cost of all its programs; 0 means unbounded.
 	BudgetPerHour Cost `json:"budget_per_hour,omitempty" yaml:"budget_per_hour,omitempty"`
-	// Programs bounds its live programs; 0 means unbounded.
+	// Programs bounds the number of its live programs; 0 means unbounded.
 	Programs int `json:"programs,omitempty" yaml:"programs,omitempty"`
-	// QueuePolicy overrides the fleet's, "" keeps it.
+	// QueuePolicy overrides the fleet's; "" means the fleet's.
 	QueuePolicy QueuePolicyName `json:"queue_policy,omitempty" yaml:"queue_policy,omitempty"`
 }
 
-// TenantTemplate is a tenant's use of a template.
+// TenantTemplate holds a tenant's parameters and overrides of a template.
 type TenantTemplate struct {
 	Parameters map[string]string `json:"parameters,omitempty" yaml:"parameters,omitempty"`
 	// Budget and Priority override the template's when set.
 	Budget   Cost `json:"budget,omitempty" yaml:"budget,omitempty"`
 	Priority *int `json:"priority,omitempty" yaml:"priority,omitempty"`
-	// Adapters overrides the template's, model by model.
+	// Adapters overrides the template's adapters by model.
 	Adapters map[ModelName]AdapterName `json:"adapters,omitempty" yaml:"adapters,omitempty"`
 }
 
-// FleetPolicy holds what applies to the whole fleet.
+// FleetPolicy holds the settings that apply to the whole fleet.
 type FleetPolicy struct {
 	// QueuePolicy orders waiting calls; "" means the daemon's default.
 	QueuePolicy QueuePolicyName `json:"queue_policy,omitempty" yaml:"queue_policy,omitempty"`
-	// CacheWeight is 0 (care for latency only) to 1 (care for cache only).
+	// CacheWeight weighs cache use against latency, from 0 (latency only) to 1
+	// (cache only).
 	CacheWeight float64 `json:"cache_weight,omitempty" yaml:"cache_weight,omitempty"`
-	// WeightReaders bounds the engines of the whole fleet that read from the
-	// weight store at a time; 0 means the daemon's default.
+	// WeightReaders bounds the number of engines in the fleet that read from the
+	// weight store concurrently; 0 means the daemon's default.
 	WeightReaders int `json:"weight_readers,omitempty" yaml:"weight_readers,omitempty"`
-	// EngineRole is the role that engines are kept in, "" for the one that
-	// each started in; EngineRoles overrides it by engine.
+	// EngineRole is the role that engines are set to, "" for the role that each
+	// started with; EngineRoles overrides it by engine.
 	EngineRole  EngineRole              `json:"engine_role,omitempty" yaml:"engine_role,omitempty"`
 	EngineRoles map[EngineID]EngineRole `json:"engine_roles,omitempty" yaml:"engine_roles,omitempty"`
 }
 
-// Change is one operators' entry in the configuration stream. It is applied
-// only when Base equals the revision in force at its place in the log and the
-// configuration that results passes every check.
+// Change is an operator's entry in the configuration stream. It is accepted only
+// if Base is the revision in force at its offset and the resulting configuration
+// is valid.
 type Change struct {
-	// OperationID finds the entry again when the answer to an append was lost;
-	// an entry that is appended twice under one identifier applies once.
+	// OperationID identifies the change if it is published again after the
+	// answer was lost; a change that is appended twice is applied once.
 	OperationID string `json:"operation_id"`
 	Operator    string `json:"operator"`
 	Comment     string `json:"comment,omitempty"`
-	// At is the operator's clock when it published; nothing depends on it.
+	// At is the time of publication by the operator's clock, for information
+	// only.
 	At time.Time `json:"at,omitzero"`
-	// Base is the revision this change builds on.
+	// Base is the revision that the change is based on.
 	Base  Revision `json:"base"`
 	Patch Patch    `json:"patch"`
 }
 
-// Patch says what a change does, by name, so that an entry's size follows
-// what changes and not the size of the configuration.
+// Patch sets and removes named values, so that the size of an entry does not
+// depend on the size of the configuration.
 type Patch struct {
 	Models    Edit[ModelName, Model]       `json:"models,omitzero"`
 	Templates Edit[TemplateName, Template] `json:"templates,omitzero"`
 	Tenants   Edit[TenantName, Tenant]     `json:"tenants,omitzero"`
-	// Fleet replaces the fleet's policy; nil leaves it.
+	// Fleet replaces the fleet's policy; nil keeps it.
 	Fleet *FleetPolicy `json:"fleet,omitempty"`
 }
 
-// Edit sets and removes named values of one kind. A value that is set
-// replaces the former one whole.
+// Edit sets and removes named values of one kind. Set replaces whole values.
 type Edit[Name ~string, Value any] struct {
 	Set map[Name]Value `json:"set,omitempty"`
-	// Remove is in ascending order and names nothing that Set names.
+	// Remove is in ascending order and disjoint from the names in Set.
 	Remove []Name `json:"remove,omitempty"`
 }
 
--- a/internal/structs/fleet.go
+++ b/internal/structs/fleet.go
@@ -1,18 +1,19 @@
 package structs
 
-// Daemon describes one run of one daemon, as its peers know it.
+// Daemon describes one incarnation of a daemon, as known to its peers.
 type Daemon struct {
 	ID     DaemonID   `json:"id"`
 	Zone   ZoneName   `json:"zone"`
 	Region RegionName `json:"region"`
-	// HTTPAddress is where callers and operators reach it, "IP:PORT".
+	// HTTPAddress is the address at which callers and operators reach it,
+	// "IP:PORT".
 	HTTPAddress string `json:"http_address"`
-	// Capacity tells how much work the machine can take beside others; 0 counts
-	// as 1.
+	// Capacity is the machine's capacity relative to other machines; 0 counts as
+	// 1.
 	Capacity int `json:"capacity,omitempty"`
 }
 
-// MachineKind tells what a machine on the platform's list runs.
+// MachineKind is what a machine on the platform's list runs.
 type MachineKind string
 
 // Kinds of machine.
@@ -23,7 +24,8 @@
 	MachineTool        MachineKind = "tool"
 )
 
-// MachineState is the platform's word about a machine; it lags.
+// MachineState is the state of a machine on the platform's list; it may be
+// stale.
 type MachineState string
 
 // States of a machine on the platform's list.
@@ -43,7 +45,7 @@
 	Name string `json:"name,omitempty"`
 }
 
-// EngineRole tells which phases of a call an engine serves.
+// EngineRole selects the phases of a call that an engine serves.
 type EngineRole string
 
 // Roles of an engine.
@@ -53,50 +55,53 @@
 	RoleBoth    EngineRole = "both"
 )
 
-// Engine describes one model engine as the scheduler knows it.
+// Engine describes one model engine as known to the scheduler.
 type Engine struct {
 	ID     EngineID    `json:"id"`
 	Zone   ZoneName    `json:"zone"`
 	Region RegionName  `json:"region"`
 	Models []ModelName `json:"models"`
 	Role   EngineRole  `json:"role"`
-	// Leaving is set once any source of bad news says so; it gets no new work.
+	// Leaving is set once any source reports that the engine is draining or
+	// gone; it gets no new calls.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// LoadReport is what an engine last said about itself; it lags.
+// LoadReport is the latest load report of an engine; it may be stale.
 type LoadReport struct {
 	Engine EngineID    `json:"engine"`
 	Models []ModelName `json:"models"`
-	// Loading lists models that it reads from the weight store.
+	// Loading lists the models that it is reading from the weight store.
 	Loading []ModelName `json:"loading,omitempty"`
 	Role    EngineRole  `json:"role"`
-	// Versions are the weight versions that orders have loaded, by model.
+	// Versions maps a model to the weight version that an order has loaded.
 	Versions map[ModelName]string `json:"versions,omitempty"`
-	// Adapters lists the adapters that are loaded or being read, in order, and
-	// MaximumAdapters is how many it has place for; 0 sets no bound.
+	// Adapters lists the adapters that are loaded or being read, in order.
+	// MaximumAdapters is the number that fit; 0 means unbounded.
 	Adapters        []EngineAdapter `json:"adapters,omitempty"`
 	MaximumAdapters int             `json:"maximum_adapters,omitempty"`
-	// Running and Waiting count requests in the batch and in its queue.
+	// Running and Waiting count the requests in the batch and in the queue.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// QueuedPrefillTokens counts prompt tokens not yet prefilled.
+	// QueuedPrefillTokens counts the prompt tokens that are not prefilled yet.
 	QueuedPrefillTokens int64 `json:"queued_prefill_tokens"`
-	// MaximumRunning is the largest batch.
+	// MaximumRunning is the maximum batch size.
 	MaximumRunning int `json:"maximum_running"`
-	// CacheTokens and CacheCapacityTokens tell the use of the block cache.
+	// CacheTokens and CacheCapacityTokens are the used and the total size of the
+	// block cache.
 	CacheTokens         int64 `json:"cache_tokens"`
 	CacheCapacityTokens int64 `json:"cache_capacity_tokens"`
 	// HeldTokens is the part of CacheTokens pinned by holds.
 	HeldTokens int64 `json:"held_tokens"`
 	Draining   bool  `json:"draining"`
-	// CacheEventSequence is the last cache event published.
+	// CacheEventSequence is the sequence number of the last published cache
+	// event.
 	CacheEventSequence uint64 `json:"cache_event_sequence"`
-	// StartedUnixNano tells one run of the engine from the next.
+	// StartedUnixNano is when the engine started; it changes with each restart.
 	StartedUnixNano int64 `json:"started_unix_nano"`
 }
 
-// CacheEventKind tells what happened to a cached block.
+// CacheEventKind is the kind of change of a cached block.
 type CacheEventKind string
 
 // Kinds of cache event.
@@ -106,11 +111,11 @@
 	CacheCleared CacheEventKind = "cleared"
 )
 
-// BlockHash identifies a cache block together with the whole prefix before it.
+// BlockHash identifies a cache block together with its whole prefix.
 type BlockHash uint64
 
-// CacheEvent is one change of an engine's prefix cache. Events come late and
-// with gaps; a gap shows as a jump of Sequence.
+// CacheEvent is one change of an engine's prefix cache. Events may be delayed or
+// lost; a loss shows as a gap in Sequence.
 type CacheEvent struct {
 	Engine   EngineID       `json:"engine"`
 	Sequence uint64         `json:"sequence"`
@@ -119,7 +124,7 @@
 	Blocks   []BlockHash    `json:"blocks,omitempty"`
 }
 
-// HoldID names engine memory pinned for a program.
+// HoldID identifies a Hold.
 type HoldID string
 
 // Hold is engine memory pinned for a program between its calls.
@@ -130,7 +135,7 @@
 	Tokens  int64      `json:"tokens"`
 }
 
-// OrderKind tells what a fenced order asks of an engine.
+// OrderKind is the action that an order requests from an engine.
 type OrderKind string
 
 // Kinds of order.
@@ -138,13 +143,13 @@
 	OrderLoadModel   OrderKind = "load_model"
 	OrderUnloadModel OrderKind = "unload_model"
 	OrderLoadAdapter OrderKind = "load_adapter"
-	// OrderUnloadAdapter has an engine refuse new requests for an adapter.
+	// OrderUnloadAdapter makes an engine refuse new requests for an adapter.
 	OrderUnloadAdapter OrderKind = "unload_adapter"
 	OrderSetRole       OrderKind = "set_role"
 )
 
-// Order is a fenced order to an engine. An engine refuses an order whose
-// Fence is lower than the highest it has seen.
+// Order is a control command to an engine. An engine refuses an order whose
+// Fence is lower than the highest that it has seen.
 type Order struct {
 	Engine  EngineID    `json:"engine"`
 	Kind    OrderKind   `json:"kind"`
--- a/internal/structs/identifiers.go
+++ b/internal/structs/identifiers.go
@@ -1,4 +1,4 @@
-// Package structs holds the typed values that the parts of mintpulley share:
+// Package structs defines the data types that the packages of mintpulley share:
 // identifiers, calls, outcomes, configuration, fleet state and replicated
 // records. It contains no behaviour beyond validation and conversion, and
 // imports no other internal package.
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// DaemonID names one run of one daemon: "ADDRESS#INCARNATION", where ADDRESS
-// is the peer address "IP:PORT". A daemon that restarts at its old address
-// gets a higher incarnation and is a different member; machines keep nothing,
-// so a restarted daemon must never vote with the promises of its former run.
+// DaemonID identifies one incarnation of a daemon: "ADDRESS#INCARNATION", where
+// ADDRESS is the peer address "IP:PORT". A daemon that restarts at the same
+// address gets a higher incarnation and is a different member: it has lost its
+// state and must not vote on the promises of its former incarnation.
 type DaemonID string
 
-// AnyIncarnation addresses whichever run currently listens at an address.
+// AnyIncarnation addresses the incarnation that currently listens at an address.
 const AnyIncarnation uint64 = 0
 
-// NewDaemonID joins a peer address and an incarnation number.
+// NewDaemonID returns the identifier for a peer address and an incarnation.
 func NewDaemonID(address string, incarnation uint64) DaemonID {
 	return DaemonID(address + "#" + strconv.FormatUint(incarnation, 10))
 }
@@ -29,7 +29,8 @@
 	return address
 }
 
-// Incarnation returns the run number, or AnyIncarnation when it is absent.
+// Incarnation returns the incarnation, or AnyIncarnation if it is absent or
+// malformed.
 func (id DaemonID) Incarnation() uint64 {
 	_, text, _ := strings.Cut(string(id), "#")
 	number, err := strconv.ParseUint(text, 10, 64)
@@ -42,10 +43,10 @@
 // ZoneName names a failure domain inside a region.
 type ZoneName string
 
-// RegionName names a group of zones with short delays between them.
+// RegionName names a group of zones with low latency between them.
 type RegionName string
 
-// EngineID names one model engine or back end by its address "IP:PORT".
+// EngineID identifies a model engine or other back end by its address "IP:PORT".
 type EngineID string
 
 // ModelName names a model as callers request it.
@@ -60,13 +61,12 @@
 // TemplateName names a program template.
 type TemplateName string
 
-// ProgramID names a program inside its tenant. A sub-agent's identifier is
-// its parent's followed by "/" and a name, so that a whole family hashes to
-// one shard and a child can draw on its parent's budget without a
-// distributed transaction.
+// ProgramID identifies a program within its tenant. A sub-agent's identifier is
+// its parent's followed by "/" and a name, so that a program and its descendants
+// are in one shard and share a budget without a distributed transaction.
 type ProgramID string
 
-// programSeparator divides a parent's identifier from its child's name.
+// programSeparator separates a parent's identifier from its child's name.
 const programSeparator = "/"
 
 // Root returns the identifier of the oldest ancestor.
@@ -75,7 +75,7 @@
 	return ProgramID(root)
 }
 
-// Parent returns the parent's identifier, or "" for a root program.
+// Parent returns the identifier of the parent, or "" for a root program.
 func (id ProgramID) Parent() ProgramID {
 	last := strings.LastIndex(string(id), programSeparator)
 	if last < 0 {
@@ -84,8 +84,8 @@
 	return id[:last]
 }
 
-// ProgramKey identifies a program fleet-wide. Two tenants may use the same
-// program identifier without meeting.
+// ProgramKey identifies a program in the fleet. Tenants may use the same program
+// identifiers without conflict.
 type ProgramKey struct {
 	Tenant  TenantName `json:"tenant"`
 	Program ProgramID  `json:"program"`
@@ -101,15 +101,15 @@
 	return ProgramKey{Tenant: key.Tenant, Program: key.Program.Parent()}
 }
 
-// RequestID is the caller's idempotency key, unique inside its program.
+// RequestID is the caller's idempotency key, unique within its program.
 type RequestID string
 
-// AttemptID names one dispatch of one request to one back end. Back ends
-// deduplicate by it. It is "TENANT:PROGRAM:REQUEST" for every attempt of a
-// request, so that a successor can ask a back end what became of it.
+// AttemptID identifies a request at back ends, which deduplicate by it. It is
+// "TENANT:PROGRAM:REQUEST" for every attempt of a request, so that a new leader
+// can inspect an attempt that its predecessor dispatched.
 type AttemptID string
 
-// NewAttemptID returns the identifier under which back ends know a request.
+// NewAttemptID returns the identifier of a request at back ends.
 func NewAttemptID(key ProgramKey, request RequestID) AttemptID {
 	return AttemptID(key.String() + ":" + string(request))
 }
@@ -117,7 +117,7 @@
 // ShardNumber numbers a shard of programs, from 0.
 type ShardNumber uint32
 
-// Epoch numbers the leaderships of a shard, from 1. 0 means none.
+// Epoch numbers the leadership terms of a shard, from 1. 0 means none.
 type Epoch uint64
 
 // Index numbers the records of a shard's log, from 1. 0 means none.
--- a/internal/yamlfile/decode.go
+++ b/internal/yamlfile/decode.go
@@ -12,19 +12,20 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Bounds of a file.
+// Limits on files, against excessive memory use and nesting.
 const (
-	// SizeLimit is the largest file that is read, in bytes.
+	// SizeLimit is the maximum size of a file in bytes.
 	SizeLimit = 8 << 20
-	// nodeLimit bounds the nodes visited, aliases followed each time.
+	// maximumNodes bounds the visited nodes; the target of an alias counts each
+	// time.
 	maximumNodes = 200_000
-	// depthLimit bounds how deep values nest.
+	// maximumDepth bounds the nesting of values.
 	maximumDepth = 32
 )
 
-// Decode reads YAML over the value that target points to. Fields that the
-// file does not name keep their value. It returns where each field stands and
-// everything that is wrong.
+// Decode decodes YAML into the value that target points to. Fields that the file
+// does not contain keep their value. It returns the line of each field and all
+// problems.
 func Decode(file string, data []byte, target any) (Lines, []Problem) {
 	d := &decoder{file: file, lines: Lines{}}
 	if len(data) > SizeLimit {
@@ -54,7 +55,7 @@
 	d.problems = append(d.problems, Problem{File: d.file, Line: line, Field: field, Reason: fmt.Sprintf(format, arguments...)})
 }
 
-// syntax turns the parser's error, "yaml: line N: ...", into a problem.
+// syntax converts the parser's error, "yaml: line N: ...", into a problem.
 func (d *decoder) syntax(err error) {
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	line := 0
@@ -69,7 +70,7 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// value reads one node into one value.
+// value decodes one node into one value.
 func (d *decoder) value(node *yaml.Node, field string, value reflect.Value, depth int) {
 	d.visited++
 	if d.visited > maximumNodes || depth > maximumDepth {
@@ -105,7 +106,7 @@
 	}
 }
 
-// join returns the path of a field inside another.
+// join returns the path of a nested field.
 func join(field, name string) string {
 	if field == "" {
 		return name
@@ -113,7 +114,7 @@
 	return field + "." + name
 }
 
-// pairs calls each for the entries of a mapping, and reports repeated keys.
+// pairs calls each for the entries of a mapping and reports duplicate keys.
 func (d *decoder) pairs(node *yaml.Node, field string, each func(key, value *yaml.Node)) {
 	if node.Kind != yaml.MappingNode {
 		d.add(node.Line, field, "is %s, want fields with values", describe(node))
@@ -145,7 +146,8 @@
 	})
 }
 
-// fieldsOf returns the YAML names of a struct's fields in their order.
+// fieldsOf returns the YAML names of a struct's fields in order, and the field
+// index of each name.
 func fieldsOf(t reflect.Type) ([]string, map[string]int) {
 	names := make([]string, 0, t.NumField())
 	index := map[string]int{}
@@ -197,7 +199,7 @@
 	}
 }
 
-// assign sets a value from a scalar of the right type.
+// assign sets a value from a scalar and reports whether its type matches.
 func assign(node *yaml.Node, value reflect.Value) bool {
 	switch {
 	case value.Type() == durationType:
@@ -232,7 +234,7 @@
 	}
 }
 
-// describe names what a node is.
+// describe returns the kind of a node, or the quoted text of a scalar.
 func describe(node *yaml.Node) string {
 	switch node.Kind {
 	case yaml.MappingNode:
@@ -244,7 +246,7 @@
 	}
 }
 
-// shownBytes bounds how much of a wrong value is repeated.
+// maximumQuotedBytes bounds the part of a wrong value that a problem quotes.
 const maximumQuotedBytes = 40
 
 func truncate(text string) string {
@@ -254,7 +256,7 @@
 	return text[:maximumQuotedBytes] + "..."
 }
 
-// wanted names what a value takes.
+// expectedType describes the type that a value expects.
 func expectedType(value reflect.Value) string {
 	switch {
 	case value.Type() == durationType:
--- a/internal/yamlfile/decode_test.go
+++ b/internal/yamlfile/decode_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("value (-want +got):\n%s", diff)
 	}
 	if line := lines.Line("inner.two.size.deeper"); line != 9 && line != 10 {
-		t.Errorf("line %d, want the nearest field's", line)
+		t.Errorf("line %d, want that of the nearest parent", line)
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 	var got map[string]nested
 	if _, problems := Decode("f.yaml", []byte(text), &got); len(problems) == 0 {
-		t.Error("a file that unfolds to a thousand million values was taken")
+		t.Error("a file that expands to a billion values was accepted")
 	}
 }
 
--- a/internal/yamlfile/problem.go
+++ b/internal/yamlfile/problem.go
@@ -1,7 +1,6 @@
-// Package yamlfile reads YAML files into typed values and reports everything
-// that is wrong at once, each problem with its file, line and field. The
-// library's own decoder stops at unknown fields line by line without naming
-// the path, and accepts a number where a text is meant.
+// Package yamlfile decodes YAML files into typed values and reports all problems
+// at once, each with its file, line and field. The decoder of the YAML library
+// does not report the path of an unknown field and accepts numbers as strings.
 package yamlfile
 
 import (
@@ -12,12 +11,12 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong with a file.
+// Problem is one error in a file.
 type Problem struct {
 	File string `json:"file"`
-	// Line counts from 1; 0 when the problem has no place of its own.
+	// Line counts from 1; 0 when the problem concerns no specific line.
 	Line int `json:"line,omitempty"`
-	// Field is the path to the value, such as "event_log.addresses[1]".
+	// Field is the path of the value, such as "event_log.addresses[1]".
 	Field  string `json:"field,omitempty"`
 	Reason string `json:"reason"`
 }
@@ -34,7 +33,7 @@
 	return text + ": " + p.Reason
 }
 
-// Sort orders problems by file and line; those without a line come last in
+// Sort sorts problems by file and line. Problems without a line come last in
 // their file.
 func Sort(problems []Problem) {
 	line := func(p Problem) int {
@@ -48,7 +47,7 @@
 	})
 }
 
-// Problems is an error that lists all problems, one a line.
+// Problems is an error that lists problems, one per line.
 type Problems []Problem
 
 // Error implements error.
@@ -60,11 +59,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// Lines finds the line of a field. Check adds what it finds wrong with values
-// that could be read.
+// Lines maps the path of a field to its line in the file.
 type Lines map[string]int
 
-// Line returns the line of a field, or of its nearest parent in the file.
+// Line returns the line of a field or of its nearest parent in the file, 0 if
+// there is none.
 func (l Lines) Line(field string) int {
 	for field != "" {
 		if line, known := l[field]; known {
