--- a/internal/configuration/files/files.go
+++ b/internal/configuration/files/files.go
@@ -19,7 +19,7 @@
 // Wanted is the configuration that a set of files describes.
 type Wanted struct {
 	Configuration structs.Configuration
-	// Fleet is nil when no file names a fleet policy.
+	// Fleet is nil when no file contains a fleet policy.
 	Fleet *structs.FleetPolicy
 
 	files []fileLines
@@ -165,7 +165,7 @@
 	best := yamlfile.Problem{File: "in force", Field: problem.Field, Reason: problem.Reason}
 	for at := field; at != ""; at = parent(at) {
 		if !strings.Contains(at, ".") && at != "fleet" {
-			break // "tenants" alone may stand in any file
+			break // "tenants" alone may occur in any file
 		}
 		for _, place := range w.files {
 			if line, known := place.lines[at]; known {
--- a/internal/configuration/fleet_test.go
+++ b/internal/configuration/fleet_test.go
@@ -223,7 +223,7 @@
 	for _, d := range f.daemons {
 		status := d.store.Status()
 		if !status.Serving || status.Revision != want || status.Digest != f.daemons[0].store.Digest() {
-			f.t.Errorf("%s: %+v, want revision %d and the digest of all", d.id, status, want)
+			f.t.Errorf("%s: %+v, want revision %d and the same digest", d.id, status, want)
 		}
 		if status.Divergences > 0 {
 			f.t.Errorf("%s found %d divergences", d.id, status.Divergences)
--- a/internal/configuration/fold_test.go
+++ b/internal/configuration/fold_test.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// keyHash returns a well-formed hash that differs by number.
+// keyHash returns a valid key hash that is unique per number.
 func keyHash(number int) string { return fmt.Sprintf("%064x", number+1) }
 
 // firstPatch sets one model, one template and one tenant.
@@ -94,7 +94,7 @@
 	digest := state.Digest()
 	for _, offset := range []int{0, 2, 7} {
 		if _, folded := state.Fold(encoded(t, offset, "later", 1, structs.Patch{Tenants: tenantEdit("shop-1", 2)})); folded {
-			t.Errorf("an entry at offset %d was folded where 1 is next", offset)
+			t.Errorf("an entry at offset %d was folded, but the next offset is 1", offset)
 		}
 	}
 	if state.Digest() != digest || state.Next != 1 {
@@ -115,7 +115,7 @@
 		t.Error("an operation beyond the window is still known")
 	}
 	if verdict, known := state.OperationVerdict("op-1060"); !known || verdict.Offset != 1060 {
-		t.Errorf("a recent operation gives %+v, %v", verdict, known)
+		t.Errorf("the verdict on a recent operation is %+v, %v", verdict, known)
 	}
 }
 
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -76,7 +76,7 @@
 	// operation was not folded before it.
 	searchFrom structs.LogOffset
 	lookups    int
-	begun      time.Time
+	startedAt  time.Time
 	completed  bool
 	done       func(Verdict, error)
 }
@@ -88,7 +88,7 @@
 // the fold drops the second entry as a duplicate.
 func (s *Store) Publish(change structs.Change, settings PublishSettings, done func(Verdict, error)) {
 	s.queue.Do(func() {
-		p := &publication{store: s, settings: settings, change: change, begun: s.Clock.Now(), searchFrom: s.state.Next, done: done}
+		p := &publication{store: s, settings: settings, change: change, startedAt: s.Clock.Now(), searchFrom: s.state.Next, done: done}
 		payload, err := EncodeEntry(Entry{Change: &change})
 		if err != nil {
 			p.complete(Verdict{OperationID: change.OperationID, Reason: VerdictMalformed, Problems: []Problem{{Reason: err.Error()}}}, nil)
@@ -109,7 +109,7 @@
 	})
 }
 
-// append sends the entry to the log.
+// append appends the entry to the log.
 func (p *publication) append() {
 	if p.completed {
 		return
--- a/internal/configuration/recover.go
+++ b/internal/configuration/recover.go
@@ -66,7 +66,7 @@
 // bisectEnd narrows the end of the stream down to one snapshot window.
 func (r *recovery) bisectEnd() {
 	if r.lowerBound < 0 {
-		r.store.poll() // short enough to fold from the beginning
+		r.store.poll() // the log is short enough to be folded from the beginning
 		return
 	}
 	window := structs.LogOffset(r.store.Settings.SnapshotEvery)
@@ -123,7 +123,7 @@
 	}
 	notice := r.notices[len(r.notices)-1]
 	if s.state.Next >= notice.Offset {
-		s.poll() // a peer was faster
+		s.poll() // entries from a peer have already passed the snapshot
 		return
 	}
 	r.notices = r.notices[:len(r.notices)-1]
--- a/internal/configuration/resolve/resolve_test.go
+++ b/internal/configuration/resolve/resolve_test.go
@@ -99,6 +99,6 @@
 		})
 	}
 	if _, refusal := Call(nil, &structs.Call{}); refusal == nil || refusal.Reason != structs.ReasonNoConfiguration || refusal.RetryAfter == 0 {
-		t.Errorf("without configuration: %+v, want a refusal with a time to come back", refusal)
+		t.Errorf("without configuration: %+v, want a refusal with a retry delay", refusal)
 	}
 }
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -104,7 +104,7 @@
 	Divergences int
 }
 
-// Store keeps the configuration in force.
+// Store maintains the configuration in force of one daemon.
 type Store struct {
 	Options
 	queue  serial.Queue
--- a/internal/placement/controller.go
+++ b/internal/placement/controller.go
@@ -167,7 +167,7 @@
 			continue
 		}
 		delete(c.reports, engine)
-		record := structs.Record{At: c.Clock.Now(), EngineForgotten: &structs.EngineForgotten{Engine: engine}}
+		record := structs.Record{At: c.Clock.Now(), EngineRemoved: &structs.EngineRemoved{Engine: engine}}
 		c.leadership.Propose([]structs.Record{record}, func(error) {})
 	}
 }
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -72,8 +72,8 @@
 		s.applyIssued(record.At, record.OrderIssued)
 	case record.OrderSettled != nil:
 		s.applySettled(record.At, record.OrderSettled)
-	case record.EngineForgotten != nil:
-		delete(s.engines, record.EngineForgotten.Engine)
+	case record.EngineRemoved != nil:
+		delete(s.engines, record.EngineRemoved.Engine)
 	}
 }
 
--- a/internal/plugins/engine/openai/message.go
+++ b/internal/plugins/engine/openai/message.go
@@ -33,7 +33,7 @@
 	Arguments string `json:"arguments"`
 }
 
-// toolTypeFunction is the only type of tool call.
+// toolTypeFunction is the only supported type of tool call.
 const toolTypeFunction = "function"
 
 // MarshalJSON implements json.Marshaler.
--- a/internal/plugins/engine/openai/wire.go
+++ b/internal/plugins/engine/openai/wire.go
@@ -8,7 +8,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Paths of an engine's HTTP interface.
+// Paths of an engine's HTTP API.
 const (
 	PathCompletions = "/v1/chat/completions"
 	PathAttempts    = "/scheduler/attempts"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -178,7 +178,7 @@
 	}
 	for _, found := range Check(settings) {
 		if unread[found.Field] {
-			continue // what cannot be read has been reported
+			continue // already reported as unreadable
 		}
 		problems = append(problems, locate(found, path, lines, flags))
 	}
--- a/internal/structs/call.go
+++ b/internal/structs/call.go
@@ -111,7 +111,7 @@
 // Reason is a stable, machine-readable cause of a refusal or failure.
 type Reason string
 
-// Reasons.
+// Reasons of refusals and failures.
 const (
 	ReasonInvalidRequest   Reason = "invalid_request"
 	ReasonUnknownTemplate  Reason = "unknown_template"
--- a/internal/structs/configuration.go
+++ b/internal/structs/configuration.go
@@ -67,7 +67,7 @@
 	SubAgents int `json:"sub_agents,omitempty" yaml:"sub_agents,omitempty"`
 }
 
-// Tenant is one customer of the fleet.
+// Tenant is a customer that shares the fleet with others.
 type Tenant struct {
 	// KeyHashes are hex SHA-256 digests of the tenant's bearer keys.
 	KeyHashes []string `json:"key_hashes" yaml:"key_hashes"`
--- a/internal/structs/identifiers.go
+++ b/internal/structs/identifiers.go
@@ -52,13 +52,13 @@
 // ModelName names a model as callers request it.
 type ModelName string
 
-// AdapterName names a fine-tuned adapter over a model.
+// AdapterName names a fine-tuned adapter of a model.
 type AdapterName string
 
-// TenantName names a tenant.
+// TenantName names a tenant in the configuration.
 type TenantName string
 
-// TemplateName names a program template.
+// TemplateName names a program template in the configuration.
 type TemplateName string
 
 // ProgramID identifies a program within its tenant. A sub-agent's identifier is
@@ -69,7 +69,7 @@
 // programSeparator separates a parent's identifier from its child's name.
 const programSeparator = "/"
 
-// Root returns the identifier of the oldest ancestor.
+// Root returns the identifier of the root program.
 func (id ProgramID) Root() ProgramID {
 	root, _, _ := strings.Cut(string(id), programSeparator)
 	return ProgramID(root)
--- a/internal/structs/record.go
+++ b/internal/structs/record.go
@@ -16,11 +16,11 @@
 	ProgramRemoved *ProgramRemoved `json:"program_removed,omitempty"`
 	QuotaGranted   *QuotaGranted   `json:"quota_granted,omitempty"`
 	// The records below are those of control shards; see package placement.
-	OrderIssued     *OrderIssued     `json:"order_issued,omitempty"`
-	OrderSettled    *OrderSettled    `json:"order_settled,omitempty"`
-	EngineForgotten *EngineForgotten `json:"engine_forgotten,omitempty"`
-	QuotaReceived   *QuotaReceived   `json:"quota_received,omitempty"`
-	ShardRecovered  *ShardRecovered  `json:"shard_recovered,omitempty"`
+	OrderIssued    *OrderIssued    `json:"order_issued,omitempty"`
+	OrderSettled   *OrderSettled   `json:"order_settled,omitempty"`
+	EngineRemoved  *EngineRemoved  `json:"engine_forgotten,omitempty"`
+	QuotaReceived  *QuotaReceived  `json:"quota_received,omitempty"`
+	ShardRecovered *ShardRecovered `json:"shard_recovered,omitempty"`
 }
 
 // ProgramStarted starts a program. Its limits are fixed for its lifetime.
@@ -133,8 +133,8 @@
 	Done   bool     `json:"done,omitempty"`
 }
 
-// EngineForgotten removes an engine that has left the fleet from the state.
-type EngineForgotten struct {
+// EngineRemoved removes an engine that has left the fleet from the state.
+type EngineRemoved struct {
 	Engine EngineID `json:"engine"`
 }
 
