--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -42,7 +42,7 @@
 		}
 		return "the change was refused: " + strings.Join(reasons, "; ")
 	case VerdictDuplicate:
-		return fmt.Sprintf("the operation is already in the log, at offset %d", verdict.FirstOffset)
+		return fmt.Sprintf("the operation stands in the log already, at offset %d", verdict.FirstOffset)
 	default:
 		return string(verdict.Reason)
 	}
--- a/internal/plugins/application/httpapp/setup.go
+++ b/internal/plugins/application/httpapp/setup.go
@@ -134,7 +134,7 @@
 		defer func() { _ = response.Body.Close() }()
 		var status framework.AttemptStatus
 		if err := json.NewDecoder(response.Body).Decode(&status); err != nil || response.StatusCode != http.StatusOK {
-			done(framework.AttemptStatus{}, eris.Wrap(framework.ErrUnreachable, "inspect: unexpected response"))
+			done(framework.AttemptStatus{}, eris.Wrap(framework.ErrUnreachable, "inspect"))
 			return
 		}
 		done(status, nil)
