--- a/internal/configuration/recover.go
+++ b/internal/configuration/recover.go
@@ -5,34 +5,36 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// StreamSnapshots carries packed snapshots of the fold. A notice in the
-// configuration stream tells where each stands, so that a fresh daemon finds
-// the latest without reading the others.
+// StreamSnapshots carries encoded snapshots of the state. A notice in the
+// configuration stream gives the offset of each, so that a starting daemon
+// loads the latest without reading the others.
 const StreamSnapshots framework.StreamName = "configuration-snapshots"
 
-// recovery looks for the latest snapshot: it finds the end of the
-// configuration stream by halving, reads back to the latest notice of a
-// snapshot, and loads that. Peers may bring the store up meanwhile; what is
-// furthest wins.
+// recovery loads the latest snapshot: it finds the end of the configuration
+// stream by exponential search and bisection, scans backward to the latest
+// snapshot notice and loads that snapshot. Peers may advance the store
+// meanwhile; the higher offset wins.
 type recovery struct {
 	store *Store
-	// known has an entry, unknown may be beyond the end.
-	known, unknown structs.LogOffset
-	notices        []SnapshotNotice
+	// An entry exists at lowerBound (-1: none found); upperBound may be beyond
+	// the end.
+	lowerBound, upperBound structs.LogOffset
+	notices                []SnapshotNotice
 }
 
-// recover brings a fresh store up from the log and then begins to poll. Any
-// failure falls back to folding from where the store is.
+// recover restores a starting store from the log and then begins to poll. On
+// any failure the store folds the log from its present offset.
 func (s *Store) recover() {
 	if s.Guards.AcceptOlder {
 		s.poll()
 		return
 	}
-	r := &recovery{store: s, known: -1, unknown: structs.LogOffset(s.Settings.SnapshotEvery)}
-	r.grow()
+	r := &recovery{store: s, lowerBound: -1, upperBound: structs.LogOffset(s.Settings.SnapshotEvery)}
+	r.findUpperBound()
 }
 
-// read reads the log on behalf of the recovery, and polls instead on failure.
+// read reads entries and passes them to next. On an error it abandons the
+// recovery and starts polling.
 func (r *recovery) read(stream framework.StreamName, from structs.LogOffset, limit int, next func([]framework.LogEntry)) {
 	s := r.store
 	s.Log.Read(stream, from, limit, func(entries []framework.LogEntry, err error) {
@@ -48,49 +50,49 @@
 	})
 }
 
-// grow doubles the offset until there is no entry.
-func (r *recovery) grow() {
-	r.read(framework.StreamConfiguration, r.unknown, 1, func(entries []framework.LogEntry) {
+// findUpperBound doubles the offset until no entry is found.
+func (r *recovery) findUpperBound() {
+	r.read(framework.StreamConfiguration, r.upperBound, 1, func(entries []framework.LogEntry) {
 		if len(entries) == 0 {
-			r.halve()
+			r.bisectEnd()
 			return
 		}
-		r.known = r.unknown
-		r.unknown *= 2
-		r.grow()
+		r.lowerBound = r.upperBound
+		r.upperBound *= 2
+		r.findUpperBound()
 	})
 }
 
-// halve narrows the end down to the length of a window.
-func (r *recovery) halve() {
-	if r.known < 0 {
-		r.store.poll() // short enough to fold from the beginning
+// bisectEnd narrows the end of the stream down to one snapshot window.
+func (r *recovery) bisectEnd() {
+	if r.lowerBound < 0 {
+		r.store.poll() // the log is short enough to be folded from the beginning
 		return
 	}
 	window := structs.LogOffset(r.store.Settings.SnapshotEvery)
-	if r.unknown-r.known <= window {
-		r.searchBack(max(r.known-window, 0), r.unknown)
+	if r.upperBound-r.lowerBound <= window {
+		r.scanBackward(max(r.lowerBound-window, 0), r.upperBound)
 		return
 	}
-	middle := (r.known + r.unknown) / 2
+	middle := (r.lowerBound + r.upperBound) / 2
 	r.read(framework.StreamConfiguration, middle, 1, func(entries []framework.LogEntry) {
 		if len(entries) == 0 {
-			r.unknown = middle
+			r.upperBound = middle
 		} else {
-			r.known = middle
+			r.lowerBound = middle
 		}
-		r.halve()
+		r.bisectEnd()
 	})
 }
 
-// searchBack reads a window for notices, and the window before it if there
-// are none.
-func (r *recovery) searchBack(first, end structs.LogOffset) {
-	r.scan(first, first, end)
+// scanBackward scans a window for snapshot notices, and the windows before it
+// until it finds one.
+func (r *recovery) scanBackward(first, end structs.LogOffset) {
+	r.scanWindow(first, first, end)
 }
 
-func (r *recovery) scan(at, first, end structs.LogOffset) {
-	limit := min(readLimit, int(end-at))
+func (r *recovery) scanWindow(at, first, end structs.LogOffset) {
+	limit := min(maximumReadEntries, int(end-at))
 	r.read(framework.StreamConfiguration, at, limit, func(entries []framework.LogEntry) {
 		for _, entry := range entries {
 			if decoded, err := DecodeEntry(entry.Payload); err == nil && decoded.Snapshot != nil {
@@ -100,20 +102,20 @@
 		at += structs.LogOffset(len(entries))
 		switch {
 		case len(entries) > 0 && at < end:
-			r.scan(at, first, end)
+			r.scanWindow(at, first, end)
 		case len(r.notices) > 0:
-			r.load()
+			r.loadSnapshot()
 		case first > 0:
 			window := structs.LogOffset(r.store.Settings.SnapshotEvery)
-			r.searchBack(max(first-window, 0), first)
+			r.scanBackward(max(first-window, 0), first)
 		default:
 			r.store.poll()
 		}
 	})
 }
 
-// load takes the latest snapshot that is good.
-func (r *recovery) load() {
+// loadSnapshot adopts the latest snapshot that is valid.
+func (r *recovery) loadSnapshot() {
 	s := r.store
 	if len(r.notices) == 0 {
 		s.poll()
@@ -121,19 +123,19 @@
 	}
 	notice := r.notices[len(r.notices)-1]
 	if s.state.Next >= notice.Offset {
-		s.poll() // a peer was faster
+		s.poll() // entries from a peer have already passed the snapshot
 		return
 	}
 	r.notices = r.notices[:len(r.notices)-1]
 	r.read(StreamSnapshots, notice.StoredAt, 1, func(entries []framework.LogEntry) {
 		if len(entries) == 0 || entries[0].Offset != notice.StoredAt {
-			r.load()
+			r.loadSnapshot()
 			return
 		}
 		state, err := DecodeSnapshot(entries[0].Payload, notice.Digest)
 		if err != nil || state.Next != notice.Offset {
-			s.Logger.Warn().Err(err).Msg("Configuration snapshot in the log refused.")
-			r.load()
+			s.Logger.Warn().Err(err).Msg("Configuration snapshot in the log rejected.")
+			r.loadSnapshot()
 			return
 		}
 		s.adopt(state)
--- a/internal/configuration/snapshot_writer.go
+++ b/internal/configuration/snapshot_writer.go
@@ -10,30 +10,31 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// maximumRank bounds the pause before a snapshot in a large fleet.
-const maximumRank = 30
+// maximumSnapshotRank bounds the delay before a snapshot in a large fleet.
+const maximumSnapshotRank = 30
 
-// snapshotWriter keeps at most one snapshot under way.
+// snapshotWriter ensures that at most one snapshot is scheduled or being
+// written.
 type snapshotWriter struct{ pending bool }
 
-// considerSnapshot plans a snapshot when the latest is old. The daemons take
-// turns in an order that differs from snapshot to snapshot; whoever finds at
-// its turn that another's notice came meanwhile does nothing. Two snapshots of
-// one offset do no harm.
-func (s *Store) considerSnapshot() {
+// scheduleSnapshotIfDue schedules a snapshot when enough entries follow the
+// latest one. Daemons are delayed by their rank, which differs from snapshot to
+// snapshot; a daemon writes none if another's notice has arrived by then. Two
+// snapshots of one offset are harmless.
+func (s *Store) scheduleSnapshotIfDue() {
 	if s.writer.pending || !s.snapshotDue() {
 		return
 	}
 	s.writer.pending = true
-	s.after(time.Duration(s.rank())*s.Settings.SnapshotPause, s.writeSnapshot)
+	s.after(time.Duration(s.snapshotRank())*s.Settings.SnapshotPause, s.writeSnapshot)
 }
 
 func (s *Store) snapshotDue() bool {
 	return s.serving && int(s.state.Next-s.state.Snapshot.Offset) >= s.Settings.SnapshotEvery
 }
 
-// rank is this daemon's turn among its peers for the next snapshot.
-func (s *Store) rank() int {
+// snapshotRank returns this daemon's rank among its peers for the next snapshot.
+func (s *Store) snapshotRank() int {
 	turn := func(daemon structs.DaemonID) uint64 {
 		return xxhash.Sum64String(fmt.Sprint(daemon, s.state.Snapshot.Offset))
 	}
@@ -43,12 +44,12 @@
 			rank++
 		}
 	}
-	return min(rank, maximumRank)
+	return min(rank, maximumSnapshotRank)
 }
 
-// writeSnapshot stores the snapshot first and tells of it afterwards, so that
-// no notice ever stands without its snapshot. If either append fails, nothing
-// is known to be lost: the next turn writes another.
+// writeSnapshot stores a snapshot and then appends its notice, so that no notice
+// exists without its snapshot. If either append fails, a later attempt writes
+// another snapshot.
 func (s *Store) writeSnapshot() {
 	if !s.snapshotDue() {
 		s.writer.pending = false
@@ -56,8 +57,8 @@
 	}
 	data, err := EncodeSnapshot(s.state)
 	if err != nil {
-		s.Logger.Error().Err(err).Msg("Configuration snapshot not packed.")
-		s.snapshotEnded()
+		s.Logger.Error().Err(err).Msg("Configuration snapshot could not be encoded.")
+		s.finishSnapshot()
 		return
 	}
 	notice := SnapshotNotice{Offset: s.state.Next, Digest: s.state.Digest()}
@@ -65,7 +66,7 @@
 	s.Log.Append(StreamSnapshots, operation, data, func(storedAt structs.LogOffset, err error) {
 		s.queue.Do(func() {
 			if err != nil || s.stopped {
-				s.snapshotEnded()
+				s.finishSnapshot()
 				return
 			}
 			notice.StoredAt = storedAt
@@ -74,24 +75,25 @@
 	})
 }
 
-// appendNotice writes the entry that tells readers of a snapshot. After an error
-// the next plan writes a snapshot again.
+// appendNotice appends the entry that announces a snapshot. Whether that fails
+// does not matter: without the notice, a snapshot is due again.
 func (s *Store) appendNotice(operation string, notice SnapshotNotice) {
 	payload, err := EncodeEntry(Entry{Snapshot: &notice})
 	if err != nil {
-		s.Logger.Error().Err(err).Msg("Notice of a configuration snapshot not encoded.")
-		s.snapshotEnded()
+		s.Logger.Error().Err(err).Msg("Notice of a configuration snapshot could not be encoded.")
+		s.finishSnapshot()
 		return
 	}
 	s.Log.Append(framework.StreamConfiguration, operation, payload, func(structs.LogOffset, error) {
-		s.queue.Do(s.snapshotEnded)
+		s.queue.Do(s.finishSnapshot)
 	})
 }
 
-// snapshotEnded leaves time for the notice to be read before the next plan.
-func (s *Store) snapshotEnded() {
+// finishSnapshot allows time for the notice to be read before the next snapshot
+// can be scheduled.
+func (s *Store) finishSnapshot() {
 	s.after(s.Settings.SnapshotPause, func() {
 		s.writer.pending = false
-		s.considerSnapshot()
+		s.scheduleSnapshotIfDue()
 	})
 }
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -109,7 +109,7 @@
 		l.closeQuotaRequest(request, quotaUnanswered)
 		return
 	}
-	request.ask.Ballot = l.nextBallot()
+	request.ask.BallotNumber = l.nextBallot()
 	request.sentTotal = request.ask.Wanted
 	route := l.Router.Route(l.Router.Shard(quotaHomeKey(quota.Tenant)))
 	if route.Leader != "" {
@@ -148,7 +148,7 @@
 			Quota:  ask.Quota,
 			Window: ask.Window,
 			Shard:  ask.Shard,
-			Order:  ask.Ballot,
+			Order:  ask.BallotNumber,
 			Total:  record.QuotaGranted.Total,
 		})
 	})
@@ -158,10 +158,10 @@
 // Only the answer to the latest copy of the request counts.
 func (l *leader) handleQuotaAnswer(answer *QuotaAnswer) {
 	request := l.quotas.requests[answer.Quota]
-	if l.stopped || request == nil || request.ask.Ballot != answer.Order {
+	if l.stopped || request == nil || request.ask.BallotNumber != answer.Order {
 		return
 	}
-	received := &structs.QuotaReceived{Quota: answer.Quota, Window: answer.Window, Ballot: answer.Order, Total: answer.Total}
+	received := &structs.QuotaReceived{Quota: answer.Quota, Window: answer.Window, BallotNumber: answer.Order, Total: answer.Total}
 	l.propose([]structs.Record{{At: l.Clock.Now(), QuotaReceived: received}}, func() {
 		if l.quotas.requests[answer.Quota] != request {
 			return
--- a/internal/dispatch/quota_slots.go
+++ b/internal/dispatch/quota_slots.go
@@ -96,6 +96,6 @@
 	ask := structs.QuotaRequest{Quota: quota, Window: allowance.Window, Shard: l.shard, Held: live, Wanted: live}
 	request := &openQuotaRequest{since: now, ask: ask, returning: true}
 	l.quotas.requests[quota] = request
-	received := &structs.QuotaReceived{Quota: quota, Window: allowance.Window, Ballot: l.nextBallot(), Total: live}
+	received := &structs.QuotaReceived{Quota: quota, Window: allowance.Window, BallotNumber: l.nextBallot(), Total: live}
 	l.propose([]structs.Record{{At: now, QuotaReceived: received}}, func() { l.sendQuotaRequest(request) })
 }
--- a/internal/plugins/scorer/group/setup.go
+++ b/internal/plugins/scorer/group/setup.go
@@ -1,4 +1,5 @@
-// Package group lets the first calls of a template gather on the same engines, so that few engines hold its prefix.
+// Package group routes the first calls of a template to the same engines by
+// rendezvous hashing, so that few engines cache its prefix.
 package group
 
 import (
@@ -18,10 +19,9 @@
 
 type scorer struct{}
 
-// spreadSeconds is the most that a template's least preferred engine costs. A
-// busy engine costs more than that, so that a template in demand spills over
-// to its next engines.
-const spreadSeconds = 0.02
+// maximumSpreadSeconds is the score of a template's least preferred engine. Load
+// outweighs it, so that a template in demand spills over to further engines.
+const maximumSpreadSeconds = 0.02
 
 // Score implements schedule.Scorer.
 func (scorer) Score(candidate *schedule.Candidate) float64 {
@@ -29,5 +29,5 @@
 		return 0
 	}
 	rank := xxhash.Sum64String(string(candidate.Item.Template) + "\x00" + string(candidate.Engine.Engine.ID))
-	return spreadSeconds * float64(rank) / math.MaxUint64
+	return maximumSpreadSeconds * float64(rank) / math.MaxUint64
 }
