--- a/internal/membership/api.go
+++ b/internal/membership/api.go
@@ -1,25 +1,25 @@
-// Package membership keeps every daemon's view of the others: who is alive,
-// suspected, dead or leaving. It joins the platform's lagging machine list
-// with probes between daemons; the update of the latest run, with the
-// highest refutation number, wins.
+// Package membership keeps every daemon's view of the others: which are alive,
+// suspected, dead or leaving. It combines the platform's machine list, which
+// lags behind, with SWIM-style probes between daemons; the update of the latest
+// run with the highest refutation number wins.
 package membership
 
 import (
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// State is what a daemon believes of another.
+// State is a daemon's belief about another.
 type State string
 
 // States of a member.
 const (
-	// StateAlive: it answered lately.
+	// StateAlive: it answered recently.
 	StateAlive State = "alive"
 	// StateSuspect: it has not answered; it may refute that.
 	StateSuspect State = "suspect"
-	// StateDead: it did not refute the suspicion in time, or runs no more.
+	// StateDead: it did not refute the suspicion in time, or has ended.
 	StateDead State = "dead"
-	// StateLeaving: it said that it is stopping; it gets no new work.
+	// StateLeaving: it announced that it is stopping; it gets no new work.
 	StateLeaving State = "leaving"
 )
 
@@ -31,19 +31,19 @@
 
 // Note is what a daemon adds about itself to its probes.
 type Note struct {
-	// ConfigurationOffset and ConfigurationDigest tell how far it has folded
-	// the configuration log, and to what.
+	// ConfigurationOffset and ConfigurationDigest give the offset up to which
+	// it has applied the configuration log, and the digest of the result.
 	ConfigurationOffset structs.LogOffset `json:"co"`
 	ConfigurationDigest uint64            `json:"cd"`
 }
 
-// View is what other parts see of membership. It is safe for concurrent use.
+// View is the interface of membership for other packages. It is safe for
+// concurrent use.
 type View interface {
 	// Members returns all members that are not dead, ordered by identifier,
 	// this daemon included.
 	Members() []Member
-	// State returns what is believed of a daemon; a run that was never heard
-	// of is dead.
+	// State returns the believed state of a daemon; an unknown run is dead.
 	State(daemon structs.DaemonID) State
 	// Subscribe calls listener after each change, in order, outside any lock.
 	Subscribe(listener func(Member))
--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -9,8 +9,9 @@
 	"github.com/mintpulley/mintpulley/internal/tokenbucket"
 )
 
-// broadcast keeps the updates that this daemon passes on: each is piggybacked on
-// a bounded number of messages, and urgent ones are pushed to neighbours too.
+// broadcast holds the updates that this daemon passes on: each is piggybacked
+// on a limited number of messages, and urgent ones are pushed to neighbours
+// too.
 type broadcast struct {
 	items          []*queuedUpdate
 	pending        []Update
@@ -39,24 +40,24 @@
 	b.pending = append(b.pending, update)
 }
 
-// drop forgets an update of an address.
+// drop removes the update of an address.
 func (b *broadcast) drop(address string) {
 	b.items = slices.DeleteFunc(b.items, func(i *queuedUpdate) bool { return i.update.Address == address })
 	b.pending = slices.DeleteFunc(b.pending, func(p Update) bool { return p.Address == address })
 }
 
-// dropBadNews forgets all suspicions and deaths.
+// dropFailureReports removes all suspicions and deaths.
 func (b *broadcast) dropFailureReports() {
 	b.items = slices.DeleteFunc(b.items, func(i *queuedUpdate) bool { return i.update.isFailureReport() })
 	b.pending = slices.DeleteFunc(b.pending, Update.isFailureReport)
 }
 
-// duplicateWeight is how many sendings are saved when another daemon sends the
-// same update.
+// duplicateSends is how many sends are saved when another daemon sends the same
+// update.
 const duplicateSends = 4
 
-// countDuplicate notes that another daemon sends the same update: the more often
-// that happens, the fewer members are left that do not have it.
+// countDuplicate records that another daemon sends the same update: the more
+// often that happens, the fewer members still lack it.
 func (b *broadcast) countDuplicate(update Update) {
 	for _, i := range b.items {
 		same := i.update.Address == update.Address && i.update.Run == update.Run
@@ -67,10 +68,11 @@
 	}
 }
 
-// directFleet is the size up to which updates are pushed to every member.
+// maxDirectPushFleet is the fleet size up to which updates are pushed to every
+// member.
 const maxDirectPushFleet = 16
 
-// receivePush takes pushed updates.
+// receivePush applies pushed updates.
 func (m *Membership) receivePush(from structs.DaemonID, push *UpdatePush) {
 	m.applyAll(from, push.Updates)
 	if !push.PartitionHealed || len(push.Updates) == 0 {
@@ -87,7 +89,7 @@
 	m.flushSoon()
 }
 
-// relayUpdate passes on an update that came from another. In a small fleet its
+// relayUpdate passes on an update from another daemon. In a small fleet its
 // source has already pushed it to all.
 func (m *Membership) relayUpdate(update Update) {
 	urgent := update.Status != statusDead && m.fleetSize() > maxDirectPushFleet
@@ -112,12 +114,12 @@
 	recordSize  = 110
 )
 
-// pushLimit bounds the updates of one push.
+// maxUpdatesPerPush limits the updates of one push.
 const maxUpdatesPerPush = 8
 
-// flush pushes urgent updates. What the token bucket does not cover is still
-// piggybacked on probes; this daemon's update about itself is always pushed, since
-// no other daemon can make it.
+// flush pushes urgent updates. Those beyond the rate limit are still
+// piggybacked on probes; this daemon's update about itself is always pushed,
+// since no other daemon can originate it.
 func (m *Membership) flush() {
 	m.broadcast.flushScheduled = false
 	pending := m.broadcast.pending
@@ -140,9 +142,10 @@
 	}
 }
 
-// pushLater goes on with a push that the rate limit cut, in a small fleet: there
-// the other members rely on the source of an update to push it to all. Updates that
-// were superseded meanwhile, and members that are gone, are left out.
+// resumePush continues a push that the rate limit interrupted, in a small
+// fleet: there the other members rely on the source of an update to push it to
+// all. Updates that were superseded meanwhile, and members that are gone, are
+// left out.
 func (m *Membership) resumePush(updates []Update, targets []*record) {
 	if m.fleetSize() > maxDirectPushFleet {
 		return
@@ -158,15 +161,16 @@
 	})
 }
 
-// isSuperseded tells whether this daemon knows something newer of a run.
+// isSuperseded reports whether this daemon has newer information about a run.
 func (m *Membership) isSuperseded(update Update) bool {
 	r := m.records[update.Address]
 	return r == nil || r.run != update.Run || r.status != update.Status || r.refutation != update.Refutation
 }
 
-// pushTargets returns the members to push to: in a small fleet all, suspected ones
-// last, so that the rate limit cuts these first. Who may be dead needs the update
-// least, and a suspect is told of its own suspicion by a ping.
+// pushTargets returns the members to push to: in a small fleet all, suspected
+// ones last, so that the rate limit affects these first. A member that may be
+// dead needs the update least, and a suspect learns of its own suspicion by a
+// ping.
 func (m *Membership) pushTargets() []*record {
 	m.refreshRing()
 	if m.fleetSize() <= maxDirectPushFleet {
@@ -179,8 +183,8 @@
 	return m.pickNeighbours(m.settings.PushFanout, nil)
 }
 
-// piggyback returns the updates that one message carries: what the receiver
-// should refute first, then those that were sent least.
+// piggyback returns the updates that one message carries: first the one that
+// the receiver should refute, then those that were sent least.
 func (m *Membership) piggyback(receiver *record) []Update {
 	var updates []Update
 	if receiver != nil && receiver.status.rank() >= statusSuspect.rank() {
@@ -201,7 +205,7 @@
 	return updates
 }
 
-// requestSync asks a daemon for what differs between the tables.
+// requestSync asks a daemon for the differences between the tables.
 func (m *Membership) requestSync(to structs.DaemonID) {
 	m.Transport.Send(to, &SyncRequest{Self: m.self.update(), Buckets: m.buckets})
 }
--- a/internal/membership/change_log.go
+++ b/internal/membership/change_log.go
@@ -9,25 +9,27 @@
 )
 
 const (
-	// changeWindow is the time over which changes are summed up that are too many for a
-	// line each.
+	// changeWindow is the period over which changes are summarized when there
+	// are too many for a line each.
 	changeWindow = time.Second
-	// changeLines bounds the lines of single changes in each window: each of some hundred
-	// daemons that start at once hears of all others within two seconds.
+	// maxChangeLines limits the lines for single changes in each window: when
+	// some hundred daemons start at once, each learns of all others within two
+	// seconds.
 	maxChangeLines = 8
 )
 
-// changeLog writes the changes of members: a line each, or one for all beyond changeLines
-// in a window, with their number by state and zone.
+// changeLog logs the changes of members: a line each, or one summary for those
+// beyond maxChangeLines in a window, with their number by state and zone.
 type changeLog struct {
-	// endsAt is when the window ends, and lines how many single changes were logged in it.
+	// endsAt is when the window ends, and lines how many single changes were
+	// logged in it.
 	endsAt time.Time
 	lines  int
-	// summed counts the changes beyond these; nil for none.
+	// summarized counts the changes beyond these; nil for none.
 	summarized map[State]map[structs.ZoneName]int
 }
 
-// logChange writes a line of a change, or counts it.
+// logChange logs a change, or counts it for the summary.
 func (m *Membership) logChange(r *record) {
 	l := &m.changeLog
 	now := m.Clock.Now()
@@ -51,7 +53,7 @@
 	l.summarized[r.state()][r.daemon.Zone]++
 }
 
-// logSummary writes one line for all changes that were counted.
+// logSummary logs one line for all changes that were counted.
 func (m *Membership) logSummary() {
 	if m.changeLog.summarized == nil {
 		return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -16,7 +16,7 @@
 	"github.com/mintpulley/mintpulley/internal/tokenbucket"
 )
 
-// Options give a Membership what it works with.
+// Options holds the dependencies and settings of a Membership.
 type Options struct {
 	Self      structs.Daemon
 	Clock     clock.Clock
@@ -27,17 +27,17 @@
 }
 
 // Membership is one daemon's view of the others. It implements View. All its
-// work is done on one serial queue; readers take a short lock.
+// work runs on one serial queue; readers take a short lock.
 type Membership struct {
 	Options
 	queue serial.Queue
 
-	// The table is written on the queue, under the mutex.
+	// The table is written on the queue, with the mutex held.
 	mutex         sync.Mutex
 	records       map[string]*record
 	cachedMembers []Member
 
-	// All below belongs to the queue.
+	// The fields below are used on the queue only.
 	self          *record
 	stopped       bool
 	settings      Settings // scaled to the fleet
@@ -57,7 +57,7 @@
 	startedAt     time.Time
 }
 
-// New returns a membership that knows of this daemon alone.
+// New returns a membership that knows this daemon only.
 func New(options Options) *Membership {
 	m := &Membership{
 		Options:  options,
@@ -81,7 +81,7 @@
 	return m
 }
 
-// Start begins to probe, and to look for others.
+// Start starts to probe members and to look for other daemons.
 func (m *Membership) Start() {
 	m.queue.Do(func() {
 		m.startedAt = m.Clock.Now()
@@ -92,8 +92,8 @@
 	})
 }
 
-// Leave tells the others that this daemon is stopping: it gets no new work,
-// and is probed on until Stop.
+// Leave announces that this daemon is stopping: it gets no new work, and is
+// still probed until Stop.
 func (m *Membership) Leave() {
 	m.do(func() {
 		if m.self.leaving {
@@ -108,8 +108,8 @@
 	})
 }
 
-// Stop ends all timers. After Leave it tells the others that this run is gone
-// for good; else they find out as they would after a crash.
+// Stop ends all timers. After Leave it announces that this run has ended;
+// otherwise the others detect that as they would a crash.
 func (m *Membership) Stop() {
 	m.do(func() {
 		if m.self.leaving {
@@ -123,7 +123,8 @@
 	})
 }
 
-// Receive takes a message that arrived; false means it is another part's.
+// Receive handles a message of this package. It returns false for other
+// messages.
 func (m *Membership) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch message.(type) {
 	case *Ping, *Ack, *PingRequest, *UpdatePush, *SyncRequest, *SyncReply:
@@ -133,7 +134,8 @@
 	return false
 }
 
-// MachinesListed takes the platform's list: where daemons may be found.
+// MachinesListed handles the platform's machine list, which has the addresses
+// where daemons may run.
 func (m *Membership) MachinesListed(machines []structs.Machine) {
 	var listed []string
 	for _, machine := range machines {
@@ -151,7 +153,8 @@
 	m.queue.Do(func() { m.note = note })
 }
 
-// OnNote calls listener on the queue with every note that arrives.
+// OnNote sets the listener that is called on the queue with every note
+// received.
 func (m *Membership) OnNote(listener func(from structs.DaemonID, note Note)) {
 	m.queue.Do(func() { m.onNote = listener })
 }
@@ -190,7 +193,7 @@
 	return r.state()
 }
 
-// Lookup returns the latest run that was heard of at an address; false if none was.
+// Lookup returns the latest known run at an address; false if there is none.
 func (m *Membership) Lookup(address string) (Member, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -201,10 +204,10 @@
 	return Member{Daemon: r.daemon, State: r.state()}, true
 }
 
-// Alive tells that a run is not dead: it may be suspected or leaving.
+// Alive reports whether a run is not dead: it may be suspected or leaving.
 func (m *Membership) Alive(daemon structs.DaemonID) bool { return m.State(daemon) != StateDead }
 
-// do runs a task on the queue and then tells the listeners what it changed.
+// do runs a task on the queue and then notifies the listeners of its changes.
 func (m *Membership) do(task func()) {
 	m.queue.Do(func() {
 		if m.stopped {
@@ -215,7 +218,7 @@
 	})
 }
 
-// after runs a task on the queue later, unless stopped by then. It returns a
+// after runs a task on the queue after d, unless stopped by then. It returns a
 // timer that may be stopped.
 func (m *Membership) after(d time.Duration, task func()) clock.Timer {
 	due := m.Clock.Now().Add(d)
@@ -239,7 +242,7 @@
 	}
 }
 
-// jitter returns a random duration up to d, so that daemons which started
+// jitter returns a random duration up to d, so that daemons that started
 // together do not probe in step.
 func (m *Membership) jitter(d time.Duration) time.Duration {
 	return time.Duration(m.Random.Int64N(int64(d)) + 1)
@@ -250,7 +253,8 @@
 	refutation := m.self.refutation
 	m.handle(from, message)
 	if m.self.refutation != refutation {
-		// The sender may not be among the members that the refutation went to.
+		// The sender may not be among the members that the refutation was
+		// pushed to.
 		m.Transport.Send(from, &UpdatePush{Updates: []Update{m.self.update()}})
 	}
 }
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -5,15 +5,15 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Update is the state of one run of one daemon, as far as its sender knows. Keys are short
-// because updates are most of what membership sends.
+// Update is the state of one run of one daemon, as far as its sender knows.
+// Keys are short because updates are most of membership's traffic.
 type Update struct {
 	Address string `json:"a"`
 	// Run is the incarnation in the daemon's identifier.
 	Run uint64 `json:"i"`
 	// Status is absent for alive.
 	Status status `json:"s,omitempty"`
-	// Refutation counts how often the run has contradicted an update about itself.
+	// Refutation counts the updates about itself that the run has refuted.
 	Refutation uint64 `json:"r,omitempty"`
 	// Zone, Region, HTTPAddress and Capacity are absent when the run is dead.
 	Zone        structs.ZoneName   `json:"z,omitempty"`
@@ -25,11 +25,11 @@
 // Ping asks for an Ack.
 type Ping struct {
 	Sequence uint64 `json:"q"`
-	// Digest stands for the sender's table.
+	// Digest is the digest of the sender's table.
 	Digest  uint64   `json:"d"`
 	Note    Note     `json:"n"`
 	Updates []Update `json:"u,omitempty"`
-	// PartitionHealed: a cut has ended just now.
+	// PartitionHealed is set shortly after a partition has ended.
 	PartitionHealed bool `json:"b,omitempty"`
 }
 
@@ -53,26 +53,29 @@
 // UpdatePush pushes updates that should not wait for the next probe.
 type UpdatePush struct {
 	Updates []Update `json:"u"`
-	// PartitionHealed: a cut has ended, and the first update is of a run from beyond.
+	// PartitionHealed is set when a partition has ended and the first update is
+	// of a run from its other side.
 	PartitionHealed bool `json:"b,omitempty"`
 }
 
-// SyncRequest asks for the parts of the receiver's table that differ. It is
-// also how a daemon joins, and how it looks for those that it lost.
+// SyncRequest asks for the parts of the receiver's table that differ. Daemons
+// also join by it, and look for lost members.
 type SyncRequest struct {
 	Self Update `json:"m"`
 	// Buckets are the digests of the parts of the sender's table.
 	Buckets [bucketCount]uint64 `json:"b"`
-	// About is what the sender believes of the receiver, if that is for it to refute.
+	// About is the sender's belief about the receiver, if the receiver should
+	// refute it.
 	About *Update `json:"o,omitempty"`
-	// LiveOnly: a cut has ended, and the members that are well are asked for.
+	// LiveOnly is set after a partition has ended: only members that are
+	// neither suspected nor dead are requested.
 	LiveOnly bool `json:"l,omitempty"`
 }
 
 // SyncReply carries the parts of a table that differ.
 type SyncReply struct {
 	Updates []Update `json:"u"`
-	// LiveOnly answers a request for the living.
+	// LiveOnly is set in the reply to a request with LiveOnly.
 	LiveOnly bool `json:"l,omitempty"`
 }
 
--- a/internal/membership/pause.go
+++ b/internal/membership/pause.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// pausedHealthPenalty is the health penalty that a pause sets.
+// pausedHealthPenalty is the health penalty after a pause.
 const pausedHealthPenalty = 2
 
 // detectPause compares when a timer ran with when it was due. A daemon whose
-// timers run late was itself stopped, and the answers it misses may wait
-// unread: probes and suspicions start anew before any member is held dead.
+// timers run late was itself paused, and the answers that it misses may be in
+// its receive buffers: probes and suspicions start again before any member is
+// declared dead.
 func (m *Membership) detectPause(due time.Time) {
 	late := m.Clock.Now().Sub(due)
 	if late < m.settings.PauseThreshold {
@@ -31,7 +32,7 @@
 	}
 }
 
-// suspected lists the suspected members in order.
+// suspectedRecords lists the suspected members, sorted.
 func (m *Membership) suspectedRecords() []*record {
 	var suspected []*record
 	for _, r := range m.records {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// prober keeps the probes that are under way.
+// prober holds the probes in progress.
 type prober struct {
 	sequence      uint64
 	ticks         int
@@ -15,7 +15,7 @@
 	relayedProbes map[uint64]relayedProbe
 }
 
-// probe is one question to a daemon that has not been answered.
+// probe is one unanswered ping to a daemon.
 type probe struct {
 	target   *record
 	sentAt   time.Time
@@ -23,7 +23,7 @@
 	timeout  clock.Timer
 }
 
-// relay is a probe made for another daemon.
+// relayedProbe is a probe made for another daemon.
 type relayedProbe struct {
 	origin   structs.DaemonID
 	sequence uint64
@@ -39,7 +39,8 @@
 	return p.sequence
 }
 
-// probeTick probes the ring successor, and now and then a farther neighbour.
+// probeTick probes the ring successor, and every FarProbeEvery ticks a farther
+// neighbour.
 func (m *Membership) probeTick() {
 	m.probeSuccessor()
 	m.prober.ticks++
@@ -58,7 +59,7 @@
 	}
 }
 
-// probe asks a daemon for an answer, and others to ask it if none comes.
+// probe pings a daemon, and asks others to ping it if no answer comes.
 func (m *Membership) probe(r *record) {
 	sequence := m.prober.next()
 	p := &probe{target: r, sentAt: m.Clock.Now()}
@@ -68,8 +69,8 @@
 	p.timeout = m.after(m.scaledByHealth(m.settings.AckTimeout), func() { m.probeFailed(sequence) })
 }
 
-// sendPing sends a ping that carries what is believed of the target, if that
-// is for the target to refute.
+// sendPing sends a ping that carries this daemon's belief about the target, if
+// the target should refute it.
 func (m *Membership) sendPing(to structs.DaemonID, sequence uint64, about *record) {
 	m.Transport.Send(to, &Ping{
 		Sequence:        sequence,
@@ -80,8 +81,8 @@
 	})
 }
 
-// scaledByHealth lengthens a timeout while this daemon's own health is in doubt,
-// by half for each point of the penalty.
+// scaledByHealth lengthens a timeout while this daemon's own health is in
+// doubt, by half for each point of the penalty.
 func (m *Membership) scaledByHealth(d time.Duration) time.Duration {
 	return d + d*time.Duration(m.healthPenalty)/2
 }
@@ -100,12 +101,12 @@
 	}
 }
 
-// answered tells that the target answered this probe or a later one.
+// isAnswered reports whether the target answered this probe or a later one.
 func (p *probe) isAnswered() bool { return !p.target.answeredAt.Before(p.sentAt) }
 
-// probeFailed suspects a daemon that nobody could reach, and tells it so. The next
-// member on the ring is probed at once, so that several crashes in a row are not
-// each found a ProbeInterval later.
+// probeFailed suspects a daemon that no daemon could reach, and informs it. The
+// next member on the ring is probed at once, so that several crashes in a row
+// are not each detected a ProbeInterval later.
 func (m *Membership) probeFailed(sequence uint64) {
 	p := m.prober.probes[sequence]
 	delete(m.prober.probes, sequence)
@@ -175,7 +176,7 @@
 	m.healthPenalty = max(0, m.healthPenalty-1)
 }
 
-// receivePingRequest probes a daemon for another, and forgets that when no
+// receivePingRequest probes a daemon for another, and drops the request when no
 // answer comes in time.
 func (m *Membership) receivePingRequest(from structs.DaemonID, request *PingRequest) {
 	m.applyAll(from, request.Updates)
@@ -185,7 +186,7 @@
 	m.after(m.settings.AckTimeout, func() { delete(m.prober.relayedProbes, sequence) })
 }
 
-// processHeartbeat takes what another daemon says of itself with each probe.
+// processHeartbeat handles what each probe says about its sender.
 func (m *Membership) processHeartbeat(from structs.DaemonID, digest uint64, note *Note) {
 	m.compareTable(from, digest)
 	if note != nil && m.onNote != nil {
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -9,8 +9,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// status is what an update says of a run. It tells more than State: a run that
-// left is known never to come back.
+// status is the state in an update about a run. It is finer than State: a run
+// that left will never come back.
 type status string
 
 const (
@@ -22,7 +22,7 @@
 )
 
 // rank orders statuses at the same refutation: the worse status wins, and only
-// the run itself can better it, by a higher refutation.
+// the run itself can improve it, by a higher refutation.
 func (s status) rank() int {
 	switch s {
 	case statusAlive:
@@ -40,8 +40,8 @@
 	}
 }
 
-// record is what this daemon knows of one address: its latest run only. Runs
-// with a lower incarnation are dead by that alone.
+// record is the latest known run at one address. Runs with a lower incarnation
+// are dead.
 type record struct {
 	daemon     structs.Daemon
 	address    string
@@ -50,12 +50,12 @@
 	refutation uint64
 	// leaving stays set while a leaving run is suspected.
 	leaving bool
-	// position is the place on the ring.
+	// position is the position on the ring.
 	position uint64
-	// answeredAt is when the latest probe was sent that was answered.
+	// answeredAt is when the latest answered probe was sent.
 	answeredAt time.Time
 	diedAt     time.Time
-	// lostAt is when it was suspected last.
+	// suspectedAt is when it was last suspected.
 	suspectedAt time.Time
 	// suspicion runs while the run is suspected.
 	suspicion clock.Timer
@@ -79,10 +79,10 @@
 	}
 }
 
-// gone tells that the run is dead or left.
+// isGone reports whether the run is dead or left.
 func (r *record) isGone() bool { return r.status == statusDead || r.status == statusLeft }
 
-// stale tells that an update holds nothing new.
+// isStale reports whether an update contains nothing new.
 func (r *record) isStale(update Update) bool {
 	if update.Run != r.run {
 		return update.Run < r.run
@@ -99,7 +99,7 @@
 	return update.Status.rank() <= r.status.rank()
 }
 
-// state is what others are shown.
+// state returns the State that other packages see.
 func (r *record) state() State {
 	switch {
 	case r.isGone():
@@ -125,29 +125,29 @@
 	return update
 }
 
-// shortUpdate returns the update as others who know the run need it: without its
-// place and addresses, which never change.
+// shortUpdate returns the update for daemons that know the run: without its
+// zone, region, address and capacity, which never change.
 func (r *record) shortUpdate() Update {
 	return Update{Address: r.address, Run: r.run, Status: r.status, Refutation: r.refutation}
 }
 
-// isBadNews tells that an update is of a suspicion or a death.
+// isFailureReport reports whether an update is of a suspicion or a death.
 func (u Update) isFailureReport() bool { return u.Status == statusSuspect || u.Status == statusDead }
 
-// isComplete tells that an update says enough about a run that is not known.
-// The announcement of a fresh run always does.
+// isComplete reports whether an update is sufficient for a run that is not
+// known. The announcement of a new run always is.
 func (u Update) isComplete() bool {
 	announced := u.Status == statusAlive && u.Refutation == 0
 	return announced || u.Zone != "" || u.Region != "" || u.HTTPAddress != ""
 }
 
-// bucketCount is the number of parts that tables are compared by.
+// bucketCount is the number of parts by which tables are compared.
 const bucketCount = 64
 
 func (r *record) bucket() int { return int(r.position % bucketCount) }
 
-// digest stands for the run in the digest of a table: 0 when it is gone.
-// Suspicion and refutations are left out, since they pass.
+// digest returns the run's part of the table's digest: 0 when it is gone.
+// Suspicions and refutations are left out, since they are temporary.
 func (r *record) digest() uint64 {
 	if r.isGone() {
 		return 0
@@ -160,6 +160,6 @@
 	return sum.Sum64() & digestMask
 }
 
-// digestMask keeps digests short on the wire. A table that differs from
-// another has the same digest once in a billion times.
+// digestMask keeps digests short on the wire. Two different tables have the
+// same digest once in a billion times.
 const digestMask = 1<<30 - 1
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -9,13 +9,14 @@
 // ring orders all members that are not gone by the hash of their address. A
 // daemon's neighbours are those at distances of 1, 2, 4, 8 and so on, both
 // ways, so that a daemon in a large fleet keeps connections to few others and
-// updates still cross the fleet in a logarithm of its size.
+// updates still cross the fleet in a logarithmic number of hops.
 type ring struct {
 	// members are in order of their position, this daemon included.
 	members []*record
-	// dirty is set when the members changed since the rest was derived.
+	// dirty is set when the members changed since the other fields were
+	// derived.
 	dirty bool
-	// following and neighbours leave this daemon out.
+	// successors and neighbours exclude this daemon.
 	successors []*record
 	neighbours []*record
 }
@@ -41,7 +42,8 @@
 	}
 }
 
-// refreshRing brings the neighbours and the settings up to the members.
+// refreshRing updates the neighbours and the scaled settings after a change of
+// members.
 func (m *Membership) refreshRing() {
 	if !m.ring.dirty {
 		return
@@ -54,7 +56,7 @@
 	m.settings = m.Settings.Scaled(len(members))
 }
 
-// neighboursOf picks those at distances of powers of two, both ways.
+// neighboursOf returns the members at distances of powers of two, both ways.
 func neighboursOf(following []*record) []*record {
 	var neighbours []*record
 	for distance := 1; distance <= len(following); distance *= 2 {
@@ -69,12 +71,11 @@
 	return neighbours
 }
 
-// fleet returns the number of members, this daemon included.
+// fleetSize returns the number of members, this daemon included.
 func (m *Membership) fleetSize() int { return len(m.ring.members) }
 
-// successor returns the next member on the ring that is not suspected: what
-// becomes of a suspected one is for its timer to tell. It returns nil when
-// there is none.
+// successor returns the next member on the ring that is not suspected, since a
+// suspected one is decided by its timer. It returns nil when there is none.
 func (m *Membership) successor() *record {
 	m.refreshRing()
 	for _, r := range m.ring.successors {
@@ -94,8 +95,8 @@
 	return m.ring.neighbours[1+turn%(len(m.ring.neighbours)-1)]
 }
 
-// pickNeighbours returns up to count random neighbours that are not suspected
-// and not the one left out.
+// pickNeighbours returns up to count random neighbours that are neither
+// suspected nor leftOut.
 func (m *Membership) pickNeighbours(count int, leftOut *record) []*record {
 	m.refreshRing()
 	var candidates []*record
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -5,90 +5,93 @@
 	"time"
 )
 
-// Settings give the pauses and bounds of failure detection. All times are for
-// a fleet of up to SmallFleet daemons; see Scaled.
+// Settings holds the intervals and limits of failure detection. All durations
+// are for a fleet of up to SmallFleet daemons; see Scaled.
 type Settings struct {
-	// ProbeInterval is the pause between probes of the ring successor.
+	// ProbeInterval is the delay between probes of the ring successor.
 	ProbeInterval time.Duration
 	// FarProbeEvery is after how many probes a farther neighbour is probed too.
 	FarProbeEvery int
-	// IndirectAfter is when others are asked to probe a daemon that has not
-	// answered.
+	// IndirectAfter is the time after which others are asked to probe a daemon
+	// that has not answered.
 	IndirectAfter time.Duration
-	// AckTimeout is when a daemon that has not answered is suspected. It
-	// must exceed the longest round trip that counts as healthy.
+	// AckTimeout is the time after which a daemon that has not answered is
+	// suspected. It must exceed the longest round trip that counts as healthy.
 	AckTimeout time.Duration
-	// SuspicionTimeout is how long a suspected daemon has to refute. It must
-	// exceed the time for the update to reach it and its answer to reach all.
+	// SuspicionTimeout is how long a suspected daemon may refute the suspicion.
+	// It must exceed the time for the update to reach it and its refutation to
+	// reach all.
 	SuspicionTimeout time.Duration
-	// IndirectProbes is how many others are asked.
+	// IndirectProbes is how many others are asked to probe.
 	IndirectProbes int
-	// PauseThreshold is how late a timer may fire before this daemon takes
-	// itself to have been paused.
+	// PauseThreshold is how late a timer may fire before this daemon assumes
+	// that it was paused.
 	PauseThreshold time.Duration
 
-	// UpdatesPerMessage bounds the updates that one message carries.
+	// UpdatesPerMessage limits the updates that one message carries.
 	UpdatesPerMessage int
-	// BacklogThreshold is the number of updates to pass on beyond which messages carry
-	// BacklogUpdates instead.
+	// BacklogThreshold is the number of queued updates beyond which messages
+	// carry BacklogUpdates instead.
 	BacklogThreshold int
 	BacklogUpdates   int
 	// RetransmitFactor times log2(fleet) is how often an update is sent.
 	RetransmitFactor int
-	// PushFanout is to how many neighbours urgent updates are pushed at once in
-	// fleets beyond SmallFleet; within it, all.
+	// PushFanout is the number of neighbours that urgent updates are pushed to
+	// at once in fleets beyond maxDirectPushFleet; within it, all members.
 	PushFanout int
 	// PushDelay batches urgent updates into one message.
 	PushDelay time.Duration
-	// PushBytesPerSecond and PushBurst bound the bytes of pushed updates.
+	// PushBytesPerSecond and PushBurst limit the bytes of pushed updates.
 	PushBytesPerSecond int
 	PushBurst          int
 
 	// FirstJoinTime is how long after its start a daemon asks FirstJoinFanout
-	// others at a time, every FirstJoinInterval: for fleets that serve nobody
-	// after a loss of all daemons until these know of each other. 0 for never.
+	// others at a time, every FirstJoinInterval: for fleets that serve no calls
+	// after a loss of all daemons until these know each other. 0 for never.
 	FirstJoinTime     time.Duration
 	FirstJoinInterval time.Duration
 	FirstJoinFanout   int
-	// JoinInterval is the pause between tries to find others while alone.
+	// JoinInterval is the delay between attempts to find others while alone.
 	JoinInterval time.Duration
-	// ReconnectInterval is the pause between tries to reach a daemon that is
-	// dead but listed, or was known: it heals partitions.
+	// ReconnectInterval is the delay between attempts to reach a daemon that is
+	// dead but listed, or was known: it detects the end of partitions.
 	ReconnectInterval time.Duration
 	// SyncAfter is how long another daemon's table may differ from this one's
-	// before it is read.
+	// before it is requested.
 	SyncAfter time.Duration
-	// SyncInterval is the shortest pause between readings of tables.
+	// SyncInterval is the shortest delay between syncs of tables.
 	SyncInterval time.Duration
-	// SyncBytesPerSecond and SyncBurst bound the bytes of tables handed out.
+	// SyncBytesPerSecond and SyncBurst limit the bytes of tables sent in
+	// replies.
 	SyncBytesPerSecond int
 	SyncBurst          int
-	// SyncRecords bounds the records handed out at once to a daemon that has a
-	// table already.
+	// SyncRecords limits the records in a reply to a daemon that already has a
+	// table.
 	SyncRecords int
-	// VerifyPerSecond bounds the probes of daemons about which tables differ.
+	// VerifyPerSecond limits the probes of daemons about which tables differ.
 	VerifyPerSecond int
 
-	// HealDuration is how long, from when a daemon learns that a cut has ended, others'
-	// tables are taken over and bad news by hearsay is not: news of the end cross 74
-	// daemons in 0.3 s, and a reading or two follow. HealCooldown is the shortest time from
-	// one such time's begin to the next.
+	// HealDuration is how long, after a daemon learns that a partition has
+	// ended, others' tables are merged and others' failure reports are ignored:
+	// the report of the end reaches 74 daemons in 0.3 s, and one or two syncs
+	// follow. HealCooldown is the shortest time from the start of one such
+	// period to the next.
 	HealDuration time.Duration
 	HealCooldown time.Duration
 
-	// TombstoneRetention is how long a dead daemon that is not on the platform's
-	// list is remembered.
+	// TombstoneRetention is how long a dead daemon that is not on the
+	// platform's list is remembered.
 	TombstoneRetention time.Duration
-	// TombstoneLimit bounds how many dead daemons are remembered.
+	// TombstoneLimit limits how many dead daemons are remembered.
 	TombstoneLimit int
 }
 
-// SmallFleet is the number of daemons up to which the settings hold unscaled.
+// SmallFleet is the number of daemons up to which the settings apply unscaled.
 const SmallFleet = 9
 
-// DefaultSettings returns settings for small fleets: a crash is noticed
-// within ProbeInterval + AckTimeout + SuspicionTimeout = 1.4 s, and a round
-// trip with 200 ms of jitter each way raises no suspicion.
+// DefaultSettings returns settings for small fleets: a crash is detected within
+// ProbeInterval + AckTimeout + SuspicionTimeout = 1.4 s, and a round trip with
+// 200 ms of jitter each way raises no suspicion.
 func DefaultSettings() Settings {
 	return Settings{
 		ProbeInterval:      300 * time.Millisecond,
@@ -121,10 +124,10 @@
 	}
 }
 
-// Scaled returns the settings for a fleet of some size. Probes and waiting
-// grow with the logarithm of the size, which keeps bytes per daemon level
-// while updates take more hops; timeouts of single round trips grow with its
-// square root only.
+// Scaled returns the settings for a fleet of some size. Probe and waiting times
+// grow with the logarithm of the size, which keeps bytes per daemon level while
+// updates take more hops; timeouts of single round trips grow only with the
+// square root of that factor.
 func (s Settings) Scaled(fleet int) Settings {
 	if fleet <= SmallFleet {
 		return s
@@ -146,7 +149,7 @@
 	return time.Duration(float64(d) * factor)
 }
 
-// retransmits is how often one update is sent in a fleet of some size.
+// retransmits returns how often one update is sent in a fleet of some size.
 func (s Settings) retransmits(fleet int) int {
 	return s.RetransmitFactor * int(math.Ceil(math.Log2(float64(fleet+1))))
 }
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -10,34 +10,35 @@
 	"github.com/mintpulley/mintpulley/internal/tokenbucket"
 )
 
-// joinTime is how long after its start a daemon looks for others at the shorter
-// JoinInterval.
+// joinDuration is how long after its start a daemon looks for others at the
+// shorter JoinInterval.
 const joinDuration = 5 * time.Second
 
-// A daemon reads others' tables settleSpeedup times as often for settleTime
-// after its start: a fleet that starts at once begins with tables of pieces.
+// A daemon syncs syncSpeedup times as often for syncSpeedupDuration after its
+// start, since the tables of a fleet that starts at once are incomplete.
 const (
 	syncSpeedupDuration = 30 * time.Second
 	syncSpeedup         = 4
 )
 
-// syncer compares this daemon's table with others', finds others in the first
-// place, and goes on looking for those that were lost.
+// syncer compares this daemon's table with others', finds other daemons after
+// the start, and keeps looking for lost ones.
 type syncer struct {
-	// differsSince tells since when a neighbour's table differs from this one.
+	// differsSince is since when a neighbour's table differs from this one.
 	differsSince map[structs.DaemonID]time.Time
-	// readAt is when another's table was last asked for.
+	// readAt is when another's table was last requested.
 	readAt  time.Time
 	replies tokenbucket.Bucket
-	// pending are the runs that are to be probed, and verifying tells that one is.
+	// pending are the runs to probe, and verifying is set while one is probed.
 	pending   []pendingVerification
 	verifying bool
 }
 
-// leastSyncRecords are sent whatever the rate limit: this run and the sender's.
+// minSyncRecords are sent regardless of the rate limit: this run and the
+// sender's.
 const minSyncRecords = 2
 
-// differsLimit bounds the daemons whose difference is timed.
+// maxTrackedDifferences limits the entries of differsSince.
 const maxTrackedDifferences = 64
 
 func (s *syncer) init(settings Settings) {
@@ -45,8 +46,8 @@
 	s.replies = tokenbucket.NewFull(float64(settings.SyncBytesPerSecond), float64(settings.SyncBurst))
 }
 
-// compareTable reads a daemon's table when it has differed for a while, which
-// means that updates were missed.
+// compareTable requests a daemon's table when it has differed for SyncAfter,
+// which means that updates were missed.
 func (m *Membership) compareTable(from structs.DaemonID, digest uint64) {
 	s := &m.syncer
 	if digest == m.digest() {
@@ -74,8 +75,8 @@
 	m.requestSync(from)
 }
 
-// joinTick looks for daemons: any that is listed while this one is alone,
-// later those that are listed or were known and are not among the members.
+// joinTick looks for daemons: any that is listed while this one is alone, later
+// those that are listed or were known and are not among the members.
 func (m *Membership) joinTick() {
 	m.pruneTombstones()
 	absent := m.absentAddresses()
@@ -86,8 +87,8 @@
 	m.after(interval/2+m.jitter(interval), m.joinTick)
 }
 
-// lookFor asks for the table of whoever runs at an address, and tells it if it was held
-// dead: it has most likely lost this daemon, too.
+// requestSyncAt requests the table of the daemon at an address. If that is dead
+// here the request says so: it has probably lost this daemon, too.
 func (m *Membership) requestSyncAt(address string) {
 	request := &SyncRequest{Self: m.self.update(), Buckets: m.buckets}
 	if r := m.records[address]; r != nil && r.status == statusDead {
@@ -97,8 +98,8 @@
 	m.Transport.Send(structs.NewDaemonID(address, structs.AnyIncarnation), request)
 }
 
-// joinPace returns the pause between rounds of looking for others, and how many
-// are asked in each.
+// joinSchedule returns the delay between rounds of looking for others, and how
+// many are asked in each.
 func (m *Membership) joinSchedule() (interval time.Duration, fanout int) {
 	age := m.Clock.Now().Sub(m.startedAt)
 	switch {
@@ -110,7 +111,8 @@
 	return m.settings.ReconnectInterval, 1
 }
 
-// absentAddresses lists, in order, addresses that are no member's but may be.
+// absentAddresses lists, sorted, the addresses where a daemon may run that is
+// not a member.
 func (m *Membership) absentAddresses() []string {
 	var absent []string
 	for _, address := range m.listed {
@@ -127,7 +129,7 @@
 	return slices.Compact(absent)
 }
 
-// forgetTombstones drops what is remembered of daemons long dead.
+// pruneTombstones removes records of daemons long dead.
 func (m *Membership) pruneTombstones() {
 	var dead []*record
 	for _, r := range m.records {
@@ -151,7 +153,7 @@
 	}
 }
 
-// receiveSyncRequest answers with the parts of the table that differ.
+// receiveSyncRequest replies with the parts of the table that differ.
 func (m *Membership) receiveSyncRequest(from structs.DaemonID, request *SyncRequest) {
 	self := request.Self
 	if structs.NewDaemonID(self.Address, self.Run) != from || self.Status.rank() < 0 {
@@ -185,11 +187,12 @@
 	})
 }
 
-// joiningEmptyBuckets is the number of empty parts of a table above which its
-// sender is taken to be joining.
+// joiningEmptyBuckets is the number of empty buckets above which the sender
+// counts as joining.
 const joiningEmptyBuckets = bucketCount * 3 / 4
 
-// joins tells that the sender knows next to no members, and needs a whole table.
+// isJoining reports whether the sender knows almost no members, and needs a
+// whole table.
 func (r *SyncRequest) isJoining() bool {
 	empty := 0
 	for _, bucket := range r.Buckets {
@@ -200,8 +203,9 @@
 	return empty > joiningEmptyBuckets
 }
 
-// differing lists the records in the parts of the table that differ, from a
-// random place on, so that replies cut short tell something else each time.
+// differingUpdates lists the records in the parts of the table that differ,
+// from a random position on, so that truncated replies contain different
+// records each time.
 func (m *Membership) differingUpdates(theirs [bucketCount]uint64) []Update {
 	var differing []*record
 	for _, r := range m.records {
@@ -221,9 +225,9 @@
 	return updates
 }
 
-// receiveSyncReply merges another's table. Neither its suspicions nor its
-// dead statuses are taken over: it may have been cut off together with few others.
-// Where the tables disagree about a run, that run is asked.
+// receiveSyncReply merges another's table. Its suspicions and deaths are not
+// applied: it may have been cut off together with few others. Runs on which the
+// tables disagree are probed.
 func (m *Membership) receiveSyncReply(reply *SyncReply) {
 	m.healer.synced = m.healer.synced || reply.LiveOnly
 	for _, update := range reply.Updates {
@@ -249,8 +253,8 @@
 	}
 }
 
-// disagree tells that one side holds a run dead and the other does not, with
-// no later refutation of the run itself to settle it.
+// disagreesOnLiveness reports whether a run is dead in one table only, with no
+// later refutation by the run itself to decide.
 func (m *Membership) disagreesOnLiveness(r *record, update Update) bool {
 	if r.status == statusLeft || update.Status == statusLeft {
 		return false
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -5,7 +5,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// applyAll takes updates that came from a daemon.
+// applyAll applies the updates in a message from a daemon.
 func (m *Membership) applyAll(from structs.DaemonID, updates []Update) {
 	var refuted []Update
 	for _, update := range updates {
@@ -26,8 +26,9 @@
 	m.sendRefutations(from, refuted)
 }
 
-// isHearsay tells whether bad news is not to be believed: it comes from a daemon that is
-// itself lost here, which has lost others by the same cut, or from before a cut's end.
+// ignoresFailureReport reports whether a failure report is to be ignored: its
+// sender is itself suspected or dead here, and has probably lost others by the
+// same partition, or a partition has just ended.
 func (m *Membership) ignoresFailureReport(from structs.DaemonID, update Update) bool {
 	r := m.records[update.Address]
 	if !update.isFailureReport() || r == nil || r == m.self || r.run != update.Run || r.status.rank() >= statusSuspect.rank() {
@@ -38,8 +39,8 @@
 	return isLost || m.isHealing()
 }
 
-// refutationOf returns the later update by which a run is known to have refuted
-// this one, if there is any.
+// refutationOf returns the later update by which a run has refuted this one, if
+// there is any.
 func (m *Membership) refutationOf(update Update) []Update {
 	r := m.records[update.Address]
 	if !update.isFailureReport() || r == nil || r.isGone() || r.run != update.Run || r.refutation <= update.Refutation {
@@ -48,8 +49,8 @@
 	return []Update{r.shortUpdate()}
 }
 
-// sendRefutations answers a daemon that passes on what was refuted: it may not
-// have received the refutation.
+// sendRefutations replies to a daemon that passes on a refuted report, since it
+// may not have received the refutation.
 func (m *Membership) sendRefutations(from structs.DaemonID, refuted []Update) {
 	if len(refuted) == 0 {
 		return
@@ -60,7 +61,7 @@
 	}
 }
 
-// apply takes one update and returns whether it was new.
+// apply applies one update and reports whether it was new.
 func (m *Membership) apply(update Update) bool {
 	if update.Address == m.self.address {
 		m.applySelf(update)
@@ -79,8 +80,8 @@
 		return true
 	}
 	if update.Status == statusDead && r.status.rank() < statusSuspect.rank() {
-		// A death that another reports is taken for a suspicion: the daemon may still
-		// refute, since its refutation may be under way to this daemon.
+		// A death reported by another daemon is treated as a suspicion: the
+		// daemon's refutation may be on its way to this daemon.
 		update.Status = statusSuspect
 	}
 	m.replace(r, update)
@@ -99,8 +100,8 @@
 	return true
 }
 
-// supersede takes a daemon's new run at its old address; the old run is dead
-// from then on, whatever was believed of it.
+// supersede adds a daemon's new run at its old address; the old run is dead
+// from then on, whatever its state was.
 func (m *Membership) supersede(old *record, update Update) {
 	former := *old
 	m.remove(old)
@@ -115,9 +116,9 @@
 	}
 }
 
-// applySelf refutes an update about this run that is worse than the truth. One of
-// a later run at this address cannot be refuted: the clock went back between
-// two starts, and the fleet will not take this run in.
+// applySelf refutes an update about this run that is worse than the truth. One
+// about a later run at this address cannot be refuted: the clock went back
+// between two starts, and the fleet will not accept this run.
 func (m *Membership) applySelf(update Update) {
 	if update.Run > m.self.run {
 		m.Logger.Error().Uint64("run", update.Run).Msg("A later run of this daemon is known. Restart it with the right time.")
@@ -147,7 +148,7 @@
 	m.queueChange(r)
 }
 
-// remove forgets a record.
+// remove removes a record.
 func (m *Membership) remove(r *record) {
 	m.stopSuspicion(r)
 	m.buckets[r.bucket()] ^= r.digest()
@@ -193,7 +194,7 @@
 	}
 }
 
-// changed queues a change for the listeners.
+// queueChange queues a change for the listeners.
 func (m *Membership) queueChange(r *record) {
 	m.changes = append(m.changes, Member{Daemon: r.daemon, State: r.state()})
 	if r != m.self {
@@ -201,7 +202,7 @@
 	}
 }
 
-// startSuspicion gives a run the time to refute.
+// startSuspicion marks a run dead unless it refutes the suspicion in time.
 func (m *Membership) startSuspicion(r *record) {
 	var timer clock.Timer
 	timer = m.after(m.settings.SuspicionTimeout, func() {
@@ -223,7 +224,7 @@
 	}
 }
 
-// digest stands for the whole table.
+// digest returns the digest of the whole table.
 func (m *Membership) digest() uint64 {
 	var digest uint64
 	for _, bucket := range m.buckets {
--- a/internal/membership/verify.go
+++ b/internal/membership/verify.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// pendingVerification is a run about which tables disagree. It is settled when the
-// run's state here is no longer what it was.
+// pendingVerification is a run about which tables disagree. It is done when the
+// run's state here has changed.
 type pendingVerification struct {
 	address string
 	gone    bool
@@ -26,7 +26,7 @@
 	}
 }
 
-// verifyNext probes the next run that is queued and about which tables still disagree.
+// verifyNext probes the next queued run about which tables still disagree.
 func (m *Membership) verifyNext() {
 	s := &m.syncer
 	if len(s.pending) == 0 {
--- a/internal/node/applications.go
+++ b/internal/node/applications.go
@@ -8,8 +8,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// applications runs program shards by dispatch and control shards by
-// placement. It implements replication.Application.
+// applications dispatches program shards to the dispatch package and control
+// shards to the placement package. It implements replication.Application.
 type applications struct {
 	programs *dispatch.Coordinator
 	control  *placement.Manager
@@ -35,10 +35,11 @@
 // Follow implements replication.Application.
 func (a applications) Follow(shard structs.ShardNumber) { a.applicationOf(shard).Follow(shard) }
 
-// Pressure implements replication.Application. What placement keeps is small.
+// Pressure implements replication.Application. The memory of placement is small
+// and not counted.
 func (a applications) Pressure() replication.Pressure { return a.programs.Pressure() }
 
-// queues tells placement of the calls that wait in a scheduler.
+// schedulerQueues reports a scheduler's waiting calls to placement.
 type schedulerQueues struct{ scheduler *schedule.Scheduler }
 
 // WaitingByModel implements placement.Queues.
--- a/internal/node/guards.go
+++ b/internal/node/guards.go
@@ -9,9 +9,9 @@
 	"github.com/mintpulley/mintpulley/internal/submit"
 )
 
-// Guards lets a simulation switch off one protection of one part at a time, to
-// show that its checker notices. The zero value has every guard on, and a
-// daemon uses no other.
+// Guards lets a simulation switch off one protection of one component at a
+// time, to verify that its checker detects the resulting fault. The zero value
+// has every protection on, and a daemon uses no other.
 type Guards struct {
 	Backends      backends.Guards
 	Dispatch      dispatch.Guards
@@ -19,7 +19,7 @@
 	Configuration configuration.Guards
 	Replication   replication.Guards
 	Submit        submit.Guards
-	// SkipDrain stops a daemon without handing anything over, while its callers
-	// still wait.
+	// SkipDrain stops a daemon without handing over its shards, while its
+	// callers still wait.
 	SkipDrain bool
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
-// Package node puts the decision code of one daemon together: membership,
-// configuration, replication, scheduling, dispatch and submission. It touches
-// no socket and no wall clock, so that a daemon and the simulation
-// fleet run the very same code with other clocks, transports and drivers.
+// Package node assembles the decision code of one daemon: membership,
+// configuration, replication, scheduling, dispatch and submission. It uses no
+// socket and no wall clock, so that a daemon and the simulated fleet run the
+// same code with different clocks, transports and drivers.
 package node
 
 import (
@@ -29,20 +29,22 @@
 	"github.com/mintpulley/mintpulley/internal/submit"
 )
 
-// Settings bound the parts of a node.
+// Settings holds the settings of a node's components.
 type Settings struct {
-	// Shards is the fixed number of program shards, the same everywhere.
+	// Shards is the fixed number of program shards, the same in the whole
+	// fleet.
 	Shards int
 	// QueueLimit is how many calls may wait in this daemon.
 	QueueLimit int
-	// Memory bounds what programs take in this daemon.
+	// Memory limits the memory of programs in this daemon.
 	Memory        program.MemoryLimits
 	Configuration configuration.Settings
 	Dispatch      dispatch.Settings
 	Submit        submit.Settings
 	Backends      backends.Settings
 	Membership    membership.Settings
-	// Replication has the groups' settings; its Shards is taken from above.
+	// Replication has the groups' settings; its Shards and ArchivedShards are
+	// derived from Shards and Placement.Shards.
 	Replication replication.Settings
 	Placement   placement.Settings
 }
@@ -63,11 +65,11 @@
 	}
 }
 
-// Options gives a Node what it works with.
+// Options holds the dependencies and settings of a Node.
 type Options struct {
 	Self  structs.Daemon
 	Clock clock.Clock
-	// Random seeds the parts' own sources; it is used in New only.
+	// Random seeds the components' own sources; it is used in New only.
 	Random    *rand.Rand
 	Transport peer.Transport
 	Drivers   framework.Drivers
@@ -86,7 +88,7 @@
 	Coordinator    *dispatch.Coordinator
 	Submitter      *submit.Submitter
 	Placement      *placement.Manager
-	// Queries asks the leaders of shards about programs.
+	// Queries queries the leaders of shards about programs.
 	Queries *query.Client
 	// Replication holds this daemon's replicas of the shards.
 	Replication *replication.Manager
@@ -95,8 +97,8 @@
 	leaving   atomic.Bool
 }
 
-// New puts a node together; the order matters, since parts take those before
-// them. Start sets it going.
+// New assembles a node. The order matters, since components depend on earlier
+// ones. Start starts it.
 func New(options Options) *Node {
 	n := &Node{Options: options}
 	n.Membership = n.newMembership()
@@ -114,7 +116,7 @@
 	return n
 }
 
-// Start sets the node going.
+// Start starts the node.
 func (n *Node) Start() {
 	n.Membership.Start()
 	n.Replication.Start()
@@ -123,12 +125,14 @@
 	n.Placement.Start()
 }
 
-// drainPause is the pause between looks whether callers still wait here.
+// drainPollInterval is the delay between checks whether callers still wait
+// here.
 const drainPollInterval = 50 * time.Millisecond
 
 // Leave prepares a planned stop: the others give this daemon no new work, and
-// its shards pass to other members. done is called once, when nothing is left
-// that could be passed on and no caller of this daemon waits any more.
+// its shards are handed over to other members. done is called once, when
+// nothing that could be handed over is left and no caller of this daemon waits
+// any more.
 func (n *Node) Leave(done func()) {
 	n.leaving.Store(true)
 	if n.Guards.SkipDrain {
@@ -139,11 +143,11 @@
 	n.Replication.HandOver(func() { n.awaitCallers(done) })
 }
 
-// Leaving tells whether a planned stop has begun.
+// Leaving reports whether a planned stop has begun.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
-// awaitCallers calls done once every call that came through this daemon has
-// its outcome.
+// awaitCallers calls done once every call submitted through this daemon has its
+// outcome.
 func (n *Node) awaitCallers(done func()) {
 	if n.Submitter.Pending() == 0 {
 		done()
@@ -187,7 +191,7 @@
 	n.Queries.Receive(from, message)
 }
 
-// Submit brings a call into the fleet.
+// Submit submits a call to the fleet.
 func (n *Node) Submit(call structs.Call, caller submit.Caller) *submit.Submission {
 	return n.Submitter.Submit(call, caller)
 }
@@ -216,8 +220,8 @@
 
 func (n *Node) machinesUnchanged() { n.Replication.MachinesUnchanged() }
 
-// random returns a source of its own for a part: parts run on several
-// goroutines, and a source serves one.
+// random returns a separate source for a component: components run on several
+// goroutines, and a source is not safe for concurrent use.
 func (n *Node) random() *rand.Rand {
 	return rand.New(rand.NewPCG(n.Random.Uint64(), n.Random.Uint64()))
 }
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -10,33 +10,36 @@
 )
 
 const (
-	// readinessSample bounds the shards that one look at the readiness asks for.
+	// maxSampledShards limits the shards that one check of the readiness looks
+	// up.
 	maxSampledShards = 64
-	// readyPercent of the shards looked at must have a known leader before a
-	// daemon becomes ready, or partlyReadyPercent for partlyReadyWait.
+	// readyPercent of the sampled shards must have a known leader before a
+	// daemon becomes ready, or partlyReadyPercent for partlyReadyDuration.
 	readyPercent = 90
 	// partlyReadyPercent keeps a ready daemon ready.
 	partlyReadyPercent  = 50
 	partlyReadyDuration = 10 * time.Second
 )
 
-// Readiness tells whether callers had better be sent to a daemon.
+// Readiness reports whether callers should be sent to a daemon.
 type Readiness struct {
 	Ready bool
-	// Detail says why it is not ready, in one short sentence.
+	// Detail gives the reason why it is not ready, in one short sentence.
 	Detail string
 }
 
-// readinessTracker judges the share of shards whose leader a daemon knows. A
-// fresh daemon waits for nearly all of them; one that was ready stays so with
-// half, since a lost shard must not take every daemon from its callers.
+// readinessTracker decides readiness by the share of shards whose leader a
+// daemon knows. A daemon that has just started waits for nearly all of them;
+// one that was ready stays so with half, since a lost shard must not make every
+// daemon unready.
 type readinessTracker struct {
 	mutex       sync.Mutex
 	wasReady    bool
 	partlySince time.Time
 }
 
-// look judges led of looked shards at now.
+// update returns whether the daemon is ready, given that led of sampled shards
+// have a known leader at now.
 func (t *readinessTracker) update(now time.Time, led, sampled int) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -54,9 +57,9 @@
 	return t.wasReady
 }
 
-// Readiness looks whether calls can be served here: a configuration is in
-// force, the daemon is not stopping, and it knows who leads the shards. For
-// shards without a known leader it asks, so that a later look knows more.
+// Readiness reports whether calls can be served here: a configuration is in
+// force, the daemon is not stopping, and it knows the leaders of the shards.
+// For shards without a known leader it requests the route for a later check.
 func (n *Node) Readiness() Readiness {
 	if n.Leaving() {
 		return Readiness{Detail: "the daemon is stopping"}
@@ -71,7 +74,8 @@
 	return Readiness{Ready: true}
 }
 
-// sampleLeaders counts the known leaders among shards spread evenly over all.
+// sampleLeaders counts the known leaders in an evenly spread sample of the
+// shards.
 func sampleLeaders(shards int, route func(structs.ShardNumber) replication.Route) (led, sampled int) {
 	sampled = min(shards, maxSampledShards)
 	for i := range sampled {
--- a/internal/replication/acknowledge.go
+++ b/internal/replication/acknowledge.go
@@ -6,9 +6,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// acknowledge ends proposals that are committed and held by every reachable
-// member. A member that lets one wait too long counts as lagging, and is not
-// waited for until it has caught up.
+// acknowledge completes proposals that are committed and held by every
+// reachable member. A member that delays a proposal for too long is marked as
+// lagging, and is not waited for until it has caught up.
 func (l *leaderState) acknowledge() {
 	reached := l.commit
 	for _, member := range l.log.group {
@@ -30,7 +30,7 @@
 	return p != nil && p.lagging
 }
 
-// watchOldest bounds the wait of the oldest proposal or confirmation.
+// scheduleOverdueCheck limits the wait of the oldest proposal or confirmation.
 func (l *leaderState) scheduleOverdueCheck() {
 	if l.ackTimer != nil || l.ended {
 		return
@@ -62,8 +62,8 @@
 	return at, !at.IsZero()
 }
 
-// overdue marks the members that keep the oldest proposal waiting, and gives
-// up the leadership when there was no majority for too long.
+// handleOverdue marks the members that delay the oldest proposal as lagging,
+// and steps down when no majority answered for too long.
 func (l *leaderState) handleOverdue() {
 	at, waiting := l.oldestPending()
 	if !waiting {
--- a/internal/replication/archive.go
+++ b/internal/replication/archive.go
@@ -12,20 +12,21 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// errArchive: a part of a shard's archive cannot be read.
+// errMalformedArchive is returned when a part of a shard's archive cannot be
+// encoded or decoded.
 var errMalformedArchive = eris.New("replication: malformed part of an archive")
 
-// archivePieceBytes bounds the data of one piece, so that an entry of the log
-// stays under 256 KB when it is written as base64.
+// maxArchivePieceBytes limits the data of one piece, so that an entry of the
+// log stays under 256 KB with the data in base64.
 const maxArchivePieceBytes = 160 << 10
 
-// archiveStream is the stream of one shard's archive.
+// archiveStream returns the stream of one shard's archive.
 func archiveStream(shard structs.ShardNumber) framework.StreamName {
 	return framework.StreamName(fmt.Sprintf("%s-%d", framework.StreamSnapshots, shard))
 }
 
-// chainID names a snapshot and the deltas that follow it: by the epoch of the
-// leader that writes them and the index up to which the snapshot goes.
+// chainID identifies a snapshot and the deltas that follow it, by the epoch of
+// the leader that writes them and the last index in the snapshot.
 type chainID struct {
 	Epoch structs.Epoch `json:"epoch"`
 	Index structs.Index `json:"index"`
@@ -36,17 +37,18 @@
 }
 
 // archivePiece is one entry of a shard's archive. Part 0 of a chain is the
-// snapshot, the parts after it are the log's committed entries since.
+// snapshot, the parts after it contain the log's committed entries since.
 type archivePiece struct {
 	Chain  chainID `json:"chain"`
 	Part   int     `json:"part"`
 	Piece  int     `json:"piece"`
 	Pieces int     `json:"pieces"`
-	// Data is a run of bytes of the part, which is compressed JSON.
+	// Data is a section of the part, which is compressed JSON.
 	Data []byte `json:"data"`
 }
 
-// operation names the append of a piece; a piece written twice counts once.
+// operation returns the operation ID for the append of a piece; a piece written
+// twice counts once.
 func (p *archivePiece) operation(shard structs.ShardNumber) string {
 	return fmt.Sprintf("snapshots/%d/%d-%d/%d/%d", shard, p.Chain.Epoch, p.Chain.Index, p.Part, p.Piece)
 }
@@ -54,12 +56,12 @@
 // archiveBase is the content of part 0: the state up to an entry.
 type archiveBase struct {
 	Index structs.Index `json:"index"`
-	// Epoch is that of the entry at Index.
+	// Epoch is the epoch of the entry at Index.
 	Epoch structs.Epoch   `json:"epoch"`
 	State json.RawMessage `json:"state"`
 }
 
-// cutPart packs the content of a part and cuts it into pieces.
+// encodePart compresses the content of a part and splits it into pieces.
 func encodePart(chain chainID, part int, content any) ([]archivePiece, int, error) {
 	data, err := json.Marshal(content)
 	if err != nil {
@@ -75,7 +77,7 @@
 	return pieces, len(packed), nil
 }
 
-// joinPart reads the content of a part whose pieces are all there.
+// decodePart decodes the content of a part whose pieces are complete.
 func decodePart(pieces map[int][]byte, content any) error {
 	var packed []byte
 	for piece := range len(pieces) {
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// chain is what was read of one chain: the pieces of its parts.
+// chain has the pieces that were read of one chain.
 type chain struct {
 	id    chainID
 	parts map[int]*archivedPart
@@ -115,13 +117,13 @@
 	part.pieces[p.Piece] = p.Data
 }
 
-// whole tells whether a part is there with all its pieces.
+// isComplete reports whether all pieces of a part were read.
 func (c *chain) isComplete(part int) bool {
 	read := c.parts[part]
 	return read != nil && len(read.pieces) == read.count
 }
 
-// archivedState is the newest state that an archive has of a shard.
+// archivedState is the latest state that an archive has of a shard.
 type archivedState struct {
 	base    archiveBase
 	entries []Entry
@@ -136,8 +138,8 @@
 	return entry.Index, entry.Epoch
 }
 
-// state puts the snapshot and the deltas behind it together, up to the first
-// delta that is missing or does not follow.
+// state returns the snapshot and the deltas after it, up to the first delta
+// that is missing or not contiguous.
 func (c *chain) state() (*archivedState, error) {
 	state := &archivedState{}
 	if err := decodePart(c.parts[0].pieces, &state.base); err != nil {
--- a/internal/replication/archive_reader.go
+++ b/internal/replication/archive_reader.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	// archiveWindow is how many entries are read at a time, from the end back.
+	// archiveReadWindow is how many entries are read at a time, from the end of
+	// the stream backwards.
 	archiveReadWindow = 16
-	// archiveReadLimit bounds the entries that are looked at.
+	// maxArchiveEntriesRead limits the entries that are read.
 	maxArchiveEntriesRead = 8192
 )
 
-// archiveReader finds the newest whole state in a shard's archive. It reads
-// from the end back, since the stream may be long and has only offsets.
+// archiveReader finds the latest complete state in a shard's archive. It reads
+// backwards from the end, since the stream may be long and can only be
+// addressed by offset.
 type archiveReader struct {
 	log    framework.EventLog
 	stream framework.StreamName
@@ -25,15 +27,15 @@
 	done   func(*archivedState, error)
 }
 
-// readArchive hands over the newest whole state of a shard, nil if there is
+// readArchive passes done the latest complete state of a shard, nil if there is
 // none, or the log's error.
 func (m *Manager) readArchive(shard structs.ShardNumber, done func(*archivedState, error)) {
 	r := &archiveReader{log: m.Log, stream: archiveStream(shard), chains: map[chainID]*chain{}, done: done}
 	r.findEnd(0, 1)
 }
 
-// findEnd looks for the end of the stream: there is an entry below low, and
-// step doubles until there is none at low+step.
+// findEnd searches for the end of the stream: there are entries below low, and
+// step doubles until there is none from low+step-1 on.
 func (r *archiveReader) findEnd(low, step structs.LogOffset) {
 	r.hasEntryFrom(low+step-1, func(found bool) {
 		if found {
@@ -44,8 +46,8 @@
 	})
 }
 
-// narrowEnd halves the space between low, below which entries are, and high,
-// at which none is.
+// bisectEnd searches for the end between low, below which there are entries,
+// and high, where there is none.
 func (r *archiveReader) bisectEnd(low, high structs.LogOffset) {
 	if low >= high {
 		r.readBefore(low)
@@ -61,7 +63,7 @@
 	})
 }
 
-// exists asks whether there is an entry at an offset or behind it.
+// hasEntryFrom reads whether there is an entry at an offset or after it.
 func (r *archiveReader) hasEntryFrom(offset structs.LogOffset, then func(bool)) {
 	r.log.Read(r.stream, offset, 1, func(entries []framework.LogEntry, err error) {
 		if err != nil {
@@ -82,7 +84,7 @@
 	r.readWindow(begin, begin, end)
 }
 
-// readWindow reads on from an offset to the window's end.
+// readWindow reads from next to the window's end.
 func (r *archiveReader) readWindow(begin, next, end structs.LogOffset) {
 	if next >= end {
 		r.finishWindow(begin)
@@ -116,7 +118,8 @@
 	r.chains[piece.Chain].addPiece(piece)
 }
 
-// windowRead hands over the newest chain whose snapshot is whole, or reads on.
+// finishWindow passes on the latest chain with a complete snapshot, or reads
+// the window before.
 func (r *archiveReader) finishWindow(begin structs.LogOffset) {
 	var whole []*chain
 	for _, read := range r.chains {
--- a/internal/replication/archive_writer.go
+++ b/internal/replication/archive_writer.go
@@ -14,38 +14,40 @@
 )
 
 const (
-	// archiveBaseMinimum is how many bytes of deltas may follow a small
-	// snapshot before there is a new one.
+	// minDeltaBytesBeforeSnapshot is how many bytes of deltas may follow a
+	// small snapshot before a new one is written.
 	minDeltaBytesBeforeSnapshot = 256 << 10
-	// archiveRetryMaximum is the longest pause after an append that failed; the
+	// maxArchiveRetryDelay is the longest delay after a failed append; the
 	// first is the archive's interval.
 	maxArchiveRetryDelay = time.Minute
-	// archiveLookUp is how many entries are searched for an append whose
-	// answer was lost.
+	// lostAppendSearchEntries is how many entries are searched for an append
+	// whose answer was lost.
 	lostAppendSearchEntries = 8
 )
 
-// archiver writes the archive of one shard in one leadership. It is touched on
-// the shard's queue only.
+// archiver produces the archive of one shard during one leadership. It is used
+// on the shard's queue only.
 type archiver struct {
 	leader *leaderState
 	chain  chainID
 	part   int
-	// archived is the last index that the parts so far hold.
+	// archived is the last index in the parts so far.
 	archived structs.Index
-	// pending are the pieces of the present part that are not written yet.
+	// pending are the pieces of the current part that are not written yet.
 	pending []archivePiece
-	// baseBytes and deltaBytes are the sizes of the chain's parts.
+	// baseBytes and deltaBytes are the sizes of the chain's snapshot and
+	// deltas.
 	baseBytes, deltaBytes int
-	// next is the offset behind the latest piece written, 0 before the first.
+	// next is the offset after the latest piece written, 0 before the first.
 	next structs.LogOffset
-	// refused is set once a part could not be made, for its size mostly.
+	// failed is set once a part could not be made, usually because it is too
+	// large.
 	failed bool
 }
 
-// due returns the piece to write next, or how to make the next part, which
-// may take long and is done off the shard's queue; neither if the archive is up
-// to date.
+// nextWork returns the piece to write next, or a function that makes the next
+// part, which may take long and runs off the shard's queue; neither if the
+// archive is up to date.
 func (a *archiver) nextWork() (*archivePiece, func() (archivePart, error)) {
 	switch {
 	case len(a.pending) > 0:
@@ -53,14 +55,15 @@
 	case a.failed || (a.chain != chainID{} && a.archived >= a.leader.applied):
 		return nil, nil
 	case (a.chain == chainID{}) || a.archived < a.leader.log.base || a.deltaBytes > max(a.baseBytes, minDeltaBytesBeforeSnapshot):
-		// The log does not go back far enough, or deltas outweigh the snapshot.
+		// The log does not go back far enough, or the deltas are larger than
+		// the snapshot.
 		return nil, a.prepareSnapshot()
 	default:
 		return nil, a.prepareDelta()
 	}
 }
 
-// base begins a new chain with a snapshot.
+// prepareSnapshot starts a new chain with a snapshot.
 func (a *archiver) prepareSnapshot() func() (archivePart, error) {
 	l := a.leader
 	encode, limit := l.machine.Freeze(), l.Settings.MaxArchivedSnapshotBytes
@@ -79,7 +82,7 @@
 	}
 }
 
-// delta takes the committed entries that follow.
+// prepareDelta adds the committed entries that follow.
 func (a *archiver) prepareDelta() func() (archivePart, error) {
 	l := a.leader
 	entries := l.log.from(a.archived+1, maxArchivePieceBytes)
@@ -92,7 +95,7 @@
 type archivePart struct {
 	chain  chainID
 	number int
-	// archived is the last index that the part holds.
+	// archived is the last index in the part.
 	archived structs.Index
 	pieces   []archivePiece
 	size     int
@@ -104,8 +107,8 @@
 	return err
 }
 
-// made takes up a part that is ready. After an error the shard is not archived
-// any more in this leadership.
+// partBuilt handles a part that is ready. After an error the shard is no longer
+// archived in this leadership.
 func (a *archiver) partBuilt(part archivePart, err error) {
 	if err != nil {
 		a.failed = true
@@ -120,19 +123,21 @@
 	a.deltaBytes += part.size
 }
 
-// written notes that the first pending piece is in the log.
+// pieceWritten records that the first pending piece is in the log.
 func (a *archiver) pieceWritten(offset structs.LogOffset) {
 	a.pending = a.pending[1:]
 	a.next = offset + 1
 }
 
-// archive writes the archives of the shards that a daemon leads, one piece at a
-// time. Nothing waits for it: without the log it falls behind.
+// archiveWriter writes the archives of the shards that a daemon leads, one
+// piece at a time. Nothing waits for it: while the log is unreachable it falls
+// behind.
 type archiveWriter struct {
 	manager *Manager
 	mutex   sync.Mutex
 	timer   clock.Timer
-	// turn is the shard that is looked at first. It moves on once a part is whole.
+	// nextShard is the shard to archive first. It advances once a part is
+	// complete.
 	nextShard  structs.ShardNumber
 	retryDelay time.Duration
 }
@@ -153,7 +158,7 @@
 	})
 }
 
-// replicas returns the replicas that may be archived, from the turn's on.
+// replicas returns the replicas that may be archived, from nextShard on.
 func (a *archiveWriter) replicas() []*replica {
 	a.mutex.Lock()
 	turn := a.nextShard
@@ -171,7 +176,7 @@
 	return append(after, before...)
 }
 
-// look writes the first piece that is due among replicas.
+// archiveNext writes the first piece that is due among replicas.
 func (a *archiveWriter) archiveNext(replicas []*replica, pause time.Duration) {
 	if len(replicas) == 0 {
 		a.schedule(pause)
@@ -199,7 +204,7 @@
 	})
 }
 
-// build makes a part off the shard's queue, and looks again.
+// buildPart makes a part off the shard's queue, and continues.
 func (a *archiveWriter) buildPart(l *leaderState, build func() (archivePart, error), again func()) {
 	a.manager.Clock.AfterFunc(0, func() {
 		part, err := build()
@@ -227,7 +232,7 @@
 	})
 }
 
-// appended goes on after the pause that the rate asks for.
+// appended continues after the delay that the rate requires.
 func (a *archiveWriter) appended(l *leaderState, offset structs.LogOffset, bytes int) {
 	l.queue.Do(func() {
 		l.archiver.pieceWritten(offset)
@@ -242,8 +247,8 @@
 	})
 }
 
-// lookUp searches for an append whose answer was lost. A piece of which no
-// offset before it is known is written again instead; that does no harm.
+// findLostAppend searches for an append whose answer was lost. A piece before
+// which no offset is known is written again instead, which is harmless.
 func (a *archiveWriter) findLostAppend(l *leaderState, stream framework.StreamName, operation string, next structs.LogOffset) {
 	if next == 0 {
 		a.backOff()
@@ -259,7 +264,7 @@
 	})
 }
 
-// backOff waits longer each time that the log does not take a piece.
+// backOff doubles the delay each time that the log does not accept a piece.
 func (a *archiveWriter) backOff() {
 	a.mutex.Lock()
 	a.retryDelay = min(max(2*a.retryDelay, a.manager.Settings.ArchiveInterval), maxArchiveRetryDelay)
--- a/internal/replication/claims.go
+++ b/internal/replication/claims.go
@@ -7,9 +7,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// claimWon puts this daemon alone in the place of a group that is lost. The
-// generation fences every former leader and voter; the group grows again by
-// ordinary changes.
+// claimWon replaces a lost group by this daemon alone. The generation fences
+// every former leader and voter; the group grows again by ordinary changes.
 func (m *Manager) claimWon(c claim) {
 	former := voteState{epoch: firstEpoch(c.Generation), votedFor: m.Self.ID}
 	r := m.replica(c.Shard)
@@ -38,8 +37,8 @@
 	})
 }
 
-// mayTakeUp tells whether a claim of this daemon is new: neither taken up
-// before nor followed by another daemon's.
+// isNewClaim reports whether a claim of this daemon is new: neither handled
+// before nor superseded by another daemon's.
 func (r *replica) isNewClaim(c claim) bool {
 	known := generation(r.voteState.epoch)
 	if known != c.Generation {
@@ -48,7 +47,8 @@
 	return r.claimantUnknown || r.log.last() == 0
 }
 
-// claimLost ends this daemon's part in a group that was claimed by another.
+// claimLost ends this daemon's part in a group that was claimed by another
+// daemon.
 func (m *Manager) claimLost(c claim) {
 	r := m.replica(c.Shard)
 	if r == nil {
@@ -63,11 +63,11 @@
 	})
 }
 
-// claimInterval is the pause between looks whether a shard may be claimed.
+// claimPollInterval is the delay between checks whether a shard may be claimed.
 const claimPollInterval = 500 * time.Millisecond
 
-// keepConsidering looks whether the shard may be claimed for as long as the
-// group lacks the majority that it lost at a time.
+// pollClaim checks repeatedly whether the shard may be claimed, for as long as
+// the group lacks the majority that it lost at lostAt.
 func (r *replica) pollClaim(lostAt time.Time) {
 	if r.majorityLostAt != lostAt {
 		return
@@ -76,9 +76,9 @@
 	r.after(claimPollInterval, func() { r.pollClaim(lostAt) })
 }
 
-// considerClaim claims the shard for this replica when its group has lost its
-// majority for good: every dead member is gone by the machine list too, and no
-// living one holds a longer log. It runs while the group has no majority.
+// claimIfMajorityLost starts a claim of the shard when its group has lost its
+// majority for good: every dead member is confirmed gone, and no living one has
+// a longer log. It runs while the group has no majority.
 func (r *replica) claimIfMajorityLost() {
 	if r.restoring || r.hasLiveMajority() || !r.isMember() || (r.leaderState == nil && r.leader != "" && r.alive(r.leader)) {
 		return
@@ -106,8 +106,8 @@
 	})
 }
 
-// noteOutsideReplica notes a daemon outside the group that holds a replica too, and asks
-// how far its log goes.
+// addOutsideReplica records a daemon outside the group that holds a replica
+// too, and requests its log position.
 func (r *replica) addOutsideReplica(from structs.DaemonID) {
 	if !r.outsideReplicas.Contains(from) {
 		r.outsideReplicas = append(r.outsideReplicas, from)
@@ -115,8 +115,9 @@
 	r.requestPosition(from)
 }
 
-// outsideReplicasBehind returns the replicas outside the group whose log is known
-// to be behind this one: former members that do not know of their removal.
+// outsideReplicasBehind returns the replicas outside the group whose log is
+// known to be behind this one: former members that do not know of their
+// removal.
 func (r *replica) outsideReplicasBehind() Group {
 	var behind Group
 	for _, daemon := range r.outsideReplicas {
@@ -127,25 +128,26 @@
 	return behind
 }
 
-// survivor is a replica that would claim its shard. What it knows of its group
-// may be old: the group can have replaced it and its dead members while it was
-// cut off. So all daemons are asked first.
+// survivor is a replica that would claim its shard. Its group may be out of
+// date: while it was cut off, the group may have replaced it and its dead
+// members. So all daemons are asked first.
 type survivor struct {
 	claim claim
 	group Group
 	epoch structs.Epoch
-	// behind are daemons outside the group whose older log proves nothing.
+	// behind are daemons outside the group whose log is older, and which
+	// therefore do not prevent the claim.
 	behind Group
 }
 
-// contradicts tells whether a daemon's word shows that the group went on
+// contradicts reports whether a daemon's route shows that the group went on
 // without the survivor.
 func (s *survivor) contradicts(from structs.DaemonID, route ShardRoute) bool {
 	return route.Holder && !s.group.Contains(from) && !s.behind.Contains(from) && route.Epoch >= s.epoch
 }
 
-// askBeforeClaim has the next search ask all daemons about a survivor's shard,
-// as soon as one may begin.
+// searchBeforeClaim makes the next search ask all daemons about a survivor's
+// shard, and schedules it.
 func (g *registry) searchBeforeClaim(s *survivor) {
 	g.mutex.Lock()
 	g.survivors[s.claim.Shard] = s
@@ -153,10 +155,12 @@
 	g.scheduleSearch()
 }
 
-// positionPause is the pause between questions to a member for its position.
+// positionRequestInterval is the delay between requests to a member for its log
+// position.
 const positionRequestInterval = time.Second
 
-// askPositionAgain asks for a member's position, not too often.
+// askPositionAgain requests a member's log position, at most once per
+// positionRequestInterval.
 func (r *replica) askPositionAgain(member structs.DaemonID) {
 	now := r.Clock.Now()
 	age := now.Sub(r.positionRequestedAt[member])
@@ -167,8 +171,8 @@
 	r.requestPosition(member)
 }
 
-// askPosition asks a member how far its log goes; the answer to a trial vote
-// tells.
+// requestPosition requests a member's log position, which the reply to a
+// pre-vote contains.
 func (r *replica) requestPosition(member structs.DaemonID) {
 	r.send(member, &VoteRequest{
 		Shard:     r.shard,
@@ -179,18 +183,19 @@
 	})
 }
 
-// position is how far a member's log goes, as it said last.
+// position is the end of a member's log, as last reported.
 type position struct {
 	last  structs.Index
 	epoch structs.Epoch
 	at    time.Time
 }
 
-// positionMemory is how long a member's word about its log counts.
+// positionValidity is how long a member's reported position counts.
 const positionValidity = 5 * time.Second
 
-// knownBehind tells whether a living member said lately that its log is behind
-// this one, or equal with a lower claim to the shard.
+// knownBehind reports whether a living member recently reported a log behind
+// this one, or an equal one while it has a lower rendezvous weight for the
+// shard.
 func (r *replica) knownBehind(member structs.DaemonID) bool {
 	p, known := r.positions[member]
 	if !known || r.Clock.Now().Sub(p.at) > positionValidity {
@@ -206,7 +211,7 @@
 	return rendezvousWeight(r.shard, member) < rendezvousWeight(r.shard, r.Self.ID)
 }
 
-// claim has a claim written to the stream.
+// queueClaim queues a claim for the stream.
 func (g *registry) queueClaim(c claim) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -7,8 +7,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// candidacy is a replica's try to become leader. It asks for trial votes
-// first, so that a member that cannot win does not raise the epoch.
+// candidacy is a replica's attempt to become leader. It starts with a pre-vote,
+// so that a member that cannot win does not raise the epoch.
 type candidacy struct {
 	epoch              structs.Epoch
 	preVote            bool
@@ -16,13 +16,14 @@
 	granted            Group
 }
 
-// leaderless tells whether the group needs an election, as far as known here.
+// needsLeader reports whether the group needs an election, as far as this
+// replica knows.
 func (r *replica) needsLeader() bool {
 	return r.leaderState == nil && !r.restoring && (r.leader == "" || !r.alive(r.leader))
 }
 
-// considerElection schedules a candidacy when the group has no leader. The
-// members come one after the other, by rank, with some jitter.
+// scheduleElection schedules a candidacy if the group has no leader. Members
+// start one after another, by rank, with some jitter.
 func (r *replica) scheduleElection() {
 	if !r.needsLeader() || !r.isMember() || r.electionTimer != nil {
 		return
@@ -51,8 +52,8 @@
 	}
 }
 
-// rank is this daemon's place among the live members by rendezvous; members
-// that are stopping come last.
+// rank returns this daemon's position among the live members by rendezvous
+// weight; stopping members come last.
 func (r *replica) rank() int {
 	rank := 0
 	own := rendezvousWeight(r.shard, r.Self.ID)
@@ -70,7 +71,8 @@
 	return rank
 }
 
-// stand starts a candidacy.
+// startCandidacy starts a candidacy. After a leadership transfer it skips the
+// pre-vote.
 func (r *replica) startCandidacy(handOver bool) {
 	r.electionAttempts++
 	r.candidacy = &candidacy{epoch: r.voteState.epoch + 1, preVote: true, leadershipTransfer: handOver}
@@ -108,12 +110,13 @@
 		})
 	}
 	r.countVotes()
-	// A candidacy that hears nothing is tried again.
+	// A candidacy without replies is tried again.
 	r.scheduleElection()
 }
 
-// receiveVote grants a vote to a candidate whose log is at least as far as
-// this one's, once in an epoch, and not while a leader is believed to live.
+// receiveVote grants a vote to a candidate whose log is at least as up to date
+// as this one, once in an epoch, and not while a leader is believed to be
+// alive.
 func (r *replica) receiveVote(from structs.DaemonID, m *VoteRequest) {
 	answer := &VoteReply{Shard: r.shard, PreVote: m.PreVote, Last: r.log.last(), LastEpoch: r.log.lastEpoch()}
 	defer func() { r.send(from, answer) }()
@@ -143,7 +146,8 @@
 	r.scheduleElection()
 }
 
-// upToDate tells whether a candidate's log goes at least as far as this one.
+// isCandidateUpToDate reports whether a candidate's log is at least as up to
+// date as this one.
 func (r *replica) isCandidateUpToDate(m *VoteRequest) bool {
 	own := r.log.lastEpoch()
 	return m.LastEpoch > own || (m.LastEpoch == own && m.Last >= r.log.last())
@@ -187,7 +191,7 @@
 	r.startLeading()
 }
 
-// receiveTakeOver stands for election at the leader's wish.
+// receiveTakeOver stands for election at the leader's request.
 func (r *replica) receiveTakeOver(from structs.DaemonID, m *LeadershipTransfer) {
 	if m.Epoch != r.voteState.epoch || r.leader != from || !r.isMember() || r.isHandingOver() {
 		return
--- a/internal/replication/extra_routes.go
+++ b/internal/replication/extra_routes.go
@@ -7,25 +7,27 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// A daemon that has just started knows no routes, and its callers' programs
-// are of all shards. One request for each would cost it some hundred bytes a
-// shard, so while many routes are missing and it sends requests often, these ask
-// for more than it needs now. A daemon with few callers may never need the rest.
+// A daemon that has just started knows no routes, and its callers' programs are
+// spread over all shards. One request for each would cost some hundred bytes a
+// shard. So while many routes are missing and requests are frequent, each
+// request asks for more routes than it needs. A daemon with few callers may
+// never need the rest.
 
 const (
-	// missingDivisor: a daemon that misses more than one in so many routes asks
-	// for more.
+	// missingDivisor: a daemon that lacks more than one in so many routes asks
+	// for extra ones.
 	missingDivisor = 8
-	// frequentRequestPause is the pause below which requests are frequent.
+	// frequentRequestPause is the interval below which requests count as
+	// frequent.
 	frequentRequestPause = time.Second
-	// extraRoutesLimit bounds the extra routes of a reply; extraRouteSize is about
-	// the encoded size of one in bytes.
+	// maxExtraRoutes limits the extra routes of a reply; extraRouteSize
+	// estimates the encoded size of one in bytes.
 	maxExtraRoutes = 32
 	extraRouteSize = 60
 )
 
-// requestsOften notes that requests are sent now and tells whether the last were
-// sent lately.
+// noteRequest records that requests are sent now and reports whether the
+// previous ones were sent recently.
 func (m *Manager) noteRequest() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -35,7 +37,8 @@
 	return !last.IsZero() && now.Sub(last) < frequentRequestPause
 }
 
-// newRouteRequest makes a request, for more routes if wanted.
+// newRouteRequest returns a request, with a request for extra routes if more is
+// set.
 func (m *Manager) newRouteRequest(shards []structs.ShardNumber, more bool) *RouteRequest {
 	request := &RouteRequest{Shards: shards}
 	if more {
@@ -44,8 +47,8 @@
 	return request
 }
 
-// nextMissingRoute returns the next shard whose route is not known, in turn; false
-// when few are missing.
+// nextMissingRoute returns the next shard in turn whose route is not known;
+// false when few are missing.
 func (m *Manager) nextMissingRoute() (structs.ShardNumber, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -68,7 +71,8 @@
 	return next, true
 }
 
-// knows tells whether a leader of the shard is known, be it dead by now.
+// knowsLeader reports whether a leader of the shard is known, even if it is
+// dead by now.
 func (t *routeTable) knowsLeader(shard structs.ShardNumber) bool {
 	if local := t.local[shard]; local.member && local.route.Leader != "" {
 		return true
@@ -77,8 +81,8 @@
 	return entry != nil && entry.route.Leader != ""
 }
 
-// extraRoutes lists the routes known here of the shards from request.From on,
-// within the rate limit.
+// extraRoutes lists the known routes of the shards from request.From on, within
+// the rate limit.
 func (m *Manager) extraRoutes(request *RouteRequest) []ShardRoute {
 	shards := m.knownFrom(request.From, request.Shards)
 	m.mutex.Lock()
@@ -96,8 +100,8 @@
 	return routes
 }
 
-// knownFrom lists up to tellLimit shards with a known leader, from a shard on
-// and around, without those asked for.
+// knownFrom lists up to maxExtraRoutes shards with a known leader, from a shard
+// on with wraparound, without those asked for.
 func (m *Manager) knownFrom(from structs.ShardNumber, asked []structs.ShardNumber) []structs.ShardNumber {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/replication/genesis.go
+++ b/internal/replication/genesis.go
@@ -7,15 +7,16 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// genesis names the first group of every shard. The first in the stream counts.
+// genesis has the first group of every shard. The first genesis in the stream
+// counts.
 type genesis struct {
 	Daemons []structs.Daemon `json:"daemons"`
 	// Groups lists, for each shard, indexes into Daemons.
 	Groups [][]int `json:"groups"`
 }
 
-// foldGenesis takes the first groups and returns what is to be done after the
-// lock is free.
+// applyGenesis applies the first groups and returns what is to be done once the
+// mutex is free.
 func (g *registry) applyGenesis(first *genesis) []func() {
 	m := g.manager
 	if len(first.Groups) != m.Settings.Shards {
@@ -41,7 +42,7 @@
 	return effects
 }
 
-// openFirst makes the replica of a member of a shard's first group.
+// openFirstReplica creates the replica of a member of a shard's first group.
 func (m *Manager) openFirstReplica(shard structs.ShardNumber, group Group) {
 	r := m.open(shard, voteState{}, group)
 	r.post(func() {
@@ -54,7 +55,7 @@
 	})
 }
 
-// memberChanged looks whether there are enough daemons for the first groups.
+// memberChanged checks whether there are enough daemons for the first groups.
 func (g *registry) memberChanged() {
 	g.mutex.Lock()
 	waiting := !g.hasGroups
@@ -64,22 +65,23 @@
 	}
 }
 
-// Parts of the listed daemons that must be seen before the first groups are
-// written: nearly all at first, after a wait half, and in the end any. Groups
-// written among the first few to start would put every shard on those, and
-// spreading them afterwards takes long.
+// Shares of the listed daemons that must be seen before the first groups are
+// written: nearly all at first, half after a wait, and any in the end. Groups
+// written among the first few daemons to start would put every shard on those,
+// and rebalancing takes long.
 const (
 	genesisShare          = 0.9
 	genesisShareAfterWait = 0.5
 	genesisAnyWaits       = 6
 	genesisShareWaits     = 1
-	// genesisListDivisor of the wait is given to the first reading of the list:
-	// others may find this daemon before it knows how many there are.
+	// genesisListDivisor gives the part of the wait for the first read of the
+	// machine list: other daemons may find this one before it knows how many
+	// there are.
 	genesisListDivisor = 5
 )
 
-// enoughForGenesis tells whether the first groups may be written by a daemon
-// that has seen some others and has run for some time.
+// enoughForGenesis reports whether the first groups may be written by a daemon
+// that sees a number of daemons and has run for some time.
 func (m *Manager) enoughForGenesis(seen int, running time.Duration) bool {
 	m.mutex.Lock()
 	listed, listKnown := float64(len(m.machines.listed)), m.machines.wasRead()
@@ -96,8 +98,8 @@
 	}
 }
 
-// firstGroups returns the groups to begin with, once it is this daemon's turn
-// to write them: enough others are seen, or were waited for long enough.
+// firstGroups returns the first groups once it is this daemon's turn to write
+// them: enough others are seen, or it has waited long enough.
 func (g *registry) firstGroups() (*genesis, bool) {
 	m := g.manager
 	daemons := m.candidates()
@@ -116,7 +118,7 @@
 	return m.genesisOf(daemons), true
 }
 
-// genesisOf places the first group of each shard among daemons.
+// genesisOf chooses the first group of each shard among daemons.
 func (m *Manager) genesisOf(daemons []structs.Daemon) *genesis {
 	first := &genesis{Daemons: daemons}
 	for shard := range structs.ShardNumber(m.Settings.Shards) {
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -10,28 +10,29 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Group is the daemons that hold a shard. It is never changed in place.
+// Group is the list of daemons that hold a shard. It is never changed in place.
 type Group []structs.DaemonID
 
-// Contains tells whether a daemon is a member.
+// Contains reports whether a daemon is a member.
 func (g Group) Contains(daemon structs.DaemonID) bool { return slices.Contains(g, daemon) }
 
-// Majority is how many members decide.
+// Majority returns how many members make a majority.
 func (g Group) Majority() int { return len(g)/2 + 1 }
 
-// with returns the group and one more member.
+// with returns the group with one more member.
 func (g Group) with(daemon structs.DaemonID) Group {
 	return append(slices.Clone(g), daemon)
 }
 
-// without returns the group less one member.
+// without returns the group without one member.
 func (g Group) without(daemon structs.DaemonID) Group {
 	return slices.DeleteFunc(slices.Clone(g), func(member structs.DaemonID) bool { return member == daemon })
 }
 
-// An epoch is a generation and a term in it. Elections raise the term; a claim
-// in the platform's log, for a group that lost its majority, raises the
-// generation and so outbids every term the lost members may have reached.
+// An epoch consists of a generation and a term within it. Elections raise the
+// term. A claim in the platform's log, for a group that lost its majority,
+// raises the generation and so supersedes every term that the lost members may
+// have reached.
 const generationShift = 32
 
 // generation returns the generation of an epoch, from 0.
@@ -42,8 +43,9 @@
 	return structs.Epoch(generation<<generationShift + 1)
 }
 
-// rendezvousWeight is a daemon's claim on a shard; the highest holds it. It
-// depends on the address, so that a restarted daemon has its old share.
+// rendezvousWeight returns a daemon's weight for a shard by rendezvous hashing;
+// the highest is preferred. It depends on the address only, so that a restarted
+// daemon is placed as before.
 func rendezvousWeight(shard structs.ShardNumber, daemon structs.DaemonID) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.Write(binary.BigEndian.AppendUint32(nil, uint32(shard)))
@@ -51,7 +53,8 @@
 	return digest.Sum64()
 }
 
-// ranked returns daemons by their claim on a shard, the highest first.
+// ranked returns daemons by their rendezvous weight for a shard, the highest
+// first.
 func ranked(shard structs.ShardNumber, daemons []structs.Daemon) []structs.Daemon {
 	type weighed struct {
 		daemon structs.Daemon
@@ -71,8 +74,9 @@
 	return result
 }
 
-// place chooses the group of a shard among daemons: the first by rendezvous,
-// then others of its region in further zones, then other regions, then any.
+// chooseGroup chooses the group of a shard: the daemon with the highest
+// rendezvous weight, then others of its region in further zones, then other
+// regions, then any.
 func chooseGroup(shard structs.ShardNumber, daemons []structs.Daemon, size int) []structs.Daemon {
 	var chosen []structs.Daemon
 	weights := weightsOf(shard, daemons)
@@ -86,7 +90,7 @@
 	return chosen
 }
 
-// weightsOf returns the claim of each daemon on a shard.
+// weightsOf returns the rendezvous weight of each daemon for a shard.
 func weightsOf(shard structs.ShardNumber, daemons []structs.Daemon) []uint64 {
 	weights := make([]uint64, len(daemons))
 	for i := range daemons {
@@ -95,9 +99,9 @@
 	return weights
 }
 
-// bestAddition returns the daemon that fits best beside those chosen; of equals
-// the one with the highest claim. It does not sort, since leaders ask it for
-// each shard that is out of place, among all daemons of the fleet.
+// bestAddition returns the daemon with the lowest placement penalty beside
+// those chosen, of equals the one with the highest weight. It does not sort,
+// since leaders call it over the whole fleet for each misplaced shard.
 func bestAddition(daemons []structs.Daemon, weights []uint64, chosen []structs.Daemon) (structs.Daemon, bool) {
 	best, bestPenalty := -1, 0
 	for i := range daemons {
@@ -116,7 +120,7 @@
 	return daemons[best], true
 }
 
-// outranks tells whether a daemon's claim goes before another's.
+// outranks reports whether a daemon precedes another by weight and identifier.
 func outranks(daemon structs.DaemonID, weight uint64, other structs.DaemonID, otherWeight uint64) bool {
 	if weight != otherWeight {
 		return weight > otherWeight
@@ -124,8 +128,8 @@
 	return daemon < other
 }
 
-// Penalties of a placement: a shared zone is worse than a far region, and a
-// shared machine is worst.
+// Placement penalties: a shared zone is worse than a far region, and a shared
+// machine is worst.
 const (
 	farRegionPenalty  = 1
 	sharedZonePenalty = 10
--- a/internal/replication/leader_state.go
+++ b/internal/replication/leader_state.go
@@ -10,27 +10,28 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// proposal is a unit of records that waits to be acknowledged.
+// proposal is a unit of records that waits for its acknowledgement.
 type proposal struct {
 	index structs.Index
 	at    time.Time
 	done  func(error)
 }
 
-// confirmation waits until a majority answered a round.
+// confirmation is a call of Confirm that waits until a majority answered a
+// round.
 type confirmation struct {
 	round uint64
 	at    time.Time
 	done  func(error)
 }
 
-// leading is the leadership of a replica in one epoch. It implements
+// leaderState is the state of a replica that leads in one epoch. It implements
 // Leadership.
 type leaderState struct {
 	*replica
 	epoch structs.Epoch
-	// opened is the entry that opened the epoch; ready is set once it is
-	// committed, serving once the application was told.
+	// openingIndex is the index of the last entry that opens the epoch; ready
+	// is set once it is committed, serving once Application.Lead was called.
 	openingIndex structs.Index
 	ready        bool
 	serving      bool
@@ -54,9 +55,9 @@
 	r.openEpoch(epoch, nil)
 }
 
-// lead opens an epoch with an entry, which names the group if it is to change
-// or no entry has named it yet. records go into a second entry, which is applied
-// before the application hears of the leadership.
+// openEpoch opens an epoch with an entry, which includes the group if it is to
+// change or no entry has one yet. records go into a second entry, which is
+// applied before Application.Lead is called.
 func (r *replica) openEpoch(epoch structs.Epoch, group Group, records ...structs.Record) {
 	if group == nil && r.log.last() == 0 {
 		group = r.log.group
@@ -76,7 +77,7 @@
 	l.commitMajority()
 }
 
-// open appends records that belong to the opening of the epoch.
+// appendOpeningRecords appends records that belong to the opening of the epoch.
 func (l *leaderState) appendOpeningRecords(records []structs.Record) {
 	data, err := json.Marshal(records)
 	if err != nil {
@@ -86,7 +87,7 @@
 	l.openingIndex = l.appendEntry(Entry{Records: data})
 }
 
-// stopLeading ends a leadership: its proposals are lost to their proposers.
+// stopLeading ends a leadership and fails its proposals with ErrLost.
 func (r *replica) stopLeading() {
 	l := r.leaderState
 	if l == nil {
@@ -168,8 +169,8 @@
 	return entry.Index
 }
 
-// flushSoon sends what is new after the tasks that wait already, so that
-// proposals made together travel together.
+// flushSoon sends new entries after the tasks that are queued already, so that
+// proposals made together share messages.
 func (l *leaderState) flushSoon() {
 	if l.flushing {
 		return
@@ -186,7 +187,7 @@
 	})
 }
 
-// flush sends each member what it does not have.
+// flush sends each member the entries that it lacks.
 func (l *leaderState) flush() {
 	for _, id := range l.targets() {
 		if l.progress[id] == nil {
@@ -196,7 +197,7 @@
 	}
 }
 
-// targets are the daemons that get the log: the group and a newcomer.
+// targets returns the daemons that get the log: the group and a joining member.
 func (l *leaderState) targets() Group {
 	targets := l.log.group.without(l.Self.ID)
 	if l.change != nil && l.change.add != "" && !targets.Contains(l.change.add) {
@@ -205,7 +206,7 @@
 	return targets
 }
 
-// followers are the daemons with progress, ordered.
+// followers returns the daemons with progress, sorted.
 func (l *leaderState) followers() Group {
 	ids := make(Group, 0, len(l.progress))
 	for id := range l.progress {
@@ -215,7 +216,7 @@
 	return ids
 }
 
-// receiveAppended takes up a member's answer.
+// receiveAppended handles a member's reply to an append request.
 func (r *replica) receiveAppended(from structs.DaemonID, m *AppendReply) {
 	l := r.leaderState
 	if m.Epoch > r.voteState.epoch {
@@ -247,13 +248,14 @@
 	}
 }
 
-// actStale lets a superseded leader go on, to show what the epoch protects.
+// commitDespiteStaleEpoch lets a superseded leader go on, for
+// Guards.AcceptStaleEpoch.
 func (l *leaderState) commitDespiteStaleEpoch() {
 	l.advanceCommit(l.log.last())
 	l.acknowledge()
 }
 
-// commitMajority commits what a majority holds in this epoch.
+// commitMajority commits the entries of this epoch that a majority holds.
 func (l *leaderState) commitMajority() {
 	if l.ended {
 		return
@@ -277,10 +279,10 @@
 	l.acknowledge()
 }
 
-// considerServing tells the application once the epoch is open. A daemon that
-// claimed a shard alone waits until another member shares what it records, if
-// there is any other daemon: else the next loss would take with it what was
-// acknowledged, and what back ends were asked to do.
+// startServingIfReady calls Application.Lead once the epoch is open. A daemon
+// that claimed a shard alone waits until another member holds its records, if
+// there is any other daemon: otherwise its loss would lose records that were
+// acknowledged and requests that were sent to back ends.
 func (l *leaderState) startServingIfReady() {
 	if !l.ready || l.serving || l.ended {
 		return
@@ -304,7 +306,7 @@
 	return 0
 }
 
-// confirmMajority ends confirmations whose round a majority answered.
+// confirmMajority completes the confirmations whose round a majority answered.
 func (l *leaderState) confirmMajority() {
 	group := l.log.group
 	rounds := make([]uint64, 0, len(group))
@@ -327,7 +329,7 @@
 	}
 }
 
-// memberChanged acts on news about a member of the group.
+// memberChanged reacts to a changed membership state of a member of the group.
 func (l *leaderState) memberChanged(id structs.DaemonID) {
 	if p := l.progress[id]; p != nil && l.alive(id) {
 		p.send(true)
--- a/internal/replication/leader_table.go
+++ b/internal/replication/leader_table.go
@@ -15,7 +15,8 @@
 	leaders map[structs.ShardNumber]*T
 }
 
-// Put sets a shard's leader and returns the former one, nil if there was none.
+// Put sets a shard's leader and returns the previous one, nil if there was
+// none.
 func (t *LeaderTable[T]) Put(shard structs.ShardNumber, leader *T) *T {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/replication/leaderless.go
+++ b/internal/replication/leaderless.go
@@ -6,18 +6,19 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// leaderlessAfter is how long no leader of a shard was known before a former
-// member asks all daemons. It is longer than any election takes.
+// leaderlessAfter is how long no leader of a shard must be known before a
+// former member asks all daemons. It is longer than any election takes.
 const leaderlessAfter = 10 * time.Second
 
-// A leaderless shard is one whose group in the stream is out of date: it names this
-// daemon, which has left the group since, and no leader is known. The note of
-// the later group may never have been written, if the log was down, and that
-// group may be lost. No daemon would then look for the shard as an orphan,
-// because a member named in the stream lives.
+// A leaderless shard is one whose group in the stream is out of date: it
+// includes this daemon, which has left the group since, and no leader is known.
+// The note of the later group may never have been written, if the log was down,
+// and that group may be lost. No daemon would then search for the shard as an
+// orphan, because a member named in the stream is alive.
 
-// dueLeaderless returns the shards that have been leaderless for long, and asks
-// the likely holders of the others. The caller holds the mutex.
+// dueLeaderless returns the shards that have been leaderless for
+// leaderlessAfter, and requests routes for the others. The caller holds the
+// mutex.
 func (g *registry) dueLeaderless() []structs.ShardNumber {
 	m := g.manager
 	if !g.hasGroups {
@@ -44,10 +45,9 @@
 	return due
 }
 
-// isLeaderless tells whether this daemon must search for a shard: it is the first
-// living one of the group in the stream, it holds no replica as a member, the
-// dead ones of that group are gone, and it knows no living leader. The living
-// ones are asked like every other daemon.
+// isLeaderless reports whether this daemon must search for a shard: it is the
+// first living daemon of the group in the stream, it is no longer a member, the
+// dead daemons of that group are confirmed gone, and no living leader is known.
 func (g *registry) isLeaderless(shard structs.ShardNumber) bool {
 	m := g.manager
 	group := g.groups[shard].group
@@ -68,7 +68,7 @@
 	return true
 }
 
-// knowsLeader tells whether any route here names a living leader.
+// knowsLeader reports whether a local or cached route names a living leader.
 func (m *Manager) knowsLeader(shard structs.ShardNumber) bool {
 	m.mutex.Lock()
 	local := m.routes.local[shard].route
@@ -77,8 +77,8 @@
 	return m.withoutDeadLeader(local).Leader != "" || m.withoutDeadLeader(cached).Leader != ""
 }
 
-// coversLately tells whether those asked include every daemon that the machine
-// list names or has named within the grace time.
+// coversRecentMachineList reports whether asked includes every daemon that the
+// machine list names or named within the grace time.
 func (m *Manager) coversRecentMachineList(asked Group) bool {
 	if !m.coversMachineList(asked) {
 		return false
--- a/internal/replication/leadership_transfer.go
+++ b/internal/replication/leadership_transfer.go
@@ -7,13 +7,12 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// handover passes a leadership to another member. Proposals made meanwhile are
-// held back, so that the successor comes to hold the whole log also under
-// load; they are lost to their proposers once it leads, and are appended after
-// all when it does not.
+// leadershipTransfer passes the leadership to another member. Proposals made
+// meanwhile are held back, so that the successor catches up also under load.
+// They fail once it leads, and are appended after all when it does not.
 type leadershipTransfer struct {
 	to structs.DaemonID
-	// asked is set once the successor was asked to stand.
+	// requested is set once the successor was asked to stand for election.
 	requested     bool
 	heldProposals []heldProposal
 	timer         clock.Timer
@@ -24,10 +23,11 @@
 	done    func(error)
 }
 
-// handoverTimeout is how long a successor has to catch up and be elected.
+// leadershipTransferTimeout is how long a successor has to catch up and be
+// elected.
 const leadershipTransferTimeout = time.Second
 
-// handOverTo begins to pass the leadership to a member.
+// transferLeadershipTo starts to transfer the leadership to a member.
 func (l *leaderState) transferLeadershipTo(daemon structs.DaemonID) {
 	if l.transfer != nil {
 		return
@@ -42,7 +42,8 @@
 	l.advanceLeadershipTransfer()
 }
 
-// stepHandover asks the successor to stand once it holds the whole log.
+// advanceLeadershipTransfer asks the successor to stand for election once it
+// holds the whole log.
 func (l *leaderState) advanceLeadershipTransfer() {
 	h := l.transfer
 	if h == nil || h.requested || l.ended {
@@ -55,7 +56,7 @@
 	l.replica.send(h.to, &LeadershipTransfer{Shard: l.shard, Epoch: l.epoch})
 }
 
-// resume goes on leading after a handover that failed.
+// abortLeadershipTransfer goes on leading after a transfer that failed.
 func (l *leaderState) abortLeadershipTransfer() {
 	h := l.transfer
 	l.transfer = nil
@@ -65,8 +66,8 @@
 	l.requestPlan()
 }
 
-// endHandover loses the proposals that were held back. They were certainly not
-// recorded.
+// endLeadershipTransfer fails the proposals that were held back. They were
+// certainly not recorded.
 func (l *leaderState) endLeadershipTransfer() {
 	h := l.transfer
 	if h == nil {
@@ -79,8 +80,8 @@
 	}
 }
 
-// leave hands a stopping daemon's leadership over. A newcomer that is still
-// catching up is left to the successor.
+// transferLeadershipAway transfers the leadership of a stopping daemon. A new
+// member that is still catching up is left to the successor.
 func (l *leaderState) transferLeadershipAway() {
 	if l.change != nil && l.change.entry == 0 {
 		l.abandonNewcomer()
@@ -90,8 +91,8 @@
 	}
 }
 
-// successor returns the member that keeps up and has the highest claim to
-// lead, "" if there is none.
+// successor returns the member that keeps up and has the highest rendezvous
+// weight, "" if there is none.
 func (l *leaderState) successor() structs.DaemonID {
 	best := structs.DaemonID("")
 	for _, member := range l.log.group {
--- a/internal/replication/limits.go
+++ b/internal/replication/limits.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// takeTransfer reserves one of the daemon's snapshot transfers.
+// acquireTransferSlot reserves one of the daemon's concurrent snapshot
+// transfers.
 func (m *Manager) acquireTransferSlot() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -19,7 +20,7 @@
 	m.transfers--
 }
 
-// takeChange reserves one of the daemon's changes of groups.
+// acquireChangeSlot reserves one of the daemon's concurrent group changes.
 func (m *Manager) acquireChangeSlot() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -30,7 +31,7 @@
 	return true
 }
 
-// giveChange hands one back; another shard may have waited for it.
+// releaseChangeSlot releases a slot; another shard may be waiting for it.
 func (m *Manager) releaseChangeSlot() {
 	m.mutex.Lock()
 	m.changes--
@@ -38,12 +39,14 @@
 	m.schedulePlanSoon()
 }
 
-// manyLed is how many led shards make a daemon move its load away faster.
+// fastRebalanceLeads is the number of led shards above which a daemon
+// rebalances faster.
 const fastRebalanceLeads = 8
 
-// takeMove allows one move that only spreads the load. A daemon that leads many
-// shards, as the first few of a large fleet to start do, moves them faster in
-// proportion; transfers and changes under way are bounded besides.
+// allowRebalanceMove reports whether one move that only balances load may
+// start. A daemon that leads many shards, as the first few of a starting large
+// fleet do, moves them faster in proportion; the slots for transfers and
+// changes limit the moves further.
 func (m *Manager) allowRebalanceMove() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/replication/log.go
+++ b/internal/replication/log.go
@@ -6,15 +6,16 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// entryLog is a replica's log in memory: the entries after base. What came up
-// to base is in the state machine.
+// entryLog is a replica's log in memory: the entries after base. Entries up to
+// base are in the state machine only.
 type entryLog struct {
 	base      structs.Index
 	baseEpoch structs.Epoch
 	baseGroup Group
 	entries   []Entry
 	bytes     int
-	// group is the latest in the log, and groupIndex its entry.
+	// group is the latest group in the log, and groupIndex the index of its
+	// entry.
 	group      Group
 	groupIndex structs.Index
 }
@@ -47,8 +48,8 @@
 // at returns an entry that is in memory.
 func (l *entryLog) at(index structs.Index) Entry { return l.entries[index-l.base-1] }
 
-// from returns entries from index on, up to about limit bytes and at least one
-// if there is any.
+// from returns entries from index on, limited to about limit bytes but at least
+// one if there is any.
 func (l *entryLog) from(index structs.Index, limit int) []Entry {
 	first := int(index - l.base - 1)
 	end, size := first, 0
@@ -62,7 +63,7 @@
 	return slices.Clone(l.entries[first:end])
 }
 
-// append adds an entry behind the last.
+// append adds an entry after the last.
 func (l *entryLog) append(entry Entry) {
 	l.entries = append(l.entries, entry)
 	l.bytes += entry.size()
@@ -71,7 +72,7 @@
 	}
 }
 
-// truncate drops index and everything after it.
+// truncate drops the entry at index and all after it.
 func (l *entryLog) truncate(index structs.Index) {
 	keep := int(index - l.base - 1)
 	for i := keep; i < len(l.entries); i++ {
@@ -91,7 +92,7 @@
 	}
 }
 
-// groupAt returns the group in force at an index in memory.
+// groupAt returns the group that applies at an index in memory.
 func (l *entryLog) groupAt(index structs.Index) Group {
 	group := l.baseGroup
 	for i := 0; i < len(l.entries) && l.entries[i].Index <= index; i++ {
@@ -102,8 +103,8 @@
 	return group
 }
 
-// compact drops the oldest entries up to applied once the log is larger than
-// twice limit bytes, until it is no larger than limit.
+// compact drops the oldest entries up to applied once the log exceeds twice
+// limit bytes, until it no longer exceeds limit.
 func (l *entryLog) compact(applied structs.Index, limit int) {
 	if l.bytes <= 2*limit {
 		return
--- a/internal/replication/machines.go
+++ b/internal/replication/machines.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// deadSince tells whether a daemon is believed dead, and since when.
+// deadSince reports whether a daemon is believed dead, and since when.
 func (m *Manager) deadSince(daemon structs.DaemonID) (time.Time, bool) {
 	if m.Alive(daemon) {
 		return time.Time{}, false
@@ -22,30 +22,30 @@
 	return since, true
 }
 
-// machineListView is what readings of the machine list have shown of the addresses
-// of daemons. The Manager's mutex guards it.
+// machineListView is the history of daemon addresses on the machine list. The
+// Manager's mutex guards it.
 type machineListView struct {
 	// firstAt and lastAt are when the list was read first and last.
 	firstAt time.Time
 	lastAt  time.Time
 	listed  map[string]bool
-	// unlistedAt is when a reading first lacked an address that was listed.
+	// unlistedAt is when a read first lacked an address that was listed.
 	unlistedAt map[string]time.Time
 }
 
-// unlistedMemory is how long an address that left the list is remembered with
-// its time; one that is forgotten counts as lacking since the first reading.
+// unlistedRetention is how long the removal time of an address is kept; after
+// that it counts as missing since the first read.
 const unlistedRetention = time.Hour
 
 func newMachineListView() machineListView {
 	return machineListView{listed: map[string]bool{}, unlistedAt: map[string]time.Time{}}
 }
 
-// known tells whether the list was ever read.
+// wasRead reports whether the list was ever read.
 func (w *machineListView) wasRead() bool { return !w.firstAt.IsZero() }
 
-// missingFor tells for how long readings have lacked an address, from the first
-// of them to the last: what was not read since proves nothing.
+// missingFor returns for how long an address was missing, from the first read
+// without it to the last: the time since the last read proves nothing.
 func (w *machineListView) missingFor(address string) time.Duration {
 	if !w.wasRead() || w.listed[address] {
 		return 0
@@ -57,16 +57,16 @@
 	return w.lastAt.Sub(since)
 }
 
-// superseded tells whether another run has taken a daemon's address, and be it
-// that this one has ended as well.
+// isSuperseded reports whether a later run has used a daemon's address, even if
+// that run has ended as well.
 func (m *Manager) isSuperseded(daemon structs.DaemonID) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.latest[daemon.Address()] > daemon.Incarnation()
 }
 
-// MachinesListed takes a reading of the platform's machine list that differs
-// from the one before.
+// MachinesListed handles a read of the platform's machine list that differs
+// from the previous one.
 func (m *Manager) MachinesListed(machines []structs.Machine) {
 	now := m.Clock.Now()
 	listed := map[string]bool{}
@@ -94,8 +94,8 @@
 	view.lastAt = now
 }
 
-// MachinesUnchanged takes a reading of the machine list that shows what the one
-// before showed.
+// MachinesUnchanged handles a read of the machine list that equals the previous
+// one.
 func (m *Manager) MachinesUnchanged() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -104,9 +104,9 @@
 	}
 }
 
-// gone tells whether a daemon surely runs no more: another run has its address,
-// or it is believed dead and for the grace time no reading of the machine list
-// has had its address.
+// isConfirmedGone reports whether a daemon has certainly ended: a later run has
+// its address, or it is believed dead and the machine list has lacked its
+// address for the grace time.
 func (m *Manager) isConfirmedGone(daemon structs.DaemonID) bool {
 	since, dead := m.deadSince(daemon)
 	if !dead {
--- a/internal/replication/manager.go
+++ b/internal/replication/manager.go
@@ -15,7 +15,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Options gives a Manager what it works with.
+// Options holds the dependencies and settings of a Manager.
 type Options struct {
 	Self        structs.Daemon
 	Clock       clock.Clock
@@ -26,12 +26,12 @@
 	Application Application
 	Settings    Settings
 	Logger      zerolog.Logger
-	// Guards are all on in production; see Guards.
+	// Guards is the zero value in production; see Guards.
 	Guards Guards
 }
 
-// Manager holds a daemon's replicas and knows where the other shards are led.
-// It is safe for concurrent use.
+// Manager holds a daemon's replicas and the routes of the other shards. It is
+// safe for concurrent use.
 type Manager struct {
 	Options
 	registry      *registry
@@ -40,7 +40,7 @@
 	mutex    sync.Mutex
 	stopped  bool
 	replicas map[structs.ShardNumber]*replica
-	// promises are those of replicas that were dropped.
+	// voteStates are those of replicas that were dropped.
 	voteStates map[structs.ShardNumber]voteState
 	routes     routeTable
 	lookup     routeLookup
@@ -49,7 +49,7 @@
 	// latest is the highest incarnation ever seen at an address.
 	latest   map[string]uint64
 	machines machineListView
-	// leavingAddresses are the addresses whose latest run said that it stops.
+	// leavingAddresses are the addresses whose latest run announced its stop.
 	leavingAddresses map[string]bool
 
 	transfers, changes int
@@ -62,7 +62,7 @@
 	contradictions     int
 }
 
-// New returns a manager without replicas. Start sets it going.
+// New returns a manager without replicas. Start starts it.
 func New(options Options) *Manager {
 	m := &Manager{
 		Options:          options,
@@ -81,7 +81,7 @@
 	return m
 }
 
-// Start begins to read the groups' stream and to act on membership.
+// Start starts to read the groups' stream and to react to membership.
 func (m *Manager) Start() {
 	m.Members.Subscribe(m.memberChanged)
 	m.registry.start()
@@ -89,8 +89,8 @@
 	m.scheduleAudit()
 }
 
-// Stop ends everything at once, as a crash would, but for the application:
-// it is told that it leads no more.
+// Stop ends everything at once, as a crash would, except that
+// Application.Follow is called for the shards led here.
 func (m *Manager) Stop() {
 	m.mutex.Lock()
 	m.stopped = true
@@ -109,12 +109,13 @@
 	return m.stopped
 }
 
-// Alive tells whether a daemon is believed to run.
+// Alive reports whether a daemon is believed to run.
 func (m *Manager) Alive(daemon structs.DaemonID) bool {
 	return daemon == m.Self.ID || m.Members.State(daemon) != membership.StateDead
 }
 
-// Receive handles a message of this package. It returns false for others.
+// Receive handles a message of this package. It returns false for other
+// messages.
 func (m *Manager) Receive(from structs.DaemonID, message peer.Message) bool {
 	shard, routed := shardOf(message)
 	if !routed {
@@ -147,7 +148,7 @@
 	return true
 }
 
-// shardOf returns the shard that a message of a group is about.
+// shardOf returns the shard of a message to a replica.
 func shardOf(message peer.Message) (structs.ShardNumber, bool) {
 	switch m := message.(type) {
 	case *AppendRequest:
@@ -170,8 +171,9 @@
 	return 0, false
 }
 
-// replicaFor makes a replica when a leader sends this daemon a shard's log or
-// state. A leader whose shard was claimed by another learns of that.
+// replicaFor creates a replica when a leader sends this daemon a shard's log or
+// state. A leader whose shard was claimed by another daemon is refused with the
+// newer epoch.
 func (m *Manager) replicaFor(from structs.DaemonID, shard structs.ShardNumber, message peer.Message) *replica {
 	var epoch structs.Epoch
 	switch body := message.(type) {
@@ -195,7 +197,7 @@
 	return m.open(shard, former, nil)
 }
 
-// open makes a replica of a shard unless there is one.
+// open creates a replica of a shard unless there is one.
 func (m *Manager) open(shard structs.ShardNumber, former voteState, group Group) *replica {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -211,7 +213,7 @@
 	return r
 }
 
-// forget removes a dropped replica and keeps its promise.
+// forget removes a dropped replica and keeps its vote state.
 func (m *Manager) forget(r *replica) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -250,7 +252,7 @@
 	return time.Duration(m.Random.Int64N(int64(limit)))
 }
 
-// memberChanged is told of every change of membership.
+// memberChanged handles every change of membership.
 func (m *Manager) memberChanged(member membership.Member) {
 	if m.isStopped() {
 		return
--- a/internal/replication/messages.go
+++ b/internal/replication/messages.go
@@ -8,41 +8,41 @@
 )
 
 // Entry is one entry of a shard's log: a unit of records, a change of the
-// group, or neither (it opens an epoch).
+// group, or neither, which opens an epoch.
 type Entry struct {
 	Index structs.Index `json:"i"`
 	Epoch structs.Epoch `json:"e"`
 	// Records is a JSON array of structs.Record.
 	Records json.RawMessage `json:"r,omitempty"`
-	// Group is in force from the moment a replica holds the entry.
+	// Group applies from the moment a replica holds the entry.
 	Group Group `json:"g,omitempty"`
 }
 
-// size returns about how many bytes an entry takes.
+// size estimates the bytes that an entry takes.
 func (e *Entry) size() int {
 	const fixed = 64
 	return fixed + len(e.Records) + len(e.Group)*fixed
 }
 
-// AppendRequest carries entries from a leader to a member. Without entries it asks
-// whether the member still follows.
+// AppendRequest carries entries from a leader to a member. Without entries it
+// is a heartbeat.
 type AppendRequest struct {
 	Shard structs.ShardNumber `json:"s"`
 	Epoch structs.Epoch       `json:"e"`
-	// Previous and PreviousEpoch name the entry before the first.
+	// Previous and PreviousEpoch identify the entry before the first.
 	Previous      structs.Index `json:"p,omitempty"`
 	PreviousEpoch structs.Epoch `json:"pe,omitempty"`
 	Commit        structs.Index `json:"c,omitempty"`
 	Entries       []Entry       `json:"en,omitempty"`
-	// Round numbers the leader's questions whether it still leads.
+	// Round numbers the leader's checks that it still leads.
 	Round uint64 `json:"r,omitempty"`
 }
 
 // MessageKind implements peer.Message.
 func (*AppendRequest) MessageKind() peer.Kind { return "replication.append" }
 
-// wellFormed tells whether the entries follow Previous and each other, in
-// epochs that never fall.
+// wellFormed reports whether the entries follow Previous and each other, in
+// epochs that never decrease.
 func (m *AppendRequest) wellFormed() bool {
 	index, epoch := m.Previous, m.PreviousEpoch
 	for _, entry := range m.Entries {
@@ -60,15 +60,18 @@
 	Shard structs.ShardNumber `json:"s"`
 	// Epoch is the member's; a higher one ends the leadership.
 	Epoch structs.Epoch `json:"e"`
-	// Match is the last index up to which the member holds the leader's log.
+	// Match is the last index up to which the member's log matches the
+	// leader's.
 	Match structs.Index `json:"m,omitempty"`
-	// Refused asks for entries from Hint on.
+	// Refused is set when the logs do not match or the epoch is old. Hint is
+	// the index to resume from.
 	Refused bool          `json:"x,omitempty"`
 	Hint    structs.Index `json:"h,omitempty"`
 	Round   uint64        `json:"r,omitempty"`
-	// Leader is who the member follows, when it refused for its epoch.
+	// Leader is the daemon that the member follows, when it refused for the
+	// epoch.
 	Leader structs.DaemonID `json:"l,omitempty"`
-	// Pressure tells how full the member's memory is.
+	// Pressure is the member's memory pressure.
 	Pressure Pressure `json:"mp,omitempty"`
 }
 
@@ -81,23 +84,25 @@
 	Epoch     structs.Epoch       `json:"e"`
 	Last      structs.Index       `json:"i"`
 	LastEpoch structs.Epoch       `json:"le"`
-	// PreVote asks whether the member would vote so, and binds nobody.
+	// PreVote asks whether the member would vote for the sender; the answer
+	// does not bind it.
 	PreVote bool `json:"t,omitempty"`
-	// HandOver says that the former leader asked for this candidacy.
+	// LeadershipTransfer is set when the former leader asked for this
+	// candidacy.
 	LeadershipTransfer bool `json:"h,omitempty"`
 }
 
 // MessageKind implements peer.Message.
 func (*VoteRequest) MessageKind() peer.Kind { return "replication.vote" }
 
-// VoteReply answers VoteRequest. Epoch is that of the vote when it was granted, and the
-// member's own otherwise.
+// VoteReply answers VoteRequest. Epoch is that of the request when the vote was
+// granted, and the member's own otherwise.
 type VoteReply struct {
 	Shard   structs.ShardNumber `json:"s"`
 	Epoch   structs.Epoch       `json:"e"`
 	PreVote bool                `json:"t,omitempty"`
 	Granted bool                `json:"g,omitempty"`
-	// Last and LastEpoch tell how far the member's log goes.
+	// Last and LastEpoch are the position of the member's log.
 	Last      structs.Index `json:"i,omitempty"`
 	LastEpoch structs.Epoch `json:"le,omitempty"`
 }
@@ -105,7 +110,8 @@
 // MessageKind implements peer.Message.
 func (*VoteReply) MessageKind() peer.Kind { return "replication.voted" }
 
-// LeadershipTransfer asks a member that holds the whole log to stand for election now.
+// LeadershipTransfer asks a member that holds the whole log to stand for
+// election at once.
 type LeadershipTransfer struct {
 	Shard structs.ShardNumber `json:"s"`
 	Epoch structs.Epoch       `json:"e"`
@@ -114,11 +120,11 @@
 // MessageKind implements peer.Message.
 func (*LeadershipTransfer) MessageKind() peer.Kind { return "replication.take_over" }
 
-// SnapshotChunk is a piece of a compressed snapshot.
+// SnapshotChunk is a part of a compressed snapshot.
 type SnapshotChunk struct {
 	Shard structs.ShardNumber `json:"s"`
 	Epoch structs.Epoch       `json:"e"`
-	// Index and IndexEpoch name the last entry that the snapshot holds.
+	// Index and IndexEpoch identify the last entry that the snapshot includes.
 	Index      structs.Index `json:"i"`
 	IndexEpoch structs.Epoch `json:"ie"`
 	Group      Group         `json:"g"`
@@ -132,13 +138,14 @@
 // MessageKind implements peer.Message.
 func (*SnapshotChunk) MessageKind() peer.Kind { return "replication.chunk" }
 
-// wellFormed tells whether the piece lies inside a snapshot of bearable size.
+// wellFormed reports whether the chunk lies within a snapshot of permitted
+// size.
 func (m *SnapshotChunk) wellFormed() bool {
 	return m.Offset >= 0 && m.Total > 0 && m.Total <= maxSnapshotBytes &&
 		m.Offset+len(m.Data) <= m.Total && len(m.Group) > 0 && m.IndexEpoch <= m.Epoch
 }
 
-// SnapshotChunkReply answers SnapshotChunk with the offset wanted next.
+// SnapshotChunkReply answers SnapshotChunk with the next offset to send.
 type SnapshotChunkReply struct {
 	Shard structs.ShardNumber `json:"s"`
 	Epoch structs.Epoch       `json:"e"`
@@ -150,11 +157,11 @@
 // MessageKind implements peer.Message.
 func (*SnapshotChunkReply) MessageKind() peer.Kind { return "replication.chunk_taken" }
 
-// Dismiss tells a daemon that it is no longer a member of a shard's group.
+// Dismiss informs a daemon that it is no longer a member of a shard's group.
 type Dismiss struct {
 	Shard structs.ShardNumber `json:"s"`
 	Epoch structs.Epoch       `json:"e"`
-	// Round is the leader's last in the stay that ends.
+	// Round is the leader's last round of the membership that ends.
 	Round uint64 `json:"r,omitempty"`
 }
 
@@ -167,7 +174,8 @@
 	Epoch structs.Epoch       `json:"e"`
 }
 
-// Audit asks a daemon whether its replicas agree with the sender's.
+// Audit asks a leader whether it still leads the listed shards in the given
+// epochs.
 type Audit struct {
 	Shards []ShardEpoch `json:"s"`
 }
@@ -175,22 +183,22 @@
 // MessageKind implements peer.Message.
 func (*Audit) MessageKind() peer.Kind { return "replication.audit" }
 
-// ShardRoute is a route of one shard.
+// ShardRoute is the route of one shard.
 type ShardRoute struct {
 	Shard      structs.ShardNumber `json:"s"`
 	Leader     structs.DaemonID    `json:"l,omitempty"`
 	Epoch      structs.Epoch       `json:"e"`
 	NoMajority bool                `json:"n,omitempty"`
 	// Holder is set when the sender is a member of the group, Leads when it
-	// leads it, be it not yet ready.
+	// leads the group, even if it does not serve yet.
 	Holder bool `json:"h,omitempty"`
 	Leads  bool `json:"a,omitempty"`
 }
 
-// RouteRequest asks a daemon where shards are led.
+// RouteRequest asks a daemon for the leaders of shards.
 type RouteRequest struct {
 	Shards []structs.ShardNumber `json:"s"`
-	// More is set by a daemon that lacks many routes: the answer may tell of
+	// More is set by a daemon that lacks many routes: the reply may include
 	// further shards, from From on.
 	More bool                `json:"m,omitempty"`
 	From structs.ShardNumber `json:"f,omitempty"`
@@ -199,7 +207,8 @@
 // MessageKind implements peer.Message.
 func (*RouteRequest) MessageKind() peer.Kind { return "replication.where" }
 
-// RouteReply answers RouteRequest, and Audit where the two disagree.
+// RouteReply answers RouteRequest, and Audit for the shards on which the two
+// daemons disagree.
 type RouteReply struct {
 	Routes []ShardRoute `json:"r"`
 }
--- a/internal/replication/plan.go
+++ b/internal/replication/plan.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// available tells whether a daemon may get new work: it runs and is not
+// available reports whether a daemon may get new work: it runs and is not
 // stopping.
 func (m *Manager) available(daemon structs.DaemonID) bool {
 	if daemon == m.Self.ID {
@@ -31,12 +31,12 @@
 	return daemons
 }
 
-// considerPlan makes the daemon look at this shard's group in its next round.
+// requestPlan includes this shard in the next planning round.
 func (l *leaderState) requestPlan() { l.schedulePlanOf(l.shard, planDelay) }
 
 // plan takes the next step, if any, towards a group of the right size on
-// available daemons, well placed and led by the daemon with the first claim.
-// It returns true while more is to be done.
+// available daemons, placed and led according to rendezvous hashing. It returns
+// true while more steps remain.
 func (l *leaderState) plan(daemons []structs.Daemon) bool {
 	if l.ended || !l.ready {
 		return false
@@ -64,8 +64,9 @@
 	return l.rebalance(daemons)
 }
 
-// planLeave passes the leadership on. A group that has no majority without this
-// daemon grows first: leaving would take its records along.
+// planForStop transfers the leadership before a planned stop. A group that has
+// no majority without this daemon grows first, since its records would be lost
+// with the daemon.
 func (l *leaderState) planForStop(daemons []structs.Daemon) {
 	if !l.isNeededForMajority() {
 		l.transferLeadershipAway()
@@ -85,8 +86,8 @@
 	}
 }
 
-// troubled tells whether a member is in doubt; its group is left as it is
-// until that member is well again or to be replaced.
+// hasUnhealthyMember reports whether a member is unavailable or lagging; its
+// group stays unchanged until the member recovers or is to be replaced.
 func (l *leaderState) hasUnhealthyMember() bool {
 	for _, member := range l.log.group {
 		if !l.available(member) || l.isLagging(member) {
@@ -96,7 +97,7 @@
 	return false
 }
 
-// failing returns a member that is to be replaced, "" if there is none.
+// memberToReplace returns a member that is to be replaced, "" if there is none.
 func (l *leaderState) memberToReplace() structs.DaemonID {
 	now := l.Clock.Now()
 	for _, member := range l.log.group {
@@ -116,8 +117,8 @@
 	return ""
 }
 
-// grow adds the daemon that fits best beside the members that stay. It returns
-// false when there is none.
+// grow adds the daemon with the lowest placement penalty beside the members
+// that stay. It returns false when there is none.
 func (l *leaderState) grow(daemons []structs.Daemon, failing structs.DaemonID) bool {
 	staying := daemonsOf(l.log.group.without(failing), daemons)
 	free := slices.DeleteFunc(slices.Clone(daemons), func(daemon structs.Daemon) bool {
@@ -130,8 +131,8 @@
 	return found
 }
 
-// shrink removes the member that is worst: dead, then stopping or stalled,
-// then ill placed.
+// shrink removes one member: a failing one first, then a dead one, then the
+// worst placed.
 func (l *leaderState) shrink(daemons []structs.Daemon) {
 	worst := l.memberToReplace()
 	if worst == "" {
@@ -156,8 +157,9 @@
 	return ""
 }
 
-// misplaced returns the member to give up: not in its place by rendezvous, and
-// such that the others are spread best. Of equals the lowest claim goes.
+// worstPlacedMember returns an unavailable member, or else the one outside the
+// target placement without which the others are placed best, of equals the one
+// with the lowest weight.
 func (l *leaderState) worstPlacedMember(daemons []structs.Daemon) structs.DaemonID {
 	target := identifiers(chooseGroup(l.shard, daemons, l.Settings.GroupSize))
 	members := ranked(l.shard, daemonsOf(l.log.group, daemons))
@@ -190,14 +192,15 @@
 	return total
 }
 
-// crowded tells whether the group stands in fewer zones than it could: that is
-// mended at once, other moves may wait.
+// isSpreadWorse reports whether the group has a worse placement than target.
+// That is corrected at once; other moves are rate-limited.
 func (l *leaderState) isSpreadWorse(daemons []structs.Daemon, target Group) bool {
 	return totalPenalty(daemonsOf(l.log.group, daemons)) > totalPenalty(daemonsOf(target, daemons))
 }
 
-// spread moves one replica or the leadership towards its place by rendezvous,
-// at a bounded rate unless zones are at stake. It returns true while something is out of place.
+// rebalance moves one replica or the leadership towards its place by rendezvous
+// hashing, at a limited rate unless the group's spread over zones is at stake.
+// It returns true while something is out of place.
 func (l *leaderState) rebalance(daemons []structs.Daemon) bool {
 	target := identifiers(chooseGroup(l.shard, daemons, l.Settings.GroupSize))
 	for _, id := range target {
@@ -217,7 +220,7 @@
 	return true
 }
 
-// daemonsOf returns the described daemons of a group.
+// daemonsOf returns those of the daemons that are members of a group.
 func daemonsOf(group Group, daemons []structs.Daemon) []structs.Daemon {
 	var members []structs.Daemon
 	for _, daemon := range daemons {
--- a/internal/replication/planned_stop.go
+++ b/internal/replication/planned_stop.go
@@ -7,25 +7,27 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// handOver is the state of a planned stop.
+// plannedStop is the state of a planned stop.
 type plannedStop struct {
 	active bool
 	since  time.Time
-	// needed are the shards whose group has no majority without this daemon.
+	// shardsNeeding are the shards whose group has no majority without this
+	// daemon.
 	shardsNeeding map[structs.ShardNumber]bool
-	// told is set once the log says that the stop takes long, and why.
+	// warned is set once the delay of the stop was logged.
 	warned bool
 }
 
-// handOverPoll is the pause between looks at a planned stop's progress.
+// plannedStopPollInterval is the delay between checks of a planned stop's
+// progress.
 const plannedStopPollInterval = 100 * time.Millisecond
 
-// HandOver prepares a planned stop: every shard led here is passed to a member
-// that holds its whole log, and where other daemons can take this one's place
-// it waits for them, up to Settings.HandOverTimeout. Past that it goes on waiting
-// for shards whose groups would lose their majority, and perhaps their last
-// copy, with it, also while it reaches nobody who could help; the caller bounds
-// that. done is called once.
+// HandOver prepares a planned stop: the leadership of every shard led here is
+// transferred to a member that holds its whole log, and where other daemons can
+// replace this one it waits for them, up to Settings.HandOverTimeout. After
+// that it still waits for shards whose groups would lose their majority, and
+// perhaps their last copy, even while no daemon that could help is reachable;
+// the caller limits that. done is called once.
 func (m *Manager) HandOver(done func()) {
 	m.mutex.Lock()
 	m.stopState = plannedStop{active: true, since: m.Clock.Now(), shardsNeeding: map[structs.ShardNumber]bool{}}
@@ -64,7 +66,8 @@
 	delete(m.stopState.shardsNeeding, shard)
 }
 
-// needed tells whether the group lacks a majority of members that stay.
+// isNeededForMajority reports whether the group has no majority without this
+// daemon.
 func (r *replica) isNeededForMajority() bool {
 	if !r.log.group.Contains(r.Self.ID) {
 		return false
@@ -79,7 +82,8 @@
 	return staying < r.log.group.Majority()
 }
 
-// handedOver tells whether nothing is left that the fleet could take over.
+// isHandOverDone reports whether nothing is left that the fleet could take
+// over.
 func (m *Manager) isHandOverDone() bool {
 	m.mutex.Lock()
 	pastTimeout := m.Clock.Now().Sub(m.stopState.since) >= m.Settings.HandOverTimeout
@@ -101,7 +105,7 @@
 }
 
 // expectedOthers counts the other daemons that the machine list names and that
-// have not said that they stop: those out of reach may come back.
+// have not announced their stop: those that are unreachable may come back.
 func (m *Manager) expectedOthers() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -114,8 +118,8 @@
 	return count
 }
 
-// noteLeaving remembers which addresses' daemons have said that they stop, also
-// after they have. The caller has the lock.
+// recordLeaving records which addresses' daemons have announced their stop, and
+// keeps that after they stopped. The caller holds the mutex.
 func (m *Manager) recordLeaving(member membership.Member) {
 	address := member.Daemon.ID.Address()
 	switch member.State {
@@ -124,11 +128,11 @@
 	case membership.StateAlive:
 		delete(m.leavingAddresses, address)
 	case membership.StateSuspect, membership.StateDead:
-		// Neither says why the daemon is silent.
+		// Neither state tells why the daemon is silent.
 	}
 }
 
-// tellWaiting says once why a planned stop takes longer than usual.
+// warnOfWait logs once why a planned stop takes longer than usual.
 func (m *Manager) warnOfWait(needed, others, expected int) {
 	m.mutex.Lock()
 	alreadyWarned := m.stopState.warned
@@ -141,14 +145,15 @@
 		Msg("Planned stop waits. Shards would lose their majority without this daemon.")
 }
 
-// ShardsNeedingThisDaemon counts the shards that keep a planned stop waiting.
+// ShardsNeedingThisDaemon counts the shards that delay a planned stop.
 func (m *Manager) ShardsNeedingThisDaemon() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.countNeedingShards()
 }
 
-// neededShards counts held shards that need this daemon. The caller has the lock.
+// countNeedingShards counts the shards held here that would lose their majority
+// without this daemon. The caller holds the mutex.
 func (m *Manager) countNeedingShards() int {
 	count := 0
 	for shard := range m.stopState.shardsNeeding {
--- a/internal/replication/planner.go
+++ b/internal/replication/planner.go
@@ -7,11 +7,11 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// planSoon is the pause before a round that news or a finished change asked
-// for; what comes meanwhile is looked at together.
+// planDelay is the delay before a planning round that a change requested;
+// further requests within it are served by the same round.
 const planDelay = 20 * time.Millisecond
 
-// wantPlan makes the daemon look at a shard's group, after a pause at most.
+// schedulePlanOf includes a shard in a planning round that starts within delay.
 // Rounds stop when nothing is left to do.
 func (m *Manager) schedulePlanOf(shard structs.ShardNumber, pause time.Duration) {
 	m.mutex.Lock()
@@ -20,7 +20,7 @@
 	m.schedulePlan(pause)
 }
 
-// hastenPlan brings the next round forward if any shard waits for it.
+// schedulePlanSoon advances the next round if any shard waits for it.
 func (m *Manager) schedulePlanSoon() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -29,7 +29,7 @@
 	}
 }
 
-// schedulePlan arms the timer of the next round, under the mutex.
+// schedulePlan arms the timer of the next round. The caller holds the mutex.
 func (m *Manager) schedulePlan(pause time.Duration) {
 	due := m.Clock.Now().Add(pause)
 	if m.stopped || (m.planTimer != nil && !due.Before(m.planDue)) {
--- a/internal/replication/pressure.go
+++ b/internal/replication/pressure.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Pressure tells how full a daemon's memory is. The higher, the fuller.
+// Pressure is how full a daemon's memory is. The higher, the fuller.
 type Pressure uint8
 
 // Levels of pressure.
 const (
-	// PressureNone: everything is taken on.
+	// PressureNone: all calls are accepted.
 	PressureNone Pressure = iota
-	// PressureRefuseNew: no new programs are taken on.
+	// PressureRefuseNew: calls of new programs are refused.
 	PressureRefuseNew
-	// PressureRefuseAll: no calls are taken on, not of programs under way either.
+	// PressureRefuseAll: all calls are refused, those of running programs too.
 	PressureRefuseAll
 )
 
-// pressureMemory is how long a member's word about its memory counts. A shard
-// whose calls are all refused hears nothing from its members; after this time a
-// call goes through and its answer tells anew.
+// pressureValidity is how long a member's reported pressure counts. A shard
+// whose calls are all refused gets no replies from its members; after this time
+// a call is accepted and its reply reports the pressure again.
 const pressureValidity = 5 * time.Second
 
 // Pressure implements Leadership.
--- a/internal/replication/progress.go
+++ b/internal/replication/progress.go
@@ -7,41 +7,41 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// progress is how far one member follows its leader.
+// progress tracks the replication to one member.
 type progress struct {
 	leader *leaderState
 	member structs.DaemonID
-	// match is the last index the member is known to hold, next the one to
-	// send next, and round the last question of the leader that it answered.
+	// match is the last index that the member is known to hold, next the index
+	// to send next, and round the latest round that it answered.
 	match structs.Index
 	next  structs.Index
 	round uint64
-	// since is the leader's round when the member's stay began. Dismissals raise
-	// the round, so answers to an earlier one are of a stay that ended: what the
-	// member held then it has dropped.
+	// firstRound is the leader's round when the current membership began.
+	// Dismissals raise the round, so a reply to an earlier one belongs to a
+	// former membership, whose entries the member has dropped.
 	firstRound uint64
-	// sentRound is the last round sent, and unanswered counts messages since
-	// the last answer.
+	// sentRound is the last round sent, and inFlight counts messages since the
+	// last reply.
 	sentRound uint64
 	inFlight  int
-	// probing is set from a refusal or a silence until an answer shows where
-	// the member's log agrees: one message at a time is sent, and refusals of
-	// others that were under way are ignored.
+	// probing is set from a refusal or a timeout until a reply shows where the
+	// logs match: one message at a time is sent, and refusals of others that
+	// were in flight are ignored.
 	probing   bool
 	probeFrom structs.Index
 	// sentAt is when the oldest unanswered message was sent, and roundTrip the
-	// smoothed time to an answer.
+	// smoothed round-trip time.
 	sentAt     time.Time
 	roundTrip  time.Duration
 	retryDelay time.Duration
 	timer      clock.Timer
 	// lagging is set while acknowledgements do not wait for the member;
-	// heardAt is when it answered last.
+	// repliedAt is when it last replied.
 	lagging   bool
 	repliedAt time.Time
 	transfer  *outgoingSnapshot
 	stopped   bool
-	// pressure is the member's latest word about its memory.
+	// pressure is the memory pressure that the member last reported.
 	pressure   Pressure
 	pressureAt time.Time
 }
@@ -58,13 +58,14 @@
 	p.endTransfer()
 }
 
-// settled tells whether the member has answered everything.
+// isUpToDate reports whether the member holds the whole log and answered the
+// latest round.
 func (p *progress) isUpToDate() bool {
 	return p.match == p.leader.log.last() && p.round == p.leader.round
 }
 
-// send sends what the member does not have, as far as the window allows.
-// again repeats what was not answered.
+// send sends the entries that the member lacks, as far as the window allows.
+// again repeats unanswered messages.
 func (p *progress) send(again bool) {
 	l := p.leader
 	if p.stopped {
@@ -92,13 +93,13 @@
 	p.schedule()
 }
 
-// probe begins again at an index.
+// startProbe restarts sending at an index, one message at a time.
 func (p *progress) startProbe(from structs.Index) {
 	p.probing, p.probeFrom = true, from
 	p.next, p.inFlight = from, 0
 }
 
-// window is how many messages may wait for their answer.
+// window returns how many messages may be in flight.
 func (p *progress) window() int {
 	if p.probing {
 		return 1
@@ -148,10 +149,11 @@
 	})
 }
 
-// roundTripWeight is the share of a new measurement in the smoothed round trip.
+// roundTripWeight is the divisor that gives the weight of a new sample in the
+// smoothed round trip.
 const roundTripWeight = 8
 
-// measure takes the time to an answer into the smoothed round trip.
+// updateRoundTrip adds a sample to the smoothed round trip.
 func (p *progress) updateRoundTrip() {
 	sample := p.leader.Clock.Now().Sub(p.sentAt)
 	if p.roundTrip == 0 {
@@ -160,7 +162,7 @@
 	p.roundTrip += (sample - p.roundTrip) / roundTripWeight
 }
 
-// heard notes a sign of life: the next silence is measured anew.
+// recordReply records a reply and resets the retry delay.
 func (p *progress) recordReply() {
 	p.repliedAt = p.leader.Clock.Now()
 	p.retryDelay = min(max(p.leader.Settings.RetryInterval, 2*p.roundTrip), p.leader.Settings.MaxRetryInterval)
@@ -170,7 +172,7 @@
 	}
 }
 
-// answered takes up the answer to an append.
+// handleReply handles the reply to an append request.
 func (p *progress) handleReply(m *AppendReply) {
 	if m.Round < p.firstRound {
 		return
--- a/internal/replication/reconfigure.go
+++ b/internal/replication/reconfigure.go
@@ -5,28 +5,29 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// change is one change of a group by one member, under way at its leader. A
-// newcomer first catches up without a vote. Every change waits until the one
-// before it and an entry of the leader's own epoch are committed; two groups
-// that follow each other then always share a majority's member.
+// change is a group change by one member, in progress at its leader. A new
+// member first catches up without a vote. Every change waits until the previous
+// one and an entry of the leader's own epoch are committed; the majorities of
+// two consecutive groups then always have a member in common.
 type change struct {
 	add, remove structs.DaemonID
-	// entry is the change's index in the log, 0 while the newcomer catches up.
+	// entry is the change's index in the log, 0 while the new member catches
+	// up.
 	entry     structs.Index
 	timer     clock.Timer
 	holdsSlot bool
 }
 
-// caughtUpEntries is how far behind a newcomer may be when it gets its vote.
+// caughtUpEntries is how far behind a new member may be when it gets its vote.
 const caughtUpEntries = 8
 
-// groupSettled tells whether the group in force is committed and neither a
-// change nor a handover is under way.
+// isGroupStable reports whether the current group is committed and neither a
+// change nor a leadership transfer is in progress.
 func (l *leaderState) isGroupStable() bool {
 	return l.ready && l.change == nil && l.transfer == nil && l.log.groupIndex <= l.commit
 }
 
-// addMember lets a daemon catch up and then join the group.
+// addMember makes a daemon catch up and then join the group.
 func (l *leaderState) addMember(daemon structs.DaemonID) {
 	if !l.isGroupStable() || l.log.group.Contains(daemon) || !l.acquireChangeSlot() {
 		return
@@ -37,7 +38,7 @@
 	l.advanceChange()
 }
 
-// removeMember takes a daemon other than this one out of the group.
+// removeMember removes a daemon other than this one from the group.
 func (l *leaderState) removeMember(daemon structs.DaemonID) {
 	if !l.isGroupStable() || daemon == l.Self.ID || !l.acquireChangeSlot() {
 		return
@@ -59,7 +60,7 @@
 	})
 }
 
-// abandonNewcomer gives a change up before it is in the log.
+// abandonNewcomer cancels a change before it is in the log.
 func (l *leaderState) abandonNewcomer() {
 	add := l.change.add
 	l.endChange()
@@ -67,7 +68,7 @@
 	l.requestPlan()
 }
 
-// dismiss forgets a daemon's progress and tells it.
+// dismiss drops a daemon's progress and informs the daemon.
 func (l *leaderState) dismiss(daemon structs.DaemonID) {
 	if p := l.progress[daemon]; p != nil {
 		p.stop()
@@ -76,9 +77,9 @@
 	l.sendDismiss(daemon)
 }
 
-// sendDismiss tells a daemon that its stay has ended. Later rounds belong to
-// another stay: what is still under way of this one counts no more, should the
-// daemon be taken back in the same epoch.
+// sendDismiss informs a daemon that its membership has ended. Later rounds
+// belong to another membership, so that replies from this one are ignored if
+// the daemon is added again in the same epoch.
 func (l *leaderState) sendDismiss(daemon structs.DaemonID) {
 	l.replica.send(daemon, &Dismiss{Shard: l.shard, Epoch: l.epoch, Round: l.round})
 	l.round++
@@ -98,8 +99,8 @@
 	}
 }
 
-// stepChange moves a change on: the caught-up newcomer gets its vote, and a
-// committed change ends.
+// advanceChange advances the change: a new member that has caught up gets its
+// vote, and a committed change ends.
 func (l *leaderState) advanceChange() {
 	c := l.change
 	if c == nil || l.ended {
@@ -131,8 +132,8 @@
 	l.noteGroup(l.shard, l.epoch, l.log.group)
 	l.watchMajority()
 	if len(l.log.group) > l.Settings.GroupSize {
-		// Between joining and leaving the group needs more votes than it will:
-		// the window in which one more loss stops it is kept short.
+		// While the group has one member too many it needs a larger majority:
+		// this time, in which one more loss stops the group, is kept short.
 		l.plan(l.candidates())
 	}
 	l.requestPlan()
--- a/internal/replication/registry.go
+++ b/internal/replication/registry.go
@@ -10,41 +10,42 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// groupsEntry is one entry of the groups' stream. Exactly one part is set.
+// groupsEntry is one entry of the groups' stream. Exactly one field is set.
 type groupsEntry struct {
 	Genesis *genesis    `json:"genesis,omitempty"`
 	Claims  []claim     `json:"claims,omitempty"`
 	Notes   []groupNote `json:"notes,omitempty"`
 }
 
-// claim puts one daemon in the place of a group that lost its majority. For a
-// generation of a shard the first in the stream counts.
+// claim replaces a group that lost its majority by one daemon. The first claim
+// in the stream for a generation of a shard counts.
 type claim struct {
 	Shard      structs.ShardNumber `json:"shard"`
 	Generation uint64              `json:"generation"`
 	Claimant   structs.DaemonID    `json:"claimant"`
-	// Empty is set when no member survived: the shard starts anew.
+	// Empty is set when no member survived: the shard starts from its archive,
+	// or empty.
 	Empty bool `json:"empty,omitempty"`
 }
 
-// groupNote tells where a shard's group has moved. It is a hint: decisions
-// that rest on it ask the daemons first.
+// groupNote announces a shard's new group. It is a hint: decisions that depend
+// on it ask the daemons first.
 type groupNote struct {
 	Shard structs.ShardNumber `json:"shard"`
 	Epoch structs.Epoch       `json:"epoch"`
 	Group Group               `json:"group"`
 }
 
-// knownGroup is what the stream says about a shard.
+// knownGroup is a shard's group according to the stream.
 type knownGroup struct {
 	generation uint64
 	epoch      structs.Epoch
 	group      Group
 }
 
-// registry folds the groups' stream of the platform's log, and writes to it.
-// What counts is decided by order in the stream alone, so an append whose
-// answer was lost may be made again: the second has no effect.
+// registry applies the groups' stream of the platform's log, and writes to it.
+// The order in the stream alone decides, so an append whose answer was lost may
+// be repeated: the second has no effect.
 type registry struct {
 	manager *Manager
 
@@ -62,37 +63,39 @@
 	genesisAt time.Time
 	sequence  int
 	appending bool
-	// notes wait to be written, the latest of each shard.
+	// notes are the notes to write, the latest of each shard.
 	notes map[structs.ShardNumber]groupNote
-	// claims wait to be written.
+	// claims are the claims to write.
 	claims []claim
 	search *search
-	// searchTimer runs while a search is due before the next tick.
+	// searchTimer runs while a search is scheduled before the next tick.
 	searchTimer clock.Timer
-	// quickReads counts the readings that are to follow soon, because a claim of
-	// this daemon may be in the stream.
+	// quickReads counts the remaining reads at short intervals, since a claim
+	// of this daemon may be in the stream.
 	quickReads int
-	// survivors wait for the next search before they claim.
+	// survivors are the replicas that claim their shard if the next search
+	// allows it.
 	survivors map[structs.ShardNumber]*survivor
-	// leaderlessSince is since when the group in the stream is out of date and no
-	// leader is known.
+	// leaderlessSince is since when the group of a shard in the stream is out
+	// of date and no leader is known.
 	leaderlessSince map[structs.ShardNumber]time.Time
 }
 
-// readLimit bounds the entries of one read.
+// maxEntriesPerRead limits the entries of one read.
 const maxEntriesPerRead = 200
 
-// Pauses between readings of the stream, as parts and multiples of LogInterval.
+// Delays between reads of the stream, as parts and multiples of LogInterval.
 const (
 	// firstReadDivisor: until the first groups are known.
 	firstReadDivisor = 4
-	// quickReadDivisor: for quickReadCount readings after a claim was written,
-	// because the shard serves nobody until the claim is read back.
+	// quickReadDivisor: for quickReadCount reads after a claim was written,
+	// because the shard serves no calls until the claim is read back.
 	quickReadDivisor = 8
 	quickReadCount   = 16
 	// idleReadFactor: while nothing is expected.
 	idleReadFactor = 4
-	// readJitterDivisor is the part of a pause that is added at random at most.
+	// readJitterDivisor gives the largest part of a delay that is added at
+	// random.
 	readJitterDivisor = 4
 )
 
@@ -111,15 +114,16 @@
 	g.tick()
 }
 
-// tick reads the stream and writes what is due.
+// tick reads the stream, searches for orphans and schedules the next tick.
 func (g *registry) tick() {
 	if g.manager.isStopped() {
 		return
 	}
-	// Claims are decided anew each time: one that waited while the log was down
-	// must not be written after its group came back.
+	// Claims are decided again each time: one that waited while the log was
+	// down must not be written after its group came back.
 	g.mutex.Lock()
-	// The timer has fired. Its time says nothing: the clock may have gone back.
+	// The timer has fired. tickAt may still lie ahead if the clock was set
+	// back.
 	g.timer = nil
 	g.claims = nil
 	g.mutex.Unlock()
@@ -132,7 +136,7 @@
 	g.schedule(pause + g.manager.jitter(pause/readJitterDivisor))
 }
 
-// pauseBeforeNextRead returns how long the next tick may wait.
+// pauseBeforeNextRead returns the delay before the next tick.
 func (g *registry) pauseBeforeNextRead() time.Duration {
 	interval := g.manager.Settings.LogInterval
 	g.mutex.Lock()
@@ -150,7 +154,7 @@
 	}
 }
 
-// schedule arms the next tick, unless an earlier one is due.
+// schedule arms the next tick, unless an earlier one is scheduled.
 func (g *registry) schedule(pause time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -166,15 +170,15 @@
 	g.timer = g.manager.Clock.AfterFunc(pause, g.tick)
 }
 
-// urgent tells whether the stream matters now: a shard known here is without
-// its majority, or something waits to be written.
+// needsPromptRead reports whether the stream must be read soon: a shard known
+// here has no majority, or something waits to be written.
 func (g *registry) needsPromptRead() bool {
 	toWrite := len(g.notes) > 0 || len(g.claims) > 0
 	searching := g.search != nil || len(g.survivors) > 0 || len(g.leaderlessSince) > 0
 	return toWrite || searching || g.hasOrphan() || g.manager.hasShardWithoutMajority()
 }
 
-// read takes the next entries, and the ones after them, until caught up.
+// read reads the next entries, and those after them, until it has caught up.
 func (g *registry) read() {
 	g.mutex.Lock()
 	if g.reading {
@@ -187,8 +191,8 @@
 	g.manager.Log.Read(framework.StreamGroups, next, maxEntriesPerRead, g.receiveEntries)
 }
 
-// receiveEntries takes the answer to a read. After an error the next tick reads
-// again.
+// receiveEntries handles the answer to a read. After an error the next tick
+// reads again.
 func (g *registry) receiveEntries(entries []framework.LogEntry, err error) {
 	g.mutex.Lock()
 	g.reading = false
@@ -209,8 +213,8 @@
 	g.write()
 }
 
-// fold takes one entry into the state. Entries that were read before, or that
-// cannot be read, change nothing.
+// apply applies one entry. Entries that were read before, or that cannot be
+// decoded, change nothing.
 func (g *registry) apply(entry framework.LogEntry) {
 	g.mutex.Lock()
 	if entry.Offset < g.next {
@@ -267,7 +271,7 @@
 	}
 }
 
-// epoch returns the lowest epoch that counts for a shard.
+// epoch returns the lowest valid epoch of a shard.
 func (g *registry) epoch(shard structs.ShardNumber) structs.Epoch {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -277,15 +281,15 @@
 	return 0
 }
 
-// group returns a shard's group as the stream has it.
+// group returns a shard's group according to the stream.
 func (g *registry) group(shard structs.ShardNumber) Group {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.groups[shard].group
 }
 
-// isUnavailable tells whether a call for a shard is refused rather than kept
-// waiting: the first groups are not known for long, or all members are dead.
+// isUnavailable reports whether calls for a shard are refused rather than kept
+// waiting: the first groups are unknown for too long, or all members are dead.
 func (g *registry) isUnavailable(shard structs.ShardNumber) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/replication/registry_writer.go
+++ b/internal/replication/registry_writer.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// write appends what is due, one entry at a time.
+// write appends the next entry to write, if any, one at a time.
 func (g *registry) write() {
 	g.mutex.Lock()
 	entry, due := g.nextEntry()
@@ -32,7 +32,7 @@
 	})
 }
 
-// appended takes the answer to an append. With an error the next reading shows
+// appended handles the answer to an append. After an error the next read shows
 // whether it took effect.
 func (g *registry) appended(entry groupsEntry, err error) {
 	hasClaims := len(entry.Claims) > 0
@@ -56,7 +56,7 @@
 	}
 }
 
-// due returns the next entry to write.
+// nextEntry returns the next entry to write.
 func (g *registry) nextEntry() (groupsEntry, bool) {
 	if !g.hasGroups {
 		first, ready := g.firstGroups()
@@ -74,7 +74,7 @@
 	return groupsEntry{}, false
 }
 
-// forgetWritten drops what is in the stream now from what waits to be written.
+// dropWritten drops what was written from what waits to be written.
 func (g *registry) dropWritten(entry groupsEntry) {
 	g.claims = slices.DeleteFunc(g.claims, func(c claim) bool { return slices.Contains(entry.Claims, c) })
 	for _, note := range entry.Notes {
@@ -93,7 +93,7 @@
 	return notes
 }
 
-// noteGroup has a shard's new group written to the stream when it is up.
+// noteGroup queues a note of a shard's new group for the stream.
 func (m *Manager) noteGroup(shard structs.ShardNumber, epoch structs.Epoch, group Group) {
 	m.registry.mutex.Lock()
 	defer m.registry.mutex.Unlock()
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -13,15 +13,15 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// promise is what a daemon must not forget about a shard while it runs, even
-// after it dropped its replica: it votes once in an epoch.
+// voteState is what a daemon must remember about a shard while it runs, even
+// after it dropped its replica, so that it votes only once in an epoch.
 type voteState struct {
 	epoch    structs.Epoch
 	votedFor structs.DaemonID
 }
 
-// replica is one daemon's part in one shard's group. All of it is touched on
-// the shard's queue only.
+// replica is one daemon's copy of one shard. It is used on the shard's queue
+// only.
 type replica struct {
 	*Manager
 	shard     structs.ShardNumber
@@ -30,9 +30,11 @@
 	machine   StateMachine
 	log       *entryLog
 	voteState voteState
-	// leader is who this replica follows in its epoch, "" if it knows none.
+	// leader is the daemon that this replica follows in its epoch, "" if none
+	// is known.
 	leader structs.DaemonID
-	// heard is the leader's last round known here, of heardEpoch.
+	// leaderRound is the latest round received from the leader of
+	// leaderRoundEpoch.
 	leaderRound      uint64
 	leaderRoundEpoch structs.Epoch
 	commit           structs.Index
@@ -41,22 +43,25 @@
 	candidacy   *candidacy
 	leaderState *leaderState
 	incoming    *incomingSnapshot
-	// electionTimer runs while a candidacy of this replica is due.
+	// electionTimer runs while a candidacy of this replica is scheduled.
 	electionTimer    clock.Timer
 	electionAttempts int
-	// positions are what members said lately about their logs.
+	// positions are the log positions that members last reported.
 	positions map[structs.DaemonID]position
-	// askedPositions is when members were asked for that last.
+	// positionRequestedAt is when each member was last asked for its log
+	// position.
 	positionRequestedAt map[structs.DaemonID]time.Time
-	// outsideReplicas are daemons outside the group that were found to hold a replica.
+	// outsideReplicas are daemons outside the group that were found to hold a
+	// replica.
 	outsideReplicas Group
-	// lostAt is when the group was found without a majority, zero if it has one.
+	// majorityLostAt is when the group was found without a majority, zero if it
+	// has one.
 	majorityLostAt time.Time
-	// claimUnread is set while this replica has heard that its shard was
-	// claimed, and not yet by whom.
+	// claimantUnknown is set while this replica knows that its shard was
+	// claimed, but not yet by whom.
 	claimantUnknown bool
 	dropped         bool
-	// restoring is set while the state is read from the shard's archive.
+	// restoring is set while the state is being read from the shard's archive.
 	restoring bool
 }
 
@@ -83,14 +88,14 @@
 	})
 }
 
-// after runs task on the shard's queue, d from now.
+// after runs task on the shard's queue after d.
 func (r *replica) after(d time.Duration, task func()) clock.Timer {
 	return r.Clock.AfterFunc(d, func() { r.post(task) })
 }
 
 func (r *replica) send(to structs.DaemonID, message peer.Message) { r.Transport.Send(to, message) }
 
-// alive tells whether a daemon is believed to run.
+// alive reports whether a daemon is believed to run.
 func (r *replica) alive(daemon structs.DaemonID) bool {
 	return daemon == r.Self.ID || r.Members.State(daemon) != membership.StateDead
 }
@@ -108,11 +113,11 @@
 
 func (r *replica) hasLiveMajority() bool { return r.liveMembers() >= r.log.group.Majority() }
 
-// isMember tells whether this replica has a vote. One whose shard was claimed
-// has none until it knows whose log counts.
+// isMember reports whether this replica has a vote. A replica whose shard was
+// claimed has none until the claimant is known.
 func (r *replica) isMember() bool { return !r.claimantUnknown && r.log.group.Contains(r.Self.ID) }
 
-// receive handles one message of the shard.
+// receive handles one message for the shard.
 func (r *replica) receive(from structs.DaemonID, message peer.Message) {
 	switch m := message.(type) {
 	case *AppendRequest:
@@ -147,8 +152,8 @@
 	r.publish()
 }
 
-// receiveAppend checks that the log agrees with the leader's up to the first
-// new entry, and takes the entries over.
+// receiveAppend checks that the log matches the leader's up to the first new
+// entry, and adds the entries.
 func (r *replica) receiveAppend(from structs.DaemonID, m *AppendRequest) {
 	if m.Epoch < r.voteState.epoch || (m.Epoch == r.voteState.epoch && r.leaderState != nil) {
 		r.refuse(from, m, 0)
@@ -185,8 +190,8 @@
 	r.send(to, &AppendReply{Shard: r.shard, Epoch: r.voteState.epoch, Refused: true, Hint: hint, Round: m.Round, Leader: r.leader})
 }
 
-// firstOfEpoch goes back over the entries of one epoch, so that a leader finds
-// the point of agreement in few steps.
+// firstIndexOfEpoch returns the first uncommitted index of the epoch that index
+// belongs to, so that a leader finds the last matching entry in few steps.
 func (r *replica) firstIndexOfEpoch(index structs.Index, epoch structs.Epoch) structs.Index {
 	for index > r.commit+1 {
 		before, known := r.log.epochAt(index - 1)
@@ -198,8 +203,8 @@
 	return index
 }
 
-// takeOver adds the leader's entries and drops own ones that disagree. A
-// committed entry never disagrees.
+// mergeEntries adds the leader's entries and truncates uncommitted ones that
+// conflict with them. A committed entry must never conflict.
 func (r *replica) mergeEntries(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Index <= r.log.base {
@@ -220,7 +225,8 @@
 	}
 }
 
-// advance commits up to index and applies what was committed.
+// advanceCommit commits up to index and applies the entries that became
+// committed.
 func (r *replica) advanceCommit(index structs.Index) {
 	r.commit = max(r.commit, min(index, r.log.last()))
 	for r.applied < r.commit {
@@ -244,7 +250,7 @@
 	}
 }
 
-// hear notes the leader's round.
+// noteLeaderRound records the leader's round.
 func (r *replica) noteLeaderRound(epoch structs.Epoch, round uint64) {
 	if epoch != r.leaderRoundEpoch {
 		r.leaderRoundEpoch, r.leaderRound = epoch, 0
@@ -252,8 +258,8 @@
 	r.leaderRound = max(r.leaderRound, round)
 }
 
-// receiveDismiss drops a replica whose group goes on without it. A dismissal
-// from before the leader took this daemon back is late news.
+// receiveDismiss drops a replica that was removed from its group. A dismissal
+// sent before the leader added this daemon again is ignored.
 func (r *replica) receiveDismiss(_ structs.DaemonID, m *Dismiss) {
 	late := m.Epoch == r.leaderRoundEpoch && m.Round < r.leaderRound
 	if m.Epoch < r.voteState.epoch || late {
@@ -263,7 +269,7 @@
 	r.drop()
 }
 
-// drop forgets the replica, but not its promise.
+// drop removes the replica, but keeps its vote state.
 func (r *replica) drop() {
 	r.stopLeading()
 	r.stopElectionTimer()
@@ -272,7 +278,7 @@
 	r.forget(r)
 }
 
-// membershipChanged acts on news about any daemon.
+// membershipChanged reacts to a change of any daemon's membership state.
 func (r *replica) membershipChanged(member membership.Member) {
 	address := member.Daemon.ID.Address()
 	concerned := r.leader.Address() == address
@@ -293,7 +299,7 @@
 	r.scheduleElection()
 }
 
-// watchMajority notes since when the group has no majority, and lets a leader
+// watchMajority tracks since when the group has no majority, and makes a leader
 // without one step down.
 func (r *replica) watchMajority() {
 	if r.hasLiveMajority() {
@@ -322,7 +328,7 @@
 	})
 }
 
-// stepDown ends a leadership in its own epoch.
+// stepDown ends this replica's leadership without a newer epoch.
 func (r *replica) stepDown() {
 	r.stopLeading()
 	r.leader = ""
@@ -330,7 +336,7 @@
 	r.scheduleElection()
 }
 
-// route tells where the shard is led, as far as this replica knows.
+// route returns the leader of the shard, as far as this replica knows it.
 func (r *replica) route() Route {
 	route := Route{Epoch: r.voteState.epoch}
 	switch {
@@ -344,7 +350,7 @@
 	return route
 }
 
-// publish makes the route known to the other parts of this daemon.
+// publish makes the route available to the rest of this daemon.
 func (r *replica) publish() {
 	r.publishRoute(r.shard, r.route(), r.isMember(), r.leaderState != nil)
 }
--- a/internal/replication/restore.go
+++ b/internal/replication/restore.go
@@ -6,12 +6,12 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// restoreRetry is the pause after the archive could not be read.
+// restoreRetry is the delay after the archive could not be read.
 const restoreRetry = 2 * time.Second
 
-// restore begins a shard of which no holder survived, from its archive. Until
-// that is read the shard has no leader and its calls are refused: to begin
-// with less than there is would lose it for good.
+// restore starts a shard of which no holder survived, from its archive. Until
+// that is read the shard has no leader and its calls are refused: starting with
+// less than the archive holds would lose the rest for good.
 func (r *replica) restore(epoch structs.Epoch) {
 	if int(r.shard) >= r.Settings.ArchivedShards {
 		r.logger.Error().Msg("Shard starts anew. No replica of it survived; what it held is lost.")
@@ -26,8 +26,8 @@
 	})
 }
 
-// restored leads on with the state that the archive had. A claim that came
-// meanwhile, of a higher generation, has put another in this one's place.
+// restored opens the epoch with the archived state. It does nothing if a claim
+// of a higher generation has superseded this one meanwhile.
 func (r *replica) restored(epoch structs.Epoch, state *archivedState, err error) {
 	if r.voteState.epoch != epoch {
 		r.restoring = false
@@ -50,7 +50,7 @@
 	r.watchMajority()
 }
 
-// installArchived puts an archived state in the place of the empty one.
+// installArchived replaces the empty state by an archived one.
 func (r *replica) installArchived(state *archivedState) bool {
 	machine := r.Application.NewStateMachine(r.shard)
 	if err := machine.Restore(state.base.State); err != nil {
--- a/internal/replication/route_lookup.go
+++ b/internal/replication/route_lookup.go
@@ -8,51 +8,53 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// routeLookup bounds what this daemon spends on finding leaders. Requests that
-// come up together are batched, one message per daemon; repeated ones are sent at
-// growing pauses and within a rate limit, so that a part of the fleet that is
-// cut off does not fill its links with requests that nobody can answer.
+// routeLookup limits the traffic for finding leaders. Concurrent requests are
+// batched, one message per daemon; repeated ones are sent with increasing
+// delays and within a rate limit, so that a cut-off part of the fleet does not
+// fill its links with requests that no daemon can answer.
 type routeLookup struct {
 	wanted map[structs.ShardNumber]bool
-	// repeats limits the rate of repeated requests, replies included.
+	// repeats limits the rate of repeated requests, including replies.
 	repeats byteBudget
-	// extras limits the rate of routes that replies carry beyond those asked for.
+	// extras limits the rate of extra routes in replies.
 	extras byteBudget
 	// lastAt is when requests were last sent.
 	lastAt time.Time
-	// missingFrom is the shard from which the next missing route is looked for.
+	// missingFrom is the shard from which the search for the next missing route
+	// starts.
 	missingFrom structs.ShardNumber
 }
 
-// allowance is a number of bytes that may still be caused; it grows with time.
-// The zero value is full.
+// byteBudget limits a byte rate; unused bytes accumulate up to a burst. The
+// zero value is full.
 type byteBudget struct {
 	used float64
 	at   time.Time
 }
 
 const (
-	// askCount is how many daemons a repeated request adds.
+	// repeatedRequestFanout is how many daemons a repeated request adds.
 	repeatedRequestFanout = 3
-	// firstAskCount is how many daemons are asked at first.
+	// firstRequestFanout is how many daemons are asked at first.
 	firstRequestFanout = 2
-	// askGather is how long requests wait for others to be batched with.
+	// requestBatchDelay is how long requests wait to be batched with others.
 	requestBatchDelay = 5 * time.Millisecond
-	// askDoublings bounds the pauses: RouteRequestInterval times a power of two.
+	// maxRequestBackoffDoublings limits the delays: RouteRequestInterval times
+	// a power of two.
 	maxRequestBackoffDoublings = 2
-	// askRate and askBurst bound each allowance, in bytes a second and bytes.
+	// requestBytesPerSecond and requestBurstBytes limit each byteBudget.
 	requestBytesPerSecond = 500
 	requestBurstBytes     = 8 << 10
 	// Estimates of encoded sizes in bytes, request and reply together.
 	estimatedMessageSize = 200
 	estimatedShardSize   = 110
-	// askShards bounds the shards of one request.
+	// maxShardsPerRequest limits the shards of one request.
 	maxShardsPerRequest = 32
 )
 
 func newRouteLookup() routeLookup { return routeLookup{wanted: map[structs.ShardNumber]bool{}} }
 
-// take takes bytes for a message and returns whether there were enough.
+// take takes bytes for a message and reports whether there were enough.
 func (a *byteBudget) take(now time.Time, size float64) bool {
 	if !a.at.IsZero() {
 		a.used = max(0, a.used-requestBytesPerSecond*max(0, now.Sub(a.at).Seconds()))
@@ -65,7 +67,8 @@
 	return true
 }
 
-// requestRoute asks daemons that may know the leader of a shard, not too often.
+// requestRoute requests the leader of a shard from daemons that may know it,
+// within the limits on repetition.
 func (m *Manager) requestRoute(shard structs.ShardNumber) {
 	now := m.Clock.Now()
 	m.mutex.Lock()
@@ -84,18 +87,19 @@
 	}
 }
 
-// pendingRequest holds the shards that one daemon is asked for.
+// pendingRequest has the shards to request from one daemon.
 type pendingRequest struct {
 	to     structs.DaemonID
 	shards []structs.ShardNumber
-	// repeated is set when none of the shards is asked for the first time.
+	// repeated is set when none of the shards is requested for the first time.
 	repeated bool
-	// first is set when the daemon is the likeliest to know one of the shards.
+	// first is set when the daemon is the most likely to know one of the
+	// shards.
 	first bool
 }
 
-// sendRouteRequests sends the batch: first requests always, repeated ones within
-// the rate limit.
+// sendRouteRequests sends the batch: first requests always, repeated ones
+// within the rate limit.
 func (m *Manager) sendRouteRequests() {
 	if m.isStopped() {
 		return
@@ -114,8 +118,8 @@
 	}
 }
 
-// groupRequests divides the wanted shards over the daemons to ask, those shards
-// first that were asked for least.
+// groupRequests assigns the wanted shards to the daemons to ask, those with the
+// fewest requests first.
 func (m *Manager) groupRequests() []*pendingRequest {
 	type want struct {
 		shard  structs.ShardNumber
@@ -145,7 +149,8 @@
 	return list
 }
 
-// pendingRequestTo returns the request to a daemon, which it adds if there is none.
+// pendingRequestTo returns the request to a daemon, and adds one if there is
+// none.
 func pendingRequestTo(list []*pendingRequest, to structs.DaemonID, repeated bool) ([]*pendingRequest, *pendingRequest) {
 	for _, q := range list {
 		if q.to == to && q.repeated == repeated {
@@ -157,8 +162,8 @@
 }
 
 // likelyHolders returns daemons that may hold a shard: its last known member,
-// its group in the platform's log, its places by rendezvous, and, when those
-// did not help, others in turn.
+// its group in the platform's log, its placement by rendezvous hashing, and,
+// for repeated requests, others in turn.
 func (m *Manager) likelyHolders(shard structs.ShardNumber, holder structs.DaemonID, turn int) Group {
 	var likely Group
 	add := func(daemon structs.DaemonID) {
--- a/internal/replication/routes.go
+++ b/internal/replication/routes.go
@@ -7,12 +7,11 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// routeTable is what a daemon knows about where shards are led. The Manager's
-// mutex guards it.
+// routeTable holds the known leaders of shards. The Manager's mutex guards it.
 type routeTable struct {
-	// local are the routes that this daemon's own replicas know.
+	// local are the routes known from this daemon's own replicas.
 	local map[structs.ShardNumber]localRoute
-	// cached are those learned from others.
+	// cached are the routes learned from other daemons.
 	cached map[structs.ShardNumber]*cachedRoute
 }
 
@@ -24,15 +23,15 @@
 
 type cachedRoute struct {
 	route Route
-	// holder is a daemon that said it is a member.
+	// holder is a daemon that reported to be a member.
 	holder      structs.DaemonID
 	requestedAt time.Time
 	requests    int
-	// noMajorityAt is when a member said that there is no majority.
+	// noMajorityAt is when a member last reported that there is no majority.
 	noMajorityAt time.Time
 }
 
-// noMajorityMemory is how long a member's word counts that its group has no
+// noMajorityValidity is how long a member's report counts that its group has no
 // majority.
 const noMajorityValidity = time.Second
 
@@ -43,7 +42,7 @@
 	}
 }
 
-// leads tells whether any route names this daemon as leader.
+// leadsAny reports whether any route names this daemon as leader.
 func (t *routeTable) leadsAny(self structs.DaemonID) bool {
 	for _, local := range t.local {
 		if local.leads || local.route.Leader == self {
@@ -53,7 +52,7 @@
 	return false
 }
 
-// led counts the shards that this daemon leads.
+// countLed counts the shards that this daemon leads.
 func (t *routeTable) countLed() int {
 	count := 0
 	for _, local := range t.local {
@@ -64,7 +63,7 @@
 	return count
 }
 
-// leftGroup makes the last local route the cached one.
+// leaveGroup removes the local route and caches it.
 func (t *routeTable) leaveGroup(shard structs.ShardNumber) {
 	local, known := t.local[shard]
 	delete(t.local, shard)
@@ -82,7 +81,8 @@
 	return entry
 }
 
-// anyLost tells whether a group of this daemon has no majority.
+// hasShardWithoutMajority reports whether a group of this daemon has no
+// majority.
 func (m *Manager) hasShardWithoutMajority() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -103,8 +103,8 @@
 	m.routes.local[shard] = localRoute{route: route, member: member, leads: leads}
 }
 
-// Route tells where a shard is led. When that is not known here it asks the
-// daemons that may know, and the answer is there for a later call.
+// Route returns the leader of a shard. When that is not known here it requests
+// the route from daemons that may know, for a later call.
 func (m *Manager) Route(shard structs.ShardNumber) Route {
 	m.mutex.Lock()
 	entry := m.routes.entry(shard)
@@ -125,7 +125,7 @@
 	return route
 }
 
-// checked drops a leader that is believed dead.
+// withoutDeadLeader removes a leader that is believed dead from a route.
 func (m *Manager) withoutDeadLeader(route Route) Route {
 	if route.Leader != "" && !m.Alive(route.Leader) {
 		route.Leader = ""
@@ -133,8 +133,8 @@
 	return route
 }
 
-// checkedCached also drops a route from others that names this daemon: whether
-// it leads, its own replica knows.
+// withoutDeadOrOwnLeader also removes this daemon: whether it leads is known
+// from its own replica only.
 func (m *Manager) withoutDeadOrOwnLeader(route Route) Route {
 	if route.Leader == m.Self.ID {
 		route.Leader = ""
@@ -142,8 +142,8 @@
 	return m.withoutDeadLeader(route)
 }
 
-// Learn takes a route that another daemon named. One without a leader makes
-// this daemon ask again.
+// Learn adds a route that another daemon sent. One without a leader triggers a
+// route request.
 func (m *Manager) Learn(shard structs.ShardNumber, route Route) {
 	if int(shard) >= m.Settings.Shards {
 		return
@@ -160,7 +160,7 @@
 	}
 }
 
-// shardRoute is this daemon's own word about a shard.
+// shardRoute returns this daemon's own knowledge about a shard.
 func (m *Manager) shardRoute(shard structs.ShardNumber) ShardRoute {
 	m.mutex.Lock()
 	local, known := m.routes.local[shard]
@@ -196,7 +196,7 @@
 	m.Transport.Send(from, answer)
 }
 
-// receiveRouteReply takes routes that were asked for.
+// receiveRouteReply handles routes that were requested.
 func (m *Manager) receiveRouteReply(from structs.DaemonID, reply *RouteReply) {
 	for _, route := range reply.Routes {
 		if int(route.Shard) >= m.Settings.Shards {
@@ -226,12 +226,13 @@
 	}
 }
 
-// auditLimit bounds the replicas named in one audit.
+// maxAuditedShards limits the shards of one audit.
 const maxAuditedShards = 64
 
-// scheduleAudit asks, now and then, one other daemon whether the replicas that
-// this one shares with it agree. Elections are driven by membership; an audit
-// finds what that missed, such as a leader that woke up and leads no more.
+// scheduleAudit asks one other daemon at a time, at intervals, whether it still
+// leads the replicas held here. Elections are driven by membership changes; an
+// audit finds what these missed, such as a leader that resumed after a pause
+// and no longer leads.
 func (m *Manager) scheduleAudit() {
 	m.Clock.AfterFunc(m.Settings.AuditInterval+m.jitter(m.Settings.AuditInterval/4), func() {
 		if m.isStopped() {
@@ -271,7 +272,8 @@
 	m.Transport.Send(leader, &Audit{Shards: shards})
 }
 
-// answerAudit tells the sender where its replicas and this daemon disagree.
+// answerAudit reports the shards on which the sender's replicas and this daemon
+// disagree.
 func (m *Manager) answerAudit(from structs.DaemonID, audit *Audit) {
 	answer := &RouteReply{}
 	for _, asked := range audit.Shards {
@@ -292,8 +294,8 @@
 	}
 }
 
-// dismissStranger tells a daemon that follows this leader without being of its
-// group.
+// dismissNonMember dismisses a daemon that follows this leader without being in
+// its group.
 func (r *replica) dismissNonMember(daemon structs.DaemonID) {
 	if r.leaderState == nil || r.leaderState.targets().Contains(daemon) || r.log.groupIndex > r.commit {
 		return
@@ -301,7 +303,7 @@
 	r.leaderState.sendDismiss(daemon)
 }
 
-// receiveRoute compares another daemon's word with this replica's belief.
+// receiveRoute compares another daemon's route with this replica's state.
 func (r *replica) receiveRoute(from structs.DaemonID, route ShardRoute) {
 	if route.Epoch > r.voteState.epoch {
 		r.observe(route.Epoch)
--- a/internal/replication/search.go
+++ b/internal/replication/search.go
@@ -8,7 +8,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// orphan tells whether all members of a shard, as the stream has them, are
+// isOrphan reports whether all members of a shard, according to the stream, are
 // believed dead.
 func (g *registry) isOrphan(shard structs.ShardNumber) bool {
 	known, exists := g.groups[shard]
@@ -33,10 +33,10 @@
 	return orphans
 }
 
-// search asks about shards whose known members are all dead, and about those
-// of which this daemon seems to hold the last replica. Only when every living
-// daemon has answered that it is no member, and every daemon that the machine
-// list names is among those that were asked, is a shard claimed.
+// search asks all daemons about shards whose known members are all dead, and
+// about those of which this daemon may hold the last replica. A shard is
+// claimed only when every living daemon has answered that it is no member, and
+// every daemon on the machine list was asked.
 type search struct {
 	shards     []structs.ShardNumber
 	survivors  map[structs.ShardNumber]*survivor
@@ -47,15 +47,15 @@
 	startedAt  time.Time
 }
 
-// searchInterval is the pause between searches for survivors.
+// searchInterval is the delay between searches.
 const searchInterval = 2 * time.Second
 
-// searchGather is how long a search waits for the other shards of this daemon
-// that have lost their majority at the same time.
+// searchBatchDelay is how long a search waits for other shards of this daemon
+// that lose their majority at the same time.
 const searchBatchDelay = 50 * time.Millisecond
 
-// searchSoon begins a search without waiting for the next tick, but not before
-// the pause since the former one is over.
+// scheduleSearch starts a search before the next tick, but not before
+// searchInterval since the previous one has passed.
 func (g *registry) scheduleSearch() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -72,8 +72,8 @@
 	})
 }
 
-// searchPause returns how long the next search must still wait. The caller
-// holds the mutex.
+// timeUntilNextSearch returns how long the next search must still wait. The
+// caller holds the mutex.
 func (g *registry) timeUntilNextSearch() time.Duration {
 	if g.search == nil {
 		return 0
@@ -85,11 +85,11 @@
 	return searchInterval - age
 }
 
-// searchLimit bounds the shards of one search.
+// maxSearchShards limits the shards of one search.
 const maxSearchShards = 128
 
-// searchOrphans begins a search for the orphans that this daemon is first to
-// take, and ends the one before.
+// searchOrphans starts a search for the shards that this daemon must search
+// for, in place of the previous one.
 func (g *registry) searchOrphans() {
 	m := g.manager
 	daemons := m.candidates()
@@ -116,8 +116,8 @@
 }
 
 // nextSearch returns a search for the shards that this daemon must search for:
-// orphans of which it ranks first, leaderless shards, and those of survivors. The
-// caller holds the mutex.
+// orphans of which it ranks first, leaderless shards, and those of survivors.
+// The caller holds the mutex.
 func (g *registry) nextSearch(daemons []structs.Daemon) *search {
 	m := g.manager
 	s := &search{
@@ -147,7 +147,7 @@
 	return s
 }
 
-// add takes a shard into the search; false when that is full.
+// add adds a shard to the search; it returns false when the search is full.
 func (s *search) add(shard structs.ShardNumber) bool {
 	if len(s.shards) >= maxSearchShards {
 		return false
@@ -167,9 +167,9 @@
 	return others
 }
 
-// logUnanswered logs whom the search before still waits for: daemons that did
-// not answer, and machines of the list that could not be asked. The caller has
-// the lock.
+// logUnanswered logs what the previous search still waits for: daemons that did
+// not answer, and listed machines that could not be asked. The caller holds the
+// mutex.
 func (g *registry) logUnanswered() {
 	s := g.search
 	if s == nil {
@@ -187,7 +187,7 @@
 	return !slices.ContainsFunc(group, func(daemon structs.DaemonID) bool { return !m.isConfirmedGone(daemon) })
 }
 
-// answered takes a daemon's answer into the search.
+// handleSearchReply adds a daemon's reply to the search.
 func (g *registry) handleSearchReply(from structs.DaemonID, reply *RouteReply) {
 	g.mutex.Lock()
 	s := g.search
@@ -225,7 +225,8 @@
 	g.claimIfSearchComplete()
 }
 
-// endSearch claims the shards of which no replica was found, once all answered.
+// claimIfSearchComplete claims the shards of which no replica was found, once
+// all daemons answered.
 func (g *registry) claimIfSearchComplete() {
 	m := g.manager
 	g.mutex.Lock()
@@ -264,29 +265,30 @@
 	}
 }
 
-// isMemberOf tells whether this daemon holds a replica as a member.
+// isMemberOf reports whether this daemon holds a replica as a member.
 func (m *Manager) isMemberOf(shard structs.ShardNumber) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.routes.local[shard].member
 }
 
-// covers tells whether every daemon on the machine list is among those asked.
+// coversMachineList reports whether every daemon on the machine list is among
+// those asked.
 func (m *Manager) coversMachineList(asked Group) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.machines.wasRead() && len(m.unaskedLocked(asked)) == 0
 }
 
-// unasked returns the addresses of the machine list that are not among those
-// asked, in order.
+// unasked returns the addresses on the machine list that are not among those
+// asked, sorted.
 func (m *Manager) unasked(asked Group) []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.unaskedLocked(asked)
 }
 
-// unaskedLocked is unasked for a caller that has the lock.
+// unaskedLocked is unasked for a caller that holds the mutex.
 func (m *Manager) unaskedLocked(asked Group) []string {
 	addresses := map[string]bool{m.Self.ID.Address(): true}
 	for _, daemon := range asked {
