--- a/internal/replication/settings.go
+++ b/internal/replication/settings.go
@@ -2,83 +2,90 @@
 
 import "time"
 
-// Settings bound sizes, waits and rates. All durations are positive.
+// Settings holds the sizes, delays and rates of replication. All durations must
+// be positive.
 type Settings struct {
 	// Shards is the fixed number of shards, the same in the whole fleet.
 	Shards int
-	// GroupSize is how many daemons hold a shard.
+	// GroupSize is the number of daemons that hold a shard.
 	GroupSize int
 	// MinimumDaemons is how many daemons must be seen before the first groups
-	// are written to the platform's log; after GenesisWait fewer will do.
+	// are written to the platform's log; after GenesisWait fewer suffice.
 	MinimumDaemons int
 	GenesisWait    time.Duration
-	// GenesisStagger separates the tries of several daemons, by rank.
+	// GenesisStagger is the delay per rank between the daemons' attempts to
+	// write the first groups.
 	GenesisStagger time.Duration
-	// LogInterval is the pause between readings of the groups' stream.
+	// LogInterval is the delay between reads of the groups' stream.
 	LogInterval time.Duration
-	// ElectionStagger separates the candidacies of a group's members, by rank.
+	// ElectionStagger is the delay per rank between the candidacies of a
+	// group's members.
 	ElectionStagger time.Duration
-	// ElectionRetry is the first pause after a candidacy that failed; it
-	// doubles up to MaxElectionRetry.
+	// ElectionRetry is the first delay after a failed candidacy; it doubles up
+	// to MaxElectionRetry.
 	ElectionRetry    time.Duration
 	MaxElectionRetry time.Duration
-	// RetryInterval is how long an append waits for its answer before it is
-	// sent again, or twice the round trip if that is longer; it doubles up to
-	// MaxRetryInterval.
+	// RetryInterval is how long an append request waits for its reply before it
+	// is sent again, or twice the round trip if that is longer; it doubles up
+	// to MaxRetryInterval.
 	RetryInterval    time.Duration
 	MaxRetryInterval time.Duration
 	// AcknowledgeTimeout is how long an acknowledgement waits for live members
 	// beyond the majority.
 	AcknowledgeTimeout time.Duration
-	// StepDownAfter is how long a leader goes on without a majority.
+	// StepDownAfter is how long a leader goes on without replies from a
+	// majority.
 	StepDownAfter time.Duration
 	// NoMajorityAfter is how long a group is without a majority before calls
 	// are refused instead of kept waiting.
 	NoMajorityAfter time.Duration
-	// PlanInterval is the pause between looks at groups that wait for something.
+	// PlanInterval is the delay between checks of groups that need a change.
 	PlanInterval time.Duration
-	// ReplaceAfter is how long a member is dead or stalled before it is replaced.
+	// ReplaceAfter is how long a member is dead or stalled before it is
+	// replaced.
 	ReplaceAfter time.Duration
-	// ChangeTimeout bounds one change of a group.
+	// ChangeTimeout is how long a new member may take to catch up.
 	ChangeTimeout time.Duration
-	// MaximumChanges bounds the changes under way that one daemon leads.
+	// MaximumChanges limits the concurrent group changes of the shards that one
+	// daemon leads.
 	MaximumChanges int
-	// RebalanceInterval is the pause between moves that only spread the load.
+	// RebalanceInterval is the delay between moves that only balance load.
 	RebalanceInterval time.Duration
-	// AuditInterval is the pause between a daemon's questions whether its
-	// replicas still agree with their groups.
+	// AuditInterval is the delay between audits, in which a daemon checks
+	// whether its replicas agree with their leaders.
 	AuditInterval time.Duration
-	// RouteRequestInterval bounds how often the holders of a shard are asked for its leader.
+	// RouteRequestInterval is the shortest delay between requests for the
+	// leader of one shard.
 	RouteRequestInterval time.Duration
-	// ClaimGrace is how long the machine list must not have listed the lost
-	// members before a survivor claims the shard.
+	// ClaimGrace is how long the machine list must have lacked the lost members
+	// before a survivor claims the shard.
 	ClaimGrace time.Duration
-	// HandOverTimeout bounds a planned stop's wait for its replacement where the
-	// groups keep their majority without it.
+	// HandOverTimeout limits how long a planned stop waits for its replacement
+	// where the groups keep their majority without it.
 	HandOverTimeout time.Duration
-	// AppendBytes bounds the entries of one message, and MaxInFlightMessages the
-	// messages to one member that wait for their answer.
+	// AppendBytes limits the entries of one message, and MaxInFlightMessages
+	// the unanswered messages to one member.
 	AppendBytes         int
 	MaxInFlightMessages int
-	// LogBytes is how much of the applied log a replica keeps for members
-	// that lag behind.
+	// LogBytes is how much of the applied log a replica keeps for lagging
+	// members.
 	LogBytes int
-	// SnapshotChunkBytes bounds a piece of a snapshot, and MaximumTransfers the
-	// snapshots that one daemon sends at a time.
+	// SnapshotChunkBytes limits one chunk of a snapshot, and MaximumTransfers
+	// the snapshots that one daemon sends concurrently.
 	SnapshotChunkBytes int
 	MaximumTransfers   int
 	// ArchivedShards is how many shards, from 0 on, have an archive in the
 	// platform's log; 0 keeps none.
 	ArchivedShards int
-	// ArchiveInterval is the pause between looks for what is not archived yet,
-	// ArchiveRate the bytes a second that one daemon writes at most, and
-	// MaxArchivedSnapshotBytes the largest snapshot, in bytes, that is archived.
+	// ArchiveInterval is the delay between checks for data to archive,
+	// ArchiveRate the most bytes a second that one daemon writes, and
+	// MaxArchivedSnapshotBytes the largest snapshot that is archived.
 	ArchiveInterval          time.Duration
 	ArchiveRate              int
 	MaxArchivedSnapshotBytes int
 }
 
-// DefaultSettings returns settings for the sizes of the brief.
+// DefaultSettings returns the settings for 64 shards in groups of three.
 func DefaultSettings() Settings {
 	return Settings{
 		Shards:                   64,
@@ -115,11 +122,12 @@
 	}
 }
 
-// Guards lets a simulation switch off one protection at a time, to show that
-// its checker notices. The zero value has every guard on.
+// Guards lets a simulation switch off one protection at a time, to verify that
+// its checker detects the resulting fault. The zero value has every protection
+// on.
 type Guards struct {
 	// CommitAlone acknowledges a record before any other member holds it.
 	CommitAlone bool
-	// AcceptStaleEpoch lets a leader go on that has been superseded.
+	// AcceptStaleEpoch lets a superseded leader go on.
 	AcceptStaleEpoch bool
 }
--- a/internal/replication/single.go
+++ b/internal/replication/single.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// ShardOf returns the shard of a program among a fixed number of shards. A
+// ShardOf returns the shard of a program, out of a fixed number of shards. A
 // program and all its sub-agents share one.
 func ShardOf(key structs.ProgramKey, shards int) structs.ShardNumber {
 	digest := xxhash.New()
@@ -17,17 +17,17 @@
 	return structs.ShardNumber(digest.Sum64() % uint64(shards))
 }
 
-// Single is a group of one replica per shard, held in memory by this process
-// alone. Tests of what runs on top use it.
+// Single leads every shard with a single replica, in the memory of this
+// process. It serves the tests of applications.
 type Single struct {
 	shards int
 	leader structs.DaemonID
 }
 
-// singleEpoch is the only epoch of a group of one.
+// singleEpoch is the only epoch of a Single.
 const singleEpoch structs.Epoch = 1
 
-// NewSingle leads all shards for an application.
+// NewSingle returns a Single that leads all shards for an application.
 func NewSingle(self structs.DaemonID, shards int, application Application) *Single {
 	s := &Single{shards: shards, leader: self}
 	for shard := range structs.ShardNumber(shards) {
@@ -41,15 +41,15 @@
 // Shard returns a program's shard.
 func (s *Single) Shard(key structs.ProgramKey) structs.ShardNumber { return ShardOf(key, s.shards) }
 
-// Route names this process for every shard.
+// Route returns this process for every shard.
 func (s *Single) Route(structs.ShardNumber) Route {
 	return Route{Leader: s.leader, Epoch: singleEpoch}
 }
 
-// Learn ignores routes: they never change.
+// Learn ignores routes, since they never change.
 func (s *Single) Learn(structs.ShardNumber, Route) {}
 
-// Alive tells that the process is up.
+// Alive reports whether daemon is this process.
 func (s *Single) Alive(daemon structs.DaemonID) bool { return daemon == s.leader }
 
 type singleLeadership struct {
--- a/internal/replication/snapshot_transfer.go
+++ b/internal/replication/snapshot_transfer.go
@@ -9,14 +9,16 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// snapshotLimit bounds an unpacked snapshot in bytes.
+// maxSnapshotBytes limits a decompressed snapshot.
 const maxSnapshotBytes = 1 << 30
 
-// errSnapshot: a snapshot could not be packed or read.
+// errMalformedSnapshot is returned when a snapshot cannot be encoded or
+// decoded.
 var errMalformedSnapshot = eris.New("replication: malformed snapshot")
 
-// The codec is shared: its working memory is large beside most snapshots. Making
-// it fails for options out of range alone, and these are fixed.
+// The codec is shared, since its working memory is large compared to most
+// snapshots. Its constructors fail only for options out of range, and the
+// options are fixed.
 var codec = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
 	encoder, _ := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	decoder, _ := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSnapshotBytes))
@@ -46,8 +48,8 @@
 	return nil
 }
 
-// outgoingSnapshot is a snapshot on its way to one member. One piece at a time
-// is under way, so that a transfer never holds more than that in the network.
+// outgoingSnapshot is a snapshot being sent to one member, with one chunk in
+// flight at a time.
 type outgoingSnapshot struct {
 	progress *progress
 	index    structs.Index
@@ -58,7 +60,7 @@
 }
 
 // startTransfer sends the applied state to a member for which the log does not
-// go back far enough. With too many transfers under way it waits for the next
+// go back far enough. When all transfer slots are in use it waits for the next
 // retry.
 func (p *progress) startTransfer() {
 	l := p.leader
@@ -90,7 +92,7 @@
 	}
 }
 
-// repeat sends the piece that the member wants next.
+// sendChunk sends the chunk at the current offset.
 func (t *outgoingSnapshot) sendChunk() {
 	l := t.progress.leader
 	end := min(t.offset+l.Settings.SnapshotChunkBytes, len(t.data))
@@ -107,8 +109,9 @@
 	})
 }
 
-// taken goes on with the piece at an offset. Old news, and a member that starts
-// anew, wait for the retry: a doubled answer must not double the pieces.
+// continueAt sends the chunk at an offset. After an older reply, or when the
+// member starts again, it waits for the retry: a duplicated reply must not
+// duplicate the chunks.
 func (t *outgoingSnapshot) continueAt(next int) {
 	forward := next > t.offset
 	t.offset = next
@@ -119,7 +122,7 @@
 	}
 }
 
-// receiveChunkTaken sends the next piece.
+// receiveChunkTaken sends the next chunk, or ends the transfer.
 func (r *replica) receiveChunkTaken(from structs.DaemonID, m *SnapshotChunkReply) {
 	if m.Epoch > r.voteState.epoch {
 		r.observe(m.Epoch)
@@ -150,7 +153,7 @@
 	}
 }
 
-// incomingSnapshot is a snapshot of which a part has arrived.
+// incomingSnapshot is a partly received snapshot.
 type incomingSnapshot struct {
 	from  structs.DaemonID
 	epoch structs.Epoch
@@ -158,7 +161,7 @@
 	data  []byte
 }
 
-// receiveChunk takes a piece, and the state once all are there.
+// receiveChunk adds a chunk, and installs the snapshot once it is complete.
 func (r *replica) receiveChunk(from structs.DaemonID, m *SnapshotChunk) {
 	if !m.wellFormed() {
 		r.logger.Warn().Str("from", string(from)).Msg("Piece of a snapshot refused.")
@@ -191,8 +194,8 @@
 	r.send(from, &SnapshotChunkReply{Shard: r.shard, Epoch: m.Epoch, Index: m.Index, Next: len(in.data), Round: m.Round})
 }
 
-// install puts a whole snapshot in the place of the state. Entries that follow
-// it and agree with it are kept.
+// install replaces the state by a complete snapshot. Log entries that follow it
+// and match it are kept.
 func (r *replica) install(m *SnapshotChunk, data []byte) bool {
 	machine := r.Application.NewStateMachine(r.shard)
 	if err := unpackSnapshot(machine, data); err != nil {
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -6,7 +6,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// ShardStatus is one replica of this daemon, for operators.
+// ShardStatus describes one replica of this daemon, for operators.
 type ShardStatus struct {
 	Shard  structs.ShardNumber `json:"shard"`
 	Epoch  structs.Epoch       `json:"epoch"`
@@ -22,11 +22,11 @@
 	// LogBytes is the memory that the log takes.
 	LogBytes   int  `json:"log_bytes"`
 	NoMajority bool `json:"no_majority,omitempty"`
-	// Lagging are the members that acknowledgements do not wait for.
+	// Lagging lists the members that acknowledgements do not wait for.
 	Lagging Group `json:"lagging,omitempty"`
 }
 
-// Summary counts the replicas of a daemon.
+// Summary has the numbers of a daemon's replicas.
 type Summary struct {
 	// Replicas counts the groups that the daemon is a member of, Leads those
 	// that it leads.
@@ -34,12 +34,13 @@
 	Leads    int `json:"leads"`
 	// WithoutMajority counts the groups that have lost their majority.
 	WithoutMajority int `json:"without_majority"`
-	// Contradictions counts committed entries that a leader contradicted. Each
-	// is a fault of this program.
+	// Contradictions counts committed entries that conflicted with a leader's.
+	// Each is a fault of this program.
 	Contradictions int `json:"contradictions"`
 }
 
-// Summary counts the replicas of this daemon. It never waits.
+// Summary counts the replicas of this daemon. It never blocks on a shard's
+// queue.
 func (m *Manager) Summary() Summary {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/replication/supersede.go
+++ b/internal/replication/supersede.go
@@ -2,11 +2,12 @@
 
 import "github.com/mintpulley/mintpulley/internal/structs"
 
-// observe takes up an epoch heard of. A higher one ends this replica's
-// leadership or candidacy. A higher generation means that a claim in the
-// platform's log puts one daemon's log in the group's place. Others may read it
-// before this daemon does, and the claim may be its own: the log is kept, and
-// takes part in nothing, until the stream or a leader tells whose log counts.
+// observe handles an epoch seen in a message or the stream. A higher one ends
+// this replica's leadership or candidacy. A higher generation means that a
+// claim in the platform's log replaces the group's logs by that of one daemon.
+// Others may read the claim before this daemon does, and it may be this
+// daemon's own: so the log is kept, but takes part in nothing, until the stream
+// or a leader shows who claimed the shard.
 func (r *replica) observe(epoch structs.Epoch) {
 	if epoch <= r.voteState.epoch {
 		return
@@ -26,10 +27,10 @@
 	r.publish()
 }
 
-// resetAfterClaim empties a replica whose shard was claimed by another, as a leader of
-// the new generation or the stream shows. What it held beyond the claimant's
-// log was never acknowledged to be kept, or was lost with the majority; the
-// leader sends the whole state anew.
+// resetAfterClaim empties a replica whose shard was claimed by another daemon,
+// as a leader of the new generation or the stream shows. Entries beyond the
+// claimant's log were never acknowledged, or were lost with the majority; the
+// leader sends the whole state again.
 func (r *replica) resetAfterClaim() {
 	if !r.claimantUnknown {
 		return
--- a/internal/serial/queue.go
+++ b/internal/serial/queue.go
@@ -1,26 +1,27 @@
-// Package serial runs tasks one at a time in the order they were given. Each
-// shard of state owns one queue, which takes the place of a lock: a task may
-// touch that shard's state freely, and may hand tasks to any queue, its own
-// included, without a deadlock.
+// Package serial runs tasks one at a time in the order they were added. Each
+// shard of state has one queue, which replaces a lock: a task may use that
+// shard's state freely, and may add tasks to any queue, its own included,
+// without a deadlock.
 package serial
 
 import "sync"
 
 // Queue runs tasks in order. The zero value is ready. The goroutine that finds
 // the queue idle runs tasks until none is left; others only add theirs. On a
-// virtual clock everything happens on one goroutine and stays deterministic.
+// virtual clock everything runs on one goroutine and is deterministic.
 type Queue struct {
 	mutex sync.Mutex
 	tasks []func()
-	// spare is an empty slice that is used again for later tasks.
+	// spare is an empty slice to reuse for later tasks.
 	spare   []func()
 	running bool
 }
 
-// keptTasks is the longest slice of tasks that is kept for later ones.
+// maxSpareTasks is the capacity up to which a slice of tasks is reused.
 const maxSpareTasks = 64
 
-// Do runs task after all tasks given before it. It may return before task ran.
+// Do runs task after all tasks added before it. It may return before task has
+// run.
 func (q *Queue) Do(task func()) {
 	q.mutex.Lock()
 	q.tasks = append(q.tasks, task)
@@ -34,7 +35,7 @@
 }
 
 // Wait runs task like Do and returns once it has run. It must not be called
-// from inside a task of any queue.
+// from a task of any queue.
 func (q *Queue) Wait(task func()) {
 	done := make(chan struct{})
 	q.Do(func() {
@@ -66,7 +67,7 @@
 	}
 }
 
-// emptied returns a slice for later tasks, nil if it had better be dropped.
+// recycle returns a slice for later tasks, nil if it is too large to keep.
 func recycle(batch []func()) []func() {
 	if cap(batch) > maxSpareTasks {
 		return nil
