--- a/internal/membership/failure_report_test.go
+++ b/internal/membership/failure_report_test.go
@@ -9,11 +9,11 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// formed returns a fleet whose daemons know each other.
-func formed(t *testing.T, seed uint64, daemons int) *testNetwork {
+// convergedNetwork returns a network whose daemons all know each other.
+func convergedNetwork(t *testing.T, seed uint64, daemons int) *testNetwork {
 	t.Helper()
 	w := newTestNetwork(t, seed, daemons)
-	w.settle(15 * time.Second)
+	w.converge(15 * time.Second)
 	return w
 }
 
@@ -25,20 +25,20 @@
 }
 
 func TestReportedDeathMayBeRefuted(t *testing.T) {
-	w := formed(t, 21, 3)
+	w := convergedNetwork(t, 21, 3)
 	observer, subject, other := w.nodes[0], w.nodes[1], w.nodes[2]
 	update := subject.self.update()
 	update.Status = statusDead
 	observer.Receive(other.id, &UpdatePush{Updates: []Update{update}})
-	observer.wantState(t, subject, StateSuspect, "after another's verdict")
+	observer.wantState(t, subject, StateSuspect, "after another daemon's report")
 	w.run(time.Second)
 	observer.wantState(t, subject, StateAlive, "after the refutation")
 	observer.Receive(other.id, &UpdatePush{Updates: []Update{update}})
-	observer.wantState(t, subject, StateAlive, "after stale news")
+	observer.wantState(t, subject, StateAlive, "after a stale report")
 }
 
 func TestSyncedTablesSuspectAndKillNobody(t *testing.T) {
-	w := formed(t, 22, 3)
+	w := convergedNetwork(t, 22, 3)
 	observer, subject, other := w.nodes[0], w.nodes[1], w.nodes[2]
 	for _, worse := range []status{statusSuspect, statusDead} {
 		update := subject.self.update()
@@ -49,47 +49,48 @@
 }
 
 func TestTableThatHoldsADeadDaemonAliveIsVerifiedAtOnce(t *testing.T) {
-	w := formed(t, 23, 3)
+	w := convergedNetwork(t, 23, 3)
 	observer, subject, other := w.nodes[0], w.nodes[1], w.nodes[2]
-	w.cut = func(from, to *testNode) bool { return from == subject || to == subject }
+	w.isPartitioned = func(from, to *testNode) bool { return from == subject || to == subject }
 	w.run(5 * time.Second)
-	observer.wantState(t, subject, StateDead, "beyond the cut")
-	w.cut = nil
+	observer.wantState(t, subject, StateDead, "across the partition")
+	w.isPartitioned = nil
 	observer.Receive(other.id, &SyncReply{Updates: []Update{subject.self.update()}})
 	w.run(20 * time.Millisecond)
-	observer.wantState(t, subject, StateAlive, "after the table was read")
+	observer.wantState(t, subject, StateAlive, "after the sync")
 }
 
 func TestPauseRestartsSuspicions(t *testing.T) {
-	w := formed(t, 24, 5)
+	w := convergedNetwork(t, 24, 5)
 	paused, subject := w.nodes[0], w.nodes[1]
-	w.cut = func(from, _ *testNode) bool { return from == subject }
+	w.isPartitioned = func(from, _ *testNode) bool { return from == subject }
 	for paused.State(subject.id) != StateSuspect {
 		w.run(10 * time.Millisecond)
 	}
 	paused.paused = true
-	w.cut = nil
+	w.isPartitioned = nil
 	w.run(5 * time.Second)
 	w.deaths = nil
 	paused.wake()
 	w.run(2 * time.Second)
 	for _, seen := range w.deaths {
-		t.Errorf("%s held %s dead", seen.observer.id, seen.daemon)
+		t.Errorf("%s declared %s dead", seen.observer.id, seen.daemon)
 	}
 	paused.wantState(t, subject, StateAlive, "after the pause")
 }
 
 const (
-	// deathSpread is by how much the daemons' views of one death may lie apart: an
-	// update is pushed after PushDelay and travels for some milliseconds.
+	// deathSpread is how much later one daemon may detect a death than another:
+	// an update is pushed after PushDelay and delayed by some milliseconds on
+	// its way.
 	deathSpread = 50 * time.Millisecond
-	// refillTime is more than the push budget takes to be full again after a fleet
+	// refillTime is longer than the push budget takes to refill after a fleet
 	// has formed: PushBurst over PushBytesPerSecond is 13.7 s.
 	refillTime = 20 * time.Second
 )
 
-// TestNeighboursThatDieTogetherAreSeenAtAnyMoment lets three daemons that follow
-// each other on the ring die at many moments of their probes. One daemon probes
+// TestNeighboursThatDieTogetherAreSeenAtAnyMoment crashes three consecutive
+// daemons on the ring at many points of their probe cycle. One daemon probes
 // all three, each as soon as the one before is suspected.
 func TestNeighboursThatDieTogetherAreSeenAtAnyMoment(t *testing.T) {
 	const neighbours = 3
@@ -97,7 +98,7 @@
 	bound := settings.ProbeInterval + neighbours*settings.AckTimeout + settings.SuspicionTimeout + deathSpread
 	for seed := range uint64(40) {
 		for moment := range 12 {
-			w := formed(t, 30+seed, 9)
+			w := convergedNetwork(t, 30+seed, 9)
 			w.run(refillTime + time.Duration(moment)*settings.ProbeInterval/3)
 			crashed := w.crashFollowers(neighbours)
 			w.run(5 * time.Second)
@@ -112,8 +113,8 @@
 	}
 }
 
-// crashFollowers lets the daemons die that follow the first one on the ring, and
-// returns when that was.
+// crashFollowers crashes the daemons that follow the first one on the ring, and
+// returns the time of it.
 func (w *testNetwork) crashFollowers(count int) time.Time {
 	following := w.nodes[0].ring.successors[:count]
 	for _, node := range w.nodes {
@@ -124,7 +125,7 @@
 	return w.clock.Now()
 }
 
-// pushRecorder notes which members a daemon pushes updates to.
+// pushRecorder records which members a daemon pushes updates to.
 type pushRecorder struct {
 	peer.Transport
 	pushedTo map[structs.DaemonID]bool
@@ -138,10 +139,10 @@
 	r.Transport.Send(to, message)
 }
 
-// TestPushThatTheRateLimitCutGoesOn leaves a daemon the budget to push a suspicion
-// to all members but one that lives and the suspect.
+// TestRateLimitedPushIsResumed leaves a daemon the budget to push a suspicion
+// to all members but one live one and the suspect.
 func TestRateLimitedPushIsResumed(t *testing.T) {
-	w := formed(t, 25, 9)
+	w := convergedNetwork(t, 25, 9)
 	w.run(refillTime)
 	observer, subject := w.nodes[0], w.nodes[1]
 	recorder := &pushRecorder{Transport: observer.Transport, pushedTo: map[structs.DaemonID]bool{}}
@@ -161,13 +162,13 @@
 	w.run(observer.settings.SuspicionTimeout)
 	delete(recorder.pushedTo, subject.id)
 	if pushed := len(recorder.pushedTo); pushed != live {
-		t.Errorf("pushed to %d of %d members that live", pushed, live)
+		t.Errorf("pushed to %d of %d live members", pushed, live)
 	}
 }
 
 func TestNeighboursThatDieTogetherAreBothSeenInTime(t *testing.T) {
 	for seed := range uint64(10) {
-		w := formed(t, 30+seed, 9)
+		w := convergedNetwork(t, 30+seed, 9)
 		w.run(time.Second)
 		following := w.nodes[0].ring.successors
 		for _, node := range w.nodes {
--- a/internal/membership/fleet_size_test.go
+++ b/internal/membership/fleet_size_test.go
@@ -10,26 +10,26 @@
 // membership may take, in bytes per second.
 const byteLimit = 1024
 
-// sizeCase is a fleet that is measured.
+// sizeCase is a fleet size to measure.
 type sizeCase struct {
 	daemons int
-	// crashes is how many daemons stop at the same moment.
+	// crashes is how many daemons crash at the same time.
 	crashes int
-	// detection bounds the time until the last daemon knows.
+	// detection limits the time until the last daemon has detected the crashes.
 	detection time.Duration
-	// quietBytes and busyBytes bound bytes per second and daemon without and
-	// with the crashes.
+	// quietBytes and busyBytes limit the bytes per second and daemon without
+	// and with the crashes.
 	quietBytes, busyBytes float64
 }
 
-// Windows over which bytes are measured.
+// Periods over which bytes are measured.
 const (
 	quietWindow = 10 * time.Second
 	busyWindow  = 10 * time.Second
 )
 
-// TestBytesAndDetectionByFleetSize measures what docs/MEASUREMENTS.md tells:
-// run it with -v for the figures.
+// TestBytesAndDetectionByFleetSize measures the values in docs/MEASUREMENTS.md:
+// run it with -v to print them.
 func TestBytesAndDetectionByFleetSize(t *testing.T) {
 	for _, size := range []sizeCase{
 		{daemons: 3, crashes: 1, detection: 1500 * time.Millisecond, quietBytes: 2048, busyBytes: 2048},
@@ -46,7 +46,7 @@
 func measure(t *testing.T, size sizeCase) {
 	w := newTestNetwork(t, uint64(size.daemons), size.daemons)
 	w.introduceAll()
-	w.settle(time.Second)
+	w.converge(time.Second)
 	w.run(2 * time.Second)
 	startBytes := w.bytes
 	w.run(quietWindow)
@@ -72,8 +72,8 @@
 		size.daemons, quiet, busy, size.crashes, percentile(took, 50).Seconds(), percentile(took, 99).Seconds(), w.mostPeers())
 }
 
-// introduceAll gives every daemon the table of all, as long after a start: no
-// news of it is left to pass on.
+// introduceAll gives every daemon the table of all, as it is long after a
+// start: no update is left to pass on.
 func (w *testNetwork) introduceAll() {
 	var updates []Update
 	for _, node := range w.nodes {
--- a/internal/membership/main_test.go
+++ b/internal/membership/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of random schedules unless one is given.
+// TestMain sets a fixed seed for rapid unless one is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -13,7 +13,7 @@
 func TestFleetFormsFromTheMachineList(t *testing.T) {
 	for _, daemons := range []int{2, 3, 9, 50} {
 		w := newTestNetwork(t, 1, daemons)
-		took := w.settle(15 * time.Second)
+		took := w.converge(15 * time.Second)
 		if daemons <= SmallFleet && took > 2*time.Second {
 			t.Errorf("%d daemons: forming took %v", daemons, took)
 		}
@@ -38,11 +38,11 @@
 	}
 }
 
-// crashOne returns how long after a crash each other daemon saw it.
+// crashOne returns how long after a crash each other daemon detected it.
 func crashOne(t *testing.T, daemons int, seed uint64, jitter time.Duration) []time.Duration {
 	t.Helper()
 	w := newTestNetwork(t, seed, daemons)
-	w.settle(15 * time.Second)
+	w.converge(15 * time.Second)
 	w.jitter = jitter
 	w.run(time.Second + time.Duration(seed)*37*time.Millisecond)
 	w.nodes[1].down = true
@@ -53,7 +53,7 @@
 	}
 	for _, seen := range w.deaths {
 		if seen.daemon != w.nodes[1].id {
-			t.Errorf("%s held dead, which runs", seen.daemon)
+			t.Errorf("%s declared dead though it runs", seen.daemon)
 		}
 	}
 	return detectionTimes(w, crashed)
@@ -62,7 +62,7 @@
 func TestNoFalseDeathUnderJitter(t *testing.T) {
 	for daemons, window := range map[int]time.Duration{3: 5 * time.Minute, 9: 2 * time.Minute, 50: 2 * time.Minute} {
 		w := newTestNetwork(t, 3, daemons)
-		w.settle(15 * time.Second)
+		w.converge(15 * time.Second)
 		w.jitter = 200 * time.Millisecond
 		w.run(window)
 		if len(w.deaths) > 0 {
@@ -73,7 +73,7 @@
 
 func TestNoFalseDeathUnderLoss(t *testing.T) {
 	w := newTestNetwork(t, 4, 9)
-	w.settle(15 * time.Second)
+	w.converge(15 * time.Second)
 	w.loss = 0.1
 	w.run(2 * time.Minute)
 	if len(w.deaths) > 0 {
@@ -83,60 +83,60 @@
 
 func TestOneWayLinkKillsNobody(t *testing.T) {
 	w := newTestNetwork(t, 5, 5)
-	w.settle(15 * time.Second)
-	w.cut = func(from, to *testNode) bool { return from.index == 0 && to.index == 1 }
+	w.converge(15 * time.Second)
+	w.isPartitioned = func(from, to *testNode) bool { return from.index == 0 && to.index == 1 }
 	w.run(time.Minute)
 	if len(w.deaths) > 0 {
 		t.Errorf("%d false deaths", len(w.deaths))
 	}
-	w.cut = nil
-	w.settle(5 * time.Second)
+	w.isPartitioned = nil
+	w.converge(5 * time.Second)
 }
 
-func TestDeafDaemonDoesNotTakeOthersDown(t *testing.T) {
+func TestDaemonThatReceivesNothingDoesNotTakeOthersDown(t *testing.T) {
 	w := newTestNetwork(t, 6, 5)
-	w.settle(15 * time.Second)
-	w.cut = func(from, to *testNode) bool { return to.index == 0 }
+	w.converge(15 * time.Second)
+	w.isPartitioned = func(from, to *testNode) bool { return to.index == 0 }
 	w.run(30 * time.Second)
 	for _, seen := range w.deaths {
 		if seen.observer.index != 0 && seen.daemon != w.nodes[0].id {
-			t.Errorf("%s holds %s dead on the word of a deaf daemon", seen.observer.id, seen.daemon)
+			t.Errorf("%s believes %s dead on the report of a daemon that receives nothing", seen.observer.id, seen.daemon)
 		}
 	}
-	w.cut = nil
-	w.settle(20 * time.Second)
+	w.isPartitioned = nil
+	w.converge(20 * time.Second)
 }
 
 func TestPartitionHeals(t *testing.T) {
 	for _, daemons := range []int{3, 9, 60} {
 		w := newTestNetwork(t, 7, daemons)
-		w.settle(15 * time.Second)
-		w.cut = func(from, to *testNode) bool { return (from.zone == 0) != (to.zone == 0) }
+		w.converge(15 * time.Second)
+		w.isPartitioned = func(from, to *testNode) bool { return (from.zone == 0) != (to.zone == 0) }
 		w.run(time.Minute)
 		if state := w.nodes[1].State(w.nodes[0].id); state != StateDead {
-			t.Errorf("%d daemons: a daemon beyond the cut is %s", daemons, state)
+			t.Errorf("%d daemons: a daemon across the partition is %s", daemons, state)
 		}
-		w.cut = nil
+		w.isPartitioned = nil
 		startBytes := w.bytes
-		took := w.settle(30 * time.Second)
-		t.Logf("%d daemons: agreement %v after a cut of a minute healed, %.0f bytes/s meanwhile", daemons, took, measuredRate(w, startBytes, took))
+		took := w.converge(30 * time.Second)
+		t.Logf("%d daemons: agreement %v after a partition of a minute healed, %.0f bytes/s meanwhile", daemons, took, measuredRate(w, startBytes, took))
 	}
 }
 
 func TestRestartAtTheOldAddressSupersedes(t *testing.T) {
 	w := newTestNetwork(t, 8, 5)
-	w.settle(15 * time.Second)
+	w.converge(15 * time.Second)
 	old := w.nodes[2]
 	old.down = true
 	restarted := w.add(2, old.id.Incarnation()+1_000_000_000)
-	w.list()
+	w.publishMachineList()
 	w.run(time.Second)
 	for _, node := range w.up() {
 		if got := node.State(restarted.id); got != StateAlive {
-			t.Errorf("%s holds the new run %s", node.id, got)
+			t.Errorf("%s believes the new run %s", node.id, got)
 		}
 		if got := node.State(old.id); got != StateDead {
-			t.Errorf("%s holds the old run %s", node.id, got)
+			t.Errorf("%s believes the old run %s", node.id, got)
 		}
 	}
 }
@@ -144,29 +144,29 @@
 func TestPausedDaemonDeclaresNobodyDeadOnWaking(t *testing.T) {
 	for _, pause := range []time.Duration{600 * time.Millisecond, 5 * time.Second, time.Minute} {
 		w := newTestNetwork(t, 9, 5)
-		w.settle(15 * time.Second)
+		w.converge(15 * time.Second)
 		w.nodes[0].paused = true
 		w.run(pause)
 		w.nodes[0].wake()
 		w.run(3 * time.Second)
 		for _, seen := range w.deaths {
 			if seen.observer.index == 0 {
-				t.Errorf("pause of %v: the paused daemon held %s dead", pause, seen.daemon)
+				t.Errorf("pause of %v: the paused daemon declared %s dead", pause, seen.daemon)
 			}
 		}
-		w.settle(5 * time.Second)
+		w.converge(5 * time.Second)
 	}
 }
 
 func TestPlannedStop(t *testing.T) {
 	w := newTestNetwork(t, 10, 9)
-	w.settle(15 * time.Second)
+	w.converge(15 * time.Second)
 	leaving := w.nodes[3]
 	leaving.Leave()
 	w.run(100 * time.Millisecond)
 	for _, node := range w.nodes {
 		if got := node.State(leaving.id); got != StateLeaving {
-			t.Errorf("%s holds the leaving daemon %s", node.id, got)
+			t.Errorf("%s believes the leaving daemon %s", node.id, got)
 		}
 	}
 	w.run(10 * time.Second)
@@ -177,7 +177,7 @@
 	leaving.down = true
 	w.run(100 * time.Millisecond)
 	if len(w.deaths) != 8 {
-		t.Errorf("%d of 8 heard that it left", len(w.deaths))
+		t.Errorf("%d of 8 were informed that it left", len(w.deaths))
 	}
 }
 
@@ -187,7 +187,7 @@
 	for _, node := range w.nodes {
 		node.MachinesListed(append(machines, structs.Machine{Kind: structs.MachineDaemon, Address: w.nodes[0].id.Address()}))
 	}
-	w.settle(5 * time.Second)
+	w.converge(5 * time.Second)
 	w.run(10 * time.Second)
 	if got := len(w.nodes[0].Members()); got != 3 {
 		t.Errorf("%d members, want the 3 that answer", got)
@@ -200,7 +200,7 @@
 	w.nodes[1].OnNote(func(_ structs.DaemonID, note Note) { heard = append(heard, note) })
 	want := Note{ConfigurationOffset: 5, ConfigurationDigest: 7}
 	w.nodes[0].SetNote(want)
-	w.settle(5 * time.Second)
+	w.converge(5 * time.Second)
 	w.run(time.Second)
 	if len(heard) == 0 {
 		t.Fatal("no note arrived")
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -84,7 +84,7 @@
 	KindPing        peer.Kind = "membership.ping"
 	KindAck         peer.Kind = "membership.ack"
 	KindPingRequest peer.Kind = "membership.ping_request"
-	KindUpdatePush  peer.Kind = "membership.news" // the name on the wire stays
+	KindUpdatePush  peer.Kind = "membership.news" // wire name kept for compatibility
 	KindSyncRequest peer.Kind = "membership.sync_request"
 	KindSyncReply   peer.Kind = "membership.sync_reply"
 )
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -14,23 +14,23 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// testNetwork joins memberships on a virtual clock. Links delay and lose
+// testNetwork connects memberships on a virtual clock. Links delay and lose
 // messages; daemons crash, pause and restart.
 type testNetwork struct {
-	t       *testing.T
-	clock   *clock.Virtual
-	random  *rand.Rand
-	nodes   []*testNode
-	byPlace map[string][]*testNode
-	delay   time.Duration
-	jitter  time.Duration
-	loss    float64
-	cut     func(from, to *testNode) bool
-	bytes   int
-	deaths  []death
+	t             *testing.T
+	clock         *clock.Virtual
+	random        *rand.Rand
+	nodes         []*testNode
+	byAddress     map[string][]*testNode
+	delay         time.Duration
+	jitter        time.Duration
+	loss          float64
+	isPartitioned func(from, to *testNode) bool
+	bytes         int
+	deaths        []death
 }
 
-// death is one member's word that another is dead.
+// death is the detection of one daemon's death by another.
 type death struct {
 	at       time.Time
 	observer *testNode
@@ -51,7 +51,7 @@
 	peers   map[string]bool
 }
 
-// nodeClock holds a paused daemon's timers back.
+// nodeClock delays a paused daemon's timers.
 type nodeClock struct{ node *testNode }
 
 func (c nodeClock) Now() time.Time { return c.node.network.clock.Now() }
@@ -60,7 +60,7 @@
 	return c.node.network.clock.AfterFunc(d, func() { c.node.whenAwake(&c.node.timers, f) })
 }
 
-// whenAwake runs f unless the daemon is down; while it is paused, f waits.
+// whenAwake runs f unless the daemon is down; while it is paused, f is delayed.
 func (n *testNode) whenAwake(waiting *[]func(), f func()) {
 	switch {
 	case n.down:
@@ -103,14 +103,14 @@
 }
 
 func (w *testNetwork) deliver(sender *testNode, to structs.DaemonID, line []byte) {
-	for _, receiver := range w.byPlace[to.Address()] {
+	for _, receiver := range w.byAddress[to.Address()] {
 		if receiver.down {
 			continue
 		}
 		if to.Incarnation() != structs.AnyIncarnation && to != receiver.id {
 			continue
 		}
-		if w.cut != nil && w.cut(sender, receiver) {
+		if w.isPartitioned != nil && w.isPartitioned(sender, receiver) {
 			continue
 		}
 		from, _, message, err := peer.Decode(line)
@@ -124,16 +124,16 @@
 func newTestNetwork(t *testing.T, seed uint64, daemons int) *testNetwork {
 	start := time.Unix(1_700_000_000, 0)
 	w := &testNetwork{
-		t:       t,
-		clock:   clock.NewVirtual(start),
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		delay:   2 * time.Millisecond,
-		byPlace: map[string][]*testNode{},
+		t:         t,
+		clock:     clock.NewVirtual(start),
+		random:    rand.New(rand.NewPCG(seed, 1)),
+		delay:     2 * time.Millisecond,
+		byAddress: map[string][]*testNode{},
 	}
 	for index := range daemons {
 		w.add(index, uint64(1_700_000_000_000_000_000)+uint64(index))
 	}
-	w.list()
+	w.publishMachineList()
 	return w
 }
 
@@ -168,13 +168,13 @@
 		}
 	})
 	w.nodes = append(w.nodes, node)
-	w.byPlace[node.id.Address()] = append(w.byPlace[node.id.Address()], node)
+	w.byAddress[node.id.Address()] = append(w.byAddress[node.id.Address()], node)
 	node.Start()
 	return node
 }
 
-// list gives every daemon the list of all machines.
-func (w *testNetwork) list() {
+// publishMachineList passes the list of all machines to every daemon.
+func (w *testNetwork) publishMachineList() {
 	var machines []structs.Machine
 	for _, node := range w.nodes {
 		machines = append(machines, structs.Machine{Kind: structs.MachineDaemon, Address: node.id.Address()})
@@ -186,13 +186,14 @@
 
 func (w *testNetwork) run(d time.Duration) { w.clock.RunUntil(w.clock.Now().Add(d)) }
 
-// up returns the daemons that run.
+// up returns the running daemons.
 func (w *testNetwork) up() []*testNode {
 	return slices.DeleteFunc(slices.Clone(w.nodes), func(n *testNode) bool { return n.down })
 }
 
-// agreed tells that every daemon that runs sees just those that run, alive.
-func (w *testNetwork) agreed() bool {
+// hasConverged reports whether every running daemon sees exactly the running
+// daemons, alive.
+func (w *testNetwork) hasConverged() bool {
 	up := w.up()
 	for _, node := range up {
 		if len(node.Members()) != len(up) {
@@ -207,12 +208,12 @@
 	return true
 }
 
-// settle runs until all agree, and fails the test when that takes longer than
+// converge runs until all agree, and fails the test when that takes longer than
 // limit.
-func (w *testNetwork) settle(limit time.Duration) time.Duration {
+func (w *testNetwork) converge(limit time.Duration) time.Duration {
 	w.t.Helper()
 	start := w.clock.Now()
-	for !w.agreed() {
+	for !w.hasConverged() {
 		if w.clock.Now().Sub(start) > limit {
 			w.t.Fatalf("no agreement within %v: %s", limit, w.disagreement())
 		}
@@ -225,7 +226,7 @@
 	for _, node := range w.up() {
 		for _, other := range w.up() {
 			if state := node.State(other.id); state != StateAlive {
-				return fmt.Sprintf("%s holds %s %s; %d members", node.id, other.id, state, len(node.Members()))
+				return fmt.Sprintf("%s believes %s %s; %d members", node.id, other.id, state, len(node.Members()))
 			}
 		}
 	}
--- a/internal/membership/partition_heal.go
+++ b/internal/membership/partition_heal.go
@@ -8,61 +8,65 @@
 	"github.com/mintpulley/mintpulley/internal/tokenbucket"
 )
 
-// A cut is a partition of the network. When it ends, each side still believes much of the
-// other dead, and has that bad news to pass on: about members that answer by now, to
-// daemons that never missed them. So a daemon that hears that a lost member is back, while
-// it has lost others, concludes that a cut has ended. Then it
+// When a network partition ends, each side still believes much of the
+// other dead, and still passes on these failure reports, about members that answer by now, to
+// daemons that never lost them. So a daemon that learns that a lost member is back, while
+// it has lost others, concludes that a partition has ended. Then it
 //
-//   - drops the bad news that it was to pass on, and ignores others' for HealDuration;
-//   - tells some neighbours that the cut has ended;
-//   - reads the table of a daemon from the other side, and takes the members that are alive
-//     there for alive without asking each.
+//   - drops its queued failure reports, and ignores others' for HealDuration;
+//   - informs some neighbours that the partition has ended;
+//   - requests the table of a daemon from the other side, and marks the members that are alive
+//     there as alive without probing each.
 //
-// A member that did die meanwhile is found by its neighbours' probes as always.
+// A member that did die meanwhile is detected by its neighbours' probes as always.
 
 const (
-	// leastLost is how many members must be lost besides the one that is back. Fewer
-	// return to all views by their own refutations.
+	// minLostMembers is how many members must be lost besides the one that is
+	// back. Fewer return to all views by their own refutations.
 	minLostMembers = 4
-	// lostLife is how long ago a member may have died to count as lost in a cut.
+	// maxLossAge is how long ago a member may have died to count as lost by a
+	// partition.
 	maxLossAge = 10 * time.Minute
-	// recentLoss is how long ago the others were lost at most if the one that is back
-	// was suspected alone.
+	// recentLossAge is how long ago the others may have been lost if the one
+	// that is back was only suspected.
 	recentLossAge = 5 * time.Second
-	// healSpread is the time over which the readings are spread, which all daemons would
-	// make at once.
+	// healSyncSpread is the period over which the syncs of all daemons are
+	// spread.
 	healSyncSpread = 400 * time.Millisecond
-	// healReadingsLimit bounds the tables that a daemon reads after one cut.
+	// maxHealSyncs limits the tables that a daemon requests after one
+	// partition.
 	maxHealSyncs = 10
-	// healRecordsLimit bounds the records of one such table, of updateSize each.
+	// maxHealRecords limits the records of one such table, of updateSize each.
 	maxHealRecords = 128
-	// healBytesPerSecond and healBurst bound the bytes by which a daemon tells others
-	// that a cut ended. They are kept apart from other pushes, which the suspicions of a
-	// cut have used up.
+	// healBytesPerSecond and healBurstBytes limit the bytes for reporting the
+	// end of a partition to others. They are separate from other pushes, whose
+	// budget the suspicions of a partition have used up.
 	healBytesPerSecond = 50
 	healBurstBytes     = 1 << 10
 )
 
-// healer is what a daemon knows of a cut that ended.
+// healer is the state of healing after a partition.
 type healer struct {
-	// since is when it was last heard that a cut ended, or, until a table was read, that
-	// another run is back.
+	// startedAt is when the end of a partition was last detected, or, until a
+	// table was received, when another run returned.
 	startedAt time.Time
-	// returned are the runs that are known to be back since then.
-	returned []structs.DaemonID
-	// readings counts the tables that were asked for, and answered tells whether one came.
+	// returnedRuns are the runs known to be back since then.
+	returnedRuns []structs.DaemonID
+	// syncs counts the tables requested, and synced is set once one was
+	// received.
 	syncs  int
 	synced bool
-	// pushes bounds the bytes by which neighbours are told.
+	// pushes limits the bytes for informing neighbours.
 	pushes tokenbucket.Bucket
 }
 
-// isHealing tells whether a cut ended just now.
+// isHealing reports whether a partition ended within HealDuration.
 func (m *Membership) isHealing() bool {
 	return !m.healer.startedAt.IsZero() && m.Clock.Now().Sub(m.healer.startedAt) < m.settings.HealDuration
 }
 
-// isLost tells whether a run is missing since a time that a cut may have begun.
+// isLost reports whether a run may be missing because of a partition: it is
+// suspected, or died recently.
 func (m *Membership) isLost(r *record) bool {
 	switch r.status {
 	case statusSuspect:
@@ -73,7 +77,7 @@
 	return false
 }
 
-// lost lists the members that are lost.
+// lostRecords lists the members that are lost.
 func (m *Membership) lostRecords() []*record {
 	var lost []*record
 	for _, r := range m.records {
@@ -84,8 +88,9 @@
 	return lost
 }
 
-// noteReturn takes note that a lost run is back. That a run was suspected by mistake is
-// common: it tells of a cut only if others were lost just before.
+// handleReturn handles the return of a lost run. Runs are often suspected by
+// mistake, so that one shows the end of a partition only if others were lost
+// just before.
 func (m *Membership) handleReturn(r *record, wasDead bool) {
 	if m.isHealing() {
 		m.extendHealing(r)
@@ -100,7 +105,7 @@
 	}
 }
 
-// hearOfHealing takes another daemon's word that a cut has ended.
+// handleHealReport handles another daemon's report that a partition has ended.
 func (m *Membership) handleHealReport(back *record) {
 	switch {
 	case m.isHealing():
@@ -110,17 +115,18 @@
 	}
 }
 
-// healedLately tells whether a cut ended within HealCooldown: what is heard of it by probes
-// may go round for longer than HealDuration.
+// healedRecently reports whether a partition ended within HealCooldown: reports
+// of it on probes may circulate for longer than HealDuration.
 func (m *Membership) healedRecently() bool {
 	return !m.healer.startedAt.IsZero() && m.Clock.Now().Sub(m.healer.startedAt) < m.settings.HealCooldown
 }
 
-// beginHealing makes the tables whole after a cut. back is a run from beyond it.
+// startHealing starts to repair the table after a partition. back is a run from
+// the other side.
 func (m *Membership) startHealing(back *record) {
 	now := m.Clock.Now()
 	m.healer.startedAt = now
-	m.healer.returned = []structs.DaemonID{back.daemon.ID}
+	m.healer.returnedRuns = []structs.DaemonID{back.daemon.ID}
 	m.healer.syncs, m.healer.synced = 0, false
 	m.broadcast.dropFailureReports()
 	for _, r := range m.suspectedRecords() {
@@ -133,24 +139,25 @@
 			m.Transport.Send(neighbour.daemon.ID, message)
 		}
 	}
-	m.Logger.Info().Str("back", string(back.daemon.ID)).Int("members", m.fleetSize()).Msg("A cut has ended. Tables are read.")
+	m.Logger.Info().Str("back", string(back.daemon.ID)).Int("members", m.fleetSize()).Msg("Partition healed. Syncing tables.")
 	m.after(m.jitter(healSyncSpread), m.syncAcrossPartition)
 }
 
-// prolongHealing takes note of another run that is back. Until a table was read the time
-// begins anew: a cut of one way lets returns be heard of before its end.
+// extendHealing adds another run that is back. Until a table was received the
+// period starts again: with a one-way partition, returns may be reported before
+// its end.
 func (m *Membership) extendHealing(back *record) {
 	h := &m.healer
-	if !slices.Contains(h.returned, back.daemon.ID) {
-		h.returned = append(h.returned, back.daemon.ID)
+	if !slices.Contains(h.returnedRuns, back.daemon.ID) {
+		h.returnedRuns = append(h.returnedRuns, back.daemon.ID)
 	}
 	if !h.synced {
 		h.startedAt, h.syncs = m.Clock.Now(), 0
 	}
 }
 
-// readTableBeyond asks a daemon from beyond the cut for its table, again and again until
-// nobody is lost any more.
+// syncAcrossPartition requests the table of a daemon from the other side,
+// repeatedly until no member is lost.
 func (m *Membership) syncAcrossPartition() {
 	h := &m.healer
 	if !m.isHealing() {
@@ -173,14 +180,14 @@
 	m.Transport.Send(peer, request)
 }
 
-// nextToRead returns a run whose table was not read yet: one that is back, or else any
-// neighbour. "" if there is none.
+// nextHealPeer returns a run whose table was not requested yet: one that is
+// back, or else any neighbour. It returns "" if there is none.
 func (m *Membership) nextHealPeer() structs.DaemonID {
 	h := &m.healer
-	if len(h.returned) > 0 {
-		i := m.Random.IntN(len(h.returned))
-		next := h.returned[i]
-		h.returned = slices.Delete(h.returned, i, i+1)
+	if len(h.returnedRuns) > 0 {
+		i := m.Random.IntN(len(h.returnedRuns))
+		next := h.returnedRuns[i]
+		h.returnedRuns = slices.Delete(h.returnedRuns, i, i+1)
 		return next
 	}
 	for _, neighbour := range m.pickNeighbours(1, nil) {
@@ -189,8 +196,9 @@
 	return ""
 }
 
-// livingRecords lists, from a random place on, what a daemon from beyond a cut needs of the
-// table: the members that are neither suspected nor gone, in the parts that differ.
+// livingRecords lists, from a random position on, the records that a daemon
+// from the other side needs: the members that are neither suspected nor gone,
+// in the parts that differ.
 func (m *Membership) livingRecords(theirs [bucketCount]uint64) []Update {
 	differing := m.differingUpdates(theirs)
 	differing = slices.DeleteFunc(differing, func(u Update) bool { return u.Status.rank() >= statusSuspect.rank() })
@@ -200,8 +208,8 @@
 	return differing[:min(len(differing), maxHealRecords)]
 }
 
-// reviveLost takes a run for alive that is lost here, if a table that is read after a cut
-// says so.
+// reviveLost marks a lost run alive if a table received after a partition says
+// so.
 func (m *Membership) reviveLost(r *record, update Update) {
 	well := update.Status.rank() >= 0 && update.Status.rank() < statusSuspect.rank()
 	if !well || !m.isLost(r) || update.Refutation < r.refutation {
--- a/internal/membership/partition_heal_test.go
+++ b/internal/membership/partition_heal_test.go
@@ -10,16 +10,16 @@
 	"github.com/rs/zerolog"
 )
 
-// seenChange is one daemon's word of a change of another.
+// seenChange is a change of one daemon's state as seen by another.
 type seenChange struct {
-	// after is the time since the cut began or ended.
+	// after is the time since the partition began or ended.
 	after    time.Duration
 	observer *testNode
 	daemon   string
 	state    State
 }
 
-// changeWatch notes all changes since a time.
+// changeWatch records all changes since a time.
 type changeWatch struct {
 	network *testNetwork
 	since   time.Time
@@ -38,7 +38,7 @@
 
 func (w *changeWatch) restart() { w.since, w.seen = w.network.clock.Now(), nil }
 
-// badNews counts the changes to a state other than alive in a time.
+// failureReports counts the changes to a state other than alive in a period.
 func (w *changeWatch) failureReports(from, until time.Duration) int {
 	count := 0
 	for _, change := range w.seen {
@@ -49,48 +49,49 @@
 	return count
 }
 
-// zoneOf4 is a daemon's zone of four.
+// zoneOf4 returns a daemon's zone, of four.
 func zoneOf4(n *testNode) int { return n.index % 4 }
 
 func inLastZone(n *testNode) bool     { return zoneOf4(n) == 3 }
 func inLastTwoZones(n *testNode) bool { return zoneOf4(n) >= 2 }
 
-// cutCase is a cut that ends.
+// partitionCase is a partition that ends.
 type partitionCase struct {
 	daemons int
 	length  time.Duration
 	inside  func(*testNode) bool
 	oneWay  bool
-	// wholeWithin bounds the time from its end until all views are whole.
+	// wholeWithin limits the time from its end until all views agree.
 	wholeWithin time.Duration
-	// badNews bounds the changes to suspect or dead in the two seconds after its end,
-	// when all daemons live; later there must be none.
+	// failureReports limits the changes to suspect or dead in the two seconds
+	// after its end, when all daemons are alive; later there must be none.
 	failureReports int
-	// bytes bounds what each daemon sends in the mean until views are whole, in tables
-	// mostly.
+	// bytes limits the mean bytes that each daemon sends until views agree,
+	// mostly in tables.
 	bytes int
 }
 
-// play plays a cut and returns the changes since its end.
+// run partitions a fleet, ends the partition and returns the changes since its
+// start.
 func (c partitionCase) run(t *testing.T, seed uint64) (w *testNetwork, watch *changeWatch) {
 	w = newTestNetwork(t, seed, c.daemons)
 	w.introduceAll()
 	w.run(10 * time.Second)
 	watch = watchChanges(w)
 	watch.restart()
-	w.cut = func(from, to *testNode) bool {
+	w.isPartitioned = func(from, to *testNode) bool {
 		if c.oneWay {
 			return c.inside(from) && !c.inside(to)
 		}
 		return c.inside(from) != c.inside(to)
 	}
 	w.run(c.length)
-	w.cut = nil
+	w.isPartitioned = nil
 	return w, watch
 }
 
-// TestCutThatEndsIsHealedByOneReading: all daemons live, so after the end of a cut bad
-// news are about members that answer.
+// TestHealedPartitionIsRepairedByOneSync: all daemons are alive, so after the
+// end of a partition every failure report is wrong.
 func TestHealedPartitionIsRepairedByOneSync(t *testing.T) {
 	for name, c := range map[string]partitionCase{
 		"a zone of four":     {74, 5500 * time.Millisecond, inLastZone, false, 1500 * time.Millisecond, 60, 12_000},
@@ -106,22 +107,23 @@
 				w, watch := c.run(t, 60+seed)
 				watch.restart()
 				startBytes := w.bytes
-				whole := w.settle(30 * time.Second)
+				whole := w.converge(30 * time.Second)
 				sent := (w.bytes - startBytes) / c.daemons
 				w.run(8 * time.Second)
 				early, late := watch.failureReports(0, 2*time.Second), watch.failureReports(2*time.Second, time.Hour)
-				t.Logf("seed %d: whole after %v, %d bytes a daemon; %d changes, %d bad within 2 s, %d later",
+				t.Logf("seed %d: whole after %v, %d bytes a daemon; %d changes, %d failure reports within 2 s, %d later",
 					seed, whole, sent, len(watch.seen), early, late)
 				if whole > c.wholeWithin || early > c.failureReports || late > 0 || sent > c.bytes {
-					t.Errorf("seed %d: whole after %v, %d bytes a daemon, %d bad news within 2 s, %d later", seed, whole, sent, early, late)
+					t.Errorf("seed %d: whole after %v, %d bytes a daemon, %d failure reports within 2 s, %d later", seed, whole, sent, early, late)
 				}
 			}
 		})
 	}
 }
 
-// TestEachSideHearsOfACutAndOfItsEnd: of the end within a second. Who is not cut off
-// notices a cut within a second or so: half of the members of the zone are suspected.
+// TestBothSidesDetectAPartitionAndItsEnd: the end within a second; its start
+// within a second or so by daemons that are not cut off, which is when they
+// suspect half of the members of the zone.
 func TestBothSidesDetectAPartitionAndItsEnd(t *testing.T) {
 	for seed := range uint64(5) {
 		c := partitionCase{daemons: 74, length: 5500 * time.Millisecond, inside: inLastZone}
@@ -130,7 +132,7 @@
 		for _, node := range w.nodes {
 			lost := map[string]bool{}
 			for _, change := range watch.seen {
-				if change.observer == node && c.inside(w.byPlace[change.daemon][0]) != c.inside(node) {
+				if change.observer == node && c.inside(w.byAddress[change.daemon][0]) != c.inside(node) {
 					lost[change.daemon] = true
 				}
 				if len(lost) == 9 { // half of the zone; within it, half of one of the others
@@ -144,7 +146,7 @@
 		var heard []time.Duration
 		for _, node := range w.nodes {
 			for _, change := range watch.seen {
-				if change.observer == node && change.state == StateAlive && c.inside(w.byPlace[change.daemon][0]) != c.inside(node) {
+				if change.observer == node && change.state == StateAlive && c.inside(w.byAddress[change.daemon][0]) != c.inside(node) {
 					heard = append(heard, change.after)
 					break
 				}
@@ -154,9 +156,9 @@
 			slices.Sort(times)
 		}
 		if len(heard) < c.daemons || len(noticed[false]) < 56 || len(noticed[true]) < 18 {
-			t.Fatalf("seed %d: %d noticed the cut, %d inside, %d its end", seed, len(noticed[false]), len(noticed[true]), len(heard))
+			t.Fatalf("seed %d: %d detected the partition, %d inside, %d its end", seed, len(noticed[false]), len(noticed[true]), len(heard))
 		}
-		t.Logf("seed %d: nine lost to daemons outside after %v (p50), %v (last), to those inside %v, %v; the end heard %v, %v", seed,
+		t.Logf("seed %d: nine lost to daemons outside after %v (p50), %v (last), to those inside %v, %v; the end detected %v, %v", seed,
 			percentile(noticed[false], 50), percentile(noticed[false], 100), percentile(noticed[true], 50), percentile(noticed[true], 100),
 			percentile(heard, 50), percentile(heard, 100))
 		if percentile(heard, 100) > time.Second || percentile(noticed[false], 100) > 1700*time.Millisecond || percentile(noticed[true], 100) > 3500*time.Millisecond {
@@ -165,8 +167,8 @@
 	}
 }
 
-// TestDaemonsThatDieAtTheEndOfACutAreFound though no bad news is believed by hearsay
-// then.
+// TestDeathsAtTheEndOfAPartitionAreDetected although failure reports by others
+// are ignored then.
 func TestDeathsAtTheEndOfAPartitionAreDetected(t *testing.T) {
 	c := partitionCase{daemons: 74, length: 5500 * time.Millisecond, inside: inLastZone}
 	for seed := range uint64(5) {
@@ -175,16 +177,16 @@
 		for _, index := range []int{0, 1, 3, 7, 20} {
 			w.nodes[index].down = true
 		}
-		if took := w.settle(12 * time.Second); took > 10*time.Second {
-			t.Errorf("seed %d: found after %v", seed, took)
+		if took := w.converge(12 * time.Second); took > 10*time.Second {
+			t.Errorf("seed %d: detected after %v", seed, took)
 		}
 	}
 }
 
-// TestBadNewsOfALostDaemonIsNotBelieved: it was cut off, or is slow, and takes others for
-// lost.
+// TestFailureReportsOfALostDaemonAreIgnored: it was cut off, or is slow, and
+// believes others lost.
 func TestFailureReportsOfALostDaemonAreIgnored(t *testing.T) {
-	w := formed(t, 25, 5)
+	w := convergedNetwork(t, 25, 5)
 	observer, subject, lost := w.nodes[0], w.nodes[1], w.nodes[2]
 	suspicion := lost.self.update()
 	suspicion.Status = statusSuspect
@@ -192,23 +194,24 @@
 	update := subject.self.update()
 	update.Status = statusDead
 	observer.Receive(lost.id, &UpdatePush{Updates: []Update{update}})
-	observer.wantState(t, subject, StateAlive, "after the word of a lost daemon")
+	observer.wantState(t, subject, StateAlive, "after a lost daemon's report")
 	observer.Receive(w.nodes[4].id, &UpdatePush{Updates: []Update{update}})
-	observer.wantState(t, subject, StateSuspect, "after the word of another")
+	observer.wantState(t, subject, StateSuspect, "after another daemon's report")
 }
 
-// TestManyChangesAreSummedUp: a line each for some, and one a second for all others.
+// TestManyChangesAreSummarized: a line each for some, and one a second for all
+// others.
 func TestManyChangesAreSummarized(t *testing.T) {
 	w := newTestNetwork(t, 26, 74)
 	w.introduceAll()
 	w.run(10 * time.Second)
 	var log bytes.Buffer
 	w.nodes[0].Logger = zerolog.New(&log)
-	w.cut = func(from, to *testNode) bool { return inLastZone(from) != inLastZone(to) }
+	w.isPartitioned = func(from, to *testNode) bool { return inLastZone(from) != inLastZone(to) }
 	w.run(10 * time.Second)
 	lines := strings.Count(log.String(), "\n")
 	summed := strings.Count(log.String(), "More members changed.")
 	if lines > 60 || summed == 0 || !strings.Contains(log.String(), `"dead":{"zone-`) {
-		t.Errorf("%d lines, %d of them sums:\n%s", lines, summed, log.String())
+		t.Errorf("%d lines, %d of them summaries:\n%s", lines, summed, log.String())
 	}
 }
--- a/internal/membership/pause.go
+++ b/internal/membership/pause.go
@@ -18,7 +18,7 @@
 	if late < m.settings.PauseThreshold {
 		return
 	}
-	m.Logger.Warn().Dur("late", late).Msg("This daemon was paused. Probes start anew.")
+	m.Logger.Warn().Dur("late", late).Msg("This daemon was paused. Probes and suspicions restarted.")
 	m.healthPenalty = pausedHealthPenalty
 	for _, p := range m.prober.probes {
 		p.indirect.Stop()
--- a/internal/membership/region_test.go
+++ b/internal/membership/region_test.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// TestRegionCutOffFromALargeFleet measures how long it takes until all of the
-// greater part hold all of a lost region dead, and until all agree again.
+// TestRegionCutOffFromALargeFleet measures how long it takes until all daemons
+// of the larger part believe all of a cut-off region dead, and until all agree
+// again.
 func TestRegionCutOffFromALargeFleet(t *testing.T) {
 	const daemons, region = 200, 50
 	w := newTestNetwork(t, 50, daemons)
 	w.introduceAll()
 	w.run(3 * time.Second)
 	inside := func(n *testNode) bool { return n.index < region }
-	w.cut = func(from, to *testNode) bool { return inside(from) != inside(to) }
+	w.isPartitioned = func(from, to *testNode) bool { return inside(from) != inside(to) }
 	cutAt := w.clock.Now()
 	startBytes := w.bytes
 	const window = 30 * time.Second
@@ -30,9 +31,9 @@
 	if want := region * (daemons - region); len(took) != want {
 		t.Fatalf("%d deaths seen within %v, want %d", len(took), window, want)
 	}
-	w.cut = nil
+	w.isPartitioned = nil
 	startBytes = w.bytes
-	healed := w.settle(30 * time.Second)
+	healed := w.converge(30 * time.Second)
 	if slowest := percentile(took, 99); slowest > 12*time.Second {
 		t.Errorf("99%% of the deaths were seen within %v", slowest)
 	}
--- a/internal/membership/schedule_test.go
+++ b/internal/membership/schedule_test.go
@@ -7,9 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestRandomFaultsEndInAgreement draws crashes, restarts, pauses, cuts, one-way
-// links, loss and jitter. Once the network is whole again, all daemons that
-// run must agree on just those that run, and no old run may be alive anywhere.
+// TestRandomFaultsEndInAgreement injects random crashes, restarts, pauses,
+// partitions, one-way links, loss and jitter. Once the network is whole again,
+// all running daemons must agree on exactly the running ones, and no old run
+// may be alive anywhere.
 func TestRandomFaultsEndInAgreement(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		daemons := rapid.IntRange(2, 7).Draw(r, "daemons")
@@ -19,24 +20,24 @@
 			w.injectFault(r)
 			w.run(time.Duration(rapid.IntRange(0, 6000).Draw(r, "milliseconds")) * time.Millisecond)
 		}
-		w.cut, w.loss, w.jitter = nil, 0, 0
+		w.isPartitioned, w.loss, w.jitter = nil, 0, 0
 		for _, node := range w.up() {
 			if node.paused {
 				node.wake()
 			}
 		}
-		w.settle(30 * time.Second)
+		w.converge(30 * time.Second)
 		for _, node := range w.up() {
 			for _, other := range w.nodes {
 				if other.down && node.Alive(other.id) {
-					r.Errorf("%s holds the former run %s alive", node.id, other.id)
+					r.Errorf("%s believes the former run %s alive", node.id, other.id)
 				}
 			}
 		}
 	})
 }
 
-// strike makes one fault happen.
+// injectFault injects one random fault.
 func (w *testNetwork) injectFault(r *rapid.T) {
 	up := w.up()
 	victim := up[rapid.IntRange(0, len(up)-1).Draw(r, "victim")]
@@ -48,17 +49,17 @@
 	case "restart":
 		victim.down = true
 		w.add(victim.index, victim.id.Incarnation()+1_000_000_000)
-		w.list()
+		w.publishMachineList()
 	case "pause":
 		victim.paused = true
 	case "wake":
 		victim.wake()
 	case "cut":
-		w.cut = func(from, to *testNode) bool { return (from.index == victim.index) != (to.index == victim.index) }
+		w.isPartitioned = func(from, to *testNode) bool { return (from.index == victim.index) != (to.index == victim.index) }
 	case "one way":
-		w.cut = func(from, _ *testNode) bool { return from.index == victim.index }
+		w.isPartitioned = func(from, _ *testNode) bool { return from.index == victim.index }
 	case "whole":
-		w.cut = nil
+		w.isPartitioned = nil
 	case "loss":
 		w.loss = 0.3
 	case "jitter":
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -10,7 +10,7 @@
 	var refuted []Update
 	for _, update := range updates {
 		if update.Status.rank() < 0 || update.Address == "" {
-			m.Logger.Warn().Str("from", string(from)).Msg("Update refused. Its status is unknown.")
+			m.Logger.Warn().Str("from", string(from)).Msg("Malformed update refused.")
 			continue
 		}
 		if m.ignoresFailureReport(from, update) {
@@ -121,7 +121,7 @@
 // between two starts, and the fleet will not accept this run.
 func (m *Membership) applySelf(update Update) {
 	if update.Run > m.self.run {
-		m.Logger.Error().Uint64("run", update.Run).Msg("A later run of this daemon is known. Restart it with the right time.")
+		m.Logger.Error().Uint64("run", update.Run).Msg("A later run at this daemon's address is known. Correct the clock and restart.")
 		return
 	}
 	if update.Run < m.self.run || m.self.isStale(update) {
--- a/internal/node/protocols_test.go
+++ b/internal/node/protocols_test.go
@@ -12,8 +12,8 @@
 	"github.com/mintpulley/mintpulley/internal/peer"
 )
 
-// TestEveryMessageHasAnExample: docs/PROTOCOLS.md shows one line of every kind
-// that a daemon registers, exactly as a daemon writes it.
+// TestEveryMessageHasAnExample checks that docs/PROTOCOLS.md has one example
+// line for every registered message kind, exactly as a daemon encodes it.
 func TestEveryMessageHasAnExample(t *testing.T) {
 	page, err := os.ReadFile("../../docs/PROTOCOLS.md")
 	if err != nil {
@@ -33,12 +33,12 @@
 	}
 	slices.Sort(shown)
 	if diff := cmp.Diff(peer.Kinds(), shown); diff != "" {
-		t.Errorf("kinds with an example (-registered +shown):\n%s", diff)
+		t.Errorf("message kinds (-registered +with an example):\n%s", diff)
 	}
 }
 
-// kindOfExample reads one line and fails the test when a daemon would not
-// write it so, for a field that is gone or has another name.
+// kindOfExample decodes one line and fails the test when a daemon would encode
+// it differently, for example because a field was removed or renamed.
 func kindOfExample(t *testing.T, example string) peer.Kind {
 	t.Helper()
 	from, to, message, err := peer.Decode([]byte(example))
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(written), example); diff != "" {
-		t.Errorf("%s (-as written +on the page):\n%s", message.MessageKind(), diff)
+		t.Errorf("%s (-as encoded +on the page):\n%s", message.MessageKind(), diff)
 	}
 	return message.MessageKind()
 }
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -21,9 +21,9 @@
 		{2 * time.Second, 58, true, "58 of 64 is nine tenths"},
 		{3 * time.Second, 32, true, "a ready daemon stays ready with half"},
 		{4 * time.Second, 31, false, "less than half"},
-		{5 * time.Second, 40, false, "it must become ready anew"},
-		{14 * time.Second, 40, false, "not for long enough"},
-		{15 * time.Second, 40, true, "a part that stays lost does not hold it back"},
+		{5 * time.Second, 40, false, "it must become ready again"},
+		{14 * time.Second, 40, false, "not known for long enough"},
+		{15 * time.Second, 40, true, "shards that stay lost do not keep it unready"},
 	}
 	var tracker readinessTracker
 	for _, step := range steps {
--- a/internal/replication/api.go
+++ b/internal/replication/api.go
@@ -51,8 +51,8 @@
 	Pressure() Pressure
 }
 
-// Application is what runs on top of a shard. All methods are called on the
-// shard's serial queue.
+// Application is the service that runs on the shards. All methods are called on
+// the shard's serial queue.
 type Application interface {
 	// NewStateMachine returns an empty state machine for a shard.
 	NewStateMachine(shard structs.ShardNumber) StateMachine
--- a/internal/replication/archive.go
+++ b/internal/replication/archive.go
@@ -148,7 +148,7 @@
 	for part := 1; c.isComplete(part); part++ {
 		var entries []Entry
 		if err := decodePart(c.parts[part].pieces, &entries); err != nil {
-			return state, nil //nolint:nilerr // what came before it is sound
+			return state, nil //nolint:nilerr // the entries before it are valid
 		}
 		for _, entry := range entries {
 			if index, _ := state.last(); entry.Index != index+1 {
--- a/internal/replication/archive_test.go
+++ b/internal/replication/archive_test.go
@@ -13,7 +13,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// startArchived is a fleet of three whose one shard has an archive.
+// startArchived starts a fleet of three with one shard, which has an archive.
 func startArchived(t *testing.T, seed uint64) (*testFleet, []*testDaemon) {
 	f := newTestFleet(t, seed, 1)
 	f.settings.ArchivedShards = 1
@@ -22,7 +22,7 @@
 	return f, daemons
 }
 
-// loseAll ends all runs, and starts three others after a while.
+// replaceAll ends all runs, and starts three other daemons after a while.
 func (f *testFleet) replaceAll(daemons []*testDaemon) {
 	for _, d := range daemons {
 		f.crash(d, true)
@@ -33,7 +33,7 @@
 	f.start(6, "c")
 }
 
-// archived waits until everything recorded so far is in the archive.
+// awaitArchive waits until all records so far are in the archive.
 func (f *testFleet) awaitArchive() { f.run(3 * f.settings.ArchiveInterval) }
 
 func (f *testFleet) wantValues(want ...string) {
@@ -51,7 +51,7 @@
 	f.t.Helper()
 	machine := f.leaderOf(shard).manager.replica(shard).machine.(*testMachine)
 	if len(machine.recoveredFrom) != times {
-		f.t.Errorf("recovered from %v, want %d recoveries on record", machine.recoveredFrom, times)
+		f.t.Errorf("recovered from %v, want %d recorded recoveries", machine.recoveredFrom, times)
 	}
 }
 
@@ -101,7 +101,7 @@
 	f.wantValues("one", "two")
 }
 
-func TestRecordsGoOnWhileTheLogIsDown(t *testing.T) {
+func TestProposalsAreAcknowledgedWhileTheLogIsDown(t *testing.T) {
 	f, daemons := startArchived(t, 63)
 	f.mustRecord(shard, "one")
 	f.awaitArchive()
@@ -190,7 +190,7 @@
 		want = append(want, fmt.Sprint(i, string(value)))
 		f.mustRecord(shard, want[i])
 	}
-	// A new leader begins with a snapshot.
+	// A new leader starts with a snapshot.
 	f.crash(f.leaderOf(shard), false)
 	f.run(2 * time.Minute)
 	stream := f.log.archives[archiveStream(shard)]
@@ -213,7 +213,7 @@
 	f.wantValues(want...)
 }
 
-// fixedLog is a log with one stream that never changes.
+// fixedLog is a log with one stream, which clients cannot change.
 type fixedLog struct{ entries []framework.LogEntry }
 
 func (l *fixedLog) Append(framework.StreamName, string, []byte, func(structs.LogOffset, error)) {}
@@ -234,7 +234,7 @@
 	}
 }
 
-// readAll reads the newest state of a log.
+// readAll reads the latest state in a log.
 func (l *fixedLog) readAll() (*archivedState, error) {
 	m := &Manager{Options: Options{Log: l}}
 	var state *archivedState
@@ -288,7 +288,7 @@
 	}
 }
 
-// FuzzArchive gives a reader entries that nobody of ours would write.
+// FuzzArchive passes a reader malformed entries.
 func FuzzArchive(f *testing.F) {
 	id := chainID{Epoch: 1, Index: 3}
 	for _, piece := range append(part(f, id, 0, archiveBase{Index: 3}), part(f, id, 1, []Entry{{Index: 4}})...) {
--- a/internal/replication/archive_writer.go
+++ b/internal/replication/archive_writer.go
@@ -218,7 +218,7 @@
 func (a *archiveWriter) append(l *leaderState, piece archivePiece) {
 	payload, err := json.Marshal(piece)
 	if err != nil {
-		l.logger.Error().Err(err).Msg("Piece of an archive not encoded.")
+		l.logger.Error().Err(err).Msg("Archive piece cannot be encoded.")
 		return
 	}
 	stream, operation := archiveStream(l.shard), piece.operation(l.shard)
--- a/internal/replication/benchmark_test.go
+++ b/internal/replication/benchmark_test.go
@@ -14,7 +14,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// callRecords are the three units that one call records.
+// callRecords returns the three units of records of one call.
 func callRecords() [][]structs.Record {
 	key := structs.ProgramKey{Tenant: "tally", Program: "booth-0042"}
 	at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -30,9 +30,9 @@
 	}
 }
 
-// BenchmarkCall records the three units of one call after each other, as
+// BenchmarkCall proposes the three units of one call one after another, as
 // dispatch does, in a group whose zones are 1.5 ms apart. It reports the bytes
-// between daemons, the virtual time, and the processor time of all three.
+// between daemons, the virtual time, and the CPU time of all three daemons.
 func BenchmarkCall(b *testing.B) {
 	f, _ := startThree(b, 1, 1)
 	f.delay, f.delaySpread = 1500*time.Microsecond, 0
@@ -55,8 +55,8 @@
 	b.ReportMetric(float64(f.clock.Now().Sub(start).Microseconds())/calls, "virtual-us/call")
 }
 
-// BenchmarkPipelined proposes many units at once, for the most that one shard
-// takes.
+// BenchmarkPipelined proposes many units at once, to measure the throughput of
+// one shard.
 func BenchmarkPipelined(b *testing.B) {
 	f, _ := startThree(b, 1, 1)
 	leader := f.leaderOf(shard).app.led[shard].leadership
@@ -77,9 +77,9 @@
 	b.ReportMetric(float64(f.bytes[peer.ClassData])/float64(b.N), "bytes/unit")
 }
 
-// BenchmarkRefill brings a fresh daemon into the group of a shard with 1 MB of
-// state that packs to about half. It reports bytes and virtual time until the
-// newcomer has its vote.
+// BenchmarkRefill adds a new daemon to the group of a shard with 1 MB of state
+// that compresses to about half. It reports bytes and virtual time until the
+// new member has its vote.
 func BenchmarkRefill(b *testing.B) {
 	var bytes, micros float64
 	for range b.N {
@@ -129,7 +129,7 @@
 	return daemons
 }
 
-// BenchmarkPlace chooses the group of a shard in a fleet of the full size.
+// BenchmarkPlace chooses the group of a shard in a fleet of the largest size.
 func BenchmarkPlace(b *testing.B) {
 	daemons := fleetOf(400)
 	for b.Loop() {
--- a/internal/replication/claims_test.go
+++ b/internal/replication/claims_test.go
@@ -41,20 +41,20 @@
 func TestShardIsNotClaimedWhileItsMembersAreListed(t *testing.T) {
 	f, daemons := startThree(t, 8, 1)
 	minority := daemons[0]
-	f.cutBetween(minority, daemons[1], true)
-	f.cutBetween(minority, daemons[2], true)
+	f.setPartitioned(minority, daemons[1], true)
+	f.setPartitioned(minority, daemons[2], true)
 	f.run(30 * time.Second)
 	if len(minority.app.led) > 0 {
 		t.Error("a cut-off member leads though the list has the others")
 	}
 	f.mustRecord(shard, "one")
-	f.cutBetween(minority, daemons[1], false)
-	f.cutBetween(minority, daemons[2], false)
+	f.setPartitioned(minority, daemons[1], false)
+	f.setPartitioned(minority, daemons[2], false)
 	f.run(5 * time.Second)
 	f.mustRecord(shard, "two")
 	f.mustRecord(shard, "three")
 	if got := minority.values(shard); len(got) < 2 {
-		t.Errorf("the healed member applied %v", got)
+		t.Errorf("the reconnected member applied %v", got)
 	}
 }
 
@@ -70,13 +70,13 @@
 	f.run(30 * time.Second)
 	for s := range structs.ShardNumber(2) {
 		if f.leaderOf(s) == nil {
-			t.Fatalf("shard %d was not started anew", s)
+			t.Fatalf("shard %d was not started again", s)
 		}
 	}
 	f.mustRecord(shard, "one")
 }
 
-func TestShardIsNotStartedAnewWhileAListedDaemonIsUnheard(t *testing.T) {
+func TestLostShardIsNotStartedWhileAListedDaemonIsUnreachable(t *testing.T) {
 	for _, cutOff := range []bool{true, false} {
 		f, former := startThree(t, 21, 1)
 		f.mustRecord(shard, "one")
@@ -92,16 +92,16 @@
 		}
 		f.run(15 * time.Second)
 		holders := others(f.daemons, nil)
-		newcomer := f.start(7, "a")
+		newDaemon := f.start(7, "a")
 		for _, d := range holders {
-			f.cutBetween(newcomer, d, cutOff)
+			f.setPartitioned(newDaemon, d, cutOff)
 		}
 		f.run(30 * time.Second)
 		if len(f.log.entries) != 1 {
 			t.Errorf("cut off %v: the stream has %d entries", cutOff, len(f.log.entries))
 		}
 		for _, d := range holders {
-			f.cutBetween(newcomer, d, false)
+			f.setPartitioned(newDaemon, d, false)
 		}
 		f.run(5 * time.Second)
 		f.mustRecord(shard, "two")
@@ -111,15 +111,16 @@
 	}
 }
 
-// TestWrongMachineListCostsTheOldGroup shows what rests on the list: it drops
-// two members that run on, cut off from the third. The claim ends them.
+// TestWrongMachineListReplacesALiveMajority shows the dependence on the machine
+// list: it omits two members that still run, cut off from the third. The claim
+// replaces them.
 func TestWrongMachineListReplacesALiveMajority(t *testing.T) {
 	f, daemons := startThree(t, 22, 1)
 	f.mustRecord(shard, "one")
 	claimant := daemons[0]
 	rest := daemons[1:]
 	for _, d := range rest {
-		f.cutBetween(claimant, d, true)
+		f.setPartitioned(claimant, d, true)
 		delete(f.machines, d.self.ID.Address())
 		d.logDown = true
 	}
@@ -133,7 +134,7 @@
 		}
 	}
 	if stale == nil {
-		t.Fatal("the old majority should go on while it hears nothing")
+		t.Fatal("the old majority should go on while it does not read the claim")
 	}
 	stale.propose(shard, "given up", func(error) {})
 	f.run(time.Second)
@@ -142,10 +143,10 @@
 	}
 	f.run(15 * time.Second)
 	if len(stale.app.led) > 0 {
-		t.Error("the old leader read the claim and leads on")
+		t.Error("the old leader read the claim and still leads")
 	}
 	for _, d := range rest {
-		f.cutBetween(claimant, d, false)
+		f.setPartitioned(claimant, d, false)
 	}
 	f.run(20 * time.Second)
 	f.mustRecord(shard, "after")
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -114,10 +114,10 @@
 	r.scheduleElection()
 }
 
-// receiveVote grants a vote to a candidate whose log is at least as up to date
+// receiveVoteRequest grants a vote to a candidate whose log is at least as up to date
 // as this one, once in an epoch, and not while a leader is believed to be
 // alive.
-func (r *replica) receiveVote(from structs.DaemonID, m *VoteRequest) {
+func (r *replica) receiveVoteRequest(from structs.DaemonID, m *VoteRequest) {
 	answer := &VoteReply{Shard: r.shard, PreVote: m.PreVote, Last: r.log.last(), LastEpoch: r.log.lastEpoch()}
 	defer func() { r.send(from, answer) }()
 	hasLeader := !m.LeadershipTransfer && !r.needsLeader() && r.leader != from
@@ -153,7 +153,7 @@
 	return m.LastEpoch > own || (m.LastEpoch == own && m.Last >= r.log.last())
 }
 
-func (r *replica) receiveVoted(from structs.DaemonID, m *VoteReply) {
+func (r *replica) receiveVoteReply(from structs.DaemonID, m *VoteReply) {
 	r.positions[from] = position{last: m.Last, epoch: m.LastEpoch, at: r.Clock.Now()}
 	if !r.majorityLostAt.IsZero() {
 		r.claimIfMajorityLost()
@@ -191,8 +191,8 @@
 	r.startLeading()
 }
 
-// receiveTakeOver stands for election at the leader's request.
-func (r *replica) receiveTakeOver(from structs.DaemonID, m *LeadershipTransfer) {
+// receiveLeadershipTransfer stands for election at the leader's request.
+func (r *replica) receiveLeadershipTransfer(from structs.DaemonID, m *LeadershipTransfer) {
 	if m.Epoch != r.voteState.epoch || r.leader != from || !r.isMember() || r.isHandingOver() {
 		return
 	}
--- a/internal/replication/election_test.go
+++ b/internal/replication/election_test.go
@@ -10,8 +10,8 @@
 	d := f.start(1, "a")
 	group := Group{d.self.ID, "10.0.0.2:7000#9", "10.0.0.3:7000#9"}
 	r := d.manager.open(shard, voteState{}, group)
-	r.receiveVote(group[1], &VoteRequest{Epoch: 7})
-	r.receiveVote(group[2], &VoteRequest{Epoch: 7})
+	r.receiveVoteRequest(group[1], &VoteRequest{Epoch: 7})
+	r.receiveVoteRequest(group[2], &VoteRequest{Epoch: 7})
 	if r.voteState != (voteState{epoch: 7, votedFor: group[1]}) {
 		t.Errorf("promise is %+v", r.voteState)
 	}
@@ -30,23 +30,23 @@
 	r.log.append(Entry{Index: 1, Epoch: 2})
 	r.log.append(Entry{Index: 2, Epoch: 3})
 	for _, vote := range []VoteRequest{{Epoch: 5, Last: 1, LastEpoch: 3}, {Epoch: 6, Last: 9, LastEpoch: 2}} {
-		r.receiveVote(group[1], &vote)
+		r.receiveVoteRequest(group[1], &vote)
 		if r.voteState.votedFor != "" {
 			t.Errorf("voted for a log at %d of epoch %d", vote.Last, vote.LastEpoch)
 		}
 	}
-	r.receiveVote(group[1], &VoteRequest{Epoch: 7, Last: 2, LastEpoch: 3})
+	r.receiveVoteRequest(group[1], &VoteRequest{Epoch: 7, Last: 2, LastEpoch: 3})
 	if r.voteState.votedFor != group[1] {
 		t.Error("no vote for an equal log")
 	}
 }
 
-func TestNewcomerWithoutTheLogGetsNoVote(t *testing.T) {
+func TestNewMemberWithoutTheLogGetsNoVote(t *testing.T) {
 	f, daemons := startThree(t, 20, 1)
 	f.mustRecord(shard, "one")
 	leader := f.leaderOf(shard)
 	fresh := f.start(4, "c")
-	f.cutBetween(fresh, leader, true)
+	f.setPartitioned(fresh, leader, true)
 	leader.view.states[fresh.self.ID] = "alive"
 	leader.wronglyHeldDead[fresh] = false
 	leader.manager.replica(shard).leaderState.addMember(fresh.self.ID)
@@ -67,11 +67,11 @@
 	r.log.append(Entry{Index: 1, Epoch: 1, Group: group})
 	r.log.append(Entry{Index: 2, Epoch: 2})
 	r.openEpoch(4, nil)
-	r.receiveAppended(group[1], &AppendReply{Epoch: 4, Match: 2})
+	r.receiveAppendReply(group[1], &AppendReply{Epoch: 4, Match: 2})
 	if r.commit != 0 || r.leaderState.ready {
 		t.Errorf("committed up to %d, ready %v", r.commit, r.leaderState.ready)
 	}
-	r.receiveAppended(group[1], &AppendReply{Epoch: 4, Match: 3})
+	r.receiveAppendReply(group[1], &AppendReply{Epoch: 4, Match: 3})
 	if r.commit != 3 || !r.leaderState.ready {
 		t.Errorf("committed up to %d, ready %v", r.commit, r.leaderState.ready)
 	}
--- a/internal/replication/extra_routes_test.go
+++ b/internal/replication/extra_routes_test.go
@@ -17,17 +17,17 @@
 	outsider.manager.Route(7)
 	f.run(50 * time.Millisecond)
 	if routes := len(outsider.manager.routes.cached); routes != 1 {
-		t.Errorf("%d routes known after the first question, want the one asked for", routes)
+		t.Errorf("%d routes known after the first request, want the one requested", routes)
 	}
 	outsider.manager.Route(8)
 	f.run(50 * time.Millisecond)
 	for shard := range structs.ShardNumber(shards) {
 		if outsider.manager.Route(shard).Leader == "" {
-			t.Errorf("shard %d is not known after two questions of a moment", shard)
+			t.Errorf("shard %d is not known after two requests in a short time", shard)
 		}
 	}
 	if from, more := outsider.manager.nextMissingRoute(); more {
-		t.Errorf("asks for more, from %d on, though it lacks none", from)
+		t.Errorf("requests extra routes, from %d on, though none is missing", from)
 	}
 }
 
@@ -35,21 +35,22 @@
 	f, _ := startThree(t, 33, 100)
 	outsider := f.start(4, "a")
 	f.run(50 * time.Millisecond)
-	var asked []structs.ShardNumber
+	var requested []structs.ShardNumber
 	for range 4 {
 		from, more := outsider.manager.nextMissingRoute()
 		if !more {
-			t.Fatal("an outsider lacks no routes")
+			t.Fatal("an outsider misses no routes")
 		}
-		asked = append(asked, from)
+		requested = append(requested, from)
 	}
-	if diff := cmp.Diff([]structs.ShardNumber{0, 32, 64, 96}, asked); diff != "" {
+	if diff := cmp.Diff([]structs.ShardNumber{0, 32, 64, 96}, requested); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// stayInPlace keeps leaders from moving replicas to a fresh daemon for the next
-// Settings.RebalanceInterval: one that is to know nothing must not be made a member.
+// delayRebalancing prevents leaders from moving replicas to a new daemon for
+// the next Settings.RebalanceInterval: a daemon that must know no routes must
+// not become a member.
 func delayRebalancing(f *testFleet, daemons []*testDaemon) {
 	for _, d := range daemons {
 		d.manager.movedAt = f.clock.Now()
@@ -66,22 +67,22 @@
 	outsider := f.start(4, "a")
 	f.run(50 * time.Millisecond)
 	if routes := outsider.manager.extraRoutes(&RouteRequest{More: true}); len(routes) != 0 {
-		t.Errorf("a daemon that knows no routes tells %v", routes)
+		t.Errorf("a daemon that knows no routes sent %v", routes)
 	}
 }
 
 func TestExtraRoutesAreRateLimited(t *testing.T) {
 	f, daemons := startThree(t, 35, maxExtraRoutes)
-	told := 0
+	sent := 0
 	const seconds = 20
 	for range seconds {
 		for range 20 {
-			told += len(daemons[0].manager.extraRoutes(&RouteRequest{More: true}))
+			sent += len(daemons[0].manager.extraRoutes(&RouteRequest{More: true}))
 		}
 		f.run(time.Second)
 	}
-	if limit := (requestBurstBytes + requestBytesPerSecond*seconds) / extraRouteSize; told > limit || told < limit/2 {
-		t.Errorf("%d routes told in %d s, want at most %d", told, seconds, limit)
+	if limit := (requestBurstBytes + requestBytesPerSecond*seconds) / extraRouteSize; sent > limit || sent < limit/2 {
+		t.Errorf("%d routes sent in %d s, want at most %d", sent, seconds, limit)
 	}
 }
 
@@ -100,12 +101,12 @@
 	}
 	outsider.manager.Receive(follower.self.ID, &RouteReply{Routes: []ShardRoute{{Shard: 0, Leader: follower.self.ID, Epoch: epoch - 1}}})
 	if got := outsider.manager.Route(0).Leader; got != follower.self.ID {
-		t.Fatalf("hearsay was not taken: %q", got)
+		t.Fatalf("the route was not learned: %q", got)
 	}
-	// The daemon that does not lead redirects what is sent to it.
+	// The daemon that does not lead redirects requests to the leader.
 	outsider.manager.Learn(0, Route{Leader: leader.self.ID, Epoch: epoch})
 	outsider.manager.Receive(follower.self.ID, &RouteReply{Routes: []ShardRoute{{Shard: 0, Leader: follower.self.ID, Epoch: epoch - 1}}})
 	if got := outsider.manager.Route(0).Leader; got != leader.self.ID {
-		t.Errorf("older hearsay replaced the leader by %q", got)
+		t.Errorf("an older route replaced the leader by %q", got)
 	}
 }
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -18,8 +18,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// testFleet is a fleet of managers on a virtual clock and a network that
-// loses, delays, doubles and reorders messages.
+// testFleet is a fleet of managers on a virtual clock and a network that loses,
+// delays, duplicates and reorders messages.
 type testFleet struct {
 	t             testing.TB
 	clock         *clock.Virtual
@@ -32,11 +32,11 @@
 	delay         time.Duration
 	delaySpread   time.Duration
 	detectionTime time.Duration
-	cut           map[[2]string]bool
+	partitioned   map[[2]string]bool
 	machines      map[string]bool
-	// listDown keeps the machine list from being read.
+	// machineListDown makes reads of the machine list fail.
 	machineListDown bool
-	// leaders are who was told to lead, by shard and epoch.
+	// leaders are the daemons on which Lead was called, by shard and epoch.
 	leaders map[string]structs.DaemonID
 	bytes   map[peer.Class]int
 	kinds   map[peer.Kind]int
@@ -52,7 +52,7 @@
 		delay:         time.Millisecond,
 		delaySpread:   time.Millisecond,
 		detectionTime: 1200 * time.Millisecond,
-		cut:           map[[2]string]bool{},
+		partitioned:   map[[2]string]bool{},
 		machines:      map[string]bool{},
 		leaders:       map[string]structs.DaemonID{},
 		bytes:         map[peer.Class]int{},
@@ -75,18 +75,18 @@
 	paused  bool
 	leaving bool
 	logDown bool
-	// readsDown stops this daemon's readings of the log, not its appends.
+	// readsDown makes this daemon's reads of the log fail, but not its appends.
 	readsDown bool
-	// pressure is what the application says of its memory.
+	// pressure is the memory pressure that the application reports.
 	pressure Pressure
-	// jump is how far this daemon's clock is off.
+	// clockOffset is the offset of this daemon's clock.
 	clockOffset time.Duration
-	// doubted are daemons that this one takes for dead though they run.
+	// wronglyHeldDead are daemons that this one believes dead though they run.
 	wronglyHeldDead map[*testDaemon]bool
 	backlog         []func()
 }
 
-// start runs a daemon at an address, with the next incarnation.
+// start starts a daemon at an address, with the next incarnation.
 func (f *testFleet) start(number int, zone string) *testDaemon {
 	return f.startWith(number, zone, Guards{})
 }
@@ -136,7 +136,7 @@
 	e.Str("t", h.clock.Now().Format("04:05.000"))
 }
 
-// crash ends a run; unlist also takes its machine off the list.
+// crash ends a run; unlist also removes its machine from the list.
 func (f *testFleet) crash(d *testDaemon, unlist bool) {
 	d.running = false
 	d.manager.Stop()
@@ -160,7 +160,7 @@
 	f.updateViews()
 }
 
-// do runs a task of a daemon now, or when it wakes.
+// do runs a task of a daemon now, or when its pause ends.
 func (d *testDaemon) do(task func()) {
 	switch {
 	case !d.running:
@@ -171,13 +171,13 @@
 	}
 }
 
-func (f *testFleet) cutBetween(a, b *testDaemon, cut bool) {
-	f.cut[[2]string{a.self.ID.Address(), b.self.ID.Address()}] = cut
-	f.cut[[2]string{b.self.ID.Address(), a.self.ID.Address()}] = cut
+func (f *testFleet) setPartitioned(a, b *testDaemon, cut bool) {
+	f.partitioned[[2]string{a.self.ID.Address(), b.self.ID.Address()}] = cut
+	f.partitioned[[2]string{b.self.ID.Address(), a.self.ID.Address()}] = cut
 	f.updateViews()
 }
 
-// readList has every daemon read the machine list, again and again.
+// readMachineList makes every daemon read the machine list once a second.
 func (f *testFleet) readMachineList() {
 	f.publishMachineList()
 	f.clock.AfterFunc(time.Second, f.readMachineList)
@@ -198,7 +198,7 @@
 	}
 }
 
-// observe lets every daemon notice, after a while, who is there.
+// updateViews makes every daemon detect, after a delay, which others run.
 func (f *testFleet) updateViews() {
 	for _, d := range f.daemons {
 		for _, other := range f.daemons {
@@ -240,7 +240,7 @@
 }
 
 func (f *testFleet) deliver(from, to structs.DaemonID, line []byte) {
-	if f.cut[[2]string{from.Address(), to.Address()}] {
+	if f.partitioned[[2]string{from.Address(), to.Address()}] {
 		return
 	}
 	for _, d := range f.daemons {
@@ -256,7 +256,7 @@
 	}
 }
 
-// daemonClock gives a daemon no time while it is paused or gone.
+// daemonClock fires no timers of a daemon while it is paused or has ended.
 type daemonClock struct{ daemon *testDaemon }
 
 func (c daemonClock) Now() time.Time { return c.daemon.fleet.clock.Now().Add(c.daemon.clockOffset) }
@@ -275,7 +275,7 @@
 func (v *testView) truth(other *testDaemon) membership.State {
 	own, its := v.daemon.self.ID.Address(), other.self.ID.Address()
 	f := v.daemon.fleet
-	cut := f.cut[[2]string{own, its}] || f.cut[[2]string{its, own}] || v.daemon.wronglyHeldDead[other]
+	cut := f.partitioned[[2]string{own, its}] || f.partitioned[[2]string{its, own}] || v.daemon.wronglyHeldDead[other]
 	if other == v.daemon {
 		return membership.StateAlive
 	}
@@ -328,7 +328,7 @@
 	v.listeners = append(v.listeners, listener)
 }
 
-// testLogClient is one daemon's way to the log.
+// testLogClient is one daemon's client of the log.
 type testLogClient struct {
 	log    *testLog
 	daemon *testDaemon
@@ -353,9 +353,9 @@
 	// archives are the streams besides the groups'.
 	archives map[framework.StreamName][]framework.LogEntry
 	down     bool
-	// archivesDown makes readings of archives fail, and nothing else.
+	// archivesDown makes reads of archives fail, and nothing else.
 	archivesDown bool
-	// loseAnswers is the share of appends that work and say they did not.
+	// lostAnswerRate is the share of appends that succeed but report an error.
 	lostAnswerRate float64
 }
 
@@ -403,7 +403,7 @@
 	})
 }
 
-// testMachine is the list of values that were recorded.
+// testMachine is a state machine that keeps the list of recorded values.
 type testMachine struct {
 	values []string
 	// recoveredFrom are the indexes from which the shard was recovered.
@@ -460,7 +460,7 @@
 	return structs.Record{ProgramStarted: &structs.ProgramStarted{Key: structs.ProgramKey{Program: structs.ProgramID(value)}}}
 }
 
-// leaderOf returns the running daemon with the highest epoch that leads.
+// leaderOf returns the running leader with the highest epoch.
 func (f *testFleet) leaderOf(shard structs.ShardNumber) *testDaemon {
 	var best *testDaemon
 	for _, d := range f.daemons {
@@ -475,7 +475,7 @@
 	return best
 }
 
-// propose records a value at a daemon, and notes whether it was acknowledged.
+// propose proposes a value at a daemon; done gets the result.
 func (d *testDaemon) propose(shard structs.ShardNumber, value string, done func(error)) {
 	leader := d.app.led[shard]
 	d.do(func() {
@@ -483,7 +483,7 @@
 	})
 }
 
-// mustRecord records a value and runs the fleet until it is acknowledged.
+// mustRecord proposes a value and runs the fleet until it is acknowledged.
 func (f *testFleet) mustRecord(shard structs.ShardNumber, value string) {
 	f.t.Helper()
 	acknowledged := false
@@ -503,7 +503,7 @@
 	}
 }
 
-// values returns what a daemon's replica has applied.
+// values returns the values that a daemon's replica has applied.
 func (d *testDaemon) values(shard structs.ShardNumber) []string {
 	r := d.manager.replica(shard)
 	if r == nil {
@@ -512,7 +512,7 @@
 	return r.machine.(*testMachine).values
 }
 
-// group returns the group as the leader has it.
+// group returns the group according to the leader.
 func (f *testFleet) group(shard structs.ShardNumber) Group {
 	leader := f.leaderOf(shard)
 	if leader == nil {
@@ -521,7 +521,7 @@
 	return leader.manager.replica(shard).log.group
 }
 
-// startThree starts the usual fleet and lets it settle.
+// startThree starts a fleet of three and waits until its shards have leaders.
 func startThree(t testing.TB, seed uint64, shards int) (*testFleet, []*testDaemon) {
 	f := newTestFleet(t, seed, shards)
 	daemons := []*testDaemon{f.start(1, "a"), f.start(2, "b"), f.start(3, "c")}
--- a/internal/replication/former_membership_test.go
+++ b/internal/replication/former_membership_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// rejoin dismisses a member and takes it back in the same epoch. It returns
-// the round of the stay that ended.
+// rejoin dismisses a member and adds it again in the same epoch. It returns the
+// last round of the membership that ended.
 func rejoin(f *testFleet, leader, member *testDaemon) uint64 {
 	l := leader.manager.replica(shard).leaderState
 	round := l.round
@@ -34,8 +34,8 @@
 	return round
 }
 
-// TestAnswersOfAFormerStayProveNothing has an answer of the member's former
-// stay arrive after it was dismissed and taken back.
+// TestRepliesOfAFormerMembershipAreIgnored delivers a reply of a former
+// membership after the member was dismissed and added again.
 func TestRepliesOfAFormerMembershipAreIgnored(t *testing.T) {
 	f, daemons := startThree(t, 31, 1)
 	f.mustRecord(shard, "one")
@@ -49,7 +49,7 @@
 	}
 	r.leaderState.flush()
 	late := &AppendReply{Shard: shard, Epoch: r.leaderState.epoch, Match: last, Round: round}
-	r.receiveAppended(member.self.ID, late)
+	r.receiveAppendReply(member.self.ID, late)
 	if p := r.leaderState.progress[member.self.ID]; p.match != 0 {
 		t.Errorf("a late answer counts as %d entries held", p.match)
 	}
@@ -57,7 +57,8 @@
 	mustHoldAll(t, leader, member)
 }
 
-// TestPiecesOfAFormerStayProveNothing does the same with a snapshot's answer.
+// TestSnapshotRepliesOfAFormerMembershipAreIgnored does the same with the reply
+// to a snapshot chunk.
 func TestSnapshotRepliesOfAFormerMembershipAreIgnored(t *testing.T) {
 	f, daemons := startThree(t, 32, 1)
 	f.mustRecord(shard, "one")
@@ -69,7 +70,7 @@
 	p := r.leaderState.progress[member.self.ID]
 	p.startTransfer()
 	late := &SnapshotChunkReply{Shard: shard, Epoch: r.leaderState.epoch, Index: p.transfer.index, Next: len(p.transfer.data), Round: round}
-	r.receiveChunkTaken(member.self.ID, late)
+	r.receiveSnapshotChunkReply(member.self.ID, late)
 	if p.match != 0 {
 		t.Errorf("a late answer counts as %d entries held", p.match)
 	}
@@ -77,7 +78,7 @@
 	mustHoldAll(t, leader, member)
 }
 
-// TestLateDismissalDoesNotEndANewStay doubles a dismissal.
+// TestLateDismissalIsIgnoredAfterRejoining delivers a dismissal twice.
 func TestLateDismissalIsIgnoredAfterRejoining(t *testing.T) {
 	f, daemons := startThree(t, 33, 1)
 	f.mustRecord(shard, "one")
--- a/internal/replication/fuzz_test.go
+++ b/internal/replication/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// FuzzReceive gives a daemon messages that no daemon of ours would send. It
-// must bear them and go on.
+// FuzzReceive sends a daemon messages that no correct daemon would send. It
+// must ignore them and keep running.
 func FuzzReceive(f *testing.F) {
 	const stranger = structs.DaemonID("10.0.0.9:7000#1")
 	for _, message := range []peer.Message{
@@ -47,8 +47,8 @@
 	})
 }
 
-// FuzzGroupsStream puts an entry that no daemon of ours would write into the
-// groups' stream. The fleet must bear it and go on leading its shard.
+// FuzzGroupsStream appends an entry to the groups' stream that no correct
+// daemon would write. The fleet must ignore it and keep a leader for its shard.
 func FuzzGroupsStream(f *testing.F) {
 	f.Add([]byte(`{"genesis":{"groups":[[7]],"daemons":[]}}`))
 	f.Add([]byte(`{"claims":[{"shard":9,"generation":1,"claimant":"x"}],"notes":[{"shard":9,"epoch":1}]}`))
--- a/internal/replication/genesis.go
+++ b/internal/replication/genesis.go
@@ -20,7 +20,7 @@
 func (g *registry) applyGenesis(first *genesis) []func() {
 	m := g.manager
 	if len(first.Groups) != m.Settings.Shards {
-		m.Logger.Error().Int("shards", len(first.Groups)).Msg("Genesis refused. It has another number of shards.")
+		m.Logger.Error().Int("shards", len(first.Groups)).Msg("Genesis refused. Its number of shards differs from this daemon's.")
 		return nil
 	}
 	g.hasGroups = true
@@ -38,7 +38,7 @@
 			effects = append(effects, func() { m.openFirstReplica(shard, group) })
 		}
 	}
-	m.Logger.Info().Int("shards", len(first.Groups)).Msg("First groups known.")
+	m.Logger.Info().Int("shards", len(first.Groups)).Msg("First groups read from the stream.")
 	return effects
 }
 
--- a/internal/replication/leader_state.go
+++ b/internal/replication/leader_state.go
@@ -72,7 +72,7 @@
 	if len(records) > 0 {
 		l.appendOpeningRecords(records)
 	}
-	l.logger.Info().Uint64("epoch", uint64(epoch)).Int("members", len(r.log.group)).Msg("Elected.")
+	l.logger.Info().Uint64("epoch", uint64(epoch)).Int("members", len(r.log.group)).Msg("Leadership started.")
 	l.flush()
 	l.commitMajority()
 }
@@ -81,7 +81,7 @@
 func (l *leaderState) appendOpeningRecords(records []structs.Record) {
 	data, err := json.Marshal(records)
 	if err != nil {
-		l.logger.Error().Err(err).Msg("Opening records not encoded.")
+		l.logger.Error().Err(err).Msg("Opening records cannot be encoded.")
 		return
 	}
 	l.openingIndex = l.appendEntry(Entry{Records: data})
@@ -134,7 +134,7 @@
 	}
 	data, err := json.Marshal(records)
 	if err != nil {
-		l.logger.Error().Err(err).Msg("Records not encoded.")
+		l.logger.Error().Err(err).Msg("Records cannot be encoded.")
 		l.queue.Do(func() { done(ErrLost) })
 		return
 	}
@@ -216,8 +216,8 @@
 	return ids
 }
 
-// receiveAppended handles a member's reply to an append request.
-func (r *replica) receiveAppended(from structs.DaemonID, m *AppendReply) {
+// receiveAppendReply handles a member's reply to an append request.
+func (r *replica) receiveAppendReply(from structs.DaemonID, m *AppendReply) {
 	l := r.leaderState
 	if m.Epoch > r.voteState.epoch {
 		if l != nil && r.Guards.AcceptStaleEpoch {
--- a/internal/replication/leaderless_test.go
+++ b/internal/replication/leaderless_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// strayFleet is a fleet whose stream names a living daemon that has left the
-// group, while the other two members, the last holders, run on.
+// leaderlessFleet returns a fleet whose stream includes a living daemon that
+// has left the group, while the other two members, the last holders, still run.
 func leaderlessFleet(t *testing.T, seed uint64) (f *testFleet, former *testDaemon, holders []*testDaemon) {
 	f, daemons := startThree(t, seed, 1)
 	f.mustRecord(shard, "one")
@@ -45,9 +45,9 @@
 	f.mustRecord(shard, "two")
 }
 
-// TestStrayShardWaitsForEveryHolder has a holder that is paused, cut off or
-// merely silent for long: the shard must not start anew, and its records must
-// be there afterwards.
+// TestLeaderlessShardWaitsForEveryHolder has holders that are paused, cut off,
+// or dead but listed: the shard must not start again, and the records of those
+// that return must still be there.
 func TestLeaderlessShardWaitsForEveryHolder(t *testing.T) {
 	for _, how := range []string{"paused", "cut off", "listed"} {
 		f, former, holders := leaderlessFleet(t, 35)
@@ -58,9 +58,9 @@
 					f.pause(d, hidden)
 					continue
 				}
-				f.cutBetween(d, former, hidden)
+				f.setPartitioned(d, former, hidden)
 				if outsider != nil {
-					f.cutBetween(d, outsider, hidden)
+					f.setPartitioned(d, outsider, hidden)
 				}
 			}
 		}
@@ -78,7 +78,7 @@
 		f.run(60 * time.Second)
 		for _, d := range []*testDaemon{former, outsider} {
 			if d.app.led[shard] != nil {
-				t.Fatalf("%s: %s has started the shard anew", how, d.self.ID)
+				t.Fatalf("%s: %s has started the shard again", how, d.self.ID)
 			}
 		}
 		if how == "listed" {
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestSurvivorAsksAsSoonAsTheOthersAreGone loses two of three at once: beyond
-// detection (1.5 s here) and ClaimGrace the claim takes one reading of the
-// groups' stream, and not a second one before the daemons are asked.
+// TestSurvivorClaimsAfterOneReadOfTheStream loses two of three members at once:
+// after detection (1.5 s here) and ClaimGrace the claim takes one read of the
+// groups' stream, and no second one before the daemons are asked.
 func TestSurvivorClaimsAfterOneReadOfTheStream(t *testing.T) {
 	f, daemons := startThree(t, 5, 4)
 	f.mustRecord(shard, "one")
--- a/internal/replication/leadership_transfer.go
+++ b/internal/replication/leadership_transfer.go
@@ -84,7 +84,7 @@
 // member that is still catching up is left to the successor.
 func (l *leaderState) transferLeadershipAway() {
 	if l.change != nil && l.change.entry == 0 {
-		l.abandonNewcomer()
+		l.abandonNewMember()
 	}
 	if next := l.successor(); next != "" {
 		l.transferLeadershipTo(next)
--- a/internal/replication/linearizable_test.go
+++ b/internal/replication/linearizable_test.go
@@ -29,7 +29,7 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, " -> ", output) },
 }
 
-// history collects operations. One whose outcome is not known ends never.
+// history collects operations. One whose outcome is unknown has no end.
 type history struct {
 	fleet      *testFleet
 	operations []*porcupine.Operation
@@ -41,7 +41,7 @@
 	return op
 }
 
-// write records a value at whoever believes to lead.
+// write proposes a value at a daemon if it believes that it leads.
 func (h *history) write(d *testDaemon, client int, value string) {
 	op := h.begin(client, operation{write: true, value: value})
 	d.propose(shard, value, func(err error) {
@@ -51,7 +51,7 @@
 	})
 }
 
-// read confirms the leadership and then looks at the state.
+// read confirms the leadership, if confirm is set, and then reads the state.
 func (h *history) read(d *testDaemon, client int, confirm bool) {
 	op := h.begin(client, operation{})
 	leader := d.app.led[shard]
@@ -73,7 +73,7 @@
 	})
 }
 
-// check leaves reads without an answer out: they say nothing.
+// check checks the history without unanswered reads, which prove nothing.
 func (h *history) check() bool {
 	var operations []porcupine.Operation
 	for _, op := range h.operations {
@@ -84,7 +84,7 @@
 	return porcupine.CheckOperationsTimeout(lastValue, operations, 10*time.Second) == porcupine.Ok
 }
 
-// runHistory has clients of all daemons read and write while leaders are
+// runHistory runs reads and writes by clients of all daemons while leaders are
 // paused and cut off.
 func runHistory(t *testing.T, seed uint64, confirm bool) bool {
 	f, daemons := startThree(t, seed, 1)
@@ -107,9 +107,9 @@
 		case 0:
 			f.pause(d, !d.paused)
 		case 1:
-			f.cutBetween(d, other, d != other)
+			f.setPartitioned(d, other, d != other)
 		case 2:
-			clear(f.cut)
+			clear(f.partitioned)
 			f.updateViews()
 		}
 	}
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestUnconfirmedReadsAreNot shows that the check can fail: a leader that does
-// not confirm may have been superseded.
+// TestUnconfirmedReadsAreNotLinearizable shows that the check can fail: a
+// leader that does not confirm may have been superseded.
 func TestUnconfirmedReadsAreNotLinearizable(t *testing.T) {
 	for seed := range uint64(historySeeds) {
 		if !runHistory(t, seed, false) {
--- a/internal/replication/machines_test.go
+++ b/internal/replication/machines_test.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// The list is told to managers only when it changes, so these tests tell it
+// Managers are passed the list only when it changes, so these tests pass it
 // once for each change.
 
 func TestClaimWaitsForTheGraceTimeAfterAllOthersAreUnlisted(t *testing.T) {
@@ -21,7 +21,7 @@
 	}
 	f.run(30 * time.Second)
 	if f.leaderOf(shard) != nil {
-		t.Fatal("claimed while the list has the others")
+		t.Fatal("claimed while the others are listed")
 	}
 	for _, d := range daemons[1:] {
 		delete(f.machines, d.self.ID.Address())
@@ -50,13 +50,13 @@
 	f.publishMachineList()
 	f.run(30 * time.Second)
 	if f.leaderOf(shard) != nil {
-		t.Fatal("claimed while an older list shows another member")
+		t.Fatal("claimed while another member is listed again")
 	}
 	delete(f.machines, other)
 	f.publishMachineList()
 	f.run(f.settings.ClaimGrace - time.Millisecond)
 	if f.leaderOf(shard) != nil {
-		t.Fatal("claimed within the grace time after the list went forward again")
+		t.Fatal("claimed within the grace time after the member was unlisted again")
 	}
 	f.run(5 * time.Second)
 	f.mustRecord(shard, "two")
@@ -67,10 +67,10 @@
 	f.mustRecord(shard, "one")
 	survivor := daemons[0]
 	for _, d := range daemons[1:] {
-		f.cutBetween(survivor, d, true)
+		f.setPartitioned(survivor, d, true)
 	}
 	f.run(10 * time.Second)
-	// The list drops both by mistake, and cannot be read again.
+	// The list omits both by mistake, and cannot be read again.
 	for _, d := range daemons[1:] {
 		delete(f.machines, d.self.ID.Address())
 	}
@@ -78,7 +78,7 @@
 	f.machineListDown = true
 	f.run(30 * time.Second)
 	if len(survivor.app.led) > 0 {
-		t.Error("a cut-off member claimed the shard on the strength of one reading")
+		t.Error("a cut-off member claimed the shard after one read of the list")
 	}
 }
 
@@ -91,9 +91,9 @@
 		virtual.RunUntil(virtual.Now().Add(24 * time.Hour / perDay))
 	}
 	if kept := len(m.machines.unlistedAt); kept > 2*perDay/24 {
-		t.Errorf("%d addresses are remembered after %d left", kept, days*perDay)
+		t.Errorf("%d addresses are remembered after %d were unlisted", kept, days*perDay)
 	}
 	if lacked := m.machines.missingFor("10.0.0.0:7000"); lacked < 24*time.Hour {
-		t.Errorf("a forgotten address counts as lacking for %s", lacked)
+		t.Errorf("a forgotten address counts as missing for %s", lacked)
 	}
 }
--- a/internal/replication/manager_test.go
+++ b/internal/replication/manager_test.go
@@ -12,7 +12,7 @@
 
 const shard = structs.ShardNumber(0)
 
-// others returns the running daemons but one.
+// others returns the running daemons without one.
 func others(daemons []*testDaemon, but *testDaemon) []*testDaemon {
 	var rest []*testDaemon
 	for _, d := range daemons {
@@ -107,7 +107,7 @@
 	f.mustRecord(shard, "two")
 	f.mustRecord(shard, "three")
 	if got := fourth.values(shard); len(got) < 2 || got[0] != "one" {
-		t.Errorf("the newcomer applied %v", got)
+		t.Errorf("the new member applied %v", got)
 	}
 }
 
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestNewcomerCatchesUpBySnapshot(t *testing.T) {
+func TestNewMemberCatchesUpBySnapshot(t *testing.T) {
 	f, _ := startThree(t, 11, 1)
 	leader := f.leaderOf(shard)
 	const count = 4000
@@ -144,7 +144,7 @@
 	f.mustRecord(shard, "after")
 	f.mustRecord(shard, "after that")
 	if got := fresh.values(shard); len(got) < count || got[count-1] != last {
-		t.Errorf("the newcomer has %d values", len(got))
+		t.Errorf("the new member has %d values", len(got))
 	}
 }
 
@@ -247,7 +247,7 @@
 	f.run(3 * time.Second)
 	leader := f.leaderOf(shard)
 	for _, d := range others(daemons, leader) {
-		f.cutBetween(leader, d, true)
+		f.setPartitioned(leader, d, true)
 	}
 	acknowledged := false
 	leader.propose(shard, "alone", func(err error) { acknowledged = err == nil })
--- a/internal/replication/planned_stop_test.go
+++ b/internal/replication/planned_stop_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestLastHolderDoesNotLeave stops the only daemon that still holds a shard: it
-// must stay until others hold it, however long that takes.
+// must not leave before others hold it, however long that takes.
 func TestLastHolderDoesNotLeave(t *testing.T) {
 	f, daemons := startThree(t, 11, 2)
 	f.mustRecord(shard, "one")
@@ -54,12 +54,12 @@
 	last.manager.HandOver(func() { done = true })
 	f.run(30 * time.Second)
 	if done {
-		t.Fatal("the last holder left while nobody else had the records")
+		t.Fatal("the last holder left while no other daemon had the records")
 	}
 	f.log.down = false
 	f.run(60 * time.Second)
 	if !done {
-		t.Fatal("the last holder was not relieved")
+		t.Fatal("the last holder was not replaced")
 	}
 	f.crash(last, true)
 	f.run(5 * time.Second)
@@ -69,45 +69,44 @@
 	}
 }
 
-// TestCutOffDaemonStaysUntilItMayGo stops a daemon that reaches nobody: it must
-// wait for the link, since it cannot know whether others hold its shards.
+// TestPlannedStopOfACutOffDaemonWaits stops a daemon that reaches no other: it
+// must wait for the link, since it cannot know whether others hold its shards.
 func TestPlannedStopOfACutOffDaemonWaits(t *testing.T) {
 	f, daemons := startThree(t, 11, 2)
 	f.mustRecord(shard, "one")
-	lone := daemons[0]
-	f.cutBetween(lone, daemons[1], true)
-	f.cutBetween(lone, daemons[2], true)
+	cutOff := daemons[0]
+	f.setPartitioned(cutOff, daemons[1], true)
+	f.setPartitioned(cutOff, daemons[2], true)
 	f.run(3 * time.Second)
 	done := false
-	lone.leaving = true
+	cutOff.leaving = true
 	f.updateViews()
-	lone.manager.HandOver(func() { done = true })
+	cutOff.manager.HandOver(func() { done = true })
 	f.run(30 * time.Second)
 	if done {
 		t.Fatal("the daemon left while it was cut off from machines that are listed")
 	}
-	f.cutBetween(lone, daemons[1], false)
-	f.cutBetween(lone, daemons[2], false)
+	f.setPartitioned(cutOff, daemons[1], false)
+	f.setPartitioned(cutOff, daemons[2], false)
 	f.run(20 * time.Second)
 	if !done {
 		t.Fatal("the daemon did not leave once the link was back")
 	}
 }
 
-// TestPlannedStopsAroundACutLoseNothing cuts two of three members off together
-// with nobody who could take their place, and stops all three as planned within
-// 14 s, as a day of failures at 400 daemons once did. Each must stay
-// until the link is back and others hold the records.
+// TestPlannedStopsAroundAPartitionLoseNothing cuts off two of three members
+// together, with no daemon that could replace them, and stops all three within
+// 14 s. Each must wait until the link is back and others hold the records.
 func TestPlannedStopsAroundAPartitionLoseNothing(t *testing.T) {
 	f, daemons := startThree(t, 11, 2)
 	f.mustRecord(shard, "one")
 	f.log.down = true
-	f.cutBetween(daemons[0], daemons[2], true)
-	f.cutBetween(daemons[1], daemons[2], true)
+	f.setPartitioned(daemons[0], daemons[2], true)
+	f.setPartitioned(daemons[1], daemons[2], true)
 	for number, zone := range []string{"a", "b", "c"} {
-		newcomer := f.start(number+4, zone)
-		f.cutBetween(daemons[0], newcomer, true)
-		f.cutBetween(daemons[1], newcomer, true)
+		newDaemon := f.start(number+4, zone)
+		f.setPartitioned(daemons[0], newDaemon, true)
+		f.setPartitioned(daemons[1], newDaemon, true)
 	}
 	f.run(5 * time.Second)
 	stopped := map[*testDaemon]bool{}
@@ -122,17 +121,17 @@
 	}
 	f.run(10 * time.Second)
 	if len(stopped) != 0 {
-		t.Fatalf("%d of three holders left while their group was cut in two", len(stopped))
+		t.Fatalf("%d of three holders left while their group was partitioned", len(stopped))
 	}
 	for _, former := range daemons[:2] {
 		for _, other := range f.daemons[2:] {
-			f.cutBetween(former, other, false)
+			f.setPartitioned(former, other, false)
 		}
 	}
 	f.log.down = false
 	f.run(60 * time.Second)
 	if len(stopped) != len(daemons) {
-		t.Fatalf("%d of three daemons were relieved once the link was back", len(stopped))
+		t.Fatalf("%d of three daemons were replaced once the link was back", len(stopped))
 	}
 	f.mustRecord(shard, "two")
 	if diff := cmp.Diff([]string{"one", "two"}, f.leaderOf(shard).values(shard)); diff != "" {
@@ -140,8 +139,8 @@
 	}
 }
 
-// TestLastOfALeavingFleetLeaves stops all daemons one after the other: nobody
-// is left to wait for, although the machine list still has them.
+// TestLastOfALeavingFleetLeaves stops all daemons one after another: the last
+// has no one to wait for, although the machine list still has the others.
 func TestLastOfALeavingFleetLeaves(t *testing.T) {
 	f, daemons := startThree(t, 11, 2)
 	f.mustRecord(shard, "one")
--- a/internal/replication/pressure_test.go
+++ b/internal/replication/pressure_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// pressureAtLeader asks the leader's leadership for the group's pressure.
+// pressureAtLeader returns the group's pressure according to the leader.
 func (f *testFleet) pressureAtLeader() Pressure {
 	f.t.Helper()
 	leadership := f.leaderOf(shard).app.led[shard].leadership
@@ -18,7 +18,7 @@
 	f, daemons := startThree(t, 7, 1)
 	f.mustRecord(shard, "one")
 	if got := f.pressureAtLeader(); got != PressureNone {
-		t.Fatalf("pressure %d in a fleet with room", got)
+		t.Fatalf("pressure %d in a fleet with free memory", got)
 	}
 	for _, d := range daemons {
 		if d != f.leaderOf(shard) {
@@ -28,11 +28,11 @@
 	}
 	f.mustRecord(shard, "two")
 	if got := f.pressureAtLeader(); got != PressureRefuseAll {
-		t.Errorf("pressure %d after a full member's answer, want %d", got, PressureRefuseAll)
+		t.Errorf("pressure %d after a full member's reply, want %d", got, PressureRefuseAll)
 	}
 	f.run(pressureValidity + time.Second)
 	if got := f.pressureAtLeader(); got != PressureNone {
-		t.Errorf("pressure %d after a long silence, want %d: nothing would be asked again", got, PressureNone)
+		t.Errorf("pressure %d after a long time without replies, want %d: no call would be accepted again", got, PressureNone)
 	}
 	f.leaderOf(shard).pressure = PressureRefuseNew
 	if got := f.pressureAtLeader(); got != PressureRefuseNew {
--- a/internal/replication/random_test.go
+++ b/internal/replication/random_test.go
@@ -10,14 +10,14 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// schedule drives one fleet through random faults and keeps account of what
-// was acknowledged.
+// faultSchedule injects random faults into a fleet and records which values
+// were acknowledged.
 type faultSchedule struct {
 	*testFleet
 	chance       *rand.Rand
 	shards       int
-	next         int
-	number       int
+	nextValue    int
+	daemonCount  int
 	acknowledged map[structs.ShardNumber][]string
 }
 
@@ -43,27 +43,28 @@
 	if s.chance.IntN(2) == 0 {
 		f.detectionTime = 100 * time.Millisecond
 	}
-	for s.number < 5 {
-		s.startNext(string(rune('a' + s.number%3)))
+	for s.daemonCount < 5 {
+		s.startNext(string(rune('a' + s.daemonCount%3)))
 	}
 	f.run(4 * time.Second)
 	return s
 }
 
 func (s *faultSchedule) startNext(zone string) *testDaemon {
-	s.number++
-	return s.start(s.number, zone)
+	s.daemonCount++
+	return s.start(s.daemonCount, zone)
 }
 
-// proposeSome records values at whoever believes to lead, stale leaders too.
+// proposeSome proposes values at every daemon that believes it leads, stale
+// leaders included.
 func (s *faultSchedule) proposeSome() {
 	for _, d := range s.daemons {
 		for shard := range structs.ShardNumber(s.shards) {
 			if !d.running || d.app.led[shard] == nil || s.chance.IntN(2) == 0 {
 				continue
 			}
-			s.next++
-			value := fmt.Sprint(s.next)
+			s.nextValue++
+			value := fmt.Sprint(s.nextValue)
 			d.propose(shard, value, func(err error) {
 				if err == nil {
 					s.acknowledged[shard] = append(s.acknowledged[shard], value)
@@ -73,8 +74,8 @@
 	}
 }
 
-// whole tells whether every group has all its members, so that the loss of one
-// more leaves a majority.
+// canLoseOneMember reports whether every group has all its members, so that the
+// loss of one leaves a majority.
 func (s *faultSchedule) canLoseOneMember() bool {
 	for shard := range structs.ShardNumber(s.shards) {
 		leader := s.leaderOf(shard)
@@ -94,8 +95,9 @@
 	return true
 }
 
-// fault does one thing to the fleet. What a crash destroys is bounded by
-// whole; everything else may come at any moment, to any number of daemons.
+// injectFault injects one fault. Crashes and planned stops require
+// canLoseOneMember; all other faults may happen at any time, to any number of
+// daemons.
 func (s *faultSchedule) injectFault() {
 	d := s.daemons[s.chance.IntN(len(s.daemons))]
 	other := s.daemons[s.chance.IntN(len(s.daemons))]
@@ -111,9 +113,9 @@
 	case 1:
 		s.pause(d, !d.paused)
 	case 2:
-		s.cutBetween(d, other, true)
+		s.setPartitioned(d, other, true)
 	case 3:
-		s.cut[[2]string{d.self.ID.Address(), other.self.ID.Address()}] = true
+		s.partitioned[[2]string{d.self.ID.Address(), other.self.ID.Address()}] = true
 		s.updateViews()
 	case 4:
 		d.wronglyHeldDead[other] = !d.wronglyHeldDead[other]
@@ -133,7 +135,7 @@
 }
 
 func (s *faultSchedule) heal() {
-	clear(s.cut)
+	clear(s.partitioned)
 	for _, d := range s.daemons {
 		clear(d.wronglyHeldDead)
 		if d.paused {
@@ -143,7 +145,7 @@
 	s.updateViews()
 }
 
-// check compares the replicas with what was acknowledged.
+// check compares the replicas with the acknowledged values.
 func (s *faultSchedule) check(t *testing.T) {
 	s.heal()
 	s.loss = 0
@@ -170,11 +172,11 @@
 				t.Errorf("shard %d differs at %s", shard, d.self.ID)
 			}
 			if d.manager.contradictions > 0 {
-				t.Errorf("%s saw a committed entry contradicted", d.self.ID)
+				t.Errorf("%s has a committed entry that conflicts with a leader's", d.self.ID)
 			}
 		}
 		if generation(leader.app.led[shard].leadership.Epoch()) > 0 {
-			t.Errorf("shard %d was claimed though its majority lived", shard)
+			t.Errorf("shard %d was claimed though its majority was alive", shard)
 		}
 	}
 	for _, fault := range s.faults {
@@ -193,7 +195,7 @@
 	s.check(t)
 }
 
-// randomSeeds is how many schedules one run of the tests takes.
+// randomSeeds is how many schedules one test run covers.
 const randomSeeds = 60
 
 func TestRandomSchedules(t *testing.T) {
@@ -224,8 +226,8 @@
 	}
 }
 
-// TestAcknowledgedSurvivesTwoLostAtOnce crashes the leader and one more member
-// the moment a value is acknowledged, with the log down.
+// TestAcknowledgedSurvivesTwoLostAtOnce crashes the leader and another member
+// as soon as a value is acknowledged, with the log down.
 func TestAcknowledgedSurvivesTwoLostAtOnce(t *testing.T) {
 	for seed := range uint64(30) {
 		f := newTestFleet(t, seed, 1)
--- a/internal/replication/reconfigure.go
+++ b/internal/replication/reconfigure.go
@@ -54,14 +54,14 @@
 	l.change = c
 	c.timer = l.after(l.Settings.ChangeTimeout, func() {
 		if l.change == c && c.entry == 0 {
-			l.logger.Warn().Str("member", string(c.add)).Msg("Newcomer did not catch up in time.")
-			l.abandonNewcomer()
+			l.logger.Warn().Str("member", string(c.add)).Msg("New member did not catch up in time.")
+			l.abandonNewMember()
 		}
 	})
 }
 
-// abandonNewcomer cancels a change before it is in the log.
-func (l *leaderState) abandonNewcomer() {
+// abandonNewMember cancels a change before it is in the log.
+func (l *leaderState) abandonNewMember() {
 	add := l.change.add
 	l.endChange()
 	l.dismiss(add)
@@ -108,7 +108,7 @@
 	}
 	switch {
 	case c.entry == 0 && !l.alive(c.add):
-		l.abandonNewcomer()
+		l.abandonNewMember()
 	case c.entry == 0 && l.hasCaughtUp(c.add):
 		c.entry = l.appendEntry(Entry{Group: l.log.group.with(c.add)})
 		l.flushSoon()
--- a/internal/replication/registry.go
+++ b/internal/replication/registry.go
@@ -225,7 +225,7 @@
 	var body groupsEntry
 	if err := json.Unmarshal(entry.Payload, &body); err != nil {
 		g.mutex.Unlock()
-		g.manager.Logger.Warn().Err(err).Msg("Entry of the groups' stream not readable.")
+		g.manager.Logger.Warn().Err(err).Msg("Entry of the groups' stream cannot be decoded.")
 		return
 	}
 	var effects []func()
--- a/internal/replication/registry_writer.go
+++ b/internal/replication/registry_writer.go
@@ -23,7 +23,7 @@
 	g.mutex.Unlock()
 	payload, err := json.Marshal(entry)
 	if err != nil {
-		g.manager.Logger.Error().Err(err).Msg("Groups not encoded.")
+		g.manager.Logger.Error().Err(err).Msg("Entry for the groups' stream cannot be encoded.")
 		g.appended(entry, err)
 		return
 	}
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -121,19 +121,19 @@
 func (r *replica) receive(from structs.DaemonID, message peer.Message) {
 	switch m := message.(type) {
 	case *AppendRequest:
-		r.receiveAppend(from, m)
+		r.receiveAppendRequest(from, m)
 	case *AppendReply:
-		r.receiveAppended(from, m)
+		r.receiveAppendReply(from, m)
 	case *VoteRequest:
-		r.receiveVote(from, m)
+		r.receiveVoteRequest(from, m)
 	case *VoteReply:
-		r.receiveVoted(from, m)
+		r.receiveVoteReply(from, m)
 	case *LeadershipTransfer:
-		r.receiveTakeOver(from, m)
+		r.receiveLeadershipTransfer(from, m)
 	case *SnapshotChunk:
-		r.receiveChunk(from, m)
+		r.receiveSnapshotChunk(from, m)
 	case *SnapshotChunkReply:
-		r.receiveChunkTaken(from, m)
+		r.receiveSnapshotChunkReply(from, m)
 	case *Dismiss:
 		r.receiveDismiss(from, m)
 	}
@@ -152,15 +152,15 @@
 	r.publish()
 }
 
-// receiveAppend checks that the log matches the leader's up to the first new
+// receiveAppendRequest checks that the log matches the leader's up to the first new
 // entry, and adds the entries.
-func (r *replica) receiveAppend(from structs.DaemonID, m *AppendRequest) {
+func (r *replica) receiveAppendRequest(from structs.DaemonID, m *AppendRequest) {
 	if m.Epoch < r.voteState.epoch || (m.Epoch == r.voteState.epoch && r.leaderState != nil) {
 		r.refuse(from, m, 0)
 		return
 	}
 	if !m.wellFormed() {
-		r.logger.Warn().Str("from", string(from)).Msg("Append refused. Its entries do not follow each other.")
+		r.logger.Warn().Str("from", string(from)).Msg("Append request refused. Its entries are not contiguous.")
 		return
 	}
 	r.observe(m.Epoch)
@@ -215,7 +215,7 @@
 				continue
 			}
 			if entry.Index <= r.commit {
-				r.logger.Error().Uint64("index", uint64(entry.Index)).Msg("Committed entry contradicted.")
+				r.logger.Error().Uint64("index", uint64(entry.Index)).Msg("Committed entry conflicts with the leader's.")
 				r.countContradiction()
 				return
 			}
@@ -242,7 +242,7 @@
 	}
 	var records []structs.Record
 	if err := json.Unmarshal(entry.Records, &records); err != nil {
-		r.logger.Error().Err(err).Uint64("index", uint64(entry.Index)).Msg("Entry not readable.")
+		r.logger.Error().Err(err).Uint64("index", uint64(entry.Index)).Msg("Log entry cannot be decoded.")
 		return
 	}
 	for _, record := range records {
--- a/internal/replication/restore.go
+++ b/internal/replication/restore.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if err != nil {
-		r.logger.Warn().Err(err).Msg("Archive not readable. The shard waits.")
+		r.logger.Warn().Err(err).Msg("Archive not readable. The shard has no leader until it is.")
 		r.after(restoreRetry, func() { r.restore(epoch) })
 		return
 	}
@@ -54,7 +54,7 @@
 func (r *replica) installArchived(state *archivedState) bool {
 	machine := r.Application.NewStateMachine(r.shard)
 	if err := machine.Restore(state.base.State); err != nil {
-		r.logger.Error().Err(err).Msg("Archived snapshot refused.")
+		r.logger.Error().Err(err).Msg("Malformed archived snapshot refused.")
 		return false
 	}
 	r.machine.Discard()
--- a/internal/replication/routes_test.go
+++ b/internal/replication/routes_test.go
@@ -14,13 +14,13 @@
 	}
 }
 
-func TestNewcomerKnowsThatItIsAMember(t *testing.T) {
+func TestNewMemberKnowsItsMembership(t *testing.T) {
 	f := newTestFleet(t, 52, 1)
 	d := f.start(1, "a")
 	leader := f.start(2, "b")
 	group := Group{leader.self.ID, d.self.ID}
 	r := d.manager.open(shard, voteState{}, nil)
-	r.receiveAppend(leader.self.ID, &AppendRequest{Shard: shard, Epoch: 1, Entries: []Entry{{Index: 1, Epoch: 1, Group: group}}})
+	r.receiveAppendRequest(leader.self.ID, &AppendRequest{Shard: shard, Epoch: 1, Entries: []Entry{{Index: 1, Epoch: 1, Group: group}}})
 	if !d.manager.isMemberOf(shard) {
 		t.Error("the newcomer got its vote and does not say so")
 	}
--- a/internal/replication/search.go
+++ b/internal/replication/search.go
@@ -180,7 +180,7 @@
 		return
 	}
 	g.manager.Logger.Info().Int("shards", len(s.shards)).Any("unanswered", s.waiting).Strs("unreachable", unasked).
-		Msg("Search for replicas not complete. A shard is claimed once every listed daemon has answered.")
+		Msg("Search for replicas incomplete. A shard is claimed once every listed daemon has answered.")
 }
 
 func (m *Manager) areAllGone(group Group) bool {
--- a/internal/replication/snapshot_transfer.go
+++ b/internal/replication/snapshot_transfer.go
@@ -69,7 +69,7 @@
 	}
 	data, err := packSnapshot(l.machine)
 	if err != nil {
-		l.logger.Error().Err(err).Msg("Snapshot not made.")
+		l.logger.Error().Err(err).Msg("Snapshot cannot be encoded.")
 		l.releaseTransferSlot()
 		return
 	}
@@ -122,8 +122,8 @@
 	}
 }
 
-// receiveChunkTaken sends the next chunk, or ends the transfer.
-func (r *replica) receiveChunkTaken(from structs.DaemonID, m *SnapshotChunkReply) {
+// receiveSnapshotChunkReply sends the next chunk, or ends the transfer.
+func (r *replica) receiveSnapshotChunkReply(from structs.DaemonID, m *SnapshotChunkReply) {
 	if m.Epoch > r.voteState.epoch {
 		r.observe(m.Epoch)
 		r.scheduleElection()
@@ -161,10 +161,10 @@
 	data  []byte
 }
 
-// receiveChunk adds a chunk, and installs the snapshot once it is complete.
-func (r *replica) receiveChunk(from structs.DaemonID, m *SnapshotChunk) {
+// receiveSnapshotChunk adds a chunk, and installs the snapshot once it is complete.
+func (r *replica) receiveSnapshotChunk(from structs.DaemonID, m *SnapshotChunk) {
 	if !m.wellFormed() {
-		r.logger.Warn().Str("from", string(from)).Msg("Piece of a snapshot refused.")
+		r.logger.Warn().Str("from", string(from)).Msg("Malformed snapshot chunk refused.")
 		return
 	}
 	if m.Epoch < r.voteState.epoch || (m.Epoch == r.voteState.epoch && r.leaderState != nil) {
@@ -199,7 +199,7 @@
 func (r *replica) install(m *SnapshotChunk, data []byte) bool {
 	machine := r.Application.NewStateMachine(r.shard)
 	if err := unpackSnapshot(machine, data); err != nil {
-		r.logger.Error().Err(err).Msg("Snapshot refused.")
+		r.logger.Error().Err(err).Msg("Malformed snapshot refused.")
 		return false
 	}
 	former := r.log
--- a/internal/replication/supersede.go
+++ b/internal/replication/supersede.go
@@ -37,7 +37,7 @@
 	}
 	r.claimantUnknown = false
 	if r.log.last() > 0 {
-		r.logger.Warn().Uint64("last", uint64(r.log.last())).Msg("Replica emptied. The shard was claimed by another.")
+		r.logger.Warn().Uint64("last", uint64(r.log.last())).Msg("Replica emptied. The shard was claimed by another daemon.")
 	}
 	r.log = newEntryLog(0, 0, nil)
 	r.machine.Discard()
--- a/internal/replication/supersede_test.go
+++ b/internal/replication/supersede_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// claimantBeforeReading returns a survivor whose claim is in the stream, and
+// claimantBeforeReadback returns a survivor whose claim is in the stream, and
 // which has not read it back.
 func claimantBeforeReadback(t *testing.T, seed uint64) (*testFleet, *testDaemon) {
 	f, daemons := startThree(t, seed, 1)
@@ -43,7 +43,7 @@
 func TestReplicaIsResetByAnotherDaemonsClaim(t *testing.T) {
 	for _, how := range []string{"stream", "leader"} {
 		f, claimant := claimantBeforeReadback(t, 42)
-		// Two members that were wrongly held for gone have not heard of it.
+		// Two members that were wrongly confirmed gone have not read the claim.
 		member := f.start(5, "c")
 		r := member.manager.open(shard, voteState{}, Group{member.self.ID, claimant.self.ID})
 		r.log.append(Entry{Index: 1, Epoch: 1})
@@ -54,7 +54,7 @@
 		if how == "stream" {
 			member.manager.claimLost(claim{Shard: shard, Generation: 1, Claimant: claimant.self.ID})
 		} else {
-			r.receiveAppend(claimant.self.ID, &AppendRequest{Shard: shard, Epoch: firstEpoch(1)})
+			r.receiveAppendRequest(claimant.self.ID, &AppendRequest{Shard: shard, Epoch: firstEpoch(1)})
 		}
 		if r.log.last() != 0 || r.claimantUnknown {
 			t.Errorf("%s: the log of the lost group is still there", how)
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestSurvivorClaimsSoonAfterTheOthersAreGone: what a claim waits for is the
-// word of the machine list, not the next reading of the log.
+// TestSurvivorClaimsSoonAfterTheOthersAreGone checks that a claim waits for the
+// machine list only, and not for the next read of the log.
 func TestSurvivorClaimsSoonAfterTheOthersAreGone(t *testing.T) {
 	for seed := uint64(43); seed < 48; seed++ {
 		f, daemons := startThree(t, seed, 2)
@@ -96,12 +96,12 @@
 		t.Fatal("a run counts as running though another has its address")
 	}
 	if !next.manager.isConfirmedGone(former.self.ID) {
-		t.Error("a run holds the one before it at its own address for running")
+		t.Error("a run does not know that the former run at its own address has ended")
 	}
 	f.crash(next, false)
 	f.run(3 * time.Second)
 	if !daemons[0].manager.isConfirmedGone(former.self.ID) {
-		t.Error("a run came back to life because the next one at its address died")
+		t.Error("a run counts as running again because the next one at its address died")
 	}
 	if daemons[0].manager.isConfirmedGone(next.self.ID) {
 		t.Error("a run is gone though its machine is listed")
