--- a/internal/membership/partition_heal.go
+++ b/internal/membership/partition_heal.go
@@ -8,17 +8,17 @@
 	"github.com/mintpulley/mintpulley/internal/tokenbucket"
 )
 
-// When a network partition ends, each side still believes much of the
-// other dead, and still passes on these failure reports, about members that answer by now, to
-// daemons that never lost them. So a daemon that learns that a lost member is back, while
-// it has lost others, concludes that a partition has ended. Then it
+// When a network partition ends, each side still believes many members of the
+// other dead and still passes on these failure reports, about members that now
+// answer, to daemons that never lost them. So a daemon that learns that a lost
+// member is back, while it has lost others, concludes that a partition has ended.
 //
-//   - drops its queued failure reports, and ignores others' for HealDuration;
-//   - informs some neighbours that the partition has ended;
-//   - requests the table of a daemon from the other side, and marks the members that are alive
-//     there as alive without probing each.
+//   - It drops its queued failure reports and ignores others' for HealDuration.
+//   - It informs some neighbours that the partition has ended.
+//   - It requests the table of a daemon from the other side, and marks the members
+//     alive there as alive without probing each.
 //
-// A member that did die meanwhile is detected by its neighbours' probes as always.
+// A member that died meanwhile is detected by its neighbours' probes.
 
 const (
 	// minLostMembers is how many members must be lost besides the one that is
--- a/internal/replication/archive_reader.go
+++ b/internal/replication/archive_reader.go
@@ -121,14 +121,14 @@
 // finishWindow passes on the latest chain with a complete snapshot, or reads
 // the window before.
 func (r *archiveReader) finishWindow(begin structs.LogOffset) {
-	var whole []*chain
+	var complete []*chain
 	for _, read := range r.chains {
 		if read.isComplete(0) {
-			whole = append(whole, read)
+			complete = append(complete, read)
 		}
 	}
-	slices.SortFunc(whole, func(a, b *chain) int { return b.id.compare(a.id) })
-	for _, candidate := range whole {
+	slices.SortFunc(complete, func(a, b *chain) int { return b.id.compare(a.id) })
+	for _, candidate := range complete {
 		if state, err := candidate.state(); err == nil {
 			r.done(state, nil)
 			return
--- a/internal/replication/benchmark_test.go
+++ b/internal/replication/benchmark_test.go
@@ -90,7 +90,7 @@
 		f.start(3, "c")
 		f.run(3 * time.Second)
 		leader := f.leaderOf(shard)
-		leader.manager.movedAt = f.clock.Now()
+		leader.manager.rebalancedAt = f.clock.Now()
 		for range 1000 {
 			value := make([]byte, 512)
 			for i := range value {
--- a/internal/replication/claims.go
+++ b/internal/replication/claims.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		if r.alive(member) && !r.knownBehind(member) {
-			r.askPositionAgain(member)
+			r.requestPositionIfDue(member)
 			return
 		}
 		if !r.alive(member) && !r.isConfirmedGone(member) {
@@ -159,9 +159,9 @@
 // position.
 const positionRequestInterval = time.Second
 
-// askPositionAgain requests a member's log position, at most once per
+// requestPositionIfDue requests a member's log position, at most once per
 // positionRequestInterval.
-func (r *replica) askPositionAgain(member structs.DaemonID) {
+func (r *replica) requestPositionIfDue(member structs.DaemonID) {
 	now := r.Clock.Now()
 	age := now.Sub(r.positionRequestedAt[member])
 	if age >= 0 && age < positionRequestInterval {
--- a/internal/replication/extra_routes.go
+++ b/internal/replication/extra_routes.go
@@ -32,8 +32,8 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := m.Clock.Now()
-	last := m.lookup.lastAt
-	m.lookup.lastAt = now
+	last := m.routeLookup.requestedAt
+	m.routeLookup.requestedAt = now
 	return !last.IsZero() && now.Sub(last) < frequentRequestPause
 }
 
@@ -55,7 +55,7 @@
 	count := structs.ShardNumber(m.Settings.Shards)
 	missing, next, found := 0, structs.ShardNumber(0), false
 	for i := range count {
-		shard := (m.lookup.missingFrom + i) % count
+		shard := (m.routeLookup.missingFrom + i) % count
 		if m.routes.knowsLeader(shard) {
 			continue
 		}
@@ -67,7 +67,7 @@
 	if missing <= m.Settings.Shards/missingDivisor {
 		return 0, false
 	}
-	m.lookup.missingFrom = (next + maxExtraRoutes) % count
+	m.routeLookup.missingFrom = (next + maxExtraRoutes) % count
 	return next, true
 }
 
@@ -86,7 +86,7 @@
 func (m *Manager) extraRoutes(request *RouteRequest) []ShardRoute {
 	shards := m.knownFrom(request.From, request.Shards)
 	m.mutex.Lock()
-	granted := m.lookup.extras.take(m.Clock.Now(), float64(extraRouteSize*len(shards)))
+	granted := m.routeLookup.extras.take(m.Clock.Now(), float64(extraRouteSize*len(shards)))
 	m.mutex.Unlock()
 	if !granted {
 		return nil
--- a/internal/replication/extra_routes_test.go
+++ b/internal/replication/extra_routes_test.go
@@ -53,7 +53,7 @@
 // not become a member.
 func delayRebalancing(f *testFleet, daemons []*testDaemon) {
 	for _, d := range daemons {
-		d.manager.movedAt = f.clock.Now()
+		d.manager.rebalancedAt = f.clock.Now()
 	}
 }
 
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -171,9 +171,9 @@
 	}
 }
 
-func (f *testFleet) setPartitioned(a, b *testDaemon, cut bool) {
-	f.partitioned[[2]string{a.self.ID.Address(), b.self.ID.Address()}] = cut
-	f.partitioned[[2]string{b.self.ID.Address(), a.self.ID.Address()}] = cut
+func (f *testFleet) setPartitioned(a, b *testDaemon, partitioned bool) {
+	f.partitioned[[2]string{a.self.ID.Address(), b.self.ID.Address()}] = partitioned
+	f.partitioned[[2]string{b.self.ID.Address(), a.self.ID.Address()}] = partitioned
 	f.updateViews()
 }
 
@@ -275,11 +275,11 @@
 func (v *testView) truth(other *testDaemon) membership.State {
 	own, its := v.daemon.self.ID.Address(), other.self.ID.Address()
 	f := v.daemon.fleet
-	cut := f.partitioned[[2]string{own, its}] || f.partitioned[[2]string{its, own}] || v.daemon.wronglyHeldDead[other]
+	cutOff := f.partitioned[[2]string{own, its}] || f.partitioned[[2]string{its, own}] || v.daemon.wronglyHeldDead[other]
 	if other == v.daemon {
 		return membership.StateAlive
 	}
-	if !other.running || other.paused || cut {
+	if !other.running || other.paused || cutOff {
 		return membership.StateDead
 	}
 	if other.leaving {
--- a/internal/replication/genesis.go
+++ b/internal/replication/genesis.go
@@ -84,7 +84,7 @@
 // that sees a number of daemons and has run for some time.
 func (m *Manager) enoughForGenesis(seen int, running time.Duration) bool {
 	m.mutex.Lock()
-	listed, listKnown := float64(len(m.machines.listed)), m.machines.wasRead()
+	listed, listKnown := float64(len(m.machineList.listed)), m.machineList.wasRead()
 	m.mutex.Unlock()
 	switch {
 	case !listKnown && running < m.Settings.GenesisWait/genesisListDivisor:
--- a/internal/replication/leaderless.go
+++ b/internal/replication/leaderless.go
@@ -89,8 +89,8 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for address := range m.machines.unlistedAt {
-		if !addresses[address] && m.machines.missingFor(address) < m.Settings.ClaimGrace {
+	for address := range m.machineList.unlistedAt {
+		if !addresses[address] && m.machineList.missingFor(address) < m.Settings.ClaimGrace {
 			return false
 		}
 	}
--- a/internal/replication/limits.go
+++ b/internal/replication/limits.go
@@ -52,9 +52,9 @@
 	defer m.mutex.Unlock()
 	now := m.Clock.Now()
 	interval := m.Settings.RebalanceInterval * fastRebalanceLeads / time.Duration(max(fastRebalanceLeads, m.routes.countLed()))
-	if !m.movedAt.IsZero() && now.Sub(m.movedAt) < interval {
+	if !m.rebalancedAt.IsZero() && now.Sub(m.rebalancedAt) < interval {
 		return false
 	}
-	m.movedAt = now
+	m.rebalancedAt = now
 	return true
 }
--- a/internal/replication/linearizable_test.go
+++ b/internal/replication/linearizable_test.go
@@ -55,7 +55,7 @@
 func (h *history) read(d *testDaemon, client int, confirm bool) {
 	op := h.begin(client, operation{})
 	leader := d.app.led[shard]
-	look := func(err error) {
+	readState := func(err error) {
 		if err != nil {
 			return
 		}
@@ -66,9 +66,9 @@
 	}
 	d.do(func() {
 		if confirm {
-			leader.leadership.Queue().Do(func() { leader.leadership.Confirm(look) })
+			leader.leadership.Queue().Do(func() { leader.leadership.Confirm(readState) })
 		} else {
-			look(nil)
+			readState(nil)
 		}
 	})
 }
--- a/internal/replication/machines.go
+++ b/internal/replication/machines.go
@@ -62,7 +62,7 @@
 func (m *Manager) isSuperseded(daemon structs.DaemonID) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.latest[daemon.Address()] > daemon.Incarnation()
+	return m.latestIncarnation[daemon.Address()] > daemon.Incarnation()
 }
 
 // MachinesListed handles a read of the platform's machine list that differs
@@ -77,7 +77,7 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	view := &m.machines
+	view := &m.machineList
 	maps.DeleteFunc(view.unlistedAt, func(_ string, since time.Time) bool { return now.Sub(since) > unlistedRetention })
 	for address := range view.listed {
 		if !listed[address] {
@@ -99,8 +99,8 @@
 func (m *Manager) MachinesUnchanged() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.machines.wasRead() {
-		m.machines.lastAt = m.Clock.Now()
+	if m.machineList.wasRead() {
+		m.machineList.lastAt = m.Clock.Now()
 	}
 }
 
@@ -120,5 +120,5 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.machines.missingFor(daemon.Address()) >= m.Settings.ClaimGrace
+	return m.machineList.missingFor(daemon.Address()) >= m.Settings.ClaimGrace
 }
--- a/internal/replication/machines_test.go
+++ b/internal/replication/machines_test.go
@@ -90,10 +90,10 @@
 		m.MachinesListed([]structs.Machine{{Kind: structs.MachineDaemon, Address: fmt.Sprintf("10.0.%d.%d:7000", number/250, number%250)}})
 		virtual.RunUntil(virtual.Now().Add(24 * time.Hour / perDay))
 	}
-	if kept := len(m.machines.unlistedAt); kept > 2*perDay/24 {
+	if kept := len(m.machineList.unlistedAt); kept > 2*perDay/24 {
 		t.Errorf("%d addresses are remembered after %d were unlisted", kept, days*perDay)
 	}
-	if lacked := m.machines.missingFor("10.0.0.0:7000"); lacked < 24*time.Hour {
+	if lacked := m.machineList.missingFor("10.0.0.0:7000"); lacked < 24*time.Hour {
 		t.Errorf("a forgotten address counts as missing for %s", lacked)
 	}
 }
--- a/internal/replication/manager.go
+++ b/internal/replication/manager.go
@@ -41,19 +41,19 @@
 	stopped  bool
 	replicas map[structs.ShardNumber]*replica
 	// voteStates are those of replicas that were dropped.
-	voteStates map[structs.ShardNumber]voteState
-	routes     routeTable
-	lookup     routeLookup
+	voteStates  map[structs.ShardNumber]voteState
+	routes      routeTable
+	routeLookup routeLookup
 	// deadAt is since when daemons are believed dead.
 	deadAt map[structs.DaemonID]time.Time
-	// latest is the highest incarnation ever seen at an address.
-	latest   map[string]uint64
-	machines machineListView
+	// latestIncarnation is the highest incarnation ever seen at an address.
+	latestIncarnation map[string]uint64
+	machineList       machineListView
 	// leavingAddresses are the addresses whose latest run announced its stop.
 	leavingAddresses map[string]bool
 
 	transfers, changes int
-	movedAt            time.Time
+	rebalancedAt       time.Time
 	shardsToPlan       map[structs.ShardNumber]bool
 	planTimer          clock.Timer
 	planDue            time.Time
@@ -65,16 +65,16 @@
 // New returns a manager without replicas. Start starts it.
 func New(options Options) *Manager {
 	m := &Manager{
-		Options:          options,
-		replicas:         map[structs.ShardNumber]*replica{},
-		voteStates:       map[structs.ShardNumber]voteState{},
-		routes:           newRouteTable(),
-		lookup:           newRouteLookup(),
-		deadAt:           map[structs.DaemonID]time.Time{},
-		latest:           map[string]uint64{options.Self.ID.Address(): options.Self.ID.Incarnation()},
-		machines:         newMachineListView(),
-		leavingAddresses: map[string]bool{},
-		shardsToPlan:     map[structs.ShardNumber]bool{},
+		Options:           options,
+		replicas:          map[structs.ShardNumber]*replica{},
+		voteStates:        map[structs.ShardNumber]voteState{},
+		routes:            newRouteTable(),
+		routeLookup:       newRouteLookup(),
+		deadAt:            map[structs.DaemonID]time.Time{},
+		latestIncarnation: map[string]uint64{options.Self.ID.Address(): options.Self.ID.Incarnation()},
+		machineList:       newMachineListView(),
+		leavingAddresses:  map[string]bool{},
+		shardsToPlan:      map[structs.ShardNumber]bool{},
 	}
 	m.registry = newRegistry(m)
 	m.archiveWriter = &archiveWriter{manager: m}
@@ -259,7 +259,7 @@
 	}
 	m.mutex.Lock()
 	address := member.Daemon.ID.Address()
-	m.latest[address] = max(m.latest[address], member.Daemon.ID.Incarnation())
+	m.latestIncarnation[address] = max(m.latestIncarnation[address], member.Daemon.ID.Incarnation())
 	m.recordLeaving(member)
 	if member.State != membership.StateDead {
 		delete(m.deadAt, member.Daemon.ID)
--- a/internal/replication/planned_stop.go
+++ b/internal/replication/planned_stop.go
@@ -110,7 +110,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	count := 0
-	for address := range m.machines.listed {
+	for address := range m.machineList.listed {
 		if address != m.Self.ID.Address() && !m.leavingAddresses[address] {
 			count++
 		}
--- a/internal/replication/progress.go
+++ b/internal/replication/progress.go
@@ -20,8 +20,8 @@
 	// Dismissals raise the round, so a reply to an earlier one belongs to a
 	// former membership, whose entries the member has dropped.
 	firstRound uint64
-	// sentRound is the last round sent, and inFlight counts messages since the
-	// last reply.
+	// sentRound is the last round sent, and inFlight counts unanswered
+	// messages.
 	sentRound uint64
 	inFlight  int
 	// probing is set from a refusal or a timeout until a reply shows where the
--- a/internal/replication/restore.go
+++ b/internal/replication/restore.go
@@ -14,7 +14,7 @@
 // less than the archive holds would lose the rest for good.
 func (r *replica) restore(epoch structs.Epoch) {
 	if int(r.shard) >= r.Settings.ArchivedShards {
-		r.logger.Error().Msg("Shard starts anew. No replica of it survived; what it held is lost.")
+		r.logger.Error().Msg("Shard starts empty. No replica of it survived; its records are lost.")
 		r.openEpoch(epoch, Group{r.Self.ID})
 		r.watchMajority()
 		return
@@ -43,7 +43,7 @@
 		state = nil
 	}
 	r.logger.Error().Uint64("index", uint64(r.log.last())).Bool("archived", state != nil).
-		Msg("Shard starts anew. No replica of it survived; what is not archived is lost.")
+		Msg("Shard restarted without a replica. None survived; records that were not archived are lost.")
 	r.advanceCommit(r.log.last())
 	recovered := &structs.ShardRecovered{Index: r.log.last()}
 	r.openEpoch(epoch, Group{r.Self.ID}, structs.Record{At: r.Clock.Now(), ShardRecovered: recovered})
--- a/internal/replication/route_lookup.go
+++ b/internal/replication/route_lookup.go
@@ -18,8 +18,8 @@
 	repeats byteBudget
 	// extras limits the rate of extra routes in replies.
 	extras byteBudget
-	// lastAt is when requests were last sent.
-	lastAt time.Time
+	// requestedAt is when requests were last sent.
+	requestedAt time.Time
 	// missingFrom is the shard from which the search for the next missing route
 	// starts.
 	missingFrom structs.ShardNumber
@@ -28,8 +28,8 @@
 // byteBudget limits a byte rate; unused bytes accumulate up to a burst. The
 // zero value is full.
 type byteBudget struct {
-	used float64
-	at   time.Time
+	used      float64
+	updatedAt time.Time
 }
 
 const (
@@ -56,10 +56,10 @@
 
 // take takes bytes for a message and reports whether there were enough.
 func (a *byteBudget) take(now time.Time, size float64) bool {
-	if !a.at.IsZero() {
-		a.used = max(0, a.used-requestBytesPerSecond*max(0, now.Sub(a.at).Seconds()))
+	if !a.updatedAt.IsZero() {
+		a.used = max(0, a.used-requestBytesPerSecond*max(0, now.Sub(a.updatedAt).Seconds()))
 	}
-	a.at = now
+	a.updatedAt = now
 	if a.used+size > requestBurstBytes {
 		return false
 	}
@@ -80,8 +80,8 @@
 	}
 	entry.requestedAt = now
 	entry.requests++
-	first := len(m.lookup.wanted) == 0
-	m.lookup.wanted[shard] = true
+	first := len(m.routeLookup.wanted) == 0
+	m.routeLookup.wanted[shard] = true
 	if first {
 		m.Clock.AfterFunc(requestBatchDelay, m.sendRouteRequests)
 	}
@@ -109,7 +109,7 @@
 		for shards := range slices.Chunk(q.shards, maxShardsPerRequest) {
 			size := float64(estimatedMessageSize + estimatedShardSize*len(shards))
 			m.mutex.Lock()
-			granted := m.lookup.repeats.take(m.Clock.Now(), size) || !q.repeated
+			granted := m.routeLookup.repeats.take(m.Clock.Now(), size) || !q.repeated
 			m.mutex.Unlock()
 			if granted {
 				m.Transport.Send(q.to, m.newRouteRequest(shards, often && q.first && !q.repeated))
@@ -127,12 +127,12 @@
 		holder structs.DaemonID
 	}
 	m.mutex.Lock()
-	wants := make([]want, 0, len(m.lookup.wanted))
-	for shard := range m.lookup.wanted {
+	wants := make([]want, 0, len(m.routeLookup.wanted))
+	for shard := range m.routeLookup.wanted {
 		entry := m.routes.entry(shard)
 		wants = append(wants, want{shard, entry.requests, entry.holder})
 	}
-	clear(m.lookup.wanted)
+	clear(m.routeLookup.wanted)
 	m.mutex.Unlock()
 	slices.SortFunc(wants, func(a, b want) int {
 		return cmp.Or(cmp.Compare(a.turn, b.turn), cmp.Compare(a.shard, b.shard))
--- a/internal/replication/routes_test.go
+++ b/internal/replication/routes_test.go
@@ -22,6 +22,6 @@
 	r := d.manager.open(shard, voteState{}, nil)
 	r.receiveAppendRequest(leader.self.ID, &AppendRequest{Shard: shard, Epoch: 1, Entries: []Entry{{Index: 1, Epoch: 1, Group: group}}})
 	if !d.manager.isMemberOf(shard) {
-		t.Error("the newcomer got its vote and does not say so")
+		t.Error("the new member got its vote and does not report its membership")
 	}
 }
--- a/internal/replication/search.go
+++ b/internal/replication/search.go
@@ -277,7 +277,7 @@
 func (m *Manager) coversMachineList(asked Group) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.machines.wasRead() && len(m.unaskedLocked(asked)) == 0
+	return m.machineList.wasRead() && len(m.unaskedLocked(asked)) == 0
 }
 
 // unasked returns the addresses on the machine list that are not among those
@@ -295,7 +295,7 @@
 		addresses[daemon.Address()] = true
 	}
 	var missing []string
-	for address := range m.machines.listed {
+	for address := range m.machineList.listed {
 		if !addresses[address] {
 			missing = append(missing, address)
 		}
