--- a/internal/backends/applications.go
+++ b/internal/backends/applications.go
@@ -49,6 +49,6 @@
 			return
 		}
 		b.unreachable = false
-		b.sawRun(status.StartedUnixNano)
+		b.observeRun(status.StartedUnixNano)
 	})
 }
--- a/internal/backends/back_end.go
+++ b/internal/backends/back_end.go
@@ -12,7 +12,7 @@
 	machine structs.Machine
 	listed  bool
 	// listedBadAt is when the list last called it leaving or left it out.
-	listedBadAt time.Time
+	lastBadListingAt time.Time
 	// run is the latest run that it was heard of in, 0 while unknown.
 	run        int64
 	drainingAt time.Time
@@ -20,23 +20,23 @@
 	unreachable bool
 	failures    int
 	// polledAt is when the reading under way was begun.
-	polling  bool
-	polledAt time.Time
-	report   structs.LoadReport
-	heardAt  time.Time
-	cache    cacheReading
+	polling    bool
+	polledAt   time.Time
+	report     structs.LoadReport
+	reportedAt time.Time
+	cache      cacheProgress
 	// borrowedUntil is set for an engine of another cell.
 	borrowedUntil time.Time
 	// told is what the scheduler was last told.
-	told    structs.Engine
-	isKnown bool
+	reported    structs.Engine
+	inScheduler bool
 }
 
 func (b *backEnd) isEngine() bool { return b.machine.Kind == structs.MachineEngine }
 
 // leaving tells whether the newest bad news still stands.
 func (b *backEnd) leaving(settings Settings, now time.Time) bool {
-	listedBad := !b.listedBadAt.IsZero() && now.Sub(b.listedBadAt) < settings.ListHoldDown
+	listedBad := !b.lastBadListingAt.IsZero() && now.Sub(b.lastBadListingAt) < settings.ListHoldDown
 	return !b.listed || listedBad || b.draining(settings, now)
 }
 
@@ -58,7 +58,7 @@
 
 // sawRun takes the run in which it answered. It returns false for word of a
 // former run. A new run knows nothing of what the former one announced.
-func (b *backEnd) sawRun(run int64) bool {
+func (b *backEnd) observeRun(run int64) bool {
 	if run < b.run {
 		return false
 	}
@@ -67,16 +67,16 @@
 	}
 	if b.run != 0 {
 		b.drainingAt = time.Time{}
-		b.listedBadAt = time.Time{}
+		b.lastBadListingAt = time.Time{}
 	}
 	b.run = run
-	b.cache = cacheReading{}
+	b.cache = cacheProgress{}
 	return true
 }
 
 // sawDraining takes word that a run is leaving. It returns whether that is
 // news.
-func (b *backEnd) sawDraining(run int64, settings Settings, now time.Time) bool {
+func (b *backEnd) observeDraining(run int64, settings Settings, now time.Time) bool {
 	if run != 0 && run < b.run {
 		return false
 	}
--- a/internal/backends/borrow.go
+++ b/internal/backends/borrow.go
@@ -12,16 +12,16 @@
 // findModels looks for engines of other cells when calls wait for a model that
 // no engine of the own cell serves. A daemon of each other cell is asked, some
 // at a time; the engines that they tell of are borrowed for a while.
-func (d *Directory) findModels() {
+func (d *Directory) findMissingModels() {
 	if d.isStopped() {
 		return
 	}
 	if missing := d.missingModels(); len(missing) > 0 {
-		for _, daemon := range d.nextAsked() {
+		for _, daemon := range d.nextContacts() {
 			d.Transport.Send(daemon, &FindEngines{Models: missing})
 		}
 	}
-	d.Clock.AfterFunc(d.Settings.FindInterval, d.findModels)
+	d.Clock.AfterFunc(d.Settings.FindInterval, d.findMissingModels)
 }
 
 // missingModels lists models and adapters that calls wait for and no engine in
@@ -50,7 +50,7 @@
 	now := d.Clock.Now()
 	var reports []structs.LoadReport
 	for _, b := range d.listedEngines() {
-		usable := d.uses(b) && d.takesWork(b, now) && !b.suspected(d.Settings, now)
+		usable := d.uses(b) && d.acceptsWork(b, now) && !b.suspected(d.Settings, now)
 		if usable && b.report.Serves(wanted) {
 			reports = append(reports, b.report)
 		}
@@ -59,27 +59,27 @@
 }
 
 // nextAsked returns the daemons to ask now, each of another cell, in turn.
-func (d *Directory) nextAsked() []structs.DaemonID {
+func (d *Directory) nextContacts() []structs.DaemonID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	all := d.cells.contacts
 	var asked []structs.DaemonID
 	for range min(d.Settings.FindFanout, len(all)) {
-		asked = append(asked, all[d.asked%len(all)])
-		d.asked++
+		asked = append(asked, all[d.nextContact%len(all)])
+		d.nextContact++
 	}
 	return asked
 }
 
 // answerFind tells of engines of the own cell; borrowed ones are left to those
 // who watch them.
-func (d *Directory) answerFind(from structs.DaemonID, find *FindEngines) {
+func (d *Directory) handleFind(from structs.DaemonID, find *FindEngines) {
 	var digests []LoadSummary
 	for _, wanted := range find.Models {
 		for _, report := range d.serving(wanted) {
 			known := slices.ContainsFunc(digests, func(g LoadSummary) bool { return g.Engine == report.Engine })
 			if !known && d.inCell(report.Engine) && len(digests) < d.Settings.FindEngines*len(find.Models) {
-				digests = append(digests, digestOf(report))
+				digests = append(digests, summaryOf(report))
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 			b.borrowedUntil = d.Clock.Now().Add(d.Settings.BorrowDuration)
 		}
 		d.mutex.Unlock()
-		d.heardDigest(digest)
+		d.receiveSummary(digest)
 	}
 }
 
@@ -114,7 +114,7 @@
 // region first.
 func (d *Directory) contactsOf(byCell map[cellKey][]structs.DaemonID, own cellKey) []structs.DaemonID {
 	keys := slices.SortedFunc(maps.Keys(byCell), func(a, b cellKey) int {
-		if near := compareNear(a.region == own.region, b.region == own.region); near != 0 {
+		if near := trueFirst(a.region == own.region, b.region == own.region); near != 0 {
 			return near
 		}
 		return cmp.Or(cmp.Compare(a.region, b.region), cmp.Compare(a.number, b.number))
@@ -122,13 +122,13 @@
 	var contacts []structs.DaemonID
 	for _, key := range keys {
 		if key != own {
-			contacts = append(contacts, watcher(structs.EngineID(d.Self.ID), byCell[key]))
+			contacts = append(contacts, watcherOf(structs.EngineID(d.Self.ID), byCell[key]))
 		}
 	}
 	return contacts
 }
 
-func compareNear(a, b bool) int {
+func trueFirst(a, b bool) int {
 	switch {
 	case a && !b:
 		return -1
--- a/internal/backends/cells.go
+++ b/internal/backends/cells.go
@@ -83,9 +83,9 @@
 	if len(members) <= d.Settings.DirectDaemons && len(engines) <= d.Settings.DirectEngines {
 		return cells{direct: true, peers: others(daemonsOf(members), d.Self.ID)}
 	}
-	near := slices.DeleteFunc(slices.Clone(engines), func(b *backEnd) bool { return b.machine.Region != d.Self.Region })
-	if len(near) == 0 {
-		near = engines
+	regional := slices.DeleteFunc(slices.Clone(engines), func(b *backEnd) bool { return b.machine.Region != d.Self.Region })
+	if len(regional) == 0 {
+		regional = engines
 	}
 	counts := d.cellCounts(members)
 	byCell := map[cellKey][]structs.DaemonID{}
@@ -97,12 +97,12 @@
 	own := cellKey{d.Self.Region, cellOf(d.Self.ID.Address(), count)}
 	cell := byCell[own]
 	division := cells{peers: others(cell, d.Self.ID), contacts: d.contactsOf(byCell, own)}
-	for _, b := range near {
+	for _, b := range regional {
 		if cellOf(string(b.id), count) == own.number {
 			division.used = append(division.used, b.id)
 		}
 	}
-	for position, daemon := range watchersOf(division.used, cell) {
+	for position, daemon := range assignWatchers(division.used, cell) {
 		if daemon == d.Self.ID {
 			division.watched = append(division.watched, division.used[position])
 		}
--- a/internal/backends/directory.go
+++ b/internal/backends/directory.go
@@ -74,16 +74,16 @@
 type Directory struct {
 	Options
 
-	mutex    sync.Mutex
-	backEnds map[structs.EngineID]*backEnd
-	view     machineView
-	cells    cells
-	sweep    holdSweep
-	stopped  bool
-	turn     int
-	watches  int
+	mutex       sync.Mutex
+	backEnds    map[structs.EngineID]*backEnd
+	machineList machineList
+	cells       cells
+	sweep       holdSweep
+	stopped     bool
+	roundRobin  int
+	pollRounds  int
 	// asked counts the daemons of other cells that were asked for engines.
-	asked int
+	nextContact int
 }
 
 // New returns a directory that knows no back end.
@@ -94,9 +94,9 @@
 // Start begins to read the list and the engines' reports.
 func (d *Directory) Start() {
 	d.readList()
-	d.watch()
+	d.pollEngines()
 	d.probeApplications()
-	d.findModels()
+	d.findMissingModels()
 	d.Clock.AfterFunc(d.Settings.HoldSweepInterval, d.sweepHolds)
 }
 
@@ -122,7 +122,7 @@
 	now := d.Clock.Now()
 	var candidates []*backEnd
 	for id, b := range d.backEnds {
-		serves := b.machine.Name == target && !b.isEngine() && d.takesWork(b, now)
+		serves := b.machine.Name == target && !b.isEngine() && d.acceptsWork(b, now)
 		if serves && !slices.Contains(avoid, id) {
 			candidates = append(candidates, b)
 		}
@@ -133,8 +133,8 @@
 		return "", false
 	}
 	slices.SortFunc(candidates, func(a, b *backEnd) int { return cmp.Compare(a.id, b.id) })
-	d.turn++
-	return candidates[d.turn%len(candidates)].id, true
+	d.roundRobin++
+	return candidates[d.roundRobin%len(candidates)].id, true
 }
 
 // prefer keeps those that fit, or all if none does.
@@ -146,7 +146,7 @@
 	return candidates
 }
 
-func (d *Directory) takesWork(b *backEnd, now time.Time) bool {
+func (d *Directory) acceptsWork(b *backEnd, now time.Time) bool {
 	if d.Guards.IgnoreLeaving {
 		return b.listed
 	}
@@ -191,12 +191,12 @@
 		return
 	}
 	run, engine := b.run, b.isEngine()
-	news := b.sawDraining(run, d.Settings, d.Clock.Now())
+	news := b.observeDraining(run, d.Settings, d.Clock.Now())
 	d.mutex.Unlock()
-	d.tell(id)
+	d.updateScheduler(id)
 	if news {
 		d.Logger.Info().Str("back_end", string(id)).Msg("Back end is leaving.")
-		d.passOn(&Leaving{BackEnd: id, Run: run})
+		d.broadcast(&Leaving{BackEnd: id, Run: run})
 	}
 	if news && !engine {
 		d.probeApplication(id)
@@ -215,7 +215,7 @@
 	b.unreachable = true
 	engine := b.isEngine()
 	d.mutex.Unlock()
-	d.tell(id)
+	d.updateScheduler(id)
 	if engine {
 		d.poll(id)
 	} else {
@@ -224,7 +224,7 @@
 }
 
 // tell gives the scheduler what is new about an engine.
-func (d *Directory) tell(id structs.EngineID) {
+func (d *Directory) updateScheduler(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
 	if b == nil || !b.isEngine() || !b.listed || !d.uses(b) {
@@ -232,9 +232,9 @@
 		return
 	}
 	engine := d.engineOf(b)
-	same := b.isKnown && b.told.Zone == engine.Zone && b.told.Region == engine.Region && b.told.Leaving == engine.Leaving
-	b.told = engine
-	b.isKnown = true
+	same := b.inScheduler && b.reported.Zone == engine.Zone && b.reported.Region == engine.Region && b.reported.Leaving == engine.Leaving
+	b.reported = engine
+	b.inScheduler = true
 	d.mutex.Unlock()
 	if !same {
 		d.Scheduler.UpdateEngine(engine)
@@ -243,7 +243,7 @@
 
 func (d *Directory) engineOf(b *backEnd) structs.Engine {
 	now := d.Clock.Now()
-	noWork := !d.takesWork(b, now) || b.suspected(d.Settings, now)
+	noWork := !d.acceptsWork(b, now) || b.suspected(d.Settings, now)
 	return structs.Engine{
 		ID:      b.id,
 		Zone:    b.machine.Zone,
--- a/internal/backends/directory_test.go
+++ b/internal/backends/directory_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestListedAsLeavingGetsNoWork(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA))
+	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.wantLeaving(t, false, "at first")
 	b.machines[0].State = structs.MachineLeaving
 	b.run(2 * time.Second)
@@ -29,7 +29,7 @@
 }
 
 func TestOwnWordOutweighsTheListAndLaggingReports(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA))
+	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.MarkDraining(engineA)
 	b.wantLeaving(t, true, "after its word")
 	b.run(10 * time.Second)
@@ -43,7 +43,7 @@
 }
 
 func TestOthersWordIsTaken(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA))
+	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.Receive("10.0.0.2:7000#1", &Leaving{BackEnd: engineA, Run: 50})
 	b.wantLeaving(t, false, "word of a former run")
 	b.Receive("10.0.0.2:7000#1", &Leaving{BackEnd: engineA, Run: 100})
@@ -51,7 +51,7 @@
 }
 
 func TestWordIsPassedOnOnce(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA))
+	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.set(engineA, func(r *structs.LoadReport) { r.Draining = true })
 	b.run(time.Minute)
 	want := []peer.Message{&Leaving{BackEnd: engineA, Run: 100}}
@@ -61,7 +61,7 @@
 }
 
 func TestUnreadableEngineGetsNoWorkUntilItAnswers(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA))
+	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.down[engineA] = true
 	b.run(2 * time.Second)
 	b.wantLeaving(t, true, "after failed readings")
@@ -74,7 +74,7 @@
 }
 
 func TestGuardIgnoresLeaving(t *testing.T) {
-	b := newBench(Guards{IgnoreLeaving: true}, engineRow(engineA))
+	b := newTestDirectory(Guards{IgnoreLeaving: true}, engineRow(engineA))
 	b.machines[0].State = structs.MachineLeaving
 	b.MarkDraining(engineA)
 	b.run(5 * time.Second)
@@ -82,7 +82,7 @@
 }
 
 func TestApplicationLeavesAndReturns(t *testing.T) {
-	b := newBench(Guards{}, applicationRow(orders))
+	b := newTestDirectory(Guards{}, applicationRow(orders))
 	chosen := func() structs.EngineID {
 		id, _ := b.Application("orders", nil)
 		return id
@@ -111,29 +111,29 @@
 }
 
 func TestCacheEventsAreReadInOrderAndGapsTold(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA))
+	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.events[engineA] = []structs.CacheEvent{{Engine: engineA, Sequence: 1}, {Engine: engineA, Sequence: 2}}
 	b.set(engineA, func(r *structs.LoadReport) { r.CacheEventSequence = 2 })
 	b.run(time.Second)
 	b.events[engineA] = append(b.events[engineA], structs.CacheEvent{Engine: engineA, Sequence: 5})
 	b.set(engineA, func(r *structs.LoadReport) { r.CacheEventSequence = 5 })
 	b.run(time.Second)
-	if diff := cmp.Diff([]uint64{1, 2, 5}, b.cached); diff != "" {
+	if diff := cmp.Diff([]uint64{1, 2, 5}, b.cacheSequences); diff != "" {
 		t.Error(diff)
 	}
-	if b.gaps != 1 {
-		t.Errorf("%d gaps told, want 1", b.gaps)
+	if b.cacheGaps != 1 {
+		t.Errorf("%d gaps told, want 1", b.cacheGaps)
 	}
 }
 
 func TestHoldThatStaysIsReportedByOneDaemon(t *testing.T) {
 	rows := []structs.Machine{engineRow(engineA), engineRow(engineB), engineRow("10.1.0.3:9000"), engineRow("10.1.0.4:9000")}
-	b := newBench(Guards{}, rows...)
+	b := newTestDirectory(Guards{}, rows...)
 	mine := 0
 	for _, row := range rows {
 		id := structs.EngineID(row.Address)
 		b.holds[id] = []structs.Hold{{ID: structs.HoldID(id), Engine: id}}
-		if watcher(id, daemonsOf(b.members)) == b.Self.ID {
+		if watcherOf(id, daemonsOf(b.members)) == b.Self.ID {
 			mine++
 		}
 	}
@@ -161,7 +161,7 @@
 		row.Region = structs.RegionName(fmt.Sprintf("r%d", i%4))
 		rows = append(rows, row)
 	}
-	b := newBench(Guards{}, engineRow(engineA))
+	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.members = nil
 	for i := range 400 {
 		b.members = append(b.members, membership.Member{State: membership.StateAlive, Daemon: structs.Daemon{
@@ -202,7 +202,7 @@
 }
 
 func TestMissingModelIsBorrowedFromAnotherCell(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA))
+	b := newTestDirectory(Guards{}, engineRow(engineA))
 	for i := range 64 {
 		b.members = append(b.members, membership.Member{State: membership.StateAlive, Daemon: structs.Daemon{
 			ID: structs.DaemonID(fmt.Sprintf("10.9.0.%d:7000#1", i)), Region: "r",
@@ -236,7 +236,7 @@
 	}
 	report := structs.LoadReport{Engine: far, MaximumRunning: 8, StartedUnixNano: 100, Models: []structs.ModelName{"rare"}}
 	b.reports[far] = report
-	b.Receive("10.9.0.1:7000#1", &EnginesFound{Summaries: []LoadSummary{digestOf(report)}})
+	b.Receive("10.9.0.1:7000#1", &EnginesFound{Summaries: []LoadSummary{summaryOf(report)}})
 	if b.engines[far].ID != far {
 		t.Error("the engine that was found is not in use")
 	}
--- a/internal/backends/bench_test.go
+++ b/internal/backends/fixture_test.go
@@ -18,7 +18,7 @@
 )
 
 // bench is one directory among fakes on a virtual clock.
-type bench struct {
+type testDirectory struct {
 	*Directory
 	clock    *clock.Virtual
 	machines []structs.Machine
@@ -26,62 +26,62 @@
 	// named. reading takes the place of the service where it is set.
 	published     [][]structs.Machine
 	versionsAsked []framework.ListVersion
-	reading       func(since framework.ListVersion) framework.ListReading
+	listOverride  func(since framework.ListVersion) framework.ListReading
 	listFails     bool
 	// lists are those that OnList was told.
 	lists [][]structs.Machine
 	// sameLists counts readings that showed the same.
-	sameLists int
-	reports   map[structs.EngineID]structs.LoadReport
-	down      map[structs.EngineID]bool
-	polls     int
-	holds     map[structs.EngineID][]structs.Hold
-	events    map[structs.EngineID][]structs.CacheEvent
-	runs      map[structs.EngineID]int64
-	members   []membership.Member
-	sent      []peer.Message
-	sentTo    []structs.DaemonID
-
-	engines map[structs.EngineID]structs.Engine
-	cached  []uint64
-	gaps    int
-	waiting []schedule.ModelWaiting
-}
-
-func (b *bench) UpdateEngine(engine structs.Engine)      { b.engines[engine.ID] = engine }
-func (b *bench) RemoveEngine(id structs.EngineID)        { delete(b.engines, id) }
-func (b *bench) UpdateLoad(structs.LoadReport)           {}
-func (b *bench) CacheGap(structs.EngineID)               { b.gaps++ }
-func (b *bench) WaitingByModel() []schedule.ModelWaiting { return b.waiting }
-
-func (b *bench) Members() []membership.Member                 { return slices.Clone(b.members) }
-func (b *bench) Shard(structs.ProgramKey) structs.ShardNumber { return 0 }
-
-func (b *bench) CacheEvents(events []structs.CacheEvent) {
+	unchangedLists int
+	reports        map[structs.EngineID]structs.LoadReport
+	down           map[structs.EngineID]bool
+	polls          int
+	holds          map[structs.EngineID][]structs.Hold
+	events         map[structs.EngineID][]structs.CacheEvent
+	runs           map[structs.EngineID]int64
+	members        []membership.Member
+	sent           []peer.Message
+	sentTo         []structs.DaemonID
+
+	engines        map[structs.EngineID]structs.Engine
+	cacheSequences []uint64
+	cacheGaps      int
+	waiting        []schedule.ModelWaiting
+}
+
+func (b *testDirectory) UpdateEngine(engine structs.Engine)      { b.engines[engine.ID] = engine }
+func (b *testDirectory) RemoveEngine(id structs.EngineID)        { delete(b.engines, id) }
+func (b *testDirectory) UpdateLoad(structs.LoadReport)           {}
+func (b *testDirectory) CacheGap(structs.EngineID)               { b.cacheGaps++ }
+func (b *testDirectory) WaitingByModel() []schedule.ModelWaiting { return b.waiting }
+
+func (b *testDirectory) Members() []membership.Member                 { return slices.Clone(b.members) }
+func (b *testDirectory) Shard(structs.ProgramKey) structs.ShardNumber { return 0 }
+
+func (b *testDirectory) CacheEvents(events []structs.CacheEvent) {
 	for _, event := range events {
-		b.cached = append(b.cached, event.Sequence)
+		b.cacheSequences = append(b.cacheSequences, event.Sequence)
 	}
 }
 
-func (b *bench) Route(structs.ShardNumber) replication.Route {
+func (b *testDirectory) Route(structs.ShardNumber) replication.Route {
 	return replication.Route{Leader: "10.0.0.9:7000#1"}
 }
 
-func (b *bench) Send(to structs.DaemonID, message peer.Message) {
+func (b *testDirectory) Send(to structs.DaemonID, message peer.Message) {
 	b.sent = append(b.sent, message)
 	b.sentTo = append(b.sentTo, to)
 }
 
 // List plays a service that knows each list that it gave and answers with
 // changes from there.
-func (b *bench) List(since framework.ListVersion, done func(framework.ListReading, error)) {
+func (b *testDirectory) List(since framework.ListVersion, done func(framework.ListReading, error)) {
 	b.versionsAsked = append(b.versionsAsked, since)
 	if b.listFails {
 		done(framework.ListReading{}, framework.ErrUnreachable)
 		return
 	}
-	if b.reading != nil {
-		done(b.reading(since), nil)
+	if b.listOverride != nil {
+		done(b.listOverride(since), nil)
 		return
 	}
 	b.published = append(b.published, slices.Clone(b.machines))
@@ -97,25 +97,25 @@
 // fakeEngines answers at once.
 type fakeEngines struct {
 	framework.EngineDriver
-	bench *bench
+	directory *testDirectory
 }
 
 func (e fakeEngines) Load(id structs.EngineID, done func(structs.LoadReport, error)) {
-	e.bench.polls++
-	if e.bench.down[id] {
+	e.directory.polls++
+	if e.directory.down[id] {
 		done(structs.LoadReport{}, framework.ErrUnreachable)
 		return
 	}
-	done(e.bench.reports[id], nil)
+	done(e.directory.reports[id], nil)
 }
 
 func (e fakeEngines) Holds(id structs.EngineID, done func([]structs.Hold, error)) {
-	done(e.bench.holds[id], nil)
+	done(e.directory.holds[id], nil)
 }
 
 func (e fakeEngines) CacheEvents(id structs.EngineID, after uint64, done func([]structs.CacheEvent, error)) {
 	var events []structs.CacheEvent
-	for _, event := range e.bench.events[id] {
+	for _, event := range e.directory.events[id] {
 		if event.Sequence > after {
 			events = append(events, event)
 		}
@@ -125,19 +125,19 @@
 
 type fakeApplications struct {
 	framework.ApplicationDriver
-	bench *bench
+	directory *testDirectory
 }
 
 func (a fakeApplications) Inspect(id structs.EngineID, _ structs.AttemptID, _ structs.Epoch, done func(framework.AttemptStatus, error)) {
-	if a.bench.down[id] {
+	if a.directory.down[id] {
 		done(framework.AttemptStatus{}, framework.ErrUnreachable)
 		return
 	}
-	done(framework.AttemptStatus{StartedUnixNano: a.bench.runs[id]}, nil)
+	done(framework.AttemptStatus{StartedUnixNano: a.directory.runs[id]}, nil)
 }
 
-func newBench(guards Guards, machines ...structs.Machine) *bench {
-	b := &bench{
+func newTestDirectory(guards Guards, machines ...structs.Machine) *testDirectory {
+	b := &testDirectory{
 		clock:    clock.NewVirtual(time.Unix(1_700_000_000, 0)),
 		machines: machines,
 		reports:  map[structs.EngineID]structs.LoadReport{},
@@ -160,7 +160,7 @@
 	b.Directory = New(Options{
 		Self:            self,
 		Clock:           b.clock,
-		Drivers:         framework.Drivers{Engines: fakeEngines{bench: b}, Applications: fakeApplications{bench: b}, Machines: b},
+		Drivers:         framework.Drivers{Engines: fakeEngines{directory: b}, Applications: fakeApplications{directory: b}, Machines: b},
 		Transport:       b,
 		Scheduler:       b,
 		Members:         b,
@@ -169,16 +169,16 @@
 		Guards:          guards,
 		Logger:          zerolog.Nop(),
 		OnList:          func(machines []structs.Machine) { b.lists = append(b.lists, machines) },
-		OnListUnchanged: func() { b.sameLists++ },
+		OnListUnchanged: func() { b.unchangedLists++ },
 	})
 	b.Start()
 	b.run(2 * time.Second)
 	return b
 }
 
-func (b *bench) run(d time.Duration) { b.clock.RunUntil(b.clock.Now().Add(d)) }
+func (b *testDirectory) run(d time.Duration) { b.clock.RunUntil(b.clock.Now().Add(d)) }
 
-func (b *bench) set(id structs.EngineID, change func(*structs.LoadReport)) {
+func (b *testDirectory) set(id structs.EngineID, change func(*structs.LoadReport)) {
 	report := b.reports[id]
 	change(&report)
 	b.reports[id] = report
@@ -198,7 +198,7 @@
 	return structs.Machine{Kind: structs.MachineApplication, Name: "orders", Address: string(id), Zone: "a", Region: "r", State: structs.MachineLive}
 }
 
-func (b *bench) wantLeaving(t *testing.T, want bool, when string) {
+func (b *testDirectory) wantLeaving(t *testing.T, want bool, when string) {
 	t.Helper()
 	if got := b.engines[engineA].Leaving; got != want {
 		t.Errorf("%s: leaving is %v, want %v", when, got, want)
--- a/internal/backends/holds.go
+++ b/internal/backends/holds.go
@@ -29,10 +29,10 @@
 		return
 	}
 	if !d.Guards.SkipHoldSweep {
-		for _, id := range d.sweptEngines() {
+		for _, id := range d.enginesToSweep() {
 			d.Drivers.Engines.Holds(id, func(holds []structs.Hold, err error) {
 				if err == nil {
-					d.sweptHolds(id, holds)
+					d.holdsRead(id, holds)
 				}
 			})
 		}
@@ -46,7 +46,7 @@
 	d.Clock.AfterFunc(interval, d.sweepHolds)
 }
 
-func (d *Directory) sweptEngines() []structs.EngineID {
+func (d *Directory) enginesToSweep() []structs.EngineID {
 	var alive []structs.DaemonID
 	for _, member := range d.Members.Members() {
 		if member.State == membership.StateAlive {
@@ -57,7 +57,7 @@
 	defer d.mutex.Unlock()
 	var ids []structs.EngineID
 	for _, b := range d.listedEngines() {
-		if watcher(b.id, alive) == d.Self.ID {
+		if watcherOf(b.id, alive) == d.Self.ID {
 			ids = append(ids, b.id)
 		}
 	}
@@ -71,7 +71,7 @@
 
 // sweptHolds reports holds that have stayed to the leaders of their programs,
 // who know whether they are still wanted.
-func (d *Directory) sweptHolds(engine structs.EngineID, holds []structs.Hold) {
+func (d *Directory) holdsRead(engine structs.EngineID, holds []structs.Hold) {
 	d.mutex.Lock()
 	former := d.sweep.seen[engine]
 	current := map[structs.HoldID]int{}
--- a/internal/backends/list.go
+++ b/internal/backends/list.go
@@ -13,32 +13,32 @@
 		return
 	}
 	d.mutex.Lock()
-	since := d.view.next(d.Settings.FullListEvery)
+	since := d.machineList.nextBase(d.Settings.FullListEvery)
 	d.mutex.Unlock()
 	d.Drivers.Machines.List(since, func(reading framework.ListReading, err error) {
 		if err == nil {
-			d.takeReading(reading)
+			d.applyListRead(reading)
 		}
 		d.Clock.AfterFunc(d.listInterval(), d.readList)
 	})
 }
 
 // takeReading joins a reading to the list and acts on what it shows.
-func (d *Directory) takeReading(reading framework.ListReading) {
+func (d *Directory) applyListRead(reading framework.ListReading) {
 	d.mutex.Lock()
-	changed, err := d.view.take(reading)
+	changed, err := d.machineList.apply(reading)
 	var machines []structs.Machine
 	if changed {
-		machines = d.view.machines()
+		machines = d.machineList.machines()
 	}
 	d.mutex.Unlock()
 	switch {
 	case err != nil:
 		d.Logger.Warn().Err(err).Msg("Machine list is read anew.")
 	case changed:
-		d.update(machines)
+		d.listChanged(machines)
 	default:
-		d.unchanged()
+		d.listUnchanged()
 	}
 }
 
@@ -52,7 +52,7 @@
 }
 
 // update takes a list that changed.
-func (d *Directory) update(machines []structs.Machine) {
+func (d *Directory) listChanged(machines []structs.Machine) {
 	d.mutex.Lock()
 	present := map[structs.EngineID]bool{}
 	for _, machine := range machines {
@@ -61,9 +61,9 @@
 		}
 		id := structs.EngineID(machine.Address)
 		present[id] = true
-		d.list(id, machine)
+		d.addListed(id, machine)
 	}
-	gone := d.unlist(present)
+	gone := d.removeUnlisted(present)
 	d.mutex.Unlock()
 	for _, id := range gone {
 		d.Scheduler.RemoveEngine(id)
@@ -71,30 +71,30 @@
 	d.OnList(machines)
 	d.assignCells()
 	d.refresh()
-	d.pollNew()
+	d.pollUnread()
 }
 
 // unchanged takes a list that shows what it showed before: who was leaving
 // still is, and who is not listed may be forgotten.
-func (d *Directory) unchanged() {
+func (d *Directory) listUnchanged() {
 	d.mutex.Lock()
 	now := d.Clock.Now()
 	for id, b := range d.backEnds {
 		switch {
 		case b.listed && b.machine.State == structs.MachineLeaving:
-			b.listedBadAt = now
-		case !b.listed && now.Sub(b.listedBadAt) >= d.Settings.ListHoldDown:
+			b.lastBadListingAt = now
+		case !b.listed && now.Sub(b.lastBadListingAt) >= d.Settings.ListHoldDown:
 			delete(d.backEnds, id)
 		}
 	}
 	d.mutex.Unlock()
 	d.OnListUnchanged()
 	d.refresh()
-	d.pollNew()
+	d.pollUnread()
 }
 
 // list takes one row.
-func (d *Directory) list(id structs.EngineID, machine structs.Machine) {
+func (d *Directory) addListed(id structs.EngineID, machine structs.Machine) {
 	b := d.backEnds[id]
 	if b == nil {
 		b = &backEnd{id: id}
@@ -103,13 +103,13 @@
 	b.machine = machine
 	b.listed = true
 	if machine.State == structs.MachineLeaving {
-		b.listedBadAt = d.Clock.Now()
+		b.lastBadListingAt = d.Clock.Now()
 	}
 }
 
 // unlist marks back ends that are no longer listed, and forgets those that
 // have been so for a while. It returns, in order, those that are newly gone.
-func (d *Directory) unlist(present map[structs.EngineID]bool) []structs.EngineID {
+func (d *Directory) removeUnlisted(present map[structs.EngineID]bool) []structs.EngineID {
 	now := d.Clock.Now()
 	var gone []structs.EngineID
 	for id, b := range d.backEnds {
@@ -117,10 +117,10 @@
 		case present[id]:
 		case b.listed:
 			b.listed = false
-			b.isKnown = false
-			b.listedBadAt = now
+			b.inScheduler = false
+			b.lastBadListingAt = now
 			gone = append(gone, id)
-		case now.Sub(b.listedBadAt) >= d.Settings.ListHoldDown:
+		case now.Sub(b.lastBadListingAt) >= d.Settings.ListHoldDown:
 			delete(d.backEnds, id)
 		}
 	}
@@ -130,16 +130,16 @@
 
 // refresh brings the scheduler up to what time and news have changed.
 func (d *Directory) refresh() {
-	for _, id := range d.unused() {
+	for _, id := range d.withdrawUnused() {
 		d.Scheduler.RemoveEngine(id)
 	}
-	for _, id := range d.used() {
-		d.tell(id)
+	for _, id := range d.usedEngines() {
+		d.updateScheduler(id)
 	}
 }
 
 // used lists the engines that this daemon gives work to, in order.
-func (d *Directory) used() []structs.EngineID {
+func (d *Directory) usedEngines() []structs.EngineID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var ids []structs.EngineID
@@ -154,13 +154,13 @@
 
 // unused lists, in order, the engines that the scheduler was told of and that
 // this daemon no longer uses, and notes that they are taken back.
-func (d *Directory) unused() []structs.EngineID {
+func (d *Directory) withdrawUnused() []structs.EngineID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var ids []structs.EngineID
 	for id, b := range d.backEnds {
-		if b.isKnown && !d.uses(b) {
-			b.isKnown = false
+		if b.inScheduler && !d.uses(b) {
+			b.inScheduler = false
 			ids = append(ids, id)
 		}
 	}
--- a/internal/backends/list_test.go
+++ b/internal/backends/list_test.go
@@ -18,7 +18,7 @@
 
 func TestListIsPassedOnOnlyWhenItChanges(t *testing.T) {
 	engine, peer := engineRow(engineA), daemonRow(peerAddress)
-	b := newBench(Guards{}, peer, engine)
+	b := newTestDirectory(Guards{}, peer, engine)
 	b.run(time.Minute)
 	b.machines = []structs.Machine{engine}
 	b.run(time.Minute)
@@ -32,7 +32,7 @@
 
 func TestRemovalIsToldByTheReadingThatShowsIt(t *testing.T) {
 	engine := engineRow(engineA)
-	b := newBench(Guards{}, daemonRow(peerAddress), engine)
+	b := newTestDirectory(Guards{}, daemonRow(peerAddress), engine)
 	b.run(time.Minute)
 	b.machines = []structs.Machine{engine}
 	b.run(b.Settings.ListInterval)
@@ -45,14 +45,14 @@
 }
 
 func TestLeavingStandsThroughReadingsWithoutChange(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines[0].State = structs.MachineLeaving
 	b.run(10 * b.Settings.ListHoldDown)
 	b.wantLeaving(t, true, "listed as leaving in every reading")
 }
 
 func TestUnlistedEngineIsForgottenThoughTheListStandsStill(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines = b.machines[1:]
 	b.run(2 * b.Settings.ListInterval)
 	if !b.IsDelisted(engineA) {
@@ -66,12 +66,12 @@
 
 func TestListThatGoesBackGivesNoWorkToWhoWasLeaving(t *testing.T) {
 	engine, other := engineRow(engineA), engineRow(engineB)
-	b := newBench(Guards{}, engine, other)
+	b := newTestDirectory(Guards{}, engine, other)
 	b.machines = []structs.Machine{other}
 	b.run(2 * b.Settings.ListInterval)
 	// Another instance of the service takes over. It knows no version of the
 	// former one and lags behind it.
-	b.reading = func(since framework.ListVersion) framework.ListReading {
+	b.listOverride = func(since framework.ListVersion) framework.ListReading {
 		return framework.WholeList("other-1", []structs.Machine{engine, other})
 	}
 	b.run(2 * b.Settings.ListInterval)
@@ -81,13 +81,13 @@
 }
 
 func TestReadingWithAGapIsFollowedByTheWholeList(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines[0].State = structs.MachineLeaving
-	b.reading = func(since framework.ListVersion) framework.ListReading {
+	b.listOverride = func(since framework.ListVersion) framework.ListReading {
 		return framework.ListReading{Version: "9", Since: since, Total: 7}
 	}
 	b.run(b.Settings.ListInterval)
-	b.reading = nil
+	b.listOverride = nil
 	b.versionsAsked = nil
 	b.run(b.Settings.ListInterval)
 	if diff := cmp.Diff([]framework.ListVersion{""}, b.versionsAsked); diff != "" {
@@ -97,7 +97,7 @@
 }
 
 func TestDaemonCutOffFromTheListTakesItUpWhereItStood(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.listFails = true
 	b.run(time.Minute)
 	b.machines[0].State = structs.MachineLeaving
@@ -113,17 +113,17 @@
 }
 
 func TestEveryReadingIsToldOnceAsAChangeOrAsTheSame(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.run(time.Minute)
 	b.machines = b.machines[1:]
 	b.run(time.Minute)
-	if told, readings := len(b.lists)+b.sameLists, len(b.versionsAsked); told != readings {
+	if told, readings := len(b.lists)+b.unchangedLists, len(b.versionsAsked); told != readings {
 		t.Errorf("%d readings were told of %d", told, readings)
 	}
-	told := b.sameLists
+	told := b.unchangedLists
 	b.listFails = true
 	b.run(time.Minute)
-	if b.sameLists != told {
+	if b.unchangedLists != told {
 		t.Error("readings that failed were told as ones without change")
 	}
 }
--- a/internal/backends/machine_view.go
+++ b/internal/backends/machine_list.go
@@ -16,18 +16,18 @@
 
 // machineView is the platform's list as this daemon has put it together from
 // readings. The Directory's mutex guards it.
-type machineView struct {
+type machineList struct {
 	version framework.ListVersion
 	rows    map[string]structs.Machine
 	// readings counts those since the last whole list.
-	readings int
+	readsSinceFull int
 }
 
 // next returns the version that the next reading is to build on; empty asks
 // for the whole list. It does so now and then although nothing seems wrong, so
 // that a change that the service failed to tell of is not missed for ever.
-func (v *machineView) next(wholeEvery int) framework.ListVersion {
-	if v.readings >= wholeEvery {
+func (v *machineList) nextBase(wholeEvery int) framework.ListVersion {
+	if v.readsSinceFull >= wholeEvery {
 		return ""
 	}
 	return v.version
@@ -36,8 +36,8 @@
 // take joins a reading and returns whether any row changed. After an error the
 // rows stand as they were, and the whole list is to be read next. An empty
 // list is not believed: this daemon's own machine would be on a true one.
-func (v *machineView) take(reading framework.ListReading) (changed bool, err error) {
-	rows, changed := v.joined(reading)
+func (v *machineList) apply(reading framework.ListReading) (changed bool, err error) {
+	rows, changed := v.merged(reading)
 	whole := reading.Since == ""
 	leadsOn := whole || (reading.Since == v.version && reading.Total == len(rows))
 	if len(rows) == 0 || !leadsOn {
@@ -46,15 +46,15 @@
 	}
 	v.rows = rows
 	v.version = reading.Version
-	v.readings++
+	v.readsSinceFull++
 	if whole {
-		v.readings = 0
+		v.readsSinceFull = 0
 	}
 	return changed, nil
 }
 
 // joined returns the rows after a reading. Rows that stay are not copied.
-func (v *machineView) joined(reading framework.ListReading) (rows map[string]structs.Machine, changed bool) {
+func (v *machineList) merged(reading framework.ListReading) (rows map[string]structs.Machine, changed bool) {
 	if reading.Since != "" && len(reading.Machines)+len(reading.Removed) == 0 {
 		return v.rows, false
 	}
@@ -74,7 +74,7 @@
 }
 
 // machines returns the list ordered by address.
-func (v *machineView) machines() []structs.Machine {
+func (v *machineList) machines() []structs.Machine {
 	list := make([]structs.Machine, 0, len(v.rows))
 	for _, machine := range v.rows {
 		list = append(list, machine)
--- a/internal/backends/machine_view_test.go
+++ b/internal/backends/machine_list_test.go
@@ -14,7 +14,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-const wholeEveryTest = 50
+const testFullListEvery = 50
 
 // listService publishes random lists. Its readers may be sent back to an older
 // one, and it may have forgotten the version that a reader builds on.
@@ -56,13 +56,13 @@
 func TestViewFollowsAListThatLagsAndGoesBack(t *testing.T) {
 	for seed := range uint64(20) {
 		s := &listService{random: rand.New(rand.NewPCG(seed, 1)), states: [][]structs.Machine{{engineRow("10.0.1.1:9000")}}}
-		view := machineView{}
+		view := machineList{}
 		for step := range 300 {
 			for range s.random.IntN(3) {
 				s.change()
 			}
 			shown := max(0, len(s.states)-1-s.random.IntN(5))
-			changed, err := view.take(s.read(view.next(wholeEveryTest), shown))
+			changed, err := view.apply(s.read(view.nextBase(testFullListEvery), shown))
 			if err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, step, err)
 			}
@@ -84,20 +84,20 @@
 	}
 	for name, reading := range tests {
 		t.Run(name, func(t *testing.T) {
-			view := machineView{}
-			if _, err := view.take(framework.WholeList("1", before)); err != nil {
+			view := machineList{}
+			if _, err := view.apply(framework.WholeList("1", before)); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := view.take(reading); err == nil {
+			if _, err := view.apply(reading); err == nil {
 				t.Error("taken")
 			}
 			if diff := cmp.Diff(before, view.machines()); diff != "" {
 				t.Error(diff)
 			}
-			if since := view.next(wholeEveryTest); since != "" {
+			if since := view.nextBase(testFullListEvery); since != "" {
 				t.Errorf("next reading builds on %q, want the whole list", since)
 			}
-			if _, err := view.take(good); err == nil {
+			if _, err := view.apply(good); err == nil {
 				t.Error("changes were taken after a gap")
 			}
 		})
@@ -105,17 +105,17 @@
 }
 
 func TestWholeListIsReadNowAndThen(t *testing.T) {
-	view := machineView{}
+	view := machineList{}
 	machines := []structs.Machine{engineRow(engineA)}
 	wholes := 0
 	for range 101 {
-		since := view.next(wholeEveryTest)
+		since := view.nextBase(testFullListEvery)
 		reading := framework.ListChanges(since, machines, "1", machines)
 		if since == "" {
 			wholes++
 			reading = framework.WholeList("1", machines)
 		}
-		if _, err := view.take(reading); err != nil {
+		if _, err := view.apply(reading); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/backends/messages.go
+++ b/internal/backends/messages.go
@@ -37,7 +37,7 @@
 	Run      int64 `json:"s"`
 }
 
-func digestOf(report structs.LoadReport) LoadSummary {
+func summaryOf(report structs.LoadReport) LoadSummary {
 	return LoadSummary{
 		Engine:   report.Engine,
 		Models:   report.Models,
--- a/internal/backends/news.go
+++ b/internal/backends/receive.go
@@ -9,13 +9,13 @@
 func (d *Directory) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch message := message.(type) {
 	case *Leaving:
-		d.heardLeaving(message)
+		d.receiveLeaving(message)
 	case *Loads:
 		for _, digest := range message.Summaries {
-			d.heardDigest(digest)
+			d.receiveSummary(digest)
 		}
 	case *FindEngines:
-		d.answerFind(from, message)
+		d.handleFind(from, message)
 	case *EnginesFound:
 		d.borrow(message)
 	default:
@@ -26,19 +26,19 @@
 
 // heardLeaving takes another daemon's word. It is not passed on again: the
 // daemon that heard it from the back end has told all.
-func (d *Directory) heardLeaving(message *Leaving) {
+func (d *Directory) receiveLeaving(message *Leaving) {
 	d.mutex.Lock()
 	b := d.backEnds[message.BackEnd]
-	news := b != nil && b.sawDraining(message.Run, d.Settings, d.Clock.Now())
+	news := b != nil && b.observeDraining(message.Run, d.Settings, d.Clock.Now())
 	application := b != nil && !b.isEngine()
 	d.mutex.Unlock()
-	d.tell(message.BackEnd)
+	d.updateScheduler(message.BackEnd)
 	if news && application {
 		d.probeApplication(message.BackEnd)
 	}
 }
 
-func (d *Directory) heardDigest(digest LoadSummary) {
+func (d *Directory) receiveSummary(digest LoadSummary) {
 	d.mutex.Lock()
 	b := d.backEnds[digest.Engine]
 	if b == nil || !b.listed || !d.uses(b) {
@@ -47,21 +47,21 @@
 	}
 	if digest.Failed {
 		b.failures = d.Settings.FailureLimit
-		b.heardAt = d.Clock.Now()
+		b.reportedAt = d.Clock.Now()
 		d.mutex.Unlock()
-		d.tell(digest.Engine)
+		d.updateScheduler(digest.Engine)
 		return
 	}
 	b.failures = 0
 	b.unreachable = false
-	d.takeReport(b, digest.report())
+	d.applyReport(b, digest.report())
 	d.mutex.Unlock()
-	d.tell(digest.Engine)
-	d.passReport(digest.report())
+	d.updateScheduler(digest.Engine)
+	d.forwardReport(digest.report())
 }
 
 // passOn tells the daemons of the cell, in a small fleet all.
-func (d *Directory) passOn(message peer.Message) {
+func (d *Directory) broadcast(message peer.Message) {
 	d.mutex.Lock()
 	peers := d.cells.peers
 	d.mutex.Unlock()
@@ -71,7 +71,7 @@
 }
 
 // sendDigests passes this daemon's readings on to its cell.
-func (d *Directory) sendDigests(cells cells) {
+func (d *Directory) sendSummaries(cells cells) {
 	d.mutex.Lock()
 	var digests []LoadSummary
 	for _, id := range cells.watched {
@@ -79,7 +79,7 @@
 		if b == nil || !b.listed || b.report.Engine == "" {
 			continue
 		}
-		digest := digestOf(b.report)
+		digest := summaryOf(b.report)
 		digest.Failed = b.suspected(d.Settings, d.Clock.Now())
 		digests = append(digests, digest)
 	}
--- a/internal/backends/watch.go
+++ b/internal/backends/watch.go
@@ -8,36 +8,36 @@
 )
 
 // watch reads the reports of the engines that are this daemon's to read.
-func (d *Directory) watch() {
+func (d *Directory) pollEngines() {
 	if d.isStopped() {
 		return
 	}
 	cells := d.assignCells()
-	for _, id := range d.due() {
+	for _, id := range d.enginesDue() {
 		d.poll(id)
 	}
 	d.refresh()
 	interval := d.Settings.LoadInterval
 	if !cells.direct {
 		interval = d.Settings.WatchInterval
-		if d.digestTurn() {
-			d.sendDigests(cells)
+		if d.summaryDue() {
+			d.sendSummaries(cells)
 		}
 	}
-	d.Clock.AfterFunc(interval, d.watch)
+	d.Clock.AfterFunc(interval, d.pollEngines)
 }
 
 // digestTurn tells whether the readings are to be passed on this time.
-func (d *Directory) digestTurn() bool {
+func (d *Directory) summaryDue() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.watches++
-	return d.watches%d.Settings.SummaryEvery == 0
+	d.pollRounds++
+	return d.pollRounds%d.Settings.SummaryEvery == 0
 }
 
 // due lists, in order, the engines to read now: those that this daemon
 // watches, and those of its cell that their watcher has been silent about.
-func (d *Directory) due() []structs.EngineID {
+func (d *Directory) enginesDue() []structs.EngineID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.Clock.Now()
@@ -46,7 +46,7 @@
 		if !b.listed || !b.isEngine() || !d.uses(b) {
 			continue
 		}
-		overdue := now.Sub(b.heardAt) > d.digestsOverdue()
+		overdue := now.Sub(b.reportedAt) > d.summaryTimeout()
 		if d.cells.watches(id) || overdue || b.borrowed(now) {
 			ids = append(ids, id)
 		}
@@ -55,21 +55,21 @@
 	return ids
 }
 
-func (d *Directory) digestsOverdue() time.Duration {
-	return digestsMissed * time.Duration(d.Settings.SummaryEvery) * d.Settings.WatchInterval
+func (d *Directory) summaryTimeout() time.Duration {
+	return missedSummaries * time.Duration(d.Settings.SummaryEvery) * d.Settings.WatchInterval
 }
 
 // digestsMissed is after how many intervals without word from an engine's
 // watcher others read it themselves.
-const digestsMissed = 3
+const missedSummaries = 3
 
 // pollNew reads the engines that were never read, such as those that the list
 // has just shown.
-func (d *Directory) pollNew() {
+func (d *Directory) pollUnread() {
 	d.mutex.Lock()
 	var ids []structs.EngineID
 	for id, b := range d.backEnds {
-		if b.listed && b.isEngine() && d.uses(b) && b.heardAt.IsZero() && b.failures == 0 {
+		if b.listed && b.isEngine() && d.uses(b) && b.reportedAt.IsZero() && b.failures == 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -91,10 +91,10 @@
 	b.polling = true
 	b.polledAt = d.Clock.Now()
 	d.mutex.Unlock()
-	d.Drivers.Engines.Load(id, func(report structs.LoadReport, err error) { d.polled(id, report, err) })
+	d.Drivers.Engines.Load(id, func(report structs.LoadReport, err error) { d.pollDone(id, report, err) })
 }
 
-func (d *Directory) polled(id structs.EngineID, report structs.LoadReport, err error) {
+func (d *Directory) pollDone(id structs.EngineID, report structs.LoadReport, err error) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
 	if b == nil || d.stopped {
@@ -105,35 +105,35 @@
 	if err != nil {
 		b.failures++
 		d.mutex.Unlock()
-		d.tell(id)
+		d.updateScheduler(id)
 		return
 	}
 	b.failures = 0
 	b.unreachable = false
-	news := d.takeReport(b, report)
+	news := d.applyReport(b, report)
 	d.mutex.Unlock()
 	if news {
-		d.passOn(&Leaving{BackEnd: id, Run: report.StartedUnixNano})
+		d.broadcast(&Leaving{BackEnd: id, Run: report.StartedUnixNano})
 	}
-	d.tell(id)
-	d.passReport(report)
-	d.readCache(id)
+	d.updateScheduler(id)
+	d.forwardReport(report)
+	d.readCacheEvents(id)
 }
 
 // takeReport joins a report to what is known, and returns whether it brings
 // the news that the engine is leaving. The lock is held.
-func (d *Directory) takeReport(b *backEnd, report structs.LoadReport) bool {
-	if !b.sawRun(report.StartedUnixNano) {
+func (d *Directory) applyReport(b *backEnd, report structs.LoadReport) bool {
+	if !b.observeRun(report.StartedUnixNano) {
 		return false
 	}
 	now := d.Clock.Now()
 	b.report = report
-	b.heardAt = now
-	return report.Draining && b.sawDraining(report.StartedUnixNano, d.Settings, now)
+	b.reportedAt = now
+	return report.Draining && b.observeDraining(report.StartedUnixNano, d.Settings, now)
 }
 
 // passReport gives a report to the scheduler.
-func (d *Directory) passReport(report structs.LoadReport) {
+func (d *Directory) forwardReport(report structs.LoadReport) {
 	if d.Guards.IgnoreLeaving {
 		report.Draining = false
 	}
@@ -141,7 +141,7 @@
 }
 
 // cacheReading is how far the cache events of an engine's run were read.
-type cacheReading struct {
+type cacheProgress struct {
 	sequence uint64
 	reading  bool
 }
@@ -149,7 +149,7 @@
 // readCache reads cache events that the engine's report shows to be there. In
 // a large fleet none are read: they would take more than the control traffic
 // allows, and the scheduler corrects its belief by answers.
-func (d *Directory) readCache(id structs.EngineID) {
+func (d *Directory) readCacheEvents(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
 	behind := b != nil && b.listed && d.cells.direct && !b.cache.reading && b.report.CacheEventSequence > b.cache.sequence
@@ -161,12 +161,12 @@
 	run, after := b.run, b.cache.sequence
 	d.mutex.Unlock()
 	d.Drivers.Engines.CacheEvents(id, after, func(events []structs.CacheEvent, err error) {
-		d.cacheRead(id, run, events, err)
+		d.cacheEventsRead(id, run, events, err)
 	})
 }
 
 // cacheRead hands events on. A jump in their numbers is a gap.
-func (d *Directory) cacheRead(id structs.EngineID, run int64, events []structs.CacheEvent, err error) {
+func (d *Directory) cacheEventsRead(id structs.EngineID, run int64, events []structs.CacheEvent, err error) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
 	if b == nil || b.run != run {
--- a/internal/backends/watchers.go
+++ b/internal/backends/watchers.go
@@ -13,7 +13,7 @@
 // to the daemon with the highest hash together with it that has not got its
 // even share yet. So no daemon passes on more than its share, and few engines
 // change hands when daemons come and go. The result is in the order of engines.
-func watchersOf(engines []structs.EngineID, daemons []structs.DaemonID) []structs.DaemonID {
+func assignWatchers(engines []structs.EngineID, daemons []structs.DaemonID) []structs.DaemonID {
 	if len(daemons) == 0 {
 		return make([]structs.DaemonID, len(engines))
 	}
@@ -22,7 +22,7 @@
 	watchers := make([]structs.DaemonID, 0, len(engines))
 	for _, engine := range engines {
 		open := slices.DeleteFunc(slices.Clone(daemons), func(daemon structs.DaemonID) bool { return given[daemon] >= share })
-		next := watcher(engine, open)
+		next := watcherOf(engine, open)
 		given[next]++
 		watchers = append(watchers, next)
 	}
@@ -31,7 +31,7 @@
 
 // watcher returns the daemon with the highest hash together with the engine:
 // when daemons come and go, few engines change hands.
-func watcher(engine structs.EngineID, daemons []structs.DaemonID) structs.DaemonID {
+func watcherOf(engine structs.EngineID, daemons []structs.DaemonID) structs.DaemonID {
 	if len(daemons) == 0 {
 		return ""
 	}
--- a/internal/backends/watchers_test.go
+++ b/internal/backends/watchers_test.go
@@ -25,7 +25,7 @@
 			ids, members := cellOfSize(daemons, engines)
 			share := (engines + daemons - 1) / daemons
 			counts := map[structs.DaemonID]int{}
-			for _, daemon := range watchersOf(ids, members) {
+			for _, daemon := range assignWatchers(ids, members) {
 				counts[daemon]++
 			}
 			for daemon, count := range counts {
@@ -39,11 +39,11 @@
 
 func TestFewEnginesChangeHandsWhenAWatcherDies(t *testing.T) {
 	ids, members := cellOfSize(12, 36)
-	before := watchersOf(ids, members)
+	before := assignWatchers(ids, members)
 	for lost := range members {
 		staying := append(append([]structs.DaemonID{}, members[:lost]...), members[lost+1:]...)
 		moved := 0
-		for position, daemon := range watchersOf(ids, staying) {
+		for position, daemon := range assignWatchers(ids, staying) {
 			if daemon == members[lost] {
 				t.Fatalf("%s watches after it died", daemon)
 			}
@@ -60,7 +60,7 @@
 
 func TestCellWithoutDaemonsHasNoWatchers(t *testing.T) {
 	ids, _ := cellOfSize(0, 3)
-	for _, daemon := range watchersOf(ids, nil) {
+	for _, daemon := range assignWatchers(ids, nil) {
 		if daemon != "" {
 			t.Errorf("%s watches", daemon)
 		}
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -12,7 +12,7 @@
 
 // retryElsewhere is when a caller may come back to a daemon that stops; by then
 // it reaches another, or the new run at the same address.
-const retryElsewhere = time.Second
+const retryAfterStopping = time.Second
 
 // refuseWhileStopping refuses a new call at a daemon that stops. Questions and
 // cancellations are served to the end.
@@ -20,7 +20,7 @@
 	if g.Stopping == nil || !g.Stopping() {
 		return nil
 	}
-	return refusal(structs.ReasonStopping, "", "The daemon is stopping. Ask another.", retryElsewhere)
+	return refusal(structs.ReasonStopping, "", "The daemon is stopping. Ask another.", retryAfterStopping)
 }
 
 // admission counts the requests under way, so that a flood of them, or one
--- a/internal/gateway/follower.go
+++ b/internal/gateway/answer_collector.go
@@ -15,7 +15,7 @@
 
 // follower collects an answer for an HTTP handler. It implements submit.Caller
 // without ever blocking the node, and keeps no more than its limit of text.
-type follower struct {
+type answerCollector struct {
 	// limit bounds the text kept in bytes; 0 keeps none.
 	limit   int
 	changed chan struct{}
@@ -30,15 +30,15 @@
 	outcome    *structs.Outcome
 	// left is set once the caller has gone, late once the deadline and its
 	// grace have passed.
-	left, late bool
+	callerGone, deadlineExceeded bool
 }
 
-func newFollower(limit int) *follower {
-	return &follower{limit: limit, changed: make(chan struct{}, 1)}
+func newAnswerCollector(limit int) *answerCollector {
+	return &answerCollector{limit: limit, changed: make(chan struct{}, 1)}
 }
 
 // Chunks implements submit.Caller. The pieces join without a gap.
-func (f *follower) Chunks(chunks []structs.Chunk) {
+func (f *answerCollector) Chunks(chunks []structs.Chunk) {
 	if f.limit == 0 {
 		return
 	}
@@ -52,7 +52,7 @@
 
 // add keeps a piece. A single piece may be longer than the limit, as when the
 // whole answer is read from a record.
-func (f *follower) add(chunk structs.Chunk) {
+func (f *answerCollector) add(chunk structs.Chunk) {
 	if f.overflowed {
 		return
 	}
@@ -67,7 +67,7 @@
 }
 
 // Outcome implements submit.Caller.
-func (f *follower) Outcome(outcome structs.Outcome) {
+func (f *answerCollector) Outcome(outcome structs.Outcome) {
 	f.mutex.Lock()
 	f.outcome = &outcome
 	f.mutex.Unlock()
@@ -76,21 +76,21 @@
 
 // callerLeft and deadlinePassed wake the handler for good. A select over three
 // channels for each token would cost more than these.
-func (f *follower) callerLeft() {
+func (f *answerCollector) callerLeft() {
 	f.mutex.Lock()
-	f.left = true
+	f.callerGone = true
 	f.mutex.Unlock()
 	f.signal()
 }
 
-func (f *follower) deadlinePassed() {
+func (f *answerCollector) deadlinePassed() {
 	f.mutex.Lock()
-	f.late = true
+	f.deadlineExceeded = true
 	f.mutex.Unlock()
 	f.signal()
 }
 
-func (f *follower) signal() {
+func (f *answerCollector) signal() {
 	select {
 	case f.changed <- struct{}{}:
 	default:
@@ -98,20 +98,20 @@
 }
 
 // news is what came since the last look.
-type news struct {
-	text       []byte
-	offset     int64
-	overflowed bool
-	outcome    *structs.Outcome
-	left, late bool
+type answerUpdate struct {
+	text                         []byte
+	offset                       int64
+	overflowed                   bool
+	outcome                      *structs.Outcome
+	callerGone, deadlineExceeded bool
 }
 
 // take returns what came since the last call. used is a buffer that is not
 // needed any more, for the next text.
-func (f *follower) take(used []byte) news {
+func (f *answerCollector) take(used []byte) answerUpdate {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	taken := news{text: f.text, offset: f.offset, overflowed: f.overflowed, outcome: f.outcome, left: f.left, late: f.late}
+	taken := answerUpdate{text: f.text, offset: f.offset, overflowed: f.overflowed, outcome: f.outcome, callerGone: f.callerGone, deadlineExceeded: f.deadlineExceeded}
 	f.text = used[:0]
 	return taken
 }
@@ -119,8 +119,8 @@
 // follow submits a call and hands news to each until an outcome came or each
 // returns false. A caller that leaves can come back only for a call that it
 // named; any other call is cancelled.
-func (e *exchange) follow(limit int, each func(news) bool) {
-	f := newFollower(limit)
+func (e *exchange) follow(limit int, each func(answerUpdate) bool) {
+	f := newAnswerCollector(limit)
 	submission := e.gateway.Node.Submit(*e.call, f)
 	timer := time.AfterFunc(time.Until(e.call.Deadline)+deadlineGrace, f.deadlinePassed)
 	defer timer.Stop()
@@ -130,9 +130,9 @@
 	for {
 		<-f.changed
 		taken := f.take(used)
-		if taken.outcome == nil && (taken.left || taken.late) {
-			e.leave(submission)
-			if !taken.left {
+		if taken.outcome == nil && (taken.callerGone || taken.deadlineExceeded) {
+			e.detach(submission)
+			if !taken.callerGone {
 				outcome := deadlineOutcome()
 				taken.outcome = &outcome
 				each(taken)
@@ -141,7 +141,7 @@
 		}
 		if !each(taken) {
 			if taken.outcome == nil {
-				e.leave(submission)
+				e.detach(submission)
 			}
 			return
 		}
@@ -152,9 +152,9 @@
 	}
 }
 
-func (e *exchange) leave(submission *submit.Submission) {
+func (e *exchange) detach(submission *submit.Submission) {
 	e.detached = true
-	if e.named {
+	if e.hasRequestID {
 		submission.Detach()
 		return
 	}
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/answer_collector_test.go
@@ -10,12 +10,12 @@
 )
 
 func TestFollowerJoinsPieces(t *testing.T) {
-	f := newFollower(100)
+	f := newAnswerCollector(100)
 	f.Chunks([]structs.Chunk{{Offset: 5, Text: "twenty "}, {Offset: 12, Text: "loaves"}})
 	f.Outcome(structs.Outcome{Status: structs.OutcomeCompleted})
 	got := f.take(nil)
-	want := news{text: []byte("twenty loaves"), offset: 5, outcome: &structs.Outcome{Status: structs.OutcomeCompleted}}
-	if diff := cmp.Diff(want, got, cmp.AllowUnexported(news{})); diff != "" {
+	want := answerUpdate{text: []byte("twenty loaves"), offset: 5, outcome: &structs.Outcome{Status: structs.OutcomeCompleted}}
+	if diff := cmp.Diff(want, got, cmp.AllowUnexported(answerUpdate{})); diff != "" {
 		t.Errorf("news (-want +got):\n%s", diff)
 	}
 	f.Chunks([]structs.Chunk{{Offset: 18, Text: "!"}})
@@ -25,16 +25,16 @@
 }
 
 func TestFollowerKeepsNoMoreThanItsLimit(t *testing.T) {
-	f := newFollower(10)
+	f := newAnswerCollector(10)
 	f.Chunks([]structs.Chunk{{Offset: 0, Text: "12345678"}})
 	f.Chunks([]structs.Chunk{{Offset: 8, Text: "too much"}})
 	f.Chunks([]structs.Chunk{{Offset: 16, Text: "x"}})
 	got := f.take(nil)
-	want := news{text: []byte("12345678"), overflowed: true}
-	if diff := cmp.Diff(want, got, cmp.AllowUnexported(news{}), cmpopts.EquateEmpty()); diff != "" {
+	want := answerUpdate{text: []byte("12345678"), overflowed: true}
+	if diff := cmp.Diff(want, got, cmp.AllowUnexported(answerUpdate{}), cmpopts.EquateEmpty()); diff != "" {
 		t.Errorf("a gap or an overrun (-want +got):\n%s", diff)
 	}
-	whole := newFollower(0)
+	whole := newAnswerCollector(0)
 	whole.Chunks([]structs.Chunk{{Text: "not needed"}})
 	if len(whole.text) != 0 {
 		t.Error("a whole answer's pieces were kept")
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -9,7 +9,7 @@
 // serveApplication takes a count update, a bread order or a tool request. The
 // body is the back end's and passes as it is.
 func (e *exchange) serveApplication() {
-	call, refused := e.newCall(namesOf(e.r.Header))
+	call, refused := e.newCall(optionsFromHeader(e.r.Header))
 	if refused != nil {
 		e.refuse(refused)
 		return
@@ -25,7 +25,7 @@
 	call.Operation = e.r.PathValue("operation")
 	call.Body = body
 	e.call = call
-	e.follow(0, func(n news) bool {
+	e.follow(0, func(n answerUpdate) bool {
 		if n.outcome != nil {
 			e.answerApplication(*n.outcome)
 		}
@@ -42,8 +42,8 @@
 	if status == 0 {
 		status = http.StatusOK
 	}
-	e.note(status, outcome)
-	e.setNames()
+	e.recordOutcome(status, outcome)
+	e.setIdentityHeaders()
 	e.w.Header().Set("Content-Type", "application/json")
 	e.w.WriteHeader(status)
 	_, _ = e.w.Write(outcome.Body) // fails when the caller is gone
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -13,7 +13,7 @@
 )
 
 // initialBody bounds what is allocated on the word of a Content-Length alone.
-const initialBody = 64 << 10
+const initialBodyBuffer = 64 << 10
 
 // readBody reads the request's body within the limits on size, time and the
 // memory of all bodies. release must be called once the body is not used any
@@ -25,11 +25,11 @@
 		return nil, release, refused
 	}
 	_ = e.control.SetReadDeadline(time.Now().Add(limits.BodyTimeout))
-	buffer := bytes.NewBuffer(make([]byte, 0, min(max(e.r.ContentLength, 0)+bytes.MinRead, initialBody)))
+	buffer := bytes.NewBuffer(make([]byte, 0, min(max(e.r.ContentLength, 0)+bytes.MinRead, initialBodyBuffer)))
 	_, err := buffer.ReadFrom(http.MaxBytesReader(e.w, e.r.Body, limits.MaxBodyBytes))
 	if err != nil {
 		e.w.Header().Set("Connection", "close")
-		return nil, release, e.unreadable(err)
+		return nil, release, e.bodyError(err)
 	}
 	_ = e.control.SetReadDeadline(time.Time{})
 	return buffer.Bytes(), release, nil
@@ -51,7 +51,7 @@
 	return func() { g.bodies.Add(-length) }, nil
 }
 
-func (e *exchange) unreadable(err error) *problem {
+func (e *exchange) bodyError(err error) *problem {
 	var oversized *http.MaxBytesError
 	switch {
 	case errors.As(err, &oversized):
--- a/internal/gateway/names.go
+++ b/internal/gateway/call_options.go
@@ -19,24 +19,24 @@
 
 // singlePrefix starts the names of programs of one call that the caller did
 // not name.
-const singlePrefix = "single-"
+const singleCallPrefix = "single-"
 
 // newCall returns the call that the names describe, as far as they go.
-func (e *exchange) newCall(names callNames) (*structs.Call, *problem) {
+func (e *exchange) newCall(options callOptions) (*structs.Call, *problem) {
 	call := &structs.Call{
-		Key:       structs.ProgramKey{Tenant: e.tenant, Program: structs.ProgramID(names.program)},
-		Template:  structs.TemplateName(names.template),
-		RequestID: structs.RequestID(names.requestID),
+		Key:       structs.ProgramKey{Tenant: e.tenant, Program: structs.ProgramID(options.program)},
+		Template:  structs.TemplateName(options.template),
+		RequestID: structs.RequestID(options.requestID),
 		TraceID:   e.r.Header.Get(HeaderTrace),
 	}
-	e.named = names.requestID != ""
-	call.Retry = e.named && e.sentBefore
-	for _, read := range []func(*structs.Call, callNames) *problem{readChoices, readSequence, readResumeAt, readHistory, fillIdentifiers} {
-		if refused := read(call, names); refused != nil {
+	e.hasRequestID = options.requestID != ""
+	call.Retry = e.hasRequestID && e.sentBefore
+	for _, read := range []func(*structs.Call, callOptions) *problem{readFlags, readSequence, readResumeAt, readHistory, fillIdentifiers} {
+		if refused := read(call, options); refused != nil {
 			return nil, refused
 		}
 	}
-	if !call.Repeatable && !e.named {
+	if !call.Repeatable && !e.hasRequestID {
 		return nil, invalid(HeaderRequestID, "A call that is not repeatable needs a request identifier.")
 	}
 	if refused := e.readTimeout(call); refused != nil {
@@ -53,13 +53,13 @@
 	return retriedByClient || header.Get(HeaderRetry) == "true" || header.Get(HeaderResumeAt) != ""
 }
 
-func readChoices(call *structs.Call, names callNames) *problem {
+func readFlags(call *structs.Call, options callOptions) *problem {
 	var refused *problem
-	call.Repeatable, refused = readBool(HeaderRepeatable, names.repeatable, true)
+	call.Repeatable, refused = readBool(HeaderRepeatable, options.repeatable, true)
 	if refused != nil {
 		return refused
 	}
-	call.EndProgram, refused = readBool(HeaderEnd, names.end, false)
+	call.EndProgram, refused = readBool(HeaderEnd, options.end, false)
 	return refused
 }
 
@@ -76,11 +76,11 @@
 	}
 }
 
-func readSequence(call *structs.Call, names callNames) *problem {
-	if names.sequence == "" {
+func readSequence(call *structs.Call, options callOptions) *problem {
+	if options.sequence == "" {
 		return nil
 	}
-	sequence, err := strconv.ParseUint(names.sequence, 10, 63)
+	sequence, err := strconv.ParseUint(options.sequence, 10, 63)
 	if err != nil || sequence == 0 {
 		return invalid(HeaderSequence, "Use a whole number from 1.")
 	}
@@ -88,15 +88,15 @@
 	return nil
 }
 
-func readResumeAt(call *structs.Call, names callNames) *problem {
-	if names.resumeAt == "" {
+func readResumeAt(call *structs.Call, options callOptions) *problem {
+	if options.resumeAt == "" {
 		return nil
 	}
-	offset, err := strconv.ParseInt(names.resumeAt, 10, 64)
+	offset, err := strconv.ParseInt(options.resumeAt, 10, 64)
 	if err != nil || offset < 0 {
 		return invalid(HeaderResumeAt, "Use the number of answer bytes received.")
 	}
-	if names.requestID == "" || names.program == "" {
+	if options.requestID == "" || options.program == "" {
 		return invalid(HeaderResumeAt, "Name the program and the request whose answer goes on.")
 	}
 	call.ResumeAt = offset
@@ -104,8 +104,8 @@
 	return nil
 }
 
-func readHistory(call *structs.Call, names callNames) *problem {
-	switch mode := structs.HistoryMode(names.history); mode {
+func readHistory(call *structs.Call, options callOptions) *problem {
+	switch mode := structs.HistoryMode(options.history); mode {
 	case "":
 		call.History = structs.HistoryFull
 	case structs.HistoryFull, structs.HistoryAppend:
@@ -119,7 +119,7 @@
 // fillIdentifiers checks identifiers and makes those that are missing. A call
 // without a program is a program of one call, named after the request so that
 // the same request sent again finds it.
-func fillIdentifiers(call *structs.Call, names callNames) *problem {
+func fillIdentifiers(call *structs.Call, options callOptions) *problem {
 	if call.RequestID == "" {
 		call.RequestID = structs.RequestID(rand.Text())
 	}
@@ -128,9 +128,9 @@
 	}
 	if call.Key.Program == "" {
 		digest := sha256.Sum256([]byte(call.RequestID))
-		call.Key.Program = structs.ProgramID(singlePrefix + hex.EncodeToString(digest[:16]))
+		call.Key.Program = structs.ProgramID(singleCallPrefix + hex.EncodeToString(digest[:16]))
 		call.EndProgram = true
-		call.Anonymous = names.requestID == ""
+		call.Anonymous = options.requestID == ""
 	}
 	if !validProgram(string(call.Key.Program)) {
 		return invalid(HeaderProgram, "Use 1 to 200 letters, digits and ._~-, with / before a sub-agent's name.")
--- a/internal/gateway/names_test.go
+++ b/internal/gateway/call_options_test.go
@@ -27,11 +27,11 @@
 		HeaderProgram: "morning/flour", HeaderRequestID: "r1", HeaderSequence: "3", HeaderResumeAt: "17",
 		HeaderTrace: "t1", HeaderTimeout: "30s", HeaderClientRetry: "1",
 	})
-	names := namesOf(e.r.Header)
-	if refused := names.merge(map[string]string{"template": "order", "repeatable": "false", "history": "append", "end": "true", "request_id": "r1", "mood": "good"}); refused != nil {
+	options := optionsFromHeader(e.r.Header)
+	if refused := options.merge(map[string]string{"template": "order", "repeatable": "false", "history": "append", "end": "true", "request_id": "r1", "mood": "good"}); refused != nil {
 		t.Fatal(refused.outcome)
 	}
-	got, refused := e.newCall(names)
+	got, refused := e.newCall(options)
 	if refused != nil {
 		t.Fatal(refused.outcome)
 	}
@@ -49,13 +49,13 @@
 
 func TestUnnamedCallGetsNames(t *testing.T) {
 	e := testExchange(map[string]string{HeaderClientRetry: "2"})
-	first, _ := e.newCall(callNames{})
-	second, _ := e.newCall(callNames{})
+	first, _ := e.newCall(callOptions{})
+	second, _ := e.newCall(callOptions{})
 	if first.Key == second.Key || first.RequestID == second.RequestID || !first.EndProgram || !first.Anonymous || first.Retry {
 		t.Errorf("calls %+v and %+v", first, second)
 	}
-	same, _ := e.newCall(callNames{requestID: "r1"})
-	again, _ := e.newCall(callNames{requestID: "r1"})
+	same, _ := e.newCall(callOptions{requestID: "r1"})
+	again, _ := e.newCall(callOptions{requestID: "r1"})
 	if same.Key != again.Key || same.Anonymous || !same.Retry {
 		t.Errorf("the same request sent again: %+v and %+v", same, again)
 	}
@@ -83,7 +83,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			e := testExchange(map[string]string{test.header: test.value})
-			_, refused := e.newCall(namesOf(e.r.Header))
+			_, refused := e.newCall(optionsFromHeader(e.r.Header))
 			if refused == nil {
 				t.Fatal("it was taken")
 			}
@@ -95,8 +95,8 @@
 }
 
 func TestMetadataMustAgreeWithHeaders(t *testing.T) {
-	names := callNames{program: "a"}
-	if refused := names.merge(map[string]string{"program": "b"}); refused == nil || refused.outcome.Field != "metadata.program" {
+	options := callOptions{program: "a"}
+	if refused := options.merge(map[string]string{"program": "b"}); refused == nil || refused.outcome.Field != "metadata.program" {
 		t.Errorf("got %+v", refused)
 	}
 }
@@ -106,7 +106,7 @@
 	f.Add("", "", "-1", "x", "", "full")
 	f.Fuzz(func(t *testing.T, program, request, sequence, resumeAt, end, history string) {
 		e := testExchange(nil)
-		call, refused := e.newCall(callNames{program: program, requestID: request, sequence: sequence, resumeAt: resumeAt, end: end, history: history})
+		call, refused := e.newCall(callOptions{program: program, requestID: request, sequence: sequence, resumeAt: resumeAt, end: end, history: history})
 		if refused != nil {
 			return
 		}
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -78,12 +78,12 @@
 		e.refuse(refused)
 		return
 	}
-	names := namesOf(e.r.Header)
-	if refused := names.merge(request.Metadata); refused != nil {
+	options := optionsFromHeader(e.r.Header)
+	if refused := options.merge(request.Metadata); refused != nil {
 		e.refuse(refused)
 		return
 	}
-	call, refused := e.newCall(names)
+	call, refused := e.newCall(options)
 	if refused != nil {
 		e.refuse(refused)
 		return
@@ -97,7 +97,7 @@
 		e.serveStream(request.StreamOptions != nil && request.StreamOptions.IncludeUsage)
 		return
 	}
-	e.serveWhole()
+	e.serveUnstreamed()
 }
 
 func (e *exchange) readCompletion() (*completionRequest, *problem) {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -22,7 +22,7 @@
 	call *structs.Call
 	// named is set when the caller gave the request identifier; only then can
 	// it come back for the answer.
-	named bool
+	hasRequestID bool
 	// sentBefore is set when the caller says that it may have sent the request
 	// before.
 	sentBefore bool
@@ -58,29 +58,29 @@
 		outcome.Status = structs.OutcomeUnknown
 		status = statusOf(outcome)
 	}
-	e.note(status, outcome)
+	e.recordOutcome(status, outcome)
 	writeOutcome(e.w, status, outcome, "")
 }
 
 // answerOutcome answers with an outcome that is not an answer.
 func (e *exchange) answerOutcome(outcome structs.Outcome) {
 	status := statusOf(outcome)
-	e.note(status, outcome)
-	e.setNames()
-	if !shouldRetry(outcome, e.named) {
+	e.recordOutcome(status, outcome)
+	e.setIdentityHeaders()
+	if !shouldRetry(outcome, e.hasRequestID) {
 		e.w.Header().Set(HeaderShouldRetry, "false")
 	}
 	writeOutcome(e.w, status, outcome, e.call.RequestID)
 }
 
-func (e *exchange) note(status int, outcome structs.Outcome) {
+func (e *exchange) recordOutcome(status int, outcome structs.Outcome) {
 	e.status = status
 	e.result = outcome.Status
 	e.reason = outcome.Reason
 }
 
 // noteText counts answer text that goes to the caller.
-func (e *exchange) noteText(bytes int) {
+func (e *exchange) countText(bytes int) {
 	if e.firstText == 0 {
 		e.firstText = time.Since(e.started)
 		e.gateway.Metrics.FirstText(e.firstText)
@@ -89,7 +89,7 @@
 }
 
 // setNames tells the caller under which names it can come back.
-func (e *exchange) setNames() {
+func (e *exchange) setIdentityHeaders() {
 	header := e.w.Header()
 	header.Set(HeaderProgram, string(e.call.Key.Program))
 	header.Set(HeaderRequestID, string(e.call.RequestID))
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -23,13 +23,13 @@
 )
 
 // frailFleet is a fleet of its own that a test breaks step by step.
-type frailFleet struct {
+type faultyFleet struct {
 	*testing.T
 	*demo.Cluster
 }
 
 // startFrail starts a fleet without a configuration.
-func startFrail(t *testing.T, adjust func(*settings.Settings)) frailFleet {
+func startFaultyFleet(t *testing.T, adjust func(*settings.Settings)) faultyFleet {
 	t.Helper()
 	c, err := demo.StartCluster(demo.ClusterOptions{
 		Models: []structs.ModelName{testModel}, Applications: []string{"wholesale"}, Logger: zerolog.Nop(), Adjust: adjust,
@@ -43,13 +43,13 @@
 		}
 		c.Close()
 	})
-	return frailFleet{t, c}
+	return faultyFleet{t, c}
 }
 
 // configure publishes the configuration and waits until all daemons are ready.
-func (f frailFleet) configure() {
+func (f faultyFleet) configure() {
 	f.Helper()
-	if err := f.Publish(frailConfiguration()); err != nil {
+	if err := f.Publish(faultyFleetConfiguration()); err != nil {
 		f.Fatal(err)
 	}
 	if err := f.WaitForReadiness(testContext(f.T)); err != nil {
@@ -58,7 +58,7 @@
 }
 
 // impatient shortens the limits that the refusals of hanging back ends rest on.
-func impatient(config *settings.Settings) {
+func shortTimeouts(config *settings.Settings) {
 	config.Limits.Queue = 1
 	config.Limits.UnknownAfter = 200 * time.Millisecond
 	config.Limits.StallAfter = 400 * time.Millisecond
@@ -67,7 +67,7 @@
 
 // frailConfiguration has a tenant with one program at a time, and a template
 // whose programs live for a moment.
-func frailConfiguration() structs.Configuration {
+func faultyFleetConfiguration() structs.Configuration {
 	configured := testConfiguration()
 	order := configured.Templates["order"]
 	order.Limits.WallTime = 50 * time.Millisecond
@@ -82,7 +82,7 @@
 }
 
 // chat makes one completion through OpenAI's client library.
-func (f frailFleet) chat(ctx context.Context, daemon int, key string, headers ...string) error {
+func (f faultyFleet) chat(ctx context.Context, daemon int, key string, headers ...string) error {
 	options := []option.RequestOption{
 		option.WithBaseURL("http://" + f.HTTP[daemon] + "/v1"), option.WithAPIKey(key), option.WithMaxRetries(0),
 		option.WithHeader(gateway.HeaderTemplate, "order"),
@@ -96,7 +96,7 @@
 }
 
 // order makes one bread order through OpenAI's client library.
-func (f frailFleet) order(daemon int, request string, repeatable bool, headers ...string) error {
+func (f faultyFleet) order(daemon int, request string, repeatable bool, headers ...string) error {
 	options := []option.RequestOption{
 		option.WithHeader(gateway.HeaderTemplate, "order"), option.WithHeader(gateway.HeaderProgram, "p-"+request),
 		option.WithHeader(gateway.HeaderRequestID, request), option.WithHeader(gateway.HeaderRepeatable, fmt.Sprint(repeatable)),
@@ -112,7 +112,7 @@
 }
 
 // want checks an error against the type, reason and status of a refusal.
-func (f frailFleet) want(err error, kind structs.OutcomeStatus, reason structs.Reason, status int) {
+func (f faultyFleet) want(err error, kind structs.OutcomeStatus, reason structs.Reason, status int) {
 	f.Helper()
 	refused := apiError(f.T, err)
 	if refused.Type != string(kind) || refused.Code != string(reason) || refused.StatusCode != status || refused.Message == "" {
@@ -130,7 +130,7 @@
 // refusals that come of faults: the steps break one fleet more and more.
 func TestRefusalsOfABrokenFleet(t *testing.T) {
 	t.Parallel()
-	f := startFrail(t, impatient)
+	f := startFaultyFleet(t, shortTimeouts)
 	f.withoutConfiguration()
 	f.configure()
 	f.tenantQuota()
@@ -145,7 +145,7 @@
 // TestFullMemoryIsToldToCallers has room for one program in each daemon.
 func TestFullMemoryIsToldToCallers(t *testing.T) {
 	t.Parallel()
-	f := startFrail(t, func(config *settings.Settings) { config.Memory.NewPrograms = 1 })
+	f := startFaultyFleet(t, func(config *settings.Settings) { config.Memory.NewPrograms = 1 })
 	f.configure()
 	ctx := testContext(t)
 	if err := f.chat(ctx, 0, villageKey, gateway.HeaderProgram, "first"); err != nil {
@@ -155,7 +155,7 @@
 }
 
 // archived tells whether each shard has an archive in the log.
-func (f frailFleet) archived() bool {
+func (f faultyFleet) archived() bool {
 	count := 0
 	for name := range f.Log.Lengths() {
 		if strings.HasPrefix(string(name), "snapshots-") {
@@ -169,7 +169,7 @@
 // are archived.
 func TestLossOfAllHoldersIsToldToCallers(t *testing.T) {
 	t.Parallel()
-	f := startFrail(t, nil)
+	f := startFaultyFleet(t, nil)
 	f.configure()
 	kept := []string{gateway.HeaderProgram, "kept", gateway.HeaderHistory, "append"}
 	if err := f.chat(testContext(t), 0, villageKey, kept...); err != nil {
@@ -189,7 +189,7 @@
 	f.want(f.chat(testContext(t), 1, villageKey, kept...), structs.OutcomeNotRun, structs.ReasonHistoryGap, http.StatusConflict)
 }
 
-func (f frailFleet) withoutConfiguration() {
+func (f faultyFleet) withoutConfiguration() {
 	ctx := testContext(f.T)
 	f.want(f.chat(ctx, 0, villageKey), structs.OutcomeNotRun, structs.ReasonNoConfiguration, http.StatusServiceUnavailable)
 	again := []string{gateway.HeaderProgram, "p", gateway.HeaderRequestID, "r", gateway.HeaderRetry, "true"}
@@ -204,7 +204,7 @@
 	}
 }
 
-func (f frailFleet) tenantQuota() {
+func (f faultyFleet) tenantQuota() {
 	ctx := testContext(f.T)
 	if err := f.chat(ctx, 0, cityKey, gateway.HeaderProgram, "first"); err != nil {
 		f.Fatal(err)
@@ -214,7 +214,7 @@
 
 // timeLimit calls again after the program's time. The leader may have ended
 // the program before; then another program is tried.
-func (f frailFleet) timeLimit() {
+func (f faultyFleet) timeLimit() {
 	ctx, count := testContext(f.T), 0
 	eventually(f.T, "a call past its program's time", func() bool {
 		count++
@@ -232,7 +232,7 @@
 	})
 }
 
-func (f frailFleet) backEndErrors() {
+func (f faultyFleet) backEndErrors() {
 	app := f.Applications["wholesale"]
 	_ = app.Faults.Set(application.Faults{Fail: 1})
 	f.want(f.order(0, "fails", true), structs.OutcomeFailed, structs.ReasonBackEnd, http.StatusBadGateway)
@@ -240,7 +240,7 @@
 }
 
 // hangingBackEnd has operations arrive and stay under way.
-func (f frailFleet) hangingBackEnd() {
+func (f faultyFleet) hangingBackEnd() {
 	hangs := application.Faults{ServiceFaults: control.ServiceFaults{Delay: control.Duration(3 * time.Second)}}
 	app := f.Applications["wholesale"]
 	_ = app.Faults.Set(hangs)
@@ -257,7 +257,7 @@
 }
 
 // fullQueue has engines take nothing, so that the queues of one call fill up.
-func (f frailFleet) fullQueue() {
+func (f faultyFleet) fullQueue() {
 	for _, e := range f.Engines {
 		_ = e.Faults.Set(engine.Faults{Draining: true})
 	}
@@ -282,7 +282,7 @@
 }
 
 // cancelWaiting cancels calls that wait until one of their callers hears of it.
-func (f frailFleet) cancelWaiting(count int, ended <-chan error) {
+func (f faultyFleet) cancelWaiting(count int, ended <-chan error) {
 	for i := range count {
 		path := fmt.Sprintf("/v1/requests?request=r&program=queue-%d", i+1)
 		r, _ := http.NewRequest(http.MethodDelete, "http://"+f.HTTP[1]+path, nil)
@@ -308,7 +308,7 @@
 }
 
 // stopping stops one daemon as planned while it answers a call.
-func (f frailFleet) stopping() {
+func (f faultyFleet) stopping() {
 	slow := application.Faults{AnswerDelay: control.Duration(150 * time.Millisecond)}
 	_ = f.Applications["wholesale"].Faults.Set(slow)
 	answered := make(chan error, 1)
@@ -332,7 +332,7 @@
 }
 
 // withoutMajority loses one of the two daemons that are left.
-func (f frailFleet) withoutMajority() {
+func (f faultyFleet) withoutMajority() {
 	f.Daemons[1].Kill()
 	count := 0
 	eventually(f.T, "a refusal for want of a majority", func() bool {
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -24,7 +24,7 @@
 
 // callNames is what a caller says about a call, by headers or in the metadata
 // of the body.
-type callNames struct {
+type callOptions struct {
 	program    string
 	template   string
 	sequence   string
@@ -36,14 +36,14 @@
 }
 
 // namedField is one name with its header and its key in the metadata.
-type namedField struct {
+type optionField struct {
 	header string
 	key    string
 	value  *string
 }
 
-func (n *callNames) fields() []namedField {
-	return []namedField{
+func (n *callOptions) fields() []optionField {
+	return []optionField{
 		{HeaderProgram, "program", &n.program},
 		{HeaderTemplate, "template", &n.template},
 		{HeaderSequence, "sequence", &n.sequence},
@@ -55,17 +55,17 @@
 	}
 }
 
-func namesOf(header http.Header) callNames {
-	var names callNames
-	for _, field := range names.fields() {
+func optionsFromHeader(header http.Header) callOptions {
+	var options callOptions
+	for _, field := range options.fields() {
 		*field.value = header.Get(field.header)
 	}
-	return names
+	return options
 }
 
 // merge fills in what the metadata says. A name given twice must agree. Other
 // keys are the caller's own and have no meaning here.
-func (n *callNames) merge(metadata map[string]string) *problem {
+func (n *callOptions) merge(metadata map[string]string) *problem {
 	for _, field := range n.fields() {
 		value, given := metadata[field.key]
 		if !given {
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -50,7 +50,7 @@
 }
 
 // keysInForce returns the index of the configuration in force, nil without one.
-func (g *Gateway) keysInForce() *keyIndex {
+func (g *Gateway) currentKeys() *keyIndex {
 	configuration := g.Configurations.Current()
 	if configuration == nil {
 		return nil
@@ -65,7 +65,7 @@
 
 // tenantOf finds the tenant whose key the request bears.
 func (g *Gateway) tenantOf(r *http.Request) (structs.TenantName, *problem) {
-	index := g.keysInForce()
+	index := g.currentKeys()
 	if index == nil {
 		return "", refusal(structs.ReasonNoConfiguration, "", "No configuration is in force yet.", retryWithoutConfiguration)
 	}
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -90,12 +90,12 @@
 // shouldRetry tells whether OpenAI's client libraries may send a call again by
 // themselves. Without a request identifier of the caller's, another copy would
 // be another call.
-func shouldRetry(outcome structs.Outcome, named bool) bool {
+func shouldRetry(outcome structs.Outcome, hasRequestID bool) bool {
 	switch outcome.Status {
 	case structs.OutcomeNotRun:
 		return outcome.RetryAfter > 0
 	case structs.OutcomeUnknown:
-		return named
+		return hasRequestID
 	default:
 		return false
 	}
--- a/internal/gateway/programs.go
+++ b/internal/gateway/programs.go
@@ -150,7 +150,7 @@
 	case err != nil:
 		e.answerUnavailable()
 	case !ended.Known:
-		e.answerNotFound(structs.ReasonUnknownProgram, noProgram)
+		e.answerNotFound(structs.ReasonUnknownProgram, noProgramMessage)
 	default:
 		e.answerJSON(http.StatusOK, endBody{Program: key.Program, State: stateEnded, EndReason: ended.Reason})
 	}
@@ -170,7 +170,7 @@
 
 // noProgram is said alike of programs that never were, that are forgotten, and
 // of other tenants' programs.
-const noProgram = "There is no such program."
+const noProgramMessage = "There is no such program."
 
 // programKey names the program of the path under the caller's own tenant, so
 // that another's can never be asked for.
@@ -188,7 +188,7 @@
 		e.answerUnavailable()
 		return nil, false
 	case described.Program == nil:
-		e.answerNotFound(structs.ReasonUnknownProgram, noProgram)
+		e.answerNotFound(structs.ReasonUnknownProgram, noProgramMessage)
 		return nil, false
 	default:
 		return described.Program, true
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -14,20 +14,20 @@
 	Program   structs.ProgramID `json:"program"`
 	RequestID structs.RequestID `json:"request_id"`
 	// State is "running" or the status of the outcome.
-	State      string          `json:"state"`
-	Open       *openCallBody   `json:"open,omitempty"`
-	Completion *wholeResponse  `json:"completion,omitempty"`
-	BodyStatus int             `json:"body_status,omitempty"`
-	Body       json.RawMessage `json:"body,omitempty"`
-	Error      *errorDetail    `json:"error,omitempty"`
+	State      string              `json:"state"`
+	Open       *openCallBody       `json:"open,omitempty"`
+	Completion *completionResponse `json:"completion,omitempty"`
+	BodyStatus int                 `json:"body_status,omitempty"`
+	Body       json.RawMessage     `json:"body,omitempty"`
+	Error      *errorDetail        `json:"error,omitempty"`
 }
 
 // noRequest is said of a request that the program has not seen. It does not
 // say that it will never run: a copy may still be under way.
-const noRequest = "The program has not seen this request."
+const noRequestMessage = "The program has not seen this request."
 
 // requestNames reads the query; on false the request has been answered.
-func (e *exchange) requestNames() (structs.ProgramKey, structs.RequestID, bool) {
+func (e *exchange) requestFromQuery() (structs.ProgramKey, structs.RequestID, bool) {
 	query := e.r.URL.Query()
 	key := structs.ProgramKey{Tenant: e.tenant, Program: structs.ProgramID(query.Get("program"))}
 	request := structs.RequestID(query.Get("request"))
@@ -43,7 +43,7 @@
 }
 
 func (e *exchange) serveRequest() {
-	key, request, named := e.requestNames()
+	key, request, named := e.requestFromQuery()
 	if !named {
 		return
 	}
@@ -52,7 +52,7 @@
 		return
 	}
 	if described.Request == nil {
-		e.answerNotFound(structs.ReasonUnknownProgram, noRequest)
+		e.answerNotFound(structs.ReasonUnknownProgram, noRequestMessage)
 		return
 	}
 	e.answerJSON(http.StatusOK, requestBodyOf(key, request, described.Request))
@@ -75,7 +75,7 @@
 		body.BodyStatus = outcome.BodyStatus
 		body.Body = jsonOrText(outcome.Body)
 	default:
-		whole := wholeOf(request, "", *outcome)
+		whole := completionOf(request, "", *outcome)
 		body.Completion = &whole
 	}
 	return body
@@ -84,7 +84,7 @@
 // serveCancel stops a call wherever it is. Its outcome is asked for afterwards:
 // a call that its back end cannot stop runs to its end.
 func (e *exchange) serveCancel() {
-	key, request, named := e.requestNames()
+	key, request, named := e.requestFromQuery()
 	if !named {
 		return
 	}
@@ -95,7 +95,7 @@
 	case err != nil:
 		e.answerUnavailable()
 	case cancelled.Request == nil:
-		e.answerNotFound(structs.ReasonUnknownProgram, noRequest)
+		e.answerNotFound(structs.ReasonUnknownProgram, noRequestMessage)
 	default:
 		e.answerJSON(http.StatusOK, requestBodyOf(key, request, cancelled.Request))
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -33,27 +33,27 @@
 	withUsage bool
 	created   int64
 	// head is the part of each event before its choices.
-	head     []byte
-	buffer   []byte
-	begun    bool
-	written  int64
-	deadline time.Time
+	eventHead []byte
+	buffer    []byte
+	begun     bool
+	written   int64
+	deadline  time.Time
 }
 
 func newEventStream(e *exchange, withUsage bool) *eventStream {
 	s := &eventStream{exchange: e, withUsage: withUsage, created: time.Now().Unix(), written: e.call.ResumeAt}
-	s.head = append(s.head, eventPrefix+`{"id":`...)
-	s.head = jsontext.AppendString(s.head, string(e.call.RequestID))
-	s.head = append(s.head, `,"object":"chat.completion.chunk","created":`...)
-	s.head = strconv.AppendInt(s.head, s.created, 10)
-	s.head = append(s.head, `,"model":`...)
-	s.head = jsontext.AppendString(s.head, string(e.call.Model))
-	s.head = append(s.head, `,"choices":[`...)
+	s.eventHead = append(s.eventHead, eventPrefix+`{"id":`...)
+	s.eventHead = jsontext.AppendString(s.eventHead, string(e.call.RequestID))
+	s.eventHead = append(s.eventHead, `,"object":"chat.completion.chunk","created":`...)
+	s.eventHead = strconv.AppendInt(s.eventHead, s.created, 10)
+	s.eventHead = append(s.eventHead, `,"model":`...)
+	s.eventHead = jsontext.AppendString(s.eventHead, string(e.call.Model))
+	s.eventHead = append(s.eventHead, `,"choices":[`...)
 	return s
 }
 
 // write hands on what came; false ends the stream before its outcome.
-func (s *eventStream) write(n news) bool {
+func (s *eventStream) write(n answerUpdate) bool {
 	failed := n.outcome != nil && n.outcome.Status != structs.OutcomeCompleted
 	if failed && !s.begun && len(n.text) == 0 {
 		s.answerOutcome(*n.outcome)
@@ -76,7 +76,7 @@
 		s.appendCompletion(n.outcome)
 	}
 	if n.outcome != nil {
-		s.note(http.StatusOK, *n.outcome)
+		s.recordOutcome(http.StatusOK, *n.outcome)
 	}
 	return s.send() && !n.overflowed
 }
@@ -85,7 +85,7 @@
 // no JSON string can hold. The call itself goes on.
 func (s *eventStream) answerInsideCharacter() {
 	s.status, s.reason = http.StatusBadRequest, structs.ReasonInvalidRequest
-	s.setNames()
+	s.setIdentityHeaders()
 	writeError(s.w, s.status, errorDetail{
 		Type:      errorDetached,
 		Code:      structs.ReasonInvalidRequest,
@@ -97,8 +97,8 @@
 
 // appendText adds the event of new answer text. mintpulley_offset is the
 // number of answer bytes before it, for a caller that wants to resume.
-func (s *eventStream) appendText(n news) {
-	s.buffer = append(s.buffer, s.head...)
+func (s *eventStream) appendText(n answerUpdate) {
+	s.buffer = append(s.buffer, s.eventHead...)
 	if s.written == s.call.ResumeAt {
 		s.buffer = append(s.buffer, `{"index":0,"delta":{"role":"assistant","content":`...)
 	} else {
@@ -110,7 +110,7 @@
 	s.buffer = append(s.buffer, '}')
 	s.buffer = append(s.buffer, eventEnd...)
 	s.written = n.offset + int64(len(n.text))
-	s.noteText(len(n.text))
+	s.countText(len(n.text))
 }
 
 // streamEvent is a chunk without text.
@@ -200,7 +200,7 @@
 	}
 	s.begun = true
 	s.status = http.StatusOK
-	s.setNames()
+	s.setIdentityHeaders()
 	s.w.Header().Set("Content-Type", "text/event-stream")
 	s.w.Header().Set("Cache-Control", "no-cache")
 	s.w.WriteHeader(http.StatusOK)
--- a/internal/gateway/whole.go
+++ b/internal/gateway/unstreamed.go
@@ -8,16 +8,16 @@
 )
 
 // wholeResponse is OpenAI's chat completion.
-type wholeResponse struct {
-	ID      string            `json:"id"`
-	Object  string            `json:"object"`
-	Created int64             `json:"created"`
-	Model   structs.ModelName `json:"model"`
-	Choices []wholeChoice     `json:"choices"`
-	Usage   usage             `json:"usage"`
+type completionResponse struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Created int64              `json:"created"`
+	Model   structs.ModelName  `json:"model"`
+	Choices []completionChoice `json:"choices"`
+	Usage   usage              `json:"usage"`
 }
 
-type wholeChoice struct {
+type completionChoice struct {
 	Index        int           `json:"index"`
 	Message      answerMessage `json:"message"`
 	FinishReason string        `json:"finish_reason"`
@@ -43,35 +43,35 @@
 	}
 }
 
-func (e *exchange) serveWhole() {
-	e.follow(0, func(n news) bool {
+func (e *exchange) serveUnstreamed() {
+	e.follow(0, func(n answerUpdate) bool {
 		if n.outcome != nil {
-			e.answerWhole(*n.outcome)
+			e.answerCompletion(*n.outcome)
 		}
 		return true
 	})
 }
 
-func (e *exchange) answerWhole(outcome structs.Outcome) {
+func (e *exchange) answerCompletion(outcome structs.Outcome) {
 	if outcome.Status != structs.OutcomeCompleted {
 		e.answerOutcome(outcome)
 		return
 	}
-	e.note(http.StatusOK, outcome)
-	e.noteText(len(outcome.Answer.Content))
-	e.setNames()
-	writeJSON(e.w, http.StatusOK, wholeOf(e.call.RequestID, e.call.Model, outcome))
+	e.recordOutcome(http.StatusOK, outcome)
+	e.countText(len(outcome.Answer.Content))
+	e.setIdentityHeaders()
+	writeJSON(e.w, http.StatusOK, completionOf(e.call.RequestID, e.call.Model, outcome))
 }
 
-func wholeOf(request structs.RequestID, model structs.ModelName, outcome structs.Outcome) wholeResponse {
+func completionOf(request structs.RequestID, model structs.ModelName, outcome structs.Outcome) completionResponse {
 	answer := outcome.Answer
 	answer.Role = roleAssistant
-	return wholeResponse{
+	return completionResponse{
 		ID:      string(request),
 		Object:  "chat.completion",
 		Created: time.Now().Unix(),
 		Model:   model,
-		Choices: []wholeChoice{{Message: answerMessageOf(answer), FinishReason: outcome.FinishReason}},
+		Choices: []completionChoice{{Message: answerMessageOf(answer), FinishReason: outcome.FinishReason}},
 		Usage:   usageOf(outcome.Usage),
 	}
 }
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -85,7 +85,7 @@
 		return
 	}
 	if problems := UnknownPolicies(&change.Patch); len(problems) > 0 {
-		answer(w, http.StatusOK, refusePolicies(&change, problems))
+		answer(w, http.StatusOK, unknownPolicyVerdict(&change, problems))
 		return
 	}
 	result := make(chan configuration.Verdict, 1)
@@ -99,7 +99,7 @@
 		return
 	}
 	if problems := UnknownPolicies(&change.Patch); len(problems) > 0 {
-		verdict := refusePolicies(&change, problems)
+		verdict := unknownPolicyVerdict(&change, problems)
 		h.answerPublished(w, verdict, &configuration.RefusedError{Verdict: verdict})
 		return
 	}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -37,7 +37,7 @@
 	result := Programs{Programs: []dispatch.ProgramSummary{}}
 	for _, member := range h.Members.Members() {
 		group.Add(1)
-		h.Queries.List(member.Daemon.ID, tenant, limit, askTimeout, func(listed dispatch.Listed, err error) {
+		h.Queries.List(member.Daemon.ID, tenant, limit, queryTimeout, func(listed dispatch.Listed, err error) {
 			defer group.Done()
 			mutex.Lock()
 			defer mutex.Unlock()
@@ -77,7 +77,7 @@
 		err    error
 	}
 	result := make(chan described, 1)
-	h.Queries.Describe(request, askTimeout, func(answer dispatch.Described, err error) {
+	h.Queries.Describe(request, queryTimeout, func(answer dispatch.Described, err error) {
 		result <- described{answer, err}
 	})
 	got := <-result
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -24,7 +24,7 @@
 
 const (
 	// askTimeout bounds the questions to other daemons.
-	askTimeout = 3 * time.Second
+	queryTimeout = 3 * time.Second
 	// programLimit bounds a list of programs.
 	programLimit = 1000
 )
@@ -68,15 +68,15 @@
 // Handler implements http.Handler for all paths under PathPrefix.
 type Handler struct {
 	Options
-	names map[string]string // operator by key hash
-	mux   *http.ServeMux
+	operatorsByKeyHash map[string]string // operator by key hash
+	mux                *http.ServeMux
 }
 
 // New returns a handler.
 func New(options Options) *Handler {
-	h := &Handler{Options: options, names: map[string]string{}, mux: http.NewServeMux()}
+	h := &Handler{Options: options, operatorsByKeyHash: map[string]string{}, mux: http.NewServeMux()}
 	for _, operator := range options.Operators {
-		h.names[operator.KeyHash] = operator.Name
+		h.operatorsByKeyHash[operator.KeyHash] = operator.Name
 	}
 	h.handle("GET", "configuration", h.serveConfiguration)
 	h.handle("GET", "configuration/history", h.serveHistory)
@@ -113,7 +113,7 @@
 	if !bears || key == "" {
 		return "", false
 	}
-	name, known := h.names[KeyHash(key)]
+	name, known := h.operatorsByKeyHash[KeyHash(key)]
 	return name, known
 }
 
--- a/internal/operator/policies.go
+++ b/internal/operator/policies.go
@@ -34,7 +34,7 @@
 
 // refusePolicies is the verdict on a change that names unknown policies; it
 // never reaches the log.
-func refusePolicies(change *structs.Change, problems []configuration.Problem) configuration.Verdict {
+func unknownPolicyVerdict(change *structs.Change, problems []configuration.Problem) configuration.Verdict {
 	return configuration.Verdict{
 		OperationID: change.OperationID,
 		Operator:    change.Operator,
--- a/internal/program/admit.go
+++ b/internal/program/admit.go
@@ -77,7 +77,7 @@
 	if admission, admitted := program.admitLimits(call, pending, now); !admitted {
 		return admission
 	}
-	whole := program.acceptsWhole(&call)
+	whole := program.acceptsFullHistory(&call)
 	if refusal, fits := program.reduceHistory(&call, pending); !fits {
 		return refusal
 	}
@@ -100,7 +100,7 @@
 		}
 	}
 	if len(pending) > 0 {
-		return admitBehindStart(call, pending, now)
+		return admitDuringStart(call, pending, now)
 	}
 	if call.Sequence > 1 {
 		// Call 1 may still be on its way over another connection.
@@ -123,15 +123,15 @@
 }
 
 // admitBehindStart admits a call while the program's start is being recorded.
-func admitBehindStart(call structs.Call, pending []structs.Call, now time.Time) Admission {
-	unborn := &Program{Key: call.Key}
-	if known, admission := unborn.admitKnown(call, pending); known {
+func admitDuringStart(call structs.Call, pending []structs.Call, now time.Time) Admission {
+	starting := &Program{Key: call.Key}
+	if known, admission := starting.admitKnown(call, pending); known {
 		return admission
 	}
-	if admission, admitted := unborn.admitSequence(&call, pending); !admitted {
+	if admission, admitted := starting.admitSequence(&call, pending); !admitted {
 		return admission
 	}
-	if refusal, fits := unborn.reduceHistory(&call, pending); !fits {
+	if refusal, fits := starting.reduceHistory(&call, pending); !fits {
 		return refusal
 	}
 	return Admission{Verdict: VerdictAccept, Call: call, Records: acceptRecords(call, now)}
@@ -185,7 +185,7 @@
 	case call.Sequence == 0 || call.Sequence == next:
 		call.Sequence = next
 		return Admission{}, true
-	case call.Sequence > next && p.acceptsWhole(call) && len(pending) == 0:
+	case call.Sequence > next && p.acceptsFullHistory(call) && len(pending) == 0:
 		// The calls between were lost with their records; the conversation in
 		// this call makes up for them.
 		return Admission{}, true
--- a/internal/program/apply.go
+++ b/internal/program/apply.go
@@ -33,7 +33,7 @@
 	case record.ShardRecovered != nil:
 		s.applyShardRecovered(record.At)
 	}
-	s.warmth.advance(record.At)
+	s.cache.evictIdle(record.At)
 }
 
 func (s *Shard) applyProgramStarted(at time.Time, started *structs.ProgramStarted) {
@@ -46,7 +46,7 @@
 		Priority:        started.Priority,
 		Limits:          started.Limits,
 		SystemPrompt:    Intern(started.SystemPrompt),
-		History:         History{warmth: s.warmth},
+		History:         History{cache: s.cache},
 		ApplicationCost: started.ApplicationCost,
 		Budget:          started.Budget,
 		StartedAt:       at,
@@ -57,15 +57,15 @@
 	if parent := s.programs[started.Key.Parent()]; parent != nil {
 		parent.Children++
 	}
-	s.account(started.Key)
+	s.updateFootprint(started.Key)
 }
 
 func (s *Shard) applyProgramRemoved(removed *structs.ProgramRemoved) {
 	if program := s.programs[removed.Key]; program != nil {
-		s.warmth.forget(&program.History)
+		s.cache.evict(&program.History)
 	}
 	delete(s.programs, removed.Key)
-	s.account(removed.Key)
+	s.updateFootprint(removed.Key)
 }
 
 func (s *Shard) applyCallAccepted(at time.Time, accepted *structs.CallAccepted) {
@@ -94,7 +94,7 @@
 		program.Repeats = 1
 	}
 	program.Open = append(program.Open, &CallState{Call: call, Stage: StageAccepted, AcceptedAt: at, Whole: accepted.Whole})
-	s.account(accepted.Key)
+	s.updateFootprint(accepted.Key)
 }
 
 func (s *Shard) applyCallDispatched(at time.Time, dispatched *structs.CallDispatched) {
@@ -108,7 +108,7 @@
 	}
 	if dispatched.Disproved {
 		root.Reserved -= call.Reserved
-		s.spend(program.Key.Tenant, call.Window, -call.Reserved)
+		s.chargeAllowance(program.Key.Tenant, call.Window, -call.Reserved)
 	} else {
 		call.LostReserved += call.Reserved
 	}
@@ -124,7 +124,7 @@
 	call.Reserved = dispatched.Reserved
 	root.Reserved += dispatched.Reserved
 	call.Window = WindowOf(structs.QuotaSpending, at)
-	s.spend(program.Key.Tenant, call.Window, dispatched.Reserved)
+	s.chargeAllowance(program.Key.Tenant, call.Window, dispatched.Reserved)
 	if call.Call.Kind == structs.CallModel {
 		program.LastEngine = dispatched.BackEnd
 	}
@@ -139,11 +139,11 @@
 		return
 	}
 	if former := program.Settled[settled.RequestID]; former != nil {
-		learnUnknownOutcome(root, former, settled.Outcome)
-		s.account(settled.Key)
+		resolveUnknownOutcome(root, former, settled.Outcome)
+		s.updateFootprint(settled.Key)
 		return
 	}
-	position := openPosition(program, settled.RequestID)
+	position := openIndex(program, settled.RequestID)
 	if position < 0 {
 		return
 	}
@@ -157,20 +157,20 @@
 	charged := charge(call, settled.Outcome)
 	root.Reserved -= call.Reserved + call.LostReserved
 	root.Spent += charged
-	s.spend(program.Key.Tenant, call.Window, charged-call.Reserved-call.LostReserved)
+	s.chargeAllowance(program.Key.Tenant, call.Window, charged-call.Reserved-call.LostReserved)
 	program.ServedTokens += settled.Outcome.Usage.PromptTokens - settled.Outcome.Usage.CachedTokens + settled.Outcome.Usage.CompletionTokens
 	if settled.Outcome.Status == structs.OutcomeNotRun && call.Call.Sequence == program.Accepted {
-		program.takeBack()
+		program.revertAcceptance()
 	} else {
-		program.remember(call, settled.Outcome, charged)
+		program.recordOutcome(call, settled.Outcome, charged)
 	}
-	s.account(settled.Key)
+	s.updateFootprint(settled.Key)
 }
 
 // takeBack undoes the acceptance of the latest call, which did not run: the
 // caller may send it again under the same sequence and request identifier.
 // A call with successors keeps its refusal, or it would run out of order.
-func (p *Program) takeBack() {
+func (p *Program) revertAcceptance() {
 	p.Accepted--
 	p.Turns--
 	p.Repeats--
@@ -188,7 +188,7 @@
 
 // learnUnknownOutcome replaces an unknown outcome of a call without history
 // once the back end has told what happened, and refunds what it did not cost.
-func learnUnknownOutcome(root *Program, former *SettledCall, outcome structs.Outcome) {
+func resolveUnknownOutcome(root *Program, former *SettledCall, outcome structs.Outcome) {
 	if former.Outcome.Status != structs.OutcomeUnknown || former.Kind == structs.CallModel {
 		return
 	}
@@ -198,7 +198,7 @@
 	former.Outcome = outcome
 }
 
-func openPosition(program *Program, request structs.RequestID) int {
+func openIndex(program *Program, request structs.RequestID) int {
 	for position, call := range program.Open {
 		if call.Call.RequestID == request {
 			return position
@@ -209,7 +209,7 @@
 
 // remember keeps a call's outcome for the program's life, so that the same
 // request identifier never runs again.
-func (p *Program) remember(call *CallState, outcome structs.Outcome, charged structs.Cost) {
+func (p *Program) recordOutcome(call *CallState, outcome structs.Outcome, charged structs.Cost) {
 	settled := &SettledCall{
 		Sequence:    call.Call.Sequence,
 		Kind:        call.Call.Kind,
@@ -242,18 +242,18 @@
 	if program == nil || program.Ended {
 		return
 	}
-	s.endOne(program, at, ended.Reason)
+	s.endProgram(program, at, ended.Reason)
 	prefix := string(ended.Key.Program) + "/"
 	for key, descendant := range s.programs {
 		if key.Tenant == ended.Key.Tenant && strings.HasPrefix(string(key.Program), prefix) && !descendant.Ended {
-			s.endOne(descendant, at, ended.Reason)
+			s.endProgram(descendant, at, ended.Reason)
 		}
 	}
 }
 
 // endOne closes a program. Calls that were never dispatched certainly did not
 // run; dispatched ones stay open until their outcome is known.
-func (s *Shard) endOne(program *Program, at time.Time, reason structs.Reason) {
+func (s *Shard) endProgram(program *Program, at time.Time, reason structs.Reason) {
 	program.Ended = true
 	program.EndReason = reason
 	program.EndedAt = at
@@ -267,8 +267,8 @@
 			continue
 		}
 		outcome := structs.Refused(structs.ReasonProgramEnded, "", "The program ended before the call was sent.", 0)
-		program.remember(call, outcome, 0)
+		program.recordOutcome(call, outcome, 0)
 	}
 	program.Open = open
-	s.account(program.Key)
+	s.updateFootprint(program.Key)
 }
--- a/internal/program/history.go
+++ b/internal/program/history.go
@@ -28,20 +28,20 @@
 	packedBytes int64
 	// warmth is the shard's list of warm histories; without one a history is
 	// unpacked for each reading.
-	warmth *warmth
+	cache *unpackedCache
 	// unpacked holds every message while the history is warm.
 	unpacked      []structs.Message
 	unpackedBytes int64
 	usedAt        time.Time
 	// place is the history's entry in the warmth's order.
-	place *list.Element
+	cacheEntry *list.Element
 }
 
 // Len returns the number of messages.
-func (h *History) Len() int { return h.sealed() + len(h.tail) }
+func (h *History) Len() int { return h.sealedLen() + len(h.tail) }
 
 // sealed returns the number of messages in segments.
-func (h *History) sealed() int {
+func (h *History) sealedLen() int {
 	if len(h.segments) == 0 {
 		return 0
 	}
@@ -62,7 +62,7 @@
 	if h.unpacked != nil {
 		h.unpacked = append(h.unpacked, message)
 		h.unpackedBytes += size
-		h.warmth.memory.unpacked.Add(size)
+		h.cache.memory.unpackedBytes.Add(size)
 	}
 	if h.tailBytes >= sealBytes {
 		h.seal()
@@ -86,13 +86,13 @@
 		return h.tail
 	}
 	if h.unpacked != nil {
-		h.warmth.use(h)
+		h.cache.touch(h)
 		return h.unpacked
 	}
 	all := h.unpackFrom(0)
-	if h.warmth != nil {
+	if h.cache != nil {
 		h.unpacked = all
-		h.warmth.add(h)
+		h.cache.add(h)
 	}
 	return all
 }
@@ -100,8 +100,8 @@
 // From returns the messages from a place on. It leaves a cold history cold.
 func (h *History) From(place int) []structs.Message {
 	switch {
-	case place >= h.sealed():
-		return h.tail[place-h.sealed():]
+	case place >= h.sealedLen():
+		return h.tail[place-h.sealedLen():]
 	case h.unpacked != nil:
 		return h.unpacked[place:]
 	default:
@@ -111,7 +111,7 @@
 
 // At returns one message.
 func (h *History) At(place int) structs.Message {
-	if place >= h.sealed() || h.unpacked != nil {
+	if place >= h.sealedLen() || h.unpacked != nil {
 		return h.From(place)[0]
 	}
 	start := 0
@@ -138,7 +138,7 @@
 }
 
 // cool forgets the unpacked copy.
-func (h *History) cool() {
+func (h *History) dropUnpacked() {
 	h.unpacked = nil
 	h.unpackedBytes = 0
 }
--- a/internal/program/history_test.go
+++ b/internal/program/history_test.go
@@ -32,7 +32,7 @@
 	random := rand.New(rand.NewPCG(1, 0))
 	for range 20 {
 		want := conversation(random, 1+random.IntN(60))
-		history := History{warmth: newWarmth(NewMemory(DefaultMemoryLimits()))}
+		history := History{cache: newUnpackedCache(NewMemory(DefaultMemoryLimits()))}
 		history.Append(want...)
 		for place := range want {
 			if diff := cmp.Diff(want[place:], history.From(place)); diff != "" {
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	history := History{warmth: newWarmth(NewMemory(DefaultMemoryLimits()))}
+	history := History{cache: newUnpackedCache(NewMemory(DefaultMemoryLimits()))}
 	history.Append(want...)
 	for _, state := range []string{"packed", "warm"} {
 		got, err := json.Marshal(history)
@@ -84,7 +84,7 @@
 }
 
 // talk drives a program of a shard through turns with answers of some bytes.
-func talk(t testing.TB, shard *Shard, key structs.ProgramKey, turns, answerBytes int, at time.Time) {
+func runTurns(t testing.TB, shard *Shard, key structs.ProgramKey, turns, answerBytes int, at time.Time) {
 	t.Helper()
 	if shard.Program(key) == nil {
 		shard.Apply(structs.Record{At: at, ProgramStarted: &structs.ProgramStarted{Key: key, Budget: 1000, SystemPrompt: "Be brief."}})
@@ -105,11 +105,11 @@
 func TestWhatIsWarmDoesNotShowInSnapshots(t *testing.T) {
 	read, unread := NewShard(), NewShard()
 	for _, shard := range []*Shard{read, unread} {
-		talk(t, shard, rootKey, 30, 3000, start)
+		runTurns(t, shard, rootKey, 30, 3000, start)
 	}
 	read.Program(rootKey).Prompt(&structs.Call{})
-	talk(t, read, rootKey, 10, 3000, start.Add(time.Second))
-	talk(t, unread, rootKey, 10, 3000, start.Add(time.Second))
+	runTurns(t, read, rootKey, 10, 3000, start.Add(time.Second))
+	runTurns(t, unread, rootKey, 10, 3000, start.Add(time.Second))
 	first, err := read.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 
 func TestHistoriesCoolAfterTheWarmTime(t *testing.T) {
 	shard := NewShard()
-	talk(t, shard, rootKey, 30, 3000, start)
+	runTurns(t, shard, rootKey, 30, 3000, start)
 	shard.Program(rootKey).Prompt(&structs.Call{})
 	if got := shard.memory.UnpackedBytes(); got < 90_000 {
 		t.Fatalf("%d bytes unpacked after a reading, want the whole history", got)
@@ -148,7 +148,7 @@
 	shard := NewShardWithMemory(NewMemory(limits))
 	for number := range 5 {
 		other := structs.ProgramKey{Tenant: rootKey.Tenant, Program: structs.ProgramID(fmt.Sprint("p", number))}
-		talk(t, shard, other, 30, 3000, start)
+		runTurns(t, shard, other, 30, 3000, start)
 		shard.Program(other).Prompt(&structs.Call{})
 		if got := shard.memory.UnpackedBytes(); got > limits.Unpacked || got < 90_000 {
 			t.Errorf("after %d readings: %d bytes unpacked, want the latest and at most %d", number+1, got, limits.Unpacked)
@@ -160,7 +160,7 @@
 	memory := NewMemory(DefaultMemoryLimits())
 	first, second := NewShardWithMemory(memory), NewShardWithMemory(memory)
 	for _, shard := range []*Shard{first, second} {
-		talk(t, shard, rootKey, 30, 3000, start)
+		runTurns(t, shard, rootKey, 30, 3000, start)
 		shard.Program(rootKey).Prompt(&structs.Call{})
 	}
 	snapshot, err := first.Snapshot()
--- a/internal/program/memory.go
+++ b/internal/program/memory.go
@@ -37,8 +37,8 @@
 type Memory struct {
 	limits MemoryLimits
 	// kept is the size of all programs, unpacked that of the unpacked copies.
-	kept     atomic.Int64
-	unpacked atomic.Int64
+	programBytes  atomic.Int64
+	unpackedBytes atomic.Int64
 }
 
 // NewMemory returns an empty account.
@@ -48,10 +48,10 @@
 func (m *Memory) Limits() MemoryLimits { return m.limits }
 
 // Kept returns the size of all programs in bytes, without unpacked copies.
-func (m *Memory) ProgramBytes() int64 { return m.kept.Load() }
+func (m *Memory) ProgramBytes() int64 { return m.programBytes.Load() }
 
 // Unpacked returns the size of unpacked copies in bytes.
-func (m *Memory) UnpackedBytes() int64 { return m.unpacked.Load() }
+func (m *Memory) UnpackedBytes() int64 { return m.unpackedBytes.Load() }
 
 const (
 	// programOverhead is the measured size of a program without calls, in bytes.
@@ -84,7 +84,7 @@
 }
 
 // account brings the daemon's count up to date with one program.
-func (s *Shard) account(key structs.ProgramKey) {
+func (s *Shard) updateFootprint(key structs.ProgramKey) {
 	former, now := s.footprints[key], int64(0)
 	if program := s.programs[key]; program != nil {
 		now = program.footprint()
@@ -92,14 +92,14 @@
 	} else {
 		delete(s.footprints, key)
 	}
-	s.memory.kept.Add(now - former)
+	s.memory.programBytes.Add(now - former)
 }
 
 // Discard takes the shard out of the daemon's count; it is not used any more.
 func (s *Shard) Discard() {
 	for _, size := range s.footprints {
-		s.memory.kept.Add(-size)
+		s.memory.programBytes.Add(-size)
 	}
 	clear(s.footprints)
-	s.warmth.forgetAll()
+	s.cache.evictAll()
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -12,11 +12,11 @@
 )
 
 var (
-	start   = time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC)
-	rootKey = structs.ProgramKey{Tenant: "bakery", Program: "order"}
-	subKey  = structs.ProgramKey{Tenant: "bakery", Program: "order/flour"}
-	basic   = Policy{Template: "orders", Budget: 1000, Limits: structs.Limits{Turns: 5, Repetitions: 2, AnswerTokens: 10}}
-	price   = structs.Price{Prompt: 1, Completion: 2}
+	start       = time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC)
+	rootKey     = structs.ProgramKey{Tenant: "bakery", Program: "order"}
+	subKey      = structs.ProgramKey{Tenant: "bakery", Program: "order/flour"}
+	basicPolicy = Policy{Template: "orders", Budget: 1000, Limits: structs.Limits{Turns: 5, Repetitions: 2, AnswerTokens: 10}}
+	price       = structs.Price{Prompt: 1, Completion: 2}
 )
 
 func userCall(key structs.ProgramKey, request string, sequence uint64) structs.Call {
@@ -33,7 +33,7 @@
 // admit admits a call that must be accepted and applies its records.
 func admit(t *testing.T, shard *Shard, call structs.Call) {
 	t.Helper()
-	admission := shard.Admit(call, basic, nil, start)
+	admission := shard.Admit(call, basicPolicy, nil, start)
 	if admission.Verdict != VerdictAccept {
 		t.Fatalf("call %s: verdict %d, refusal %+v", call.RequestID, admission.Verdict, admission.Refusal)
 	}
@@ -59,14 +59,14 @@
 func TestCallsKeepTheirOrder(t *testing.T) {
 	shard := NewShard()
 	admit(t, shard, userCall(rootKey, "a", 1))
-	if verdict := shard.Admit(userCall(rootKey, "c", 3), basic, nil, start).Verdict; verdict != VerdictWait {
+	if verdict := shard.Admit(userCall(rootKey, "c", 3), basicPolicy, nil, start).Verdict; verdict != VerdictWait {
 		t.Errorf("call 3 before call 2: verdict %d, want wait", verdict)
 	}
 	admit(t, shard, userCall(rootKey, "b", 2))
 	if head := shard.Program(rootKey).Head().Call.RequestID; head != "a" {
 		t.Errorf("head is %q, want a", head)
 	}
-	if got := shard.Admit(userCall(rootKey, "d", 1), basic, nil, start); got.Refusal.Reason != structs.ReasonSequenceConflict {
+	if got := shard.Admit(userCall(rootKey, "d", 1), basicPolicy, nil, start); got.Refusal.Reason != structs.ReasonSequenceConflict {
 		t.Errorf("a used sequence number: %+v", got.Refusal)
 	}
 }
@@ -74,15 +74,15 @@
 func TestKnownRequestIsNotAcceptedAgain(t *testing.T) {
 	shard := NewShard()
 	admit(t, shard, userCall(rootKey, "a", 1))
-	if verdict := shard.Admit(userCall(rootKey, "a", 0), basic, nil, start).Verdict; verdict != VerdictKnown {
+	if verdict := shard.Admit(userCall(rootKey, "a", 0), basicPolicy, nil, start).Verdict; verdict != VerdictKnown {
 		t.Errorf("open request: verdict %d, want known", verdict)
 	}
 	shard.Apply(dispatchRecord(rootKey, "a", 1, 50, false))
 	shard.Apply(settleRecord(rootKey, "a", completed("yes", 20)))
-	if verdict := shard.Admit(userCall(rootKey, "a", 0), basic, nil, start).Verdict; verdict != VerdictKnown {
+	if verdict := shard.Admit(userCall(rootKey, "a", 0), basicPolicy, nil, start).Verdict; verdict != VerdictKnown {
 		t.Errorf("settled request: verdict %d, want known", verdict)
 	}
-	conflict := shard.Admit(userCall(rootKey, "a", 2), basic, nil, start)
+	conflict := shard.Admit(userCall(rootKey, "a", 2), basicPolicy, nil, start)
 	if conflict.Refusal.Reason != structs.ReasonRequestConflict {
 		t.Errorf("same request under another number: %+v", conflict.Refusal)
 	}
@@ -104,7 +104,7 @@
 	admit(t, shard, userCall(rootKey, "a", 1))
 	admit(t, shard, userCall(rootKey, "b", 2))
 	shard.Apply(settleRecord(rootKey, "a", structs.Refused(structs.ReasonOverloaded, "", "", 0)))
-	if verdict := shard.Admit(userCall(rootKey, "a", 1), basic, nil, start).Verdict; verdict != VerdictKnown {
+	if verdict := shard.Admit(userCall(rootKey, "a", 1), basicPolicy, nil, start).Verdict; verdict != VerdictKnown {
 		t.Errorf("verdict %d, want known: it would run after its successor", verdict)
 	}
 }
@@ -117,12 +117,12 @@
 	call := userCall(rootKey, "b", 2)
 	call.History = structs.HistoryFull
 	call.Messages = []structs.Message{{Role: "user", Content: "call a"}, {Role: "assistant", Content: "yes"}, {Role: "user", Content: "and?"}}
-	admission := shard.Admit(call, basic, nil, start)
+	admission := shard.Admit(call, basicPolicy, nil, start)
 	if diff := cmp.Diff([]structs.Message{{Role: "user", Content: "and?"}}, admission.Call.Messages); diff != "" {
 		t.Errorf("new messages (-want +got):\n%s", diff)
 	}
 	call.Messages = []structs.Message{{Role: "user", Content: "something else"}, {Role: "assistant", Content: "yes"}}
-	if got := shard.Admit(call, basic, nil, start); got.Refusal.Reason != structs.ReasonHistoryConflict {
+	if got := shard.Admit(call, basicPolicy, nil, start); got.Refusal.Reason != structs.ReasonHistoryConflict {
 		t.Errorf("another history: %+v", got.Refusal)
 	}
 }
@@ -184,7 +184,7 @@
 	}
 	admit(t, shard, same(1))
 	admit(t, shard, same(2))
-	admission := shard.Admit(same(3), basic, nil, start)
+	admission := shard.Admit(same(3), basicPolicy, nil, start)
 	if admission.Refusal.Reason != structs.ReasonRepetitionLimit || len(admission.Records) != 1 {
 		t.Fatalf("third identical call: %+v", admission)
 	}
@@ -253,7 +253,7 @@
 }
 
 func randomStep(t *rapid.T, shard *Shard, key structs.ProgramKey, step int) {
-	policy := basic
+	policy := basicPolicy
 	policy.Limits.Turns = 0
 	switch rapid.IntRange(0, 3).Draw(t, "action") {
 	case 0:
--- a/internal/program/quota.go
+++ b/internal/program/quota.go
@@ -157,7 +157,7 @@
 }
 
 // spend counts a reservation against the tenant's allowance of its window.
-func (s *Shard) spend(tenant structs.TenantName, window int64, amount structs.Cost) {
+func (s *Shard) chargeAllowance(tenant structs.TenantName, window int64, amount structs.Cost) {
 	allowance := s.allowances[structs.QuotaKey{Tenant: tenant, Kind: structs.QuotaSpending}]
 	if allowance == nil || allowance.Window != window {
 		return
--- a/internal/program/recovery.go
+++ b/internal/program/recovery.go
@@ -35,29 +35,29 @@
 func (s *Shard) applyShardRecovered(at time.Time) {
 	s.recoveredAt = at
 	for _, program := range s.Programs() {
-		program.recover(at)
-		s.account(program.Key)
+		program.resetAfterLoss(at)
+		s.updateFootprint(program.Key)
 	}
 }
 
 // recover gives up what a program has under way. Calls without an outcome may
 // have one that is lost. What is left of the budget may be spent: nothing
 // bounds what was, so all of it is charged.
-func (p *Program) recover(at time.Time) {
+func (p *Program) resetAfterLoss(at time.Time) {
 	if !p.Ended {
 		p.Recovered = true
 		p.Gap = GapPossible
 		p.ActiveAt = at
 	}
-	p.takeBackModelCalls()
+	p.revertOpenModelCalls()
 	for _, open := range p.Open {
 		if open.Call.Kind == structs.CallModel {
 			p.Gap = GapCertain
 		}
-		p.remember(open, structs.Outcome{
+		p.recordOutcome(open, structs.Outcome{
 			Status:  structs.OutcomeUnknown,
 			Reason:  structs.ReasonRecordsLost,
-			Message: lostMessage,
+			Message: recordsLostMessage,
 		}, open.Reserved+open.LostReserved)
 	}
 	p.Open = nil
@@ -66,26 +66,26 @@
 	p.LastFingerprint, p.Repeats = 0, 0
 }
 
-const lostMessage = "All holders of the program's records were lost; the call may or may not have run."
+const recordsLostMessage = "All holders of the program's records were lost; the call may or may not have run."
 
 // takeBackModelCalls undoes the acceptance of the latest calls as far as they
 // are model calls without an outcome, so that the caller may make them again.
 // If they had one after the archive's last entry, the caller's next sequence
 // number shows it.
-func (p *Program) takeBackModelCalls() {
+func (p *Program) revertOpenModelCalls() {
 	for len(p.Open) > 0 {
 		last := p.Open[len(p.Open)-1]
 		if last.Call.Kind != structs.CallModel || last.Call.Sequence != p.Accepted {
 			return
 		}
 		p.Open = p.Open[:len(p.Open)-1]
-		p.takeBack()
+		p.revertAcceptance()
 	}
 }
 
 // acceptsWhole tells whether a call brings the whole conversation to a program
 // that may lack turns.
-func (p *Program) acceptsWhole(call *structs.Call) bool {
+func (p *Program) acceptsFullHistory(call *structs.Call) bool {
 	return p.Gap != GapNone && call.Kind == structs.CallModel && call.History == structs.HistoryFull
 }
 
@@ -119,7 +119,7 @@
 	return Admission{Verdict: VerdictRefuse, Refusal: structs.Outcome{
 		Status:  structs.OutcomeUnknown,
 		Reason:  structs.ReasonRecordsLost,
-		Message: lostMessage,
+		Message: recordsLostMessage,
 	}}
 }
 
@@ -135,21 +135,21 @@
 	admission := refuse(structs.ReasonRecordsLost, "sequence",
 		"All holders of this program's records were lost, if there was one. A new program must name its first call's sequence number, 1.")
 	if call.Sequence > 1 {
-		admission.Refusal.RetryAfter = retryBehindStart
+		admission.Refusal.RetryAfter = retryAfterUnknownStart
 	}
 	return admission, true
 }
 
 // retryBehindStart is when a call may come back whose program's first call may
 // be on its way still.
-const retryBehindStart = time.Second
+const retryAfterUnknownStart = time.Second
 
 // admitAcrossGap lets a recovered program go on where nothing can be missing
 // in its history unnoticed: with the whole conversation, or with the very next
 // sequence number, which proves that no later call was taken.
 func (p *Program) admitAcrossGap(call structs.Call, pending int) (Admission, bool) {
 	next := call.Sequence == p.Accepted+1 && p.Gap == GapPossible && len(p.Open) == 0 && pending == 0
-	if next || p.acceptsWhole(&call) {
+	if next || p.acceptsFullHistory(&call) {
 		return Admission{}, false
 	}
 	return refuse(structs.ReasonHistoryGap, "sequence",
--- a/internal/program/recovery_test.go
+++ b/internal/program/recovery_test.go
@@ -11,7 +11,7 @@
 
 // recovered is a shard with one program that had two answered calls and these
 // open ones when all its holders were lost.
-func recovered(t *testing.T, open ...structs.CallKind) *Shard {
+func recoveredShard(t *testing.T, open ...structs.CallKind) *Shard {
 	t.Helper()
 	shard := NewShard()
 	for i, request := range []string{"1", "2"} {
@@ -31,23 +31,23 @@
 	return shard
 }
 
-func whole(call structs.Call, messages ...structs.Message) structs.Call {
+func withFullHistory(call structs.Call, messages ...structs.Message) structs.Call {
 	call.History = structs.HistoryFull
 	call.Messages = append(messages, call.Messages...)
 	return call
 }
 
-func kept(t *testing.T, shard *Shard) []structs.Message {
+func historyMessages(t *testing.T, shard *Shard) []structs.Message {
 	t.Helper()
 	return shard.Program(rootKey).History.From(0)
 }
 
 // judge admits a call as a leader does: what was lost comes first.
-func judge(shard *Shard, call structs.Call, sentBefore bool, at time.Time) Admission {
+func admitAsLeader(shard *Shard, call structs.Call, sentBefore bool, at time.Time) Admission {
 	if admission, unsure := shard.AdmitRecovered(call, sentBefore, nil, at); unsure {
 		return admission
 	}
-	return shard.Admit(call, basic, nil, at)
+	return shard.Admit(call, basicPolicy, nil, at)
 }
 
 func TestRecoveredProgramsGoOnOnlyWithoutAGap(t *testing.T) {
@@ -73,9 +73,9 @@
 		"call behind the next, appended":     {call: userCall(rootKey, "x", 4), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
 		"call without a number, appended":    {call: userCall(rootKey, "x", 0), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
 		"update without a number":            {call: update, verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
-		"call behind the next, whole":        {call: whole(userCall(rootKey, "x", 4), append(kept(t, recovered(t)), lost...)...), verdict: VerdictAccept},
-		"call without a number, whole":       {call: whole(userCall(rootKey, "x", 0), append(kept(t, recovered(t)), lost...)...), verdict: VerdictAccept},
-		"whole that contradicts":             {call: whole(userCall(rootKey, "x", 4), lost...), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryConflict},
+		"call behind the next, whole":        {call: withFullHistory(userCall(rootKey, "x", 4), append(historyMessages(t, recoveredShard(t)), lost...)...), verdict: VerdictAccept},
+		"call without a number, whole":       {call: withFullHistory(userCall(rootKey, "x", 0), append(historyMessages(t, recoveredShard(t)), lost...)...), verdict: VerdictAccept},
+		"whole that contradicts":             {call: withFullHistory(userCall(rootKey, "x", 4), lost...), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryConflict},
 		"open model call made again":         {call: userCall(rootKey, "x", 3), open: []structs.CallKind{structs.CallModel}, verdict: VerdictAccept},
 		"call behind an open model call":     {call: userCall(rootKey, "x", 4), open: []structs.CallKind{structs.CallModel}, verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
 		"open update asked again":            {call: userCall(rootKey, "3", 3), sentBefore: true, open: []structs.CallKind{structs.CallApplication}, verdict: VerdictKnown},
@@ -92,7 +92,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := judge(recovered(t, test.open...), test.call, test.sentBefore, start.Add(test.after))
+			got := admitAsLeader(recoveredShard(t, test.open...), test.call, test.sentBefore, start.Add(test.after))
 			if got.Verdict != test.verdict || got.Refusal.Status != test.status || got.Refusal.Reason != test.reason {
 				t.Errorf("verdict %d, refusal %+v; want %d, %s, %s", got.Verdict, got.Refusal, test.verdict, test.status, test.reason)
 			}
@@ -101,21 +101,21 @@
 }
 
 func TestWholeConversationFillsTheGapOnceItIsAnswered(t *testing.T) {
-	shard := recovered(t)
+	shard := recoveredShard(t)
 	lost := []structs.Message{{Role: "user", Content: "call 3"}, {Role: "assistant", Content: "answer 3"}}
-	call := whole(userCall(rootKey, "x", 4), append(kept(t, shard), lost...)...)
-	for _, record := range judge(shard, call, false, start).Records {
+	call := withFullHistory(userCall(rootKey, "x", 4), append(historyMessages(t, shard), lost...)...)
+	for _, record := range admitAsLeader(shard, call, false, start).Records {
 		shard.Apply(record)
 	}
 	follow := userCall(rootKey, "y", 5)
-	if got := judge(shard, follow, false, start); got.Refusal.Reason != structs.ReasonHistoryGap {
+	if got := admitAsLeader(shard, follow, false, start); got.Refusal.Reason != structs.ReasonHistoryGap {
 		t.Errorf("a call behind one that may yet fail: %+v, want a gap", got)
 	}
 	shard.Apply(settleRecord(rootKey, "x", structs.Refused(structs.ReasonBudgetExhausted, "", "", 0)))
-	if got := judge(shard, follow, false, start); got.Refusal.Reason != structs.ReasonHistoryGap {
+	if got := admitAsLeader(shard, follow, false, start); got.Refusal.Reason != structs.ReasonHistoryGap {
 		t.Errorf("after the whole conversation did not run: %+v, want a gap", got)
 	}
-	for _, record := range judge(shard, call, false, start).Records {
+	for _, record := range admitAsLeader(shard, call, false, start).Records {
 		shard.Apply(record)
 	}
 	shard.Apply(settleRecord(rootKey, "x", completed("answer 4", 0)))
@@ -125,16 +125,16 @@
 		lost[0], lost[1],
 		{Role: "user", Content: "call x"}, {Role: "assistant", Content: "answer 4"},
 	}
-	if diff := cmp.Diff(want, kept(t, shard)); diff != "" {
+	if diff := cmp.Diff(want, historyMessages(t, shard)); diff != "" {
 		t.Error(diff)
 	}
-	if got := judge(shard, follow, false, start); got.Verdict != VerdictAccept {
+	if got := admitAsLeader(shard, follow, false, start); got.Verdict != VerdictAccept {
 		t.Errorf("after the gap is filled: %+v, want it accepted", got.Refusal)
 	}
 }
 
 func TestRecoveredProgramsHaveSpentTheirBudget(t *testing.T) {
-	shard := recovered(t, structs.CallModel)
+	shard := recoveredShard(t, structs.CallModel)
 	if got := shard.Remaining(rootKey); got != 0 {
 		t.Errorf("%d left of the budget, want none: what was spent since the archive's end is not known", got)
 	}
@@ -163,7 +163,7 @@
 }
 
 func TestRecoveredProgramsEndWhenNobodyComesBack(t *testing.T) {
-	shard := recovered(t)
+	shard := recoveredShard(t)
 	if records := shard.Expired(start.Add(RecoveryWindow-time.Second), time.Minute); len(records) > 0 {
 		t.Errorf("ended within the window: %+v", records)
 	}
@@ -175,7 +175,7 @@
 
 func TestFrozenStateDoesNotChange(t *testing.T) {
 	shard := NewShard()
-	talk(t, shard, rootKey, 20, 3000, start)
+	runTurns(t, shard, rootKey, 20, 3000, start)
 	shard.Program(rootKey).Prompt(&structs.Call{})
 	call := userCall(rootKey, "open", shard.Program(rootKey).Accepted+1)
 	shard.Apply(structs.Record{At: start, CallAccepted: &structs.CallAccepted{Key: rootKey, Call: call}})
@@ -189,7 +189,7 @@
 	encode := shard.Freeze()
 	shard.Apply(dispatchRecord(rootKey, "open", 1, 10, false))
 	shard.Apply(settleRecord(rootKey, "open", completed("done", 3)))
-	talk(t, shard, rootKey, 20, 3000, start.Add(time.Minute))
+	runTurns(t, shard, rootKey, 20, 3000, start.Add(time.Minute))
 	shard.Apply(structs.Record{At: start, QuotaReceived: &structs.QuotaReceived{Quota: quota, Order: structs.Ballot{Epoch: 1, Count: 2}, Total: 50}})
 	shard.Apply(structs.Record{At: start, QuotaGranted: &structs.QuotaGranted{Quota: quota, Shard: 2, Order: structs.Ballot{Epoch: 1, Count: 2}, Total: 50}})
 	got, err := encode()
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -102,13 +102,13 @@
 	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return eris.Wrap(ErrSnapshot, err.Error())
 	}
-	if snapshot.hasGaps() {
+	if snapshot.hasNulls() {
 		return eris.Wrap(ErrSnapshot, "an entry is null")
 	}
 	restored := NewShardWithMemory(s.memory)
 	for _, program := range snapshot.Programs {
 		program.fillMaps()
-		program.History.warmth = restored.warmth
+		program.History.cache = restored.cache
 		restored.programs[program.Key] = program
 	}
 	for _, allowance := range snapshot.Allowances {
@@ -121,20 +121,20 @@
 	s.Discard()
 	*s = *restored
 	for key := range s.programs {
-		s.account(key)
+		s.updateFootprint(key)
 	}
 	return nil
 }
 
 // hasGaps tells whether an entry is missing where one must be: JSON's null is
 // read without an error, and nothing here would bear it.
-func (s *shardSnapshot) hasGaps() bool {
-	return slices.ContainsFunc(s.Programs, (*Program).hasGaps) ||
+func (s *shardSnapshot) hasNulls() bool {
+	return slices.ContainsFunc(s.Programs, (*Program).hasNulls) ||
 		slices.Contains(s.Allowances, nil) ||
 		slices.Contains(s.Ledgers, nil)
 }
 
-func (p *Program) hasGaps() bool {
+func (p *Program) hasNulls() bool {
 	if p == nil || slices.Contains(p.Open, nil) {
 		return true
 	}
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -167,7 +167,7 @@
 	// them is part of the state.
 	memory     *Memory
 	footprints map[structs.ProgramKey]int64
-	warmth     *warmth
+	cache      *unpackedCache
 }
 
 // NewShard returns an empty shard with an account of its own.
@@ -178,7 +178,7 @@
 	return &Shard{
 		memory:     memory,
 		footprints: map[structs.ProgramKey]int64{},
-		warmth:     newWarmth(memory),
+		cache:      newUnpackedCache(memory),
 		programs:   map[structs.ProgramKey]*Program{},
 		allowances: map[structs.QuotaKey]*Allowance{},
 		ledgers:    map[structs.QuotaKey]*Ledger{},
--- a/internal/query/client.go
+++ b/internal/query/client.go
@@ -21,7 +21,7 @@
 var ErrNoAnswer = eris.New("query: no answer in time")
 
 // askAgain is the pause before a question without an answer is repeated.
-const askAgain = 300 * time.Millisecond
+const retryInterval = 300 * time.Millisecond
 
 // Router tells where shards are led, and learns from redirections.
 type Router interface {
@@ -38,12 +38,12 @@
 
 	mutex   sync.Mutex
 	next    dispatch.QueryID
-	pending map[dispatch.QueryID]*question
+	pending map[dispatch.QueryID]*pendingQuery
 }
 
 // question is one that has no answer yet. Fields are set before it is asked;
 // timer is guarded by the client's mutex.
-type question struct {
+type pendingQuery struct {
 	id       dispatch.QueryID
 	deadline time.Time
 	// target returns whom to ask now, "" for nobody.
@@ -59,13 +59,13 @@
 
 // New returns a client without questions.
 func New(c clock.Clock, transport peer.Transport, router Router) *Client {
-	return &Client{clock: c, transport: transport, router: router, pending: map[dispatch.QueryID]*question{}}
+	return &Client{clock: c, transport: transport, router: router, pending: map[dispatch.QueryID]*pendingQuery{}}
 }
 
 // Describe asks the leader of a program's shard. done is called once: with an
 // answer whose Program is nil when there is none such, or with ErrNoAnswer.
 func (c *Client) Describe(request dispatch.Describe, timeout time.Duration, done func(dispatch.Described, error)) {
-	c.askShard(request.Key, timeout, func(id dispatch.QueryID) peer.Message {
+	c.queryShard(request.Key, timeout, func(id dispatch.QueryID) peer.Message {
 		request.Query = id
 		return &request
 	}, func(answer peer.Message) {
@@ -81,7 +81,7 @@
 // EndProgram asks the leader of a program's shard to end it. done is called
 // once; asking for the end of an ended program changes nothing.
 func (c *Client) EndProgram(key structs.ProgramKey, timeout time.Duration, done func(dispatch.ProgramEnded, error)) {
-	c.askShard(key, timeout, func(id dispatch.QueryID) peer.Message {
+	c.queryShard(key, timeout, func(id dispatch.QueryID) peer.Message {
 		return &dispatch.EndProgram{Query: id, Key: key}
 	}, func(answer peer.Message) {
 		ended, answered := answer.(*dispatch.ProgramEnded)
@@ -96,7 +96,7 @@
 // CancelCall asks the leader of a program's shard to stop a call. done is called
 // once.
 func (c *Client) CancelCall(key structs.ProgramKey, request structs.RequestID, timeout time.Duration, done func(dispatch.CallCancelled, error)) {
-	c.askShard(key, timeout, func(id dispatch.QueryID) peer.Message {
+	c.queryShard(key, timeout, func(id dispatch.QueryID) peer.Message {
 		return &dispatch.CancelCall{Query: id, Key: key, RequestID: request}
 	}, func(answer peer.Message) {
 		cancelled, answered := answer.(*dispatch.CallCancelled)
@@ -111,10 +111,10 @@
 // List asks one daemon for programs of the shards it leads. An empty tenant
 // asks for those of all. done is called once.
 func (c *Client) List(daemon structs.DaemonID, tenant structs.TenantName, limit int, timeout time.Duration, done func(dispatch.Listed, error)) {
-	asked := c.register(timeout)
-	asked.target = func() structs.DaemonID { return daemon }
-	asked.message = &dispatch.List{Query: asked.id, Tenant: tenant, Limit: limit}
-	asked.finish = func(answer peer.Message) {
+	query := c.register(timeout)
+	query.target = func() structs.DaemonID { return daemon }
+	query.message = &dispatch.List{Query: query.id, Tenant: tenant, Limit: limit}
+	query.finish = func(answer peer.Message) {
 		listed, answered := answer.(*dispatch.Listed)
 		if !answered {
 			done(dispatch.Listed{}, ErrNoAnswer)
@@ -122,84 +122,84 @@
 		}
 		done(*listed, nil)
 	}
-	c.ask(asked)
+	c.start(query)
 }
 
-func (c *Client) askShard(key structs.ProgramKey, timeout time.Duration, message func(dispatch.QueryID) peer.Message, finish func(peer.Message)) {
-	asked := c.register(timeout)
-	asked.shard = c.router.Shard(key)
-	asked.target = func() structs.DaemonID { return c.router.Route(asked.shard).Leader }
-	asked.message = message(asked.id)
-	asked.finish = finish
-	c.ask(asked)
+func (c *Client) queryShard(key structs.ProgramKey, timeout time.Duration, message func(dispatch.QueryID) peer.Message, finish func(peer.Message)) {
+	query := c.register(timeout)
+	query.shard = c.router.Shard(key)
+	query.target = func() structs.DaemonID { return c.router.Route(query.shard).Leader }
+	query.message = message(query.id)
+	query.finish = finish
+	c.start(query)
 }
 
-func (c *Client) register(timeout time.Duration) *question {
+func (c *Client) register(timeout time.Duration) *pendingQuery {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.next++
-	return &question{id: c.next, deadline: c.clock.Now().Add(timeout)}
+	return &pendingQuery{id: c.next, deadline: c.clock.Now().Add(timeout)}
 }
 
 // ask sends a question and asks again later. It gives up at the deadline.
-func (c *Client) ask(asked *question) {
+func (c *Client) start(query *pendingQuery) {
 	c.mutex.Lock()
-	c.pending[asked.id] = asked
+	c.pending[query.id] = query
 	c.mutex.Unlock()
-	c.repeat(asked)
+	c.attempt(query)
 }
 
-func (c *Client) repeat(asked *question) {
-	switch c.prepare(asked) {
-	case turnSend:
-		if target := asked.target(); target != "" {
-			c.transport.Send(target, asked.message)
+func (c *Client) attempt(query *pendingQuery) {
+	switch c.nextStep(query) {
+	case stepSend:
+		if target := query.target(); target != "" {
+			c.transport.Send(target, query.message)
 		}
-	case turnGiveUp:
-		asked.finish(nil)
-	case turnAnswered:
+	case stepTimeOut:
+		query.finish(nil)
+	case stepAnswered:
 	}
 }
 
 // turn is what to do with a question whose time to be asked has come.
-type turn int
+type step int
 
 const (
-	turnSend turn = iota
-	turnGiveUp
-	turnAnswered
+	stepSend step = iota
+	stepTimeOut
+	stepAnswered
 )
 
 // prepare decides under the lock, so that an answer which arrives meanwhile
 // and the deadline cannot both finish the question.
-func (c *Client) prepare(asked *question) turn {
+func (c *Client) nextStep(query *pendingQuery) step {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.pending[asked.id] != asked {
-		return turnAnswered
+	if c.pending[query.id] != query {
+		return stepAnswered
 	}
-	left := asked.deadline.Sub(c.clock.Now())
-	if left <= 0 {
-		delete(c.pending, asked.id)
-		return turnGiveUp
+	remaining := query.deadline.Sub(c.clock.Now())
+	if remaining <= 0 {
+		delete(c.pending, query.id)
+		return stepTimeOut
 	}
-	asked.timer = c.clock.AfterFunc(min(askAgain, left), func() { c.repeat(asked) })
-	return turnSend
+	query.timer = c.clock.AfterFunc(min(retryInterval, remaining), func() { c.attempt(query) })
+	return stepSend
 }
 
 // take removes a question from those without an answer, nil if it is gone.
-func (c *Client) take(id dispatch.QueryID) *question {
+func (c *Client) remove(id dispatch.QueryID) *pendingQuery {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	asked := c.pending[id]
-	if asked == nil {
+	query := c.pending[id]
+	if query == nil {
 		return nil
 	}
 	delete(c.pending, id)
-	if asked.timer != nil {
-		asked.timer.Stop()
+	if query.timer != nil {
+		query.timer.Stop()
 	}
-	return asked
+	return query
 }
 
 // Receive handles answers. It returns false for other messages.
@@ -225,8 +225,8 @@
 		c.redirected(id, *redirect)
 		return
 	}
-	if asked := c.take(id); asked != nil {
-		asked.finish(message)
+	if query := c.remove(id); query != nil {
+		query.finish(message)
 	}
 }
 
@@ -234,15 +234,15 @@
 // the question waits for its next turn.
 func (c *Client) redirected(id dispatch.QueryID, route replication.Route) {
 	c.mutex.Lock()
-	asked := c.pending[id]
+	query := c.pending[id]
 	c.mutex.Unlock()
-	if asked == nil {
+	if query == nil {
 		return
 	}
-	before := c.router.Route(asked.shard)
-	c.router.Learn(asked.shard, route)
-	after := c.router.Route(asked.shard)
+	before := c.router.Route(query.shard)
+	c.router.Learn(query.shard, route)
+	after := c.router.Route(query.shard)
 	if after.Leader != "" && after.Leader != before.Leader {
-		c.transport.Send(after.Leader, asked.message)
+		c.transport.Send(after.Leader, query.message)
 	}
 }
--- a/internal/query/client_test.go
+++ b/internal/query/client_test.go
@@ -30,11 +30,11 @@
 
 // fleet is one daemon that leads everything and one that asks it.
 type fleet struct {
-	clock       *clock.Virtual
-	coordinator *dispatch.Coordinator
-	queries     *query.Client
-	route       replication.Route
-	deaf        bool
+	clock        *clock.Virtual
+	coordinator  *dispatch.Coordinator
+	queries      *query.Client
+	route        replication.Route
+	unresponsive bool
 }
 
 // Send implements peer.Transport through the codec, a millisecond late.
@@ -48,7 +48,7 @@
 		if err != nil {
 			panic(err)
 		}
-		if to == leading && !f.deaf {
+		if to == leading && !f.unresponsive {
 			f.coordinator.Receive(asker, decoded)
 		}
 		if question, isDescribe := decoded.(*dispatch.Describe); isDescribe && to == former {
@@ -176,7 +176,7 @@
 
 func TestNoAnswerInTime(t *testing.T) {
 	f := newFleet()
-	f.deaf = true
+	f.unresponsive = true
 	if _, err := f.describe(t, dispatch.Describe{Key: key("morning")}); !eris.Is(err, query.ErrNoAnswer) {
 		t.Errorf("got %v", err)
 	}
--- a/internal/quota/forecast.go
+++ b/internal/quota/forecast.go
@@ -15,45 +15,47 @@
 	// priorRequests and priorLife are believed of a route's programs before one
 	// ended: three turns with a tool call or two each, in three seconds.
 	priorRequests = 7.0
-	priorLife     = 3 * time.Second
+	priorDuration = 3 * time.Second
 	// shortestLife is the least that counts as the life of a program.
-	shortestLife = 500 * time.Millisecond
+	minDuration = 500 * time.Millisecond
 	// routeLimit bounds the routes whose programs are remembered.
-	routeLimit = 256
+	maxRoutes = 256
 )
 
 // need is what the programs of a route need, as logarithms: the geometric mean is what
 // most of them need, whatever a few that loop without end do.
-type need struct{ logRequests, logSeconds float64 }
+type demand struct{ logRequests, logSeconds float64 }
 
-func (n need) requests() float64 { return math.Exp(n.logRequests) }
+func (n demand) requests() float64 { return math.Exp(n.logRequests) }
 
 // within is what one program that just begins makes in a time.
-func (n need) within(span time.Duration) float64 {
+func (n demand) requestsWithin(span time.Duration) float64 {
 	return n.requests() * min(span.Seconds()/math.Exp(n.logSeconds), 1)
 }
 
 // left is what one that is under way makes in a time: it has made half, on average.
-func (n need) left(span time.Duration) float64 { return min(n.within(span), n.requests()/2) }
+func (n demand) remainingWithin(span time.Duration) float64 {
+	return min(n.requestsWithin(span), n.requests()/2)
+}
 
 // forecast learns what the programs of each route need.
-type forecast struct{ routes map[string]need }
+type forecast struct{ routes map[string]demand }
 
-func (f *forecast) of(route string) need {
+func (f *forecast) forRoute(route string) demand {
 	if known, found := f.routes[route]; found {
 		return known
 	}
-	return need{logRequests: math.Log(priorRequests), logSeconds: math.Log(priorLife.Seconds())}
+	return demand{logRequests: math.Log(priorRequests), logSeconds: math.Log(priorDuration.Seconds())}
 }
 
 // note takes a program that ended.
-func (f *forecast) note(p *program) {
-	if f.routes == nil || len(f.routes) >= routeLimit {
-		f.routes = map[string]need{}
+func (f *forecast) observe(p *program) {
+	if f.routes == nil || len(f.routes) >= maxRoutes {
+		f.routes = map[string]demand{}
 	}
-	known := f.of(p.route)
-	life := max(p.lastAt.Sub(p.firstAt), shortestLife)
-	known.logRequests += sampleWeight * (math.Log(float64(max(p.made, 1))) - known.logRequests)
+	known := f.forRoute(p.route)
+	life := max(p.lastAt.Sub(p.firstAt), minDuration)
+	known.logRequests += sampleWeight * (math.Log(float64(max(p.requests, 1))) - known.logRequests)
 	known.logSeconds += sampleWeight * (math.Log(life.Seconds()) - known.logSeconds)
 	f.routes[p.route] = known
 }
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -18,20 +18,20 @@
 	// ownerPatience is how long the owner may say nothing until a request passes on
 	// what this daemon used before: ten ways between zones, or a small owner that has
 	// some requests before it. Callers' tools are to answer within 80 to 200 ms.
-	ownerPatience = 60 * time.Millisecond
+	fallbackDelay = 60 * time.Millisecond
 	// troubledFor is how long after that no request waits for the owner first.
-	troubledFor = 400 * time.Millisecond
+	ownerBackoff = 400 * time.Millisecond
 	// askTime bounds a question: a lost owner is noticed and replaced meanwhile.
-	askTime = 1500 * time.Millisecond
+	askTimeout = 1500 * time.Millisecond
 	// unaskedFor is how long a daemon lets requests pass that hears of no owner. The
 	// store is out for some seconds, or the daemon is cut off, and then better left.
-	unaskedFor = 10 * time.Second
+	fallbackPeriod = 10 * time.Second
 	// unaskedCapacity is how many requests may pass at once then.
-	unaskedCapacity = 1.0
+	fallbackCapacity = 1.0
 	// usedSlots is the number of slots in which a daemon counts what it used.
 	usedSlots = 10
 	// gateLimit bounds the tenants that a gate remembers.
-	gateLimit = 8192
+	maxTenants = 8192
 )
 
 // Owner asks the owner of a tenant's limit. It is safe for concurrent use.
@@ -48,15 +48,15 @@
 	owner  Owner
 	window time.Duration
 	// begun is when slots are counted from: the time of day may jump.
-	begun time.Time
+	startedAt time.Time
 
 	mutex   sync.Mutex
 	tenants map[string]*usage
 }
 
 // NewGate returns a gate; terms are the operators'.
-func NewGate(owner Owner, terms Tolerance) *Gate {
-	return &Gate{owner: owner, window: terms.Window, begun: time.Now(), tenants: map[string]*usage{}}
+func NewGate(owner Owner, tolerance Tolerance) *Gate {
+	return &Gate{owner: owner, window: tolerance.Window, startedAt: time.Now(), tenants: map[string]*usage{}}
 }
 
 // usage is what this daemon let pass of one tenant's requests.
@@ -66,10 +66,10 @@
 	newest int64
 	// troubledAt is when the owner was last silent, zero if it answered since, and
 	// lostAt when it was first.
-	troubledAt time.Time
-	lostAt     time.Time
+	lastSilentAt time.Time
+	silentSince  time.Time
 	// unasked is what requests pass on meanwhile.
-	unasked tokenbucket.Bucket
+	fallback tokenbucket.Bucket
 }
 
 type answer struct {
@@ -83,23 +83,23 @@
 	answers := make(chan answer, 1)
 	go func() {
 		// A takeover that the question sets off is of use to later ones, too.
-		asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTime)
+		asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTimeout)
 		defer cancel()
 		verdict, err := g.owner.AskQuota(asking, ask)
 		answers <- answer{verdict, err}
 	}()
-	patience := time.NewTimer(g.patience(ask.Tenant, time.Now()))
-	defer patience.Stop()
+	ownerTimer := time.NewTimer(g.ownerTimeout(ask.Tenant, time.Now()))
+	defer ownerTimer.Stop()
 	for {
 		select {
 		case got := <-answers:
-			return g.take(ask, got)
-		case <-patience.C:
-			after := g.passUnasked(ask.Tenant, time.Now())
+			return g.handleAnswer(ask, got)
+		case <-ownerTimer.C:
+			after := g.admitWithoutOwner(ask.Tenant, time.Now())
 			if after == 0 {
 				return Verdict{Admitted: true, Reason: ReasonOwnerSilent}, nil
 			}
-			patience.Reset(after)
+			ownerTimer.Reset(after)
 		case <-ctx.Done():
 			return Verdict{}, eris.Wrapf(ErrOwnerUnreachable, "%v", context.Cause(ctx))
 		}
@@ -111,17 +111,17 @@
 func (g *Gate) Refund(ask Request) {
 	ask.Refund = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), askTime)
+		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 		defer cancel()
 		_, _ = g.owner.AskQuota(ctx, ask) // nobody waits for it; see above
 	}()
 }
 
 // take takes the owner's answer.
-func (g *Gate) take(ask Request, got answer) (Verdict, error) {
+func (g *Gate) handleAnswer(ask Request, got answer) (Verdict, error) {
 	now := time.Now()
 	if got.err != nil {
-		if g.passUnasked(ask.Tenant, now) == 0 {
+		if g.admitWithoutOwner(ask.Tenant, now) == 0 {
 			return Verdict{Admitted: true, Reason: ReasonOwnerSilent}, nil
 		}
 		return Verdict{}, eris.Wrapf(ErrOwnerUnreachable, "%v", got.err)
@@ -129,7 +129,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	u := g.usageOf(ask.Tenant)
-	u.troubledAt, u.lostAt = time.Time{}, time.Time{}
+	u.lastSilentAt, u.silentSince = time.Time{}, time.Time{}
 	if got.verdict.Admitted {
 		u.count(g.slot(now))
 	}
@@ -137,33 +137,33 @@
 }
 
 // patience is how long the owner is waited for before a request may pass without it.
-func (g *Gate) patience(tenant string, now time.Time) time.Duration {
+func (g *Gate) ownerTimeout(tenant string, now time.Time) time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	u := g.usageOf(tenant)
-	if !u.troubledAt.IsZero() && now.Sub(u.troubledAt) < troubledFor {
+	if !u.lastSilentAt.IsZero() && now.Sub(u.lastSilentAt) < ownerBackoff {
 		return 0
 	}
-	return ownerPatience
+	return fallbackDelay
 }
 
 // passUnasked lets a request pass on what this daemon used before, if that has room,
 // and returns 0; or else it returns when to try again.
-func (g *Gate) passUnasked(tenant string, now time.Time) (after time.Duration) {
+func (g *Gate) admitWithoutOwner(tenant string, now time.Time) (after time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	u := g.usageOf(tenant)
-	u.troubledAt = now
-	if u.lostAt.IsZero() {
-		u.lostAt = now
+	u.lastSilentAt = now
+	if u.silentSince.IsZero() {
+		u.silentSince = now
 		rate := float64(u.used(g.slot(now))) / g.window.Seconds()
-		u.unasked = tokenbucket.Bucket{Rate: rate, Capacity: unaskedCapacity, Tokens: unaskedCapacity, UpdatedAt: now}
+		u.fallback = tokenbucket.Bucket{Rate: rate, Capacity: fallbackCapacity, Tokens: fallbackCapacity, UpdatedAt: now}
 	}
-	bucket := &u.unasked
+	bucket := &u.fallback
 	bucket.Refill(now)
 	switch {
-	case bucket.Rate == 0 && bucket.Tokens < 1, now.Sub(u.lostAt) > unaskedFor:
-		return askTime
+	case bucket.Rate == 0 && bucket.Tokens < 1, now.Sub(u.silentSince) > fallbackPeriod:
+		return askTimeout
 	case bucket.Tokens < 1:
 		return bucket.TimeToFill(1-bucket.Tokens) + 1
 	}
@@ -175,7 +175,7 @@
 func (g *Gate) usageOf(tenant string) *usage {
 	u := g.tenants[tenant]
 	if u == nil {
-		if len(g.tenants) >= gateLimit {
+		if len(g.tenants) >= maxTenants {
 			clear(g.tenants)
 		}
 		u = &usage{}
@@ -185,7 +185,7 @@
 }
 
 func (g *Gate) slot(now time.Time) int64 {
-	return int64(now.Sub(g.begun)) / max(int64(g.window)/usedSlots, 1)
+	return int64(now.Sub(g.startedAt)) / max(int64(g.window)/usedSlots, 1)
 }
 
 // count counts a request in a slot.
--- a/internal/quota/terms.go
+++ b/internal/quota/tolerance.go
@@ -25,7 +25,7 @@
 const (
 	// takeoversBorne is how many owners may follow each other within a window: a
 	// shard moves at a planned stop, and once more if its successor is lost.
-	takeoversBorne = 2
+	maxTakeovers = 2
 	// rateShare is the part of what the terms allow beyond rate and burst that goes
 	// into the rate. The rest lets a tenant of one request a second, whose programs
 	// make four at once, begin one: half in the rate left it two tokens, a quarter
@@ -35,7 +35,7 @@
 	// for daemons that hear of no owner.
 	startShare = 0.1
 	// unaskedShare is that part.
-	unaskedShare = 0.1
+	fallbackShare = 0.1
 )
 
 // Limit is what a tenant may make: PerSecond requests a second, Burst more at once.
@@ -50,11 +50,11 @@
 	// start what it holds at first where another may have been used up before.
 	rate     float64
 	capacity float64
-	start    float64
+	initial  float64
 }
 
 // most is what a window may hold at most.
-func (t Tolerance) most(limit Limit) float64 {
+func (t Tolerance) maxPerWindow(limit Limit) float64 {
 	return (limit.PerSecond*t.Window.Seconds()+limit.Burst)*(1+t.Overage) + t.Slack
 }
 
@@ -62,11 +62,11 @@
 // takeoversBorne x start + the unasked part is exactly that.
 func (t Tolerance) boundsOf(limit Limit) bounds {
 	usual := limit.PerSecond*t.Window.Seconds() + limit.Burst
-	spare := t.most(limit) - usual
+	spare := t.maxPerWindow(limit) - usual
 	b := bounds{
-		rate:  limit.PerSecond + rateShare*spare/t.Window.Seconds(),
-		start: startShare * spare,
+		rate:    limit.PerSecond + rateShare*spare/t.Window.Seconds(),
+		initial: startShare * spare,
 	}
-	b.capacity = t.most(limit) - b.rate*t.Window.Seconds() - takeoversBorne*b.start - unaskedShare*spare
+	b.capacity = t.maxPerWindow(limit) - b.rate*t.Window.Seconds() - maxTakeovers*b.initial - fallbackShare*spare
 	return b
 }
--- a/internal/submit/keep_alive_test.go
+++ b/internal/submit/keep_alive_test.go
@@ -10,7 +10,7 @@
 )
 
 // attaches counts the questions whether the leader still has the call.
-func (w *world) attaches() int {
+func (w *harness) attachCount() int {
 	count := 0
 	for _, message := range w.sent {
 		if _, attach := message.(*dispatch.Attach); attach {
@@ -23,9 +23,9 @@
 // TestLeaderIsAskedOnceSilentForKeepAlive streams for a while: text puts the
 // question off, and silence of KeepAlive from the last text brings it.
 func TestLeaderIsAskedOnceSilentForKeepAlive(t *testing.T) {
-	w, submitter := newWorld()
+	w, submitter := newHarness()
 	w.route = replication.Route{Leader: leader, Epoch: 1}
-	submission := submitter.Submit(structs.Call{RequestID: "r"}, &caller{})
+	submission := submitter.Submit(structs.Call{RequestID: "r"}, &fakeCaller{})
 	const piece = 300 * time.Millisecond
 	for i := range 10 {
 		submitter.Receive(leader, &dispatch.Answer{
@@ -36,11 +36,11 @@
 	}
 	keepAlive := DefaultSettings().KeepAliveInterval
 	w.run(keepAlive - piece - time.Millisecond)
-	if got := w.attaches(); got != 0 {
+	if got := w.attachCount(); got != 0 {
 		t.Errorf("asked %d times before the leader was silent for %s", got, keepAlive)
 	}
 	w.run(time.Millisecond)
-	if got := w.attaches(); got != 1 {
+	if got := w.attachCount(); got != 1 {
 		t.Errorf("asked %d times after %s of silence", got, keepAlive)
 	}
 }
--- a/internal/submit/submission.go
+++ b/internal/submit/submission.go
@@ -26,36 +26,36 @@
 	epoch  structs.Epoch
 	// unanswered counts copies whose fate is not known; wasAccepted is set
 	// once any leader took the call.
-	unanswered  int
-	wasAccepted bool
+	unresolvedCopies int
+	wasAccepted      bool
 	// silent counts questions in a row without an answer.
-	silent int
+	unansweredQueries int
 	// received is the number of answer bytes handed to the caller, text what
 	// of them came through this daemon.
-	received  int64
-	text      strings.Builder
-	startedAt time.Time
+	received     int64
+	receivedText strings.Builder
+	startedAt    time.Time
 	// lostAt is when the shard was first found without a leader, zero if it has one.
-	lostAt time.Time
-	timer  clock.Timer
+	leaderlessSince time.Time
+	timer           clock.Timer
 	// heardAt is the leader's last sign of life; listening is set while the
 	// timer waits for the next.
-	heardAt   time.Time
-	listening bool
-	done      bool
+	lastHeardAt    time.Time
+	keepAliveArmed bool
+	done           bool
 }
 
 // silentLimit is how many unanswered questions make a leader look dead.
-const silentLimit = 3
+const maxUnansweredQueries = 3
 
 // Cancel stops the call and ends the submission.
-func (s *Submission) Cancel() { s.leave(true) }
+func (s *Submission) Cancel() { s.detach(true) }
 
 // Detach ends the submission and lets the call go on for a while, for the
 // caller to come back at any daemon.
-func (s *Submission) Detach() { s.leave(false) }
+func (s *Submission) Detach() { s.detach(false) }
 
-func (s *Submission) leave(cancel bool) {
+func (s *Submission) detach(cancel bool) {
 	s.queue.Do(func() {
 		if s.done {
 			return
@@ -85,9 +85,9 @@
 	}
 }
 
-func (s *Submission) after(d time.Duration, task func()) {
+func (s *Submission) schedule(d time.Duration, task func()) {
 	s.stopTimer()
-	s.listening = false
+	s.keepAliveArmed = false
 	var timer clock.Timer
 	timer = s.submitter.clock.AfterFunc(d, func() {
 		s.queue.Do(func() {
@@ -106,7 +106,7 @@
 	}
 	route := s.submitter.router.Route(s.shard)
 	if route.Leader == "" {
-		s.withoutLeader(route)
+		s.waitForLeader(route)
 		return
 	}
 	s.sendTo(route)
@@ -116,8 +116,8 @@
 	s.leader, s.epoch = route.Leader, route.Epoch
 	call := s.call
 	call.ResumeAt = s.received
-	resent := s.wasAccepted || s.unanswered > 0
-	s.unanswered++
+	resent := s.wasAccepted || s.unresolvedCopies > 0
+	s.unresolvedCopies++
 	s.submitter.transport.Send(s.leader, &dispatch.Submit{
 		Resent:     resent,
 		Submission: s.id,
@@ -125,7 +125,7 @@
 		Call:       call,
 		Delivered:  s.delivered(),
 	})
-	s.after(s.submitter.settings.AnswerTimeout, s.noAnswer)
+	s.schedule(s.submitter.settings.AnswerTimeout, s.answerTimedOut)
 }
 
 // delivered returns the answer's beginning if all of it came through here.
@@ -133,28 +133,28 @@
 	if s.call.ResumeAt > 0 {
 		return ""
 	}
-	return s.text.String()
+	return s.receivedText.String()
 }
 
 // withoutLeader waits for the shard to get a leader, for as long as there is
 // hope. A call that was certainly never taken is refused as not run.
-func (s *Submission) withoutLeader(route replication.Route) {
+func (s *Submission) waitForLeader(route replication.Route) {
 	now := s.submitter.clock.Now()
-	if s.lostAt.IsZero() {
-		s.lostAt = now
+	if s.leaderlessSince.IsZero() {
+		s.leaderlessSince = now
 	}
 	settings := s.submitter.settings
-	untouched := !s.wasAccepted && s.unanswered == 0 && !s.call.Retry
-	hopeless := (route.NoMajority && untouched) || now.Sub(s.lostAt) >= settings.LeaderTimeout
-	if !hopeless && !s.deadlinePassed(now) {
-		s.after(settings.RouteRetryInterval, s.route)
+	neverAccepted := !s.wasAccepted && s.unresolvedCopies == 0 && !s.call.Retry
+	giveUp := (route.NoMajority && neverAccepted) || now.Sub(s.leaderlessSince) >= settings.LeaderTimeout
+	if !giveUp && !s.deadlinePassed(now) {
+		s.schedule(settings.RouteRetryInterval, s.route)
 		return
 	}
 	retryAfter := settings.NoMajorityRetryAfter
-	if !hopeless && !route.NoMajority {
+	if !giveUp && !route.NoMajority {
 		retryAfter = settings.LeaderRetryAfter
 	}
-	s.finish(s.unreachable(untouched, retryAfter))
+	s.finish(s.unreachableOutcome(neverAccepted, retryAfter))
 }
 
 // deadlinePassed tells whether the caller's time ran out while it waited here.
@@ -165,9 +165,9 @@
 	return !deadline.IsZero() && now.After(deadline) && s.startedAt.Before(deadline)
 }
 
-func (s *Submission) unreachable(untouched bool, retryAfter time.Duration) structs.Outcome {
+func (s *Submission) unreachableOutcome(neverAccepted bool, retryAfter time.Duration) structs.Outcome {
 	const message = "The program's records cannot be reached by a majority of their holders."
-	if untouched {
+	if neverAccepted {
 		return structs.Refused(structs.ReasonNoMajority, "", message, retryAfter)
 	}
 	return structs.Outcome{
@@ -179,28 +179,28 @@
 }
 
 // noAnswer acts on a leader that has not answered in time.
-func (s *Submission) noAnswer() {
-	s.silent++
+func (s *Submission) answerTimedOut() {
+	s.unansweredQueries++
 	route := s.submitter.router.Route(s.shard)
 	moved := route.Leader != s.leader || route.Epoch != s.epoch
-	if moved || s.silent > silentLimit || !s.submitter.router.Alive(s.leader) {
-		s.silent = 0
+	if moved || s.unansweredQueries > maxUnansweredQueries || !s.submitter.router.Alive(s.leader) {
+		s.unansweredQueries = 0
 		if !moved {
-			s.withoutLeader(replication.Route{})
+			s.waitForLeader(replication.Route{})
 			return
 		}
 		s.route()
 		return
 	}
 	if s.wasAccepted {
-		s.ask()
+		s.queryLeader()
 		return
 	}
 	s.sendTo(route)
 }
 
 // ask makes sure that the leader still has an accepted call.
-func (s *Submission) ask() {
+func (s *Submission) queryLeader() {
 	s.submitter.transport.Send(s.leader, &dispatch.Attach{
 		Submission: s.id,
 		Epoch:      s.epoch,
@@ -209,43 +209,43 @@
 		ResumeAt:   s.received,
 		Retry:      s.call.Retry,
 	})
-	s.after(s.submitter.settings.AnswerTimeout, s.noAnswer)
+	s.schedule(s.submitter.settings.AnswerTimeout, s.answerTimedOut)
 }
 
 // heard notes a sign of life from the leader and waits for the next.
-func (s *Submission) heard(from structs.DaemonID) {
-	s.lostAt = time.Time{}
+func (s *Submission) leaderHeard(from structs.DaemonID) {
+	s.leaderlessSince = time.Time{}
 	if from != s.leader {
 		return
 	}
-	s.silent = 0
-	s.heardAt = s.submitter.clock.Now()
-	if !s.listening {
-		s.listen(s.submitter.settings.KeepAliveInterval)
+	s.unansweredQueries = 0
+	s.lastHeardAt = s.submitter.clock.Now()
+	if !s.keepAliveArmed {
+		s.armKeepAlive(s.submitter.settings.KeepAliveInterval)
 	}
 }
 
 // listen waits for a sign of life. One timer serves for many of them: it looks
 // at the last when it fires.
-func (s *Submission) listen(pause time.Duration) {
-	s.after(pause, s.leaderSilent)
-	s.listening = true
+func (s *Submission) armKeepAlive(pause time.Duration) {
+	s.schedule(pause, s.keepAliveDue)
+	s.keepAliveArmed = true
 }
 
 // leaderSilent asks a leader of which nothing was heard for a while.
-func (s *Submission) leaderSilent() {
+func (s *Submission) keepAliveDue() {
 	keepAlive := s.submitter.settings.KeepAliveInterval
-	quiet := s.submitter.clock.Now().Sub(s.heardAt)
-	if quiet >= 0 && quiet < keepAlive {
-		s.listen(keepAlive - quiet)
+	idle := s.submitter.clock.Now().Sub(s.lastHeardAt)
+	if idle >= 0 && idle < keepAlive {
+		s.armKeepAlive(keepAlive - idle)
 		return
 	}
-	s.ask()
+	s.queryLeader()
 }
 
 func (s *Submission) accepted(from structs.DaemonID) {
 	s.wasAccepted = true
-	s.heard(from)
+	s.leaderHeard(from)
 }
 
 // notKnown sends the whole call again to a leader that does not have it.
@@ -257,8 +257,8 @@
 
 // redirected follows the leadership. A copy that was redirected was not taken.
 func (s *Submission) redirected(from structs.DaemonID, route replication.Route) {
-	if s.unanswered > 0 {
-		s.unanswered--
+	if s.unresolvedCopies > 0 {
+		s.unresolvedCopies--
 	}
 	s.submitter.router.Learn(s.shard, route)
 	if from != s.leader {
@@ -266,7 +266,7 @@
 	}
 	next := s.submitter.router.Route(s.shard)
 	if next.Leader == "" || (next.Leader == s.leader && next.Epoch == s.epoch) {
-		s.withoutLeader(next)
+		s.waitForLeader(next)
 		return
 	}
 	s.sendTo(next)
@@ -280,7 +280,7 @@
 	for _, chunk := range chunks {
 		end := chunk.Offset + int64(len(chunk.Text))
 		if chunk.Offset > s.received {
-			s.ask()
+			s.queryLeader()
 			break
 		}
 		if s.submitter.Guards.SkipResume {
@@ -293,12 +293,12 @@
 		}
 		text := chunk.Text[s.received-chunk.Offset:]
 		fresh = append(fresh, structs.Chunk{Offset: s.received, Text: text})
-		s.text.WriteString(text)
+		s.receivedText.WriteString(text)
 		s.received = end
 	}
 	if len(fresh) > 0 {
 		s.caller.Chunks(fresh)
-		s.heard(from)
+		s.leaderHeard(from)
 	}
 }
 
@@ -308,7 +308,7 @@
 	outcome := message.Outcome
 	if outcome.Status == structs.OutcomeNotRun && from != s.leader {
 		// A former leader refuses an old copy; the present one decides.
-		s.unanswered = max(s.unanswered-1, 0)
+		s.unresolvedCopies = max(s.unresolvedCopies-1, 0)
 		return
 	}
 	complete := s.received >= int64(len(outcome.Answer.Content))
--- a/internal/submit/submission_test.go
+++ b/internal/submit/submission_test.go
@@ -14,40 +14,40 @@
 const leader structs.DaemonID = "10.0.0.1:7000#1"
 
 // world is a daemon's surroundings: one shard, a route to it and what was sent.
-type world struct {
+type harness struct {
 	clock *clock.Virtual
 	route replication.Route
 	sent  []peer.Message
 }
 
-func (w *world) Send(_ structs.DaemonID, message peer.Message) { w.sent = append(w.sent, message) }
+func (w *harness) Send(_ structs.DaemonID, message peer.Message) { w.sent = append(w.sent, message) }
 
-func (w *world) Shard(structs.ProgramKey) structs.ShardNumber { return 0 }
+func (w *harness) Shard(structs.ProgramKey) structs.ShardNumber { return 0 }
 
-func (w *world) Route(structs.ShardNumber) replication.Route { return w.route }
+func (w *harness) Route(structs.ShardNumber) replication.Route { return w.route }
 
-func (w *world) Learn(_ structs.ShardNumber, route replication.Route) { w.route = route }
+func (w *harness) Learn(_ structs.ShardNumber, route replication.Route) { w.route = route }
 
-func (w *world) Alive(daemon structs.DaemonID) bool { return daemon == w.route.Leader }
+func (w *harness) Alive(daemon structs.DaemonID) bool { return daemon == w.route.Leader }
 
 // caller keeps the outcome it is told.
-type caller struct{ outcome *structs.Outcome }
+type fakeCaller struct{ outcome *structs.Outcome }
 
-func (c *caller) Chunks([]structs.Chunk) {}
+func (c *fakeCaller) Chunks([]structs.Chunk) {}
 
-func (c *caller) Outcome(outcome structs.Outcome) { c.outcome = &outcome }
+func (c *fakeCaller) Outcome(outcome structs.Outcome) { c.outcome = &outcome }
 
-func newWorld() (*world, *Submitter) {
-	w := &world{clock: clock.NewVirtual(time.Unix(1_800_000_000, 0))}
+func newHarness() (*harness, *Submitter) {
+	w := &harness{clock: clock.NewVirtual(time.Unix(1_800_000_000, 0))}
 	return w, New(w.clock, w, w, DefaultSettings())
 }
 
-func (w *world) run(d time.Duration) { w.clock.RunUntil(w.clock.Now().Add(d)) }
+func (w *harness) run(d time.Duration) { w.clock.RunUntil(w.clock.Now().Add(d)) }
 
 func TestDeadlineEndsTheWaitForALeader(t *testing.T) {
 	for _, retry := range []bool{false, true} {
-		w, submitter := newWorld()
-		var waiting caller
+		w, submitter := newHarness()
+		var waiting fakeCaller
 		submitter.Submit(structs.Call{Retry: retry, Deadline: w.clock.Now().Add(time.Second)}, &waiting)
 		w.run(2 * time.Second)
 		want := structs.OutcomeNotRun
@@ -64,8 +64,8 @@
 }
 
 func TestQuestionAfterTheDeadlineWaitsForTheLeader(t *testing.T) {
-	w, submitter := newWorld()
-	var asking caller
+	w, submitter := newHarness()
+	var asking fakeCaller
 	submitter.Submit(structs.Call{Retry: true, Deadline: w.clock.Now().Add(-time.Second)}, &asking)
 	w.run(time.Second)
 	if asking.outcome != nil {
