--- a/internal/backends/applications.go
+++ b/internal/backends/applications.go
@@ -7,11 +7,11 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// probeAttempt names an attempt that no program makes, to ask about.
+// probeAttempt is the identifier of an attempt that no program makes, for probes.
 const probeAttempt structs.AttemptID = "mintpulley:probe"
 
-// probeApplications asks applications that are leaving or were not reached
-// whether a new run has begun, or whether they answer again.
+// probeApplications periodically probes applications that are draining or unreachable,
+// to detect a new run or a recovery.
 func (d *Directory) probeApplications() {
 	if d.isStopped() {
 		return
@@ -22,7 +22,7 @@
 	d.Clock.AfterFunc(d.Settings.ProbeInterval, d.probeApplications)
 }
 
-// applicationsToProbe lists the applications to ask, in order.
+// applicationsToProbe returns the applications to probe, in order.
 func (d *Directory) applicationsToProbe() []structs.EngineID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -38,8 +38,8 @@
 	return ids
 }
 
-// probeApplication asks a back end which run it is in. After an error the next
-// probe asks again.
+// probeApplication asks an application for its current run. After an error the next
+// probe tries again.
 func (d *Directory) probeApplication(id structs.EngineID) {
 	d.Drivers.Applications.Inspect(id, probeAttempt, 0, func(status framework.AttemptStatus, err error) {
 		d.mutex.Lock()
--- a/internal/backends/back_end.go
+++ b/internal/backends/back_end.go
@@ -6,20 +6,21 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// backEnd is what is known of one engine, application or tool service.
+// backEnd is the known state of one engine, application or tool service.
 type backEnd struct {
 	id      structs.EngineID
 	machine structs.Machine
 	listed  bool
-	// listedBadAt is when the list last called it leaving or left it out.
+	// lastBadListingAt is when the list last had it as leaving or did not have it.
 	lastBadListingAt time.Time
-	// run is the latest run that it was heard of in, 0 while unknown.
+	// run is the latest run that it was observed in, 0 while unknown.
 	run        int64
 	drainingAt time.Time
 	// unreachable is set when a connection broke, until it answers again.
 	unreachable bool
 	failures    int
-	// polledAt is when the reading under way was begun.
+	// polling is set while a poll of its report is in progress; polledAt is when that
+	// began.
 	polling    bool
 	polledAt   time.Time
 	report     structs.LoadReport
@@ -27,22 +28,24 @@
 	cache      cacheProgress
 	// borrowedUntil is set for an engine of another cell.
 	borrowedUntil time.Time
-	// told is what the scheduler was last told.
+	// reported is the state last sent to the scheduler, inScheduler whether the
+	// scheduler has it.
 	reported    structs.Engine
 	inScheduler bool
 }
 
 func (b *backEnd) isEngine() bool { return b.machine.Kind == structs.MachineEngine }
 
-// leaving tells whether the newest bad news still stands.
+// leaving reports whether it is unlisted, or was listed as leaving or announced that
+// it is draining within the hold-down times.
 func (b *backEnd) leaving(settings Settings, now time.Time) bool {
 	listedBad := !b.lastBadListingAt.IsZero() && now.Sub(b.lastBadListingAt) < settings.ListHoldDown
 	return !b.listed || listedBad || b.draining(settings, now)
 }
 
-// draining tells whether its own word that it is leaving still stands. An
-// engine's fades, since a leaving engine repeats it in each report; an
-// application's stands until a new run answers.
+// draining reports whether its own announcement that it is leaving still counts. An
+// engine's expires, since a leaving engine repeats it in each report; an application's
+// counts until a new run answers.
 func (b *backEnd) draining(settings Settings, now time.Time) bool {
 	if b.drainingAt.IsZero() {
 		return false
@@ -50,14 +53,14 @@
 	return !b.isEngine() || now.Sub(b.drainingAt) < settings.DrainHoldDown
 }
 
-// suspected tells that it does not answer, whatever anyone says of it.
+// suspected reports whether it does not answer, whatever its listed state.
 func (b *backEnd) suspected(settings Settings, now time.Time) bool {
 	silent := b.polling && now.Sub(b.polledAt) > settings.ReportTimeout
 	return b.unreachable || silent || b.failures >= settings.FailureLimit
 }
 
-// sawRun takes the run in which it answered. It returns false for word of a
-// former run. A new run knows nothing of what the former one announced.
+// observeRun records the run in which it answered. It returns false for a former run.
+// Announcements of a former run do not apply to a new one.
 func (b *backEnd) observeRun(run int64) bool {
 	if run < b.run {
 		return false
@@ -74,8 +77,8 @@
 	return true
 }
 
-// sawDraining takes word that a run is leaving. It returns whether that is
-// news.
+// observeDraining records the announcement that a run is leaving. It reports whether
+// that was not known before.
 func (b *backEnd) observeDraining(run int64, settings Settings, now time.Time) bool {
 	if run != 0 && run < b.run {
 		return false
--- a/internal/backends/borrow.go
+++ b/internal/backends/borrow.go
@@ -9,9 +9,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// findModels looks for engines of other cells when calls wait for a model that
-// no engine of the own cell serves. A daemon of each other cell is asked, some
-// at a time; the engines that they tell of are borrowed for a while.
+// findMissingModels periodically asks other cells for engines when calls wait for a
+// model that no engine of the own cell serves. It asks one daemon each of some cells
+// at a time; the engines that they report are borrowed for BorrowDuration.
 func (d *Directory) findMissingModels() {
 	if d.isStopped() {
 		return
@@ -24,7 +24,7 @@
 	d.Clock.AfterFunc(d.Settings.FindInterval, d.findMissingModels)
 }
 
-// missingModels lists models and adapters that calls wait for and no engine in
+// missingModels returns models and adapters that calls wait for and that no engine in
 // use serves.
 func (d *Directory) missingModels() []structs.ModelAdapter {
 	d.mutex.Lock()
@@ -42,8 +42,8 @@
 	return missing
 }
 
-// serving lists, in order, the reports of engines in use that take new work
-// for a model and its adapter.
+// serving returns, in order, the reports of engines in use that accept new work for a
+// model and its adapter.
 func (d *Directory) serving(wanted structs.ModelAdapter) []structs.LoadReport {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -58,7 +58,7 @@
 	return reports
 }
 
-// nextAsked returns the daemons to ask now, each of another cell, in turn.
+// nextContacts returns the contacts in other cells to ask now, in rotation.
 func (d *Directory) nextContacts() []structs.DaemonID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -71,8 +71,8 @@
 	return asked
 }
 
-// answerFind tells of engines of the own cell; borrowed ones are left to those
-// who watch them.
+// handleFind answers with engines of the own cell only; borrowed ones are reported by
+// their own cell.
 func (d *Directory) handleFind(from structs.DaemonID, find *FindEngines) {
 	var digests []LoadSummary
 	for _, wanted := range find.Models {
@@ -95,7 +95,7 @@
 	return found
 }
 
-// borrow takes engines of another cell into use.
+// borrow starts to use engines of other cells.
 func (d *Directory) borrow(found *EnginesFound) {
 	for _, digest := range found.Summaries {
 		d.mutex.Lock()
@@ -107,11 +107,10 @@
 	}
 }
 
-// borrowed tells whether an engine of another cell is in use.
+// borrowed reports whether it is an engine of another cell that is in use.
 func (b *backEnd) borrowed(now time.Time) bool { return now.Before(b.borrowedUntil) }
 
-// contactsOf picks one daemon of each cell but the own, those of the own
-// region first.
+// contactsOf selects one daemon of each other cell, those of the own region first.
 func (d *Directory) contactsOf(byCell map[cellKey][]structs.DaemonID, own cellKey) []structs.DaemonID {
 	keys := slices.SortedFunc(maps.Keys(byCell), func(a, b cellKey) int {
 		if near := trueFirst(a.region == own.region, b.region == own.region); near != 0 {
--- a/internal/backends/cells.go
+++ b/internal/backends/cells.go
@@ -10,31 +10,32 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// cells is the division of a large fleet that bounds what each daemon has to
-// know. Daemons and engines of a region are dealt out over cells by the hash
-// of their addresses; a daemon uses the engines of its own cell, from all
-// zones of the region. In a cell each engine is watched by one daemon, which
-// passes its reports on. A small fleet is one cell where everyone reads every
-// engine.
+// cells is the division of a large fleet that bounds what each daemon has to know.
+// Daemons and engines of a region are assigned to cells by the hash of their
+// addresses; a daemon uses the engines of its own cell, from all zones of the region.
+// Within a cell each engine is polled by one daemon, its watcher, which sends
+// summaries of its reports to the others. A small fleet is a single cell in which
+// every daemon polls every engine.
 type cells struct {
+	// direct is set in a small fleet.
 	direct bool
 	// peers are the other daemons of the cell.
 	peers []structs.DaemonID
-	// watched are the engines that this daemon reads, used those of its cell,
-	// both in order. They are empty in a small fleet.
+	// watched are the engines that this daemon polls, used those of its cell, both in
+	// order. They are empty in a small fleet.
 	watched []structs.EngineID
 	used    []structs.EngineID
-	// contacts are one daemon of each other cell, nearest first.
+	// contacts are one daemon of each other cell, those of the own region first.
 	contacts []structs.DaemonID
 }
 
-// cellKey names a cell.
+// cellKey identifies a cell.
 type cellKey struct {
 	region structs.RegionName
 	number uint64
 }
 
-// watches tells whether an engine is this daemon's to read.
+// watches reports whether this daemon polls an engine.
 func (c cells) watches(id structs.EngineID) bool {
 	if c.direct {
 		return true
@@ -43,7 +44,7 @@
 	return found
 }
 
-// uses tells whether this daemon gives work to an engine. The lock is held.
+// uses reports whether this daemon sends work to an engine. The mutex must be held.
 func (d *Directory) uses(b *backEnd) bool {
 	if d.cells.direct {
 		return true
@@ -52,7 +53,7 @@
 	return found || b.borrowed(d.Clock.Now())
 }
 
-// assignCells divides the fleet as it is known now.
+// assignCells divides the fleet by its current members and engines.
 func (d *Directory) assignCells() cells {
 	members := d.Members.Members()
 	d.mutex.Lock()
@@ -62,7 +63,7 @@
 	return d.cells
 }
 
-// listedEngines returns the engines in order. The lock is held.
+// listedEngines returns the listed engines in order. The mutex must be held.
 func (d *Directory) listedEngines() []*backEnd {
 	var engines []*backEnd
 	for _, b := range d.backEnds {
@@ -123,7 +124,8 @@
 	return counts
 }
 
-// cellCount returns a power of two, so that it seldom changes with the fleet.
+// cellCount returns a power of two, so that it rarely changes with the size of the
+// fleet.
 func (d *Directory) cellCount(daemons int) uint64 {
 	quotient := uint(daemons / d.Settings.CellDaemons)
 	if quotient == 0 {
--- a/internal/backends/directory.go
+++ b/internal/backends/directory.go
@@ -1,7 +1,7 @@
-// Package backends keeps the list of engines and application back ends that
-// take new work. The platform's list lags; what a back end says of itself and
-// what connections show is joined to it. The newest bad news wins, and only
-// news that is certainly newer clears it.
+// Package backends maintains the engines and application back ends that accept new
+// work. The platform's list lags, so it is combined with what a back end reports
+// itself and with broken connections. The latest evidence that a back end is leaving
+// or failing applies until certainly newer evidence clears it.
 package backends
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Scheduler is told about engines.
+// Scheduler receives the state of engines.
 type Scheduler interface {
 	UpdateEngine(engine structs.Engine)
 	RemoveEngine(id structs.EngineID)
@@ -31,27 +31,27 @@
 	WaitingByModel() []schedule.ModelWaiting
 }
 
-// Members tells of the other daemons.
+// Members lists the daemons of the fleet.
 type Members interface {
 	Members() []membership.Member
 }
 
-// Router tells where the shards of programs are led.
+// Router returns the leaders of programs' shards.
 type Router interface {
 	Shard(key structs.ProgramKey) structs.ShardNumber
 	Route(shard structs.ShardNumber) replication.Route
 }
 
-// Guards lets a simulation switch off a protection, to show that its checker
-// notices. The zero value has every guard on.
+// Guards lets a simulation disable a safeguard, to show that its checker detects the
+// consequences. The zero value has every guard on.
 type Guards struct {
-	// IgnoreLeaving takes no notice of any news that a back end is leaving.
+	// IgnoreLeaving ignores all evidence that a back end is leaving.
 	IgnoreLeaving bool
-	// SkipHoldSweep never looks for engine memory that nobody remembers.
+	// SkipHoldSweep skips the search for orphaned holds on engine memory.
 	SkipHoldSweep bool
 }
 
-// Options give a Directory what it works with.
+// Options are the dependencies and settings of a Directory.
 type Options struct {
 	Self      structs.Daemon
 	Clock     clock.Clock
@@ -63,14 +63,14 @@
 	Settings  Settings
 	Guards    Guards
 	Logger    zerolog.Logger
-	// OnList is told the list whenever it changed, ordered by address.
+	// OnList is called with the list, ordered by address, whenever it changed.
 	OnList func([]structs.Machine)
-	// OnListUnchanged is told of each reading that shows what was there before.
+	// OnListUnchanged is called after each read that found the list unchanged.
 	OnListUnchanged func()
 }
 
-// Directory knows the back ends. It implements dispatch.Directory and is safe
-// for concurrent use; drivers, scheduler and peers are called without its lock.
+// Directory tracks the back ends. It implements dispatch.Directory and is safe for
+// concurrent use; drivers, scheduler and peers are called without its mutex.
 type Directory struct {
 	Options
 
@@ -82,16 +82,16 @@
 	stopped     bool
 	roundRobin  int
 	pollRounds  int
-	// asked counts the daemons of other cells that were asked for engines.
+	// nextContact counts the daemons of other cells that were asked for engines.
 	nextContact int
 }
 
-// New returns a directory that knows no back end.
+// New returns a directory without back ends.
 func New(options Options) *Directory {
 	return &Directory{Options: options, backEnds: map[structs.EngineID]*backEnd{}, sweep: newHoldSweep()}
 }
 
-// Start begins to read the list and the engines' reports.
+// Start starts the periodic reads of the list and the polls of engines.
 func (d *Directory) Start() {
 	d.readList()
 	d.pollEngines()
@@ -100,7 +100,7 @@
 	d.Clock.AfterFunc(d.Settings.HoldSweepInterval, d.sweepHolds)
 }
 
-// Stop ends the readings.
+// Stop ends all periodic work.
 func (d *Directory) Stop() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -113,9 +113,9 @@
 	return d.stopped
 }
 
-// Application returns a back end for a target that takes new work: one in the
-// daemon's own zone if there is any, in turn. One that was not reached lately
-// is chosen only where there is no other.
+// Application returns a back end for a target that accepts new work, in rotation: one
+// in the daemon's own zone if there is any, and an unreachable one only if there is no
+// other.
 func (d *Directory) Application(target string, avoid []structs.EngineID) (structs.EngineID, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -137,7 +137,7 @@
 	return candidates[d.roundRobin%len(candidates)].id, true
 }
 
-// prefer keeps those that fit, or all if none does.
+// prefer returns the candidates that fit, or all if none does.
 func prefer(candidates []*backEnd, fits func(*backEnd) bool) []*backEnd {
 	fitting := slices.DeleteFunc(slices.Clone(candidates), func(b *backEnd) bool { return !fits(b) })
 	if len(fitting) > 0 {
@@ -153,8 +153,8 @@
 	return !b.leaving(d.Settings, now)
 }
 
-// Machines returns the back ends on the platform's list, ordered by address.
-// One that gets no new work counts as leaving.
+// Machines returns the back ends on the platform's list, ordered by address. One that
+// gets no new work has the state leaving.
 func (d *Directory) Machines() []structs.Machine {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -174,7 +174,8 @@
 	return listed
 }
 
-// IsDelisted reports whether a back end is no longer on the platform's list.
+// IsDelisted reports whether a back end is not on the platform's list, once that was
+// read.
 func (d *Directory) IsDelisted(id structs.EngineID) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -182,7 +183,7 @@
 	return len(d.backEnds) > 0 && (b == nil || !b.listed)
 }
 
-// MarkDraining records a back end's own word that it is leaving.
+// MarkDraining records a back end's announcement that it is leaving.
 func (d *Directory) MarkDraining(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
@@ -203,8 +204,8 @@
 	}
 }
 
-// MarkUnreachable records that a connection to a back end broke. It gets no new
-// work until it answers.
+// MarkUnreachable records that a connection to a back end broke. It gets no new work
+// until it answers.
 func (d *Directory) MarkUnreachable(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
@@ -223,7 +224,7 @@
 	}
 }
 
-// tell gives the scheduler what is new about an engine.
+// updateScheduler sends the state of an engine to the scheduler if it changed.
 func (d *Directory) updateScheduler(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
--- a/internal/backends/directory_test.go
+++ b/internal/backends/directory_test.go
@@ -28,7 +28,7 @@
 	b.wantLeaving(t, false, "listed as live for long")
 }
 
-func TestOwnWordOutweighsTheListAndLaggingReports(t *testing.T) {
+func TestDrainingOverridesListAndLaggingReports(t *testing.T) {
 	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.MarkDraining(engineA)
 	b.wantLeaving(t, true, "after its word")
@@ -42,7 +42,7 @@
 	b.wantLeaving(t, false, "a new run answers")
 }
 
-func TestOthersWordIsTaken(t *testing.T) {
+func TestLeavingMessageOfAnotherDaemonIsApplied(t *testing.T) {
 	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.Receive("10.0.0.2:7000#1", &Leaving{BackEnd: engineA, Run: 50})
 	b.wantLeaving(t, false, "word of a former run")
@@ -50,7 +50,7 @@
 	b.wantLeaving(t, true, "word of this run")
 }
 
-func TestWordIsPassedOnOnce(t *testing.T) {
+func TestDrainingIsBroadcastOnce(t *testing.T) {
 	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.set(engineA, func(r *structs.LoadReport) { r.Draining = true })
 	b.run(time.Minute)
@@ -73,7 +73,7 @@
 	b.wantLeaving(t, true, "a connection broke")
 }
 
-func TestGuardIgnoresLeaving(t *testing.T) {
+func TestIgnoreLeavingGuard(t *testing.T) {
 	b := newTestDirectory(Guards{IgnoreLeaving: true}, engineRow(engineA))
 	b.machines[0].State = structs.MachineLeaving
 	b.MarkDraining(engineA)
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestCacheEventsAreReadInOrderAndGapsTold(t *testing.T) {
+func TestCacheEventsAreReadInOrderAndGapsReported(t *testing.T) {
 	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.events[engineA] = []structs.CacheEvent{{Engine: engineA, Sequence: 1}, {Engine: engineA, Sequence: 2}}
 	b.set(engineA, func(r *structs.LoadReport) { r.CacheEventSequence = 2 })
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestHoldThatStaysIsReportedByOneDaemon(t *testing.T) {
+func TestPersistentHoldIsReportedByOneDaemon(t *testing.T) {
 	rows := []structs.Machine{engineRow(engineA), engineRow(engineB), engineRow("10.1.0.3:9000"), engineRow("10.1.0.4:9000")}
 	b := newTestDirectory(Guards{}, rows...)
 	mine := 0
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestLargeFleetIsDividedInCells(t *testing.T) {
+func TestLargeFleetIsDividedIntoCells(t *testing.T) {
 	var rows []structs.Machine
 	for i := range 1000 {
 		row := engineRow(structs.EngineID(fmt.Sprintf("10.8.%d.%d:9000", i/250, i%250)))
--- a/internal/backends/fixture_test.go
+++ b/internal/backends/fixture_test.go
@@ -17,20 +17,20 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// bench is one directory among fakes on a virtual clock.
+// testDirectory is a Directory with fakes on a virtual clock.
 type testDirectory struct {
 	*Directory
 	clock    *clock.Virtual
 	machines []structs.Machine
-	// published are the lists given to readers, versionsAsked those that they
-	// named. reading takes the place of the service where it is set.
+	// published are the lists that were served, versionsAsked the versions requested.
+	// listOverride replaces the list service if set.
 	published     [][]structs.Machine
 	versionsAsked []framework.ListVersion
 	listOverride  func(since framework.ListVersion) framework.ListReading
 	listFails     bool
-	// lists are those that OnList was told.
+	// lists are the lists passed to OnList.
 	lists [][]structs.Machine
-	// sameLists counts readings that showed the same.
+	// unchangedLists counts the calls of OnListUnchanged.
 	unchangedLists int
 	reports        map[structs.EngineID]structs.LoadReport
 	down           map[structs.EngineID]bool
@@ -72,8 +72,8 @@
 	b.sentTo = append(b.sentTo, to)
 }
 
-// List plays a service that knows each list that it gave and answers with
-// changes from there.
+// List fakes a list service that keeps every list it served and answers with the
+// changes since then.
 func (b *testDirectory) List(since framework.ListVersion, done func(framework.ListReading, error)) {
 	b.versionsAsked = append(b.versionsAsked, since)
 	if b.listFails {
--- a/internal/backends/holds.go
+++ b/internal/backends/holds.go
@@ -8,9 +8,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// holdSweep remembers in how many sweeps in a row each hold was seen. One that
-// is seen once may just have been taken; one that stays is reported to its
-// program's leader now and then.
+// holdSweep counts in how many consecutive sweeps each hold was seen. A hold seen once
+// may be new; one that persists is reported to its program's leader periodically.
 type holdSweep struct {
 	seen map[structs.EngineID]map[structs.HoldID]int
 }
@@ -22,8 +21,8 @@
 	return holdSweep{seen: map[structs.EngineID]map[structs.HoldID]int{}}
 }
 
-// sweepHolds reads what engines pin. Each engine is read by one daemon of the
-// whole fleet; which one follows from the members alone.
+// sweepHolds periodically lists the holds on engines. Each engine is swept by one
+// daemon of the whole fleet, determined by the members alone.
 func (d *Directory) sweepHolds() {
 	if d.isStopped() {
 		return
@@ -69,8 +68,8 @@
 	return ids
 }
 
-// sweptHolds reports holds that have stayed to the leaders of their programs,
-// who know whether they are still wanted.
+// holdsRead reports persistent holds to the leaders of their programs, which know
+// whether they are still needed.
 func (d *Directory) holdsRead(engine structs.EngineID, holds []structs.Hold) {
 	d.mutex.Lock()
 	former := d.sweep.seen[engine]
--- a/internal/backends/list.go
+++ b/internal/backends/list.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// takeReading joins a reading to the list and acts on what it shows.
+// applyListRead merges a read into the list and acts on the changes.
 func (d *Directory) applyListRead(reading framework.ListReading) {
 	d.mutex.Lock()
 	changed, err := d.machineList.apply(reading)
@@ -34,7 +34,7 @@
 	d.mutex.Unlock()
 	switch {
 	case err != nil:
-		d.Logger.Warn().Err(err).Msg("Machine list is read anew.")
+		d.Logger.Warn().Err(err).Msg("Machine list does not follow from the last read. The whole list is read.")
 	case changed:
 		d.listChanged(machines)
 	default:
@@ -51,7 +51,7 @@
 	return d.Settings.LargeFleetListInterval
 }
 
-// update takes a list that changed.
+// listChanged applies a list that differs from the former one.
 func (d *Directory) listChanged(machines []structs.Machine) {
 	d.mutex.Lock()
 	present := map[structs.EngineID]bool{}
@@ -74,8 +74,8 @@
 	d.pollUnread()
 }
 
-// unchanged takes a list that shows what it showed before: who was leaving
-// still is, and who is not listed may be forgotten.
+// listUnchanged renews the hold-down of back ends that are still listed as leaving,
+// and removes unlisted ones after theirs.
 func (d *Directory) listUnchanged() {
 	d.mutex.Lock()
 	now := d.Clock.Now()
@@ -93,7 +93,7 @@
 	d.pollUnread()
 }
 
-// list takes one row.
+// addListed adds or updates a listed back end.
 func (d *Directory) addListed(id structs.EngineID, machine structs.Machine) {
 	b := d.backEnds[id]
 	if b == nil {
@@ -107,8 +107,8 @@
 	}
 }
 
-// unlist marks back ends that are no longer listed, and forgets those that
-// have been so for a while. It returns, in order, those that are newly gone.
+// removeUnlisted marks back ends that are no longer listed, and removes those whose
+// hold-down has passed. It returns the newly unlisted ones, in order.
 func (d *Directory) removeUnlisted(present map[structs.EngineID]bool) []structs.EngineID {
 	now := d.Clock.Now()
 	var gone []structs.EngineID
@@ -128,7 +128,7 @@
 	return gone
 }
 
-// refresh brings the scheduler up to what time and news have changed.
+// refresh updates the scheduler after time passed or the state of back ends changed.
 func (d *Directory) refresh() {
 	for _, id := range d.withdrawUnused() {
 		d.Scheduler.RemoveEngine(id)
@@ -138,7 +138,7 @@
 	}
 }
 
-// used lists the engines that this daemon gives work to, in order.
+// usedEngines returns the engines that this daemon sends work to, in order.
 func (d *Directory) usedEngines() []structs.EngineID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -152,8 +152,8 @@
 	return ids
 }
 
-// unused lists, in order, the engines that the scheduler was told of and that
-// this daemon no longer uses, and notes that they are taken back.
+// withdrawUnused returns, in order, the engines that the scheduler has and this daemon
+// no longer uses, and marks them as removed from the scheduler.
 func (d *Directory) withdrawUnused() []structs.EngineID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/backends/list_test.go
+++ b/internal/backends/list_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestRemovalIsToldByTheReadingThatShowsIt(t *testing.T) {
+func TestRemovalIsReportedByTheFirstReadWithoutTheMachine(t *testing.T) {
 	engine := engineRow(engineA)
 	b := newTestDirectory(Guards{}, daemonRow(peerAddress), engine)
 	b.run(time.Minute)
@@ -44,14 +44,14 @@
 	}
 }
 
-func TestLeavingStandsThroughReadingsWithoutChange(t *testing.T) {
+func TestLeavingPersistsWhileTheListIsUnchanged(t *testing.T) {
 	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines[0].State = structs.MachineLeaving
 	b.run(10 * b.Settings.ListHoldDown)
 	b.wantLeaving(t, true, "listed as leaving in every reading")
 }
 
-func TestUnlistedEngineIsForgottenThoughTheListStandsStill(t *testing.T) {
+func TestUnlistedEngineIsRemovedWhileTheListIsUnchanged(t *testing.T) {
 	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines = b.machines[1:]
 	b.run(2 * b.Settings.ListInterval)
@@ -64,13 +64,13 @@
 	}
 }
 
-func TestListThatGoesBackGivesNoWorkToWhoWasLeaving(t *testing.T) {
+func TestOlderListGivesNoWorkToUnlistedEngine(t *testing.T) {
 	engine, other := engineRow(engineA), engineRow(engineB)
 	b := newTestDirectory(Guards{}, engine, other)
 	b.machines = []structs.Machine{other}
 	b.run(2 * b.Settings.ListInterval)
-	// Another instance of the service takes over. It knows no version of the
-	// former one and lags behind it.
+	// Another instance of the service takes over. It knows none of the former
+	// one's versions and lags behind it.
 	b.listOverride = func(since framework.ListVersion) framework.ListReading {
 		return framework.WholeList("other-1", []structs.Machine{engine, other})
 	}
@@ -80,7 +80,7 @@
 	b.wantLeaving(t, false, "shown for long")
 }
 
-func TestReadingWithAGapIsFollowedByTheWholeList(t *testing.T) {
+func TestReadWithAGapIsFollowedByTheFullList(t *testing.T) {
 	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines[0].State = structs.MachineLeaving
 	b.listOverride = func(since framework.ListVersion) framework.ListReading {
@@ -96,7 +96,7 @@
 	b.wantLeaving(t, true, "after the whole list")
 }
 
-func TestDaemonCutOffFromTheListTakesItUpWhereItStood(t *testing.T) {
+func TestListReadsResumeFromTheLastVersionAfterAnOutage(t *testing.T) {
 	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.listFails = true
 	b.run(time.Minute)
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestEveryReadingIsToldOnceAsAChangeOrAsTheSame(t *testing.T) {
+func TestEveryReadIsReportedOnceAsChangedOrUnchanged(t *testing.T) {
 	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.run(time.Minute)
 	b.machines = b.machines[1:]
--- a/internal/backends/machine_list.go
+++ b/internal/backends/machine_list.go
@@ -10,32 +10,32 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// errListGap is returned for a reading that does not lead on from the list as
-// it is known here.
-var errListGap = eris.New("backends: reading of the machine list leaves a gap")
+// errListGap is returned for a read that does not continue the list as it is known
+// here.
+var errListGap = eris.New("backends: machine list: the read does not continue the known version")
 
-// machineView is the platform's list as this daemon has put it together from
-// readings. The Directory's mutex guards it.
+// machineList is the platform's list as assembled from reads. The Directory's mutex
+// guards it.
 type machineList struct {
 	version framework.ListVersion
 	rows    map[string]structs.Machine
-	// readings counts those since the last whole list.
+	// readsSinceFull counts the reads since the last full list.
 	readsSinceFull int
 }
 
-// next returns the version that the next reading is to build on; empty asks
-// for the whole list. It does so now and then although nothing seems wrong, so
-// that a change that the service failed to tell of is not missed for ever.
-func (v *machineList) nextBase(wholeEvery int) framework.ListVersion {
-	if v.readsSinceFull >= wholeEvery {
+// nextBase returns the version on which the next read builds; empty requests the full
+// list. The full list is also requested every fullEvery reads, so that a change which
+// the service failed to report is not missed for good.
+func (v *machineList) nextBase(fullEvery int) framework.ListVersion {
+	if v.readsSinceFull >= fullEvery {
 		return ""
 	}
 	return v.version
 }
 
-// take joins a reading and returns whether any row changed. After an error the
-// rows stand as they were, and the whole list is to be read next. An empty
-// list is not believed: this daemon's own machine would be on a true one.
+// apply merges a read and reports whether any row changed. After an error the rows are
+// unchanged, and the full list is read next. An empty list is rejected, since a
+// correct one has this daemon's own machine.
 func (v *machineList) apply(reading framework.ListReading) (changed bool, err error) {
 	rows, changed := v.merged(reading)
 	whole := reading.Since == ""
@@ -53,7 +53,8 @@
 	return changed, nil
 }
 
-// joined returns the rows after a reading. Rows that stay are not copied.
+// merged returns the rows after a read, and whether it contained any. Without changes
+// it returns the current map.
 func (v *machineList) merged(reading framework.ListReading) (rows map[string]structs.Machine, changed bool) {
 	if reading.Since != "" && len(reading.Machines)+len(reading.Removed) == 0 {
 		return v.rows, false
--- a/internal/backends/machine_list_test.go
+++ b/internal/backends/machine_list_test.go
@@ -16,8 +16,8 @@
 
 const testFullListEvery = 50
 
-// listService publishes random lists. Its readers may be sent back to an older
-// one, and it may have forgotten the version that a reader builds on.
+// listService serves random lists. It may serve an older list, and it may have
+// forgotten the version on which a read builds.
 type listService struct {
 	random *rand.Rand
 	states [][]structs.Machine
@@ -53,7 +53,7 @@
 	return list
 }
 
-func TestViewFollowsAListThatLagsAndGoesBack(t *testing.T) {
+func TestMachineListFollowsAServiceThatLagsAndGoesBack(t *testing.T) {
 	for seed := range uint64(20) {
 		s := &listService{random: rand.New(rand.NewPCG(seed, 1)), states: [][]structs.Machine{{engineRow("10.0.1.1:9000")}}}
 		view := machineList{}
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestReadingWithAGapIsNotTaken(t *testing.T) {
+func TestReadWithAGapIsNotApplied(t *testing.T) {
 	before := []structs.Machine{engineRow(engineA), engineRow(engineB)}
 	good := framework.ListChanges("1", before, "2", before[:1])
 	tests := map[string]framework.ListReading{
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestWholeListIsReadNowAndThen(t *testing.T) {
+func TestFullListIsReadPeriodically(t *testing.T) {
 	view := machineList{}
 	machines := []structs.Machine{engineRow(engineA)}
 	wholes := 0
--- a/internal/backends/messages.go
+++ b/internal/backends/messages.go
@@ -5,23 +5,23 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Leaving passes on a back end's own word that it is leaving.
+// Leaving passes on a back end's announcement that it is leaving.
 type Leaving struct {
 	BackEnd structs.EngineID `json:"b"`
-	// Run is the run that said so, 0 when unknown.
+	// Run is the run that announced it, 0 when unknown.
 	Run int64 `json:"r,omitempty"`
 }
 
-// Loads passes an engine watcher's readings on to its cell.
+// Loads sends a watcher's load summaries to its cell.
 type Loads struct {
 	Summaries []LoadSummary `json:"l"`
 }
 
-// LoadSummary is a load report with short keys.
+// LoadSummary is a load report with short JSON keys.
 type LoadSummary struct {
 	Engine structs.EngineID    `json:"e"`
 	Models []structs.ModelName `json:"m"`
-	// Adapters lists those that it serves.
+	// Adapters lists the loaded adapters.
 	Adapters []structs.ModelAdapter `json:"a,omitempty"`
 	Role     structs.EngineRole     `json:"o"`
 	Running  int                    `json:"r,omitempty"`
@@ -73,7 +73,7 @@
 	}
 }
 
-// loadedAdapters lists the adapters that calls may ask the engine for.
+// loadedAdapters returns the adapters that are loaded, not those still loading.
 func loadedAdapters(report structs.LoadReport) []structs.ModelAdapter {
 	var loaded []structs.ModelAdapter
 	for _, adapter := range report.Adapters {
@@ -92,7 +92,7 @@
 	return adapters
 }
 
-// FindEngines asks for engines that serve some models, or adapters of models.
+// FindEngines asks another cell for engines that serve the given models or adapters.
 type FindEngines struct {
 	Models []structs.ModelAdapter `json:"m"`
 }
@@ -102,7 +102,7 @@
 	Summaries []LoadSummary `json:"l"`
 }
 
-// Kinds of message of this package.
+// Message kinds of this package.
 const (
 	KindFind    peer.Kind = "backends.find"
 	KindFound   peer.Kind = "backends.found"
--- a/internal/backends/receive.go
+++ b/internal/backends/receive.go
@@ -5,7 +5,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Receive takes a message that arrived; false means it is another part's.
+// Receive handles a message from another daemon. It returns false for messages of
+// other packages.
 func (d *Directory) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch message := message.(type) {
 	case *Leaving:
@@ -24,8 +25,8 @@
 	return true
 }
 
-// heardLeaving takes another daemon's word. It is not passed on again: the
-// daemon that heard it from the back end has told all.
+// receiveLeaving applies another daemon's Leaving message. It is not forwarded: the
+// daemon that observed it has sent it to all.
 func (d *Directory) receiveLeaving(message *Leaving) {
 	d.mutex.Lock()
 	b := d.backEnds[message.BackEnd]
@@ -60,7 +61,7 @@
 	d.forwardReport(digest.report())
 }
 
-// passOn tells the daemons of the cell, in a small fleet all.
+// broadcast sends a message to the daemons of the cell, in a small fleet to all.
 func (d *Directory) broadcast(message peer.Message) {
 	d.mutex.Lock()
 	peers := d.cells.peers
@@ -70,7 +71,7 @@
 	}
 }
 
-// sendDigests passes this daemon's readings on to its cell.
+// sendSummaries sends the load of the watched engines to the cell.
 func (d *Directory) sendSummaries(cells cells) {
 	d.mutex.Lock()
 	var digests []LoadSummary
--- a/internal/backends/settings.go
+++ b/internal/backends/settings.go
@@ -2,59 +2,59 @@
 
 import "time"
 
-// Settings give pauses and bounds.
+// Settings are the intervals, timeouts and bounds of a Directory.
 type Settings struct {
-	// ListInterval is the pause between readings of the platform's list.
+	// ListInterval is the pause between reads of the platform's list.
 	ListInterval time.Duration
-	// FullListEvery is after how many readings of changes the whole list is
-	// read again.
+	// FullListEvery is after how many reads of changes the full list is read again.
 	FullListEvery int
-	// LoadInterval is the pause between readings of an engine's report in a
-	// small fleet, where every daemon reads every engine.
+	// LoadInterval is the pause between polls of an engine in a small fleet, where
+	// every daemon polls every engine.
 	LoadInterval time.Duration
-	// FailureLimit is after how many failed readings in a row an engine gets
-	// no new work, and ReportTimeout after how long one reading may take.
+	// FailureLimit is the number of consecutive failed polls, and ReportTimeout the
+	// duration of a single poll, after which an engine gets no new work.
 	FailureLimit  int
 	ReportTimeout time.Duration
-	// ListHoldDown is for how long a machine must be listed as live, after it
-	// was listed as leaving or not at all, to get new work: the list lags, and
-	// a lagging reader may show what was true before.
+	// ListHoldDown is how long a machine must be listed as live, after it was listed
+	// as leaving or not at all, before it gets new work: the list lags, and a read may
+	// return an older state.
 	ListHoldDown time.Duration
-	// DrainHoldDown is for how long an engine's word that it is leaving outweighs
-	// reports of the same run that do not say so: reports lag.
+	// DrainHoldDown is how long an engine's announcement that it is leaving overrides
+	// reports of the same run that do not say so, since reports lag.
 	DrainHoldDown time.Duration
-	// ProbeInterval is the pause between questions to an application that is
-	// leaving or was not reached.
+	// ProbeInterval is the pause between probes of an application that is draining or
+	// unreachable.
 	ProbeInterval time.Duration
-	// HoldInterval is the pause between sweeps of held engine memory.
+	// HoldSweepInterval is the pause between sweeps for orphaned holds on engine
+	// memory.
 	HoldSweepInterval time.Duration
 	// HoldReportEvery is after how many sweeps a hold is reported again.
 	HoldReportEvery int
 
-	// DirectDaemons and DirectEngines bound the fleet in which every daemon
-	// reads every engine. Beyond it daemons and engines are divided in cells.
+	// DirectDaemons and DirectEngines bound the size of a fleet in which every daemon
+	// polls every engine. Larger fleets are divided into cells.
 	DirectDaemons int
 	DirectEngines int
-	// CellDaemons is the least mean number of daemons in a cell; the greatest
-	// is twice that.
+	// CellDaemons is the minimum mean number of daemons in a cell; the maximum is
+	// twice that.
 	CellDaemons int
-	// WatchInterval is the pause between readings of an engine by its watcher,
-	// who passes every SummaryEvery-th on to the cell.
+	// WatchInterval is the pause between a watcher's polls of an engine; it sends a
+	// summary of every SummaryEvery-th poll to its cell.
 	WatchInterval time.Duration
 	SummaryEvery  int
-	// FindInterval is the pause between questions to other cells for engines of
-	// models that the own cell lacks; FindFanout cells are asked each time about
-	// up to FindModels models, and tell of up to FindEngines engines for each.
+	// FindInterval is the pause between requests to other cells for engines of models
+	// that the own cell lacks. Each time FindFanout cells are asked for up to
+	// FindModels models, and report up to FindEngines engines for each.
 	FindInterval time.Duration
 	FindFanout   int
 	FindModels   int
 	FindEngines  int
-	// BorrowDuration is how long such an engine is used before it is looked for
-	// again.
+	// BorrowDuration is how long such an engine is used before it is looked up again.
 	BorrowDuration time.Duration
-	// LargeListInterval takes the place of ListInterval.
+	// LargeFleetListInterval replaces ListInterval in a fleet of several cells.
 	LargeFleetListInterval time.Duration
-	// LargeHoldInterval takes the place of HoldInterval.
+	// LargeFleetHoldSweepInterval replaces HoldSweepInterval in a fleet of several
+	// cells.
 	LargeFleetHoldSweepInterval time.Duration
 }
 
--- a/internal/backends/watch.go
+++ b/internal/backends/watch.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// watch reads the reports of the engines that are this daemon's to read.
+// pollEngines periodically polls the engines that are due.
 func (d *Directory) pollEngines() {
 	if d.isStopped() {
 		return
@@ -27,7 +27,7 @@
 	d.Clock.AfterFunc(interval, d.pollEngines)
 }
 
-// digestTurn tells whether the readings are to be passed on this time.
+// summaryDue reports whether summaries are to be sent this time.
 func (d *Directory) summaryDue() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -35,8 +35,8 @@
 	return d.pollRounds%d.Settings.SummaryEvery == 0
 }
 
-// due lists, in order, the engines to read now: those that this daemon
-// watches, and those of its cell that their watcher has been silent about.
+// enginesDue returns, in order, the engines to poll now: those that this daemon
+// watches, borrowed ones, and those of its cell whose watcher has been silent.
 func (d *Directory) enginesDue() []structs.EngineID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -59,12 +59,11 @@
 	return missedSummaries * time.Duration(d.Settings.SummaryEvery) * d.Settings.WatchInterval
 }
 
-// digestsMissed is after how many intervals without word from an engine's
-// watcher others read it themselves.
+// missedSummaries is after how many summary intervals without news of an engine the
+// other daemons of the cell poll it themselves.
 const missedSummaries = 3
 
-// pollNew reads the engines that were never read, such as those that the list
-// has just shown.
+// pollUnread polls the engines that were never polled, such as newly listed ones.
 func (d *Directory) pollUnread() {
 	d.mutex.Lock()
 	var ids []structs.EngineID
@@ -80,7 +79,7 @@
 	}
 }
 
-// poll reads an engine's report, unless a reading is under way.
+// poll reads an engine's report, unless a poll is in progress.
 func (d *Directory) poll(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
@@ -120,8 +119,8 @@
 	d.readCacheEvents(id)
 }
 
-// takeReport joins a report to what is known, and returns whether it brings
-// the news that the engine is leaving. The lock is held.
+// applyReport records a report, and reports whether it is the first to say that the
+// engine is leaving. The mutex must be held.
 func (d *Directory) applyReport(b *backEnd, report structs.LoadReport) bool {
 	if !b.observeRun(report.StartedUnixNano) {
 		return false
@@ -132,7 +131,7 @@
 	return report.Draining && b.observeDraining(report.StartedUnixNano, d.Settings, now)
 }
 
-// passReport gives a report to the scheduler.
+// forwardReport sends a report to the scheduler.
 func (d *Directory) forwardReport(report structs.LoadReport) {
 	if d.Guards.IgnoreLeaving {
 		report.Draining = false
@@ -140,15 +139,15 @@
 	d.Scheduler.UpdateLoad(report)
 }
 
-// cacheReading is how far the cache events of an engine's run were read.
+// cacheProgress is how far the cache events of an engine's run were read.
 type cacheProgress struct {
 	sequence uint64
 	reading  bool
 }
 
-// readCache reads cache events that the engine's report shows to be there. In
-// a large fleet none are read: they would take more than the control traffic
-// allows, and the scheduler corrects its belief by answers.
+// readCacheEvents reads the cache events that the engine's report announces. In a
+// large fleet none are read, since they would exceed the bandwidth for control
+// traffic; the scheduler corrects its estimate from answers instead.
 func (d *Directory) readCacheEvents(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
@@ -165,7 +164,8 @@
 	})
 }
 
-// cacheRead hands events on. A jump in their numbers is a gap.
+// cacheEventsRead passes events to the scheduler. A jump in their sequence numbers is
+// a gap.
 func (d *Directory) cacheEventsRead(id structs.EngineID, run int64, events []structs.CacheEvent, err error) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
--- a/internal/backends/watchers.go
+++ b/internal/backends/watchers.go
@@ -9,10 +9,11 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// watchersOf deals the engines of a cell out over its daemons: each engine goes
-// to the daemon with the highest hash together with it that has not got its
-// even share yet. So no daemon passes on more than its share, and few engines
-// change hands when daemons come and go. The result is in the order of engines.
+// assignWatchers assigns the engines of a cell to its daemons by rendezvous hashing
+// with a bound: each engine goes to the daemon with the highest score that does not
+// have its even share yet. No daemon sends more than its share of summaries, and few
+// engines are reassigned when daemons join or leave. The result is in the order of
+// engines.
 func assignWatchers(engines []structs.EngineID, daemons []structs.DaemonID) []structs.DaemonID {
 	if len(daemons) == 0 {
 		return make([]structs.DaemonID, len(engines))
@@ -29,8 +30,8 @@
 	return watchers
 }
 
-// watcher returns the daemon with the highest hash together with the engine:
-// when daemons come and go, few engines change hands.
+// watcherOf returns the daemon with the highest score for the engine (rendezvous
+// hashing): few engines are reassigned when daemons join or leave.
 func watcherOf(engine structs.EngineID, daemons []structs.DaemonID) structs.DaemonID {
 	if len(daemons) == 0 {
 		return ""
--- a/internal/backends/watchers_test.go
+++ b/internal/backends/watchers_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestFewEnginesChangeHandsWhenAWatcherDies(t *testing.T) {
+func TestFewEnginesAreReassignedWhenAWatcherFails(t *testing.T) {
 	ids, members := cellOfSize(12, 36)
 	before := assignWatchers(ids, members)
 	for lost := range members {
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -7,24 +7,24 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// retryAfterFull is when a caller may come back to a daemon that is full.
+// retryAfterFull is the retry delay for callers of a daemon that is at a limit.
 const retryAfterFull = time.Second
 
-// retryElsewhere is when a caller may come back to a daemon that stops; by then
-// it reaches another, or the new run at the same address.
+// retryAfterStopping is the retry delay for callers of a daemon that is shutting down;
+// by then they reach another daemon, or a new run at the same address.
 const retryAfterStopping = time.Second
 
-// refuseWhileStopping refuses a new call at a daemon that stops. Questions and
-// cancellations are served to the end.
+// refuseWhileStopping refuses a new call while the daemon shuts down. Queries and
+// cancellations are served until the end.
 func (g *Gateway) refuseWhileStopping() *problem {
 	if g.Stopping == nil || !g.Stopping() {
 		return nil
 	}
-	return refusal(structs.ReasonStopping, "", "The daemon is stopping. Ask another.", retryAfterStopping)
+	return refusal(structs.ReasonStopping, "", "The daemon is shutting down. Send the request to another daemon.", retryAfterStopping)
 }
 
-// admission counts the requests under way, so that a flood of them, or one
-// tenant's, is turned away before anything is kept for it.
+// admission counts the requests in progress, to refuse those beyond the limits before
+// anything is allocated for them.
 type admission struct {
 	mutex   sync.Mutex
 	total   int64
@@ -35,10 +35,10 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.total >= limits.MaxRequests {
-		return refusal(structs.ReasonOverloaded, "", "The daemon has too many requests under way.", retryAfterFull)
+		return refusal(structs.ReasonOverloaded, "", "The daemon has too many requests in progress.", retryAfterFull)
 	}
 	if a.tenants[tenant] >= limits.MaxRequestsPerTenant {
-		return refusal(structs.ReasonTenantQuota, "", "The tenant has too many requests under way at this daemon.", retryAfterFull)
+		return refusal(structs.ReasonTenantQuota, "", "The tenant has too many requests in progress at this daemon.", retryAfterFull)
 	}
 	if a.tenants == nil {
 		a.tenants = map[structs.TenantName]int64{}
--- a/internal/gateway/answer_collector.go
+++ b/internal/gateway/answer_collector.go
@@ -9,27 +9,26 @@
 	"github.com/mintpulley/mintpulley/internal/submit"
 )
 
-// deadlineGrace is how long after its deadline a call's outcome is waited for:
-// the fleet refuses by itself what it has not sent by then.
+// deadlineGrace is how long after its deadline a call's outcome is awaited: the
+// shard's leader refuses by itself the calls that it has not sent by then.
 const deadlineGrace = 2 * time.Second
 
-// follower collects an answer for an HTTP handler. It implements submit.Caller
-// without ever blocking the node, and keeps no more than its limit of text.
+// answerCollector collects an answer for an HTTP handler. It implements submit.Caller,
+// never blocks, and buffers a limited amount of text.
 type answerCollector struct {
-	// limit bounds the text kept in bytes; 0 keeps none.
+	// limit bounds the buffered text in bytes; 0 buffers none.
 	limit   int
 	changed chan struct{}
 
 	mutex sync.Mutex
-	// text is what came and was not taken yet; its first byte is answer byte
-	// offset.
+	// text is the answer text received and not taken yet, from answer byte offset on.
 	text   []byte
 	offset int64
-	// overflowed is set once text had to be dropped; nothing is kept from then.
+	// overflowed is set once text had to be dropped; no more is buffered then.
 	overflowed bool
 	outcome    *structs.Outcome
-	// left is set once the caller has gone, late once the deadline and its
-	// grace have passed.
+	// callerGone is set once the caller has disconnected, deadlineExceeded once the
+	// deadline and its grace have passed.
 	callerGone, deadlineExceeded bool
 }
 
@@ -37,7 +36,7 @@
 	return &answerCollector{limit: limit, changed: make(chan struct{}, 1)}
 }
 
-// Chunks implements submit.Caller. The pieces join without a gap.
+// Chunks implements submit.Caller. The chunks are contiguous.
 func (f *answerCollector) Chunks(chunks []structs.Chunk) {
 	if f.limit == 0 {
 		return
@@ -50,8 +49,8 @@
 	f.signal()
 }
 
-// add keeps a piece. A single piece may be longer than the limit, as when the
-// whole answer is read from a record.
+// add buffers a chunk. A single chunk may exceed the limit, as when the whole answer
+// is read from a record.
 func (f *answerCollector) add(chunk structs.Chunk) {
 	if f.overflowed {
 		return
@@ -74,8 +73,8 @@
 	f.signal()
 }
 
-// callerLeft and deadlinePassed wake the handler for good. A select over three
-// channels for each token would cost more than these.
+// callerLeft and deadlinePassed set a flag and wake the handler. This is cheaper than
+// a select over three channels for each token.
 func (f *answerCollector) callerLeft() {
 	f.mutex.Lock()
 	f.callerGone = true
@@ -97,7 +96,7 @@
 	}
 }
 
-// news is what came since the last look.
+// answerUpdate is what arrived since the last call of take.
 type answerUpdate struct {
 	text                         []byte
 	offset                       int64
@@ -106,8 +105,8 @@
 	callerGone, deadlineExceeded bool
 }
 
-// take returns what came since the last call. used is a buffer that is not
-// needed any more, for the next text.
+// take returns what arrived since the last call. used is a buffer that is no longer
+// needed, for the next text.
 func (f *answerCollector) take(used []byte) answerUpdate {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -116,9 +115,9 @@
 	return taken
 }
 
-// follow submits a call and hands news to each until an outcome came or each
-// returns false. A caller that leaves can come back only for a call that it
-// named; any other call is cancelled.
+// follow submits a call and passes updates to each, until the outcome arrived or each
+// returns false. When the caller disconnects, a call with a request identifier of the
+// caller's goes on, since it can be resumed; any other call is cancelled.
 func (e *exchange) follow(limit int, each func(answerUpdate) bool) {
 	f := newAnswerCollector(limit)
 	submission := e.gateway.Node.Submit(*e.call, f)
@@ -165,6 +164,6 @@
 	return structs.Outcome{
 		Status:  structs.OutcomeUnknown,
 		Reason:  structs.ReasonDeadline,
-		Message: "The deadline passed while the call was under way. Ask for its outcome by the same request identifier.",
+		Message: "The deadline passed while the call was in progress. Query its outcome by the same request identifier.",
 	}
 }
--- a/internal/gateway/answer_collector_test.go
+++ b/internal/gateway/answer_collector_test.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func TestFollowerJoinsPieces(t *testing.T) {
+func TestAnswerCollectorJoinsChunks(t *testing.T) {
 	f := newAnswerCollector(100)
 	f.Chunks([]structs.Chunk{{Offset: 5, Text: "twenty "}, {Offset: 12, Text: "loaves"}})
 	f.Outcome(structs.Outcome{Status: structs.OutcomeCompleted})
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestFollowerKeepsNoMoreThanItsLimit(t *testing.T) {
+func TestAnswerCollectorKeepsNoMoreThanItsLimit(t *testing.T) {
 	f := newAnswerCollector(10)
 	f.Chunks([]structs.Chunk{{Offset: 0, Text: "12345678"}})
 	f.Chunks([]structs.Chunk{{Offset: 8, Text: "too much"}})
@@ -37,6 +37,6 @@
 	whole := newAnswerCollector(0)
 	whole.Chunks([]structs.Chunk{{Text: "not needed"}})
 	if len(whole.text) != 0 {
-		t.Error("a whole answer's pieces were kept")
+		t.Error("chunks were buffered with limit 0")
 	}
 }
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -6,8 +6,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// serveApplication takes a count update, a bread order or a tool request. The
-// body is the back end's and passes as it is.
+// serveApplication serves a request to an application or tool. The body is passed to
+// the back end unchanged.
 func (e *exchange) serveApplication() {
 	call, refused := e.newCall(optionsFromHeader(e.r.Header))
 	if refused != nil {
@@ -46,5 +46,5 @@
 	e.setIdentityHeaders()
 	e.w.Header().Set("Content-Type", "application/json")
 	e.w.WriteHeader(status)
-	_, _ = e.w.Write(outcome.Body) // fails when the caller is gone
+	_, _ = e.w.Write(outcome.Body) // fails when the caller has disconnected
 }
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -12,12 +12,13 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// initialBody bounds what is allocated on the word of a Content-Length alone.
+// initialBodyBuffer bounds the initial allocation for a body, whatever its
+// Content-Length.
 const initialBodyBuffer = 64 << 10
 
-// readBody reads the request's body within the limits on size, time and the
-// memory of all bodies. release must be called once the body is not used any
-// more; it is never nil.
+// readBody reads the request's body within the limits on its size, its time and the
+// memory of all bodies. release must be called once the body is no longer used; it is
+// never nil.
 func (e *exchange) readBody() (body []byte, release func(), refused *problem) {
 	limits := e.gateway.Limits
 	release, refused = e.gateway.reserveBody(e.r.ContentLength)
@@ -35,8 +36,8 @@
 	return buffer.Bytes(), release, nil
 }
 
-// reserveBody counts a body against the memory of all bodies: its announced
-// length, or the longest allowed.
+// reserveBody counts a body against the memory limit for all bodies, by its
+// Content-Length or else by the largest size allowed.
 func (g *Gateway) reserveBody(length int64) (func(), *problem) {
 	if length > g.Limits.MaxBodyBytes {
 		return func() {}, tooLarge(g.Limits.MaxBodyBytes)
@@ -46,7 +47,7 @@
 	}
 	if g.bodies.Add(length) > g.Limits.MaxTotalBodyBytes {
 		g.bodies.Add(-length)
-		return func() {}, refusal(structs.ReasonOverloaded, "body", "The daemon is reading too many bodies.", retryAfterFull)
+		return func() {}, refusal(structs.ReasonOverloaded, "body", "The request bodies being read fill this daemon's memory limit for them.", retryAfterFull)
 	}
 	return func() { g.bodies.Add(-length) }, nil
 }
@@ -61,7 +62,7 @@
 		refused.status = http.StatusRequestTimeout
 		return refused
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return invalid("body", "The body ended early.")
+		return invalid("body", "The body ended before its announced length.")
 	default:
 		return invalid("body", "The body cannot be read.")
 	}
--- a/internal/gateway/call_options.go
+++ b/internal/gateway/call_options.go
@@ -14,14 +14,13 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// identifierPattern is what program, request and trace identifiers look like.
+// identifierPattern matches program, request and trace identifiers.
 var identifierPattern = regexp.MustCompile(`^[A-Za-z0-9._~/-]{1,200}$`)
 
-// singlePrefix starts the names of programs of one call that the caller did
-// not name.
+// singleCallPrefix is the prefix of the names of programs that are made for one call.
 const singleCallPrefix = "single-"
 
-// newCall returns the call that the names describe, as far as they go.
+// newCall returns the call that the options describe, without what the body adds.
 func (e *exchange) newCall(options callOptions) (*structs.Call, *problem) {
 	call := &structs.Call{
 		Key:       structs.ProgramKey{Tenant: e.tenant, Program: structs.ProgramID(options.program)},
@@ -46,7 +45,7 @@
 	return call, e.gateway.refuseWhileStopping()
 }
 
-// sentBefore tells whether the headers mark a request as sent again.
+// sentBefore reports whether the headers mark a request as a retry.
 func sentBefore(header http.Header) bool {
 	count := header.Get(HeaderClientRetry)
 	retriedByClient := count != "" && count != "0"
@@ -97,7 +96,7 @@
 		return invalid(HeaderResumeAt, "Use the number of answer bytes received.")
 	}
 	if options.requestID == "" || options.program == "" {
-		return invalid(HeaderResumeAt, "Name the program and the request whose answer goes on.")
+		return invalid(HeaderResumeAt, "Name the program and the request whose answer is resumed.")
 	}
 	call.ResumeAt = offset
 	call.Retry = true
@@ -116,9 +115,9 @@
 	return nil
 }
 
-// fillIdentifiers checks identifiers and makes those that are missing. A call
-// without a program is a program of one call, named after the request so that
-// the same request sent again finds it.
+// fillIdentifiers validates identifiers and generates missing ones. A call without a
+// program gets a program of its own, named after the request so that a retry of the
+// request finds it.
 func fillIdentifiers(call *structs.Call, options callOptions) *problem {
 	if call.RequestID == "" {
 		call.RequestID = structs.RequestID(rand.Text())
--- a/internal/gateway/call_options_test.go
+++ b/internal/gateway/call_options_test.go
@@ -22,7 +22,7 @@
 	return e
 }
 
-func TestNamesOfCall(t *testing.T) {
+func TestCallFromOptions(t *testing.T) {
 	e := testExchange(map[string]string{
 		HeaderProgram: "morning/flour", HeaderRequestID: "r1", HeaderSequence: "3", HeaderResumeAt: "17",
 		HeaderTrace: "t1", HeaderTimeout: "30s", HeaderClientRetry: "1",
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestUnnamedCallGetsNames(t *testing.T) {
+func TestCallWithoutIdentifiersGetsThem(t *testing.T) {
 	e := testExchange(map[string]string{HeaderClientRetry: "2"})
 	first, _ := e.newCall(callOptions{})
 	second, _ := e.newCall(callOptions{})
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestWrongNamesAreRefused(t *testing.T) {
+func TestInvalidOptionsAreRefused(t *testing.T) {
 	cases := map[string]struct {
 		header string
 		value  string
@@ -101,7 +101,7 @@
 	}
 }
 
-func FuzzNames(f *testing.F) {
+func FuzzCallOptions(f *testing.F) {
 	f.Add("morning", "r1", "3", "17", "true", "append")
 	f.Add("", "", "-1", "x", "", "full")
 	f.Fuzz(func(t *testing.T, program, request, sequence, resumeAt, end, history string) {
--- a/internal/gateway/check.go
+++ b/internal/gateway/check.go
@@ -12,10 +12,10 @@
 	maximumPenalty     = 2
 )
 
-// textModality is the only kind of answer there is.
+// textModality is the only supported modality.
 const textModality = "text"
 
-// checkCompletion finds what a request must not say, or fails to.
+// checkCompletion refuses missing, out-of-range and unsupported fields.
 func checkCompletion(request *completionRequest) *problem {
 	for _, check := range []func(*completionRequest) *problem{checkRequired, checkBounds, checkUnsupported} {
 		if refused := check(request); refused != nil {
@@ -32,7 +32,7 @@
 	case len(request.Messages) == 0:
 		return invalid("messages", "Send at least one message.")
 	case request.StreamOptions != nil && !request.Stream:
-		return invalid("stream_options", "It is for streamed answers only.")
+		return invalid("stream_options", "Stream options require a streamed answer.")
 	default:
 		return nil
 	}
--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -34,7 +34,7 @@
 	startOnce sync.Once
 	running   *demo.Cluster
 	startErr  error
-	// logs holds what all daemons logged.
+	// logs holds the log output of all daemons.
 	logs outputtest.Buffer
 )
 
@@ -46,7 +46,8 @@
 	os.Exit(code)
 }
 
-// cluster returns three daemons with their stand-ins, shared by all tests.
+// cluster returns a cluster of three daemons with stand-in back ends, shared by all
+// tests.
 func cluster(t *testing.T) *demo.Cluster {
 	t.Helper()
 	startOnce.Do(func() { running, startErr = startCluster() })
@@ -93,8 +94,8 @@
 	}
 }
 
-// client is OpenAI's client library, unmodified, at one daemon. Each option
-// pair is a header and its value.
+// client returns OpenAI's client library, unmodified, for one daemon. The headers are
+// pairs of name and value.
 func client(t *testing.T, daemon int, headers ...string) *openai.Client {
 	c := cluster(t)
 	options := []option.RequestOption{
@@ -123,7 +124,7 @@
 	return ctx
 }
 
-// call makes a plain request and reads its JSON answer.
+// call makes a plain HTTP request and decodes its JSON response.
 func call[T any](t *testing.T, daemon int, key, method, path, body string, headers ...string) (int, T) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(testContext(t), method, "http://"+cluster(t).HTTP[daemon]+path, strings.NewReader(body))
@@ -150,7 +151,7 @@
 	return response.StatusCode, answer
 }
 
-// failure is the error object of an answer.
+// failure is the error object of a response.
 type failure struct {
 	Error struct {
 		Type    string `json:"type"`
@@ -160,7 +161,7 @@
 	} `json:"error"`
 }
 
-// programView is what tests read of a program.
+// programView has the fields of a program that tests read.
 type programView struct {
 	State        string `json:"state"`
 	EndReason    string `json:"end_reason"`
@@ -175,7 +176,7 @@
 	} `json:"settled_calls"`
 }
 
-// requestView is what tests read of a request.
+// requestView has the fields of a request that tests read.
 type requestView struct {
 	State      string                 `json:"state"`
 	Completion *openai.ChatCompletion `json:"completion"`
@@ -191,19 +192,19 @@
 	return view
 }
 
-// eventually waits for a condition that other goroutines bring about.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(testWait)
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s did not come about", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// apiError returns OpenAI's error, which must be there.
+// apiError returns err as OpenAI's API error, and fails the test if it is none.
 func apiError(t *testing.T, err error) *openai.Error {
 	t.Helper()
 	var refused *openai.Error
@@ -213,7 +214,7 @@
 	return refused
 }
 
-// names makes identifiers that no other test uses.
+// names returns an identifier that no other test uses.
 func names(t *testing.T, suffix string) string {
 	return fmt.Sprintf("%s-%s", strings.NewReplacer("/", ".", " ", "-", ",", "").Replace(t.Name()), suffix)
 }
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// completionRequest is the body of a chat completion.
+// completionRequest is the body of a chat completion request.
 type completionRequest struct {
 	Model               string            `json:"model"`
 	Messages            []requestMessage  `json:"messages"`
@@ -30,7 +30,7 @@
 	IncludeObfuscation bool `json:"include_obfuscation"`
 }
 
-// engineParameters pass to the engine as they are.
+// engineParameters are passed to the engine unchanged.
 type engineParameters struct {
 	Temperature       *float64         `json:"temperature,omitempty"`
 	TopP              *float64         `json:"top_p,omitempty"`
@@ -47,7 +47,8 @@
 	Verbosity         string           `json:"verbosity,omitempty"`
 }
 
-// unsupportedFields are OpenAI's, and refused unless they ask for nothing.
+// unsupportedFields are fields of OpenAI's API that are refused unless they have their
+// default effect.
 type unsupportedFields struct {
 	N                int64           `json:"n"`
 	Logprobs         bool            `json:"logprobs"`
@@ -62,7 +63,7 @@
 	Store            bool            `json:"store"`
 }
 
-// ignoredFields change nothing in an answer and are taken without effect.
+// ignoredFields do not affect the answer; they are accepted and ignored.
 type ignoredFields struct {
 	User                 string          `json:"user"`
 	SafetyIdentifier     string          `json:"safety_identifier"`
@@ -109,8 +110,8 @@
 	return decodeCompletion(body)
 }
 
-// decodeCompletion reads a body strictly: a field that is not known would
-// otherwise be lost without a word.
+// decodeCompletion decodes a body strictly: an unknown field would otherwise be
+// ignored silently.
 func decodeCompletion(body []byte) (*completionRequest, *problem) {
 	request := &completionRequest{}
 	decoder := json.NewDecoder(bytes.NewReader(body))
@@ -119,16 +120,17 @@
 		return nil, malformed(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, invalid("body", "Something follows the JSON object.")
+		return nil, invalid("body", "The body has data after the JSON object.")
 	}
 	return request, nil
 }
 
-// unknownFieldPrefix starts encoding/json's error for an unknown field, which
-// has no type of its own.
+// unknownFieldPrefix is the prefix of encoding/json's error for an unknown field,
+// which has no type of its own.
 const unknownFieldPrefix = "json: unknown field "
 
-// malformed names the field and the reason of a body that cannot be decoded.
+// malformed returns the refusal of a body that cannot be decoded, with the field and
+// the reason.
 func malformed(err error) *problem {
 	var wrongType *json.UnmarshalTypeError
 	var syntax *json.SyntaxError
@@ -138,23 +140,23 @@
 		if field == "" {
 			field = "body"
 		}
-		return invalid(field, fmt.Sprintf("A JSON %s stands where %s is expected (byte %d).", wrongType.Value, jsonName(wrongType.Type.Kind().String()), wrongType.Offset))
+		return invalid(field, fmt.Sprintf("Found a JSON %s where %s is expected (byte %d).", wrongType.Value, jsonName(wrongType.Type.Kind().String()), wrongType.Offset))
 	case errors.As(err, &syntax):
 		return invalid("body", fmt.Sprintf("The JSON is malformed at byte %d: %s.", syntax.Offset, syntax.Error()))
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return invalid("body", "The JSON ends early.")
+		return invalid("body", "The JSON is incomplete.")
 	case strings.HasPrefix(err.Error(), unknownFieldPrefix):
 		field := strings.Trim(strings.TrimPrefix(err.Error(), unknownFieldPrefix), `"`)
 		if field == "" {
 			field = "body"
 		}
-		return invalid(field, "The field is not known.")
+		return invalid(field, "The field is unknown.")
 	default:
-		return invalid("body", "The JSON cannot be read: "+err.Error())
+		return invalid("body", "The JSON cannot be decoded: "+err.Error())
 	}
 }
 
-// jsonName says in JSON's words what a field of a kind of Go type takes.
+// jsonName returns the JSON name for a kind of Go type.
 func jsonName(kind string) string {
 	switch kind {
 	case "struct", "map":
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -7,8 +7,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// exchange is one request and its answer, with what the log and the metrics
-// tell of it at the end.
+// exchange is one request and its response, with the data for the log line and the
+// metrics.
 type exchange struct {
 	gateway *Gateway
 	w       http.ResponseWriter
@@ -18,13 +18,12 @@
 	started time.Time
 	tenant  structs.TenantName
 
-	// call is set once the request was understood.
+	// call is set once the request was parsed.
 	call *structs.Call
-	// named is set when the caller gave the request identifier; only then can
-	// it come back for the answer.
+	// hasRequestID is set when the caller gave the request identifier; only then can
+	// it resume the call.
 	hasRequestID bool
-	// sentBefore is set when the caller says that it may have sent the request
-	// before.
+	// sentBefore is set when the caller marked the request as a retry.
 	sentBefore bool
 
 	status     int
@@ -49,9 +48,8 @@
 	}
 }
 
-// refuse answers a request that did not become a call. Of a request that was
-// sent before, an earlier copy may have run: a refusal for now must not say of
-// it that it was not run.
+// refuse answers a request that did not become a call. An earlier copy of a retried
+// request may have run, so a temporary refusal must not say that it did not run.
 func (e *exchange) refuse(p *problem) {
 	status, outcome := p.status, p.outcome
 	if outcome.RetryAfter > 0 && e.sentBefore {
@@ -62,7 +60,7 @@
 	writeOutcome(e.w, status, outcome, "")
 }
 
-// answerOutcome answers with an outcome that is not an answer.
+// answerOutcome writes the error response for an outcome other than completed.
 func (e *exchange) answerOutcome(outcome structs.Outcome) {
 	status := statusOf(outcome)
 	e.recordOutcome(status, outcome)
@@ -79,7 +77,7 @@
 	e.reason = outcome.Reason
 }
 
-// noteText counts answer text that goes to the caller.
+// countText counts answer text that is sent to the caller.
 func (e *exchange) countText(bytes int) {
 	if e.firstText == 0 {
 		e.firstText = time.Since(e.started)
@@ -88,7 +86,8 @@
 	e.textBytes += int64(bytes)
 }
 
-// setNames tells the caller under which names it can come back.
+// setIdentityHeaders sets the response headers with the identifiers by which the
+// caller can resume or query the call.
 func (e *exchange) setIdentityHeaders() {
 	header := e.w.Header()
 	header.Set(HeaderProgram, string(e.call.Key.Program))
@@ -115,7 +114,7 @@
 			Str("trace", e.call.TraceID).Dur("first_text_ms", e.firstText).Int64("text_bytes", e.textBytes)
 	}
 	if e.detached {
-		event.Msg("Caller left.")
+		event.Msg("Response ended before the call's outcome.")
 		return
 	}
 	event.Msg("Request answered.")
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -22,13 +22,13 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// frailFleet is a fleet of its own that a test breaks step by step.
+// faultyFleet is a fleet of its own into which a test injects faults.
 type faultyFleet struct {
 	*testing.T
 	*demo.Cluster
 }
 
-// startFrail starts a fleet without a configuration.
+// startFaultyFleet starts a fleet without a configuration.
 func startFaultyFleet(t *testing.T, adjust func(*settings.Settings)) faultyFleet {
 	t.Helper()
 	c, err := demo.StartCluster(demo.ClusterOptions{
@@ -57,7 +57,8 @@
 	}
 }
 
-// impatient shortens the limits that the refusals of hanging back ends rest on.
+// shortTimeouts shortens the timeouts after which calls to hanging back ends are
+// refused.
 func shortTimeouts(config *settings.Settings) {
 	config.Limits.Queue = 1
 	config.Limits.UnknownAfter = 200 * time.Millisecond
@@ -65,8 +66,8 @@
 	config.Apps.Timeout = 200 * time.Millisecond
 }
 
-// frailConfiguration has a tenant with one program at a time, and a template
-// whose programs live for a moment.
+// faultyFleetConfiguration has a tenant with one program at a time, and a template
+// whose programs may run for 50 ms only.
 func faultyFleetConfiguration() structs.Configuration {
 	configured := testConfiguration()
 	order := configured.Templates["order"]
@@ -120,15 +121,15 @@
 	}
 }
 
-// refusedWith tells whether an error is a refusal for a reason.
+// refusedWith reports whether an error is a refusal for a reason.
 func refusedWith(err error, reason structs.Reason) bool {
 	var refused *openai.Error
 	return errors.As(err, &refused) && refused.Code == string(reason)
 }
 
-// TestRefusalsOfABrokenFleet reaches, through OpenAI's client library, the
-// refusals that come of faults: the steps break one fleet more and more.
-func TestRefusalsOfABrokenFleet(t *testing.T) {
+// TestRefusalsOfAFaultyFleet provokes the refusals that faults cause, through OpenAI's
+// client library. Its steps add faults to one fleet.
+func TestRefusalsOfAFaultyFleet(t *testing.T) {
 	t.Parallel()
 	f := startFaultyFleet(t, shortTimeouts)
 	f.withoutConfiguration()
@@ -142,8 +143,8 @@
 	f.withoutMajority()
 }
 
-// TestFullMemoryIsToldToCallers has room for one program in each daemon.
-func TestFullMemoryIsToldToCallers(t *testing.T) {
+// TestFullMemoryIsReportedToCallers has a memory limit of one program per daemon.
+func TestFullMemoryIsReportedToCallers(t *testing.T) {
 	t.Parallel()
 	f := startFaultyFleet(t, func(config *settings.Settings) { config.Memory.NewPrograms = 1 })
 	f.configure()
@@ -154,7 +155,7 @@
 	f.want(f.chat(ctx, 1, villageKey, gateway.HeaderProgram, "second"), structs.OutcomeNotRun, structs.ReasonMemoryFull, http.StatusServiceUnavailable)
 }
 
-// archived tells whether each shard has an archive in the log.
+// archived reports whether each shard has an archive in the log.
 func (f faultyFleet) archived() bool {
 	count := 0
 	for name := range f.Log.Lengths() {
@@ -165,9 +166,9 @@
 	return count == settings.Default().Shards
 }
 
-// TestLossOfAllHoldersIsToldToCallers restarts the whole fleet once its shards
+// TestLossOfAllReplicasIsReportedToCallers restarts the whole fleet once its shards
 // are archived.
-func TestLossOfAllHoldersIsToldToCallers(t *testing.T) {
+func TestLossOfAllReplicasIsReportedToCallers(t *testing.T) {
 	t.Parallel()
 	f := startFaultyFleet(t, nil)
 	f.configure()
@@ -212,8 +213,8 @@
 	f.want(f.chat(ctx, 1, cityKey, gateway.HeaderProgram, "second"), structs.OutcomeNotRun, structs.ReasonTenantQuota, http.StatusTooManyRequests)
 }
 
-// timeLimit calls again after the program's time. The leader may have ended
-// the program before; then another program is tried.
+// timeLimit makes a call after the program's wall time. If the leader has already
+// ended the program, it tries another program.
 func (f faultyFleet) timeLimit() {
 	ctx, count := testContext(f.T), 0
 	eventually(f.T, "a call past its program's time", func() bool {
@@ -239,14 +240,14 @@
 	_ = app.Faults.Set(application.Faults{})
 }
 
-// hangingBackEnd has operations arrive and stay under way.
+// hangingBackEnd lets an application accept operations without completing them.
 func (f faultyFleet) hangingBackEnd() {
 	hangs := application.Faults{ServiceFaults: control.ServiceFaults{Delay: control.Duration(3 * time.Second)}}
 	app := f.Applications["wholesale"]
 	_ = app.Faults.Set(hangs)
 	f.want(f.order(0, "hangs-once", false), structs.OutcomeUnknown, structs.ReasonConnectionLost, http.StatusGatewayTimeout)
 	f.want(f.order(1, "hangs-again", true), structs.OutcomeUnknown, structs.ReasonConnectionLost, http.StatusGatewayTimeout)
-	// The caller that asks again hears how it ended.
+	// A retry reports the outcome.
 	var err error
 	eventually(f.T, "the end of a stalled call", func() bool {
 		err = f.order(1, "hangs-again", true, gateway.HeaderRetry, "true")
@@ -256,7 +257,7 @@
 	_ = app.Faults.Set(application.Faults{})
 }
 
-// fullQueue has engines take nothing, so that the queues of one call fill up.
+// fullQueue lets the engines accept nothing, so that the queues of one call fill up.
 func (f faultyFleet) fullQueue() {
 	for _, e := range f.Engines {
 		_ = e.Faults.Set(engine.Faults{Draining: true})
@@ -281,7 +282,8 @@
 	f.cancelWaiting(count, ended)
 }
 
-// cancelWaiting cancels calls that wait until one of their callers hears of it.
+// cancelWaiting cancels queued calls until the cancellation of one is reported to its
+// caller.
 func (f faultyFleet) cancelWaiting(count int, ended <-chan error) {
 	for i := range count {
 		path := fmt.Sprintf("/v1/requests?request=r&program=queue-%d", i+1)
@@ -307,7 +309,7 @@
 	}
 }
 
-// stopping stops one daemon as planned while it answers a call.
+// stopping shuts one daemon down while it answers a call.
 func (f faultyFleet) stopping() {
 	slow := application.Faults{AnswerDelay: control.Duration(150 * time.Millisecond)}
 	_ = f.Applications["wholesale"].Faults.Set(slow)
@@ -331,7 +333,7 @@
 	_ = f.Applications["wholesale"].Faults.Set(application.Faults{})
 }
 
-// withoutMajority loses one of the two daemons that are left.
+// withoutMajority kills one of the two remaining daemons.
 func (f faultyFleet) withoutMajority() {
 	f.Daemons[1].Kill()
 	count := 0
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway is the callers' HTTP interface: OpenAI-compatible chat
-// completions, application requests, and programs. It turns requests into
-// calls and hands the answers back; every decision is the node's.
+// Package gateway is the HTTP API for callers: OpenAI-compatible chat completions,
+// application requests, and programs. It converts requests to calls and answers to
+// responses, and leaves all decisions to the node.
 package gateway
 
 import (
@@ -16,40 +16,41 @@
 	"github.com/mintpulley/mintpulley/internal/submit"
 )
 
-// Node is what the gateway needs of the decision code.
+// Node submits calls to the fleet.
 type Node interface {
 	Submit(call structs.Call, caller submit.Caller) *submit.Submission
 }
 
-// Queries asks the leaders of programs. Callbacks come on any goroutine.
+// Queries sends queries to the leaders of programs. Callbacks run on any goroutine.
 type Queries interface {
 	Describe(request dispatch.Describe, timeout time.Duration, done func(dispatch.Described, error))
 	EndProgram(key structs.ProgramKey, timeout time.Duration, done func(dispatch.ProgramEnded, error))
 	CancelCall(key structs.ProgramKey, request structs.RequestID, timeout time.Duration, done func(dispatch.CallCancelled, error))
 }
 
-// Configurations gives the configuration in force, nil before the first.
+// Configurations returns the configuration in force, nil before the first.
 type Configurations interface {
 	Current() *structs.Configuration
 }
 
-// Limits bound requests. All are positive.
+// Limits bounds requests. All are positive.
 type Limits struct {
-	// BodyBytes bounds one body, BodiesBytes all that are being read.
+	// MaxBodyBytes bounds one body, MaxTotalBodyBytes all bodies that are being read.
 	MaxBodyBytes      int64
 	MaxTotalBodyBytes int64
-	// BodyTimeout bounds the reading of one body.
+	// BodyTimeout bounds the time to read one body.
 	BodyTimeout time.Duration
 	// WriteTimeout bounds one write to a caller that does not read.
 	WriteTimeout time.Duration
-	// PendingBytes bounds the answer text that waits for a slow reader.
+	// MaxPendingBytes bounds the answer text buffered for a slow reader.
 	MaxPendingBytes int
-	// Requests bounds the requests under way, RequestsPerTenant one tenant's.
+	// MaxRequests bounds the requests in progress, MaxRequestsPerTenant those of one
+	// tenant.
 	MaxRequests          int64
 	MaxRequestsPerTenant int64
-	// Timeout is a call's deadline when the caller names none, and the longest.
+	// MaxTimeout is the longest timeout of a call, and the default.
 	MaxTimeout time.Duration
-	// QueryTimeout bounds a question about a program.
+	// QueryTimeout bounds a query about a program.
 	QueryTimeout time.Duration
 }
 
@@ -68,12 +69,12 @@
 	}
 }
 
-// Options gives a Gateway what it works with.
+// Options are the dependencies and settings of a Gateway.
 type Options struct {
 	Node           Node
 	Queries        Queries
 	Configurations Configurations
-	// Stopping tells whether the daemon takes no new work; nil means never.
+	// Stopping reports whether the daemon accepts no new work; nil means never.
 	Stopping func() bool
 	Limits   Limits
 	Metrics  *metrics.Callers
@@ -89,7 +90,7 @@
 	bodies    atomic.Int64
 }
 
-// New returns a gateway in front of a node.
+// New returns a gateway that submits calls to options.Node.
 func New(options Options) *Gateway {
 	g := &Gateway{Options: options, mux: http.NewServeMux()}
 	g.route("POST /v1/chat/completions", "completions", (*exchange).serveCompletion)
@@ -108,7 +109,7 @@
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) { g.mux.ServeHTTP(w, r) }
 
-// route serves a pattern for callers with a key, within the bounds on requests.
+// route registers a handler for authenticated callers, within the limits on requests.
 func (g *Gateway) route(pattern, name string, serve func(*exchange)) {
 	g.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		e := newExchange(g, w, r, name)
@@ -131,7 +132,7 @@
 func serveNoRoute(w http.ResponseWriter, r *http.Request) {
 	writeError(w, http.StatusNotFound, errorDetail{
 		Type:    errorNotFound,
-		Message: "There is no " + r.Method + " " + r.URL.Path + ".",
+		Message: "There is no route " + r.Method + " " + r.URL.Path + ".",
 		Code:    structs.ReasonInvalidRequest,
 	})
 }
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -18,12 +18,12 @@
 	HeaderRetry      = "Mintpulley-Retry"
 	// HeaderClientRetry is set by OpenAI's client libraries on retries.
 	HeaderClientRetry = "X-Stainless-Retry-Count"
-	// HeaderShouldRetry tells OpenAI's client libraries whether to try again.
+	// HeaderShouldRetry tells OpenAI's client libraries whether to retry.
 	HeaderShouldRetry = "X-Should-Retry"
 )
 
-// callNames is what a caller says about a call, by headers or in the metadata
-// of the body.
+// callOptions are a caller's options for a call, from headers or from the metadata in
+// the body.
 type callOptions struct {
 	program    string
 	template   string
@@ -35,7 +35,7 @@
 	resumeAt   string
 }
 
-// namedField is one name with its header and its key in the metadata.
+// optionField is one option with its header and its metadata key.
 type optionField struct {
 	header string
 	key    string
@@ -63,8 +63,8 @@
 	return options
 }
 
-// merge fills in what the metadata says. A name given twice must agree. Other
-// keys are the caller's own and have no meaning here.
+// merge adds the options in the metadata. An option given twice must have the same
+// value. Other metadata keys are ignored.
 func (n *callOptions) merge(metadata map[string]string) *problem {
 	for _, field := range n.fields() {
 		value, given := metadata[field.key]
@@ -72,7 +72,7 @@
 			continue
 		}
 		if *field.value != "" && *field.value != value {
-			return invalid("metadata."+field.key, "It differs from the header "+field.header+".")
+			return invalid("metadata."+field.key, "The value differs from that of the header "+field.header+".")
 		}
 		*field.value = value
 	}
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -12,16 +12,15 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// retryWithoutConfiguration is when a caller may come back to a daemon that
-// has not read any configuration yet.
+// retryWithoutConfiguration is the retry delay for callers of a daemon that has not
+// read a configuration yet.
 const retryWithoutConfiguration = 2 * time.Second
 
 // keyDigest is the SHA-256 digest of a bearer key.
 type keyDigest [sha256.Size]byte
 
-// keyIndex finds tenants by the digests of their keys. What a lookup's time
-// may tell is about the digest, from which no key follows; it does not depend
-// on the number of tenants.
+// keyIndex finds tenants by the digests of their keys. The timing of a lookup depends
+// on the digest only, which does not reveal the key, and not on the number of tenants.
 type keyIndex struct {
 	configuration *structs.Configuration
 	tenants       map[keyDigest]structs.TenantName
@@ -49,7 +48,7 @@
 	return index
 }
 
-// keysInForce returns the index of the configuration in force, nil without one.
+// currentKeys returns the index for the configuration in force, nil without one.
 func (g *Gateway) currentKeys() *keyIndex {
 	configuration := g.Configurations.Current()
 	if configuration == nil {
@@ -63,7 +62,7 @@
 	return index
 }
 
-// tenantOf finds the tenant whose key the request bears.
+// tenantOf returns the tenant whose key the request bears.
 func (g *Gateway) tenantOf(r *http.Request) (structs.TenantName, *problem) {
 	index := g.currentKeys()
 	if index == nil {
@@ -77,6 +76,6 @@
 	}
 	return "", &problem{
 		status:  http.StatusUnauthorized,
-		outcome: structs.Refused(structs.ReasonInvalidRequest, "Authorization", "The bearer key is missing or not known.", 0),
+		outcome: structs.Refused(structs.ReasonInvalidRequest, "Authorization", "The bearer key is missing or unknown.", 0),
 	}
 }
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -16,11 +16,11 @@
 	roleTool      = "tool"
 )
 
-// toolTypeFunction is the only type of tool call there is.
+// toolTypeFunction is the only supported type of tool call.
 const toolTypeFunction = "function"
 
-// requestMessage is one message; its content is text or a list of text parts.
-// What answers carry beside their content may be sent back with them.
+// requestMessage is one message; its content is text or a list of text parts. It
+// accepts the additional fields of answers, so that callers may send them back.
 type requestMessage struct {
 	Role        string            `json:"role"`
 	Content     json.RawMessage   `json:"content"`
@@ -82,7 +82,7 @@
 	if raw[0] == '"' {
 		var text string
 		if err := json.Unmarshal(raw, &text); err != nil {
-			return "", invalid(field, "The text cannot be read.")
+			return "", invalid(field, "The text cannot be decoded.")
 		}
 		return text, nil
 	}
@@ -100,7 +100,7 @@
 	return text, nil
 }
 
-// answerMessage is a message as OpenAI's clients read it.
+// answerMessage is a message in OpenAI's format.
 type answerMessage struct {
 	Role       string           `json:"role"`
 	Content    *string          `json:"content"`
@@ -115,7 +115,7 @@
 	Function structuredFunction `json:"function"`
 }
 
-// answerMessageOf converts a message; one with tool calls only has no content.
+// answerMessageOf converts a message. One with tool calls only has null content.
 func answerMessageOf(message structs.Message) answerMessage {
 	answer := answerMessage{Role: message.Role, Name: message.Name, ToolCallID: message.ToolCallID, ToolCalls: toolCallsOf(message.ToolCalls)}
 	if message.Content != "" || len(message.ToolCalls) == 0 {
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -8,7 +8,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// modelOwner is what the list of models names as their owner.
+// modelOwner is the owner of all models in the list of models.
 const modelOwner = "mintpulley"
 
 // modelEntry is OpenAI's model object.
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// problem is a request's refusal before it became a call.
+// problem is the refusal of a request before it became a call.
 type problem struct {
 	status  int
 	outcome structs.Outcome
@@ -25,21 +25,21 @@
 	return &problem{status: statusOf(outcome), outcome: outcome}
 }
 
-// errorType is the "type" of an error: the status of the call's outcome, or
-// what became of a question.
+// errorType is the "type" of an error: the status of the call's outcome, or one of the
+// types below.
 type errorType string
 
 // Types of error beside the statuses of outcomes.
 const (
-	// errorNotFound: there is no such thing, or it is another tenant's.
+	// errorNotFound: the object does not exist, or belongs to another tenant.
 	errorNotFound errorType = "not_found"
-	// errorDetached: the daemon stopped streaming; the call goes on.
+	// errorDetached: the daemon stopped streaming; the call continues.
 	errorDetached errorType = "detached"
-	// errorUnavailable: the question could not be answered now.
+	// errorUnavailable: the query could not be answered at this time.
 	errorUnavailable errorType = "unavailable"
 )
 
-// errorBody is OpenAI's error object with what else a caller needs.
+// errorBody is OpenAI's error object with additional fields.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -52,10 +52,10 @@
 	Param             string            `json:"param,omitempty"`
 	RetryAfterSeconds int               `json:"retry_after_seconds,omitempty"`
 	RequestID         structs.RequestID `json:"request_id,omitempty"`
-	// ResumeAt is set when the answer goes on from this byte.
+	// ResumeAt is the answer byte at which the stream may be resumed.
 	ResumeAt int64 `json:"resume_at,omitempty"`
-	// BackEndStatus and BackEndBody are what an application answered to a
-	// call that it ran and failed.
+	// BackEndStatus and BackEndBody are an application's response to a call that it
+	// ran and that failed.
 	BackEndStatus int             `json:"back_end_status,omitempty"`
 	BackEndBody   json.RawMessage `json:"back_end_body,omitempty"`
 }
@@ -87,9 +87,8 @@
 	}
 }
 
-// shouldRetry tells whether OpenAI's client libraries may send a call again by
-// themselves. Without a request identifier of the caller's, another copy would
-// be another call.
+// shouldRetry reports whether OpenAI's client libraries may automatically send a call
+// again. Without a request identifier of the caller's, the copy would be a new call.
 func shouldRetry(outcome structs.Outcome, hasRequestID bool) bool {
 	switch outcome.Status {
 	case structs.OutcomeNotRun:
@@ -114,7 +113,7 @@
 	}
 }
 
-// writeOutcome answers with an outcome that is not an answer.
+// writeOutcome writes the error response for an outcome other than completed.
 func writeOutcome(w http.ResponseWriter, status int, outcome structs.Outcome, request structs.RequestID) {
 	writeError(w, status, detailOf(outcome, request))
 }
@@ -129,5 +128,5 @@
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(value) // fails when the caller is gone
+	_ = json.NewEncoder(w).Encode(value) // fails when the caller has disconnected
 }
--- a/internal/gateway/program_test.go
+++ b/internal/gateway/program_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestAnswersInFlightOutOfOrder(t *testing.T) {
+func TestCallsArriveOutOfOrder(t *testing.T) {
 	ctx, name := testContext(t), names(t, "p")
 	begin := client(t, 0, gateway.HeaderProgram, name, gateway.HeaderRequestID, "first", gateway.HeaderSequence, "1", gateway.HeaderHistory, "append")
 	if _, err := begin.Chat.Completions.New(ctx, ask("one")); err != nil {
@@ -119,7 +119,7 @@
 	return view
 }
 
-func TestTenantsDoNotMeet(t *testing.T) {
+func TestTenantsAreIsolated(t *testing.T) {
 	ctx, name := testContext(t), names(t, "p")
 	if _, err := client(t, 0, gateway.HeaderProgram, name, gateway.HeaderRequestID, "r").Chat.Completions.New(ctx, ask("secret")); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/programs.go
+++ b/internal/gateway/programs.go
@@ -10,13 +10,14 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// States of a program and of a request, besides the statuses of outcomes.
+// States of a program and of a request, in addition to the statuses of outcomes.
 const (
 	stateRunning = "running"
 	stateEnded   = "ended"
 )
 
-// programBody tells a caller about its program. Where it runs is not told.
+// programBody describes a program to its caller. It does not reveal where the program
+// runs.
 type programBody struct {
 	Program         structs.ProgramID    `json:"program"`
 	Template        structs.TemplateName `json:"template"`
@@ -116,7 +117,7 @@
 	return stateRunning
 }
 
-// historyBody is a program's conversation, without the template's own prompt.
+// historyBody is a program's conversation, without the template's system prompt.
 type historyBody struct {
 	Program  structs.ProgramID `json:"program"`
 	Messages []answerMessage   `json:"messages"`
@@ -134,7 +135,7 @@
 	e.answerJSON(http.StatusOK, body)
 }
 
-// endBody answers the end of a program.
+// endBody is the response to the end of a program.
 type endBody struct {
 	Program   structs.ProgramID `json:"program"`
 	State     string            `json:"state"`
@@ -156,7 +157,8 @@
 	}
 }
 
-// await asks and waits for the answer, which comes within the query's time.
+// await starts a query and waits for its result, which arrives within the query's
+// timeout.
 func await[T any](ask func(done func(T, error))) (T, error) {
 	type reply struct {
 		answer T
@@ -168,17 +170,17 @@
 	return got.answer, got.err
 }
 
-// noProgram is said alike of programs that never were, that are forgotten, and
-// of other tenants' programs.
+// noProgramMessage is the same for programs that never existed, that were removed, and
+// that belong to other tenants.
 const noProgramMessage = "There is no such program."
 
-// programKey names the program of the path under the caller's own tenant, so
-// that another's can never be asked for.
+// programKey returns the key of the path's program under the caller's own tenant, so
+// that a caller cannot address programs of other tenants.
 func (e *exchange) programKey() structs.ProgramKey {
 	return structs.ProgramKey{Tenant: e.tenant, Program: structs.ProgramID(e.r.PathValue("program"))}
 }
 
-// describe asks for a program; on false the request has been answered.
+// describe queries a program. If it returns false, it has written the response.
 func (e *exchange) describe(question dispatch.Describe) (*dispatch.ProgramDescription, bool) {
 	described, err := await(func(done func(dispatch.Described, error)) {
 		e.gateway.Queries.Describe(question, e.gateway.Limits.QueryTimeout, done)
@@ -195,7 +197,7 @@
 	}
 }
 
-// retryUnavailable is when a caller may ask again what no leader answered.
+// retryUnavailable is the retry delay after a query that no leader answered.
 const retryUnavailable = 2 * time.Second
 
 func (e *exchange) answerUnavailable() {
@@ -218,8 +220,8 @@
 	writeJSON(e.w, status, value)
 }
 
-// jsonOrText returns a back end's answer as it is when it is JSON, and as a
-// JSON string otherwise.
+// jsonOrText returns a back end's answer unchanged if it is JSON, and as a JSON string
+// otherwise.
 func jsonOrText(body []byte) json.RawMessage {
 	if len(body) == 0 || json.Valid(body) {
 		return body
--- a/internal/gateway/protection_test.go
+++ b/internal/gateway/protection_test.go
@@ -23,10 +23,10 @@
 
 const leading structs.DaemonID = "127.0.0.1:1#1"
 
-// fakeFleet answers the calls of a gateway under test as the test says.
+// fakeFleet is a node whose calls are answered by a test function.
 type fakeFleet struct {
 	*submit.Submitter
-	// answer is called with each new call and a way to send its answer.
+	// answer is called with each new call and a function that sends its answer.
 	answer func(call structs.Call, send func(peer.Message))
 
 	mutex    sync.Mutex
@@ -82,7 +82,7 @@
 	"city":    {KeyHashes: []string{KeyHash("city")}},
 }}
 
-// answerAll answers each call with one word.
+// answerAll answers each call with the same text.
 func answerAll(_ structs.Call, send func(peer.Message)) {
 	send(&dispatch.Settled{Outcome: structs.Outcome{Status: structs.OutcomeCompleted, Answer: structs.Message{Content: "yes"}, FinishReason: "stop"}})
 }
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestHalfSentRequestsAreShedAndCostOthersNothing(t *testing.T) {
+func TestIncompleteRequestsAreShedAndDoNotDelayOthers(t *testing.T) {
 	fleet := newFakeFleet(answerAll)
 	server := serve(t, fleet, func(limits *Limits) { limits.BodyTimeout = 200 * time.Millisecond })
 	var halves []net.Conn
@@ -169,11 +169,11 @@
 		}
 	}
 	if fleet.Pending() != 0 {
-		t.Errorf("%d calls came of half requests", fleet.Pending())
+		t.Errorf("%d calls were submitted from incomplete requests", fleet.Pending())
 	}
 }
 
-func TestFullDaemonTurnsRequestsAway(t *testing.T) {
+func TestDaemonAtItsLimitRefusesRequests(t *testing.T) {
 	hold := make(chan struct{})
 	fleet := newFakeFleet(func(call structs.Call, send func(peer.Message)) {
 		send(&dispatch.Accepted{})
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestBodiesMemoryIsBounded(t *testing.T) {
+func TestBodyMemoryIsBounded(t *testing.T) {
 	server := serve(t, newFakeFleet(answerAll), func(limits *Limits) {
 		limits.MaxTotalBodyBytes, limits.BodyTimeout = 2000, 5*time.Second
 	})
@@ -218,9 +218,9 @@
 	})
 }
 
-// TestReaderThatStopsIsDetached streams far more than the sockets hold to a
-// caller that reads nothing.
-func TestReaderThatStopsIsDetached(t *testing.T) {
+// TestStalledReaderIsDetached guards against a caller that reads nothing holding a
+// stream open: the answer exceeds the socket buffers.
+func TestStalledReaderIsDetached(t *testing.T) {
 	text := strings.Repeat("~", 64<<10)
 	fleet := newFakeFleet(func(_ structs.Call, send func(peer.Message)) {
 		for i := range 400 {
@@ -239,9 +239,9 @@
 	}
 }
 
-// TestReaderThatStopsCostsOthersNothing has callers that read nothing of long
-// answers while others are served at the same gateway.
-func TestReaderThatStopsCostsOthersNothing(t *testing.T) {
+// TestStalledReadersDoNotDelayOthers guards against callers that read nothing of long
+// answers blocking other requests at the same gateway.
+func TestStalledReadersDoNotDelayOthers(t *testing.T) {
 	text := strings.Repeat("~", 64<<10)
 	const stuck = 4
 	var sent sync.WaitGroup
@@ -256,7 +256,7 @@
 			send(&dispatch.Answer{Chunks: []structs.Chunk{{Offset: int64(i * len(text)), Text: text}}})
 		}
 	})
-	// One write is more than the sockets hold, and lasts as long as the test.
+	// One write exceeds the socket buffers and blocks for the whole test.
 	server := serve(t, fleet, func(limits *Limits) {
 		limits.WriteTimeout, limits.MaxPendingBytes = time.Minute, 24<<20
 	})
@@ -276,9 +276,9 @@
 	server.CloseClientConnections()
 }
 
-// TestSlowReaderIsToldWhereToGoOn fills the buffer of a caller that reads
-// nothing for a while, and then reads to the end.
-func TestSlowReaderIsToldWhereToGoOn(t *testing.T) {
+// TestSlowReaderIsToldWhereToResume overflows the buffer of a caller that reads
+// nothing for a while. The stream must end with the byte at which to resume.
+func TestSlowReaderIsToldWhereToResume(t *testing.T) {
 	const pieces = 400
 	text := strings.Repeat("~", 64<<10)
 	sent := make(chan struct{})
@@ -314,7 +314,7 @@
 	deadline := time.Now().Add(20 * time.Second)
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s did not come about", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -330,7 +330,7 @@
 	const body = `{"model":"m","stream":true,"metadata":{"program":"p","request_id":"r","resume_at":"%d"},"messages":[{"role":"user","content":"x"}]}`
 	for offset, want := range map[int]int{0: http.StatusOK, 1: http.StatusBadRequest, 2: http.StatusOK, len(answer): http.StatusOK} {
 		if status, _ := post(t, server, "key", fmt.Sprintf(body, offset)); status != want {
-			t.Errorf("from byte %d: status %d, want %d", offset, status, want)
+			t.Errorf("resumed at byte %d: status %d, want %d", offset, status, want)
 		}
 	}
 }
--- a/internal/gateway/reasons_test.go
+++ b/internal/gateway/reasons_test.go
@@ -11,8 +11,8 @@
 
 var reasonPattern = regexp.MustCompile(`(Reason\w+)\s+Reason = "(\w+)"`)
 
-// TestEachReasonHasACallersTest compares the reasons that the types name with
-// those that the tests through real daemons expect.
+// TestEachReasonHasACallersTest guards against refusal reasons without a test through
+// real daemons.
 func TestEachReasonHasACallersTest(t *testing.T) {
 	types, err := os.ReadFile("../structs/call.go")
 	if err != nil {
--- a/internal/gateway/refusal_test.go
+++ b/internal/gateway/refusal_test.go
@@ -7,11 +7,11 @@
 	"github.com/mintpulley/mintpulley/internal/gateway"
 )
 
-// TestRefusals reaches each refusal that a caller can bring about, through
-// OpenAI's client library.
+// TestRefusals provokes each refusal that a caller can cause, through OpenAI's client
+// library.
 func TestRefusals(t *testing.T) {
 	cases := map[string]struct {
-		// before is a first call of the program, made with these headers.
+		// before are the headers of a preceding call of the program, nil for none.
 		before  []string
 		headers []string
 		model   string
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	if first.Choices[0].Message.Content != second.Choices[0].Message.Content {
-		t.Error("the same request got two answers")
+		t.Error("the same request got two different answers")
 	}
 	if view := program(t, 0, name); view.Turns != 1 {
 		t.Errorf("it ran %d times", view.Turns)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -8,8 +8,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// requestBody tells what became of a request: where it stands while it has no
-// outcome, and its answer or error afterwards.
+// requestBody describes a request: its progress until it has an outcome, and then its
+// answer or error.
 type requestBody struct {
 	Program   structs.ProgramID `json:"program"`
 	RequestID structs.RequestID `json:"request_id"`
@@ -22,21 +22,22 @@
 	Error      *errorDetail        `json:"error,omitempty"`
 }
 
-// noRequest is said of a request that the program has not seen. It does not
-// say that it will never run: a copy may still be under way.
+// noRequestMessage is the message for a request that the program has not seen. It may
+// still run, since a copy may be on its way.
 const noRequestMessage = "The program has not seen this request."
 
-// requestNames reads the query; on false the request has been answered.
+// requestFromQuery reads the URL query. If it returns false, it has written the
+// response.
 func (e *exchange) requestFromQuery() (structs.ProgramKey, structs.RequestID, bool) {
 	query := e.r.URL.Query()
 	key := structs.ProgramKey{Tenant: e.tenant, Program: structs.ProgramID(query.Get("program"))}
 	request := structs.RequestID(query.Get("request"))
 	switch {
 	case key.Program == "":
-		e.refuse(invalid("program", "Name it in the query."))
+		e.refuse(invalid("program", "Name the program in the URL query."))
 		return key, request, false
 	case request == "":
-		e.refuse(invalid("request", "Name it in the query."))
+		e.refuse(invalid("request", "Name the request in the URL query."))
 		return key, request, false
 	}
 	return key, request, true
@@ -81,8 +82,8 @@
 	return body
 }
 
-// serveCancel stops a call wherever it is. Its outcome is asked for afterwards:
-// a call that its back end cannot stop runs to its end.
+// serveCancel cancels a call. The outcome is queried afterwards, since a call that its
+// back end cannot stop runs to its end.
 func (e *exchange) serveCancel() {
 	key, request, named := e.requestFromQuery()
 	if !named {
--- a/internal/gateway/slow_headers_test.go
+++ b/internal/gateway/slow_headers_test.go
@@ -12,9 +12,9 @@
 	"github.com/mintpulley/mintpulley/internal/gateway"
 )
 
-// TestSlowHeadersAreShedAndCostOthersNothing opens connections to a real daemon
-// that never finish their headers. They are closed; calls meanwhile are served.
-func TestSlowHeadersAreShedAndCostOthersNothing(t *testing.T) {
+// TestSlowHeadersAreShedAndDoNotDelayOthers opens connections to a real daemon that
+// never finish their headers. They must be closed, and calls meanwhile served.
+func TestSlowHeadersAreShedAndDoNotDelayOthers(t *testing.T) {
 	address := cluster(t).HTTP[0]
 	t.Parallel()
 	var slow []net.Conn
@@ -38,7 +38,7 @@
 		var timeout net.Error
 		switch {
 		case errors.As(err, &timeout) && timeout.Timeout():
-			t.Fatal("the daemon keeps a connection whose headers never end")
+			t.Fatal("the daemon keeps a connection whose headers are never completed")
 		case err == nil && response.StatusCode < http.StatusBadRequest:
 			t.Errorf("half a header was answered with status %d", response.StatusCode)
 		}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -15,24 +15,24 @@
 	eventPrefix = "data: "
 	eventEnd    = "\n\n"
 	doneEvent   = "data: [DONE]\n\n"
-	// deadlineRenewal is how often a stream's write deadline is moved on.
+	// deadlineRenewal is how often a stream's write deadline is extended.
 	deadlineRenewal = time.Second
 )
 
-// serveStream writes an answer as server-sent events. The status line waits
-// for the first piece, so that a refusal still gets a status of its own.
+// serveStream writes an answer as server-sent events. The status line is written with
+// the first event, so that a refusal still gets its own status.
 func (e *exchange) serveStream(withUsage bool) {
 	stream := newEventStream(e, withUsage)
 	e.follow(e.gateway.Limits.MaxPendingBytes, stream.write)
 }
 
-// eventStream writes OpenAI's chat completion chunks. Those with text are put
-// together by hand: they are most of what a daemon writes.
+// eventStream writes OpenAI's chat completion chunks. Chunks with text are encoded by
+// hand, since they are most of what a daemon writes.
 type eventStream struct {
 	*exchange
 	withUsage bool
 	created   int64
-	// head is the part of each event before its choices.
+	// eventHead is the part of each event before its choices.
 	eventHead []byte
 	buffer    []byte
 	begun     bool
@@ -52,7 +52,7 @@
 	return s
 }
 
-// write hands on what came; false ends the stream before its outcome.
+// write writes an update; false ends the stream before its outcome.
 func (s *eventStream) write(n answerUpdate) bool {
 	failed := n.outcome != nil && n.outcome.Status != structs.OutcomeCompleted
 	if failed && !s.begun && len(n.text) == 0 {
@@ -81,8 +81,8 @@
 	return s.send() && !n.overflowed
 }
 
-// answerInsideCharacter refuses to go on in the middle of a character, which
-// no JSON string can hold. The call itself goes on.
+// answerInsideCharacter refuses to resume in the middle of a UTF-8 character, since a
+// JSON string cannot hold a part of one. The call itself goes on.
 func (s *eventStream) answerInsideCharacter() {
 	s.status, s.reason = http.StatusBadRequest, structs.ReasonInvalidRequest
 	s.setIdentityHeaders()
@@ -95,8 +95,8 @@
 	})
 }
 
-// appendText adds the event of new answer text. mintpulley_offset is the
-// number of answer bytes before it, for a caller that wants to resume.
+// appendText adds the event for new answer text. Its mintpulley_offset is the number
+// of answer bytes before it, for a caller that wants to resume.
 func (s *eventStream) appendText(n answerUpdate) {
 	s.buffer = append(s.buffer, s.eventHead...)
 	if s.written == s.call.ResumeAt {
@@ -139,8 +139,8 @@
 	answerToolCall
 }
 
-// appendCompletion adds tool calls, the finish reason, the usage if it was
-// asked for, and the mark of the end.
+// appendCompletion adds tool calls, the finish reason, the usage if requested, and the
+// final [DONE] event.
 func (s *eventStream) appendCompletion(outcome *structs.Outcome) {
 	var delta streamDelta
 	for i, call := range toolCallsOf(outcome.Answer.ToolCalls) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// appendSlowReader tells a caller that reads too slowly where it may go on.
+// appendSlowReader tells a caller that reads too slowly at which byte it may resume.
 func (s *eventStream) appendSlowReader() {
 	s.slowReader = true
 	s.appendError(errorDetail{
@@ -187,7 +187,7 @@
 func (s *eventStream) appendEvent(value any) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		return // not reached: events hold strings and numbers alone
+		return // unreachable: events consist of strings and numbers only
 	}
 	s.buffer = append(s.buffer, eventPrefix...)
 	s.buffer = append(s.buffer, encoded...)
@@ -206,7 +206,7 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// send writes the buffer; false means that the caller is gone.
+// send writes the buffer; false means that the caller has disconnected.
 func (s *eventStream) send() bool {
 	if len(s.buffer) == 0 {
 		return true
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/gateway"
 )
 
-func TestStreamIsTheWholeAnswer(t *testing.T) {
+func TestStreamMatchesRecordedAnswer(t *testing.T) {
 	ctx, name := testContext(t), names(t, "p")
 	params := ask("Write a summary.")
 	params.StreamOptions.IncludeUsage = openai.Bool(true)
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestBrokenStreamGoesOnAtAnotherDaemon breaks a stream several times and
-// takes it up each time at the next daemon by its offset.
-func TestBrokenStreamGoesOnAtAnotherDaemon(t *testing.T) {
+// TestBrokenStreamResumesAtAnotherDaemon breaks a stream several times and resumes it
+// each time at the next daemon by its offset.
+func TestBrokenStreamResumesAtAnotherDaemon(t *testing.T) {
 	name, text := names(t, "p"), ""
 	for broken := range 4 {
 		ctx, leave := context.WithCancel(testContext(t))
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestUnnamedCallIsCancelledWhenItsCallerLeaves(t *testing.T) {
+func TestCallWithoutRequestIDIsCancelledWhenItsCallerLeaves(t *testing.T) {
 	ctx, leave := context.WithCancel(testContext(t))
 	name := names(t, "p")
 	stream := client(t, 0, gateway.HeaderProgram, name).Chat.Completions.NewStreaming(ctx, ask("Never mind."))
--- a/internal/gateway/unstreamed.go
+++ b/internal/gateway/unstreamed.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// wholeResponse is OpenAI's chat completion.
+// completionResponse is OpenAI's chat completion.
 type completionResponse struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -13,13 +13,13 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// ErrUnreachable: no daemon that was asked answered.
+// ErrUnreachable is returned when none of the addressed daemons answered.
 var ErrUnreachable = eris.New("operator: no daemon answered")
 
-// clientTimeout bounds one request; a publication may take long.
+// clientTimeout bounds one request, including the publication of a change.
 const clientTimeout = 30 * time.Second
 
-// RequestError is a daemon's refusal.
+// RequestError is an error response of a daemon.
 type RequestError struct {
 	Status int
 	Detail ErrorDetail
@@ -33,8 +33,8 @@
 	return e.Detail.Message
 }
 
-// Client asks daemons. It goes to the next when one does not answer; that is
-// safe for publications too, since an operation applies once.
+// Client calls the operator API of daemons. It tries the next daemon when one does not
+// answer, which is safe for publications, too, since an operation is applied once.
 type Client struct {
 	addresses []string
 	key       string
@@ -46,12 +46,12 @@
 	return &Client{addresses: addresses, key: key, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// At returns a client of one other daemon, with its own time limit.
+// At returns a client of another daemon, with its own timeout.
 func (c *Client) At(address string, timeout time.Duration) *Client {
 	return &Client{addresses: []string{address}, key: c.key, http: &http.Client{Timeout: timeout}}
 }
 
-// do asks one daemon after another until one answers.
+// do sends a request to one daemon after another until one answers.
 func (c *Client) do(prepare func(*sling.Sling) *sling.Sling, target any) error {
 	last := eris.Wrap(ErrUnreachable, "no address was given")
 	for _, address := range c.addresses {
@@ -81,7 +81,7 @@
 	return result, err
 }
 
-// History returns the latest verdicts, the latest first.
+// History returns the latest verdicts, newest first.
 func (c *Client) History(limit int) (History, error) {
 	var result History
 	query := struct {
@@ -98,7 +98,7 @@
 	return result, err
 }
 
-// Check returns what would become of a change.
+// Check returns the verdict that a change would get, without publishing it.
 func (c *Client) Check(change structs.Change) (configuration.Verdict, error) {
 	var result configuration.Verdict
 	err := c.do(func(s *sling.Sling) *sling.Sling { return s.Post("configuration/check").BodyJSON(change) }, &result)
@@ -130,7 +130,7 @@
 	return result, err
 }
 
-// Program returns all that is known about one program.
+// Program returns the description of one program.
 func (c *Client) Program(key structs.ProgramKey, history bool) (dispatch.ProgramDescription, error) {
 	var result dispatch.ProgramDescription
 	query := struct {
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// defaultHistory is how many verdicts are listed when no limit is given.
+// defaultHistory is the number of verdicts listed when no limit is given.
 const defaultHistory = 20
 
 func (h *Handler) status() ConfigurationStatus {
@@ -54,13 +54,13 @@
 	})
 	got := <-result
 	if !got.known {
-		fail(w, http.StatusNotFound, ErrorDetail{Code: CodeNotFound, Message: "No such operation is among the latest."})
+		fail(w, http.StatusNotFound, ErrorDetail{Code: CodeNotFound, Message: "The operation is not among the latest ones."})
 		return
 	}
 	answer(w, http.StatusOK, got.verdict)
 }
 
-// readChange reads a change and puts the operator's own name in it.
+// readChange decodes a change and sets the authenticated operator's name in it.
 func readChange(w http.ResponseWriter, r *http.Request, operator string) (structs.Change, bool) {
 	var change structs.Change
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, configuration.EntryLimit))
@@ -78,7 +78,7 @@
 	return change, true
 }
 
-// serveCheck tells what would become of a change and changes nothing.
+// serveCheck answers with the verdict that a change would get, without publishing it.
 func (h *Handler) serveCheck(w http.ResponseWriter, r *http.Request, operator string) {
 	change, good := readChange(w, r, operator)
 	if !good {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -56,7 +56,7 @@
 	return result
 }
 
-// latestFirst orders live programs before ended ones, and the latest begun
+// latestFirst orders live programs before ended ones, and then by start time, newest
 // first.
 func latestFirst(a, b dispatch.ProgramSummary) int {
 	if a.Ended != b.Ended {
@@ -68,7 +68,7 @@
 	return cmp.Or(b.StartedAt.Compare(a.StartedAt), cmp.Compare(a.Key.String(), b.Key.String()))
 }
 
-// serveProgram asks the leader of one program's shard.
+// serveProgram asks the leader of a program's shard.
 func (h *Handler) serveProgram(w http.ResponseWriter, r *http.Request, _ string) {
 	key := structs.ProgramKey{Tenant: structs.TenantName(r.PathValue("tenant")), Program: structs.ProgramID(r.PathValue("program"))}
 	request := dispatch.Describe{Key: key, WithDecisions: true, WithHistory: r.URL.Query().Get("history") == "true"}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,7 +1,6 @@
-// Package operator is the operators' HTTP interface of a daemon: the
-// configuration in force and its history, dry runs and publications, the fleet
-// as this daemon sees it, and the programs of the whole fleet. Any daemon
-// answers any question.
+// Package operator is a daemon's HTTP API for operators: the configuration in force
+// and its history, checks and publications of changes, the fleet as this daemon sees
+// it, and the programs of the whole fleet. Every daemon answers every request.
 package operator
 
 import (
@@ -23,13 +22,13 @@
 )
 
 const (
-	// askTimeout bounds the questions to other daemons.
+	// queryTimeout bounds the queries to other daemons.
 	queryTimeout = 3 * time.Second
-	// programLimit bounds a list of programs.
+	// programLimit bounds the length of a list of programs.
 	programLimit = 1000
 )
 
-// Configurations is what the interface needs of the configuration.
+// Configurations reads and publishes the configuration.
 type Configurations interface {
 	Status() configuration.Status
 	History(done func([]configuration.Verdict))
@@ -38,18 +37,18 @@
 	Publish(change structs.Change, settings configuration.PublishSettings, done func(configuration.Verdict, error))
 }
 
-// Members is what the interface needs of membership.
+// Members lists the daemons of the fleet.
 type Members interface {
 	Members() []membership.Member
 }
 
-// Queries asks daemons about programs.
+// Queries sends queries about programs to daemons.
 type Queries interface {
 	Describe(request dispatch.Describe, timeout time.Duration, done func(dispatch.Described, error))
 	List(daemon structs.DaemonID, tenant structs.TenantName, limit int, timeout time.Duration, done func(dispatch.Listed, error))
 }
 
-// Options gives a Handler what it works with.
+// Options are the dependencies and settings of a Handler.
 type Options struct {
 	Self           structs.Daemon
 	Operators      []settings.Operator
@@ -92,22 +91,22 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// serveFunc answers a request of a known operator.
+// serveFunc handles a request of an authenticated operator.
 type serveFunc func(w http.ResponseWriter, r *http.Request, operator string)
 
 func (h *Handler) handle(method, path string, serve serveFunc) {
 	h.mux.HandleFunc(method+" "+PathPrefix+path, func(w http.ResponseWriter, r *http.Request) {
 		operator, known := h.operatorOf(r)
 		if !known {
-			fail(w, http.StatusUnauthorized, ErrorDetail{Code: CodeUnauthorized, Message: "The key is not that of an operator in this daemon's settings."})
+			fail(w, http.StatusUnauthorized, ErrorDetail{Code: CodeUnauthorized, Message: "The key is missing or belongs to no operator in this daemon's settings."})
 			return
 		}
 		serve(w, r, operator)
 	})
 }
 
-// operatorOf finds the operator whose key the request bears. What is looked up
-// is a hash of the key, so the time it takes tells nothing about the key.
+// operatorOf returns the operator whose key the request bears. The lookup uses a hash
+// of the key, so its timing reveals nothing about the key.
 func (h *Handler) operatorOf(r *http.Request) (string, bool) {
 	key, bears := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !bears || key == "" {
@@ -117,7 +116,7 @@
 	return name, known
 }
 
-// KeyHash returns the form in which an operator's key stands in the settings.
+// KeyHash returns the form in which an operator's key is configured in the settings.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -126,7 +125,7 @@
 func answer(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // fails when the operator's client is gone
+	_ = json.NewEncoder(w).Encode(body) // fails when the client has disconnected
 }
 
 func fail(w http.ResponseWriter, status int, detail ErrorDetail) {
--- a/internal/operator/policies.go
+++ b/internal/operator/policies.go
@@ -11,8 +11,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// UnknownPolicies returns the queue policies that a change names and this
-// program has no plug-in for. The fold cannot check them: daemons of two
+// UnknownPolicies returns the queue policies that a change names and this binary has
+// no plug-in for. The configuration fold cannot check them, since daemons of two
 // versions would come to different verdicts.
 func UnknownPolicies(patch *structs.Patch) []configuration.Problem {
 	var problems []configuration.Problem
@@ -32,8 +32,8 @@
 	return problems
 }
 
-// refusePolicies is the verdict on a change that names unknown policies; it
-// never reaches the log.
+// unknownPolicyVerdict returns the verdict on a change that names unknown policies.
+// Such a change is not appended to the log.
 func unknownPolicyVerdict(change *structs.Change, problems []configuration.Problem) configuration.Verdict {
 	return configuration.Verdict{
 		OperationID: change.OperationID,
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -8,21 +8,21 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// PathPrefix comes before every path of the operators' interface.
+// PathPrefix is the prefix of all paths of the operator API.
 const PathPrefix = "/operator/v1/"
 
-// ErrorCode is a stable, machine-readable cause of a refusal.
+// ErrorCode is a stable, machine-readable cause of an error.
 type ErrorCode string
 
-// Codes of refusals.
+// Error codes.
 const (
-	// CodeUnauthorized: no key, or none of an operator in the settings.
+	// CodeUnauthorized: the key is missing or belongs to no operator in the settings.
 	CodeUnauthorized ErrorCode = "unauthorized"
-	// CodeInvalid: the request itself is wrong.
+	// CodeInvalid: the request is malformed.
 	CodeInvalid ErrorCode = "invalid_request"
-	// CodeNotFound: there is no such thing.
+	// CodeNotFound: the requested object does not exist.
 	CodeNotFound ErrorCode = "not_found"
-	// CodeRefused: the fold of the configuration refused a change.
+	// CodeRefused: the configuration fold refused a change.
 	CodeRefused ErrorCode = "refused"
 	// CodeOutcomeUnknown: it is not known whether a change was appended.
 	CodeOutcomeUnknown ErrorCode = "outcome_unknown"
@@ -30,23 +30,23 @@
 	CodeNoAnswer ErrorCode = "no_answer"
 )
 
-// ErrorBody is the answer to a request that failed.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what failed and why.
+// ErrorDetail describes an error.
 type ErrorDetail struct {
 	Code    ErrorCode `json:"code"`
 	Message string    `json:"message"`
-	// Verdict is the fold's, for CodeRefused.
+	// Verdict is the verdict on the refused change, with CodeRefused.
 	Verdict *configuration.Verdict `json:"verdict,omitempty"`
-	// InForce is the change that made the revision in force, for a change
-	// that was built on an older one.
+	// InForce is the change that made the revision in force, if the refused change was
+	// based on an older one.
 	InForce *configuration.Verdict `json:"in_force,omitempty"`
 }
 
-// ConfigurationStatus is how far a daemon has folded the log.
+// ConfigurationStatus is the state of a daemon's configuration fold.
 type ConfigurationStatus struct {
 	Offset   structs.LogOffset `json:"offset"`
 	Digest   uint64            `json:"digest"`
@@ -55,14 +55,14 @@
 	Diverged int               `json:"diverged"`
 }
 
-// ConfigurationInForce is the whole configuration of a daemon.
+// ConfigurationInForce is the whole configuration in force at a daemon.
 type ConfigurationInForce struct {
 	Status ConfigurationStatus `json:"status"`
-	// Configuration is nil before the first.
+	// Configuration is nil until a first one is published.
 	Configuration *structs.Configuration `json:"configuration"`
 }
 
-// History lists the verdicts that are remembered, the latest first.
+// History lists the retained verdicts, newest first.
 type History struct {
 	Verdicts []configuration.Verdict `json:"verdicts"`
 }
@@ -73,16 +73,16 @@
 	Configuration ConfigurationStatus `json:"configuration"`
 	Shards        replication.Summary `json:"shards"`
 	Members       []membership.Member `json:"members"`
-	// Machines are the back ends on the platform's list; one that said itself
-	// that it drains counts as leaving.
+	// Machines are the back ends on the platform's list; one that has announced that
+	// it is draining has the state leaving.
 	Machines []structs.Machine `json:"machines"`
 }
 
 // Programs lists programs of the whole fleet.
 type Programs struct {
 	Programs []dispatch.ProgramSummary `json:"programs"`
-	// Total counts those beyond the limit too.
+	// Total also counts the programs beyond the limit.
 	Total int `json:"total"`
-	// Unresponsive are daemons that did not answer; their programs are missing.
+	// Unresponsive lists the daemons that did not answer; their programs are missing.
 	Unresponsive []structs.DaemonID `json:"silent,omitempty"`
 }
--- a/internal/program/admit.go
+++ b/internal/program/admit.go
@@ -10,8 +10,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Policy is what the configuration in force says about a tenant's use of a
-// template. It is fixed into a program when the program starts.
+// Policy is what the configuration in force says about a tenant's use of a template. A
+// program keeps the policy under which it started.
 type Policy struct {
 	Template        structs.TemplateName
 	Budget          structs.Cost
@@ -19,35 +19,35 @@
 	Limits          structs.Limits
 	SystemPrompt    string
 	ApplicationCost structs.Cost
-	// Adapter is what this call's model runs with, "" for none.
+	// Adapter is the adapter of the call's model, "" for none.
 	Adapter structs.AdapterName
 }
 
-// Verdict tells what to do with a call.
+// Verdict is the decision on a call.
 type Verdict int
 
 // Verdicts.
 const (
-	// VerdictAccept: propose Records; the call is in the program's order once
-	// they are acknowledged.
+	// VerdictAccept: propose Records; the call is accepted in the program's order once
+	// they are committed.
 	VerdictAccept Verdict = iota
 	// VerdictKnown: the request was accepted before; attach to it.
 	VerdictKnown
 	// VerdictWait: calls with lower sequence numbers have not arrived yet.
 	VerdictWait
-	// VerdictRefuse: the call was not and will not be run.
+	// VerdictRefuse: the call has not run and will not run.
 	VerdictRefuse
 )
 
-// Admission is the answer to Admit.
+// Admission is the result of Admit.
 type Admission struct {
 	Verdict Verdict
 	Records []structs.Record
-	// Call is the call as accepted: sequence filled in, messages reduced to
-	// what is new.
+	// Call is the call as accepted: with its sequence number, and with its messages
+	// reduced to the new ones.
 	Call structs.Call
-	// Refusal is set with VerdictRefuse. Records may still be given then: they
-	// end a program that ran into a limit.
+	// Refusal is set with VerdictRefuse. Records may be set, too: they end a program
+	// that reached a limit.
 	Refusal structs.Outcome
 }
 
@@ -55,8 +55,8 @@
 	return Admission{Verdict: VerdictRefuse, Refusal: structs.Refused(reason, field, message, 0)}
 }
 
-// Admit decides on a call at the shard's leader. pending holds calls of the
-// same program whose acceptance was proposed and not yet applied, in order.
+// Admit decides on a call at the shard's leader. pending holds calls of the same
+// program whose acceptance was proposed but not yet applied, in order.
 func (s *Shard) Admit(call structs.Call, policy Policy, pending []structs.Call, now time.Time) Admission {
 	program := s.programs[call.Key]
 	if program == nil {
@@ -103,7 +103,7 @@
 		return admitDuringStart(call, pending, now)
 	}
 	if call.Sequence > 1 {
-		// Call 1 may still be on its way over another connection.
+		// Call 1 may still arrive over another connection.
 		return Admission{Verdict: VerdictWait, Call: call}
 	}
 	call.Sequence = 1
@@ -122,7 +122,7 @@
 	return Admission{Verdict: VerdictAccept, Call: call, Records: append(records, acceptRecords(call, now)...)}
 }
 
-// admitBehindStart admits a call while the program's start is being recorded.
+// admitDuringStart admits a call while the program's start is being recorded.
 func admitDuringStart(call structs.Call, pending []structs.Call, now time.Time) Admission {
 	starting := &Program{Key: call.Key}
 	if known, admission := starting.admitKnown(call, pending); known {
@@ -140,7 +140,7 @@
 func (s *Shard) admitChild(parentKey structs.ProgramKey) (Admission, bool) {
 	parent := s.programs[parentKey]
 	if parent == nil {
-		return refuse(structs.ReasonUnknownProgram, "parent", "The parent program is not under way."), false
+		return refuse(structs.ReasonUnknownProgram, "parent", "The parent program is not running."), false
 	}
 	if parent.Ended {
 		return refuse(structs.ReasonProgramEnded, "parent", fmt.Sprintf("The parent program has ended: %s.", parent.EndReason)), false
@@ -151,9 +151,9 @@
 	return Admission{}, true
 }
 
-// admitKnown recognises a request identifier that the program has seen. The
-// same identifier with another content is a conflict: answering it with the
-// former call's outcome would hand the caller somebody else's answer.
+// admitKnown recognises a request identifier that the program has seen. The same
+// identifier with another sequence number is a conflict: the caller would get the
+// answer to another call.
 func (p *Program) admitKnown(call structs.Call, pending []structs.Call) (bool, Admission) {
 	if open := p.OpenCall(call.RequestID); open != nil {
 		return true, knownUnlessSequenceDiffers(call, open.Call.Sequence)
@@ -186,8 +186,8 @@
 		call.Sequence = next
 		return Admission{}, true
 	case call.Sequence > next && p.acceptsFullHistory(call) && len(pending) == 0:
-		// The calls between were lost with their records; the conversation in
-		// this call makes up for them.
+		// The calls in between were lost with their records; the conversation in
+		// this call contains them.
 		return Admission{}, true
 	case call.Sequence > next:
 		return Admission{Verdict: VerdictWait, Call: *call}, false
@@ -196,8 +196,8 @@
 	}
 }
 
-// admitLimits contains runaway programs: a program that reaches a limit ends,
-// with the limit as its recorded reason.
+// admitLimits stops runaway programs: a program that reaches a limit ends, with the
+// limit as its recorded reason.
 func (p *Program) admitLimits(call structs.Call, pending []structs.Call, now time.Time) (Admission, bool) {
 	turns := p.Turns + len(pending)
 	if p.Limits.Turns > 0 && turns >= p.Limits.Turns {
@@ -224,8 +224,8 @@
 	return structs.Record{At: now, ProgramEnded: &structs.ProgramEnded{Key: key, Reason: reason}}
 }
 
-// reduceHistory cuts a whole conversation down to what is new in it. Messages
-// of calls before it that have no answer yet may stand in the conversation.
+// reduceHistory reduces a whole conversation to its new messages. Messages of earlier
+// calls that have no answer yet may be part of the conversation.
 func (p *Program) reduceHistory(call *structs.Call, pending []structs.Call) (Admission, bool) {
 	if call.Kind != structs.CallModel || call.History != structs.HistoryFull {
 		return Admission{}, true
@@ -234,7 +234,7 @@
 	rest, matches := cutMessages(call.Messages, known)
 	if !matches {
 		return refuse(structs.ReasonHistoryConflict, "messages",
-			fmt.Sprintf("The messages do not start with the program's %d kept ones.", len(known))), false
+			fmt.Sprintf("The messages do not start with the %d messages of the program's history.", len(known))), false
 	}
 	for _, open := range p.Open {
 		rest = cutIfPresent(rest, open.Call.Messages)
@@ -281,7 +281,7 @@
 	return true
 }
 
-// Fingerprint returns a hash of what a call asks for, without its identifiers.
+// Fingerprint returns a hash of a call's content, without its identifiers.
 func Fingerprint(call *structs.Call) uint64 {
 	digest := xxhash.New()
 	write := func(text string) {
--- a/internal/program/apply.go
+++ b/internal/program/apply.go
@@ -7,9 +7,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Apply folds one committed record into the state. A record about a program
-// or call that is not there any more changes nothing: a record proposed twice,
-// by a leader and its successor, must count once.
+// Apply folds one committed record into the state. A record about a program or call
+// that no longer exists changes nothing, and a record that is proposed twice, by a
+// leader and its successor, counts once.
 func (s *Shard) Apply(record structs.Record) {
 	switch {
 	case record.ProgramStarted != nil:
@@ -167,18 +167,17 @@
 	s.updateFootprint(settled.Key)
 }
 
-// takeBack undoes the acceptance of the latest call, which did not run: the
-// caller may send it again under the same sequence and request identifier.
-// A call with successors keeps its refusal, or it would run out of order.
+// revertAcceptance undoes the acceptance of the latest call, which did not run, so
+// that the caller may send it again under the same sequence number and request
+// identifier. A call with successors keeps its refusal, or it would run out of order.
 func (p *Program) revertAcceptance() {
 	p.Accepted--
 	p.Turns--
 	p.Repeats--
 }
 
-// charge returns what a settled call takes from the budget. Attempts whose
-// cost was never learnt are charged their worst case, and so is a call whose
-// outcome is unknown.
+// charge returns what a settled call takes from the budget. Attempts of unknown cost
+// are charged their worst case, and so is a call whose outcome is unknown.
 func charge(call *CallState, outcome structs.Outcome) structs.Cost {
 	if outcome.Status == structs.OutcomeUnknown {
 		return call.Reserved + call.LostReserved
@@ -186,8 +185,8 @@
 	return min(outcome.Cost, call.Reserved) + call.LostReserved
 }
 
-// learnUnknownOutcome replaces an unknown outcome of a call without history
-// once the back end has told what happened, and refunds what it did not cost.
+// resolveUnknownOutcome replaces the unknown outcome of an application call once the
+// back end has reported the real one, and refunds what it did not cost.
 func resolveUnknownOutcome(root *Program, former *SettledCall, outcome structs.Outcome) {
 	if former.Outcome.Status != structs.OutcomeUnknown || former.Kind == structs.CallModel {
 		return
@@ -207,7 +206,7 @@
 	return -1
 }
 
-// remember keeps a call's outcome for the program's life, so that the same
+// recordOutcome keeps a call's outcome as long as the program, so that the same
 // request identifier never runs again.
 func (p *Program) recordOutcome(call *CallState, outcome structs.Outcome, charged structs.Cost) {
 	settled := &SettledCall{
@@ -251,7 +250,7 @@
 	}
 }
 
-// endOne closes a program. Calls that were never dispatched certainly did not
+// endProgram ends a single program. Calls that were never dispatched certainly did not
 // run; dispatched ones stay open until their outcome is known.
 func (s *Shard) endProgram(program *Program, at time.Time, reason structs.Reason) {
 	program.Ended = true
--- a/internal/program/family_test.go
+++ b/internal/program/family_test.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-func TestFamilyIsTheRootAndAllBelowIt(t *testing.T) {
+func TestFamilyIsTheRootAndItsDescendants(t *testing.T) {
 	shard := NewShard()
 	for _, key := range []structs.ProgramKey{
 		{Tenant: "a", Program: "p/c/d"}, {Tenant: "a", Program: "p"}, {Tenant: "a", Program: "p/c"},
--- a/internal/program/fuzz_test.go
+++ b/internal/program/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// FuzzRestore gives a shard snapshots that no daemon of ours would write. It
-// must take one whole, so that it can write it again, or keep what it has.
+// FuzzRestore guards against panics on malformed snapshots: Restore must take a
+// snapshot whole or leave the state unchanged.
 func FuzzRestore(f *testing.F) {
 	f.Add([]byte(`{"programs":[null]}`))
 	f.Add([]byte(`{"allowances":[null],"ledgers":[null]}`))
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 		if failed && !bytes.Equal(before, after) {
-			t.Error("a snapshot that was refused has changed the state")
+			t.Error("Restore failed and changed the state")
 		}
 		shard.Apply(structs.Record{At: time.Unix(0, 0), ProgramEnded: &structs.ProgramEnded{}})
 		for _, p := range shard.Programs() {
--- a/internal/program/history.go
+++ b/internal/program/history.go
@@ -9,38 +9,39 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// sealBytes is how many bytes of messages stand plain at the end of a history
-// before they are packed into a segment. Larger segments pack better and leave
-// more plain; docs/CAPACITY.md has the figures.
+// sealBytes is how many bytes of messages collect uncompressed at the end of a history
+// before they are packed into a segment. Larger segments compress better but leave
+// more uncompressed; see docs/CAPACITY.md.
 const sealBytes = 16 << 10
 
-// History is a program's conversation without the template's system prompt.
-// All but its newest messages are packed in segments, turn by turn as they come.
-// A history that is read is unpacked and stays so while the program is warm.
-// Neither shows from outside: equal conversations are equal histories and have
-// the same JSON, an array of messages. The zero value is empty.
+// History is a program's conversation without the template's system prompt. All but
+// its newest messages are kept in compressed segments. Reading it with All unpacks the
+// whole history, and the unpacked copy is cached. Neither is visible to callers: equal
+// conversations are equal histories with the same JSON, an array of messages. The zero
+// value is empty.
 type History struct {
 	segments []segment
-	// tail holds the messages behind the segments.
+	// tail holds the messages after the segments.
 	tail      []structs.Message
 	tailBytes int64
-	// packedBytes is the size of all segments.
+	// packedBytes is the compressed size of all segments.
 	packedBytes int64
-	// warmth is the shard's list of warm histories; without one a history is
-	// unpacked for each reading.
+	// cache lists the shard's unpacked histories; without one a history is unpacked on
+	// each read.
 	cache *unpackedCache
-	// unpacked holds every message while the history is warm.
+	// unpacked holds every message while the history is in the cache.
 	unpacked      []structs.Message
 	unpackedBytes int64
 	usedAt        time.Time
-	// place is the history's entry in the warmth's order.
+	// cacheEntry is the history's entry in the cache's LRU list, nil if it is not
+	// unpacked.
 	cacheEntry *list.Element
 }
 
 // Len returns the number of messages.
 func (h *History) Len() int { return h.sealedLen() + len(h.tail) }
 
-// sealed returns the number of messages in segments.
+// sealedLen returns the number of messages in segments.
 func (h *History) sealedLen() int {
 	if len(h.segments) == 0 {
 		return 0
@@ -70,7 +71,7 @@
 }
 
 // seal packs the tail into a segment. Segments end at the same messages on every
-// replica, since each message is weighed as it comes.
+// replica, since the tail's size is checked after each message.
 func (h *History) seal() {
 	sealed := segment{end: h.Len(), data: pack(h.tail)}
 	h.segments = append(h.segments, sealed)
@@ -79,8 +80,8 @@
 	h.tailBytes = 0
 }
 
-// All returns every message and makes the history warm. The caller must not
-// change the slice.
+// All returns every message and keeps the unpacked copy in the cache. The caller must
+// not change the slice.
 func (h *History) All() []structs.Message {
 	if len(h.segments) == 0 {
 		return h.tail
@@ -97,7 +98,8 @@
 	return all
 }
 
-// From returns the messages from a place on. It leaves a cold history cold.
+// From returns the messages from an index on. It does not add the history to the
+// cache.
 func (h *History) From(place int) []structs.Message {
 	switch {
 	case place >= h.sealedLen():
@@ -109,7 +111,7 @@
 	}
 }
 
-// At returns one message.
+// At returns the message at an index.
 func (h *History) At(place int) structs.Message {
 	if place >= h.sealedLen() || h.unpacked != nil {
 		return h.From(place)[0]
@@ -124,7 +126,8 @@
 	return structs.Message{}
 }
 
-// unpackFrom reads the segments from the one that holds a place on.
+// unpackFrom returns the messages from an index on, unpacking only the segments that
+// it needs.
 func (h *History) unpackFrom(place int) []structs.Message {
 	messages := make([]structs.Message, 0, h.Len()-place)
 	start := 0
@@ -137,7 +140,7 @@
 	return append(messages, h.tail...)
 }
 
-// cool forgets the unpacked copy.
+// dropUnpacked drops the unpacked copy.
 func (h *History) dropUnpacked() {
 	h.unpacked = nil
 	h.unpackedBytes = 0
@@ -153,24 +156,23 @@
 	}
 }
 
-// Bytes returns what the history takes in memory, without what it takes more
-// while it is warm.
+// Bytes returns the memory that the history takes, without its unpacked copy.
 func (h *History) Bytes() int64 {
 	return h.packedBytes + h.tailBytes + int64(cap(h.segments))*segmentOverhead
 }
 
-// Equal tells whether two histories have the same messages.
+// Equal reports whether two histories have the same messages.
 func (h History) Equal(other History) bool {
 	return slices.EqualFunc(h.From(0), other.From(0), sameMessage)
 }
 
-// IsZero tells whether there is no message; JSON leaves it out then.
+// IsZero reports whether there is no message; JSON omits the history then.
 func (h History) IsZero() bool { return h.Len() == 0 }
 
-// MarshalJSON gives the messages as an array.
+// MarshalJSON encodes the messages as an array.
 func (h History) MarshalJSON() ([]byte, error) { return json.Marshal(h.From(0)) }
 
-// UnmarshalJSON reads an array of messages.
+// UnmarshalJSON decodes an array of messages.
 func (h *History) UnmarshalJSON(data []byte) error {
 	var messages []structs.Message
 	if err := json.Unmarshal(data, &messages); err != nil {
--- a/internal/program/history_test.go
+++ b/internal/program/history_test.go
@@ -28,7 +28,7 @@
 	return all
 }
 
-func TestPackedHistoryReadsAsItWasWritten(t *testing.T) {
+func TestPackedHistoryReturnsAppendedMessages(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 0))
 	for range 20 {
 		want := conversation(random, 1+random.IntN(60))
@@ -48,12 +48,12 @@
 		more := conversation(random, 5)
 		history.Append(more...)
 		if diff := cmp.Diff(append(want, more...), history.All()); diff != "" {
-			t.Fatalf("after more while warm: %s", diff)
+			t.Fatalf("after appending to an unpacked history: %s", diff)
 		}
 	}
 }
 
-func TestHistoryIsTheSameJSONPackedOrWarm(t *testing.T) {
+func TestHistoryJSONIsTheSamePackedOrUnpacked(t *testing.T) {
 	want := conversation(rand.New(rand.NewPCG(2, 0)), 40)
 	plain, err := json.Marshal(want)
 	if err != nil {
@@ -67,7 +67,7 @@
 			t.Fatal(err)
 		}
 		if string(got) != string(plain) {
-			t.Errorf("%s: other JSON than the messages' own", state)
+			t.Errorf("%s: the JSON differs from that of the messages", state)
 		}
 		history.All()
 	}
@@ -79,11 +79,11 @@
 		t.Error("the restored history differs")
 	}
 	if restored.Bytes() != history.Bytes() {
-		t.Errorf("a restored history takes %d bytes, want %d: segments end elsewhere", restored.Bytes(), history.Bytes())
+		t.Errorf("a restored history takes %d bytes, want %d: its segments differ", restored.Bytes(), history.Bytes())
 	}
 }
 
-// talk drives a program of a shard through turns with answers of some bytes.
+// runTurns runs turns of a program, each with an answer of the given size.
 func runTurns(t testing.TB, shard *Shard, key structs.ProgramKey, turns, answerBytes int, at time.Time) {
 	t.Helper()
 	if shard.Program(key) == nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestWhatIsWarmDoesNotShowInSnapshots(t *testing.T) {
+func TestUnpackedHistoryDoesNotAffectSnapshots(t *testing.T) {
 	read, unread := NewShard(), NewShard()
 	for _, shard := range []*Shard{read, unread} {
 		runTurns(t, shard, rootKey, 30, 3000, start)
@@ -119,30 +119,30 @@
 		t.Fatal(err)
 	}
 	if string(first) != string(second) {
-		t.Error("a program that was read has another snapshot than one that was not")
+		t.Error("reading a program changed its snapshot")
 	}
 	if read.memory.ProgramBytes() != unread.memory.ProgramBytes() {
-		t.Errorf("%d and %d bytes kept", read.memory.ProgramBytes(), unread.memory.ProgramBytes())
+		t.Errorf("programs take %d bytes after a read, %d without", read.memory.ProgramBytes(), unread.memory.ProgramBytes())
 	}
 }
 
-func TestHistoriesCoolAfterTheWarmTime(t *testing.T) {
+func TestHistoriesAreEvictedAfterWarmTime(t *testing.T) {
 	shard := NewShard()
 	runTurns(t, shard, rootKey, 30, 3000, start)
 	shard.Program(rootKey).Prompt(&structs.Call{})
 	if got := shard.memory.UnpackedBytes(); got < 90_000 {
-		t.Fatalf("%d bytes unpacked after a reading, want the whole history", got)
+		t.Fatalf("%d bytes unpacked after a read, want the whole history", got)
 	}
 	shard.Apply(structs.Record{At: start.Add(DefaultMemoryLimits().WarmTime)})
 	if got := shard.memory.UnpackedBytes(); got != 0 {
-		t.Errorf("%d bytes unpacked after the warm time", got)
+		t.Errorf("%d bytes unpacked after WarmTime, want 0", got)
 	}
 	if got := shard.Program(rootKey).History.Len(); got != 60 {
 		t.Errorf("%d messages, want 60", got)
 	}
 }
 
-func TestWarmHistoriesKeepToTheirBound(t *testing.T) {
+func TestUnpackedHistoriesStayWithinTheirLimit(t *testing.T) {
 	limits := DefaultMemoryLimits()
 	limits.Unpacked = 200_000
 	shard := NewShardWithMemory(NewMemory(limits))
@@ -151,12 +151,12 @@
 		runTurns(t, shard, other, 30, 3000, start)
 		shard.Program(other).Prompt(&structs.Call{})
 		if got := shard.memory.UnpackedBytes(); got > limits.Unpacked || got < 90_000 {
-			t.Errorf("after %d readings: %d bytes unpacked, want the latest and at most %d", number+1, got, limits.Unpacked)
+			t.Errorf("after %d reads: %d bytes unpacked, want the latest history and at most %d bytes", number+1, got, limits.Unpacked)
 		}
 	}
 }
 
-func TestAccountReturnsToNothing(t *testing.T) {
+func TestMemoryCountReturnsToZero(t *testing.T) {
 	memory := NewMemory(DefaultMemoryLimits())
 	first, second := NewShardWithMemory(memory), NewShardWithMemory(memory)
 	for _, shard := range []*Shard{first, second} {
@@ -172,14 +172,14 @@
 		t.Fatal(err)
 	}
 	if memory.ProgramBytes() != before {
-		t.Errorf("%d bytes kept after a restore of the same state, want %d", memory.ProgramBytes(), before)
+		t.Errorf("programs take %d bytes after a restore of the same state, want %d", memory.ProgramBytes(), before)
 	}
 	second.Discard()
 	if memory.ProgramBytes() != before/2 {
-		t.Errorf("%d bytes kept after one of two equal shards, want %d", memory.ProgramBytes(), before/2)
+		t.Errorf("programs take %d bytes after one of two equal shards is discarded, want %d", memory.ProgramBytes(), before/2)
 	}
 	first.Apply(structs.Record{At: start, ProgramRemoved: &structs.ProgramRemoved{Key: rootKey}})
 	if memory.ProgramBytes() != 0 || memory.UnpackedBytes() != 0 {
-		t.Errorf("%d bytes kept and %d unpacked without a program", memory.ProgramBytes(), memory.UnpackedBytes())
+		t.Errorf("programs take %d bytes and %d unpacked without a program, want 0", memory.ProgramBytes(), memory.UnpackedBytes())
 	}
 }
--- a/internal/program/interned_string.go
+++ b/internal/program/interned_string.go
@@ -5,12 +5,11 @@
 	"unique"
 )
 
-// InternedString is a text that the whole process keeps once by its content, such
-// as the system prompt that all programs of a template begin with. The zero
-// value is the empty text.
+// InternedString is a string that the process stores once per content, such as the
+// system prompt of a template. The zero value is the empty string.
 type InternedString struct{ handle unique.Handle[string] }
 
-// Intern returns the shared copy of a text.
+// Intern returns the interned string for a text.
 func Intern(text string) InternedString {
 	if text == "" {
 		return InternedString{}
@@ -26,16 +25,16 @@
 	return t.handle.Value()
 }
 
-// IsZero tells whether the text is empty; JSON leaves it out then.
+// IsZero reports whether the string is empty; JSON omits it then.
 func (t InternedString) IsZero() bool { return t == InternedString{} }
 
-// Equal tells whether two texts are the same.
+// Equal reports whether two strings are the same.
 func (t InternedString) Equal(other InternedString) bool { return t == other }
 
-// MarshalJSON gives the text as a string.
+// MarshalJSON encodes the text as a JSON string.
 func (t InternedString) MarshalJSON() ([]byte, error) { return json.Marshal(t.String()) }
 
-// UnmarshalJSON reads a string.
+// UnmarshalJSON decodes a JSON string.
 func (t *InternedString) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/internal/program/memory.go
+++ b/internal/program/memory.go
@@ -7,21 +7,21 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// MemoryLimits bound what the programs of one daemon take, in bytes.
+// MemoryLimits bounds the memory that the programs of one daemon take, in bytes.
 type MemoryLimits struct {
-	// NewPrograms is the size from which no new program is taken on.
+	// NewPrograms is the total size from which new programs are refused.
 	NewPrograms int64
-	// Calls is the size from which no call is taken on, not of programs under
-	// way either. It is not below NewPrograms.
+	// Calls is the total size from which all calls are refused, those of running
+	// programs included. It is not below NewPrograms.
 	Calls int64
-	// Unpacked bounds the unpacked copies of packed histories, beside the
-	// sizes above.
+	// Unpacked bounds the unpacked copies of packed histories, which the sizes above
+	// do not include.
 	Unpacked int64
-	// WarmTime is how long a history stays unpacked after its last reading.
+	// WarmTime is how long a history stays unpacked after it was last read.
 	WarmTime time.Duration
 }
 
-// DefaultMemoryLimits returns limits for the sizes of docs/CAPACITY.md.
+// DefaultMemoryLimits returns the limits for the fleet sizes of docs/CAPACITY.md.
 func DefaultMemoryLimits() MemoryLimits {
 	return MemoryLimits{
 		NewPrograms: 512 << 20,
@@ -31,39 +31,40 @@
 	}
 }
 
-// Memory counts what the programs of one daemon take, those it leads and those
-// it follows. It is shared by the daemon's shards and safe for several
-// goroutines.
+// Memory counts the memory of the programs of one daemon, whether it leads or follows
+// their shards. The daemon's shards share it; it is safe for concurrent use.
 type Memory struct {
 	limits MemoryLimits
-	// kept is the size of all programs, unpacked that of the unpacked copies.
+	// programBytes is the size of all programs, unpackedBytes that of the unpacked
+	// copies.
 	programBytes  atomic.Int64
 	unpackedBytes atomic.Int64
 }
 
-// NewMemory returns an empty account.
+// NewMemory returns a Memory that counts nothing yet.
 func NewMemory(limits MemoryLimits) *Memory { return &Memory{limits: limits} }
 
 // Limits returns the limits.
 func (m *Memory) Limits() MemoryLimits { return m.limits }
 
-// Kept returns the size of all programs in bytes, without unpacked copies.
+// ProgramBytes returns the size of all programs in bytes, without unpacked copies.
 func (m *Memory) ProgramBytes() int64 { return m.programBytes.Load() }
 
-// Unpacked returns the size of unpacked copies in bytes.
+// UnpackedBytes returns the size of the unpacked copies in bytes.
 func (m *Memory) UnpackedBytes() int64 { return m.unpackedBytes.Load() }
 
 const (
-	// programOverhead is the measured size of a program without calls, in bytes.
+	// programOverhead is the size of a program without calls, in bytes.
 	programOverhead = 1200
-	// settledOverhead is the measured size of a settled call, in bytes.
+	// settledOverhead is the size of a settled call without its outcome's texts, in
+	// bytes.
 	settledOverhead = 400
 	// openOverhead is the size of an open call without its content, in bytes.
 	openOverhead = 800
 )
 
-// footprint returns what a program takes in memory, in bytes. The template's
-// system prompt is shared and not in it.
+// footprint returns the memory that a program takes, in bytes, without the template's
+// system prompt, which programs share.
 func (p *Program) footprint() int64 {
 	size := int64(programOverhead) + p.History.Bytes()
 	for _, open := range p.Open {
@@ -83,7 +84,7 @@
 	return size
 }
 
-// account brings the daemon's count up to date with one program.
+// updateFootprint updates the daemon's count after a change to one program.
 func (s *Shard) updateFootprint(key structs.ProgramKey) {
 	former, now := s.footprints[key], int64(0)
 	if program := s.programs[key]; program != nil {
@@ -95,7 +96,8 @@
 	s.memory.programBytes.Add(now - former)
 }
 
-// Discard takes the shard out of the daemon's count; it is not used any more.
+// Discard removes the shard from the daemon's count. The shard must not be used
+// afterwards.
 func (s *Shard) Discard() {
 	for _, size := range s.footprints {
 		s.memory.programBytes.Add(-size)
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -84,7 +84,7 @@
 	}
 	conflict := shard.Admit(userCall(rootKey, "a", 2), basicPolicy, nil, start)
 	if conflict.Refusal.Reason != structs.ReasonRequestConflict {
-		t.Errorf("same request under another number: %+v", conflict.Refusal)
+		t.Errorf("same request with another sequence number: %+v", conflict.Refusal)
 	}
 	outcome, _ := shard.Program(rootKey).Outcome("a")
 	if outcome.Answer.Content != "yes" {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestRefusedCallMayComeAgain(t *testing.T) {
+func TestRefusedCallMayBeSentAgain(t *testing.T) {
 	shard := NewShard()
 	admit(t, shard, userCall(rootKey, "a", 1))
 	shard.Apply(settleRecord(rootKey, "a", structs.Refused(structs.ReasonOverloaded, "", "", 0)))
@@ -133,7 +133,7 @@
 	admit(t, shard, userCall(subKey, "a", 1))
 	shard.Apply(dispatchRecord(subKey, "a", 1, 900, false))
 	if remaining := shard.Remaining(rootKey); remaining != 100 {
-		t.Errorf("the parent has %d left, want 100", remaining)
+		t.Errorf("remaining budget of the parent is %d, want 100", remaining)
 	}
 	attempt := Attempt{Call: &shard.Program(rootKey).Head().Call, Price: structs.Price{Prompt: 100}}
 	if _, refusal := shard.Reserve(shard.Program(rootKey), attempt); refusal == nil || refusal.Reason != structs.ReasonBudgetExhausted {
@@ -147,11 +147,11 @@
 	shard.Apply(dispatchRecord(rootKey, "a", 1, 300, false))
 	shard.Apply(dispatchRecord(rootKey, "a", 2, 200, false))
 	if remaining := shard.Remaining(rootKey); remaining != 500 {
-		t.Errorf("after a lost attempt %d left, want 500", remaining)
+		t.Errorf("after a lost attempt: remaining %d, want 500", remaining)
 	}
 	shard.Apply(dispatchRecord(rootKey, "a", 3, 200, true))
 	if remaining := shard.Remaining(rootKey); remaining != 500 {
-		t.Errorf("after a disproved attempt %d left, want 500", remaining)
+		t.Errorf("after a disproved attempt: remaining %d, want 500", remaining)
 	}
 	shard.Apply(settleRecord(rootKey, "a", completed("yes", 50)))
 	if root := shard.Program(rootKey); root.Spent != 350 || root.Reserved != 0 {
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestUnknownOutcomeIsChargedUntilLearnt(t *testing.T) {
+func TestUnknownOutcomeIsChargedUntilResolved(t *testing.T) {
 	shard := NewShard()
 	call := userCall(rootKey, "a", 1)
 	call.Kind = structs.CallApplication
@@ -171,11 +171,11 @@
 	}
 	shard.Apply(settleRecord(rootKey, "a", structs.Outcome{Status: structs.OutcomeCompleted, Cost: 40}))
 	if spent := shard.Program(rootKey).Spent; spent != 40 {
-		t.Errorf("learnt outcome charged %d, want 40", spent)
+		t.Errorf("resolved outcome charged %d, want 40", spent)
 	}
 }
 
-func TestRunawaysEndWithTheirReason(t *testing.T) {
+func TestRunawayProgramEndsWithItsReason(t *testing.T) {
 	shard := NewShard()
 	same := func(i int) structs.Call {
 		call := userCall(rootKey, fmt.Sprint(i), uint64(i))
@@ -231,12 +231,12 @@
 		t.Errorf("restored state (-want +got):\n%s", diff)
 	}
 	if err := restored.Restore([]byte("{")); err == nil {
-		t.Error("a broken snapshot was taken")
+		t.Error("Restore accepted a malformed snapshot")
 	}
 }
 
-// TestBudgetNeverExceeded applies random records, some of them twice, and
-// checks what must hold after each.
+// TestBudgetNeverExceeded applies random records, some of them twice, and checks the
+// budget's invariants after each.
 func TestBudgetNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shard := NewShard()
--- a/internal/program/quota.go
+++ b/internal/program/quota.go
@@ -11,11 +11,11 @@
 // QuotaWindow is the length of the window over which spending is bounded.
 const QuotaWindow = time.Hour
 
-// liveWindow is the one window of quotas that bound what is live rather than
-// what is spent.
+// liveWindow is the only window of quotas that bound live programs, which are not
+// counted over time.
 const liveWindow int64 = 0
 
-// WindowOf returns the window of a quota that a moment falls in.
+// WindowOf returns the window of a quota that contains a time.
 func WindowOf(kind structs.QuotaKind, at time.Time) int64 {
 	if kind == structs.QuotaPrograms {
 		return liveWindow
@@ -28,21 +28,22 @@
 	return time.Unix((window+1)*int64(QuotaWindow/time.Second), 0)
 }
 
-// Allowance is the slice of a tenant's quota that this shard may use in one
-// window. The tenant's home shard hands it out.
+// Allowance is the part of a tenant's quota that this shard may use in one window. The
+// tenant's home shard grants it.
 type Allowance struct {
 	Quota  structs.QuotaKey `json:"quota"`
 	Window int64            `json:"window"`
-	// Order is that of the question which the grant answers.
+	// Ballot orders the requests for the quota; it is that of the request which the
+	// grant answers.
 	Ballot  structs.Ballot `json:"order"`
 	Granted structs.Cost   `json:"granted"`
-	// Used is what calls dispatched in the window reserved or cost. Program
-	// slots are counted from the live programs instead.
+	// Used is what calls dispatched in the window reserved or cost. For program quotas
+	// the live programs are counted instead.
 	Used structs.Cost `json:"used"`
 }
 
-// Ledger is the home shard's account of one tenant's quota in one window: the
-// total handed to each shard. The sum never passes the tenant's quota.
+// Ledger is the home shard's account of one tenant's quota in one window: the total
+// granted to each shard. The sum never exceeds the tenant's quota.
 type Ledger struct {
 	Quota   structs.QuotaKey                       `json:"quota"`
 	Window  int64                                  `json:"window"`
@@ -50,7 +51,7 @@
 	Ballots map[structs.ShardNumber]structs.Ballot `json:"orders"`
 }
 
-// Allowance returns the slice of a quota in a window; zero when there is none.
+// Allowance returns the shard's part of a quota in a window; zero when it has none.
 func (s *Shard) Allowance(quota structs.QuotaKey, window int64) Allowance {
 	allowance := s.allowances[quota]
 	if allowance == nil || allowance.Window != window {
@@ -75,8 +76,8 @@
 	return live
 }
 
-// ProgramQuotas returns the program quotas of which this shard holds slots, in
-// the order of their tenants.
+// ProgramQuotas returns the program quotas of which this shard has an allowance,
+// ordered by tenant.
 func (s *Shard) ProgramQuotas() []structs.QuotaKey {
 	var quotas []structs.QuotaKey
 	for quota, allowance := range s.allowances {
@@ -88,9 +89,9 @@
 	return quotas
 }
 
-// Grant decides at the home shard how much another shard may have in total,
-// and returns the record that hands it out. A question older than one already
-// answered, or about a window that is past, gets nothing.
+// Grant decides at the home shard how much another shard may have in total, and
+// returns the record that grants it. It returns false for a request older than one
+// already answered, or for a past window.
 func (s *Shard) Grant(ask structs.QuotaAsked, limit structs.Cost, now time.Time) (structs.Record, bool) {
 	ledger := s.ledgers[ask.Quota]
 	if ledger == nil || ledger.Window < ask.Window {
@@ -107,7 +108,7 @@
 	}
 	total := max(min(ask.Wanted, limit-others), ask.Held)
 	if s.RecentlyRecovered(now) {
-		// What was handed out before the loss is not known.
+		// What was granted before the loss is not known.
 		total = ask.Held
 	}
 	return structs.Record{At: now, QuotaGranted: &structs.QuotaGranted{
@@ -141,8 +142,8 @@
 	ledger.Ballots[granted.Shard] = granted.Order
 }
 
-// applyQuotaReceived sets what the shard may use. Answers that were overtaken
-// by a later question change nothing: the slice may have been given back since.
+// applyQuotaReceived sets the shard's allowance. An answer to an older request changes
+// nothing: its grant may have been returned since.
 func (s *Shard) applyQuotaReceived(received *structs.QuotaReceived) {
 	allowance := s.allowances[received.Quota]
 	if allowance == nil || allowance.Window < received.Window {
@@ -156,7 +157,8 @@
 	allowance.Ballot = received.Order
 }
 
-// spend counts a reservation against the tenant's allowance of its window.
+// chargeAllowance adds to what the tenant has used of its allowance in a window. A
+// negative amount releases a reservation.
 func (s *Shard) chargeAllowance(tenant structs.TenantName, window int64, amount structs.Cost) {
 	allowance := s.allowances[structs.QuotaKey{Tenant: tenant, Kind: structs.QuotaSpending}]
 	if allowance == nil || allowance.Window != window {
--- a/internal/program/recovery.go
+++ b/internal/program/recovery.go
@@ -7,31 +7,32 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// RecoveryWindow is how long after the loss of all holders a shard is careful
-// with what it does not know: longer than callers come back for an answer.
+// RecoveryWindow is how long after the loss of all replicas a shard treats unknown
+// programs and repeated calls as possibly lost. It is longer than callers retry.
 const RecoveryWindow = time.Hour
 
-// Gap tells what may be missing in a program that was recovered from an archive.
+// Gap says whether turns may be missing from a program that was recovered from an
+// archive.
 type Gap uint8
 
 // Kinds of gap.
 const (
 	// GapNone: nothing is missing.
 	GapNone Gap = iota
-	// GapPossible: calls behind the latest known one may have run.
+	// GapPossible: calls after the last known one may have run.
 	GapPossible
-	// GapCertain: a call that the program has counted has no known outcome.
+	// GapCertain: an accepted call has no known outcome.
 	GapCertain
 )
 
-// RecentlyRecovered tells whether the shard lost all its holders a while ago, so
-// that what it does not know may have been.
+// RecentlyRecovered reports whether the shard lost all its replicas within
+// RecoveryWindow, so that programs unknown to it may have existed.
 func (s *Shard) RecentlyRecovered(now time.Time) bool {
 	return !s.recoveredAt.IsZero() && now.Sub(s.recoveredAt) < RecoveryWindow
 }
 
-// applyShardRecovered turns the state from knowledge of what is into knowledge
-// of what was: anything may have happened since.
+// applyShardRecovered marks the state as recovered from an archive: later records may
+// have been lost.
 func (s *Shard) applyShardRecovered(at time.Time) {
 	s.recoveredAt = at
 	for _, program := range s.Programs() {
@@ -40,9 +41,9 @@
 	}
 }
 
-// recover gives up what a program has under way. Calls without an outcome may
-// have one that is lost. What is left of the budget may be spent: nothing
-// bounds what was, so all of it is charged.
+// resetAfterLoss closes the program's open calls, whose outcomes may be lost. The
+// whole budget counts as spent, since nothing bounds what was spent after the
+// archive's end.
 func (p *Program) resetAfterLoss(at time.Time) {
 	if !p.Ended {
 		p.Recovered = true
@@ -66,12 +67,11 @@
 	p.LastFingerprint, p.Repeats = 0, 0
 }
 
-const recordsLostMessage = "All holders of the program's records were lost; the call may or may not have run."
+const recordsLostMessage = "All replicas of the program's records were lost; the call may or may not have run."
 
-// takeBackModelCalls undoes the acceptance of the latest calls as far as they
-// are model calls without an outcome, so that the caller may make them again.
-// If they had one after the archive's last entry, the caller's next sequence
-// number shows it.
+// revertOpenModelCalls undoes the acceptance of the last calls as long as they are
+// model calls without an outcome, so that the caller may make them again. If one did
+// complete after the archive's last entry, the caller's next sequence number shows it.
 func (p *Program) revertOpenModelCalls() {
 	for len(p.Open) > 0 {
 		last := p.Open[len(p.Open)-1]
@@ -83,16 +83,16 @@
 	}
 }
 
-// acceptsWhole tells whether a call brings the whole conversation to a program
-// that may lack turns.
+// acceptsFullHistory reports whether a call carries the whole conversation of a
+// program that may lack turns.
 func (p *Program) acceptsFullHistory(call *structs.Call) bool {
 	return p.Gap != GapNone && call.Kind == structs.CallModel && call.History == structs.HistoryFull
 }
 
-// AdmitRecovered judges a call in the light of what a recovered shard does not
-// know. It returns false when nothing stands against the call. sentBefore tells
-// that a copy may have been taken already, pending holds calls of the program
-// whose acceptance is being recorded.
+// AdmitRecovered checks a call against what a recovered shard may have lost. It
+// returns false when the loss is no obstacle and Admit decides. sentBefore means that
+// a copy may have been accepted already; pending holds calls of the program whose
+// acceptance is being recorded.
 func (s *Shard) AdmitRecovered(call structs.Call, sentBefore bool, pending []structs.Call, now time.Time) (Admission, bool) {
 	program := s.programs[call.Key]
 	if program == nil {
@@ -113,7 +113,7 @@
 	return program.admitAcrossGap(call, len(pending))
 }
 
-// unknownSinceLoss answers a call that was sent before. It may have been taken
+// unknownSinceLoss answers a call that was sent before: it may have been accepted
 // after the archive's last entry, and have run.
 func unknownSinceLoss() Admission {
 	return Admission{Verdict: VerdictRefuse, Refusal: structs.Outcome{
@@ -123,8 +123,8 @@
 	}}
 }
 
-// admitUnknownProgram lets a program start that is certainly new: its caller
-// says that this is call 1, or made the program for this call alone.
+// admitUnknownProgram admits the first call of a program that is certainly new: the
+// caller says that this is call 1, or the program was made for this call alone.
 func admitUnknownProgram(call structs.Call, sentBefore bool) (Admission, bool) {
 	if sentBefore {
 		return unknownSinceLoss(), true
@@ -133,25 +133,25 @@
 		return Admission{}, false
 	}
 	admission := refuse(structs.ReasonRecordsLost, "sequence",
-		"All holders of this program's records were lost, if there was one. A new program must name its first call's sequence number, 1.")
+		"All replicas of the shard were lost, and this program may have been among its records. To start a new program, send sequence number 1 with its first call.")
 	if call.Sequence > 1 {
 		admission.Refusal.RetryAfter = retryAfterUnknownStart
 	}
 	return admission, true
 }
 
-// retryBehindStart is when a call may come back whose program's first call may
-// be on its way still.
+// retryAfterUnknownStart is the retry delay for a call of an unknown program whose
+// first call may still arrive.
 const retryAfterUnknownStart = time.Second
 
-// admitAcrossGap lets a recovered program go on where nothing can be missing
-// in its history unnoticed: with the whole conversation, or with the very next
-// sequence number, which proves that no later call was taken.
+// admitAcrossGap continues a recovered program only where no lost turn can go
+// unnoticed: with the whole conversation, or with the very next sequence number, which
+// proves that no later call was accepted.
 func (p *Program) admitAcrossGap(call structs.Call, pending int) (Admission, bool) {
 	next := call.Sequence == p.Accepted+1 && p.Gap == GapPossible && len(p.Open) == 0 && pending == 0
 	if next || p.acceptsFullHistory(&call) {
 		return Admission{}, false
 	}
 	return refuse(structs.ReasonHistoryGap, "sequence",
-		fmt.Sprintf("Turns of the program behind call %d may be lost with their holders. Send the whole conversation.", p.Accepted)), true
+		fmt.Sprintf("Turns of the program after call %d may be lost with their replicas. Send the whole conversation.", p.Accepted)), true
 }
--- a/internal/program/recovery_test.go
+++ b/internal/program/recovery_test.go
@@ -9,8 +9,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// recovered is a shard with one program that had two answered calls and these
-// open ones when all its holders were lost.
+// recoveredShard returns a shard that lost all its replicas while its one program had
+// two settled calls and the given open ones.
 func recoveredShard(t *testing.T, open ...structs.CallKind) *Shard {
 	t.Helper()
 	shard := NewShard()
@@ -42,7 +42,7 @@
 	return shard.Program(rootKey).History.From(0)
 }
 
-// judge admits a call as a leader does: what was lost comes first.
+// admitAsLeader admits a call as a leader does: AdmitRecovered first, then Admit.
 func admitAsLeader(shard *Shard, call structs.Call, sentBefore bool, at time.Time) Admission {
 	if admission, unsure := shard.AdmitRecovered(call, sentBefore, nil, at); unsure {
 		return admission
@@ -50,7 +50,7 @@
 	return shard.Admit(call, basicPolicy, nil, at)
 }
 
-func TestRecoveredProgramsGoOnOnlyWithoutAGap(t *testing.T) {
+func TestRecoveredProgramsContinueOnlyWithoutAGap(t *testing.T) {
 	other := rootKey
 	other.Program = "other"
 	anonymous := userCall(other, "x", 0)
@@ -109,7 +109,7 @@
 	}
 	follow := userCall(rootKey, "y", 5)
 	if got := admitAsLeader(shard, follow, false, start); got.Refusal.Reason != structs.ReasonHistoryGap {
-		t.Errorf("a call behind one that may yet fail: %+v, want a gap", got)
+		t.Errorf("a call after one that may still fail: %+v, want a gap", got)
 	}
 	shard.Apply(settleRecord(rootKey, "x", structs.Refused(structs.ReasonBudgetExhausted, "", "", 0)))
 	if got := admitAsLeader(shard, follow, false, start); got.Refusal.Reason != structs.ReasonHistoryGap {
@@ -133,10 +133,10 @@
 	}
 }
 
-func TestRecoveredProgramsHaveSpentTheirBudget(t *testing.T) {
+func TestRecoveredProgramsHaveNoBudgetLeft(t *testing.T) {
 	shard := recoveredShard(t, structs.CallModel)
 	if got := shard.Remaining(rootKey); got != 0 {
-		t.Errorf("%d left of the budget, want none: what was spent since the archive's end is not known", got)
+		t.Errorf("remaining budget is %d, want 0: what was spent after the archive's end is not known", got)
 	}
 	restored := NewShard()
 	snapshot, err := shard.Snapshot()
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestRecoveredHomeShardHandsOutNothingNew(t *testing.T) {
+func TestRecoveredHomeShardGrantsNothingNew(t *testing.T) {
 	shard := NewShard()
 	quota := structs.QuotaKey{Tenant: "bakery", Kind: structs.QuotaSpending}
 	shard.Apply(structs.Record{At: start, ShardRecovered: &structs.ShardRecovered{}})
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestRecoveredProgramsEndWhenNobodyComesBack(t *testing.T) {
+func TestRecoveredProgramsEndAfterTheRecoveryWindow(t *testing.T) {
 	shard := recoveredShard(t)
 	if records := shard.Expired(start.Add(RecoveryWindow-time.Second), time.Minute); len(records) > 0 {
 		t.Errorf("ended within the window: %+v", records)
--- a/internal/program/reserve.go
+++ b/internal/program/reserve.go
@@ -8,17 +8,17 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Reservation is the worst case of one attempt.
+// Reservation is the worst-case usage and cost of one attempt.
 type Reservation struct {
 	Cost          structs.Cost
 	PromptTokens  int64
 	MaximumTokens int64
 }
 
-// PromptBound returns a number of prompt tokens that a call cannot exceed: what
-// the engine last counted, and the byte length of everything newer.
+// PromptBound returns an upper bound on a call's prompt tokens: what the engine last
+// counted, plus the byte length of everything newer.
 func (p *Program) PromptBound(call *structs.Call) int64 {
-	// Tools among the parameters become part of the prompt.
+	// Tool definitions in the parameters become part of the prompt.
 	parameters := int64(len(call.Parameters))
 	if p.HistoryTokens > 0 {
 		return p.HistoryTokens + parameters + prefix.UpperBound(call.Messages)
@@ -26,22 +26,23 @@
 	return parameters + prefix.UpperBound(p.Prompt(call))
 }
 
-// Attempt is what a reservation is worked out for.
+// Attempt is the input of Reserve.
 type Attempt struct {
 	Call  *structs.Call
 	Price structs.Price
 	// ContextTokens bounds prompt and answer together; 0 means no bound.
 	ContextTokens int64
-	// AnswerPrefix is answer text of a lost attempt, which becomes part of
-	// this attempt's prompt.
+	// AnswerPrefix is answer text of a lost attempt, which becomes part of this
+	// attempt's prompt.
 	AnswerPrefix string
-	// Freed is what the same record gives back: the reservation of a former
-	// attempt that did not run.
+	// Freed is the reservation of a former attempt that did not run, which the same
+	// record releases.
 	Freed structs.Cost
 }
 
-// Reserve works out the worst case of an attempt against what its family has
-// left. An open-ended answer is cut to what the budget allows.
+// Reserve computes the worst case of an attempt and checks it against the remaining
+// budget of its family. An answer without a limit of the caller's is limited to what
+// the budget allows.
 func (s *Shard) Reserve(program *Program, attempt Attempt) (Reservation, *structs.Outcome) {
 	call, price := attempt.Call, attempt.Price
 	remaining := s.Remaining(program.Key) + attempt.Freed
@@ -98,8 +99,9 @@
 	return limit
 }
 
-// Expired returns the records that end programs past their wall or idle time,
-// and forget ended programs whose retention has passed and that hold nothing.
+// Expired returns the records that end programs past their wall or idle time, and
+// those that remove ended programs after their retention once they have no open call,
+// no hold and no child.
 func (s *Shard) Expired(now time.Time, retention time.Duration) []structs.Record {
 	var records []structs.Record
 	programs := s.Programs()
--- a/internal/program/segment.go
+++ b/internal/program/segment.go
@@ -9,9 +9,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// segment is a packed run of messages.
+// segment is a compressed run of messages.
 type segment struct {
-	// end is the place in the history behind the segment's last message.
+	// end is the index in the history after the segment's last message.
 	end  int
 	data []byte
 }
@@ -25,13 +25,13 @@
 	toolCallOverhead = 48
 	// codecWindow bounds the compressor's memory; segments are smaller.
 	codecWindow = 128 << 10
-	// codecConcurrency bounds how many shards pack or unpack at a time.
+	// codecConcurrency bounds how many shards compress or decompress at once.
 	codecConcurrency = 4
 )
 
-// The codec is shared by all shards of the process: its working memory is
-// large beside most histories. Making it fails for options out of range alone,
-// and these are fixed.
+// codec is shared by all shards of the process, since its working memory is large
+// compared with most histories. Creating it fails only for options out of range, and
+// these are constant.
 var codec = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
 	encoder, _ := zstd.NewWriter(nil,
 		zstd.WithEncoderConcurrency(codecConcurrency),
@@ -72,8 +72,8 @@
 	return append(to, text...)
 }
 
-// unpack reads what pack wrote in this process. A segment that cannot be read
-// means damaged memory; to go on would lose part of a history unnoticed.
+// unpack decodes what pack wrote in this process. An undecodable segment means
+// corrupted memory: it panics, since going on would silently lose part of a history.
 func unpack(data []byte) []structs.Message {
 	_, decoder := codec()
 	plain, err := decoder.DecodeAll(data, nil)
@@ -88,7 +88,8 @@
 	return messages
 }
 
-// segmentReader reads an unpacked segment. The texts share the segment's memory.
+// segmentReader decodes a decompressed segment. The decoded strings share the
+// segment's memory.
 type segmentReader struct{ rest string }
 
 func (r *segmentReader) number() int {
@@ -126,7 +127,7 @@
 	return message
 }
 
-// messageBytes returns what a message takes in memory.
+// messageBytes returns the memory that a message takes, in bytes.
 func messageBytes(message structs.Message) int64 {
 	size := messageOverhead + len(message.Role) + len(message.Content) + len(message.Name) + len(message.ToolCallID)
 	for _, call := range message.ToolCalls {
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -12,20 +12,20 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// shardSnapshot is the serialized state of a shard, ordered by key so that
-// equal states give equal bytes.
+// shardSnapshot is the serialized state of a shard, ordered by key so that equal
+// states give equal bytes.
 type shardSnapshot struct {
 	Programs   []*Program   `json:"programs"`
 	Allowances []*Allowance `json:"allowances,omitempty"`
 	Ledgers    []*Ledger    `json:"ledgers,omitempty"`
-	// RecoveredAt is when the shard went on after the loss of all holders.
+	// RecoveredAt is when the shard was recovered after the loss of all its replicas.
 	RecoveredAt time.Time `json:"recovered_at,omitzero"`
 }
 
-// ErrSnapshot is returned for a snapshot that cannot be read.
+// ErrSnapshot is returned for a snapshot that cannot be decoded.
 var ErrSnapshot = eris.New("program: malformed snapshot")
 
-// contents returns the state, which is not copied.
+// contents returns the state without copying it.
 func (s *Shard) contents() shardSnapshot {
 	return shardSnapshot{
 		Programs:   s.Programs(),
@@ -47,8 +47,8 @@
 	return contents.encode()
 }
 
-// Freeze implements replication.StateMachine. It copies what changes in place;
-// histories and calls' contents only grow or are replaced.
+// Freeze implements replication.StateMachine. It copies only what changes in place;
+// histories only grow, and the contents of calls are replaced as a whole.
 func (s *Shard) Freeze() func() ([]byte, error) {
 	contents := s.contents()
 	for i, program := range contents.Programs {
@@ -96,14 +96,15 @@
 	return sorted
 }
 
-// Restore replaces the state by a snapshot's. On an error the state is kept.
+// Restore replaces the state with that of a snapshot. On an error the state is
+// unchanged.
 func (s *Shard) Restore(data []byte) error {
 	var snapshot shardSnapshot
 	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return eris.Wrap(ErrSnapshot, err.Error())
 	}
 	if snapshot.hasNulls() {
-		return eris.Wrap(ErrSnapshot, "an entry is null")
+		return eris.Wrap(ErrSnapshot, "programs, allowances or ledgers: an entry is null")
 	}
 	restored := NewShardWithMemory(s.memory)
 	for _, program := range snapshot.Programs {
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// hasGaps tells whether an entry is missing where one must be: JSON's null is
-// read without an error, and nothing here would bear it.
+// hasNulls reports whether an entry is null. JSON decodes null without an error, and
+// later uses of the entry would panic.
 func (s *shardSnapshot) hasNulls() bool {
 	return slices.ContainsFunc(s.Programs, (*Program).hasNulls) ||
 		slices.Contains(s.Allowances, nil) ||
@@ -146,7 +147,7 @@
 	return false
 }
 
-// fillMaps makes maps that JSON leaves out when they are empty.
+// fillMaps makes the maps that JSON leaves out when they are empty.
 func (p *Program) fillMaps() {
 	if p.Settled == nil {
 		p.Settled = map[structs.RequestID]*SettledCall{}
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -1,7 +1,7 @@
-// Package program holds the state of the programs of one shard and the rules
-// by which it changes. It is pure: Apply folds a committed record into the
-// state, Admit and its kin turn a wish into records or a refusal, and nothing
-// here reads a clock, draws a random number or sends anything.
+// Package program holds the state of the programs of one shard and the rules by which
+// it changes. It is deterministic: Apply folds a committed record into the state,
+// Admit and its variants turn a call into records or a refusal, and nothing here reads
+// a clock, uses random numbers or does I/O.
 package program
 
 import (
@@ -11,14 +11,15 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// CallStage tells how far an accepted call has come.
+// CallStage is the progress of an accepted call.
 type CallStage string
 
 // Stages of a call that has no outcome yet.
 const (
-	// StageAccepted: in the program's order, nothing sent.
+	// StageAccepted: queued in the program's order, not sent.
 	StageAccepted CallStage = "accepted"
-	// StageDispatched: an intent is recorded; the back end may have it.
+	// StageDispatched: the dispatch is recorded; the back end may have received the
+	// call.
 	StageDispatched CallStage = "dispatched"
 )
 
@@ -33,34 +34,36 @@
 	BackEndRun   int64            `json:"back_end_run,omitempty"`
 	Hold         structs.HoldID   `json:"hold,omitempty"`
 	DispatchedAt time.Time        `json:"dispatched_at,omitzero"`
-	// AnswerPrefix is the answer text that the present attempt was given.
+	// AnswerPrefix is the part of the answer that the current attempt was given to
+	// continue.
 	AnswerPrefix string        `json:"answer_prefix,omitempty"`
 	Price        structs.Price `json:"price,omitzero"`
-	// Reserved is the present attempt's; LostReserved that of attempts whose
-	// cost will never be known.
+	// Reserved is the reservation of the current attempt, LostReserved that of
+	// attempts whose cost will never be known.
 	Reserved     structs.Cost `json:"reserved,omitempty"`
 	LostReserved structs.Cost `json:"lost_reserved,omitempty"`
 	// Window is the quota window that the reservation counts against.
 	Window int64 `json:"window,omitempty"`
-	// Whole is set when the call's messages make up for a gap before them.
+	// Whole is set when the call carries the whole conversation and so closes a gap
+	// before it.
 	Whole bool `json:"whole,omitempty"`
 }
 
-// SettledCall is a call with its outcome. The answer of a model call stands in
-// the program's history, at AnswerIndex, and is not kept twice.
+// SettledCall is a call with its outcome. The answer of a model call is stored once,
+// in the program's history at AnswerIndex.
 type SettledCall struct {
 	Sequence    uint64           `json:"sequence"`
 	Kind        structs.CallKind `json:"kind"`
 	Fingerprint uint64           `json:"fingerprint"`
 	Outcome     structs.Outcome  `json:"outcome"`
-	// Charged is what the call took from the budget; an unknown outcome is
-	// charged its whole reservation until it is learnt.
+	// Charged is what the call took from the budget; a call with an unknown outcome is
+	// charged its whole reservation until the outcome is known.
 	Charged structs.Cost `json:"charged,omitempty"`
-	// AnswerIndex is the answer's place in the history; -1 without one.
+	// AnswerIndex is the answer's index in the history; -1 without an answer.
 	AnswerIndex int `json:"answer_at"`
 }
 
-// noAnswer marks a settled call without an answer in the history.
+// noAnswer is the AnswerIndex of a settled call without an answer in the history.
 const noAnswer = -1
 
 // Program is the replicated state of one program.
@@ -71,7 +74,7 @@
 	Limits          structs.Limits       `json:"limits"`
 	SystemPrompt    InternedString       `json:"system_prompt,omitzero"`
 	ApplicationCost structs.Cost         `json:"application_cost,omitempty"`
-	// Budget, Spent and Reserved are kept by the root for its whole family.
+	// Budget, Spent and Reserved are kept in the root program for its whole family.
 	Budget    structs.Cost `json:"budget,omitempty"`
 	Spent     structs.Cost `json:"spent,omitempty"`
 	Reserved  structs.Cost `json:"reserved,omitempty"`
@@ -84,32 +87,32 @@
 	ServedTokens int64 `json:"served"`
 	// History is the conversation without the template's system prompt.
 	History History `json:"history,omitzero"`
-	// HistoryTokens is what the engine last said prompt and answer came to.
+	// HistoryTokens is the engine's latest count of prompt and answer tokens.
 	HistoryTokens int64 `json:"history_tokens,omitempty"`
-	// Open holds calls without an outcome, in the program's order.
+	// Open holds the calls without an outcome, in the program's order.
 	Open    []*CallState                       `json:"open,omitempty"`
 	Settled map[structs.RequestID]*SettledCall `json:"settled,omitempty"`
 	Holds   map[structs.HoldID]structs.Hold    `json:"holds,omitempty"`
 	// LatestHold is the hold of the latest settled model call.
 	LatestHold structs.HoldID `json:"latest_hold,omitempty"`
-	// ModelSettledAt is when a model call last had its outcome.
+	// ModelSettledAt is when the latest model call was settled.
 	ModelSettledAt time.Time `json:"model_settled_at,omitzero"`
 	// Children counts live sub-agents.
 	Children int `json:"children,omitempty"`
-	// LastFingerprint and Repeats count identical calls in a row.
+	// LastFingerprint and Repeats count identical consecutive calls.
 	LastFingerprint uint64           `json:"last_fingerprint,omitempty"`
 	Repeats         int              `json:"repeats,omitempty"`
 	LastEngine      structs.EngineID `json:"last_engine,omitempty"`
 	Ended           bool             `json:"ended,omitempty"`
 	EndReason       structs.Reason   `json:"end_reason,omitempty"`
 	EndedAt         time.Time        `json:"ended_at,omitzero"`
-	// Recovered is set when all holders were lost while the program was under
-	// way; Gap then tells whether turns may be missing.
+	// Recovered is set when the shard lost all its replicas while the program was
+	// running; Gap then says whether turns may be missing.
 	Recovered bool `json:"recovered,omitempty"`
 	Gap       Gap  `json:"gap,omitempty"`
 }
 
-// OpenCall returns the call without an outcome that has this identifier, or nil.
+// OpenCall returns the open call with this request identifier, or nil.
 func (p *Program) OpenCall(request structs.RequestID) *CallState {
 	for _, call := range p.Open {
 		if call.Call.RequestID == request {
@@ -119,7 +122,7 @@
 	return nil
 }
 
-// Head returns the call whose turn it is, or nil.
+// Head returns the first open call, or nil.
 func (p *Program) Head() *CallState {
 	if len(p.Open) == 0 {
 		return nil
@@ -127,8 +130,8 @@
 	return p.Open[0]
 }
 
-// Prompt returns the whole prompt of a call: the template's system prompt, the
-// kept history and the call's new messages.
+// Prompt returns the whole prompt of a call: the template's system prompt, the history
+// and the call's new messages.
 func (p *Program) Prompt(call *structs.Call) []structs.Message {
 	history := p.History.All()
 	prompt := make([]structs.Message, 0, 1+len(history)+len(call.Messages))
@@ -139,7 +142,7 @@
 	return append(prompt, call.Messages...)
 }
 
-// Outcome returns the recorded outcome of a settled call with its answer.
+// Outcome returns the recorded outcome of a settled call, with its answer.
 func (p *Program) Outcome(request structs.RequestID) (structs.Outcome, bool) {
 	settled, found := p.Settled[request]
 	if !found {
@@ -155,25 +158,25 @@
 // Shard is the state of all programs of one shard.
 type Shard struct {
 	programs map[structs.ProgramKey]*Program
-	// allowances are the slices of tenants' quotas that this shard may spend;
-	// ledgers the accounts of tenants whose home shard this is.
+	// allowances are the parts of tenants' quotas that this shard may use; ledgers are
+	// the accounts of the tenants whose home shard this is.
 	allowances map[structs.QuotaKey]*Allowance
 	ledgers    map[structs.QuotaKey]*Ledger
-	// recoveredAt is when the shard went on after the loss of all its holders,
-	// zero if it never did.
+	// recoveredAt is when the shard was recovered after the loss of all its replicas,
+	// zero if it never was.
 	recoveredAt time.Time
-	// memory is the daemon's account of what programs take, footprints this
-	// shard's part in it by program, warmth its unpacked histories. None of
-	// them is part of the state.
+	// memory counts the daemon's memory, footprints this shard's share of it by
+	// program; cache lists the unpacked histories. They are not part of the replicated
+	// state.
 	memory     *Memory
 	footprints map[structs.ProgramKey]int64
 	cache      *unpackedCache
 }
 
-// NewShard returns an empty shard with an account of its own.
+// NewShard returns an empty shard with a Memory of its own.
 func NewShard() *Shard { return NewShardWithMemory(NewMemory(DefaultMemoryLimits())) }
 
-// NewShardWithMemory returns an empty shard that is counted in a daemon's account.
+// NewShardWithMemory returns an empty shard that is counted in a daemon's Memory.
 func NewShardWithMemory(memory *Memory) *Shard {
 	return &Shard{
 		memory:     memory,
@@ -188,7 +191,7 @@
 // Program returns a program, or nil. The caller must not change it.
 func (s *Shard) Program(key structs.ProgramKey) *Program { return s.programs[key] }
 
-// Root returns the program that keeps the family's budget, or nil.
+// Root returns the root program of a program's family, which keeps its budget, or nil.
 func (s *Shard) Root(key structs.ProgramKey) *Program {
 	return s.programs[structs.ProgramKey{Tenant: key.Tenant, Program: key.Program.Root()}]
 }
@@ -239,7 +242,8 @@
 	return 0
 }
 
-// Remaining returns what the family may still reserve.
+// Remaining returns the part of the family's budget that is neither spent nor
+// reserved.
 func (s *Shard) Remaining(key structs.ProgramKey) structs.Cost {
 	root := s.Root(key)
 	if root == nil {
--- a/internal/program/unpacked_cache.go
+++ b/internal/program/unpacked_cache.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// warmth lists the warm histories of one shard, the least recently used first.
-// It decides on memory only: what it forgets can be unpacked again.
+// unpackedCache is an LRU list of the unpacked histories of one shard. It affects
+// memory only: an evicted history can be unpacked again.
 type unpackedCache struct {
 	memory *Memory
-	// now is the time of the latest record, which takes the place of a clock.
+	// now is the time of the latest record; the state machine has no clock.
 	now time.Time
 	lru list.List
 }
 
 func newUnpackedCache(memory *Memory) *unpackedCache { return &unpackedCache{memory: memory} }
 
-// use notes that a warm history was read.
+// touch marks a history as just read.
 func (w *unpackedCache) touch(h *History) {
 	h.usedAt = w.now
 	w.lru.MoveToBack(h.cacheEntry)
 }
 
-// add takes up a history that was just unpacked.
+// add inserts a history that was just unpacked.
 func (w *unpackedCache) add(h *History) {
 	for _, message := range h.unpacked {
 		h.unpackedBytes += messageBytes(message)
@@ -33,7 +33,8 @@
 	w.evictOthers(h)
 }
 
-// coolOthers makes room while the daemon's warm histories take too much.
+// evictOthers evicts the least recently used histories, except keep, while the
+// daemon's unpacked histories exceed their limit.
 func (w *unpackedCache) evictOthers(keep *History) {
 	for w.memory.unpackedBytes.Load() > w.memory.limits.Unpacked {
 		oldest := w.lru.Front()
@@ -44,7 +45,8 @@
 	}
 }
 
-// advance takes the time of a record and cools what was not read for long.
+// evictIdle advances the time to that of a record and evicts histories that were not
+// read for WarmTime.
 func (w *unpackedCache) evictIdle(at time.Time) {
 	if at.After(w.now) {
 		w.now = at
@@ -58,7 +60,7 @@
 	}
 }
 
-// forget cools a history, if it is warm.
+// evict drops a history's unpacked copy, if it has one.
 func (w *unpackedCache) evict(h *History) {
 	if h.cacheEntry == nil {
 		return
@@ -69,7 +71,7 @@
 	h.dropUnpacked()
 }
 
-// forgetAll cools every history of the shard.
+// evictAll drops the unpacked copies of all histories of the shard.
 func (w *unpackedCache) evictAll() {
 	for oldest := w.lru.Front(); oldest != nil; oldest = w.lru.Front() {
 		w.evict(oldest.Value.(*History))
