--- a/internal/query/client.go
+++ b/internal/query/client.go
@@ -1,6 +1,5 @@
-// Package query asks shard leaders about programs: one question, one answer,
-// asked again until it comes or the time is up. It is decision code: time and
-// messages come from outside.
+// Package query sends queries about programs to shard leaders and repeats each until
+// it is answered or times out. Clock and transport are injected.
 package query
 
 import (
@@ -16,21 +15,21 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// ErrNoAnswer: no leader answered in time. Whether a program was ended is not
-// known then; ask again.
+// ErrNoAnswer: no leader answered in time. For EndProgram and CancelCall the effect is
+// unknown then; the caller may repeat them.
 var ErrNoAnswer = eris.New("query: no answer in time")
 
-// askAgain is the pause before a question without an answer is repeated.
+// retryInterval is the pause before an unanswered query is repeated.
 const retryInterval = 300 * time.Millisecond
 
-// Router tells where shards are led, and learns from redirections.
+// Router returns the leaders of shards, and is updated from redirections.
 type Router interface {
 	Shard(key structs.ProgramKey) structs.ShardNumber
 	Route(shard structs.ShardNumber) replication.Route
 	Learn(shard structs.ShardNumber, route replication.Route)
 }
 
-// Client asks questions. It may be used by several goroutines.
+// Client sends queries. It is safe for concurrent use.
 type Client struct {
 	clock     clock.Clock
 	transport peer.Transport
@@ -41,29 +40,29 @@
 	pending map[dispatch.QueryID]*pendingQuery
 }
 
-// question is one that has no answer yet. Fields are set before it is asked;
-// timer is guarded by the client's mutex.
+// pendingQuery is a query without an answer. Its fields are set before it is first
+// sent; timer is guarded by the client's mutex.
 type pendingQuery struct {
 	id       dispatch.QueryID
 	deadline time.Time
-	// target returns whom to ask now, "" for nobody.
-	target func() structs.DaemonID
-	// message is what to ask.
+	// target returns the daemon to send the query to now, "" for none.
+	target  func() structs.DaemonID
 	message peer.Message
-	// shard is where a redirection is learnt for.
+	// shard is the shard whose leader redirections update.
 	shard structs.ShardNumber
-	// finish hands over the answer, or nil when the time is up.
+	// finish is called once with the answer, or with nil after the deadline.
 	finish func(peer.Message)
 	timer  clock.Timer
 }
 
-// New returns a client without questions.
+// New returns a client without pending queries.
 func New(c clock.Clock, transport peer.Transport, router Router) *Client {
 	return &Client{clock: c, transport: transport, router: router, pending: map[dispatch.QueryID]*pendingQuery{}}
 }
 
-// Describe asks the leader of a program's shard. done is called once: with an
-// answer whose Program is nil when there is none such, or with ErrNoAnswer.
+// Describe asks the leader of a program's shard for its description. done is called
+// once: with an answer, whose Program is nil if the program does not exist, or with
+// ErrNoAnswer.
 func (c *Client) Describe(request dispatch.Describe, timeout time.Duration, done func(dispatch.Described, error)) {
 	c.queryShard(request.Key, timeout, func(id dispatch.QueryID) peer.Message {
 		request.Query = id
@@ -78,8 +77,8 @@
 	})
 }
 
-// EndProgram asks the leader of a program's shard to end it. done is called
-// once; asking for the end of an ended program changes nothing.
+// EndProgram asks the leader of a program's shard to end the program. done is called
+// once. Ending an ended program changes nothing.
 func (c *Client) EndProgram(key structs.ProgramKey, timeout time.Duration, done func(dispatch.ProgramEnded, error)) {
 	c.queryShard(key, timeout, func(id dispatch.QueryID) peer.Message {
 		return &dispatch.EndProgram{Query: id, Key: key}
@@ -93,7 +92,7 @@
 	})
 }
 
-// CancelCall asks the leader of a program's shard to stop a call. done is called
+// CancelCall asks the leader of a program's shard to cancel a call. done is called
 // once.
 func (c *Client) CancelCall(key structs.ProgramKey, request structs.RequestID, timeout time.Duration, done func(dispatch.CallCancelled, error)) {
 	c.queryShard(key, timeout, func(id dispatch.QueryID) peer.Message {
@@ -108,8 +107,8 @@
 	})
 }
 
-// List asks one daemon for programs of the shards it leads. An empty tenant
-// asks for those of all. done is called once.
+// List asks one daemon for programs of the shards it leads, of all tenants if tenant
+// is empty. done is called once.
 func (c *Client) List(daemon structs.DaemonID, tenant structs.TenantName, limit int, timeout time.Duration, done func(dispatch.Listed, error)) {
 	query := c.register(timeout)
 	query.target = func() structs.DaemonID { return daemon }
@@ -141,7 +140,7 @@
 	return &pendingQuery{id: c.next, deadline: c.clock.Now().Add(timeout)}
 }
 
-// ask sends a question and asks again later. It gives up at the deadline.
+// start sends a query and schedules its repetition until the deadline.
 func (c *Client) start(query *pendingQuery) {
 	c.mutex.Lock()
 	c.pending[query.id] = query
@@ -161,7 +160,7 @@
 	}
 }
 
-// turn is what to do with a question whose time to be asked has come.
+// step is what to do with a query when its timer fires.
 type step int
 
 const (
@@ -170,8 +169,8 @@
 	stepAnswered
 )
 
-// prepare decides under the lock, so that an answer which arrives meanwhile
-// and the deadline cannot both finish the question.
+// nextStep decides under the lock, so that an answer and the deadline cannot both
+// finish the query.
 func (c *Client) nextStep(query *pendingQuery) step {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -187,7 +186,7 @@
 	return stepSend
 }
 
-// take removes a question from those without an answer, nil if it is gone.
+// remove removes and returns a pending query, nil if it was already finished.
 func (c *Client) remove(id dispatch.QueryID) *pendingQuery {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -219,7 +218,7 @@
 	return true
 }
 
-// answered finishes a question, or learns where to ask it next time.
+// answered finishes a query, or follows a redirection.
 func (c *Client) answered(id dispatch.QueryID, redirect *replication.Route, message peer.Message) {
 	if redirect != nil {
 		c.redirected(id, *redirect)
@@ -230,8 +229,8 @@
 	}
 }
 
-// redirected asks the daemon that leads the shard, if that is news; otherwise
-// the question waits for its next turn.
+// redirected sends the query to the shard's new leader. If the route did not change,
+// the query waits for its next repetition.
 func (c *Client) redirected(id dispatch.QueryID, route replication.Route) {
 	c.mutex.Lock()
 	query := c.pending[id]
--- a/internal/query/client_test.go
+++ b/internal/query/client_test.go
@@ -22,13 +22,13 @@
 const (
 	asker   structs.DaemonID = "127.0.0.1:1#1"
 	leading structs.DaemonID = "127.0.0.1:2#1"
-	// former led the shards once and knows who does now.
+	// former is a former leader that redirects to the current one.
 	former  structs.DaemonID = "127.0.0.1:3#1"
 	shards                   = 4
 	timeout                  = 2 * time.Second
 )
 
-// fleet is one daemon that leads everything and one that asks it.
+// fleet is one daemon that leads every shard and one that queries it.
 type fleet struct {
 	clock        *clock.Virtual
 	coordinator  *dispatch.Coordinator
@@ -37,7 +37,8 @@
 	unresponsive bool
 }
 
-// Send implements peer.Transport through the codec, a millisecond late.
+// Send implements peer.Transport: it encodes and decodes the message, and delivers it
+// a millisecond later.
 func (f *fleet) Send(to structs.DaemonID, message peer.Message) {
 	line, err := peer.Encode(asker, to, message)
 	if err != nil {
@@ -78,7 +79,7 @@
 	}
 }
 
-// Invoke answers at once, except to the operation "hang".
+// Invoke answers at once, except for the operation "hang".
 func (f *fleet) Invoke(request framework.ApplicationRequest, done func(framework.AttemptEnd)) {
 	if request.Operation != "hang" {
 		done(framework.AttemptEnd{Kind: framework.EndCompleted, Body: []byte(`{"ok":true}`), BodyStatus: 200})
@@ -182,7 +183,7 @@
 	}
 }
 
-func TestQuestionFollowsRedirection(t *testing.T) {
+func TestQueryFollowsRedirection(t *testing.T) {
 	f := newFleet()
 	f.submit("morning", "first", "bread")
 	f.route = replication.Route{Leader: former, Epoch: 1}
@@ -191,7 +192,7 @@
 		t.Errorf("got %+v, %v", answer, err)
 	}
 	if f.route.Leader != leading {
-		t.Errorf("the redirection was not learnt: %+v", f.route)
+		t.Errorf("the route was not updated by the redirection: %+v", f.route)
 	}
 }
 
@@ -221,7 +222,7 @@
 	}
 	child, _ := f.describe(t, dispatch.Describe{Key: key("morning/child")})
 	if child.Program == nil || !child.Program.Ended {
-		t.Errorf("the sub-agent lives on: %+v", child.Program)
+		t.Errorf("the sub-agent did not end with its parent: %+v", child.Program)
 	}
 }
 
--- a/internal/quota/forecast.go
+++ b/internal/quota/forecast.go
@@ -6,39 +6,41 @@
 )
 
 const (
-	// idleAfter is how long a program asks for nothing until it counts as ended: its
-	// tools answer within a second or two.
+	// idleAfter is how long a program makes no request until it counts as ended. Its
+	// tools are expected to answer within a second or two.
 	idleAfter = 2 * time.Second
-	// sampleWeight is the weight of the newest program in what programs of a route
-	// need.
+	// sampleWeight is the weight of the latest program in a route's moving averages.
 	sampleWeight = 0.1
-	// priorRequests and priorLife are believed of a route's programs before one
-	// ended: three turns with a tool call or two each, in three seconds.
+	// priorRequests and priorDuration are assumed for a route until one of its
+	// programs has ended: three turns with one or two tool calls each, in three
+	// seconds.
 	priorRequests = 7.0
 	priorDuration = 3 * time.Second
-	// shortestLife is the least that counts as the life of a program.
+	// minDuration is the least duration that is recorded for a program.
 	minDuration = 500 * time.Millisecond
-	// routeLimit bounds the routes whose programs are remembered.
+	// maxRoutes bounds the routes that are tracked.
 	maxRoutes = 256
 )
 
-// need is what the programs of a route need, as logarithms: the geometric mean is what
-// most of them need, whatever a few that loop without end do.
+// demand is what the programs of a route need, as logarithms. The averages are thus
+// geometric means, on which a few endless loops have little effect.
 type demand struct{ logRequests, logSeconds float64 }
 
 func (n demand) requests() float64 { return math.Exp(n.logRequests) }
 
-// within is what one program that just begins makes in a time.
+// requestsWithin returns the expected requests of a program within a time from its
+// start.
 func (n demand) requestsWithin(span time.Duration) float64 {
 	return n.requests() * min(span.Seconds()/math.Exp(n.logSeconds), 1)
 }
 
-// left is what one that is under way makes in a time: it has made half, on average.
+// remainingWithin returns the expected requests of a running program within a time. On
+// average it has made half of its requests.
 func (n demand) remainingWithin(span time.Duration) float64 {
 	return min(n.requestsWithin(span), n.requests()/2)
 }
 
-// forecast learns what the programs of each route need.
+// forecast estimates the demand of the programs of each route.
 type forecast struct{ routes map[string]demand }
 
 func (f *forecast) forRoute(route string) demand {
@@ -48,7 +50,7 @@
 	return demand{logRequests: math.Log(priorRequests), logSeconds: math.Log(priorDuration.Seconds())}
 }
 
-// note takes a program that ended.
+// observe updates the forecast with a program that ended.
 func (f *forecast) observe(p *program) {
 	if f.routes == nil || len(f.routes) >= maxRoutes {
 		f.routes = map[string]demand{}
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -10,65 +10,71 @@
 	"github.com/mintpulley/mintpulley/internal/tokenbucket"
 )
 
-// ErrOwnerUnreachable: the tenant's owner can not be asked, and this daemon has nothing of
-// its own to let the request pass on.
-var ErrOwnerUnreachable = eris.New("quota: the owner of the tenant's limit can not be asked")
+// ErrOwnerUnreachable: the tenant's owner cannot be reached, and this daemon has no
+// former rate at which to admit the request.
+var ErrOwnerUnreachable = eris.New("quota: the owner of the tenant's limit cannot be reached")
 
 const (
-	// ownerPatience is how long the owner may say nothing until a request passes on
-	// what this daemon used before: ten ways between zones, or a small owner that has
-	// some requests before it. Callers' tools are to answer within 80 to 200 ms.
+	// fallbackDelay is how long the owner may be silent before a request is admitted
+	// at the tenant's former rate: ten times the latency between zones, which also
+	// covers a small owner with some requests queued. Callers' tools expect an answer
+	// within 80 to 200 ms.
 	fallbackDelay = 60 * time.Millisecond
-	// troubledFor is how long after that no request waits for the owner first.
+	// ownerBackoff is how long after such a timeout requests do not wait for the owner
+	// first.
 	ownerBackoff = 400 * time.Millisecond
-	// askTime bounds a question: a lost owner is noticed and replaced meanwhile.
+	// askTimeout bounds a request to the owner. It leaves time to detect and replace a
+	// lost owner.
 	askTimeout = 1500 * time.Millisecond
-	// unaskedFor is how long a daemon lets requests pass that hears of no owner. The
-	// store is out for some seconds, or the daemon is cut off, and then better left.
+	// fallbackPeriod is how long a daemon admits requests without an owner. It covers
+	// a store outage of some seconds; a daemon that is cut off for longer should get
+	// no more requests.
 	fallbackPeriod = 10 * time.Second
-	// unaskedCapacity is how many requests may pass at once then.
+	// fallbackCapacity is how many requests may be admitted at once without an owner.
 	fallbackCapacity = 1.0
-	// usedSlots is the number of slots in which a daemon counts what it used.
+	// usedSlots is the number of time slots per window in which a daemon counts
+	// admitted requests.
 	usedSlots = 10
-	// gateLimit bounds the tenants that a gate remembers.
+	// maxTenants bounds the tenants that a gate tracks.
 	maxTenants = 8192
 )
 
-// Owner asks the owner of a tenant's limit. It is safe for concurrent use.
+// Owner sends requests to the owner of a tenant's limit. It is safe for concurrent
+// use.
 type Owner interface {
-	// AskQuota returns the owner's verdict. An error tells that none could be had.
+	// AskQuota returns the owner's verdict, or an error if there is none.
 	AskQuota(ctx context.Context, ask Request) (Verdict, error)
 }
 
-// Gate is a daemon's way to the owners of its callers' tenants. Where an owner can
-// not be asked, a daemon lets as many requests of the tenant pass as it did before:
-// daemons together then let pass what they did together, which was within the limit.
-// It is safe for concurrent use.
+// Gate asks the owners of tenants' limits on behalf of a daemon's callers. When an
+// owner cannot be reached, the daemon admits the tenant's requests at the rate at
+// which it did before: since all daemons together stayed within the limit then, they
+// do now. It is safe for concurrent use.
 type Gate struct {
 	owner  Owner
 	window time.Duration
-	// begun is when slots are counted from: the time of day may jump.
+	// startedAt is the origin of the time slots, on the monotonic clock.
 	startedAt time.Time
 
 	mutex   sync.Mutex
 	tenants map[string]*usage
 }
 
-// NewGate returns a gate; terms are the operators'.
+// NewGate returns a gate for the operators' tolerance.
 func NewGate(owner Owner, tolerance Tolerance) *Gate {
 	return &Gate{owner: owner, window: tolerance.Window, startedAt: time.Now(), tenants: map[string]*usage{}}
 }
 
-// usage is what this daemon let pass of one tenant's requests.
+// usage counts the requests of one tenant that this daemon admitted.
 type usage struct {
-	// slots count them by time; newest is the number of the slot of the latest.
+	// slots counts them by time slot; newest is the number of the latest slot.
 	slots  [usedSlots]int
 	newest int64
-	// troubledAt is when the owner was last silent, zero if it answered since, and
-	// lostAt when it was first.
+	// lastSilentAt is when the owner last failed to answer, zero if it has answered
+	// since; silentSince is when that began.
 	lastSilentAt time.Time
 	silentSince  time.Time
-	// unasked is what requests pass on meanwhile.
+	// fallback is the bucket for requests without an owner.
 	fallback tokenbucket.Bucket
 }
 
@@ -77,12 +83,13 @@
 	err     error
 }
 
-// Admit asks the owner for a request. It returns its verdict, or ErrOwnerUnreachable once it
-// is certain that none can be had, or ctx ends.
+// Admit asks the owner to admit a request and returns its verdict. It returns
+// ErrOwnerUnreachable if there is none and the fallback does not apply either, or when
+// ctx ends.
 func (g *Gate) Admit(ctx context.Context, ask Request) (Verdict, error) {
 	answers := make(chan answer, 1)
 	go func() {
-		// A takeover that the question sets off is of use to later ones, too.
+		// Detached from ctx: a takeover that this triggers also serves later requests.
 		asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTimeout)
 		defer cancel()
 		verdict, err := g.owner.AskQuota(asking, ask)
@@ -106,18 +113,18 @@
 	}
 }
 
-// Refund gives back what a request was admitted on that did not run. It returns at
-// once. One whose word is lost only makes the owner refuse a request too many.
+// Refund takes back the admission of a request that did not run. It returns at once.
+// If the message is lost, the owner admits one request fewer than it could.
 func (g *Gate) Refund(ask Request) {
 	ask.Refund = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 		defer cancel()
-		_, _ = g.owner.AskQuota(ctx, ask) // nobody waits for it; see above
+		_, _ = g.owner.AskQuota(ctx, ask) // a lost refund is safe
 	}()
 }
 
-// take takes the owner's answer.
+// handleAnswer returns the owner's verdict, or the fallback's after an error.
 func (g *Gate) handleAnswer(ask Request, got answer) (Verdict, error) {
 	now := time.Now()
 	if got.err != nil {
@@ -136,7 +143,7 @@
 	return got.verdict, nil
 }
 
-// patience is how long the owner is waited for before a request may pass without it.
+// ownerTimeout returns how long to wait for the owner before the fallback.
 func (g *Gate) ownerTimeout(tenant string, now time.Time) time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -147,8 +154,8 @@
 	return fallbackDelay
 }
 
-// passUnasked lets a request pass on what this daemon used before, if that has room,
-// and returns 0; or else it returns when to try again.
+// admitWithoutOwner admits a request at the tenant's former rate and returns 0, or
+// returns when to try again.
 func (g *Gate) admitWithoutOwner(tenant string, now time.Time) (after time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -171,7 +178,7 @@
 	return 0
 }
 
-// usageOf returns what is known of a tenant; the mutex must be held.
+// usageOf returns a tenant's usage; the mutex must be held.
 func (g *Gate) usageOf(tenant string) *usage {
 	u := g.tenants[tenant]
 	if u == nil {
@@ -188,13 +195,13 @@
 	return int64(now.Sub(g.startedAt)) / max(int64(g.window)/usedSlots, 1)
 }
 
-// count counts a request in a slot.
 func (u *usage) count(slot int64) {
 	u.forget(slot)
 	u.slots[slot%usedSlots]++
 }
 
-// used returns how many passed within a window before the end of a slot.
+// used returns the number of requests admitted within a window up to the end of a
+// slot.
 func (u *usage) used(slot int64) int {
 	u.forget(slot)
 	total := 0
@@ -204,7 +211,7 @@
 	return total
 }
 
-// forget drops what passed more than a window before a slot.
+// forget clears the slots that are more than a window before a slot.
 func (u *usage) forget(slot int64) {
 	if slot-u.newest >= usedSlots || slot < u.newest {
 		u.slots = [usedSlots]int{}
--- a/internal/quota/gate_test.go
+++ b/internal/quota/gate_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// admitFor lets a request come each so often, and returns how many passed and the
-// longest that one of them waited.
+// admitFor makes requests at an interval for some time, and returns how many were
+// admitted and the longest wait of one of them.
 func admitFor(t *testing.T, g *Gate, length, each time.Duration) (passed int, longest time.Duration) {
 	ctx, cancel := context.WithTimeout(t.Context(), length)
 	defer cancel()
@@ -51,9 +51,9 @@
 	return passed, longest
 }
 
-// TestRequestsPassAtTheirFormerPaceWithoutAnOwner: while the owner of a limit is
-// lost, each daemon lets pass what it did before, so that all together stay within.
-func TestRequestsPassAtTheirFormerPaceWithoutAnOwner(t *testing.T) {
+// TestRequestsPassAtTheirFormerRateWithoutAnOwner guards against exceeding the limit,
+// or refusing everything, while the owner is lost.
+func TestRequestsPassAtTheirFormerRateWithoutAnOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := &scriptedOwner{delay: time.Millisecond, verdict: Verdict{Admitted: true}}
 		g := NewGate(owner, testTolerance)
@@ -66,13 +66,13 @@
 		if longest > testTolerance.Window {
 			t.Errorf("one waited %s", longest)
 		}
-		time.Sleep(askTimeout) // questions end
+		time.Sleep(askTimeout) // requests to the owner end
 	})
 }
 
-// TestSilentOwnerHoldsNothingUp: a request of the usual pace waits ownerPatience at
-// most, and only some do.
-func TestSilentOwnerHoldsNothingUp(t *testing.T) {
+// TestSilentOwnerDelaysNoRequestBeyondTheFallback guards against requests that wait
+// for a silent owner longer than fallbackDelay.
+func TestSilentOwnerDelaysNoRequestBeyondTheFallback(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := &scriptedOwner{delay: time.Millisecond, verdict: Verdict{Admitted: true}}
 		g := NewGate(owner, testTolerance)
@@ -86,9 +86,9 @@
 	})
 }
 
-// TestDaemonThatNeverHadAnOwnerLetsOneRequestPass: one that has just started, or is
-// cut off, must not let pass what others may have used up.
-func TestDaemonThatNeverHadAnOwnerLetsOneRequestPass(t *testing.T) {
+// TestDaemonThatNeverHadAnOwnerAdmitsOneRequest guards against a daemon that has just
+// started, or is cut off, using up tokens that others have used already.
+func TestDaemonThatNeverHadAnOwnerAdmitsOneRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(&scriptedOwner{err: errors.New("moved")}, testTolerance)
 		if passed, _ := admitFor(t, g, 20*time.Second, 100*time.Millisecond); passed != 1 {
@@ -96,13 +96,13 @@
 		}
 		_, err := g.Admit(t.Context(), Request{Tenant: "t"})
 		if !errors.Is(err, ErrOwnerUnreachable) {
-			t.Errorf("got %v, want that the owner can not be asked", err)
+			t.Errorf("got %v, want ErrOwnerUnreachable", err)
 		}
 	})
 }
 
-// TestOwnersVerdictCounts: a request that is not admitted is not counted either.
-func TestOwnersVerdictCounts(t *testing.T) {
+// TestOwnersRefusalIsNotCounted guards against counting a refused request as used.
+func TestOwnersRefusalIsNotCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := &scriptedOwner{verdict: Verdict{Reason: ReasonExhausted, RetryAfterMS: 40}}
 		g := NewGate(owner, testTolerance)
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -7,48 +7,50 @@
 )
 
 const (
-	// lookInterval separates looks for programs that have ended.
+	// idleScanInterval is the pause between scans for ended programs.
 	idleScanInterval = 500 * time.Millisecond
-	// programLimit bounds the programs that are remembered of a tenant: more can not
-	// be under way within any limit met so far (some 100 a second).
+	// maxPrograms bounds the programs tracked for a tenant, well above what a limit of
+	// 100 requests a second can keep under way.
 	maxPrograms = 4096
-	// longestAfter bounds what a caller is told to wait.
+	// maxRetryAfter bounds the retry delay that is given to a caller.
 	maxRetryAfter = 5 * time.Second
 )
 
-// horizons are the times ahead at which programs under way must find room for a
-// further one to begin: the next request, a turn with its tools, and a window.
+// horizons are the times ahead at which the bucket must still have tokens for the
+// running programs if a further one starts: the next request, a turn with its tool
+// calls, and a window.
 var horizons = [...]time.Duration{500 * time.Millisecond, time.Second, 2500 * time.Millisecond, 5 * time.Second}
 
-// Limiter decides for the tenants that one shard owns. It has no clock, and is not
-// safe for concurrent use.
+// Limiter decides on the requests of the tenants that one shard owns. The caller
+// passes in the time. It is not safe for concurrent use.
 type Limiter struct {
 	tolerance Tolerance
-	// first: there was no owner before this one, which has decided since a time.
+	// firstOwner: the shard had no owner before this one. ownerSince is when this one
+	// took over.
 	firstOwner bool
 	ownerSince time.Time
 	tenants    map[string]*bucket
 	forecast   forecast
 }
 
-// NewLimiter returns the limiter of an owner that decides from now on. first tells
-// that there was no owner before: then buckets are full from the start.
+// NewLimiter returns the limiter of an owner that takes over now. With firstOwner,
+// there was no owner before and buckets start full.
 func NewLimiter(tolerance Tolerance, firstOwner bool, now time.Time) *Limiter {
 	return &Limiter{tolerance: tolerance, firstOwner: firstOwner, ownerSince: now, tenants: map[string]*bucket{}}
 }
 
-// bucket is what is left to one tenant.
+// bucket is the token bucket of one tenant, with its running programs.
 type bucket struct {
 	tokenbucket.Bucket
 	limit   Limit
 	version int64
-	// programs are those under way, and byRoute counts them by route.
+	// programs are the running ones; byRoute counts them by route.
 	programs  map[string]*program
 	byRoute   map[string]int
 	scannedAt time.Time
 }
 
-// program is one that made requests lately.
+// program is a program that made requests recently.
 type program struct {
 	route    string
 	requests int
@@ -56,7 +58,7 @@
 	lastAt   time.Time
 }
 
-// Decide admits a request or tells when one like it is admitted.
+// Decide admits a request, or returns when a similar one would be admitted.
 func (l *Limiter) Decide(ask Request, now time.Time) Verdict {
 	b := l.bucketOf(ask, now)
 	b.Refill(now)
@@ -89,7 +91,7 @@
 	return verdict
 }
 
-// bucketOf returns a tenant's bucket, with the newest limit that was told.
+// bucketOf returns a tenant's bucket, updated to the newest limit received.
 func (l *Limiter) bucketOf(ask Request, now time.Time) *bucket {
 	b := l.tenants[ask.Tenant]
 	if b == nil {
@@ -110,7 +112,7 @@
 	return b
 }
 
-// set puts a limit in force, and returns what it makes of the bucket.
+// setLimit puts a limit in force and returns the resulting bounds.
 func (b *bucket) setLimit(ask Request, tolerance Tolerance) bounds {
 	b.limit, b.version = ask.Limit, ask.Version
 	made := tolerance.boundsOf(ask.Limit)
@@ -119,7 +121,7 @@
 	return made
 }
 
-// giveBack takes back what a request was admitted on that did not run.
+// refund returns the token of an admitted request that did not run.
 func (b *bucket) refund(known *program) {
 	b.Tokens = min(b.Tokens+1, b.Capacity)
 	if known != nil && known.requests > 0 {
@@ -127,23 +129,24 @@
 	}
 }
 
-// timeUntil is when the bucket holds so much.
+// timeUntil returns the time until the bucket holds a number of tokens, at most
+// maxRetryAfter.
 func (b *bucket) timeUntil(tokens float64) time.Duration {
 	return min(b.TimeToFill(max(tokens-b.Tokens, 0)), maxRetryAfter)
 }
 
-// knowsPrograms tells whether every program under way was seen here: for some seconds
-// after a takeover those that are not known may have begun at the owner before.
+// knowsAllPrograms reports whether every running program has been seen here. For
+// idleAfter after a takeover, an unknown program may have started at the former owner.
 func (l *Limiter) knowsAllPrograms(now time.Time) bool {
 	return l.firstOwner || now.Sub(l.ownerSince) >= idleAfter
 }
 
-// roomFor returns after which time a program of a route finds room beside those
-// under way; 0 if it does now. A program that is stopped half-way has cost all that
-// it used, and the limit ends none if no more are begun than it carries.
+// timeUntilRoom returns when a new program of a route fits in beside the running ones,
+// 0 if it does now. Cutting a program short wastes all that it has used, so programs
+// are refused at their start rather than half-way.
 func (l *Limiter) timeUntilRoom(b *bucket, route string) time.Duration {
 	if len(b.programs) == 0 {
-		return 0 // or else a program that needs more than there ever is would never begin
+		return 0 // otherwise a program that needs more than a full bucket would never start
 	}
 	var longest time.Duration
 	for _, horizon := range horizons {
@@ -158,7 +161,7 @@
 	return min(longest, maxRetryAfter)
 }
 
-// note takes a request that was admitted.
+// record counts an admitted request for its program.
 func (b *bucket) record(ask Request, known *program, now time.Time) {
 	if ask.Program == "" {
 		return
@@ -175,7 +178,8 @@
 	known.lastAt = now
 }
 
-// endIdle learns from the programs that have ended, and forgets them.
+// endIdlePrograms removes the programs that have ended and updates the forecast from
+// them.
 func (l *Limiter) endIdlePrograms(b *bucket, now time.Time) {
 	for id, p := range b.programs {
 		if now.Sub(p.lastAt) >= idleAfter {
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// testTerms are those of the operators whose sheet sets any.
+// testTolerance is the tolerance of the operators' example settings.
 var testTolerance = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
 func newRequest(limit Limit, program string, begins bool) Request {
 	return Request{Tenant: "t", Limit: limit, Version: 1, Program: program, Route: "r", MayStartProgram: begins}
 }
 
-// mostInAnyWindow returns the most moments that lie within one window.
+// maxInAnyWindow returns the largest number of moments within one window.
 func maxInAnyWindow(moments []time.Duration, window time.Duration) int {
 	most, first := 0, 0
 	for i, moment := range moments {
@@ -28,10 +28,9 @@
 	return most
 }
 
-// TestNoWindowPassesTheLimit: whatever a tenant asks for, and however often its owner
-// is lost, no window holds more than the terms allow, for as many takeovers a window
-// as are borne.
-func TestNoWindowPassesTheLimit(t *testing.T) {
+// TestNoWindowExceedsTheLimit checks random demand with up to maxTakeovers takeovers
+// per window: no window may contain more than maxPerWindow requests.
+func TestNoWindowExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{
 			PerSecond: rapid.Float64Range(0.2, 300).Draw(t, "rate"),
@@ -59,8 +58,9 @@
 	})
 }
 
-// TestBoundsAddUpToTheTerms: what is set aside is what the terms allow, not more.
-func TestBoundsAddUpToTheTerms(t *testing.T) {
+// TestBoundsAddUpToTheTolerance guards against shares that exceed the tolerance
+// together.
+func TestBoundsAddUpToTheTolerance(t *testing.T) {
 	for _, limit := range []Limit{{1, 1}, {60, 60}, {326, 326}, {5, 0}} {
 		b := testTolerance.boundsOf(limit)
 		spare := testTolerance.maxPerWindow(limit) - limit.PerSecond*testTolerance.Window.Seconds() - limit.Burst
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestUsualLoadIsNeverRefused: a tenant that asks for five eighths of its limit, in
-// programs, as users' tenants do, is refused nothing, a small one included.
+// TestUsualLoadIsNeverRefused guards against refusing a tenant, also a small one,
+// whose programs use five eighths of its limit.
 func TestUsualLoadIsNeverRefused(t *testing.T) {
 	for _, rate := range []float64{5, 20, 60} {
 		got := simulatePrograms(Limit{rate, rate}, 0.625*rate, 60*time.Second, 1)
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestOverloadedTenantFinishesWhatItBegins: a tenant that asks for five times its
-// limit finishes as many programs as the limit carries. Where requests are admitted
-// as they come, nearly every program is cut at some request.
+// TestOverloadedTenantFinishesWhatItBegins guards against cutting running programs
+// short: a tenant that demands five times its limit still finishes as many programs as
+// the limit allows.
 func TestOverloadedTenantFinishesWhatItBegins(t *testing.T) {
 	const rate = 60
 	got := simulatePrograms(Limit{rate, rate}, 5*rate, 30*time.Second, 1)
@@ -95,18 +95,18 @@
 	}
 }
 
-// playedRequests is what each program of playPrograms needs.
+// requestsPerProgram is the number of requests of each program of simulatePrograms.
 const requestsPerProgram = 8
 
-// played is what became of programs.
+// simulationResult counts programs by their end.
 type simulationResult struct{ begun, refusedFirst, cut, finished int }
 
-// playedPatience is how long a request of a program under way waits for room.
+// maxRetryWait is how long a request of a running program is retried.
 const maxRetryWait = time.Second
 
-// playPrograms lets programs of playedRequests requests, 0.25 s apart, begin evenly
-// so that they ask for so many requests a second. A request of a program under way
-// that is refused is made again when the verdict says, as relays do.
+// simulatePrograms starts programs of requestsPerProgram requests, 0.25 s apart,
+// evenly so that they demand perSecond requests a second. A refused request of a
+// running program is retried when the verdict says, as relays do.
 func simulatePrograms(limit Limit, perSecond float64, length time.Duration, seed int) simulationResult {
 	type step struct {
 		program string
@@ -144,8 +144,9 @@
 	return result
 }
 
-// TestNewestLimitCounts: askers may be behind with the configuration.
-func TestNewestLimitCounts(t *testing.T) {
+// TestNewestLimitApplies guards against a daemon with an older configuration restoring
+// a former limit.
+func TestNewestLimitApplies(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
 	limiter := NewLimiter(testTolerance, true, now)
 	limiter.Decide(Request{Tenant: "t", Limit: Limit{10, 10}, Version: 4}, now)
@@ -156,7 +157,7 @@
 	}
 }
 
-func TestVerdictTellsWhenThereIsRoom(t *testing.T) {
+func TestVerdictSaysWhenToRetry(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
 	limiter := NewLimiter(testTolerance, true, now)
 	limit := Limit{20, 20}
@@ -169,8 +170,7 @@
 	}
 }
 
-// BenchmarkDecide: 0.1 microseconds and no allocation for a request of a known
-// program among 200 under way.
+// BenchmarkDecide decides on requests of known programs with 200 programs running.
 func BenchmarkDecide(b *testing.B) {
 	now := time.Time{}.Add(time.Hour)
 	limiter := NewLimiter(testTolerance, true, now)
--- a/internal/quota/tolerance.go
+++ b/internal/quota/tolerance.go
@@ -1,65 +1,66 @@
-// Package quota keeps the requests of a tenant within its limit, over all daemons
-// of a fleet together, and spends what the limit allows on whole programs.
+// Package quota enforces tenants' request limits over all daemons of a fleet, and
+// favours requests of running programs over new programs.
 //
-// Each tenant has an owner: the holder of a shard of the ledger, which the store
-// fences. Every request of a limited tenant asks the owner (Gate), which decides by
-// a bucket of tokens (Limiter). The owner forgets the bucket with its process. That
-// is safe, whatever was spent before: a bucket lets at most its rate times the time
-// plus what it began with pass, so two owners that follow each other never let more
-// pass than one, but for what the second begins with, and that is set aside.
+// Each tenant has an owner: the holder of a shard of the ledger, with fencing by the
+// store. Every request of a limited tenant asks the owner (Gate), which decides with a
+// token bucket (Limiter). The bucket is kept in memory only. That is safe: a bucket
+// admits at most its rate times the elapsed time plus its initial tokens, so a new
+// owner can exceed the limit only by its initial tokens, for which boundsOf sets aside
+// a share of the tolerance.
 package quota
 
 import "time"
 
-// Terms are how the operators bound a tenant's requests: in every span of Window at
-// most (rate x Window + burst) x (1 + Overage) + Slack.
+// Tolerance bounds a tenant's requests: in every span of Window there are at most
+// (rate x Window + burst) x (1 + Overage) + Slack.
 type Tolerance struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
 }
 
-// DefaultTerms allow nothing beyond rate and burst.
+// DefaultTolerance allows nothing beyond rate and burst.
 func DefaultTolerance() Tolerance { return Tolerance{Window: 5 * time.Second} }
 
 const (
-	// takeoversBorne is how many owners may follow each other within a window: a
-	// shard moves at a planned stop, and once more if its successor is lost.
+	// maxTakeovers is how many owners may follow each other within a window: a shard
+	// moves at a planned shutdown, and once more if its successor is lost.
 	maxTakeovers = 2
-	// rateShare is the part of what the terms allow beyond rate and burst that goes
-	// into the rate. The rest lets a tenant of one request a second, whose programs
-	// make four at once, begin one: half in the rate left it two tokens, a quarter
-	// leaves it ten.
+	// rateShare is the part of the tolerance beyond rate and burst that is added to
+	// the rate. The rest is burst: a tenant of one request a second, whose programs
+	// make four at once, then has ten tokens to start one. With half of it in the
+	// rate, it would have two.
 	rateShare = 0.25
-	// startShare is the part of it that each new owner begins with. What is left is
-	// for daemons that hear of no owner.
+	// startShare is the part of the tolerance that each new owner's bucket starts
+	// with.
 	startShare = 0.1
-	// unaskedShare is that part.
+	// fallbackShare is the part reserved for daemons that reach no owner.
 	fallbackShare = 0.1
 )
 
-// Limit is what a tenant may make: PerSecond requests a second, Burst more at once.
+// Limit is a tenant's limit: PerSecond requests a second, and Burst more at once.
 type Limit struct {
 	PerSecond float64 `json:"r"`
 	Burst     float64 `json:"b"`
 }
 
-// bounds are what a limit makes of a bucket.
+// bounds are the parameters of a bucket for a limit.
 type bounds struct {
-	// rate is in tokens a second; capacity is the most that the bucket holds, and
-	// start what it holds at first where another may have been used up before.
+	// rate is in tokens per second, capacity the most tokens that the bucket holds,
+	// and initial what it holds at first when a former owner may have admitted
+	// requests.
 	rate     float64
 	capacity float64
 	initial  float64
 }
 
-// most is what a window may hold at most.
+// maxPerWindow is the most requests that a window may contain.
 func (t Tolerance) maxPerWindow(limit Limit) float64 {
 	return (limit.PerSecond*t.Window.Seconds()+limit.Burst)*(1+t.Overage) + t.Slack
 }
 
-// boundsOf divides what a window may hold: rate x Window + capacity +
-// takeoversBorne x start + the unasked part is exactly that.
+// boundsOf divides the requests that a window may contain: rate x Window + capacity +
+// maxTakeovers x initial + the fallback's share add up to maxPerWindow.
 func (t Tolerance) boundsOf(limit Limit) bounds {
 	usual := limit.PerSecond*t.Window.Seconds() + limit.Burst
 	spare := t.maxPerWindow(limit) - usual
--- a/internal/submit/keep_alive_test.go
+++ b/internal/submit/keep_alive_test.go
@@ -9,7 +9,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// attaches counts the questions whether the leader still has the call.
+// attachCount counts the queries whether the leader still has the call.
 func (w *harness) attachCount() int {
 	count := 0
 	for _, message := range w.sent {
@@ -20,9 +20,9 @@
 	return count
 }
 
-// TestLeaderIsAskedOnceSilentForKeepAlive streams for a while: text puts the
-// question off, and silence of KeepAlive from the last text brings it.
-func TestLeaderIsAskedOnceSilentForKeepAlive(t *testing.T) {
+// TestLeaderIsQueriedOnceSilentForKeepAlive guards against queries during a stream,
+// and against a late one after it.
+func TestLeaderIsQueriedOnceSilentForKeepAlive(t *testing.T) {
 	w, submitter := newHarness()
 	w.route = replication.Route{Leader: leader, Epoch: 1}
 	submission := submitter.Submit(structs.Call{RequestID: "r"}, &fakeCaller{})
--- a/internal/submit/submission.go
+++ b/internal/submit/submission.go
@@ -11,8 +11,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Submission is one call that a caller of this daemon waits for. Its state is
-// touched on its own queue only.
+// Submission is one call that a caller of this daemon waits for. Its state is accessed
+// on its own queue only.
 type Submission struct {
 	submitter *Submitter
 	id        dispatch.SubmissionID
@@ -24,35 +24,37 @@
 	// leader and epoch are where the call was last sent.
 	leader structs.DaemonID
 	epoch  structs.Epoch
-	// unanswered counts copies whose fate is not known; wasAccepted is set
-	// once any leader took the call.
+	// unresolvedCopies counts the copies sent whose fate is not known; wasAccepted is
+	// set once any leader accepted the call.
 	unresolvedCopies int
 	wasAccepted      bool
-	// silent counts questions in a row without an answer.
+	// unansweredQueries counts consecutive messages to the leader without an answer.
 	unansweredQueries int
-	// received is the number of answer bytes handed to the caller, text what
-	// of them came through this daemon.
+	// received is the number of answer bytes handed to the caller, receivedText the
+	// part of them that came through this daemon.
 	received     int64
 	receivedText strings.Builder
 	startedAt    time.Time
-	// lostAt is when the shard was first found without a leader, zero if it has one.
+	// leaderlessSince is when the shard was first found without a leader, zero if it
+	// has one.
 	leaderlessSince time.Time
 	timer           clock.Timer
-	// heardAt is the leader's last sign of life; listening is set while the
-	// timer waits for the next.
+	// lastHeardAt is when the leader was last heard from; keepAliveArmed is set while
+	// the timer waits for KeepAliveInterval since then.
 	lastHeardAt    time.Time
 	keepAliveArmed bool
 	done           bool
 }
 
-// silentLimit is how many unanswered questions make a leader look dead.
+// maxUnansweredQueries is how many consecutive messages may go unanswered before the
+// leader is treated as lost.
 const maxUnansweredQueries = 3
 
 // Cancel stops the call and ends the submission.
 func (s *Submission) Cancel() { s.detach(true) }
 
-// Detach ends the submission and lets the call go on for a while, for the
-// caller to come back at any daemon.
+// Detach ends the submission but lets the call run on for a while, so that the caller
+// may resume it at any daemon.
 func (s *Submission) Detach() { s.detach(false) }
 
 func (s *Submission) detach(cancel bool) {
@@ -85,6 +87,7 @@
 	}
 }
 
+// schedule replaces the submission's timer.
 func (s *Submission) schedule(d time.Duration, task func()) {
 	s.stopTimer()
 	s.keepAliveArmed = false
@@ -99,7 +102,7 @@
 	s.timer = timer
 }
 
-// route finds the shard's leader and sends the call there.
+// route sends the call to the shard's leader.
 func (s *Submission) route() {
 	if s.done {
 		return
@@ -128,7 +131,7 @@
 	s.schedule(s.submitter.settings.AnswerTimeout, s.answerTimedOut)
 }
 
-// delivered returns the answer's beginning if all of it came through here.
+// delivered returns the beginning of the answer if all of it came through this daemon.
 func (s *Submission) delivered() string {
 	if s.call.ResumeAt > 0 {
 		return ""
@@ -136,8 +139,8 @@
 	return s.receivedText.String()
 }
 
-// withoutLeader waits for the shard to get a leader, for as long as there is
-// hope. A call that was certainly never taken is refused as not run.
+// waitForLeader retries until the shard has a leader, within LeaderTimeout and the
+// deadline. A call that was certainly never accepted is then refused as not run.
 func (s *Submission) waitForLeader(route replication.Route) {
 	now := s.submitter.clock.Now()
 	if s.leaderlessSince.IsZero() {
@@ -157,16 +160,16 @@
 	s.finish(s.unreachableOutcome(neverAccepted, retryAfter))
 }
 
-// deadlinePassed tells whether the caller's time ran out while it waited here.
-// A caller that came after its deadline asks what became of the call, and that
-// is worth waiting for.
+// deadlinePassed reports whether the deadline passed while the call waited here. A
+// caller that came after its deadline asks for the call's outcome, and is let wait for
+// it.
 func (s *Submission) deadlinePassed(now time.Time) bool {
 	deadline := s.call.Deadline
 	return !deadline.IsZero() && now.After(deadline) && s.startedAt.Before(deadline)
 }
 
 func (s *Submission) unreachableOutcome(neverAccepted bool, retryAfter time.Duration) structs.Outcome {
-	const message = "The program's records cannot be reached by a majority of their holders."
+	const message = "The program's records cannot be reached: their shard has no leader with a majority of its replicas."
 	if neverAccepted {
 		return structs.Refused(structs.ReasonNoMajority, "", message, retryAfter)
 	}
@@ -178,7 +181,7 @@
 	}
 }
 
-// noAnswer acts on a leader that has not answered in time.
+// answerTimedOut retries after a leader did not answer in time.
 func (s *Submission) answerTimedOut() {
 	s.unansweredQueries++
 	route := s.submitter.router.Route(s.shard)
@@ -199,7 +202,7 @@
 	s.sendTo(route)
 }
 
-// ask makes sure that the leader still has an accepted call.
+// queryLeader checks that the leader still has an accepted call.
 func (s *Submission) queryLeader() {
 	s.submitter.transport.Send(s.leader, &dispatch.Attach{
 		Submission: s.id,
@@ -212,7 +215,7 @@
 	s.schedule(s.submitter.settings.AnswerTimeout, s.answerTimedOut)
 }
 
-// heard notes a sign of life from the leader and waits for the next.
+// leaderHeard records a message from the leader and arms the keep-alive timer.
 func (s *Submission) leaderHeard(from structs.DaemonID) {
 	s.leaderlessSince = time.Time{}
 	if from != s.leader {
@@ -225,14 +228,14 @@
 	}
 }
 
-// listen waits for a sign of life. One timer serves for many of them: it looks
-// at the last when it fires.
+// armKeepAlive starts the keep-alive timer. One timer serves many messages: when it
+// fires it checks the time of the last one.
 func (s *Submission) armKeepAlive(pause time.Duration) {
 	s.schedule(pause, s.keepAliveDue)
 	s.keepAliveArmed = true
 }
 
-// leaderSilent asks a leader of which nothing was heard for a while.
+// keepAliveDue queries a leader that was silent for KeepAliveInterval.
 func (s *Submission) keepAliveDue() {
 	keepAlive := s.submitter.settings.KeepAliveInterval
 	idle := s.submitter.clock.Now().Sub(s.lastHeardAt)
@@ -255,7 +258,7 @@
 	}
 }
 
-// redirected follows the leadership. A copy that was redirected was not taken.
+// redirected follows a change of leader. A copy that was redirected was not accepted.
 func (s *Submission) redirected(from structs.DaemonID, route replication.Route) {
 	if s.unresolvedCopies > 0 {
 		s.unresolvedCopies--
@@ -272,8 +275,8 @@
 	s.sendTo(next)
 }
 
-// answer hands on what the caller does not have yet. After a gap the leader is
-// asked for the missing part.
+// answer passes on the parts of the answer that the caller does not have yet. After a
+// gap it asks the leader for the missing part.
 func (s *Submission) answer(from structs.DaemonID, chunks []structs.Chunk) {
 	s.wasAccepted = true
 	fresh := make([]structs.Chunk, 0, len(chunks))
@@ -302,12 +305,12 @@
 	}
 }
 
-// settled hands on the outcome. A completed answer must be whole: if a part
-// was lost on the way it is asked for first.
+// settled passes on the outcome. A part of a completed answer that was lost on the way
+// is delivered first, from the outcome.
 func (s *Submission) settled(from structs.DaemonID, message *dispatch.Settled) {
 	outcome := message.Outcome
 	if outcome.Status == structs.OutcomeNotRun && from != s.leader {
-		// A former leader refuses an old copy; the present one decides.
+		// A former leader refused an old copy; the current one decides.
 		s.unresolvedCopies = max(s.unresolvedCopies-1, 0)
 		return
 	}
--- a/internal/submit/submission_test.go
+++ b/internal/submit/submission_test.go
@@ -13,7 +13,8 @@
 
 const leader structs.DaemonID = "10.0.0.1:7000#1"
 
-// world is a daemon's surroundings: one shard, a route to it and what was sent.
+// harness fakes the clock, router and transport of a submitter with one shard, and
+// records what was sent.
 type harness struct {
 	clock *clock.Virtual
 	route replication.Route
@@ -30,7 +31,7 @@
 
 func (w *harness) Alive(daemon structs.DaemonID) bool { return daemon == w.route.Leader }
 
-// caller keeps the outcome it is told.
+// fakeCaller records the outcome.
 type fakeCaller struct{ outcome *structs.Outcome }
 
 func (c *fakeCaller) Chunks([]structs.Chunk) {}
@@ -58,12 +59,12 @@
 			t.Fatalf("retry %v: outcome %+v", retry, waiting.outcome)
 		}
 		if waiting.outcome.RetryAfter != DefaultSettings().LeaderRetryAfter {
-			t.Errorf("retry %v: come back after %s", retry, waiting.outcome.RetryAfter)
+			t.Errorf("retry %v: retry after %s", retry, waiting.outcome.RetryAfter)
 		}
 	}
 }
 
-func TestQuestionAfterTheDeadlineWaitsForTheLeader(t *testing.T) {
+func TestQueryAfterTheDeadlineWaitsForTheLeader(t *testing.T) {
 	w, submitter := newHarness()
 	var asking fakeCaller
 	submitter.Submit(structs.Call{Retry: true, Deadline: w.clock.Now().Add(-time.Second)}, &asking)
--- a/internal/submit/submitter.go
+++ b/internal/submit/submitter.go
@@ -1,6 +1,6 @@
-// Package submit brings calls from the daemon that a caller reached to the
-// daemon that leads the call's shard, follows the shard when its leadership
-// moves, and hands the caller each part of the answer exactly once.
+// Package submit sends calls from the daemon that a caller reached to the daemon that
+// leads the call's shard, follows changes of leader, and delivers each part of the
+// answer to the caller exactly once.
 package submit
 
 import (
@@ -14,40 +14,40 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Caller receives the answer to one submission. Its methods are called one at
-// a time and must not block.
+// Caller receives the answer to one submission. Its methods are called one at a time
+// and must not block.
 type Caller interface {
 	// Chunks delivers the next pieces of the answer, in order.
 	Chunks(chunks []structs.Chunk)
-	// Outcome delivers the end. It is called once.
+	// Outcome delivers the outcome. It is called once, at the end.
 	Outcome(outcome structs.Outcome)
 }
 
-// Router tells where shards are led, and learns from redirections.
+// Router returns the leaders of shards, and is updated from redirections.
 type Router interface {
 	Shard(key structs.ProgramKey) structs.ShardNumber
 	Route(shard structs.ShardNumber) replication.Route
 	Learn(shard structs.ShardNumber, route replication.Route)
-	// Alive tells whether a daemon is believed to be up.
+	// Alive reports whether a daemon is believed to be up.
 	Alive(daemon structs.DaemonID) bool
 }
 
-// Settings bound waiting. All durations are positive.
+// Settings are the submitter's timeouts and retry intervals. All are positive.
 type Settings struct {
-	// AnswerWait is how long a leader may take to say Accepted.
+	// AnswerTimeout is how long a leader may take to accept a call or answer a query.
 	AnswerTimeout time.Duration
-	// KeepAlive is the pause between questions about an accepted call from
-	// which nothing was heard.
+	// KeepAliveInterval is how long the leader of an accepted call may be silent
+	// before it is queried.
 	KeepAliveInterval time.Duration
-	// RoutePause is the pause before asking again where a shard is led.
+	// RouteRetryInterval is the pause between lookups of a shard's leader.
 	RouteRetryInterval time.Duration
-	// Patience is how long a shard without a leader is waited for.
+	// LeaderTimeout is how long a call waits for a shard without a leader.
 	LeaderTimeout time.Duration
-	// NoMajorityRetry is when a caller may come back to a shard that has lost
+	// NoMajorityRetryAfter is the retry delay given to callers whose shard has lost
 	// its majority.
 	NoMajorityRetryAfter time.Duration
-	// LeaderRetry is when a caller may come back whose time ran out while the
-	// shard had no leader, though it may get one at any moment.
+	// LeaderRetryAfter is the retry delay given to callers whose deadline passed while
+	// the shard had no leader but may soon have one.
 	LeaderRetryAfter time.Duration
 }
 
@@ -63,16 +63,16 @@
 	}
 }
 
-// Guards lets a simulation switch off a protection, to show that its checker
-// notices. The zero value has every guard on.
+// Guards lets a simulation disable a safeguard, to show that its checker detects the
+// consequences. The zero value has every guard on.
 type Guards struct {
-	// SkipResume hands on what a leader sends, whatever the caller has already.
+	// SkipResume passes on what a leader sends, even if the caller has it already.
 	SkipResume bool
 }
 
 // Submitter holds the submissions of one daemon.
 type Submitter struct {
-	// Guards are all on in production; set before the first Submit.
+	// Guards are all on in production; set them before the first Submit.
 	Guards Guards
 
 	clock     clock.Clock
@@ -96,7 +96,7 @@
 	}
 }
 
-// Submit sends a call on its way. The caller hears of it from now on.
+// Submit starts a submission; its answer is delivered to caller.
 func (s *Submitter) Submit(call structs.Call, caller Caller) *Submission {
 	s.mutex.Lock()
 	s.next++
@@ -134,7 +134,7 @@
 	delete(s.pending, id)
 }
 
-// Receive handles answers of leaders. It returns false for other messages.
+// Receive handles messages from leaders. It returns false for other messages.
 func (s *Submitter) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch m := message.(type) {
 	case *dispatch.Accepted:
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,9 +1,8 @@
-// Package tenant tells whose a request is. Operators give tenants keys; whoever
-// bears a key acts for its tenant, and programs, turns and sessions of one tenant
-// are out of reach of all others.
+// Package tenant identifies the tenant of a request by its key. Programs, turns and
+// sessions of one tenant are not accessible to others.
 //
-// Keys are held as digests alone: no key can be read from a daemon's memory, and
-// looking one up takes a time that tells nothing of those that there are.
+// Keys are stored as digests only: no key can be read from a daemon's memory, and the
+// timing of a lookup reveals nothing about the stored keys.
 package tenant
 
 import (
@@ -18,33 +17,34 @@
 	// ErrMissingName: a tenant has no name.
 	ErrMissingName = eris.New("tenant: name: is missing")
 	// ErrDuplicateName: two tenants have the same name.
-	ErrDuplicateName = eris.New("tenant: name: is that of another tenant, too")
+	ErrDuplicateName = eris.New("tenant: name: is used by another tenant")
 	// ErrDuplicateKey: two tenants have the same key.
-	ErrDuplicateKey = eris.New("tenant: keys: one is that of another tenant, too")
-	// ErrEmptyKey: a key has no characters.
-	ErrEmptyKey = eris.New("tenant: keys: one is empty")
+	ErrDuplicateKey = eris.New("tenant: keys: a key is used by another tenant")
+	// ErrEmptyKey: a key is the empty string.
+	ErrEmptyKey = eris.New("tenant: keys: a key is empty")
 )
 
-// Tenant is one of those that share a fleet.
+// Tenant is a client organisation that shares the fleet with others.
 type Tenant struct {
 	Name string
-	// Priority ranks the tenant's requests, 0 first, in place of their routes';
-	// nil if it has none of its own.
+	// Priority ranks the tenant's requests, 0 first, in place of their routes'
+	// priority; nil if the tenant has none of its own.
 	Priority *int
-	// PerSecond bounds the requests that the tenant may make a second, over all
-	// daemons, and Burst how many more at a time; a PerSecond of 0 sets no bound.
+	// PerSecond is the tenant's limit on requests per second over all daemons, and
+	// Burst the number of requests allowed beyond it at once. A PerSecond of 0 means
+	// no limit.
 	PerSecond float64
 	Burst     float64
-	// AllowedRegions are those in which its requests may be served and their text
-	// kept, nil for all.
+	// AllowedRegions are the regions in which the tenant's requests may be served and
+	// their text stored, nil for all.
 	AllowedRegions []string
 }
 
-// IsLimited tells whether the tenant's requests are bounded.
+// IsLimited reports whether the tenant has a request limit.
 func (t *Tenant) IsLimited() bool { return t != nil && t.PerSecond > 0 }
 
-// Regions returns the regions allowed for the tenant's requests, nil for all, as for
-// requests of no tenant.
+// Regions returns the regions allowed for the tenant's requests, nil for all. A nil
+// tenant allows all.
 func (t *Tenant) Regions() []string {
 	if t == nil {
 		return nil
@@ -52,10 +52,10 @@
 	return t.AllowedRegions
 }
 
-// digest is a key's SHA-256.
+// digest is the SHA-256 digest of a key.
 type digest [sha256.Size]byte
 
-// Directory finds tenants by their keys. It does not change once it is in use.
+// Directory finds tenants by their keys. It must not be changed once it is in use.
 type Directory struct {
 	byKey map[digest]*Tenant
 	names map[string]struct{}
@@ -66,8 +66,8 @@
 	return &Directory{byKey: map[digest]*Tenant{}, names: map[string]struct{}{}}
 }
 
-// Add takes a tenant with its keys. The error is ErrMissingName, ErrDuplicateName,
-// ErrEmptyKey or ErrDuplicateKey; it names no key.
+// Add adds a tenant with its keys. The error wraps ErrMissingName, ErrDuplicateName,
+// ErrEmptyKey or ErrDuplicateKey; it contains no key.
 func (d *Directory) Add(t *Tenant, keys []string) error {
 	if t.Name == "" {
 		return ErrMissingName
@@ -101,7 +101,7 @@
 	return false
 }
 
-// Find returns the tenant that a key belongs to, nil if it belongs to none.
+// Find returns the tenant that a key belongs to, or nil.
 func (d *Directory) Find(key string) *Tenant {
 	if d == nil || key == "" {
 		return nil
@@ -109,15 +109,13 @@
 	return d.byKey[sha256.Sum256([]byte(key))]
 }
 
-// scopeSeparator stands between a tenant's name and what is its own; escapes keep
-// it out of both.
+// scopeSeparator separates a tenant's name from an identifier; it is escaped in both.
 const scopeSeparator = "|"
 
 var scopeEscapes = strings.NewReplacer("%", "%25", scopeSeparator, "%7C")
 
-// Scoped names something of a tenant's, so that no other tenant's has the same
-// name. What belongs to no tenant ("") keeps its name, but for the characters that
-// are escaped.
+// Scoped returns an identifier that is unique across tenants. For no tenant ("") it is
+// the identifier itself, escaped.
 func Scoped(name, id string) string {
 	if id == "" {
 		return ""
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestKeysNameTheirTenant(t *testing.T) {
+func TestKeysIdentifyTheirTenant(t *testing.T) {
 	d := NewDirectory()
 	if err := d.Add(&Tenant{Name: "a"}, []string{"k1", "k2"}); err != nil {
 		t.Fatal(err)
@@ -26,11 +26,11 @@
 		}
 	}
 	if got := (*Directory)(nil).Find("k1"); got != nil {
-		t.Error("a fleet without tenants has one")
+		t.Error("a nil directory found a tenant")
 	}
 }
 
-func TestDirectoryRefusesWhatIsAmbiguous(t *testing.T) {
+func TestDirectoryRefusesAmbiguousEntries(t *testing.T) {
 	for name, test := range map[string]struct {
 		tenant Tenant
 		keys   []string
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestScopesAreDisjoint: whatever tenants and callers choose as names, what belongs
-// to one is never named as what belongs to another.
+// TestScopesAreDisjoint guards against names of tenants and callers that are chosen so
+// that scoped identifiers of two tenants collide.
 func TestScopesAreDisjoint(t *testing.T) {
 	part := rapid.StringOf(rapid.SampledFrom([]rune("ab|%7C2")))
 	rapid.Check(t, func(t *rapid.T) {
@@ -60,10 +60,10 @@
 		id, otherID := part.Draw(t, "id"), part.Draw(t, "otherID")
 		same := name == other && id == otherID || id == "" && otherID == ""
 		if got := Scoped(name, id) == Scoped(other, otherID); got != same {
-			t.Errorf("%q of %q and %q of %q: named alike %v, want %v", id, name, otherID, other, got, same)
+			t.Errorf("%q of %q and %q of %q: equal scoped identifiers: %v, want %v", id, name, otherID, other, got, same)
 		}
 	})
 	if got := Scoped("", "3fa81c"); got != "3fa81c" {
-		t.Errorf("without a tenant 3fa81c is named %q", got)
+		t.Errorf("without a tenant 3fa81c is scoped to %q", got)
 	}
 }
