--- a/internal/backends/borrow.go
+++ b/internal/backends/borrow.go
@@ -9,22 +9,22 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// findModels looks for engines of other cells when calls wait for a model that
-// no engine of the own cell serves. A daemon of each other cell is asked, some
-// at a time; the engines that they tell of are borrowed for a while.
-func (d *Directory) findModels() {
+// findMissingModels periodically asks other cells for engines when calls wait for a
+// model that no engine of the own cell serves. It asks one daemon each of some cells
+// at a time; the engines that they report are borrowed for BorrowDuration.
+func (d *Directory) findMissingModels() {
 	if d.isStopped() {
 		return
 	}
 	if missing := d.missingModels(); len(missing) > 0 {
-		for _, daemon := range d.nextAsked() {
+		for _, daemon := range d.nextContacts() {
 			d.Transport.Send(daemon, &FindEngines{Models: missing})
 		}
 	}
-	d.Clock.AfterFunc(d.Settings.FindInterval, d.findModels)
+	d.Clock.AfterFunc(d.Settings.FindInterval, d.findMissingModels)
 }
 
-// missingModels lists models and adapters that calls wait for and no engine in
+// missingModels returns models and adapters that calls wait for and that no engine in
 // use serves.
 func (d *Directory) missingModels() []structs.ModelAdapter {
 	d.mutex.Lock()
@@ -42,15 +42,15 @@
 	return missing
 }
 
-// serving lists, in order, the reports of engines in use that take new work
-// for a model and its adapter.
+// serving returns, in order, the reports of engines in use that accept new work for a
+// model and its adapter.
 func (d *Directory) serving(wanted structs.ModelAdapter) []structs.LoadReport {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.Clock.Now()
 	var reports []structs.LoadReport
 	for _, b := range d.listedEngines() {
-		usable := d.uses(b) && d.takesWork(b, now) && !b.suspected(d.Settings, now)
+		usable := d.uses(b) && d.acceptsWork(b, now) && !b.suspected(d.Settings, now)
 		if usable && b.report.Serves(wanted) {
 			reports = append(reports, b.report)
 		}
@@ -58,28 +58,28 @@
 	return reports
 }
 
-// nextAsked returns the daemons to ask now, each of another cell, in turn.
-func (d *Directory) nextAsked() []structs.DaemonID {
+// nextContacts returns the contacts in other cells to ask now, in rotation.
+func (d *Directory) nextContacts() []structs.DaemonID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	all := d.cells.contacts
 	var asked []structs.DaemonID
 	for range min(d.Settings.FindFanout, len(all)) {
-		asked = append(asked, all[d.asked%len(all)])
-		d.asked++
+		asked = append(asked, all[d.nextContact%len(all)])
+		d.nextContact++
 	}
 	return asked
 }
 
-// answerFind tells of engines of the own cell; borrowed ones are left to those
-// who watch them.
-func (d *Directory) answerFind(from structs.DaemonID, find *FindEngines) {
+// handleFind answers with engines of the own cell only; borrowed ones are reported by
+// their own cell.
+func (d *Directory) handleFind(from structs.DaemonID, find *FindEngines) {
 	var digests []LoadSummary
 	for _, wanted := range find.Models {
 		for _, report := range d.serving(wanted) {
 			known := slices.ContainsFunc(digests, func(g LoadSummary) bool { return g.Engine == report.Engine })
 			if !known && d.inCell(report.Engine) && len(digests) < d.Settings.FindEngines*len(find.Models) {
-				digests = append(digests, digestOf(report))
+				digests = append(digests, summaryOf(report))
 			}
 		}
 	}
@@ -95,7 +95,7 @@
 	return found
 }
 
-// borrow takes engines of another cell into use.
+// borrow starts to use engines of other cells.
 func (d *Directory) borrow(found *EnginesFound) {
 	for _, digest := range found.Summaries {
 		d.mutex.Lock()
@@ -103,18 +103,17 @@
 			b.borrowedUntil = d.Clock.Now().Add(d.Settings.BorrowDuration)
 		}
 		d.mutex.Unlock()
-		d.heardDigest(digest)
+		d.receiveSummary(digest)
 	}
 }
 
-// borrowed tells whether an engine of another cell is in use.
+// borrowed reports whether it is an engine of another cell that is in use.
 func (b *backEnd) borrowed(now time.Time) bool { return now.Before(b.borrowedUntil) }
 
-// contactsOf picks one daemon of each cell but the own, those of the own
-// region first.
+// contactsOf selects one daemon of each other cell, those of the own region first.
 func (d *Directory) contactsOf(byCell map[cellKey][]structs.DaemonID, own cellKey) []structs.DaemonID {
 	keys := slices.SortedFunc(maps.Keys(byCell), func(a, b cellKey) int {
-		if near := compareNear(a.region == own.region, b.region == own.region); near != 0 {
+		if near := trueFirst(a.region == own.region, b.region == own.region); near != 0 {
 			return near
 		}
 		return cmp.Or(cmp.Compare(a.region, b.region), cmp.Compare(a.number, b.number))
@@ -122,13 +121,13 @@
 	var contacts []structs.DaemonID
 	for _, key := range keys {
 		if key != own {
-			contacts = append(contacts, watcher(structs.EngineID(d.Self.ID), byCell[key]))
+			contacts = append(contacts, watcherOf(structs.EngineID(d.Self.ID), byCell[key]))
 		}
 	}
 	return contacts
 }
 
-func compareNear(a, b bool) int {
+func trueFirst(a, b bool) int {
 	switch {
 	case a && !b:
 		return -1
--- a/internal/backends/holds.go
+++ b/internal/backends/holds.go
@@ -8,9 +8,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// holdSweep remembers in how many sweeps in a row each hold was seen. One that
-// is seen once may just have been taken; one that stays is reported to its
-// program's leader now and then.
+// holdSweep counts in how many consecutive sweeps each hold was seen. A hold seen once
+// may be new; one that persists is reported to its program's leader periodically.
 type holdSweep struct {
 	seen map[structs.EngineID]map[structs.HoldID]int
 }
@@ -22,17 +21,17 @@
 	return holdSweep{seen: map[structs.EngineID]map[structs.HoldID]int{}}
 }
 
-// sweepHolds reads what engines pin. Each engine is read by one daemon of the
-// whole fleet; which one follows from the members alone.
+// sweepHolds periodically lists the holds on engines. Each engine is swept by one
+// daemon of the whole fleet, determined by the members alone.
 func (d *Directory) sweepHolds() {
 	if d.isStopped() {
 		return
 	}
 	if !d.Guards.SkipHoldSweep {
-		for _, id := range d.sweptEngines() {
+		for _, id := range d.enginesToSweep() {
 			d.Drivers.Engines.Holds(id, func(holds []structs.Hold, err error) {
 				if err == nil {
-					d.sweptHolds(id, holds)
+					d.holdsRead(id, holds)
 				}
 			})
 		}
@@ -46,7 +45,7 @@
 	d.Clock.AfterFunc(interval, d.sweepHolds)
 }
 
-func (d *Directory) sweptEngines() []structs.EngineID {
+func (d *Directory) enginesToSweep() []structs.EngineID {
 	var alive []structs.DaemonID
 	for _, member := range d.Members.Members() {
 		if member.State == membership.StateAlive {
@@ -57,7 +56,7 @@
 	defer d.mutex.Unlock()
 	var ids []structs.EngineID
 	for _, b := range d.listedEngines() {
-		if watcher(b.id, alive) == d.Self.ID {
+		if watcherOf(b.id, alive) == d.Self.ID {
 			ids = append(ids, b.id)
 		}
 	}
@@ -69,9 +68,9 @@
 	return ids
 }
 
-// sweptHolds reports holds that have stayed to the leaders of their programs,
-// who know whether they are still wanted.
-func (d *Directory) sweptHolds(engine structs.EngineID, holds []structs.Hold) {
+// holdsRead reports persistent holds to the leaders of their programs, which know
+// whether they are still needed.
+func (d *Directory) holdsRead(engine structs.EngineID, holds []structs.Hold) {
 	d.mutex.Lock()
 	former := d.sweep.seen[engine]
 	current := map[structs.HoldID]int{}
--- a/internal/backends/list_test.go
+++ b/internal/backends/list_test.go
@@ -18,7 +18,7 @@
 
 func TestListIsPassedOnOnlyWhenItChanges(t *testing.T) {
 	engine, peer := engineRow(engineA), daemonRow(peerAddress)
-	b := newBench(Guards{}, peer, engine)
+	b := newTestDirectory(Guards{}, peer, engine)
 	b.run(time.Minute)
 	b.machines = []structs.Machine{engine}
 	b.run(time.Minute)
@@ -30,9 +30,9 @@
 	}
 }
 
-func TestRemovalIsToldByTheReadingThatShowsIt(t *testing.T) {
+func TestRemovalIsReportedByTheFirstReadWithoutTheMachine(t *testing.T) {
 	engine := engineRow(engineA)
-	b := newBench(Guards{}, daemonRow(peerAddress), engine)
+	b := newTestDirectory(Guards{}, daemonRow(peerAddress), engine)
 	b.run(time.Minute)
 	b.machines = []structs.Machine{engine}
 	b.run(b.Settings.ListInterval)
@@ -44,15 +44,15 @@
 	}
 }
 
-func TestLeavingStandsThroughReadingsWithoutChange(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+func TestLeavingPersistsWhileTheListIsUnchanged(t *testing.T) {
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines[0].State = structs.MachineLeaving
 	b.run(10 * b.Settings.ListHoldDown)
 	b.wantLeaving(t, true, "listed as leaving in every reading")
 }
 
-func TestUnlistedEngineIsForgottenThoughTheListStandsStill(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+func TestUnlistedEngineIsRemovedWhileTheListIsUnchanged(t *testing.T) {
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines = b.machines[1:]
 	b.run(2 * b.Settings.ListInterval)
 	if !b.IsDelisted(engineA) {
@@ -64,14 +64,14 @@
 	}
 }
 
-func TestListThatGoesBackGivesNoWorkToWhoWasLeaving(t *testing.T) {
+func TestOlderListGivesNoWorkToUnlistedEngine(t *testing.T) {
 	engine, other := engineRow(engineA), engineRow(engineB)
-	b := newBench(Guards{}, engine, other)
+	b := newTestDirectory(Guards{}, engine, other)
 	b.machines = []structs.Machine{other}
 	b.run(2 * b.Settings.ListInterval)
-	// Another instance of the service takes over. It knows no version of the
-	// former one and lags behind it.
-	b.reading = func(since framework.ListVersion) framework.ListResponse {
+	// Another instance of the service takes over. It knows none of the former
+	// one's versions and lags behind it.
+	b.listOverride = func(since framework.ListVersion) framework.ListResponse {
 		return framework.FullListResponse("other-1", []structs.Machine{engine, other})
 	}
 	b.run(2 * b.Settings.ListInterval)
@@ -80,14 +80,14 @@
 	b.wantLeaving(t, false, "shown for long")
 }
 
-func TestReadingWithAGapIsFollowedByTheWholeList(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+func TestReadWithAGapIsFollowedByTheFullList(t *testing.T) {
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines[0].State = structs.MachineLeaving
-	b.reading = func(since framework.ListVersion) framework.ListResponse {
+	b.listOverride = func(since framework.ListVersion) framework.ListResponse {
 		return framework.ListResponse{Version: "9", Since: since, Total: 7}
 	}
 	b.run(b.Settings.ListInterval)
-	b.reading = nil
+	b.listOverride = nil
 	b.versionsAsked = nil
 	b.run(b.Settings.ListInterval)
 	if diff := cmp.Diff([]framework.ListVersion{""}, b.versionsAsked); diff != "" {
@@ -96,8 +96,8 @@
 	b.wantLeaving(t, true, "after the whole list")
 }
 
-func TestDaemonCutOffFromTheListTakesItUpWhereItStood(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+func TestListReadsResumeFromTheLastVersionAfterAnOutage(t *testing.T) {
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.listFails = true
 	b.run(time.Minute)
 	b.machines[0].State = structs.MachineLeaving
@@ -112,18 +112,18 @@
 	}
 }
 
-func TestEveryReadingIsToldOnceAsAChangeOrAsTheSame(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+func TestEveryReadIsReportedOnceAsChangedOrUnchanged(t *testing.T) {
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.run(time.Minute)
 	b.machines = b.machines[1:]
 	b.run(time.Minute)
-	if told, readings := len(b.lists)+b.sameLists, len(b.versionsAsked); told != readings {
+	if told, readings := len(b.lists)+b.unchangedLists, len(b.versionsAsked); told != readings {
 		t.Errorf("%d readings were told of %d", told, readings)
 	}
-	told := b.sameLists
+	told := b.unchangedLists
 	b.listFails = true
 	b.run(time.Minute)
-	if b.sameLists != told {
+	if b.unchangedLists != told {
 		t.Error("readings that failed were told as ones without change")
 	}
 }
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -12,12 +12,13 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// initialBody bounds what is allocated on the word of a Content-Length alone.
-const initialBody = 64 << 10
+// initialBodyBuffer bounds the initial allocation for a body, whatever its
+// Content-Length.
+const initialBodyBuffer = 64 << 10
 
-// readBody reads the request's body within the limits on size, time and the
-// memory of all bodies. release must be called once the body is not used any
-// more; it is never nil.
+// readBody reads the request's body within the limits on its size, its time and the
+// memory of all bodies. release must be called once the body is no longer used; it is
+// never nil.
 func (e *exchange) readBody() (body []byte, release func(), refused *problem) {
 	limits := e.gateway.Limits
 	release, refused = e.gateway.reserveBody(e.r.ContentLength)
@@ -25,18 +26,18 @@
 		return nil, release, refused
 	}
 	_ = e.control.SetReadDeadline(time.Now().Add(limits.BodyTimeout))
-	buffer := bytes.NewBuffer(make([]byte, 0, min(max(e.r.ContentLength, 0)+bytes.MinRead, initialBody)))
+	buffer := bytes.NewBuffer(make([]byte, 0, min(max(e.r.ContentLength, 0)+bytes.MinRead, initialBodyBuffer)))
 	_, err := buffer.ReadFrom(http.MaxBytesReader(e.w, e.r.Body, limits.MaxBodyBytes))
 	if err != nil {
 		e.w.Header().Set("Connection", "close")
-		return nil, release, e.unreadable(err)
+		return nil, release, e.bodyError(err)
 	}
 	_ = e.control.SetReadDeadline(time.Time{})
 	return buffer.Bytes(), release, nil
 }
 
-// reserveBody counts a body against the memory of all bodies: its announced
-// length, or the longest allowed.
+// reserveBody counts a body against the memory limit for all bodies, by its
+// Content-Length or else by the largest size allowed.
 func (g *Gateway) reserveBody(length int64) (func(), *problem) {
 	if length > g.Limits.MaxBodyBytes {
 		return func() {}, tooLarge(g.Limits.MaxBodyBytes)
@@ -46,12 +47,12 @@
 	}
 	if g.bodies.Add(length) > g.Limits.MaxTotalBodyBytes {
 		g.bodies.Add(-length)
-		return func() {}, refusal(structs.ReasonOverloaded, "body", "The daemon is reading too many bodies.", retryAfterFull)
+		return func() {}, refusal(structs.ReasonOverloaded, "body", "The request bodies being read fill this daemon's memory limit for them.", retryAfterFull)
 	}
 	return func() { g.bodies.Add(-length) }, nil
 }
 
-func (e *exchange) unreadable(err error) *problem {
+func (e *exchange) bodyError(err error) *problem {
 	var oversized *http.MaxBytesError
 	switch {
 	case errors.As(err, &oversized):
@@ -61,7 +62,7 @@
 		refused.status = http.StatusRequestTimeout
 		return refused
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return invalid("body", "The body ended early.")
+		return invalid("body", "The body ended before its announced length.")
 	default:
 		return invalid("body", "The body cannot be read.")
 	}
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -22,14 +22,14 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// frailFleet is a fleet of its own that a test breaks step by step.
-type frailFleet struct {
+// faultyFleet is a fleet of its own into which a test injects faults.
+type faultyFleet struct {
 	*testing.T
 	*demo.Cluster
 }
 
-// startFrail starts a fleet without a configuration.
-func startFrail(t *testing.T, adjust func(*settings.Settings)) frailFleet {
+// startFaultyFleet starts a fleet without a configuration.
+func startFaultyFleet(t *testing.T, adjust func(*settings.Settings)) faultyFleet {
 	t.Helper()
 	c, err := demo.StartCluster(demo.ClusterOptions{
 		Models: []structs.ModelName{testModel}, Applications: []string{"wholesale"}, Logger: zerolog.Nop(), Adjust: adjust,
@@ -43,13 +43,13 @@
 		}
 		c.Close()
 	})
-	return frailFleet{t, c}
+	return faultyFleet{t, c}
 }
 
 // configure publishes the configuration and waits until all daemons are ready.
-func (f frailFleet) configure() {
+func (f faultyFleet) configure() {
 	f.Helper()
-	if err := f.Publish(frailConfiguration()); err != nil {
+	if err := f.Publish(faultyFleetConfiguration()); err != nil {
 		f.Fatal(err)
 	}
 	if err := f.WaitForReadiness(testContext(f.T)); err != nil {
@@ -57,17 +57,18 @@
 	}
 }
 
-// impatient shortens the limits that the refusals of hanging back ends rest on.
-func impatient(config *settings.Settings) {
+// shortTimeouts shortens the timeouts after which calls to hanging back ends are
+// refused.
+func shortTimeouts(config *settings.Settings) {
 	config.Limits.MaxQueuedCalls = 1
 	config.Limits.UnknownAfter = 200 * time.Millisecond
 	config.Limits.StallAfter = 400 * time.Millisecond
 	config.Applications.Timeout = 200 * time.Millisecond
 }
 
-// frailConfiguration has a tenant with one program at a time, and a template
-// whose programs live for a moment.
-func frailConfiguration() structs.Configuration {
+// faultyFleetConfiguration has a tenant with one program at a time, and a template
+// whose programs may run for 50 ms only.
+func faultyFleetConfiguration() structs.Configuration {
 	configured := testConfiguration()
 	order := configured.Templates["order"]
 	order.Limits.WallTime = 50 * time.Millisecond
@@ -82,7 +83,7 @@
 }
 
 // chat makes one completion through OpenAI's client library.
-func (f frailFleet) chat(ctx context.Context, daemon int, key string, headers ...string) error {
+func (f faultyFleet) chat(ctx context.Context, daemon int, key string, headers ...string) error {
 	options := []option.RequestOption{
 		option.WithBaseURL("http://" + f.HTTP[daemon] + "/v1"), option.WithAPIKey(key), option.WithMaxRetries(0),
 		option.WithHeader(gateway.HeaderTemplate, "order"),
@@ -96,7 +97,7 @@
 }
 
 // order makes one bread order through OpenAI's client library.
-func (f frailFleet) order(daemon int, request string, repeatable bool, headers ...string) error {
+func (f faultyFleet) order(daemon int, request string, repeatable bool, headers ...string) error {
 	options := []option.RequestOption{
 		option.WithHeader(gateway.HeaderTemplate, "order"), option.WithHeader(gateway.HeaderProgram, "p-"+request),
 		option.WithHeader(gateway.HeaderRequestID, request), option.WithHeader(gateway.HeaderRepeatable, fmt.Sprint(repeatable)),
@@ -112,7 +113,7 @@
 }
 
 // want checks an error against the type, reason and status of a refusal.
-func (f frailFleet) want(err error, kind structs.OutcomeStatus, reason structs.Reason, status int) {
+func (f faultyFleet) want(err error, kind structs.OutcomeStatus, reason structs.Reason, status int) {
 	f.Helper()
 	refused := apiError(f.T, err)
 	if refused.Type != string(kind) || refused.Code != string(reason) || refused.StatusCode != status || refused.Message == "" {
@@ -120,17 +121,17 @@
 	}
 }
 
-// refusedWith tells whether an error is a refusal for a reason.
+// refusedWith reports whether an error is a refusal for a reason.
 func refusedWith(err error, reason structs.Reason) bool {
 	var refused *openai.Error
 	return errors.As(err, &refused) && refused.Code == string(reason)
 }
 
-// TestRefusalsOfABrokenFleet reaches, through OpenAI's client library, the
-// refusals that come of faults: the steps break one fleet more and more.
-func TestRefusalsOfABrokenFleet(t *testing.T) {
+// TestRefusalsOfAFaultyFleet provokes the refusals that faults cause, through OpenAI's
+// client library. Its steps add faults to one fleet.
+func TestRefusalsOfAFaultyFleet(t *testing.T) {
 	t.Parallel()
-	f := startFrail(t, impatient)
+	f := startFaultyFleet(t, shortTimeouts)
 	f.withoutConfiguration()
 	f.configure()
 	f.tenantQuota()
@@ -142,10 +143,10 @@
 	f.withoutMajority()
 }
 
-// TestFullMemoryIsToldToCallers has room for one program in each daemon.
-func TestFullMemoryIsToldToCallers(t *testing.T) {
+// TestFullMemoryIsReportedToCallers has a memory limit of one program per daemon.
+func TestFullMemoryIsReportedToCallers(t *testing.T) {
 	t.Parallel()
-	f := startFrail(t, func(config *settings.Settings) { config.Memory.NewPrograms = 1 })
+	f := startFaultyFleet(t, func(config *settings.Settings) { config.Memory.NewPrograms = 1 })
 	f.configure()
 	ctx := testContext(t)
 	if err := f.chat(ctx, 0, villageKey, gateway.HeaderProgram, "first"); err != nil {
@@ -154,8 +155,8 @@
 	f.want(f.chat(ctx, 1, villageKey, gateway.HeaderProgram, "second"), structs.OutcomeNotRun, structs.ReasonMemoryFull, http.StatusServiceUnavailable)
 }
 
-// archived tells whether each shard has an archive in the log.
-func (f frailFleet) archived() bool {
+// archived reports whether each shard has an archive in the log.
+func (f faultyFleet) archived() bool {
 	count := 0
 	for name := range f.Log.Lengths() {
 		if strings.HasPrefix(string(name), "snapshots-") {
@@ -165,11 +166,11 @@
 	return count == settings.Default().Shards
 }
 
-// TestLossOfAllHoldersIsToldToCallers restarts the whole fleet once its shards
+// TestLossOfAllReplicasIsReportedToCallers restarts the whole fleet once its shards
 // are archived.
-func TestLossOfAllHoldersIsToldToCallers(t *testing.T) {
+func TestLossOfAllReplicasIsReportedToCallers(t *testing.T) {
 	t.Parallel()
-	f := startFrail(t, nil)
+	f := startFaultyFleet(t, nil)
 	f.configure()
 	kept := []string{gateway.HeaderProgram, "kept", gateway.HeaderHistory, "append"}
 	if err := f.chat(testContext(t), 0, villageKey, kept...); err != nil {
@@ -189,7 +190,7 @@
 	f.want(f.chat(testContext(t), 1, villageKey, kept...), structs.OutcomeNotRun, structs.ReasonHistoryGap, http.StatusConflict)
 }
 
-func (f frailFleet) withoutConfiguration() {
+func (f faultyFleet) withoutConfiguration() {
 	ctx := testContext(f.T)
 	f.want(f.chat(ctx, 0, villageKey), structs.OutcomeNotRun, structs.ReasonNoConfiguration, http.StatusServiceUnavailable)
 	again := []string{gateway.HeaderProgram, "p", gateway.HeaderRequestID, "r", gateway.HeaderRetry, "true"}
@@ -204,7 +205,7 @@
 	}
 }
 
-func (f frailFleet) tenantQuota() {
+func (f faultyFleet) tenantQuota() {
 	ctx := testContext(f.T)
 	if err := f.chat(ctx, 0, cityKey, gateway.HeaderProgram, "first"); err != nil {
 		f.Fatal(err)
@@ -212,9 +213,9 @@
 	f.want(f.chat(ctx, 1, cityKey, gateway.HeaderProgram, "second"), structs.OutcomeNotRun, structs.ReasonTenantQuota, http.StatusTooManyRequests)
 }
 
-// timeLimit calls again after the program's time. The leader may have ended
-// the program before; then another program is tried.
-func (f frailFleet) timeLimit() {
+// timeLimit makes a call after the program's wall time. If the leader has already
+// ended the program, it tries another program.
+func (f faultyFleet) timeLimit() {
 	ctx, count := testContext(f.T), 0
 	eventually(f.T, "a call past its program's time", func() bool {
 		count++
@@ -232,21 +233,21 @@
 	})
 }
 
-func (f frailFleet) backEndErrors() {
+func (f faultyFleet) backEndErrors() {
 	app := f.Applications["wholesale"]
 	_ = app.Faults.Set(application.Faults{Fail: 1})
 	f.want(f.order(0, "fails", true), structs.OutcomeFailed, structs.ReasonBackEnd, http.StatusBadGateway)
 	_ = app.Faults.Set(application.Faults{})
 }
 
-// hangingBackEnd has operations arrive and stay under way.
-func (f frailFleet) hangingBackEnd() {
+// hangingBackEnd lets an application accept operations without completing them.
+func (f faultyFleet) hangingBackEnd() {
 	hangs := application.Faults{ServiceFaults: control.ServiceFaults{Delay: control.Duration(3 * time.Second)}}
 	app := f.Applications["wholesale"]
 	_ = app.Faults.Set(hangs)
 	f.want(f.order(0, "hangs-once", false), structs.OutcomeUnknown, structs.ReasonConnectionLost, http.StatusGatewayTimeout)
 	f.want(f.order(1, "hangs-again", true), structs.OutcomeUnknown, structs.ReasonConnectionLost, http.StatusGatewayTimeout)
-	// The caller that asks again hears how it ended.
+	// A retry reports the outcome.
 	var err error
 	eventually(f.T, "the end of a stalled call", func() bool {
 		err = f.order(1, "hangs-again", true, gateway.HeaderRetry, "true")
@@ -256,8 +257,8 @@
 	_ = app.Faults.Set(application.Faults{})
 }
 
-// fullQueue has engines take nothing, so that the queues of one call fill up.
-func (f frailFleet) fullQueue() {
+// fullQueue lets the engines accept nothing, so that the queues of one call fill up.
+func (f faultyFleet) fullQueue() {
 	for _, e := range f.Engines {
 		_ = e.Faults.Set(engine.Faults{Draining: true})
 	}
@@ -281,8 +282,9 @@
 	f.cancelWaiting(count, ended)
 }
 
-// cancelWaiting cancels calls that wait until one of their callers hears of it.
-func (f frailFleet) cancelWaiting(count int, ended <-chan error) {
+// cancelWaiting cancels queued calls until the cancellation of one is reported to its
+// caller.
+func (f faultyFleet) cancelWaiting(count int, ended <-chan error) {
 	for i := range count {
 		path := fmt.Sprintf("/v1/requests?request=r&program=queue-%d", i+1)
 		r, _ := http.NewRequest(http.MethodDelete, "http://"+f.HTTP[1]+path, nil)
@@ -307,8 +309,8 @@
 	}
 }
 
-// stopping stops one daemon as planned while it answers a call.
-func (f frailFleet) stopping() {
+// stopping shuts one daemon down while it answers a call.
+func (f faultyFleet) stopping() {
 	slow := application.Faults{AnswerDelay: control.Duration(150 * time.Millisecond)}
 	_ = f.Applications["wholesale"].Faults.Set(slow)
 	answered := make(chan error, 1)
@@ -331,8 +333,8 @@
 	_ = f.Applications["wholesale"].Faults.Set(application.Faults{})
 }
 
-// withoutMajority loses one of the two daemons that are left.
-func (f frailFleet) withoutMajority() {
+// withoutMajority kills one of the two remaining daemons.
+func (f faultyFleet) withoutMajority() {
 	f.Daemons[1].Kill()
 	count := 0
 	eventually(f.T, "a refusal for want of a majority", func() bool {
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -18,13 +18,13 @@
 	HeaderRetry      = "Mintpulley-Retry"
 	// HeaderClientRetry is set by OpenAI's client libraries on retries.
 	HeaderClientRetry = "X-Stainless-Retry-Count"
-	// HeaderShouldRetry tells OpenAI's client libraries whether to try again.
+	// HeaderShouldRetry tells OpenAI's client libraries whether to retry.
 	HeaderShouldRetry = "X-Should-Retry"
 )
 
-// callNames is what a caller says about a call, by headers or in the metadata
-// of the body.
-type callNames struct {
+// callOptions are a caller's options for a call, from headers or from the metadata in
+// the body.
+type callOptions struct {
 	program    string
 	template   string
 	sequence   string
@@ -35,15 +35,15 @@
 	resumeAt   string
 }
 
-// namedField is one name with its header and its key in the metadata.
-type namedField struct {
+// optionField is one option with its header and its metadata key.
+type optionField struct {
 	header string
 	key    string
 	value  *string
 }
 
-func (n *callNames) fields() []namedField {
-	return []namedField{
+func (n *callOptions) fields() []optionField {
+	return []optionField{
 		{HeaderProgram, "program", &n.program},
 		{HeaderTemplate, "template", &n.template},
 		{HeaderSequence, "sequence", &n.sequence},
@@ -55,24 +55,24 @@
 	}
 }
 
-func namesOf(header http.Header) callNames {
-	var names callNames
-	for _, field := range names.fields() {
+func optionsFromHeader(header http.Header) callOptions {
+	var options callOptions
+	for _, field := range options.fields() {
 		*field.value = header.Get(field.header)
 	}
-	return names
+	return options
 }
 
-// merge fills in what the metadata says. A name given twice must agree. Other
-// keys are the caller's own and have no meaning here.
-func (n *callNames) merge(metadata map[string]string) *problem {
+// merge adds the options in the metadata. An option given twice must have the same
+// value. Other metadata keys are ignored.
+func (n *callOptions) merge(metadata map[string]string) *problem {
 	for _, field := range n.fields() {
 		value, given := metadata[field.key]
 		if !given {
 			continue
 		}
 		if *field.value != "" && *field.value != value {
-			return invalid("metadata."+field.key, "It differs from the header "+field.header+".")
+			return invalid("metadata."+field.key, "The value differs from that of the header "+field.header+".")
 		}
 		*field.value = value
 	}
--- a/internal/query/client_test.go
+++ b/internal/query/client_test.go
@@ -22,22 +22,23 @@
 const (
 	asker   structs.DaemonID = "127.0.0.1:1#1"
 	leading structs.DaemonID = "127.0.0.1:2#1"
-	// former led the shards once and knows who does now.
+	// former is a former leader that redirects to the current one.
 	former  structs.DaemonID = "127.0.0.1:3#1"
 	shards                   = 4
 	timeout                  = 2 * time.Second
 )
 
-// fleet is one daemon that leads everything and one that asks it.
+// fleet is one daemon that leads every shard and one that queries it.
 type fleet struct {
-	clock       *clock.Virtual
-	coordinator *dispatch.Coordinator
-	queries     *query.Client
-	route       replication.Route
-	deaf        bool
+	clock        *clock.Virtual
+	coordinator  *dispatch.Coordinator
+	queries      *query.Client
+	route        replication.Route
+	unresponsive bool
 }
 
-// Send implements peer.Transport through the codec, a millisecond late.
+// Send implements peer.Transport: it encodes and decodes the message, and delivers it
+// a millisecond later.
 func (f *fleet) Send(to structs.DaemonID, message peer.Message) {
 	line, err := peer.Encode(asker, to, message)
 	if err != nil {
@@ -48,7 +49,7 @@
 		if err != nil {
 			panic(err)
 		}
-		if to == leading && !f.deaf {
+		if to == leading && !f.unresponsive {
 			f.coordinator.Receive(asker, decoded)
 		}
 		if question, isDescribe := decoded.(*dispatch.Describe); isDescribe && to == former {
@@ -78,7 +79,7 @@
 	}
 }
 
-// Invoke answers at once, except to the operation "hang".
+// Invoke answers at once, except for the operation "hang".
 func (f *fleet) Invoke(request framework.ApplicationRequest, done func(framework.AttemptEnd)) {
 	if request.Operation != "hang" {
 		done(framework.AttemptEnd{Kind: framework.EndCompleted, Body: []byte(`{"ok":true}`), BodyStatus: 200})
@@ -176,13 +177,13 @@
 
 func TestNoAnswerInTime(t *testing.T) {
 	f := newFleet()
-	f.deaf = true
+	f.unresponsive = true
 	if _, err := f.describe(t, dispatch.Describe{Key: key("morning")}); !eris.Is(err, query.ErrNoAnswer) {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestQuestionFollowsRedirection(t *testing.T) {
+func TestQueryFollowsRedirection(t *testing.T) {
 	f := newFleet()
 	f.submit("morning", "first", "bread")
 	f.route = replication.Route{Leader: former, Epoch: 1}
@@ -191,7 +192,7 @@
 		t.Errorf("got %+v, %v", answer, err)
 	}
 	if f.route.Leader != leading {
-		t.Errorf("the redirection was not learnt: %+v", f.route)
+		t.Errorf("the route was not updated by the redirection: %+v", f.route)
 	}
 }
 
@@ -221,7 +222,7 @@
 	}
 	child, _ := f.describe(t, dispatch.Describe{Key: key("morning/child")})
 	if child.Program == nil || !child.Program.Ended {
-		t.Errorf("the sub-agent lives on: %+v", child.Program)
+		t.Errorf("the sub-agent did not end with its parent: %+v", child.Program)
 	}
 }
 
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -10,66 +10,72 @@
 	"github.com/mintpulley/mintpulley/internal/tokenbucket"
 )
 
-// ErrOwnerUnreachable: the tenant's owner can not be asked, and this daemon has nothing of
-// its own to let the request pass on.
-var ErrOwnerUnreachable = eris.New("quota: the owner of the tenant's limit can not be asked")
+// ErrOwnerUnreachable: the tenant's owner cannot be reached, and this daemon has no
+// former rate at which to admit the request.
+var ErrOwnerUnreachable = eris.New("quota: the owner of the tenant's limit cannot be reached")
 
 const (
-	// ownerPatience is how long the owner may say nothing until a request passes on
-	// what this daemon used before: ten ways between zones, or a small owner that has
-	// some requests before it. Callers' tools are to answer within 80 to 200 ms.
-	ownerPatience = 60 * time.Millisecond
-	// troubledFor is how long after that no request waits for the owner first.
-	troubledFor = 400 * time.Millisecond
-	// askTime bounds a question: a lost owner is noticed and replaced meanwhile.
-	askTime = 1500 * time.Millisecond
-	// unaskedFor is how long a daemon lets requests pass that hears of no owner. The
-	// store is out for some seconds, or the daemon is cut off, and then better left.
-	unaskedFor = 10 * time.Second
-	// unaskedCapacity is how many requests may pass at once then.
-	unaskedCapacity = 1.0
-	// usedSlots is the number of slots in which a daemon counts what it used.
+	// fallbackDelay is how long the owner may be silent before a request is admitted
+	// at the tenant's former rate: ten times the latency between zones, which also
+	// covers a small owner with some requests queued. Callers' tools expect an answer
+	// within 80 to 200 ms.
+	fallbackDelay = 60 * time.Millisecond
+	// ownerBackoff is how long after such a timeout requests do not wait for the owner
+	// first.
+	ownerBackoff = 400 * time.Millisecond
+	// askTimeout bounds a request to the owner. It leaves time to detect and replace a
+	// lost owner.
+	askTimeout = 1500 * time.Millisecond
+	// fallbackPeriod is how long a daemon admits requests without an owner. It covers
+	// a store outage of some seconds; a daemon that is cut off for longer should get
+	// no more requests.
+	fallbackPeriod = 10 * time.Second
+	// fallbackCapacity is how many requests may be admitted at once without an owner.
+	fallbackCapacity = 1.0
+	// usedSlots is the number of time slots per window in which a daemon counts
+	// admitted requests.
 	usedSlots = 10
-	// gateLimit bounds the tenants that a gate remembers.
-	gateLimit = 8192
+	// maxTenants bounds the tenants that a gate tracks.
+	maxTenants = 8192
 )
 
-// Owner asks the owner of a tenant's limit. It is safe for concurrent use.
+// Owner sends requests to the owner of a tenant's limit. It is safe for concurrent
+// use.
 type Owner interface {
-	// AskQuota returns the owner's verdict. An error tells that none could be had.
+	// AskQuota returns the owner's verdict, or an error if there is none.
 	AskQuota(ctx context.Context, ask Request) (Verdict, error)
 }
 
-// Gate is a daemon's way to the owners of its callers' tenants. Where an owner can
-// not be asked, a daemon lets as many requests of the tenant pass as it did before:
-// daemons together then let pass what they did together, which was within the limit.
-// It is safe for concurrent use.
+// Gate asks the owners of tenants' limits on behalf of a daemon's callers. When an
+// owner cannot be reached, the daemon admits the tenant's requests at the rate at
+// which it did before: since all daemons together stayed within the limit then, they
+// do now. It is safe for concurrent use.
 type Gate struct {
 	owner  Owner
 	window time.Duration
-	// begun is when slots are counted from: the time of day may jump.
-	begun time.Time
+	// startedAt is the origin of the time slots, on the monotonic clock.
+	startedAt time.Time
 
 	mutex   sync.Mutex
 	tenants map[string]*usage
 }
 
-// NewGate returns a gate; terms are the operators'.
-func NewGate(owner Owner, terms Tolerance) *Gate {
-	return &Gate{owner: owner, window: terms.Window, begun: time.Now(), tenants: map[string]*usage{}}
+// NewGate returns a gate for the operators' tolerance.
+func NewGate(owner Owner, tolerance Tolerance) *Gate {
+	return &Gate{owner: owner, window: tolerance.Window, startedAt: time.Now(), tenants: map[string]*usage{}}
 }
 
-// usage is what this daemon let pass of one tenant's requests.
+// usage counts the requests of one tenant that this daemon admitted.
 type usage struct {
-	// slots count them by time; newest is the number of the slot of the latest.
+	// slots counts them by time slot; newest is the number of the latest slot.
 	slots  [usedSlots]int
 	newest int64
-	// troubledAt is when the owner was last silent, zero if it answered since, and
-	// lostAt when it was first.
-	troubledAt time.Time
-	lostAt     time.Time
-	// unasked is what requests pass on meanwhile.
-	unasked tokenbucket.Bucket
+	// lastSilentAt is when the owner last failed to answer, zero if it has answered
+	// since; silentSince is when that began.
+	lastSilentAt time.Time
+	silentSince  time.Time
+	// fallback is the bucket for requests without an owner.
+	fallback tokenbucket.Bucket
 }
 
 type answer struct {
@@ -77,51 +83,52 @@
 	err     error
 }
 
-// Admit asks the owner for a request. It returns its verdict, or ErrOwnerUnreachable once it
-// is certain that none can be had, or ctx ends.
+// Admit asks the owner to admit a request and returns its verdict. It returns
+// ErrOwnerUnreachable if there is none and the fallback does not apply either, or when
+// ctx ends.
 func (g *Gate) Admit(ctx context.Context, ask Request) (Verdict, error) {
 	answers := make(chan answer, 1)
 	go func() {
-		// A takeover that the question sets off is of use to later ones, too.
-		asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTime)
+		// Detached from ctx: a takeover that this triggers also serves later requests.
+		asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTimeout)
 		defer cancel()
 		verdict, err := g.owner.AskQuota(asking, ask)
 		answers <- answer{verdict, err}
 	}()
-	patience := time.NewTimer(g.patience(ask.Tenant, time.Now()))
-	defer patience.Stop()
+	ownerTimer := time.NewTimer(g.ownerTimeout(ask.Tenant, time.Now()))
+	defer ownerTimer.Stop()
 	for {
 		select {
 		case got := <-answers:
-			return g.take(ask, got)
-		case <-patience.C:
-			after := g.passUnasked(ask.Tenant, time.Now())
+			return g.handleAnswer(ask, got)
+		case <-ownerTimer.C:
+			after := g.admitWithoutOwner(ask.Tenant, time.Now())
 			if after == 0 {
 				return Verdict{Admitted: true, Reason: ReasonOwnerSilent}, nil
 			}
-			patience.Reset(after)
+			ownerTimer.Reset(after)
 		case <-ctx.Done():
 			return Verdict{}, eris.Wrapf(ErrOwnerUnreachable, "%v", context.Cause(ctx))
 		}
 	}
 }
 
-// Refund gives back what a request was admitted on that did not run. It returns at
-// once. One whose word is lost only makes the owner refuse a request too many.
+// Refund takes back the admission of a request that did not run. It returns at once.
+// If the message is lost, the owner admits one request fewer than it could.
 func (g *Gate) Refund(ask Request) {
 	ask.Refund = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), askTime)
+		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 		defer cancel()
-		_, _ = g.owner.AskQuota(ctx, ask) // nobody waits for it; see above
+		_, _ = g.owner.AskQuota(ctx, ask) // a lost refund is safe
 	}()
 }
 
-// take takes the owner's answer.
-func (g *Gate) take(ask Request, got answer) (Verdict, error) {
+// handleAnswer returns the owner's verdict, or the fallback's after an error.
+func (g *Gate) handleAnswer(ask Request, got answer) (Verdict, error) {
 	now := time.Now()
 	if got.err != nil {
-		if g.passUnasked(ask.Tenant, now) == 0 {
+		if g.admitWithoutOwner(ask.Tenant, now) == 0 {
 			return Verdict{Admitted: true, Reason: ReasonOwnerSilent}, nil
 		}
 		return Verdict{}, eris.Wrapf(ErrOwnerUnreachable, "%v", got.err)
@@ -129,41 +136,41 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	u := g.usageOf(ask.Tenant)
-	u.troubledAt, u.lostAt = time.Time{}, time.Time{}
+	u.lastSilentAt, u.silentSince = time.Time{}, time.Time{}
 	if got.verdict.Admitted {
 		u.count(g.slot(now))
 	}
 	return got.verdict, nil
 }
 
-// patience is how long the owner is waited for before a request may pass without it.
-func (g *Gate) patience(tenant string, now time.Time) time.Duration {
+// ownerTimeout returns how long to wait for the owner before the fallback.
+func (g *Gate) ownerTimeout(tenant string, now time.Time) time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	u := g.usageOf(tenant)
-	if !u.troubledAt.IsZero() && now.Sub(u.troubledAt) < troubledFor {
+	if !u.lastSilentAt.IsZero() && now.Sub(u.lastSilentAt) < ownerBackoff {
 		return 0
 	}
-	return ownerPatience
+	return fallbackDelay
 }
 
-// passUnasked lets a request pass on what this daemon used before, if that has room,
-// and returns 0; or else it returns when to try again.
-func (g *Gate) passUnasked(tenant string, now time.Time) (after time.Duration) {
+// admitWithoutOwner admits a request at the tenant's former rate and returns 0, or
+// returns when to try again.
+func (g *Gate) admitWithoutOwner(tenant string, now time.Time) (after time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	u := g.usageOf(tenant)
-	u.troubledAt = now
-	if u.lostAt.IsZero() {
-		u.lostAt = now
+	u.lastSilentAt = now
+	if u.silentSince.IsZero() {
+		u.silentSince = now
 		rate := float64(u.used(g.slot(now))) / g.window.Seconds()
-		u.unasked = tokenbucket.Bucket{Rate: rate, Capacity: unaskedCapacity, Tokens: unaskedCapacity, UpdatedAt: now}
+		u.fallback = tokenbucket.Bucket{Rate: rate, Capacity: fallbackCapacity, Tokens: fallbackCapacity, UpdatedAt: now}
 	}
-	bucket := &u.unasked
+	bucket := &u.fallback
 	bucket.Refill(now)
 	switch {
-	case bucket.Rate == 0 && bucket.Tokens < 1, now.Sub(u.lostAt) > unaskedFor:
-		return askTime
+	case bucket.Rate == 0 && bucket.Tokens < 1, now.Sub(u.silentSince) > fallbackPeriod:
+		return askTimeout
 	case bucket.Tokens < 1:
 		return bucket.TimeToFill(1-bucket.Tokens) + 1
 	}
@@ -171,11 +178,11 @@
 	return 0
 }
 
-// usageOf returns what is known of a tenant; the mutex must be held.
+// usageOf returns a tenant's usage; the mutex must be held.
 func (g *Gate) usageOf(tenant string) *usage {
 	u := g.tenants[tenant]
 	if u == nil {
-		if len(g.tenants) >= gateLimit {
+		if len(g.tenants) >= maxTenants {
 			clear(g.tenants)
 		}
 		u = &usage{}
@@ -185,16 +192,16 @@
 }
 
 func (g *Gate) slot(now time.Time) int64 {
-	return int64(now.Sub(g.begun)) / max(int64(g.window)/usedSlots, 1)
+	return int64(now.Sub(g.startedAt)) / max(int64(g.window)/usedSlots, 1)
 }
 
-// count counts a request in a slot.
 func (u *usage) count(slot int64) {
 	u.forget(slot)
 	u.slots[slot%usedSlots]++
 }
 
-// used returns how many passed within a window before the end of a slot.
+// used returns the number of requests admitted within a window up to the end of a
+// slot.
 func (u *usage) used(slot int64) int {
 	u.forget(slot)
 	total := 0
@@ -204,7 +211,7 @@
 	return total
 }
 
-// forget drops what passed more than a window before a slot.
+// forget clears the slots that are more than a window before a slot.
 func (u *usage) forget(slot int64) {
 	if slot-u.newest >= usedSlots || slot < u.newest {
 		u.slots = [usedSlots]int{}
