--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -47,15 +47,15 @@
 		Seeds:      command.Int("seeds"),
 		Duration:   command.Float("duration"),
 		Policies:   command.StringSlice("policies"),
-		Parameters: experiment.Engines(),
+		Parameters: experiment.EngineParameters(),
 	}
 	if command.Bool("without-transfers") {
-		options.Adjust = func(profile *schedule.Profile) { profile.Transfers = false }
+		options.AdjustProfile = func(profile *schedule.Profile) { profile.Transfers = false }
 	}
 	if command.Bool("degraded") {
-		options.Parameters.Publication = experiment.Degraded()
+		options.Parameters.Publication = experiment.DegradedPublication()
 	}
-	shape, err := workload.Named(command.String("workload"))
+	shape, err := workload.ByName(command.String("workload"))
 	if err != nil {
 		return err
 	}
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -71,15 +71,15 @@
 		return runStreams(ctx, command)
 	}
 	options := load.Options{
-		Addresses:    command.StringSlice("address"),
-		Workload:     command.String("workload"),
-		Services:     []load.Service{serviceOf(command)},
-		Rate:         command.Float("rate"),
-		Duration:     command.Duration("duration"),
-		Seed:         command.Uint64("seed"),
-		AnswerTokens: command.Int64("answer-tokens"),
-		LeaveWaiting: command.Bool("leave-waiting"),
-		Progress:     progressWriter(),
+		Addresses:        command.StringSlice("address"),
+		Workload:         command.String("workload"),
+		Services:         []load.Service{serviceOf(command)},
+		Rate:             command.Float("rate"),
+		Duration:         command.Duration("duration"),
+		Seed:             command.Uint64("seed"),
+		AnswerTokens:     command.Int64("answer-tokens"),
+		KeepProgramsOpen: command.Bool("leave-waiting"),
+		Progress:         progressWriter(),
 	}
 	if options.Rate <= 0 || options.Duration <= 0 {
 		return eris.New("load: --rate and --duration must be positive")
@@ -90,7 +90,7 @@
 			return err
 		}
 		defer cluster.Close()
-		options.Addresses = cluster.HTTP
+		options.Addresses = cluster.HTTPAddresses
 		options.Services = load.StandInServices(options.Workload)
 	}
 	if len(options.Addresses) == 0 {
@@ -161,15 +161,15 @@
 		return err
 	}
 	result, err := load.MeasureStreams(ctx, load.StreamOptions{
-		Address:      standIns.HTTPAddress,
-		Engines:      standIns.Engines,
-		Streams:      int(command.Int("streams")),
-		Straight:     straightStreams,
-		Relayed:      int(command.Int("streams")),
-		Settle:       streamSettle,
-		Window:       window,
-		AnswerTokens: tokens,
-		Calls:        firstTokenCalls,
+		Address:         standIns.HTTPAddress,
+		Engines:         standIns.Engines,
+		Streams:         int(command.Int("streams")),
+		DirectStreams:   straightStreams,
+		RelayedStreams:  int(command.Int("streams")),
+		WarmUp:          streamSettle,
+		Window:          window,
+		AnswerTokens:    tokens,
+		FirstTokenCalls: firstTokenCalls,
 	})
 	if err != nil {
 		return err
--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -26,14 +26,14 @@
 
 // Cluster is a fleet with its stand-ins in one process.
 type Cluster struct {
-	Log          *eventlog.Log
-	Machines     *machinelist.List
-	Engines      []*engine.Engine
-	EngineIDs    []string
-	Applications map[string]*application.Application
-	Daemons      []*daemon.Daemon
-	HTTP         []string
-	servers      []*http.Server
+	Log           *eventlog.Log
+	Machines      *machinelist.List
+	Engines       []*engine.Engine
+	EngineIDs     []string
+	Applications  map[string]*application.Application
+	Daemons       []*daemon.Daemon
+	HTTPAddresses []string
+	servers       []*http.Server
 	// configs are the daemons' settings, with which they can be started again.
 	configs []settings.Settings
 	logger  zerolog.Logger
@@ -47,7 +47,7 @@
 	Applications []string
 	Logger       zerolog.Logger
 	// Adjust changes the daemons' settings from their defaults; nil changes none.
-	Adjust func(*settings.Settings)
+	AdjustSettings func(*settings.Settings)
 }
 
 // StartCluster starts the stand-ins and then the daemons.
@@ -112,15 +112,15 @@
 	if config.HTTPAddress, err = loopback.FreeAddress(); err != nil {
 		return err
 	}
-	if options.Adjust != nil {
-		options.Adjust(&config)
+	if options.AdjustSettings != nil {
+		options.AdjustSettings(&config)
 	}
 	d, err := daemon.Start(config, options.Logger)
 	if err != nil {
 		return err
 	}
 	c.Daemons = append(c.Daemons, d)
-	c.HTTP = append(c.HTTP, config.HTTPAddress)
+	c.HTTPAddresses = append(c.HTTPAddresses, config.HTTPAddress)
 	c.configs = append(c.configs, config)
 	return nil
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -113,7 +113,7 @@
 		for !d.Node.Readiness().Ready {
 			select {
 			case <-ctx.Done():
-				return eris.Errorf("demo: daemon %s is not ready: %s", c.HTTP[i], d.Node.Readiness().Detail)
+				return eris.Errorf("demo: daemon %s is not ready: %s", c.HTTPAddresses[i], d.Node.Readiness().Detail)
 			case <-time.After(readyPause):
 			}
 		}
--- a/internal/demo/first_token.go
+++ b/internal/demo/first_token.go
@@ -39,7 +39,7 @@
 			return result, eris.Wrap(err, "demo: straight to the engine")
 		}
 		daemon := openai.NewClient(
-			option.WithBaseURL("http://"+c.HTTP[i%len(c.HTTP)]+"/v1"),
+			option.WithBaseURL("http://"+c.HTTPAddresses[i%len(c.HTTPAddresses)]+"/v1"),
 			option.WithAPIKey("harbour-times-demo-key"),
 			option.WithHeader(gateway.HeaderTemplate, "desk-question"),
 		)
--- a/internal/demo/programs.go
+++ b/internal/demo/programs.go
@@ -170,7 +170,7 @@
 	return headers
 }
 
-func (p *run) address() string { return p.cluster.HTTP[p.daemon%len(p.cluster.HTTP)] }
+func (p *run) address() string { return p.cluster.HTTPAddresses[p.daemon%len(p.cluster.HTTPAddresses)] }
 
 // ask makes a model call through OpenAI's client library, streaming.
 func (p *run) ask(question string, end bool) error {
@@ -304,7 +304,7 @@
 	for {
 		held := 0
 		for _, engine := range c.Engines {
-			held += engine.Held()
+			held += engine.HoldCount()
 		}
 		if held == 0 || time.Now().After(deadline) || ctx.Err() != nil {
 			return held
--- a/internal/enginemodel/driver.go
+++ b/internal/enginemodel/driver.go
@@ -225,7 +225,7 @@
 		}
 		export := sender.Export(transfer.Program)
 		run := receiver.run
-		wait := receiver.ReserveLink(sender, receiver.Missing(export))
+		wait := receiver.ReserveLink(sender, receiver.MissingBlocks(export))
 		d.options.Clock.AfterFunc(wait, func() {
 			if receiver.run != run {
 				return
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -32,8 +32,8 @@
 	Weights WeightSource
 	// Ledger, when set, counts for a whole fleet what is recomputed and what
 	// is held idle; Recorder hears of every attempt.
-	Ledger   *Ledger
-	Recorder Recorder
+	BlockHistory *BlockHistory
+	Recorder     Recorder
 	// Serialize runs the tasks of timers one at a time with everything else
 	// that touches the engine; nil runs them straight away.
 	Serialize func(task func())
@@ -131,7 +131,7 @@
 		e.span = nil
 	}
 	e.busy = false
-	e.CloseIdle()
+	e.CountIdleBlocks()
 	lost := framework.AttemptEnd{Kind: framework.EndLost, Message: "the engine crashed"}
 	for _, a := range e.attempts.open() {
 		e.recordEnd(a, lost)
--- a/internal/enginemodel/engine_test.go
+++ b/internal/enginemodel/engine_test.go
@@ -40,23 +40,23 @@
 	*testing.T
 	clock  *clock.Virtual
 	engine *Engine
-	ledger *Ledger
+	ledger *BlockHistory
 }
 
 func newBench(t *testing.T, change func(*Parameters)) *bench {
 	t.Helper()
-	b := &bench{T: t, clock: clock.NewVirtual(testStart), ledger: NewLedger()}
+	b := &bench{T: t, clock: clock.NewVirtual(testStart), ledger: NewBlockHistory()}
 	parameters := testParameters()
 	if change != nil {
 		change(&parameters)
 	}
 	engine, err := New(Options{
-		ID:         "e",
-		Clock:      b.clock,
-		Random:     rand.New(rand.NewPCG(1, 2)),
-		Parameters: parameters,
-		Models:     []structs.ModelName{testModel},
-		Ledger:     b.ledger,
+		ID:           "e",
+		Clock:        b.clock,
+		Random:       rand.New(rand.NewPCG(1, 2)),
+		Parameters:   parameters,
+		Models:       []structs.ModelName{testModel},
+		BlockHistory: b.ledger,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/enginemodel/lifecycle.go
+++ b/internal/enginemodel/lifecycle.go
@@ -22,8 +22,8 @@
 		observer.End(end)
 		return &Subscription{}
 	}
-	a := &attempt{request: request, epoch: request.Epoch, written: request.Given}
-	reader := a.subscribe(observer, max(request.ResumeAt, request.Given))
+	a := &attempt{request: request, epoch: request.Epoch, written: request.AnswerPrefixBytes}
+	reader := a.subscribe(observer, max(request.ResumeAt, request.AnswerPrefixBytes))
 	e.attempts.add(a)
 	e.recordStart(a)
 	e.arrivals++
@@ -47,7 +47,7 @@
 	}
 	known.epoch = max(known.epoch, request.Epoch)
 	e.attempts.raise(request.Attempt, request.Epoch, e.now())
-	reader := known.subscribe(observer, max(request.ResumeAt, request.Given))
+	reader := known.subscribe(observer, max(request.ResumeAt, request.AnswerPrefixBytes))
 	if known.done {
 		known.broadcast()
 		return reader
@@ -81,7 +81,7 @@
 }
 
 func (e *Engine) blocksAtEnd(request *Request) int {
-	return blocksFor(request.PromptTokens + max(request.AnswerTokens, tokensOf(request.Given)+1))
+	return blocksFor(request.PromptTokens + max(request.AnswerTokens, tokensOf(request.AnswerPrefixBytes)+1))
 }
 
 func fenced() framework.AttemptEnd {
@@ -134,7 +134,7 @@
 	switch {
 	case s.handedOver:
 		end.FinishReason = FinishHandover
-	case a.request.Cut:
+	case a.request.Truncated:
 		end.FinishReason = "length"
 	}
 	end.HoldTaken = e.takeHold(s)
@@ -150,7 +150,7 @@
 	return structs.Usage{
 		PromptTokens:     s.attempt.request.PromptTokens,
 		CachedTokens:     min(s.cached, s.attempt.request.PromptTokens),
-		CompletionTokens: s.generated - tokensOf(s.attempt.request.Given),
+		CompletionTokens: s.generated - tokensOf(s.attempt.request.AnswerPrefixBytes),
 	}
 }
 
--- a/internal/enginemodel/memory_test.go
+++ b/internal/enginemodel/memory_test.go
@@ -120,7 +120,7 @@
 	b.runFor(10 * time.Second)
 	b.start(request("b", 1, 65, 1))
 	b.runFor(10 * time.Second)
-	b.engine.CloseIdle()
+	b.engine.CountIdleBlocks()
 	// a ends at 159 ms with two blocks. b hits the first until 10.011 s: that
 	// wait was of use. At 20 s the first is idle since then, the second since
 	// a's end.
--- a/internal/enginemodel/parameters.go
+++ b/internal/enginemodel/parameters.go
@@ -70,21 +70,21 @@
 func (p *Parameters) Validate() error {
 	switch {
 	case p.StepTokens < 1:
-		return ErrParameters("StepTokens", "at least 1")
+		return NewParameterError("StepTokens", "at least 1")
 	case p.DecodeRoleTokens < 1:
-		return ErrParameters("DecodeRoleTokens", "at least 1")
+		return NewParameterError("DecodeRoleTokens", "at least 1")
 	case p.MaximumRunning < 1:
-		return ErrParameters("MaximumRunning", "at least 1")
+		return NewParameterError("MaximumRunning", "at least 1")
 	case p.CacheTokens < prefix.BlockTokens:
-		return ErrParameters("CacheTokens", "at least one block")
+		return NewParameterError("CacheTokens", "at least one block")
 	case p.StepBase <= 0:
-		return ErrParameters("StepBase", "above zero")
+		return NewParameterError("StepBase", "above zero")
 	case p.MaximumAdapters < 0:
-		return ErrParameters("MaximumAdapters", "at least 0")
+		return NewParameterError("MaximumAdapters", "at least 0")
 	case p.HeldFraction < 0 || p.HeldFraction > 1:
-		return ErrParameters("HeldFraction", "0 to 1")
+		return NewParameterError("HeldFraction", "0 to 1")
 	case p.Publication.EventLoss < 0 || p.Publication.EventLoss > 1:
-		return ErrParameters("EventLoss", "0 to 1")
+		return NewParameterError("EventLoss", "0 to 1")
 	}
 	return nil
 }
--- a/internal/enginemodel/publish.go
+++ b/internal/enginemodel/publish.go
@@ -31,8 +31,8 @@
 // stored implements cacheListener.
 func (e *Engine) stored(key blockKey) {
 	e.events.gather(structs.CacheStored, key)
-	if e.options.Ledger != nil {
-		e.options.Ledger.stored(key)
+	if e.options.BlockHistory != nil {
+		e.options.BlockHistory.stored(key)
 	}
 }
 
--- a/internal/enginemodel/request.go
+++ b/internal/enginemodel/request.go
@@ -32,11 +32,11 @@
 	// AnswerTokens is the length of the whole answer, already bounded by what
 	// the caller allows; Cut is set when that bound made it shorter.
 	AnswerTokens int64
-	Cut          bool
+	Truncated    bool
 	// Answer is the answer's text.
 	Answer Answer
 	// Given is the number of answer bytes that came with the request.
-	Given int64
+	AnswerPrefixBytes int64
 	// ResumeAt is where the stream should start, in answer bytes; ResumeOnly
 	// ends an attempt that this run does not know as lost.
 	ResumeAt   int64
--- a/internal/enginemodel/sequence.go
+++ b/internal/enginemodel/sequence.go
@@ -34,7 +34,7 @@
 }
 
 func newSequence(a *attempt, arrival uint64) *sequence {
-	given := tokensOf(a.request.Given)
+	given := tokensOf(a.request.AnswerPrefixBytes)
 	return &sequence{
 		attempt:   a,
 		arrival:   arrival,
--- a/internal/enginemodel/statistics.go
+++ b/internal/enginemodel/statistics.go
@@ -19,7 +19,7 @@
 	CompletionTokens int64 `json:"completion_tokens"`
 	Preemptions      int64 `json:"preemptions"`
 	// RecomputedTokens counts prefilled tokens of blocks that some engine had
-	// held before; it needs a Ledger.
+	// held before; it needs a BlockHistory.
 	RecomputedTokens int64 `json:"recomputed_tokens"`
 	// IdleTokenSeconds is the memory that blocks took from their last use to
 	// their eviction: held, and never hit again.
@@ -44,26 +44,26 @@
 	AttemptEnded(run AttemptRun)
 }
 
-// Ledger knows which blocks any engine of a fleet has ever held.
-type Ledger struct{ held map[blockKey]struct{} }
+// BlockHistory records which blocks any engine of a fleet has ever stored.
+type BlockHistory struct{ held map[blockKey]struct{} }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{held: map[blockKey]struct{}{}} }
+// NewBlockHistory returns an empty history.
+func NewBlockHistory() *BlockHistory { return &BlockHistory{held: map[blockKey]struct{}{}} }
 
-func (l *Ledger) stored(key blockKey) { l.held[key] = struct{}{} }
+func (l *BlockHistory) stored(key blockKey) { l.held[key] = struct{}{} }
 
-func (l *Ledger) knows(key blockKey) bool {
+func (l *BlockHistory) knows(key blockKey) bool {
 	_, found := l.held[key]
 	return found
 }
 
 // Statistics returns the counts up to now. Blocks that are still cached count
-// as idle since their last use only when the run is closed with CloseIdle.
+// as idle since their last use only when the run is closed with CountIdleBlocks.
 func (e *Engine) Statistics() Statistics { return e.statistics }
 
-// CloseIdle counts the blocks that are cached now and not in use as held idle
+// CountIdleBlocks counts the blocks that are cached now and not in use as held idle
 // since their last use, as if they were evicted now. For the end of a run.
-func (e *Engine) CloseIdle() {
+func (e *Engine) CountIdleBlocks() {
 	idle := int64(0)
 	for _, b := range e.cache.blocks {
 		if b.running == 0 {
@@ -94,14 +94,14 @@
 // countComputed counts prefilled tokens just added to a sequence.
 func (e *Engine) countComputed(s *sequence, tokens int64) {
 	e.statistics.PrefilledTokens += tokens
-	if e.options.Ledger == nil {
+	if e.options.BlockHistory == nil {
 		return
 	}
 	first := (s.computed - tokens) / prefix.BlockTokens
 	last := s.computed / prefix.BlockTokens
 	for i := first; i < last; i++ {
 		hash, named := s.hash(int(i))
-		if named && e.options.Ledger.knows(blockKey{s.space(), hash}) {
+		if named && e.options.BlockHistory.knows(blockKey{s.space(), hash}) {
 			e.statistics.RecomputedTokens += prefix.BlockTokens
 		}
 	}
--- a/internal/enginemodel/transfer.go
+++ b/internal/enginemodel/transfer.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Missing returns how many blocks of an export this engine does not have.
-func (e *Engine) Missing(export Export) int {
+// MissingBlocks returns how many blocks of an export this engine does not have.
+func (e *Engine) MissingBlocks(export Export) int {
 	return len(export.Blocks) - e.cache.match(space{export.Model, export.Adapter}, export.Blocks)
 }
 
--- a/internal/enginemodel/weights.go
+++ b/internal/enginemodel/weights.go
@@ -16,9 +16,9 @@
 	free time.Time
 	// Bytes counts what was read, Reading the loads under way, Peak the most
 	// at a time.
-	Bytes   int64
-	Reading int
-	Peak    int
+	BytesRead   int64
+	ActiveLoads int
+	PeakLoads   int
 }
 
 var _ WeightSource = (*WeightStore)(nil)
@@ -36,11 +36,11 @@
 		start = s.free
 	}
 	s.free = start.Add(time.Duration(float64(bytes) / float64(s.rate) * float64(time.Second)))
-	s.Bytes += bytes
-	s.Reading++
-	s.Peak = max(s.Peak, s.Reading)
+	s.BytesRead += bytes
+	s.ActiveLoads++
+	s.PeakLoads = max(s.PeakLoads, s.ActiveLoads)
 	s.clock.AfterFunc(s.free.Sub(now), func() {
-		s.Reading--
+		s.ActiveLoads--
 		done(nil)
 	})
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -18,8 +18,8 @@
 // the 32 GB class: 13 GB at 128 KB a token.
 const cacheTokens = 100_000
 
-// Engines returns the parameters of the experiment's engines.
-func Engines() enginemodel.Parameters {
+// EngineParameters returns the parameters of the experiment's engines.
+func EngineParameters() enginemodel.Parameters {
 	parameters := enginemodel.Default()
 	parameters.CacheTokens = cacheTokens
 	return parameters
@@ -37,7 +37,7 @@
 	// Parameters are the engines'.
 	Parameters enginemodel.Parameters
 	// Adjust changes the profile of mintpulley, for trials; nil for none.
-	Adjust func(*schedule.Profile)
+	AdjustProfile func(*schedule.Profile)
 }
 
 // Outcome is what one policy made of a trace.
@@ -52,8 +52,8 @@
 	HeldIdleFraction   float64
 }
 
-// WastedCache is recomputed plus held idle.
-func (o *Outcome) WastedCache() float64 { return o.RecomputedFraction + o.HeldIdleFraction }
+// WastedCacheFraction is recomputed plus held idle.
+func (o *Outcome) WastedCacheFraction() float64 { return o.RecomputedFraction + o.HeldIdleFraction }
 
 // Quantile returns a quantile of the latencies.
 func (o *Outcome) Quantile(q float64) float64 {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -12,12 +12,12 @@
 )
 
 func smallOptions(policies ...string) *Options {
-	return &Options{Load: 0.5, Seed: 3, Seeds: 1, Duration: 6, Policies: policies, Parameters: Engines()}
+	return &Options{Load: 0.5, Seed: 3, Seeds: 1, Duration: 6, Policies: policies, Parameters: EngineParameters()}
 }
 
 func compare(t *testing.T, name string, options *Options) Result {
 	t.Helper()
-	shape, err := workload.Named(name)
+	shape, err := workload.ByName(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 // One program on an idle fleet takes its lower bound, but for the prefix that
 // no cache holds yet, the network and the pause until a step begins.
 func TestLowerBoundAgreesWithTheEngineModel(t *testing.T) {
-	shape, err := workload.Named(workload.TallyName)
+	shape, err := workload.ByName(workload.TallyName)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,11 +77,11 @@
 }
 
 func TestSteadyBoundMeetsTheReferenceBatchAtLoadOne(t *testing.T) {
-	shape, err := workload.Named(workload.TallyName)
+	shape, err := workload.ByName(workload.TallyName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	capacity := CapacityOf(&shape, Engines())
+	capacity := CapacityOf(&shape, EngineParameters())
 	batch, _ := capacity.steadyBound(1)
 	if want := float64(capacity.ReferenceBatch); math.Abs(batch-want) > 1e-6*want {
 		t.Errorf("batch %.3f at load 1, want %g", batch, want)
@@ -103,11 +103,11 @@
 	for name, spoil := range bad {
 		options := smallOptions(Mintpulley)
 		spoil(options)
-		if err := options.Validate(); !eris.Is(err, ErrOptions) {
-			t.Errorf("%s: error %v, want %v", name, err, ErrOptions)
+		if err := options.Validate(); !eris.Is(err, ErrInvalidOptions) {
+			t.Errorf("%s: error %v, want %v", name, err, ErrInvalidOptions)
 		}
 	}
-	if err := smallOptions("best").Validate(); !eris.Is(err, ErrPolicy) {
-		t.Errorf("error %v, want %v", err, ErrPolicy)
+	if err := smallOptions("best").Validate(); !eris.Is(err, ErrUnknownPolicy) {
+		t.Errorf("error %v, want %v", err, ErrUnknownPolicy)
 	}
 }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -153,17 +153,17 @@
 
 func (f *fleet) addEngines(parameters enginemodel.Parameters, seed uint64) ([]structs.Machine, error) {
 	f.engines = enginemodel.NewFleet(parameters.AnswerTokens)
-	ledger := enginemodel.NewLedger()
+	ledger := enginemodel.NewBlockHistory()
 	var machines []structs.Machine
 	for number := range f.shape.Engines {
 		id := structs.EngineID(fmt.Sprintf("10.1.0.%d:8000", number+1))
 		engine, err := enginemodel.New(enginemodel.Options{
-			ID:         id,
-			Clock:      f.clock,
-			Random:     rand.New(rand.NewPCG(seed, uint64(number))),
-			Parameters: parameters,
-			Models:     []structs.ModelName{f.shape.Model},
-			Ledger:     ledger,
+			ID:           id,
+			Clock:        f.clock,
+			Random:       rand.New(rand.NewPCG(seed, uint64(number))),
+			Parameters:   parameters,
+			Models:       []structs.ModelName{f.shape.Model},
+			BlockHistory: ledger,
 		})
 		if err != nil {
 			return nil, err
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -21,8 +21,8 @@
 	SteadyBound = "steady-bound"
 )
 
-// ErrPolicy: there is no policy of that name.
-var ErrPolicy = eris.New("experiment: unknown policy")
+// ErrUnknownPolicy: there is no policy of that name.
+var ErrUnknownPolicy = eris.New("experiment: unknown policy")
 
 // Policies returns the names that are compared by default, in the order of the
 // tables.
@@ -30,11 +30,11 @@
 	return []string{RoundRobin, LeastLoaded, SessionAffinity, PrefixAffinity, Mintpulley, LowerBound}
 }
 
-// CheckPolicies returns ErrPolicy for the first unknown name.
+// CheckPolicies returns ErrUnknownPolicy for the first unknown name.
 func CheckPolicies(names []string) error {
 	for _, name := range names {
 		if known := append(Policies(), SteadyBound); !slices.Contains(known, name) {
-			return eris.Wrapf(ErrPolicy, "%q (known: %v)", name, known)
+			return eris.Wrapf(ErrUnknownPolicy, "%q (known: %v)", name, known)
 		}
 	}
 	return nil
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -12,8 +12,8 @@
 	"github.com/mintpulley/mintpulley/internal/workload"
 )
 
-// ErrOptions: an option is out of range.
-var ErrOptions = eris.New("experiment: option out of range")
+// ErrInvalidOptions: an option is out of range.
+var ErrInvalidOptions = eris.New("experiment: option out of range")
 
 // Bounds of options.
 const (
@@ -27,15 +27,15 @@
 
 // PolicyResult is one row of a result, in the checked format.
 type PolicyResult struct {
-	Name               string  `json:"name"`
-	Programs           int     `json:"programs"`
-	LatencyP50Seconds  float64 `json:"latency_p50_s"`
-	LatencyP95Seconds  float64 `json:"latency_p95_s"`
-	LatencyP99Seconds  float64 `json:"latency_p99_s"`
-	LatencyMeanSeconds float64 `json:"latency_mean_s"`
-	RecomputedFraction float64 `json:"recomputed_fraction"`
-	HeldIdleFraction   float64 `json:"held_idle_fraction"`
-	WastedCache        float64 `json:"wasted_cache"`
+	Name                string  `json:"name"`
+	Programs            int     `json:"programs"`
+	LatencyP50Seconds   float64 `json:"latency_p50_s"`
+	LatencyP95Seconds   float64 `json:"latency_p95_s"`
+	LatencyP99Seconds   float64 `json:"latency_p99_s"`
+	LatencyMeanSeconds  float64 `json:"latency_mean_s"`
+	RecomputedFraction  float64 `json:"recomputed_fraction"`
+	HeldIdleFraction    float64 `json:"held_idle_fraction"`
+	WastedCacheFraction float64 `json:"wasted_cache"`
 	// Outcome is what the row was made of.
 	Outcome Outcome `json:"-"`
 }
@@ -48,22 +48,22 @@
 	Policies []PolicyResult `json:"policies"`
 }
 
-// Degraded is how engines report in the aims' last line: load reports 2 s old,
+// DegradedPublication is how engines report in the aims' last line: load reports 2 s old,
 // cache events as late, and a third of them lost.
-func Degraded() enginemodel.Publication {
+func DegradedPublication() enginemodel.Publication {
 	const lag = 2 * time.Second
 	return enginemodel.Publication{LoadLag: lag, EventDelay: lag, EventLoss: 1.0 / 3}
 }
 
-// Validate returns ErrOptions or ErrPolicy for the first bad option.
+// Validate returns ErrInvalidOptions or ErrUnknownPolicy for the first bad option.
 func (o *Options) Validate() error {
 	switch {
 	case o.Load <= 0 || o.Load > maximumLoad:
-		return eris.Wrapf(ErrOptions, "load %g, want above 0 and at most %d", o.Load, maximumLoad)
+		return eris.Wrapf(ErrInvalidOptions, "load %g, want above 0 and at most %d", o.Load, maximumLoad)
 	case o.Seeds < 1 || o.Seeds > maximumSeeds:
-		return eris.Wrapf(ErrOptions, "seeds %d, want 1 to %d", o.Seeds, maximumSeeds)
+		return eris.Wrapf(ErrInvalidOptions, "seeds %d, want 1 to %d", o.Seeds, maximumSeeds)
 	case o.Duration <= 0 || o.Duration > maximumDuration:
-		return eris.Wrapf(ErrOptions, "duration %g, want above 0 and at most %d", o.Duration, maximumDuration)
+		return eris.Wrapf(ErrInvalidOptions, "duration %g, want above 0 and at most %d", o.Duration, maximumDuration)
 	}
 	return CheckPolicies(o.Policies)
 }
@@ -136,16 +136,16 @@
 
 func row(o Outcome) PolicyResult {
 	return PolicyResult{
-		Name:               o.Policy,
-		Programs:           len(o.Latencies),
-		LatencyP50Seconds:  o.Quantile(0.50),
-		LatencyP95Seconds:  o.Quantile(0.95),
-		LatencyP99Seconds:  o.Quantile(0.99),
-		LatencyMeanSeconds: o.Mean(),
-		RecomputedFraction: o.RecomputedFraction,
-		HeldIdleFraction:   o.HeldIdleFraction,
-		WastedCache:        o.WastedCache(),
-		Outcome:            o,
+		Name:                o.Policy,
+		Programs:            len(o.Latencies),
+		LatencyP50Seconds:   o.Quantile(0.50),
+		LatencyP95Seconds:   o.Quantile(0.95),
+		LatencyP99Seconds:   o.Quantile(0.99),
+		LatencyMeanSeconds:  o.Mean(),
+		RecomputedFraction:  o.RecomputedFraction,
+		HeldIdleFraction:    o.HeldIdleFraction,
+		WastedCacheFraction: o.WastedCacheFraction(),
+		Outcome:             o,
 	}
 }
 
@@ -160,7 +160,7 @@
 			fmt.Sprintf("%.2f", p.LatencyP50Seconds), fmt.Sprintf("%.2f", p.LatencyP95Seconds),
 			fmt.Sprintf("%.2f", p.LatencyP99Seconds), fmt.Sprintf("%.2f", p.LatencyMeanSeconds),
 			fmt.Sprintf("%.3f", p.RecomputedFraction), fmt.Sprintf("%.3f", p.HeldIdleFraction),
-			fmt.Sprintf("%.3f", p.WastedCache),
+			fmt.Sprintf("%.3f", p.WastedCacheFraction),
 		})
 	}
 	return writer.Render()
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -44,8 +44,8 @@
 // replay runs a trace to its end and returns what was measured.
 func replay(shape *workload.Shape, options *Options, policy string, trace *workload.Trace) (Outcome, error) {
 	profile := profileOf(policy)
-	if policy == Mintpulley && options.Adjust != nil {
-		options.Adjust(&profile)
+	if policy == Mintpulley && options.AdjustProfile != nil {
+		options.AdjustProfile(&profile)
 	}
 	f, err := newFleet(shape, options, profile, trace.Seed)
 	if err != nil {
@@ -95,7 +95,7 @@
 	var prompt, recomputed int64
 	idle := 0.0
 	for _, engine := range r.fleet.engines.Engines() {
-		engine.CloseIdle()
+		engine.CountIdleBlocks()
 		statistics := engine.Statistics()
 		prompt += statistics.PromptTokens
 		recomputed += statistics.RecomputedTokens
--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -98,7 +98,7 @@
 func client(t *testing.T, daemon int, headers ...string) *openai.Client {
 	c := cluster(t)
 	options := []option.RequestOption{
-		option.WithBaseURL("http://" + c.HTTP[daemon] + "/v1"),
+		option.WithBaseURL("http://" + c.HTTPAddresses[daemon] + "/v1"),
 		option.WithAPIKey(villageKey),
 		option.WithMaxRetries(0),
 		option.WithHeader(gateway.HeaderTemplate, "order"),
@@ -126,7 +126,7 @@
 // call makes a plain request and reads its JSON answer.
 func call[T any](t *testing.T, daemon int, key, method, path, body string, headers ...string) (int, T) {
 	t.Helper()
-	r, err := http.NewRequestWithContext(testContext(t), method, "http://"+cluster(t).HTTP[daemon]+path, strings.NewReader(body))
+	r, err := http.NewRequestWithContext(testContext(t), method, "http://"+cluster(t).HTTPAddresses[daemon]+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -32,7 +32,7 @@
 func startFrail(t *testing.T, adjust func(*settings.Settings)) frailFleet {
 	t.Helper()
 	c, err := demo.StartCluster(demo.ClusterOptions{
-		Models: []structs.ModelName{testModel}, Applications: []string{"wholesale"}, Logger: zerolog.Nop(), Adjust: adjust,
+		Models: []structs.ModelName{testModel}, Applications: []string{"wholesale"}, Logger: zerolog.Nop(), AdjustSettings: adjust,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 // chat makes one completion through OpenAI's client library.
 func (f frailFleet) chat(ctx context.Context, daemon int, key string, headers ...string) error {
 	options := []option.RequestOption{
-		option.WithBaseURL("http://" + f.HTTP[daemon] + "/v1"), option.WithAPIKey(key), option.WithMaxRetries(0),
+		option.WithBaseURL("http://" + f.HTTPAddresses[daemon] + "/v1"), option.WithAPIKey(key), option.WithMaxRetries(0),
 		option.WithHeader(gateway.HeaderTemplate, "order"),
 	}
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -104,7 +104,7 @@
 	for i := 0; i+1 < len(headers); i += 2 {
 		options = append(options, option.WithHeader(headers[i], headers[i+1]))
 	}
-	api := openai.NewClient(option.WithBaseURL("http://"+f.HTTP[daemon]+"/v1"), option.WithAPIKey(villageKey), option.WithMaxRetries(0))
+	api := openai.NewClient(option.WithBaseURL("http://"+f.HTTPAddresses[daemon]+"/v1"), option.WithAPIKey(villageKey), option.WithMaxRetries(0))
 	ctx, cancel := context.WithTimeout(context.Background(), testWait)
 	defer cancel()
 	var answer any
@@ -194,7 +194,7 @@
 	f.want(f.chat(ctx, 0, villageKey), structs.OutcomeNotRun, structs.ReasonNoConfiguration, http.StatusServiceUnavailable)
 	again := []string{gateway.HeaderProgram, "p", gateway.HeaderRequestID, "r", gateway.HeaderRetry, "true"}
 	f.want(f.chat(ctx, 0, villageKey, again...), structs.OutcomeUnknown, structs.ReasonNoConfiguration, http.StatusGatewayTimeout)
-	response, err := http.Get("http://" + f.HTTP[0] + "/readyz")
+	response, err := http.Get("http://" + f.HTTPAddresses[0] + "/readyz")
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -285,7 +285,7 @@
 func (f frailFleet) cancelWaiting(count int, ended <-chan error) {
 	for i := range count {
 		path := fmt.Sprintf("/v1/requests?request=r&program=queue-%d", i+1)
-		r, _ := http.NewRequest(http.MethodDelete, "http://"+f.HTTP[1]+path, nil)
+		r, _ := http.NewRequest(http.MethodDelete, "http://"+f.HTTPAddresses[1]+path, nil)
 		r.Header.Set("Authorization", "Bearer "+villageKey)
 		response, err := http.DefaultClient.Do(r)
 		if err != nil {
--- a/internal/gateway/program_test.go
+++ b/internal/gateway/program_test.go
@@ -190,7 +190,7 @@
 		"/readyz":  "ready",
 		"/metrics": `mintpulley_callers_requests_total{reason="",result="completed",route="completions",status="200"}`,
 	} {
-		response, err := http.Get("http://" + cluster(t).HTTP[0] + path)
+		response, err := http.Get("http://" + cluster(t).HTTPAddresses[0] + path)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gateway/stuck_test.go
+++ b/internal/gateway/stuck_test.go
@@ -15,7 +15,7 @@
 // TestSlowHeadersAreShedAndCostOthersNothing opens connections to a real daemon
 // that never finish their headers. They are closed; calls meanwhile are served.
 func TestSlowHeadersAreShedAndCostOthersNothing(t *testing.T) {
-	address := cluster(t).HTTP[0]
+	address := cluster(t).HTTPAddresses[0]
 	t.Parallel()
 	var slow []net.Conn
 	for range 50 {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -28,7 +28,7 @@
 	// AnswerTokens bounds each answer; 0 leaves that to the template.
 	AnswerTokens int64
 	// LeaveWaiting does not end the programs, which then wait for their callers.
-	LeaveWaiting bool
+	KeepProgramsOpen bool
 	// Progress gets a line each second; nil for none.
 	Progress io.Writer
 }
@@ -47,9 +47,9 @@
 	Tokens    int64   `json:"tokens"`
 	// ProgramLatency runs from the time a program was due to its last answer,
 	// tool pauses included.
-	ProgramLatency Times `json:"program_latency"`
-	FirstToken     Times `json:"first_token"`
-	BetweenTokens  Times `json:"between_tokens"`
+	ProgramLatency Percentiles `json:"program_latency"`
+	FirstToken     Percentiles `json:"first_token"`
+	BetweenTokens  Percentiles `json:"between_tokens"`
 	// LiveHeapBefore and LiveHeapAfter are the daemons' together, in bytes.
 	LiveHeapBefore float64 `json:"live_heap_before_bytes"`
 	LiveHeapAfter  float64 `json:"live_heap_after_bytes"`
@@ -138,7 +138,7 @@
 
 func (r *runner) runTurns(ctx context.Context, program Program, name string, daemon int) error {
 	for i, turn := range program.Turns {
-		last := i == len(program.Turns)-1 && !program.Order && !r.options.LeaveWaiting
+		last := i == len(program.Turns)-1 && !program.Order && !r.options.KeepProgramsOpen
 		called := names{program: name, request: fmt.Sprintf("turn-%d", i), history: "append", end: last}
 		body := completionBody{Messages: []message{{Role: "user", Content: turn.Question}}, MaxTokens: r.options.AnswerTokens}
 		r.calls.Add(1)
@@ -158,7 +158,7 @@
 		return nil
 	}
 	r.calls.Add(1)
-	return r.caller.order(ctx, r.url(daemon), program.Service, names{program: name, request: "order", end: !r.options.LeaveWaiting})
+	return r.caller.order(ctx, r.url(daemon), program.Service, names{program: name, request: "order", end: !r.options.KeepProgramsOpen})
 }
 
 // runSubAgents runs a program's sub-agents at once and waits for all.
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -14,8 +14,8 @@
 	digits = 3
 )
 
-// Times are the percentiles of one histogram, in seconds.
-type Times struct {
+// Percentiles are the percentiles of one histogram, in seconds.
+type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_s"`
 	P95   float64 `json:"p95_s"`
@@ -39,13 +39,13 @@
 	_ = h.values.RecordValue(max(d, time.Microsecond).Microseconds())
 }
 
-func (h *histogram) times() Times {
+func (h *histogram) times() Percentiles {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	at := func(percentile float64) float64 {
 		return (time.Duration(h.values.ValueAtQuantile(percentile)) * time.Microsecond).Seconds()
 	}
-	return Times{
+	return Percentiles{
 		Count: h.values.TotalCount(),
 		P50:   at(50),
 		P95:   at(95),
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -31,21 +31,21 @@
 func (r StreamResult) WriteTable(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "%d streams, %d tokens in %d events in %.1f s, %d failed\n", r.Streams, r.Tokens, r.Events, r.WindowSeconds, r.Failed)
 	_, _ = fmt.Fprintf(w, "daemon: %.1f microseconds of processor time per token, %.2f cores, %.1f allocations and %.0f bytes per token, %.0f MB resident\n",
-		r.CPUMicroseconds, r.CPUFraction, r.AllocationsPer, r.BytesPer, r.ResidentBytes/1e6)
+		r.CPUMicrosecondsPerToken, r.CPUCores, r.AllocationsPerToken, r.AllocatedBytesPerToken, r.ResidentBytes/1e6)
 	_, _ = fmt.Fprintf(w, "per event: daemon %.1f microseconds, plain relay of the same streams %.1f per write, %.2f times that\n",
-		r.EventMicroseconds, r.RelayMicroseconds, r.CPURatio)
+		r.CPUMicrosecondsPerEvent, r.RelayCPUMicrosecondsPerWrite, r.CPUOverRelay)
 	writeTimes(w, []timesRow{
-		{"first token, straight", r.FirstStraight},
-		{"first token, through", r.FirstThrough},
-		{"between tokens, straight", r.BetweenStraight},
-		{"between tokens, through", r.BetweenThrough},
+		{"first token, straight", r.FirstTokenDirect},
+		{"first token, through", r.FirstTokenThroughDaemon},
+		{"between tokens, straight", r.BetweenTokensDirect},
+		{"between tokens, through", r.BetweenTokensThroughDaemon},
 	})
 	writeError(w, r.FirstError)
 }
 
 type timesRow struct {
 	name  string
-	times Times
+	times Percentiles
 }
 
 func writeTimes(w io.Writer, rows []timesRow) {
--- a/internal/load/streams.go
+++ b/internal/load/streams.go
@@ -15,17 +15,17 @@
 	Engines []string
 	Streams int
 	// Straight is how many of the streams' kind run straight to an engine.
-	Straight int
+	DirectStreams int
 	// Relayed is how many run through a plain relay at the same time, as the
 	// floor of what a daemon can take.
-	Relayed int
+	RelayedStreams int
 	// Settle is the time after which the window of measurement begins.
-	Settle time.Duration
+	WarmUp time.Duration
 	Window time.Duration
 	// AnswerTokens is long enough for a stream to outlast the window.
 	AnswerTokens int64
 	// Calls are made one at a time before, each way, for the first token.
-	Calls int
+	FirstTokenCalls int
 }
 
 // StreamResult is what the measurement found.
@@ -38,25 +38,25 @@
 	Events int64 `json:"events"`
 	// CPUMicroseconds is the daemon's processor time per token, and CPUFraction
 	// its processor time in cores.
-	CPUMicroseconds float64 `json:"cpu_us_per_token"`
-	CPUFraction     float64 `json:"cpu_cores"`
+	CPUMicrosecondsPerToken float64 `json:"cpu_us_per_token"`
+	CPUCores                float64 `json:"cpu_cores"`
 	// EventMicroseconds is the daemon's processor time per event, and
 	// RelayMicroseconds that of a plain relay of the engines' bytes per write in
 	// the same window: either is one read and one write. CPURatio is the former
 	// over the latter.
-	EventMicroseconds float64 `json:"cpu_us_per_event"`
-	RelayMicroseconds float64 `json:"relay_cpu_us_per_write"`
-	RelayWrites       int64   `json:"relay_writes"`
-	CPURatio          float64 `json:"cpu_over_relay"`
-	AllocationsPer    float64 `json:"allocations_per_token"`
-	BytesPer          float64 `json:"allocated_bytes_per_token"`
-	ResidentBytes     float64 `json:"resident_bytes"`
+	CPUMicrosecondsPerEvent      float64 `json:"cpu_us_per_event"`
+	RelayCPUMicrosecondsPerWrite float64 `json:"relay_cpu_us_per_write"`
+	RelayWrites                  int64   `json:"relay_writes"`
+	CPUOverRelay                 float64 `json:"cpu_over_relay"`
+	AllocationsPerToken          float64 `json:"allocations_per_token"`
+	AllocatedBytesPerToken       float64 `json:"allocated_bytes_per_token"`
+	ResidentBytes                float64 `json:"resident_bytes"`
 	// The percentiles of one way less those of the other are what a daemon adds.
-	FirstStraight   Times  `json:"first_token_straight"`
-	FirstThrough    Times  `json:"first_token_through"`
-	BetweenStraight Times  `json:"between_tokens_straight"`
-	BetweenThrough  Times  `json:"between_tokens_through"`
-	FirstError      string `json:"first_error,omitempty"`
+	FirstTokenDirect           Percentiles `json:"first_token_straight"`
+	FirstTokenThroughDaemon    Percentiles `json:"first_token_through"`
+	BetweenTokensDirect        Percentiles `json:"between_tokens_straight"`
+	BetweenTokensThroughDaemon Percentiles `json:"between_tokens_through"`
+	FirstError                 string      `json:"first_error,omitempty"`
 }
 
 // streamRun is a measurement under way.
@@ -97,19 +97,19 @@
 	}
 	defer floor.close()
 	through := &streamWay{address: options.Address, streams: options.Streams, gaps: newHistogram()}
-	straight := &streamWay{address: options.Engines[0], streams: options.Straight, gaps: newHistogram()}
-	relayed := &streamWay{address: floor.address(), streams: options.Relayed, gaps: newHistogram()}
+	straight := &streamWay{address: options.Engines[0], streams: options.DirectStreams, gaps: newHistogram()}
+	relayed := &streamWay{address: floor.address(), streams: options.RelayedStreams, gaps: newHistogram()}
 	running, stop := context.WithCancel(ctx)
 	defer stop()
 	var group sync.WaitGroup
 	r.start(running, &group, through, straight, relayed)
-	sleepUntil(ctx, time.Now().Add(options.Settle))
+	sleepUntil(ctx, time.Now().Add(options.WarmUp))
 	err = r.window(ctx, &result, through, floor)
 	stop()
 	group.Wait()
 	result.Failed, result.FirstError = r.failed.Load(), r.firstErr
-	result.FirstStraight, result.FirstThrough = firstStraight.times(), firstThrough.times()
-	result.BetweenStraight, result.BetweenThrough = straight.gaps.times(), through.gaps.times()
+	result.FirstTokenDirect, result.FirstTokenThroughDaemon = firstStraight.times(), firstThrough.times()
+	result.BetweenTokensDirect, result.BetweenTokensThroughDaemon = straight.gaps.times(), through.gaps.times()
 	return result, err
 }
 
@@ -152,11 +152,11 @@
 	tokens, events := float64(max(s.Tokens, 1)), float64(max(s.Events, 1))
 	used := after.cpuSeconds - before.cpuSeconds
 	s.WindowSeconds = elapsed.Seconds()
-	s.CPUMicroseconds = used * 1e6 / tokens
-	s.EventMicroseconds = used * 1e6 / events
-	s.CPUFraction = used / elapsed.Seconds()
-	s.AllocationsPer = (after.allocations - before.allocations) / tokens
-	s.BytesPer = (after.allocatedBytes - before.allocatedBytes) / tokens
+	s.CPUMicrosecondsPerToken = used * 1e6 / tokens
+	s.CPUMicrosecondsPerEvent = used * 1e6 / events
+	s.CPUCores = used / elapsed.Seconds()
+	s.AllocationsPerToken = (after.allocations - before.allocations) / tokens
+	s.AllocatedBytesPerToken = (after.allocatedBytes - before.allocatedBytes) / tokens
 	s.ResidentBytes = after.residentBytes
 }
 
@@ -167,8 +167,8 @@
 		return
 	}
 	used := after.processorTime - before.processorTime
-	s.RelayMicroseconds = float64(used.Nanoseconds()) / 1e3 / float64(s.RelayWrites)
-	s.CPURatio = s.EventMicroseconds / s.RelayMicroseconds
+	s.RelayCPUMicrosecondsPerWrite = float64(used.Nanoseconds()) / 1e3 / float64(s.RelayWrites)
+	s.CPUOverRelay = s.CPUMicrosecondsPerEvent / s.RelayCPUMicrosecondsPerWrite
 }
 
 // hold keeps one stream running until ctx ends.
@@ -207,7 +207,7 @@
 // through the daemon, and records when the first token came.
 func (r *streamRun) compareFirst(ctx context.Context, straight, through *histogram) {
 	service := StandInServices(WorkloadTally)[0]
-	for i := range r.options.Calls {
+	for i := range r.options.FirstTokenCalls {
 		for _, way := range []struct {
 			address string
 			first   *histogram
--- a/internal/simulation/drivers/engine.go
+++ b/internal/simulation/drivers/engine.go
@@ -269,7 +269,7 @@
 			receiver.Importing(transfer, export.Tokens())
 		}
 		restarts := receiver.restarts
-		wait := receiver.Model.ReserveLink(sender.Model, receiver.Model.Missing(export))
+		wait := receiver.Model.ReserveLink(sender.Model, receiver.Model.MissingBlocks(export))
 		c.client.Network.Clock().AfterFunc(wait, func() {
 			if restarts == receiver.restarts {
 				reply(int64(receiver.Model.Import(export, transfer.Program, transfer.Hold))*prefix.BlockTokens, nil)
--- a/internal/simulation/scenario/placement_test.go
+++ b/internal/simulation/scenario/placement_test.go
@@ -46,8 +46,8 @@
 	if least < 3 || least == len(r.Cluster.EngineOrder) {
 		t.Errorf("%d engines served at the least, want 3 or more, and some that did not", least)
 	}
-	if bound := r.Cluster.Options.Node.Placement.MaximumLoading; r.Cluster.Weights.Peak > bound {
-		t.Errorf("%d engines read weights at a time, want at most %d", r.Cluster.Weights.Peak, bound)
+	if bound := r.Cluster.Options.Node.Placement.MaximumLoading; r.Cluster.Weights.PeakLoads > bound {
+		t.Errorf("%d engines read weights at a time, want at most %d", r.Cluster.Weights.PeakLoads, bound)
 	}
 	for _, engine := range r.Cluster.EngineOrder {
 		if load := engine.Model.Load(); load.Versions[workload.Model] != "3" {
--- a/internal/standin/application/application.go
+++ b/internal/standin/application/application.go
@@ -35,10 +35,10 @@
 	if err := f.ServiceFaults.Validate(); err != nil {
 		return err
 	}
-	if err := control.Fraction("hang_after_effect", f.HangAfterEffect); err != nil {
+	if err := control.ValidateFraction("hang_after_effect", f.HangAfterEffect); err != nil {
 		return err
 	}
-	return control.Fraction("fail", f.Fail)
+	return control.ValidateFraction("fail", f.Fail)
 }
 
 // Settings describe an application.
--- a/internal/standin/cli/cli.go
+++ b/internal/standin/cli/cli.go
@@ -17,7 +17,7 @@
 
 // Exit codes.
 const (
-	ExitSound = 0
+	ExitOK    = 0
 	ExitUsage = 2
 )
 
@@ -36,7 +36,7 @@
 // ExitCode maps a command's error to the exit code of the process.
 func ExitCode(err error) int {
 	if err == nil {
-		return ExitSound
+		return ExitOK
 	}
 	return ExitUsage
 }
--- a/internal/standin/control/control.go
+++ b/internal/standin/control/control.go
@@ -20,8 +20,8 @@
 // bodyLimit bounds what is read of a control request, in bytes.
 const bodyLimit = 1 << 20
 
-// ErrFault is wrapped by faults that make no sense.
-var ErrFault = eris.New("invalid fault")
+// ErrInvalidFault is wrapped by faults that make no sense.
+var ErrInvalidFault = eris.New("invalid fault")
 
 // Duration is a time.Duration that reads and writes as text such as "200ms".
 type Duration time.Duration
@@ -33,10 +33,10 @@
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return eris.Wrap(ErrFault, err.Error())
+		return eris.Wrap(ErrInvalidFault, err.Error())
 	}
 	if parsed < 0 {
-		return eris.Wrap(ErrFault, "a duration is below zero")
+		return eris.Wrap(ErrInvalidFault, "a duration is below zero")
 	}
 	*d = Duration(parsed)
 	return nil
@@ -126,10 +126,10 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// Fraction checks that a field is a fraction.
-func Fraction(field string, value float64) error {
+// ValidateFraction checks that a field is a fraction.
+func ValidateFraction(field string, value float64) error {
 	if value < 0 || value > 1 {
-		return eris.Wrapf(ErrFault, "%s must be 0 to 1", field)
+		return eris.Wrapf(ErrInvalidFault, "%s must be 0 to 1", field)
 	}
 	return nil
 }
@@ -173,5 +173,5 @@
 // Hang keeps a request without an answer until its caller gives up.
 func Hang(r *http.Request) { <-r.Context().Done() }
 
-// LoseAnswer breaks the connection in place of an answer.
-func LoseAnswer() { panic(http.ErrAbortHandler) }
+// AbortConnection breaks the connection in place of an answer.
+func AbortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/standin/control/service.go
+++ b/internal/standin/control/service.go
@@ -23,13 +23,13 @@
 
 // Validate implements Validator.
 func (f ServiceFaults) Validate() error {
-	if err := Fraction("hang", f.Hang); err != nil {
+	if err := ValidateFraction("hang", f.Hang); err != nil {
 		return err
 	}
-	if err := Fraction("lose_requests", f.LoseRequests); err != nil {
+	if err := ValidateFraction("lose_requests", f.LoseRequests); err != nil {
 		return err
 	}
-	return Fraction("lose_answers", f.LoseAnswers)
+	return ValidateFraction("lose_answers", f.LoseAnswers)
 }
 
 // Serve runs a request under the faults. handle has the effect and returns
@@ -47,11 +47,11 @@
 		return
 	}
 	if chance.Happens(f.LoseRequests) {
-		LoseAnswer()
+		AbortConnection()
 	}
 	answer := handle()
 	if chance.Happens(f.LoseAnswers) {
-		LoseAnswer()
+		AbortConnection()
 	}
 	answer()
 }
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -157,7 +157,7 @@
 	if c.stall {
 		control.Hang(c.request)
 	}
-	control.LoseAnswer()
+	control.AbortConnection()
 }
 
 func (c *completion) writeEvent(event openai.Event) {
@@ -176,7 +176,7 @@
 func (c *completion) writeEnd(end framework.AttemptEnd, whole string) {
 	switch end.Kind {
 	case framework.EndLost:
-		control.LoseAnswer()
+		control.AbortConnection()
 	case framework.EndRejected, framework.EndFailed:
 		c.writeRefusal(end)
 	default:
@@ -191,7 +191,7 @@
 // writeRefusal answers an attempt that did not come to an answer.
 func (c *completion) writeRefusal(end framework.AttemptEnd) {
 	if c.began {
-		control.LoseAnswer()
+		control.AbortConnection()
 	}
 	status := http.StatusServiceUnavailable
 	switch {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -121,8 +121,8 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// Held returns the number of holds.
-func (e *Engine) Held() int {
+// HoldCount returns the number of holds.
+func (e *Engine) HoldCount() int {
 	count := 0
 	e.queue.Wait(func() { count = len(e.model.Holds()) })
 	return count
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -189,12 +189,12 @@
 	}
 	held := h.request("held", "hello "+strings.Repeat("x", 300))
 	held.Hold = "h"
-	if end := h.end(h.start(held)); !end.HoldTaken || h.engine.Held() != 1 {
-		t.Errorf("hold taken %v, %d held", end.HoldTaken, h.engine.Held())
+	if end := h.end(h.start(held)); !end.HoldTaken || h.engine.HoldCount() != 1 {
+		t.Errorf("hold taken %v, %d held", end.HoldTaken, h.engine.HoldCount())
 	}
 	release := func(done func(error)) { h.driver.Release(structs.Hold{ID: "h", Engine: h.id}, done) }
-	if err := ask(release); err != nil || h.engine.Held() != 0 {
-		t.Errorf("release: %v, %d held", err, h.engine.Held())
+	if err := ask(release); err != nil || h.engine.HoldCount() != 0 {
+		t.Errorf("release: %v, %d held", err, h.engine.HoldCount())
 	}
 	long := h.start(h.request("long", "[[tokens=100000]]"))
 	<-long.first
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -36,17 +36,17 @@
 		return err
 	}
 	if f.Slowness < 0 {
-		return eris.Wrap(control.ErrFault, "slowness must not be below zero")
+		return eris.Wrap(control.ErrInvalidFault, "slowness must not be below zero")
 	}
 	if f.EventLoss != nil {
-		if err := control.Fraction("event_loss", *f.EventLoss); err != nil {
+		if err := control.ValidateFraction("event_loss", *f.EventLoss); err != nil {
 			return err
 		}
 	}
-	if err := control.Fraction("stall_streams", f.StallStreams); err != nil {
+	if err := control.ValidateFraction("stall_streams", f.StallStreams); err != nil {
 		return err
 	}
-	return control.Fraction("cut_streams", f.CutStreams)
+	return control.ValidateFraction("cut_streams", f.CutStreams)
 }
 
 // applyFaults hands the model what it has to know.
--- a/internal/standin/engine/scheduler.go
+++ b/internal/standin/engine/scheduler.go
@@ -120,7 +120,7 @@
 		return func() { http.Error(w, err.Error(), http.StatusBadGateway) }
 	}
 	wait := time.Duration(0)
-	e.queue.Wait(func() { wait = e.model.ReserveLink(nil, e.model.Missing(export)) })
+	e.queue.Wait(func() { wait = e.model.ReserveLink(nil, e.model.MissingBlocks(export)) })
 	if !control.Pause(r, control.Duration(wait)) {
 		return func() {}
 	}
--- a/internal/standin/eventlog/eventlog.go
+++ b/internal/standin/eventlog/eventlog.go
@@ -48,7 +48,7 @@
 	if err := f.ServiceFaults.Validate(); err != nil {
 		return err
 	}
-	return control.Fraction("lose_append_answers", f.LoseAppendAnswers)
+	return control.ValidateFraction("lose_append_answers", f.LoseAppendAnswers)
 }
 
 // Log is the stand-in. It implements http.Handler: GET /streams lists streams,
@@ -185,7 +185,7 @@
 	}
 	offset := l.Append(stream, entry.OperationID, entry.Payload)
 	if l.chance.Happens(faults.LoseAppendAnswers) {
-		control.LoseAnswer()
+		control.AbortConnection()
 	}
 	return func() { control.WriteJSON(w, framework.LogEntry{Offset: offset, OperationID: entry.OperationID}) }
 }
--- a/internal/standin/proxy/faults.go
+++ b/internal/standin/proxy/faults.go
@@ -34,7 +34,7 @@
 // Validate implements control.Validator.
 func (f Faults) Validate() error {
 	if f.ToTarget.BytesPerSecond < 0 || f.ToClient.BytesPerSecond < 0 {
-		return eris.Wrap(control.ErrFault, "bytes_per_second must not be below zero")
+		return eris.Wrap(control.ErrInvalidFault, "bytes_per_second must not be below zero")
 	}
 	return nil
 }
--- a/internal/standin/tool/tool.go
+++ b/internal/standin/tool/tool.go
@@ -36,7 +36,7 @@
 	if err := f.ServiceFaults.Validate(); err != nil {
 		return err
 	}
-	return control.Fraction("fail", f.Fail)
+	return control.ValidateFraction("fail", f.Fail)
 }
 
 // Tool is the stand-in. It implements http.Handler: POST /operations/NAME
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -27,7 +27,7 @@
 // Validate implements control.Validator.
 func (f Faults) Validate() error {
 	if f.BytesPerSecond < 0 {
-		return eris.Wrap(control.ErrFault, "bytes_per_second must not be below zero")
+		return eris.Wrap(control.ErrInvalidFault, "bytes_per_second must not be below zero")
 	}
 	return f.ServiceFaults.Validate()
 }
@@ -52,7 +52,7 @@
 	Name      string        `json:"name"`
 	Bytes     int64         `json:"bytes"`
 	StartedAt time.Time     `json:"started_at"`
-	Took      time.Duration `json:"took"`
+	Duration  time.Duration `json:"took"`
 }
 
 // New returns a store that gives out so many bytes each second.
@@ -75,7 +75,7 @@
 		start = s.free
 	}
 	s.free = start.Add(took)
-	s.reads = append(s.reads, Read{Name: name, Bytes: bytes, StartedAt: start, Took: took})
+	s.reads = append(s.reads, Read{Name: name, Bytes: bytes, StartedAt: start, Duration: took})
 	return s.free
 }
 
--- a/internal/workload/shape.go
+++ b/internal/workload/shape.go
@@ -11,8 +11,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// ErrUnknown: there is no workload of that name.
-var ErrUnknown = eris.New("workload: unknown")
+// ErrUnknownWorkload: there is no workload of that name.
+var ErrUnknownWorkload = eris.New("workload: unknown")
 
 // Shape is one user's workload.
 type Shape struct {
@@ -89,14 +89,14 @@
 // Shapes returns all workloads by name.
 func Shapes() []Shape { return []Shape{tally(), chlebnet()} }
 
-// Named returns a workload, or ErrUnknown.
-func Named(name string) (Shape, error) {
+// ByName returns a workload, or ErrUnknownWorkload.
+func ByName(name string) (Shape, error) {
 	for _, shape := range Shapes() {
 		if shape.Name == name {
 			return shape, nil
 		}
 	}
-	return Shape{}, eris.Wrapf(ErrUnknown, "%q (known: tally, chlebnet)", name)
+	return Shape{}, eris.Wrapf(ErrUnknownWorkload, "%q (known: tally, chlebnet)", name)
 }
 
 // Seeds of the streams of random numbers; shapes and arrival times are drawn
--- a/internal/workload/trace.go
+++ b/internal/workload/trace.go
@@ -8,8 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrMalformed: a trace cannot be read.
-var ErrMalformed = eris.New("workload: malformed trace")
+// ErrMalformedTrace: a trace cannot be read.
+var ErrMalformedTrace = eris.New("workload: malformed trace")
 
 // maximumLine bounds a line of a trace.
 const maximumLine = 16 << 20
@@ -39,30 +39,30 @@
 	return eris.Wrap(buffered.Flush(), "workload: write trace")
 }
 
-// Read loads a trace. It returns ErrMalformed with the line's number.
+// Read loads a trace. It returns ErrMalformedTrace with the line's number.
 func Read(r io.Reader) (Trace, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maximumLine)
 	var header traceHeader
 	if !scanner.Scan() {
-		return Trace{}, eris.Wrap(ErrMalformed, "line 1: no header")
+		return Trace{}, eris.Wrap(ErrMalformedTrace, "line 1: no header")
 	}
 	if err := json.Unmarshal(scanner.Bytes(), &header); err != nil {
-		return Trace{}, eris.Wrapf(ErrMalformed, "line 1: %v", err)
+		return Trace{}, eris.Wrapf(ErrMalformedTrace, "line 1: %v", err)
 	}
 	trace := Trace{Workload: header.Workload, Seed: header.Seed, Rate: header.Rate}
 	for line := 2; scanner.Scan(); line++ {
 		program, err := readProgram(scanner.Bytes())
 		if err != nil {
-			return Trace{}, eris.Wrapf(ErrMalformed, "line %d: %v", line, err)
+			return Trace{}, eris.Wrapf(ErrMalformedTrace, "line %d: %v", line, err)
 		}
 		trace.Programs = append(trace.Programs, program)
 	}
 	if err := scanner.Err(); err != nil {
-		return Trace{}, eris.Wrapf(ErrMalformed, "%v", err)
+		return Trace{}, eris.Wrapf(ErrMalformedTrace, "%v", err)
 	}
 	if len(trace.Programs) != header.Programs {
-		return Trace{}, eris.Wrapf(ErrMalformed, "header says %d programs, found %d", header.Programs, len(trace.Programs))
+		return Trace{}, eris.Wrapf(ErrMalformedTrace, "header says %d programs, found %d", header.Programs, len(trace.Programs))
 	}
 	return trace, nil
 }
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -78,8 +78,8 @@
 		"bad tokens":    header + `{"id":"a","tenant":"t","template":"s","turns":[{"input_tokens":0,"answer_tokens":1}]}` + "\n",
 		"too few":       header,
 	} {
-		if _, err := Read(strings.NewReader(text)); !eris.Is(err, ErrMalformed) {
-			t.Errorf("%s: error %v, want %v", name, err, ErrMalformed)
+		if _, err := Read(strings.NewReader(text)); !eris.Is(err, ErrMalformedTrace) {
+			t.Errorf("%s: error %v, want %v", name, err, ErrMalformedTrace)
 		}
 	}
 }
