--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -31,7 +31,7 @@
 
 const (
 	// startWait bounds the wait for the daemons to be ready.
-	startWait = 10 * time.Second
+	readinessTimeout = 10 * time.Second
 	// readyPause is the pause between looks whether the daemons are ready.
 	readyPause = 20 * time.Millisecond
 	// microsecondsPerSecond and microsecondsPerMillisecond convert histogram
@@ -107,7 +107,7 @@
 // WaitForReadiness returns once every daemon is ready for callers: the
 // configuration is in force and the leaders of the shards are known.
 func (c *Cluster) WaitForReadiness(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, readinessTimeout)
 	defer cancel()
 	for i, d := range c.Daemons {
 		for !d.Node.Readiness().Ready {
--- a/internal/demo/programs.go
+++ b/internal/demo/programs.go
@@ -36,7 +36,7 @@
 	// demoSeed fixes the shapes of the programs.
 	demoSeed = 2026
 	// releaseWait bounds the wait for engines to hold nothing any more.
-	releaseWait = 5 * time.Second
+	holdReleaseTimeout = 5 * time.Second
 )
 
 // errRefused is returned by a program whose call was refused as not run.
@@ -47,7 +47,7 @@
 	key      string
 	template string
 	model    string
-	steps    func(p *run) error
+	steps    func(p *programRun) error
 }
 
 // kinds are the programs of both users' examples.
@@ -62,7 +62,7 @@
 }
 
 // run is one program under way.
-type run struct {
+type programRun struct {
 	kind
 	ctx     context.Context
 	cluster *Cluster
@@ -79,7 +79,7 @@
 
 // summarise looks up booths until it has enough, and lets a sub-agent look at
 // a special in the meantime.
-func summarise(p *run) error {
+func summarise(p *programRun) error {
 	if err := p.ask("Which electorate is this?", false); err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 		if err := p.ask("Which booth next?", false); err != nil {
 			return err
 		}
-		if err := p.apply(targetBooths, "lookup", true); err != nil {
+		if err := p.callApplication(targetBooths, "lookup", true); err != nil {
 			return err
 		}
 		p.pause()
@@ -102,7 +102,7 @@
 	return p.ask("Write the summary.", true)
 }
 
-func answerDesk(p *run) error {
+func answerDesk(p *programRun) error {
 	for range 1 + p.random.IntN(3) {
 		if err := p.ask("What is the swing?", false); err != nil {
 			return err
@@ -112,32 +112,32 @@
 	return p.ask("And the specials?", true)
 }
 
-func updateCount(p *run) error {
+func updateCount(p *programRun) error {
 	for range 3 {
-		if err := p.apply(targetResults, "count", false); err != nil {
+		if err := p.callApplication(targetResults, "count", false); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func orderBread(p *run) error {
+func orderBread(p *programRun) error {
 	if err := p.ask("Twenty loaves for tomorrow.", false); err != nil {
 		return err
 	}
 	p.pause()
-	if err := p.apply(targetFlour, "check", true); err != nil {
+	if err := p.callApplication(targetFlour, "check", true); err != nil {
 		return err
 	}
-	if err := p.apply(targetOrders, "order", false); err != nil {
+	if err := p.callApplication(targetOrders, "order", false); err != nil {
 		return err
 	}
 	return p.ask("Confirm the order.", true)
 }
 
-func reconcileFlour(p *run) error {
+func reconcileFlour(p *programRun) error {
 	for range 2 {
-		if err := p.apply(targetFlour, "allocation", true); err != nil {
+		if err := p.callApplication(targetFlour, "allocation", true); err != nil {
 			return err
 		}
 		if err := p.ask("Compare with the orders.", false); err != nil {
@@ -149,14 +149,14 @@
 }
 
 // child returns a sub-agent of the program.
-func (p *run) child(name string) *run {
-	return &run{kind: p.kind, ctx: p.ctx, cluster: p.cluster, name: p.name + "/" + name, daemon: p.daemon + 1}
+func (p *programRun) child(name string) *programRun {
+	return &programRun{kind: p.kind, ctx: p.ctx, cluster: p.cluster, name: p.name + "/" + name, daemon: p.daemon + 1}
 }
 
-func (p *run) pause() { time.Sleep(time.Duration(p.random.Int64N(int64(toolPause)))) }
+func (p *programRun) pause() { time.Sleep(time.Duration(p.random.Int64N(int64(toolPause)))) }
 
 // headers names the next call. Each goes to another daemon than the last.
-func (p *run) headers(repeatable, end bool) http.Header {
+func (p *programRun) headers(repeatable, end bool) http.Header {
 	p.sequence++
 	p.calls++
 	p.daemon++
@@ -170,10 +170,12 @@
 	return headers
 }
 
-func (p *run) address() string { return p.cluster.HTTPAddresses[p.daemon%len(p.cluster.HTTPAddresses)] }
+func (p *programRun) address() string {
+	return p.cluster.HTTPAddresses[p.daemon%len(p.cluster.HTTPAddresses)]
+}
 
 // ask makes a model call through OpenAI's client library, streaming.
-func (p *run) ask(question string, end bool) error {
+func (p *programRun) ask(question string, end bool) error {
 	p.messages = append(p.messages, openai.UserMessage(question))
 	headers := p.headers(true, end)
 	options := []option.RequestOption{option.WithBaseURL("http://" + p.address() + "/v1"), option.WithAPIKey(p.key)}
@@ -212,7 +214,7 @@
 }
 
 // apply makes an application or tool request.
-func (p *run) apply(target, operation string, repeatable bool) error {
+func (p *programRun) callApplication(target, operation string, repeatable bool) error {
 	headers := p.headers(repeatable, false)
 	request, err := sling.New().Post("http://" + p.address() + "/v1/applications/" + target + "/" + operation).
 		Body(strings.NewReader(`{"program":"` + p.name + `"}`)).Request()
@@ -236,7 +238,7 @@
 }
 
 // attempt returns the name under which back ends know a request.
-func (p *run) attempt(request string) structs.AttemptID {
+func (p *programRun) attempt(request string) structs.AttemptID {
 	tenant := p.cluster.tenants[gateway.KeyHash(p.key)]
 	key := structs.ProgramKey{Tenant: tenant, Program: structs.ProgramID(p.name)}
 	return structs.NewAttemptID(key, structs.RequestID(request))
@@ -254,7 +256,7 @@
 		for i := range programsPerKind {
 			result.Programs++
 			random := rand.New(rand.NewPCG(demoSeed, uint64(number*programsPerKind+i)))
-			p := &run{kind: kind, ctx: ctx, cluster: c, name: fmt.Sprintf("%s-%d", kind.template, i), random: random, daemon: i}
+			p := &programRun{kind: kind, ctx: ctx, cluster: c, name: fmt.Sprintf("%s-%d", kind.template, i), random: random, daemon: i}
 			group.Go(func() {
 				time.Sleep(time.Duration(random.Int64N(int64(arrivalSpan))))
 				began := time.Now()
@@ -279,12 +281,12 @@
 	group.Wait()
 	result.ProgramLatencyP50Seconds = float64(latencies.ValueAtQuantile(50)) / microsecondsPerSecond
 	result.ProgramLatencyP95Seconds = float64(latencies.ValueAtQuantile(95)) / microsecondsPerSecond
-	result.Violations += c.wrongRuns(orders) + c.leakedHolds(ctx)
+	result.Violations += c.countWrongRuns(orders) + c.countLeakedHolds(ctx)
 	return result
 }
 
 // wrongRuns counts requests that must have run once and did not.
-func (c *Cluster) wrongRuns(orders []structs.AttemptID) int {
+func (c *Cluster) countWrongRuns(orders []structs.AttemptID) int {
 	wrong := 0
 	for _, attempt := range orders {
 		runs := 0
@@ -299,8 +301,8 @@
 }
 
 // leakedHolds counts what engines still pin a while after all programs ended.
-func (c *Cluster) leakedHolds(ctx context.Context) int {
-	deadline := time.Now().Add(releaseWait)
+func (c *Cluster) countLeakedHolds(ctx context.Context) int {
+	deadline := time.Now().Add(holdReleaseTimeout)
 	for {
 		held := 0
 		for _, engine := range c.Engines {
--- a/internal/enginemodel/admission.go
+++ b/internal/enginemodel/admission.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-func (s *sequence) cancelled() bool { return len(s.attempt.cancelled) > 0 }
+func (s *sequence) cancelled() bool { return len(s.attempt.cancelCallbacks) > 0 }
 
 // removeCancelled frees what was stopped since the last step.
 func (e *Engine) removeCancelled() {
@@ -14,7 +14,7 @@
 		return s.cancelled()
 	})
 	for _, s := range stopped {
-		e.cancelNow(s)
+		e.finishCancelled(s)
 	}
 }
 
@@ -59,7 +59,7 @@
 				decoding = append(decoding, s)
 			}
 		}
-		if growth(decoding, 1) <= e.cache.available() {
+		if totalBlocksNeeded(decoding, 1) <= e.cache.available() {
 			return
 		}
 		e.preempt(e.victim())
@@ -70,7 +70,7 @@
 func (e *Engine) victim() *sequence {
 	var last *sequence
 	for _, s := range e.running {
-		if last == nil || last.before(s) {
+		if last == nil || last.precedes(s) {
 			last = s
 		}
 	}
@@ -81,7 +81,7 @@
 // evicted of them must be computed again.
 func (e *Engine) preempt(s *sequence) {
 	e.running = slices.DeleteFunc(e.running, func(other *sequence) bool { return other == s })
-	s.leave(e.cache, e.now())
+	s.releaseBlocks(e.cache, e.now())
 	s.target = s.attempt.request.PromptTokens + s.generated
 	e.statistics.Preemptions++
 	e.enqueue(s)
@@ -90,7 +90,7 @@
 // enqueue puts a sequence at its place among those that wait.
 func (e *Engine) enqueue(s *sequence) {
 	place, _ := slices.BinarySearchFunc(e.waiting, s, func(other, wanted *sequence) int {
-		if other.before(wanted) {
+		if other.precedes(wanted) {
 			return -1
 		}
 		return 1
--- a/internal/enginemodel/attempts.go
+++ b/internal/enginemodel/attempts.go
@@ -45,7 +45,7 @@
 }
 
 // ran tells that an attempt was started in this run.
-func (t *attemptTable) ran(id structs.AttemptID) bool {
+func (t *attemptTable) hasRun(id structs.AttemptID) bool {
 	_, found := t.started[xxhash.Sum64String(string(id))]
 	return found
 }
@@ -53,7 +53,7 @@
 func (t *attemptTable) forget(id structs.AttemptID) { delete(t.byID, id) }
 
 // open returns the attempts that have not ended, in the order of their names.
-func (t *attemptTable) open() []*attempt {
+func (t *attemptTable) unfinished() []*attempt {
 	var open []*attempt
 	for _, a := range t.byID {
 		if !a.done {
@@ -68,7 +68,7 @@
 func (t *attemptTable) fence(id structs.AttemptID) structs.Epoch { return t.fences[id].epoch }
 
 // raise refuses an attempt to epochs below the given one.
-func (t *attemptTable) raise(id structs.AttemptID, epoch structs.Epoch, now time.Time) {
+func (t *attemptTable) raiseFence(id structs.AttemptID, epoch structs.Epoch, now time.Time) {
 	current, found := t.fences[id]
 	if !found {
 		t.fenceOrder = append(t.fenceOrder, id)
@@ -77,7 +77,7 @@
 }
 
 // dropFences forgets the oldest fences past their retention or the bound.
-func (t *attemptTable) dropFences(now time.Time, retention time.Duration) {
+func (t *attemptTable) expireFences(now time.Time, retention time.Duration) {
 	for len(t.fenceOrder) > 0 {
 		oldest := t.fenceOrder[0]
 		expired := now.Sub(t.fences[oldest].setAt) > retention
--- a/internal/enginemodel/batch.go
+++ b/internal/enginemodel/batch.go
@@ -11,7 +11,7 @@
 )
 
 // share is the part of a step that prefills one sequence.
-type share struct {
+type prefillChunk struct {
 	sequence *sequence
 	tokens   int64
 }
@@ -21,7 +21,7 @@
 type span struct {
 	startedAt time.Time
 	decoding  []*sequence
-	prefill   []share
+	prefill   []prefillChunk
 	// ends are the times from the start to the end of each step.
 	ends  []time.Duration
 	timer clock.Timer
@@ -31,7 +31,7 @@
 // because something changed that the next step should take account of.
 func (e *Engine) wake() {
 	if e.busy {
-		e.woken = true
+		e.wakeRequested = true
 		return
 	}
 	if e.span == nil {
@@ -66,15 +66,15 @@
 // are looked at before the batch is closed.
 func (e *Engine) beginSpan() {
 	e.busy = true
-	for e.woken = true; e.woken && !e.down; {
-		e.woken = false
+	for e.wakeRequested = true; e.wakeRequested && !e.down; {
+		e.wakeRequested = false
 		e.removeCancelled()
 		e.admitWaiting()
 	}
 	e.makeRoom()
 	e.busy = false
 	e.events.flush()
-	e.noteLoad()
+	e.recordLoadState()
 	if len(e.running) == 0 || e.down {
 		return
 	}
@@ -100,7 +100,7 @@
 			continue
 		}
 		tokens := min(sequence.target-sequence.computed, left)
-		s.prefill = append(s.prefill, share{sequence, tokens})
+		s.prefill = append(s.prefill, prefillChunk{sequence, tokens})
 		left -= tokens
 	}
 	s.ends = e.stepEnds(s, e.equalSteps(s))
@@ -118,16 +118,16 @@
 		steps = min(steps, sequence.goal-sequence.generated)
 	}
 	steps = max(steps, 1)
-	if growth(s.decoding, steps) > e.cache.available() {
+	if totalBlocksNeeded(s.decoding, steps) > e.cache.available() {
 		return 1
 	}
 	return int(steps)
 }
 
-func growth(sequences []*sequence, tokens int64) int {
+func totalBlocksNeeded(sequences []*sequence, tokens int64) int {
 	blocks := 0
 	for _, sequence := range sequences {
-		blocks += sequence.growth(tokens)
+		blocks += sequence.blocksNeeded(tokens)
 	}
 	return blocks
 }
@@ -149,14 +149,14 @@
 	total := time.Duration(0)
 	for i := range ends {
 		step := fixed + time.Duration(context+int64(i)*batch)*p.StepPerContextToken
-		total += e.slowed(step)
+		total += e.applySlowness(step)
 		ends[i] = total
 	}
 	return ends
 }
 
 // slowed stretches a time by the engine's fault, if it has one.
-func (e *Engine) slowed(d time.Duration) time.Duration {
+func (e *Engine) applySlowness(d time.Duration) time.Duration {
 	if e.slowness <= 1 {
 		return d
 	}
@@ -199,7 +199,7 @@
 	}
 	slices.SortStableFunc(milestones, func(a, b milestone) int { return cmp.Compare(a.step, b.step) })
 	for _, m := range milestones {
-		e.reach(m, s.startedAt.Add(s.ends[m.step-1]))
+		e.applyMilestone(m, s.startedAt.Add(s.ends[m.step-1]))
 	}
 	for _, sequence := range s.decoding {
 		sequence.computed = sequence.spanStart + int64(steps)
@@ -210,19 +210,19 @@
 	}
 }
 
-func (e *Engine) reach(m milestone, at time.Time) {
+func (e *Engine) applyMilestone(m milestone, at time.Time) {
 	s := m.sequence
 	tokens, prefill := m.computed-s.computed, !s.decoding()
 	s.computed = m.computed
 	if prefill {
 		e.countComputed(s, tokens)
 	}
-	needed := s.growth(0)
-	e.cache.take(needed, at)
+	needed := s.blocksNeeded(0)
+	e.cache.allocate(needed, at)
 	s.private += needed
 	before := len(s.blocks)
-	s.publish(e.cache)
-	e.rememberBlocks(s, before)
+	s.shareFullBlocks(e.cache)
+	e.recordProgramBlocks(s, before)
 }
 
 // generate adds tokens to a sequence's answer.
--- a/internal/enginemodel/cache.go
+++ b/internal/enginemodel/cache.go
@@ -8,12 +8,12 @@
 
 // blockKey names a block: equal text under two models shares nothing.
 type blockKey struct {
-	space space
-	hash  structs.BlockHash
+	namespace namespace
+	hash      structs.BlockHash
 }
 
 // space is a model with its adapter.
-type space struct {
+type namespace struct {
 	model   structs.ModelName
 	adapter structs.AdapterName
 }
@@ -22,8 +22,8 @@
 type block struct {
 	key blockKey
 	// running and pinned count the sequences and the holds that refer to it.
-	running int32
-	pinned  int32
+	sequenceRefs int32
+	holdRefs     int32
 	// owner is the program that filled the block; shared is set once another
 	// one used it.
 	owner  structs.ProgramKey
@@ -45,20 +45,20 @@
 // Blocks that nobody refers to stay until their place is needed, the least
 // recently used going first.
 type blockCache struct {
-	capacity int
-	private  int
-	pinned   int
-	blocks   map[blockKey]*block
-	listener cacheListener
+	capacity     int
+	private      int
+	pinnedBlocks int
+	blocks       map[blockKey]*block
+	listener     cacheListener
 	// unused is the sentinel of the ring of blocks that nobody refers to:
 	// unused.newer is the oldest.
-	unused      block
-	unusedCount int
+	evictable      block
+	evictableCount int
 }
 
 func newBlockCache(capacity int, listener cacheListener) *blockCache {
 	c := &blockCache{capacity: capacity, blocks: map[blockKey]*block{}, listener: listener}
-	c.unused.older, c.unused.newer = &c.unused, &c.unused
+	c.evictable.older, c.evictable.newer = &c.evictable, &c.evictable
 	return c
 }
 
@@ -66,19 +66,19 @@
 func (c *blockCache) used() int { return c.private + len(c.blocks) }
 
 // available returns how many blocks can be taken now.
-func (c *blockCache) available() int { return c.capacity - c.used() + c.unusedCount }
+func (c *blockCache) available() int { return c.capacity - c.used() + c.evictableCount }
 
 // take makes a number of private blocks, evicting as needed. The caller has
 // checked that they are available.
-func (c *blockCache) take(count int, now time.Time) {
+func (c *blockCache) allocate(count int, now time.Time) {
 	c.private += count
-	for c.used() > c.capacity && c.unusedCount > 0 {
-		c.evict(c.unused.newer, now)
+	for c.used() > c.capacity && c.evictableCount > 0 {
+		c.evict(c.evictable.newer, now)
 	}
 }
 
 // giveBack frees private blocks.
-func (c *blockCache) giveBack(count int) { c.private -= count }
+func (c *blockCache) freePrivate(count int) { c.private -= count }
 
 // publish turns a private block into a shared one, or into a reference to the
 // block of that name that is there already.
@@ -88,7 +88,7 @@
 	if b == nil {
 		b = &block{key: key}
 		c.blocks[key] = b
-		b.running = 1
+		b.sequenceRefs = 1
 		c.listener.stored(key)
 		return b
 	}
@@ -98,7 +98,7 @@
 
 // insert adds blocks that came from elsewhere, from the first on, as far as
 // there is place. It returns how many of them are there now.
-func (c *blockCache) insert(in space, hashes []structs.BlockHash, now time.Time) int {
+func (c *blockCache) insert(in namespace, hashes []structs.BlockHash, now time.Time) int {
 	var present, added []*block
 	for _, hash := range hashes {
 		key := blockKey{in, hash}
@@ -110,20 +110,20 @@
 		if c.available() < 1 {
 			break
 		}
-		c.take(1, now)
+		c.allocate(1, now)
 		added = append(added, c.publish(key))
 	}
 	for i := len(added) - 1; i >= 0; i-- {
 		c.release(added[i], now)
 	}
 	for i := len(present) - 1; i >= 0; i-- {
-		c.undo(present[i])
+		c.releaseUnused(present[i])
 	}
 	return len(present) + len(added)
 }
 
 // match returns how many of the hashes, from the first on, are present.
-func (c *blockCache) match(in space, hashes []structs.BlockHash) int {
+func (c *blockCache) match(in namespace, hashes []structs.BlockHash) int {
 	for i, hash := range hashes {
 		if c.blocks[blockKey{in, hash}] == nil {
 			return i
@@ -133,7 +133,7 @@
 }
 
 // find returns blocks that are present.
-func (c *blockCache) find(in space, hashes []structs.BlockHash) []*block {
+func (c *blockCache) find(in namespace, hashes []structs.BlockHash) []*block {
 	blocks := make([]*block, 0, len(hashes))
 	for _, hash := range hashes {
 		if b := c.blocks[blockKey{in, hash}]; b != nil {
@@ -144,7 +144,7 @@
 }
 
 // use makes blocks that are present the latest used ones.
-func (c *blockCache) use(in space, hashes []structs.BlockHash, now time.Time) {
+func (c *blockCache) touch(in namespace, hashes []structs.BlockHash, now time.Time) {
 	blocks := c.find(in, hashes)
 	for _, b := range blocks {
 		c.acquire(b)
@@ -155,63 +155,63 @@
 }
 
 func (c *blockCache) acquire(b *block) {
-	if b.running == 0 && b.pinned == 0 {
-		c.unlink(b)
+	if b.sequenceRefs == 0 && b.holdRefs == 0 {
+		c.removeEvictable(b)
 	}
-	b.running++
+	b.sequenceRefs++
 }
 
 func (c *blockCache) release(b *block, now time.Time) {
-	b.running--
+	b.sequenceRefs--
 	b.lastUse = now
-	if b.running == 0 && b.pinned == 0 {
-		c.link(b)
+	if b.sequenceRefs == 0 && b.holdRefs == 0 {
+		c.addEvictable(b)
 	}
 }
 
 // undo takes an acquisition back that was of no use.
-func (c *blockCache) undo(b *block) {
-	b.running--
-	if b.running == 0 && b.pinned == 0 {
-		c.link(b)
+func (c *blockCache) releaseUnused(b *block) {
+	b.sequenceRefs--
+	if b.sequenceRefs == 0 && b.holdRefs == 0 {
+		c.addEvictable(b)
 	}
 }
 
 func (c *blockCache) pin(b *block) {
-	if b.running == 0 && b.pinned == 0 {
-		c.unlink(b)
+	if b.sequenceRefs == 0 && b.holdRefs == 0 {
+		c.removeEvictable(b)
 	}
-	if b.pinned == 0 {
-		c.pinned++
+	if b.holdRefs == 0 {
+		c.pinnedBlocks++
 	}
-	b.pinned++
+	b.holdRefs++
 }
 
 func (c *blockCache) unpin(b *block) {
-	b.pinned--
-	if b.pinned > 0 {
+	b.holdRefs--
+	if b.holdRefs > 0 {
 		return
 	}
-	c.pinned--
-	if b.running == 0 {
-		c.link(b)
+	c.pinnedBlocks--
+	if b.sequenceRefs == 0 {
+		c.addEvictable(b)
 	}
 }
 
 // drop evicts the unused blocks of one model, with all its adapters.
-func (c *blockCache) drop(model structs.ModelName, now time.Time) {
-	c.dropWhere(func(in space) bool { return in.model == model }, now)
+func (c *blockCache) evictModel(model structs.ModelName, now time.Time) {
+	c.evictWhere(func(in namespace) bool { return in.model == model }, now)
 }
 
 // dropAdapter evicts the unused blocks of one adapter.
-func (c *blockCache) dropAdapter(adapter space, now time.Time) {
-	c.dropWhere(func(in space) bool { return in == adapter }, now)
+func (c *blockCache) evictAdapter(adapter namespace, now time.Time) {
+	c.evictWhere(func(in namespace) bool { return in == adapter }, now)
 }
 
-func (c *blockCache) dropWhere(matches func(in space) bool, now time.Time) {
-	for b := c.unused.newer; b != &c.unused; {
+func (c *blockCache) evictWhere(matches func(in namespace) bool, now time.Time) {
+	for b := c.evictable.newer; b != &c.evictable; {
 		next := b.newer
-		if matches(b.key.space) {
+		if matches(b.key.namespace) {
 			c.evict(b, now)
 		}
 		b = next
@@ -220,10 +220,10 @@
 
 // discard evicts blocks that nobody refers to and that served one program
 // alone, the deepest first.
-func (c *blockCache) discard(blocks []*block, now time.Time) {
+func (c *blockCache) evictUnshared(blocks []*block, now time.Time) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		b := blocks[i]
-		if b.running == 0 && b.pinned == 0 && !b.shared && c.blocks[b.key] == b {
+		if b.sequenceRefs == 0 && b.holdRefs == 0 && !b.shared && c.blocks[b.key] == b {
 			c.evict(b, now)
 		}
 	}
@@ -239,21 +239,21 @@
 }
 
 func (c *blockCache) evict(b *block, now time.Time) {
-	c.unlink(b)
+	c.removeEvictable(b)
 	delete(c.blocks, b.key)
 	c.listener.evicted(b, now)
 }
 
 // link puts a block at the newest end of the unused ones.
-func (c *blockCache) link(b *block) {
-	newest := c.unused.older
-	b.older, b.newer = newest, &c.unused
-	newest.newer, c.unused.older = b, b
-	c.unusedCount++
+func (c *blockCache) addEvictable(b *block) {
+	newest := c.evictable.older
+	b.older, b.newer = newest, &c.evictable
+	newest.newer, c.evictable.older = b, b
+	c.evictableCount++
 }
 
-func (c *blockCache) unlink(b *block) {
+func (c *blockCache) removeEvictable(b *block) {
 	b.older.newer, b.newer.older = b.newer, b.older
 	b.older, b.newer = nil, nil
-	c.unusedCount--
+	c.evictableCount--
 }
--- a/internal/enginemodel/driver.go
+++ b/internal/enginemodel/driver.go
@@ -102,7 +102,7 @@
 }
 
 // later runs a task unless the driver is closed by then.
-func (d *Driver) later(wait time.Duration, task func()) clock.Timer {
+func (d *Driver) afterUnlessClosed(wait time.Duration, task func()) clock.Timer {
 	return d.options.Clock.AfterFunc(wait, func() {
 		if !d.closed {
 			task()
@@ -116,7 +116,7 @@
 	fault := d.fault(id, operation)
 	delay := d.oneWay(id, fault)
 	if fault.Refuse {
-		d.later(delay, func() { done(eris.Wrap(framework.ErrUnreachable, "connection refused")) })
+		d.afterUnlessClosed(delay, func() { done(eris.Wrap(framework.ErrUnreachable, "connection refused")) })
 		return
 	}
 	answered := false
@@ -126,7 +126,7 @@
 			done(err)
 		}
 	}
-	timer := d.later(d.options.Timeout, func() { finish(eris.Wrap(framework.ErrUnreachable, "timeout")) })
+	timer := d.afterUnlessClosed(d.options.Timeout, func() { finish(eris.Wrap(framework.ErrUnreachable, "timeout")) })
 	if fault.LoseRequest {
 		return
 	}
@@ -135,7 +135,7 @@
 			if fault.LoseAnswer {
 				return
 			}
-			d.later(delay, func() {
+			d.afterUnlessClosed(delay, func() {
 				timer.Stop()
 				finish(err)
 			})
--- a/internal/enginemodel/driver_stream.go
+++ b/internal/enginemodel/driver_stream.go
@@ -40,7 +40,7 @@
 		s.endAfter(d.options.Timeout, connectionLost())
 		return s
 	}
-	d.options.Clock.AfterFunc(delay, func() { s.arrive(request, fault) })
+	d.options.Clock.AfterFunc(delay, func() { s.deliverRequest(request, fault) })
 	return s
 }
 
@@ -50,7 +50,7 @@
 
 // arrive is the request's arrival at the engine. It starts even when the
 // caller has stopped reading meanwhile.
-func (s *driverStream) arrive(request framework.EngineRequest, fault Fault) {
+func (s *driverStream) deliverRequest(request framework.EngineRequest, fault Fault) {
 	e := s.driver.options.Fleet.Engine(s.engine)
 	if e == nil || e.Down() {
 		s.End(framework.AttemptEnd{Kind: framework.EndRejected, Message: "connection refused"})
@@ -61,7 +61,7 @@
 		gone = true
 		s.endAfter(s.driver.options.Timeout, connectionLost())
 	}
-	subscription := e.Start(s.driver.options.Fleet.reader.Read(request), s.unless(gone))
+	subscription := e.Start(s.driver.options.Fleet.reader.Read(request), s.observerUnless(gone))
 	if gone {
 		subscription.Detach()
 		return
@@ -70,18 +70,18 @@
 }
 
 // unless returns the stream as observer, or one that hears nothing.
-func (s *driverStream) unless(gone bool) framework.EngineObserver {
+func (s *driverStream) observerUnless(gone bool) framework.EngineObserver {
 	if gone {
-		return deaf{}
+		return discardObserver{}
 	}
 	return s
 }
 
 // deaf is the observer of a stream that nobody reads.
-type deaf struct{}
+type discardObserver struct{}
 
-func (deaf) Chunks([]structs.Chunk)   {}
-func (deaf) End(framework.AttemptEnd) {}
+func (discardObserver) Chunks([]structs.Chunk)   {}
+func (discardObserver) End(framework.AttemptEnd) {}
 
 // Detach implements framework.Stream.
 func (s *driverStream) Detach() { s.close() }
@@ -101,24 +101,24 @@
 func (s *driverStream) Chunks(chunks []structs.Chunk) {
 	fault := s.driver.fault(s.engine, OperationStream)
 	if s.broken || fault.LoseAnswer || fault.LoseRequest || fault.Refuse {
-		s.breakOff()
+		s.breakConnection()
 		return
 	}
-	s.arriveBack(fault, func() { s.observer.Chunks(chunks) })
+	s.deliverToReader(fault, func() { s.observer.Chunks(chunks) })
 }
 
 // End implements framework.EngineObserver.
 func (s *driverStream) End(end framework.AttemptEnd) {
 	fault := s.driver.fault(s.engine, OperationStream)
 	if s.broken || fault.LoseAnswer || fault.LoseRequest || fault.Refuse {
-		s.breakOff()
+		s.breakConnection()
 		return
 	}
-	s.arriveBack(fault, func() { s.finish(end) })
+	s.deliverToReader(fault, func() { s.finish(end) })
 }
 
 // breakOff stops the stream; the reader notices after a while.
-func (s *driverStream) breakOff() {
+func (s *driverStream) breakConnection() {
 	s.subscription.Detach()
 	if !s.broken {
 		s.broken = true
@@ -127,7 +127,7 @@
 }
 
 func (s *driverStream) endAfter(wait time.Duration, end framework.AttemptEnd) {
-	s.driver.later(wait, func() { s.finish(end) })
+	s.driver.afterUnlessClosed(wait, func() { s.finish(end) })
 }
 
 func (s *driverStream) finish(end framework.AttemptEnd) {
@@ -139,14 +139,14 @@
 }
 
 // arriveBack runs a task at the reader after the delay, behind all before it.
-func (s *driverStream) arriveBack(fault Fault, task func()) {
+func (s *driverStream) deliverToReader(fault Fault, task func()) {
 	now := s.driver.options.Clock.Now()
 	arrival := now.Add(s.driver.oneWay(s.engine, fault))
 	if arrival.Before(s.lastArrival) {
 		arrival = s.lastArrival
 	}
 	s.lastArrival = arrival
-	s.driver.later(arrival.Sub(now), func() {
+	s.driver.afterUnlessClosed(arrival.Sub(now), func() {
 		if !s.closed {
 			task()
 		}
--- a/internal/enginemodel/driver_test.go
+++ b/internal/enginemodel/driver_test.go
@@ -12,15 +12,15 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// driven is a bench whose engine is reached through a driver 5 ms away.
-type driven struct {
-	*bench
+// testDriver is a testEngine whose engine is reached through a driver 5 ms away.
+type testDriver struct {
+	*testEngine
 	driver *Driver
 	fault  map[Operation]Fault
 }
 
-func newDriven(t *testing.T) *driven {
-	d := &driven{bench: newBench(t, nil), fault: map[Operation]Fault{}}
+func newTestDriver(t *testing.T) *testDriver {
+	d := &testDriver{testEngine: newTestEngine(t, nil), fault: map[Operation]Fault{}}
 	fleet := NewFleet(3)
 	fleet.Add(d.engine)
 	d.driver = NewDriver(DriverOptions{
@@ -44,13 +44,13 @@
 	}
 }
 
-func (d *driven) send(request framework.EngineRequest) (*reading, framework.Stream) {
-	r := &reading{bench: d.bench}
+func (d *testDriver) send(request framework.EngineRequest) (*streamRecorder, framework.Stream) {
+	r := &streamRecorder{testEngine: d.testEngine}
 	return r, d.driver.Start(request, r)
 }
 
 func TestDriverAddsTheDelayBothWays(t *testing.T) {
-	d := newDriven(t)
+	d := newTestDriver(t)
 	r, _ := d.send(engineRequest("a", "hello"))
 	d.runFor(time.Second)
 	// "user\nhello\n" is 3 tokens: 10+3, then 2 tokens of 11 ms each.
@@ -77,7 +77,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			d := newDriven(t)
+			d := newTestDriver(t)
 			d.fault[OperationOrder] = c.fault
 			var calls []error
 			d.driver.Order(structs.Order{Engine: "e", Kind: structs.OrderUnloadModel, Fence: 1, Model: testModel}, func(err error) {
@@ -95,7 +95,7 @@
 }
 
 func TestBrokenStreamGoesOnAtItsEngine(t *testing.T) {
-	d := newDriven(t)
+	d := newTestDriver(t)
 	r, _ := d.send(engineRequest("a", "[[tokens=50]]"))
 	d.runFor(200 * millisecond)
 	d.driver.BreakStreams("e")
@@ -115,7 +115,7 @@
 }
 
 func TestStreamGoesOnAtAnotherEngine(t *testing.T) {
-	d := newDriven(t)
+	d := newTestDriver(t)
 	whole, _ := d.send(engineRequest("a", "[[tokens=50]]"))
 	d.runFor(2 * time.Second)
 	request := engineRequest("b", "[[tokens=50]]")
@@ -128,7 +128,7 @@
 }
 
 func TestDetachStopsReadingNotRunning(t *testing.T) {
-	d := newDriven(t)
+	d := newTestDriver(t)
 	r, stream := d.send(engineRequest("a", "hello"))
 	d.runFor(20 * millisecond)
 	stream.Detach()
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -59,13 +59,13 @@
 	holds     holdTable
 	programs  programBlocks
 	// linkFree is when the link to other engines is free again.
-	linkFree time.Time
-	waiting  []*sequence
-	running  []*sequence
-	arrivals uint64
-	span     *span
-	busy     bool
-	woken    bool
+	linkFree      time.Time
+	waiting       []*sequence
+	running       []*sequence
+	arrivals      uint64
+	span          *span
+	busy          bool
+	wakeRequested bool
 }
 
 // New returns an engine that runs and has seen nothing.
@@ -115,7 +115,7 @@
 	e.holds = newHoldTable()
 	e.programs = newProgramBlocks()
 	e.linkFree = started
-	e.noteLoad()
+	e.recordLoadState()
 }
 
 // Crash ends the run: everything is lost, and every reader hears that its
@@ -133,7 +133,7 @@
 	e.busy = false
 	e.CountIdleBlocks()
 	lost := framework.AttemptEnd{Kind: framework.EndLost, Message: "the engine crashed"}
-	for _, a := range e.attempts.open() {
+	for _, a := range e.attempts.unfinished() {
 		e.recordEnd(a, lost)
 		a.done, a.end = true, lost
 		readers := a.readers
@@ -154,7 +154,7 @@
 // Drain has the engine refuse new attempts and finish those it has.
 func (e *Engine) Drain(draining bool) {
 	e.draining = draining
-	e.noteLoad()
+	e.recordLoadState()
 }
 
 // SetSlowness stretches every step; 1 is normal.
--- a/internal/enginemodel/engine_test.go
+++ b/internal/enginemodel/engine_test.go
@@ -35,17 +35,17 @@
 	return p
 }
 
-// bench is an engine on a virtual clock.
-type bench struct {
+// testEngine is an engine on a virtual clock.
+type testEngine struct {
 	*testing.T
-	clock  *clock.Virtual
-	engine *Engine
-	ledger *BlockHistory
+	clock   *clock.Virtual
+	engine  *Engine
+	history *BlockHistory
 }
 
-func newBench(t *testing.T, change func(*Parameters)) *bench {
+func newTestEngine(t *testing.T, change func(*Parameters)) *testEngine {
 	t.Helper()
-	b := &bench{T: t, clock: clock.NewVirtual(testStart), ledger: NewBlockHistory()}
+	b := &testEngine{T: t, clock: clock.NewVirtual(testStart), history: NewBlockHistory()}
 	parameters := testParameters()
 	if change != nil {
 		change(&parameters)
@@ -56,7 +56,7 @@
 		Random:       rand.New(rand.NewPCG(1, 2)),
 		Parameters:   parameters,
 		Models:       []structs.ModelName{testModel},
-		BlockHistory: b.ledger,
+		BlockHistory: b.history,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -65,31 +65,31 @@
 	return b
 }
 
-func (b *bench) elapsed() time.Duration { return b.clock.Now().Sub(testStart) }
+func (b *testEngine) elapsed() time.Duration { return b.clock.Now().Sub(testStart) }
 
-func (b *bench) runFor(d time.Duration) { b.clock.RunUntil(b.clock.Now().Add(d)) }
+func (b *testEngine) runFor(d time.Duration) { b.clock.RunUntil(b.clock.Now().Add(d)) }
 
-// reading is what an observer got of one attempt.
-type reading struct {
-	bench *bench
-	text  string
-	first time.Duration
-	ended time.Duration
-	end   framework.AttemptEnd
-	ends  int
+// streamRecorder records what an observer receives of one attempt.
+type streamRecorder struct {
+	testEngine *testEngine
+	text       string
+	first      time.Duration
+	ended      time.Duration
+	end        framework.AttemptEnd
+	ends       int
 }
 
-func (r *reading) Chunks(chunks []structs.Chunk) {
+func (r *streamRecorder) Chunks(chunks []structs.Chunk) {
 	for _, chunk := range chunks {
 		if r.text == "" {
-			r.first = r.bench.elapsed()
+			r.first = r.testEngine.elapsed()
 		}
 		r.text += chunk.Text
 	}
 }
 
-func (r *reading) End(end framework.AttemptEnd) {
-	r.end, r.ended = end, r.bench.elapsed()
+func (r *streamRecorder) End(end framework.AttemptEnd) {
+	r.end, r.ended = end, r.testEngine.elapsed()
 	r.ends++
 }
 
@@ -113,8 +113,8 @@
 	return r
 }
 
-func (b *bench) start(r Request) *reading {
-	observed := &reading{bench: b}
+func (b *testEngine) start(r Request) *streamRecorder {
+	observed := &streamRecorder{testEngine: b}
 	b.engine.Start(r, observed)
 	return observed
 }
@@ -122,7 +122,7 @@
 const millisecond = time.Millisecond
 
 func TestOneSequenceTakesItsSteps(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	r := b.start(request("a", 1, 100, 3))
 	b.runFor(time.Second)
 	// 64 tokens: 10+64; 36 tokens: 10+36; two more tokens: 11 each.
@@ -144,7 +144,7 @@
 }
 
 func TestDecodingSharesStepsWithPrefill(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	first := b.start(request("a", 1, 10, 4))
 	second := b.start(request("b", 2, 100, 1))
 	b.runFor(time.Second)
@@ -159,7 +159,7 @@
 }
 
 func TestSharedPrefixIsNotComputedAgain(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	b.start(request("a", 1, 200, 1))
 	b.runFor(time.Second)
 	began := b.elapsed()
@@ -175,7 +175,7 @@
 }
 
 func TestTheNextCallHitsTheAnswer(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	first := request("a", 1, 64, 70)
 	b.start(first)
 	b.runFor(5 * time.Second)
@@ -189,7 +189,7 @@
 }
 
 func TestLeastRecentlyUsedIsEvicted(t *testing.T) {
-	b := newBench(t, func(p *Parameters) { p.CacheTokens = 8 * prefix.BlockTokens })
+	b := newTestEngine(t, func(p *Parameters) { p.CacheTokens = 8 * prefix.BlockTokens })
 	run := func(attempt string, family int64) int64 {
 		r := b.start(request(attempt, family, 193, 1))
 		b.runFor(time.Second)
@@ -207,7 +207,7 @@
 }
 
 func TestCancelFreesMemoryAtTheEndOfTheStep(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	r := b.start(request("a", 1, 640-64, 64))
 	other := b.start(request("b", 2, 640-64, 1))
 	b.runFor(15 * millisecond)
@@ -242,7 +242,7 @@
 }
 
 func randomRun(t *testing.T, seed uint64, steps int, shared bool) []string {
-	b := newBench(t, func(p *Parameters) {
+	b := newTestEngine(t, func(p *Parameters) {
 		p.CoalescedSteps = steps
 		p.StepPerContextToken = 7 * time.Microsecond
 		p.MaximumWaiting = 100
@@ -251,7 +251,7 @@
 		}
 	})
 	random := rand.New(rand.NewPCG(seed, 5))
-	var readings []*reading
+	var readings []*streamRecorder
 	for i := range 40 {
 		family := random.Int64N(6)
 		if !shared {
--- a/internal/enginemodel/holds.go
+++ b/internal/enginemodel/holds.go
@@ -40,26 +40,26 @@
 	if _, released := e.holds.released[id]; released {
 		return false
 	}
-	if !e.mayPin(s.blocks) {
+	if !e.fitsHoldLimit(s.blocks) {
 		return false
 	}
-	e.pinUnder(id, s.attempt.request.Program, s.blocks)
+	e.pinForHold(id, s.attempt.request.Program, s.blocks)
 	return true
 }
 
 // mayPin tells whether the bound on holds has room for some blocks.
-func (e *Engine) mayPin(blocks []*block) bool {
+func (e *Engine) fitsHoldLimit(blocks []*block) bool {
 	fresh := 0
 	for _, b := range blocks {
-		if b.pinned == 0 {
+		if b.holdRefs == 0 {
 			fresh++
 		}
 	}
-	return float64(e.cache.pinned+fresh) <= e.parameters.HeldFraction*float64(e.cache.capacity)
+	return float64(e.cache.pinnedBlocks+fresh) <= e.parameters.HeldFraction*float64(e.cache.capacity)
 }
 
 // pinUnder pins blocks under a name, in place of those of that name.
-func (e *Engine) pinUnder(id structs.HoldID, program structs.ProgramKey, blocks []*block) {
+func (e *Engine) pinForHold(id structs.HoldID, program structs.ProgramKey, blocks []*block) {
 	for _, b := range blocks {
 		e.cache.pin(b)
 	}
@@ -84,9 +84,9 @@
 	for i := len(h.blocks) - 1; i >= 0; i-- {
 		e.cache.unpin(h.blocks[i])
 	}
-	e.cache.discard(h.blocks, e.now())
+	e.cache.evictUnshared(h.blocks, e.now())
 	e.events.flush()
-	e.noteLoad()
+	e.recordLoadState()
 	e.wake()
 }
 
--- a/internal/enginemodel/invariant_test.go
+++ b/internal/enginemodel/invariant_test.go
@@ -14,7 +14,7 @@
 // imports, drains and crashes, and checks the cache's books after each event.
 func TestMemoryAddsUp(t *testing.T) {
 	for seed := range uint64(20) {
-		b := newBench(t, func(p *Parameters) {
+		b := newTestEngine(t, func(p *Parameters) {
 			p.CacheTokens = 24 * prefix.BlockTokens
 			p.CoalescedSteps = 20
 			p.MaximumWaiting = 50
@@ -22,7 +22,7 @@
 		random := rand.New(rand.NewPCG(seed, 9))
 		for i := range 150 {
 			at := time.Duration(random.Int64N(int64(20 * time.Second)))
-			b.clock.AfterFunc(at, func() { b.disturb(random, i) })
+			b.clock.AfterFunc(at, func() { b.randomOperation(random, i) })
 		}
 		// Holds that nobody releases may keep others waiting: they are
 		// released whenever nothing moves any more.
@@ -33,29 +33,29 @@
 			}
 		}
 		c := b.engine.cache
-		if len(b.engine.running)+len(b.engine.waiting)+c.private+c.pinned != 0 || c.unusedCount != len(c.blocks) {
+		if len(b.engine.running)+len(b.engine.waiting)+c.private+c.pinnedBlocks != 0 || c.evictableCount != len(c.blocks) {
 			t.Fatalf("seed %d: after all ended: %d running, %d waiting, %d private, %d pinned, %d of %d unused", seed,
-				len(b.engine.running), len(b.engine.waiting), c.private, c.pinned, c.unusedCount, len(c.blocks))
+				len(b.engine.running), len(b.engine.waiting), c.private, c.pinnedBlocks, c.evictableCount, len(c.blocks))
 		}
 	}
 }
 
 // stepChecked runs an event, if one waits, and checks the books.
-func (b *bench) stepChecked(seed uint64) {
+func (b *testEngine) stepChecked(seed uint64) {
 	b.clock.Step()
 	if problem := b.engine.cache.check(); problem != "" {
 		b.Fatalf("seed %d at %v: %s", seed, b.elapsed(), problem)
 	}
 }
 
-func (b *bench) releaseAll() {
+func (b *testEngine) releaseAll() {
 	for _, hold := range b.engine.Holds() {
 		b.engine.Release(hold.ID)
 	}
 }
 
-// disturb does one random thing.
-func (b *bench) disturb(random *rand.Rand, number int) {
+// randomOperation performs one random operation on the engine.
+func (b *testEngine) randomOperation(random *rand.Rand, number int) {
 	name := func() string { return fmt.Sprint(random.IntN(150)) }
 	switch random.IntN(12) {
 	case 0:
@@ -87,22 +87,22 @@
 func (c *blockCache) check() string {
 	pinned, unused := 0, 0
 	for _, b := range c.blocks {
-		if b.pinned > 0 {
+		if b.holdRefs > 0 {
 			pinned++
 		}
-		if b.running == 0 && b.pinned == 0 {
+		if b.sequenceRefs == 0 && b.holdRefs == 0 {
 			unused++
 		}
-		if b.running < 0 || b.pinned < 0 {
-			return fmt.Sprintf("block %v has %d running and %d pinned", b.key, b.running, b.pinned)
+		if b.sequenceRefs < 0 || b.holdRefs < 0 {
+			return fmt.Sprintf("block %v has %d running and %d pinned", b.key, b.sequenceRefs, b.holdRefs)
 		}
 	}
 	linked := 0
-	for b := c.unused.newer; b != &c.unused; b = b.newer {
+	for b := c.evictable.newer; b != &c.evictable; b = b.newer {
 		linked++
 	}
-	if pinned != c.pinned || unused != c.unusedCount || linked != unused {
-		return fmt.Sprintf("pinned %d, counted %d; unused %d, counted %d, linked %d", pinned, c.pinned, unused, c.unusedCount, linked)
+	if pinned != c.pinnedBlocks || unused != c.evictableCount || linked != unused {
+		return fmt.Sprintf("pinned %d, counted %d; unused %d, counted %d, linked %d", pinned, c.pinnedBlocks, unused, c.evictableCount, linked)
 	}
 	if c.private < 0 || c.used() > c.capacity {
 		return fmt.Sprintf("%d private, %d of %d used", c.private, c.used(), c.capacity)
@@ -113,10 +113,10 @@
 // TestSameSeedSameRun compares two runs of everything at once.
 func TestSameSeedSameRun(t *testing.T) {
 	run := func() string {
-		b := newBench(t, func(p *Parameters) { p.Publication.EventLoss = 0.3 })
+		b := newTestEngine(t, func(p *Parameters) { p.Publication.EventLoss = 0.3 })
 		random := rand.New(rand.NewPCG(4, 4))
 		for i := range 100 {
-			b.clock.AfterFunc(time.Duration(random.Int64N(int64(10*time.Second))), func() { b.disturb(random, i) })
+			b.clock.AfterFunc(time.Duration(random.Int64N(int64(10*time.Second))), func() { b.randomOperation(random, i) })
 		}
 		b.clock.RunUntil(testStart.Add(time.Minute))
 		return fmt.Sprint(b.engine.Statistics(), b.engine.CacheEvents(0), b.engine.Holds(), b.engine.Load())
--- a/internal/enginemodel/lifecycle.go
+++ b/internal/enginemodel/lifecycle.go
@@ -14,7 +14,7 @@
 	if known := e.attempts.find(request.Attempt); known != nil {
 		return e.resume(known, request, observer)
 	}
-	if request.ResumeOnly && !e.attempts.ran(request.Attempt) {
+	if request.ResumeOnly && !e.attempts.hasRun(request.Attempt) {
 		observer.End(framework.AttemptEnd{Kind: framework.EndLost, Message: "the attempt is not known"})
 		return &Subscription{}
 	}
@@ -29,7 +29,7 @@
 	e.arrivals++
 	a.sequence = newSequence(a, e.arrivals)
 	e.enqueue(a.sequence)
-	e.noteLoad()
+	e.recordLoadState()
 	e.wake()
 	return reader
 }
@@ -42,11 +42,11 @@
 
 func (e *Engine) resume(known *attempt, request Request, observer framework.EngineObserver) *Subscription {
 	if request.Epoch < e.attempts.fence(request.Attempt) {
-		observer.End(fenced())
+		observer.End(fencedEnd())
 		return &Subscription{}
 	}
 	known.epoch = max(known.epoch, request.Epoch)
-	e.attempts.raise(request.Attempt, request.Epoch, e.now())
+	e.attempts.raiseFence(request.Attempt, request.Epoch, e.now())
 	reader := known.subscribe(observer, max(request.ResumeAt, request.AnswerPrefixBytes))
 	if known.done {
 		known.broadcast()
@@ -63,8 +63,8 @@
 	case e.down:
 		rejected.Message = "connection refused"
 	case request.Epoch < e.attempts.fence(request.Attempt):
-		return fenced(), true
-	case e.attempts.ran(request.Attempt):
+		return fencedEnd(), true
+	case e.attempts.hasRun(request.Attempt):
 		return framework.AttemptEnd{Kind: framework.EndFailed, Reason: structs.ReasonBackEnd, Message: "the attempt ran; its stream is gone"}, true
 	case e.draining:
 		rejected.Message, rejected.Draining = "draining", true
@@ -84,7 +84,7 @@
 	return blocksFor(request.PromptTokens + max(request.AnswerTokens, tokensOf(request.AnswerPrefixBytes)+1))
 }
 
-func fenced() framework.AttemptEnd {
+func fencedEnd() framework.AttemptEnd {
 	return framework.AttemptEnd{Kind: framework.EndRejected, Message: "fenced by a higher epoch"}
 }
 
@@ -96,10 +96,10 @@
 		done()
 		return
 	}
-	a.cancelled = append(a.cancelled, done)
+	a.cancelCallbacks = append(a.cancelCallbacks, done)
 	if place := slices.Index(e.waiting, a.sequence); place >= 0 {
 		e.waiting = slices.Delete(e.waiting, place, place+1)
-		e.cancelNow(a.sequence)
+		e.finishCancelled(a.sequence)
 		return
 	}
 	e.wake()
@@ -109,14 +109,14 @@
 // now on.
 func (e *Engine) Inspect(id structs.AttemptID, epoch structs.Epoch) framework.AttemptStatus {
 	status := framework.AttemptStatus{State: framework.AttemptAbsent, StartedUnixNano: e.startedAt.UnixNano()}
-	e.attempts.dropFences(e.now(), e.parameters.FenceRetention)
-	e.attempts.raise(id, epoch, e.now())
+	e.attempts.expireFences(e.now(), e.parameters.FenceRetention)
+	e.attempts.raiseFence(id, epoch, e.now())
 	status.Fenced = true
 	a := e.attempts.find(id)
 	switch {
 	case a != nil && !a.done:
 		status.State = framework.AttemptRunning
-	case a != nil || e.attempts.ran(id):
+	case a != nil || e.attempts.hasRun(id):
 		status.State = framework.AttemptDone
 	}
 	return status
@@ -139,11 +139,11 @@
 	}
 	end.HoldTaken = e.takeHold(s)
 	blocks := s.blocks
-	s.leave(e.cache, e.now())
+	s.releaseBlocks(e.cache, e.now())
 	if a.request.Discard && !end.HoldTaken {
-		e.cache.discard(blocks, e.now())
+		e.cache.evictUnshared(blocks, e.now())
 	}
-	e.settle(a, end)
+	e.finishAttempt(a, end)
 }
 
 func (s *sequence) usage() structs.Usage {
@@ -155,11 +155,11 @@
 }
 
 // cancelNow ends a sequence that is out of the batch.
-func (e *Engine) cancelNow(s *sequence) {
-	s.leave(e.cache, e.now())
-	e.settle(s.attempt, framework.AttemptEnd{Kind: framework.EndCancelled, Reason: structs.ReasonCancelled, Usage: s.usage()})
+func (e *Engine) finishCancelled(s *sequence) {
+	s.releaseBlocks(e.cache, e.now())
+	e.finishAttempt(s.attempt, framework.AttemptEnd{Kind: framework.EndCancelled, Reason: structs.ReasonCancelled, Usage: s.usage()})
 	s.attempt.broadcast()
-	for _, done := range s.attempt.cancelled {
+	for _, done := range s.attempt.cancelCallbacks {
 		done()
 	}
 }
@@ -172,16 +172,16 @@
 // expire ends a waiting sequence that nobody waits for any more.
 func (e *Engine) expire(s *sequence) {
 	end := framework.AttemptEnd{Kind: framework.EndFailed, Reason: structs.ReasonDeadline, Message: "the deadline passed"}
-	if s.prefilled == 0 && !s.counted {
+	if s.prefilled == 0 && !s.hitsCounted {
 		end.Kind = framework.EndRejected
 	}
 	end.Usage = s.usage()
-	e.settle(s.attempt, end)
+	e.finishAttempt(s.attempt, end)
 	s.attempt.broadcast()
 }
 
 // settle records an end and keeps the stream readable for a while.
-func (e *Engine) settle(a *attempt, end framework.AttemptEnd) {
+func (e *Engine) finishAttempt(a *attempt, end framework.AttemptEnd) {
 	a.done, a.end, a.sequence = true, end, nil
 	e.recordEnd(a, end)
 	run := e.run
--- a/internal/enginemodel/memory_test.go
+++ b/internal/enginemodel/memory_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestHigherPriorityPushesOutLower(t *testing.T) {
-	b := newBench(t, blocks(6))
+	b := newTestEngine(t, blocks(6))
 	low := b.start(request("low", 1, 63, 300))
 	b.runFor(80 * millisecond)
 	urgent := request("urgent", 2, 257, 1)
@@ -37,7 +37,7 @@
 }
 
 func TestOutOfMemoryPreemptsTheLatest(t *testing.T) {
-	b := newBench(t, blocks(4))
+	b := newTestEngine(t, blocks(4))
 	// Each fits alone: 1 + 2 blocks. Together they need 6 at the end.
 	first := b.start(request("a", 1, 60, 130))
 	second := b.start(request("b", 2, 60, 130))
@@ -54,7 +54,7 @@
 }
 
 func TestHoldKeepsBlocksUntilReleased(t *testing.T) {
-	b := newBench(t, blocks(8))
+	b := newTestEngine(t, blocks(8))
 	held := request("a", 1, 193, 1)
 	held.Hold = "h"
 	if r := b.start(held); func() bool { b.runFor(time.Second); return !r.end.HoldTaken }() {
@@ -87,7 +87,7 @@
 }
 
 func TestReleaseBeforeTheHoldPreventsIt(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	held := request("a", 1, 193, 1)
 	held.Hold = "h"
 	r := b.start(held)
@@ -99,7 +99,7 @@
 }
 
 func TestHoldsAreBounded(t *testing.T) {
-	b := newBench(t, func(p *Parameters) { p.HeldFraction = 0.5 })
+	b := newTestEngine(t, func(p *Parameters) { p.HeldFraction = 0.5 })
 	var taken []bool
 	for i, tokens := range []int64{193, 193, 129} {
 		held := request(fmt.Sprint(i), int64(i), tokens, 1)
@@ -115,7 +115,7 @@
 }
 
 func TestIdleTimeCountsWhatIsNeverHit(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	b.start(request("a", 1, 129, 1))
 	b.runFor(10 * time.Second)
 	b.start(request("b", 1, 65, 1))
@@ -131,7 +131,7 @@
 }
 
 func TestQueueIsBoundedAndDeadlinesEndWaiting(t *testing.T) {
-	b := newBench(t, func(p *Parameters) { p.MaximumRunning, p.MaximumWaiting = 1, 1 })
+	b := newTestEngine(t, func(p *Parameters) { p.MaximumRunning, p.MaximumWaiting = 1, 1 })
 	first := b.start(request("a", 1, 10, 50))
 	b.runFor(millisecond)
 	waiting := request("b", 2, 10, 1)
@@ -148,7 +148,7 @@
 }
 
 func TestFencesAndUnknownAttempts(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	if got := b.engine.Inspect("a", 5); got.State != framework.AttemptAbsent || !got.Fenced {
 		t.Errorf("status %+v", got)
 	}
@@ -172,7 +172,7 @@
 }
 
 func TestAnAttemptNeverRunsTwice(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	b.start(request("a", 1, 10, 2))
 	b.runFor(2 * time.Minute)
 	r := b.start(request("a", 1, 10, 2))
@@ -186,7 +186,7 @@
 }
 
 func TestCrashLosesEverythingAndDrainFinishes(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	held := request("a", 1, 130, 1)
 	held.Hold = "h"
 	b.start(held)
@@ -216,7 +216,7 @@
 }
 
 func TestReportsLagAndEventsAreLateAndLost(t *testing.T) {
-	b := newBench(t, func(p *Parameters) {
+	b := newTestEngine(t, func(p *Parameters) {
 		p.Publication = Publication{LoadLag: time.Second, EventDelay: time.Second}
 	})
 	b.runFor(100 * millisecond)
@@ -245,7 +245,7 @@
 }
 
 func TestRoles(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	if err := b.engine.Order(structs.Order{Kind: structs.OrderSetRole, Fence: 1, Role: structs.RolePrefill}); err != nil {
 		t.Fatal(err)
 	}
@@ -263,7 +263,7 @@
 		t.Errorf("imported %d blocks, want 2", got)
 	}
 	began := b.elapsed()
-	second := &reading{bench: b}
+	second := &streamRecorder{testEngine: b}
 	decode.Start(request("a", 1, 129, 20), second)
 	b.runFor(time.Second)
 	// One token is missing: 11 ms, then 19 more at 11 ms.
@@ -290,7 +290,7 @@
 		for i := range seconds * perSecond {
 			r := request(fmt.Sprint(i), int64(i%200), 2000, 200)
 			virtual.AfterFunc(time.Duration(i)*time.Second/perSecond, func() {
-				fleet.Engines()[i%15].Start(r, deaf{})
+				fleet.Engines()[i%15].Start(r, discardObserver{})
 			})
 		}
 		virtual.RunUntil(testStart.Add(seconds * time.Second))
--- a/internal/enginemodel/orders.go
+++ b/internal/enginemodel/orders.go
@@ -15,7 +15,7 @@
 }
 
 // loadRetry is the pause before a load that failed is tried again.
-const loadRetry = time.Second
+const loadRetryDelay = time.Second
 
 // orderState is what fenced orders set.
 type orderState struct {
@@ -24,10 +24,10 @@
 	role  structs.EngineRole
 	// listed, loading and versions are never modified in place: reports share
 	// them.
-	listed   []structs.ModelName
+	loaded   []structs.ModelName
 	loading  []structs.ModelName
 	versions map[structs.ModelName]string
-	adapters map[space]*adapterState
+	adapters map[namespace]*adapterState
 }
 
 // adapterState is one adapter at an engine.
@@ -41,21 +41,21 @@
 func newOrderState(models []structs.ModelName, role structs.EngineRole) orderState {
 	return orderState{
 		role:     role,
-		listed:   slices.Clone(models),
+		loaded:   slices.Clone(models),
 		versions: map[structs.ModelName]string{},
-		adapters: map[space]*adapterState{},
+		adapters: map[namespace]*adapterState{},
 	}
 }
 
 // serves tells that a model, and its adapter if one is named, is loaded.
 func (o *orderState) serves(model structs.ModelName, adapter structs.AdapterName) bool {
-	if !slices.Contains(o.listed, model) {
+	if !slices.Contains(o.loaded, model) {
 		return false
 	}
 	if adapter == "" {
 		return true
 	}
-	state := o.adapters[space{model, adapter}]
+	state := o.adapters[namespace{model, adapter}]
 	return state != nil && !state.loading
 }
 
@@ -72,15 +72,15 @@
 	case order.Fence == e.orders.fence:
 		return framework.ErrFenced
 	}
-	if err := e.obey(order); err != nil {
+	if err := e.applyOrder(order); err != nil {
 		return err
 	}
 	e.orders.fence, e.orders.last = order.Fence, order
-	e.noteLoad()
+	e.recordLoadState()
 	return nil
 }
 
-func (e *Engine) obey(order structs.Order) error {
+func (e *Engine) applyOrder(order structs.Order) error {
 	switch order.Kind {
 	case structs.OrderLoadModel:
 		if order.Model == "" {
@@ -90,9 +90,9 @@
 	case structs.OrderUnloadModel:
 		e.unloadModel(order.Model)
 	case structs.OrderLoadAdapter:
-		return e.loadAdapter(space{order.Model, order.Adapter})
+		return e.loadAdapter(namespace{order.Model, order.Adapter})
 	case structs.OrderUnloadAdapter:
-		e.unloadAdapter(space{order.Model, order.Adapter})
+		e.unloadAdapter(namespace{order.Model, order.Adapter})
 	case structs.OrderSetRole:
 		return e.setRole(order.Role)
 	default:
@@ -113,7 +113,7 @@
 // loadModel reads a model or another version of it. The old version serves
 // until the new one is there, if there is memory for both.
 func (e *Engine) loadModel(order structs.Order) {
-	present := slices.Contains(e.orders.listed, order.Model)
+	present := slices.Contains(e.orders.loaded, order.Model)
 	if present && e.orders.versions[order.Model] == order.Version {
 		return
 	}
@@ -121,28 +121,28 @@
 		e.orders.loading = append(slices.Clip(e.orders.loading), order.Model)
 	}
 	if present && e.parameters.SingleVersion {
-		e.orders.listed = without(e.orders.listed, order.Model)
+		e.orders.loaded = withoutModel(e.orders.loaded, order.Model)
 	}
 	e.fetch(string(order.Model)+"@"+order.Version, e.parameters.ModelBytes, func() {
 		if !slices.Contains(e.orders.loading, order.Model) {
 			return
 		}
-		e.orders.loading = without(e.orders.loading, order.Model)
+		e.orders.loading = withoutModel(e.orders.loading, order.Model)
 		e.orders.versions = maps.Clone(e.orders.versions)
 		e.orders.versions[order.Model] = order.Version
 		if present {
-			e.cache.drop(order.Model, e.now())
+			e.cache.evictModel(order.Model, e.now())
 		}
-		if !slices.Contains(e.orders.listed, order.Model) {
-			e.orders.listed = append(slices.Clip(e.orders.listed), order.Model)
+		if !slices.Contains(e.orders.loaded, order.Model) {
+			e.orders.loaded = append(slices.Clip(e.orders.loaded), order.Model)
 		}
-		e.noteLoad()
+		e.recordLoadState()
 	})
 }
 
 // loadAdapter reads an adapter of a model that is loaded, if there is place.
-func (e *Engine) loadAdapter(adapter space) error {
-	if adapter.adapter == "" || !slices.Contains(e.orders.listed, adapter.model) {
+func (e *Engine) loadAdapter(adapter namespace) error {
+	if adapter.adapter == "" || !slices.Contains(e.orders.loaded, adapter.model) {
 		return framework.ErrRefused
 	}
 	if e.orders.adapters[adapter] != nil {
@@ -155,15 +155,15 @@
 	e.orders.adapters[adapter] = state
 	e.fetch(string(adapter.model)+"/"+string(adapter.adapter), e.parameters.AdapterBytes, func() {
 		state.loading = false
-		e.noteLoad()
+		e.recordLoadState()
 	})
 	return nil
 }
 
 // unloadAdapter refuses new attempts for an adapter; those that run finish.
-func (e *Engine) unloadAdapter(adapter space) {
+func (e *Engine) unloadAdapter(adapter namespace) {
 	delete(e.orders.adapters, adapter)
-	e.cache.dropAdapter(adapter, e.now())
+	e.cache.evictAdapter(adapter, e.now())
 }
 
 // adapterReport lists the adapters for a load report.
@@ -190,7 +190,7 @@
 
 func (e *Engine) countAdapters(sequences []*sequence) {
 	for _, s := range sequences {
-		if state := e.orders.adapters[s.space()]; state != nil {
+		if state := e.orders.adapters[s.namespace()]; state != nil {
 			state.running++
 		}
 	}
@@ -211,15 +211,15 @@
 
 // unloadModel refuses new attempts for a model; those that run finish.
 func (e *Engine) unloadModel(model structs.ModelName) {
-	e.orders.listed = without(e.orders.listed, model)
-	e.orders.loading = without(e.orders.loading, model)
+	e.orders.loaded = withoutModel(e.orders.loaded, model)
+	e.orders.loading = withoutModel(e.orders.loading, model)
 	e.orders.versions = maps.Clone(e.orders.versions)
 	delete(e.orders.versions, model)
-	maps.DeleteFunc(e.orders.adapters, func(adapter space, _ *adapterState) bool { return adapter.model == model })
-	e.cache.drop(model, e.now())
+	maps.DeleteFunc(e.orders.adapters, func(adapter namespace, _ *adapterState) bool { return adapter.model == model })
+	e.cache.evictModel(model, e.now())
 }
 
-func without(models []structs.ModelName, model structs.ModelName) []structs.ModelName {
+func withoutModel(models []structs.ModelName, model structs.ModelName) []structs.ModelName {
 	return slices.DeleteFunc(slices.Clone(models), func(other structs.ModelName) bool { return other == model })
 }
 
@@ -235,7 +235,7 @@
 			return
 		}
 		if err != nil {
-			e.after(loadRetry, func() {
+			e.after(loadRetryDelay, func() {
 				if e.run == run {
 					e.fetch(name, bytes, done)
 				}
@@ -247,4 +247,4 @@
 }
 
 // Models returns the models that are loaded.
-func (e *Engine) Models() []structs.ModelName { return slices.Clone(e.orders.listed) }
+func (e *Engine) Models() []structs.ModelName { return slices.Clone(e.orders.loaded) }
--- a/internal/enginemodel/orders_test.go
+++ b/internal/enginemodel/orders_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestOrdersAreFencedAndShareTheStore(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	store := NewWeightStore(b.clock, 1000)
 	engines := []*Engine{}
 	for _, id := range []structs.EngineID{"x", "y"} {
@@ -52,7 +52,7 @@
 
 func TestVersionsAreChangedInPlaceOrSideBySide(t *testing.T) {
 	for single, want := range map[bool][]bool{false: {true, true}, true: {false, true}} {
-		b := newBench(t, func(p *Parameters) {
+		b := newTestEngine(t, func(p *Parameters) {
 			p.ModelBytes = 500
 			p.SingleVersion = single
 		})
@@ -73,7 +73,7 @@
 }
 
 func TestAdaptersAreBoundedReadAndUnloaded(t *testing.T) {
-	b := newBench(t, func(p *Parameters) {
+	b := newTestEngine(t, func(p *Parameters) {
 		p.MaximumAdapters = 1
 		p.AdapterBytes = 500
 	})
--- a/internal/enginemodel/prompt.go
+++ b/internal/enginemodel/prompt.go
@@ -11,8 +11,8 @@
 const (
 	// readerPrograms bounds the programs whose prompts a PromptReader
 	// remembers, readerBytes the text of all of them.
-	readerPrograms = 4096
-	readerBytes    = 64 << 20
+	maximumRememberedPrograms = 4096
+	maximumRememberedBytes    = 64 << 20
 )
 
 // PromptReader turns prompts into hashes and counts. It remembers the prompt
@@ -21,13 +21,13 @@
 type PromptReader struct {
 	// AnswerTokens is the length of an answer that the prompt does not set.
 	AnswerTokens int64
-	known        map[structs.ProgramKey]*readPrompt
+	lastPrompts  map[structs.ProgramKey]*hashedPrompt
 	order        []structs.ProgramKey
 	bytes        int64
 }
 
 // readPrompt is a prompt that has been hashed.
-type readPrompt struct {
+type hashedPrompt struct {
 	messages []structs.Message
 	blocks   []structs.BlockHash
 	hasher   prefix.Hasher
@@ -35,7 +35,7 @@
 
 // NewPromptReader returns a reader that remembers nothing.
 func NewPromptReader(answerTokens int64) *PromptReader {
-	return &PromptReader{AnswerTokens: answerTokens, known: map[structs.ProgramKey]*readPrompt{}}
+	return &PromptReader{AnswerTokens: answerTokens, lastPrompts: map[structs.ProgramKey]*hashedPrompt{}}
 }
 
 // Read returns the model's request for an engine request.
@@ -78,12 +78,12 @@
 	return tokens, false
 }
 
-func (r *PromptReader) prompt(key structs.ProgramKey, messages []structs.Message) *readPrompt {
-	known := r.known[key]
+func (r *PromptReader) prompt(key structs.ProgramKey, messages []structs.Message) *hashedPrompt {
+	known := r.lastPrompts[key]
 	if known == nil {
 		r.order = append(r.order, key)
 	}
-	next := &readPrompt{}
+	next := &hashedPrompt{}
 	if known != nil && startsWith(messages, known.messages) {
 		next.hasher = known.hasher
 		next.blocks = slices.Clip(known.blocks)
@@ -97,22 +97,22 @@
 	if known != nil {
 		r.bytes -= known.bytes()
 	}
-	r.known[key] = next
+	r.lastPrompts[key] = next
 	r.forgetOldest()
 	return next
 }
 
 // forgetOldest keeps within the bounds, but for the newest prompt.
 func (r *PromptReader) forgetOldest() {
-	for len(r.order) > 1 && (len(r.order) > readerPrograms || r.bytes > readerBytes) {
-		r.bytes -= r.known[r.order[0]].bytes()
-		delete(r.known, r.order[0])
+	for len(r.order) > 1 && (len(r.order) > maximumRememberedPrograms || r.bytes > maximumRememberedBytes) {
+		r.bytes -= r.lastPrompts[r.order[0]].bytes()
+		delete(r.lastPrompts, r.order[0])
 		r.order = r.order[1:]
 	}
 }
 
 // bytes returns about the length of the prompt's text.
-func (p *readPrompt) bytes() int64 { return p.hasher.Tokens() * prefix.BytesPerToken }
+func (p *hashedPrompt) bytes() int64 { return p.hasher.Tokens() * prefix.BytesPerToken }
 
 func startsWith(messages, beginning []structs.Message) bool {
 	if len(messages) < len(beginning) {
--- a/internal/enginemodel/publish.go
+++ b/internal/enginemodel/publish.go
@@ -16,21 +16,21 @@
 	sequence uint64
 	entries  []publishedEvent
 	// pending gathers the blocks of one change, so that they make one event.
-	pending structs.CacheEvent
-	in      space
+	pending   structs.CacheEvent
+	namespace namespace
 }
 
 // publishedEvent is an event with the time from which it can be read.
 type publishedEvent struct {
-	event structs.CacheEvent
-	from  time.Time
+	event       structs.CacheEvent
+	visibleFrom time.Time
 }
 
 func newEventLog(e *Engine) *eventLog { return &eventLog{engine: e} }
 
 // stored implements cacheListener.
 func (e *Engine) stored(key blockKey) {
-	e.events.gather(structs.CacheStored, key)
+	e.events.addToPending(structs.CacheStored, key)
 	if e.options.BlockHistory != nil {
 		e.options.BlockHistory.stored(key)
 	}
@@ -38,15 +38,15 @@
 
 // evicted implements cacheListener.
 func (e *Engine) evicted(b *block, now time.Time) {
-	e.events.gather(structs.CacheEvicted, b.key)
-	e.countIdle(b, now)
+	e.events.addToPending(structs.CacheEvicted, b.key)
+	e.countEvictedIdle(b, now)
 }
 
-func (l *eventLog) gather(kind structs.CacheEventKind, key blockKey) {
-	if l.pending.Kind != kind || l.in != key.space {
+func (l *eventLog) addToPending(kind structs.CacheEventKind, key blockKey) {
+	if l.pending.Kind != kind || l.namespace != key.namespace {
 		l.flush()
 	}
-	l.pending.Kind, l.pending.Model, l.in = kind, key.space.model, key.space
+	l.pending.Kind, l.pending.Model, l.namespace = kind, key.namespace.model, key.namespace
 	l.pending.Blocks = append(l.pending.Blocks, key.hash)
 }
 
@@ -74,7 +74,7 @@
 	e.events.flush()
 	var events []structs.CacheEvent
 	for _, entry := range e.events.entries {
-		if entry.event.Sequence > after && !entry.from.After(e.now()) {
+		if entry.event.Sequence > after && !entry.visibleFrom.After(e.now()) {
 			events = append(events, entry.event)
 		}
 	}
@@ -82,9 +82,9 @@
 }
 
 // published returns the last sequence number that can be read.
-func (l *eventLog) published(now time.Time) uint64 {
+func (l *eventLog) lastVisible(now time.Time) uint64 {
 	for i := len(l.entries) - 1; i >= 0; i-- {
-		if !l.entries[i].from.After(now) {
+		if !l.entries[i].visibleFrom.After(now) {
 			return l.entries[i].event.Sequence
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 // noteLoad keeps the present state for reports.
-func (e *Engine) noteLoad() {
+func (e *Engine) recordLoadState() {
 	now := e.now()
 	state := loadState{
 		from:           now,
@@ -120,9 +120,9 @@
 		waiting:        len(e.waiting),
 		queuedPrefill:  e.queuedPrefill(),
 		cacheBlocks:    e.cache.used(),
-		pinnedBlocks:   e.cache.pinned,
+		pinnedBlocks:   e.cache.pinnedBlocks,
 		draining:       e.draining,
-		models:         e.orders.listed,
+		models:         e.orders.loaded,
 		loading:        e.orders.loading,
 		role:           e.orders.role,
 		versions:       e.orders.versions,
@@ -180,7 +180,7 @@
 		CacheCapacityTokens: int64(e.cache.capacity) * prefix.BlockTokens,
 		HeldTokens:          int64(state.pinnedBlocks) * prefix.BlockTokens,
 		Draining:            state.draining,
-		CacheEventSequence:  e.events.published(e.now()),
+		CacheEventSequence:  e.events.lastVisible(e.now()),
 		StartedUnixNano:     e.startedAt.UnixNano(),
 	}
 }
--- a/internal/enginemodel/request.go
+++ b/internal/enginemodel/request.go
@@ -73,7 +73,7 @@
 	end      framework.AttemptEnd
 	recorded *AttemptRun
 	// cancelled holds the answers owed to those who cancelled it.
-	cancelled []func()
+	cancelCallbacks []func()
 }
 
 func (a *attempt) unsubscribe(reader *Subscription) {
--- a/internal/enginemodel/sequence.go
+++ b/internal/enginemodel/sequence.go
@@ -28,9 +28,9 @@
 	// handedOver is set once an engine that only prefills is done with it.
 	handedOver bool
 	// counted is set once its hits are in the statistics.
-	counted   bool
-	cached    int64
-	prefilled int64
+	hitsCounted bool
+	cached      int64
+	prefilled   int64
 }
 
 func newSequence(a *attempt, arrival uint64) *sequence {
@@ -52,15 +52,15 @@
 	return int((tokens + prefix.BlockTokens - 1) / prefix.BlockTokens)
 }
 
-func (s *sequence) space() space {
-	return space{s.attempt.request.Model, s.attempt.request.Adapter}
+func (s *sequence) namespace() namespace {
+	return namespace{s.attempt.request.Model, s.attempt.request.Adapter}
 }
 
 // decoding tells that the whole prompt is computed.
 func (s *sequence) decoding() bool { return s.computed >= s.target }
 
 // before orders the waiting queue: priority, then arrival.
-func (s *sequence) before(other *sequence) bool {
+func (s *sequence) precedes(other *sequence) bool {
 	if s.attempt.request.Priority != other.attempt.request.Priority {
 		return s.attempt.request.Priority > other.attempt.request.Priority
 	}
@@ -84,26 +84,26 @@
 // admit takes the blocks for everything up to the target and one token more.
 // It returns false, with nothing taken, when they are not available.
 func (s *sequence) admit(c *blockCache, now time.Time) bool {
-	hits := s.matches(c)
+	hits := s.cachedPrefix(c)
 	for i := range hits {
 		hash, _ := s.hash(i)
-		c.acquire(c.blocks[blockKey{s.space(), hash}])
+		c.acquire(c.blocks[blockKey{s.namespace(), hash}])
 	}
 	needed := blocksFor(s.target+1) - hits
 	if needed > c.available() {
 		for i := hits - 1; i >= 0; i-- {
 			hash, _ := s.hash(i)
-			c.undo(c.blocks[blockKey{s.space(), hash}])
+			c.releaseUnused(c.blocks[blockKey{s.namespace(), hash}])
 		}
 		return false
 	}
 	for i := range hits {
 		hash, _ := s.hash(i)
-		hit := c.blocks[blockKey{s.space(), hash}]
+		hit := c.blocks[blockKey{s.namespace(), hash}]
 		hit.usedBy(s.attempt.request.Program)
 		s.blocks = append(s.blocks, hit)
 	}
-	c.take(needed, now)
+	c.allocate(needed, now)
 	s.private = needed
 	s.computed = int64(hits) * prefix.BlockTokens
 	return true
@@ -111,11 +111,11 @@
 
 // matches returns how many blocks are cached, leaving at least one token to
 // compute: the answer's first token comes out of that.
-func (s *sequence) matches(c *blockCache) int {
+func (s *sequence) cachedPrefix(c *blockCache) int {
 	limit := int((s.target - 1) / prefix.BlockTokens)
 	for i := range limit {
 		hash, named := s.hash(i)
-		if !named || c.blocks[blockKey{s.space(), hash}] == nil {
+		if !named || c.blocks[blockKey{s.namespace(), hash}] == nil {
 			return i
 		}
 	}
@@ -124,7 +124,7 @@
 
 // growth returns how many blocks a number of tokens beyond those computed
 // takes.
-func (s *sequence) growth(tokens int64) int {
+func (s *sequence) blocksNeeded(tokens int64) int {
 	return max(blocksFor(s.computed+tokens)-len(s.blocks)-s.private, 0)
 }
 
@@ -145,13 +145,13 @@
 
 // publish names the blocks that are full by now, so that others can share
 // them.
-func (s *sequence) publish(c *blockCache) {
+func (s *sequence) shareFullBlocks(c *blockCache) {
 	for int64(len(s.blocks)+1)*prefix.BlockTokens <= s.computed {
 		hash, named := s.hash(len(s.blocks))
 		if !named || s.private == 0 {
 			return
 		}
-		published := c.publish(blockKey{s.space(), hash})
+		published := c.publish(blockKey{s.namespace(), hash})
 		published.usedBy(s.attempt.request.Program)
 		s.blocks = append(s.blocks, published)
 		s.private--
@@ -160,10 +160,10 @@
 
 // leave frees all blocks, the deepest first: a block without those before it
 // is of no use to anybody.
-func (s *sequence) leave(c *blockCache, now time.Time) {
+func (s *sequence) releaseBlocks(c *blockCache, now time.Time) {
 	for i := len(s.blocks) - 1; i >= 0; i-- {
 		c.release(s.blocks[i], now)
 	}
-	c.giveBack(s.private)
+	c.freePrivate(s.private)
 	s.blocks, s.private, s.computed = nil, 0, 0
 }
--- a/internal/enginemodel/statistics.go
+++ b/internal/enginemodel/statistics.go
@@ -66,26 +66,26 @@
 func (e *Engine) CountIdleBlocks() {
 	idle := int64(0)
 	for _, b := range e.cache.blocks {
-		if b.running == 0 {
+		if b.sequenceRefs == 0 {
 			idle += int64(e.now().Sub(b.lastUse))
 			b.lastUse = e.now()
 		}
 	}
-	e.addIdle(idle)
+	e.addIdleTime(idle)
 }
 
-func (e *Engine) countIdle(b *block, now time.Time) { e.addIdle(int64(now.Sub(b.lastUse))) }
+func (e *Engine) countEvictedIdle(b *block, now time.Time) { e.addIdleTime(int64(now.Sub(b.lastUse))) }
 
-func (e *Engine) addIdle(nanoseconds int64) {
+func (e *Engine) addIdleTime(nanoseconds int64) {
 	e.statistics.IdleTokenSeconds += float64(nanoseconds) / float64(time.Second) * prefix.BlockTokens
 }
 
 // countHits counts a sequence's prompt when it is admitted for the first time.
 func (e *Engine) countHits(s *sequence) {
-	if s.counted {
+	if s.hitsCounted {
 		return
 	}
-	s.counted = true
+	s.hitsCounted = true
 	s.cached = s.computed
 	e.statistics.PromptTokens += s.attempt.request.PromptTokens
 	e.statistics.CachedTokens += s.computed
@@ -101,7 +101,7 @@
 	last := s.computed / prefix.BlockTokens
 	for i := first; i < last; i++ {
 		hash, named := s.hash(int(i))
-		if named && e.options.BlockHistory.knows(blockKey{s.space(), hash}) {
+		if named && e.options.BlockHistory.knows(blockKey{s.namespace(), hash}) {
 			e.statistics.RecomputedTokens += prefix.BlockTokens
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 // HeldTokens returns the tokens pinned by holds.
-func (e *Engine) HeldTokens() int64 { return int64(e.cache.pinned) * prefix.BlockTokens }
+func (e *Engine) HeldTokens() int64 { return int64(e.cache.pinnedBlocks) * prefix.BlockTokens }
 
 // CachedTokens returns the tokens in the cache, in use or not.
 func (e *Engine) CachedTokens() int64 { return int64(e.cache.used()) * prefix.BlockTokens }
--- a/internal/enginemodel/transfer.go
+++ b/internal/enginemodel/transfer.go
@@ -18,10 +18,10 @@
 
 // programChain is a program's prompt and answer as blocks.
 type programChain struct {
-	in     space
-	hashes []structs.BlockHash
+	namespace namespace
+	hashes    []structs.BlockHash
 	// owner is the sequence that added last.
-	owner *sequence
+	lastWriter *sequence
 }
 
 func newProgramBlocks() programBlocks {
@@ -30,15 +30,15 @@
 
 // rememberBlocks keeps the names of the blocks that a sequence has. Those up
 // to before are known already if the sequence was the last to add.
-func (e *Engine) rememberBlocks(s *sequence, before int) {
+func (e *Engine) recordProgramBlocks(s *sequence, before int) {
 	if len(s.blocks) == before || s.attempt.request.Program.Program == "" {
 		return
 	}
 	chain := e.programs.chain(s.attempt.request.Program)
-	if chain.owner != s || len(chain.hashes) != before {
+	if chain.lastWriter != s || len(chain.hashes) != before {
 		before = 0
 	}
-	chain.owner, chain.in = s, s.space()
+	chain.lastWriter, chain.namespace = s, s.namespace()
 	chain.hashes = chain.hashes[:before]
 	for _, b := range s.blocks[before:] {
 		chain.hashes = append(chain.hashes, b.key.hash)
@@ -79,18 +79,18 @@
 	if chain == nil {
 		return Export{}
 	}
-	count := e.cache.match(chain.in, chain.hashes)
-	e.cache.use(chain.in, chain.hashes[:count], e.now())
+	count := e.cache.match(chain.namespace, chain.hashes)
+	e.cache.touch(chain.namespace, chain.hashes[:count], e.now())
 	return Export{
-		Model:   chain.in.model,
-		Adapter: chain.in.adapter,
+		Model:   chain.namespace.model,
+		Adapter: chain.namespace.adapter,
 		Blocks:  append([]structs.BlockHash{}, chain.hashes[:count]...),
 	}
 }
 
 // MissingBlocks returns how many blocks of an export this engine does not have.
 func (e *Engine) MissingBlocks(export Export) int {
-	return len(export.Blocks) - e.cache.match(space{export.Model, export.Adapter}, export.Blocks)
+	return len(export.Blocks) - e.cache.match(namespace{export.Model, export.Adapter}, export.Blocks)
 }
 
 // TransferTime returns how long a number of blocks takes over the link.
@@ -122,7 +122,7 @@
 // a hold if one is named, and returns how many of them are here now. It takes
 // nothing for a hold that was released before.
 func (e *Engine) Import(export Export, program structs.ProgramKey, id structs.HoldID) int {
-	in := space{export.Model, export.Adapter}
+	in := namespace{export.Model, export.Adapter}
 	if _, released := e.holds.released[id]; released {
 		return 0
 	}
@@ -132,7 +132,7 @@
 	count := e.cache.insert(in, export.Blocks, e.now())
 	e.holdImported(id, program, e.cache.find(in, export.Blocks[:count]))
 	e.events.flush()
-	e.noteLoad()
+	e.recordLoadState()
 	return count
 }
 
@@ -142,8 +142,8 @@
 	for _, b := range blocks {
 		b.usedBy(program)
 	}
-	if id == "" || len(blocks) == 0 || e.holds.byID[id] != nil || !e.mayPin(blocks) {
+	if id == "" || len(blocks) == 0 || e.holds.byID[id] != nil || !e.fitsHoldLimit(blocks) {
 		return
 	}
-	e.pinUnder(id, program, blocks)
+	e.pinForHold(id, program, blocks)
 }
--- a/internal/enginemodel/transfer_test.go
+++ b/internal/enginemodel/transfer_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestImportIsPinnedUntilTheAttemptTakesOver(t *testing.T) {
-	b := newBench(t, blocks(8))
+	b := newTestEngine(t, blocks(8))
 	program := structs.ProgramKey{Tenant: "t", Program: "a"}
 	export := Export{Model: testModel, Blocks: request("a", 1, 129, 1).Blocks}
 	held := func() int64 {
@@ -44,7 +44,7 @@
 }
 
 func TestLinksCarryOneTransferAfterTheOther(t *testing.T) {
-	b := newBench(t, func(p *Parameters) { p.CacheBytesPerToken, p.LinkBytesPerSecond = 10, 6400 })
+	b := newTestEngine(t, func(p *Parameters) { p.CacheBytesPerToken, p.LinkBytesPerSecond = 10, 6400 })
 	others := make([]*Engine, 2)
 	for i := range others {
 		engine, err := New(Options{ID: structs.EngineID(fmt.Sprint(i)), Clock: b.clock, Parameters: b.engine.parameters})
@@ -62,7 +62,7 @@
 }
 
 func TestTransferTakesTheLinksTime(t *testing.T) {
-	d := newDriven(t)
+	d := newTestDriver(t)
 	parameters := testParameters()
 	parameters.CacheBytesPerToken, parameters.LinkBytesPerSecond = 10, 6400
 	receiver, err := New(Options{ID: "r", Clock: d.clock, Parameters: parameters, Models: []structs.ModelName{testModel}})
--- a/internal/enginemodel/weights.go
+++ b/internal/enginemodel/weights.go
@@ -13,7 +13,7 @@
 	clock clock.Clock
 	rate  int64
 	// free is when the last load that was promised ends.
-	free time.Time
+	freeAt time.Time
 	// Bytes counts what was read, Reading the loads under way, Peak the most
 	// at a time.
 	BytesRead   int64
@@ -32,14 +32,14 @@
 func (s *WeightStore) Fetch(_ string, bytes int64, done func(error)) {
 	now := s.clock.Now()
 	start := now
-	if s.free.After(now) {
-		start = s.free
+	if s.freeAt.After(now) {
+		start = s.freeAt
 	}
-	s.free = start.Add(time.Duration(float64(bytes) / float64(s.rate) * float64(time.Second)))
+	s.freeAt = start.Add(time.Duration(float64(bytes) / float64(s.rate) * float64(time.Second)))
 	s.BytesRead += bytes
 	s.ActiveLoads++
 	s.PeakLoads = max(s.PeakLoads, s.ActiveLoads)
-	s.clock.AfterFunc(s.free.Sub(now), func() {
+	s.clock.AfterFunc(s.freeAt.Sub(now), func() {
 		s.ActiveLoads--
 		done(nil)
 	})
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -80,15 +80,15 @@
 	p.turn++
 	p.pending = 1 + len(turn.SubAgents)
 	pause := time.Duration(turn.PauseSeconds * float64(time.Second))
-	p.run.fleet.clock.AfterFunc(pause, p.arrived)
+	p.run.fleet.clock.AfterFunc(pause, p.dependencyDone)
 	for i := range turn.SubAgents {
-		child := &programRun{run: p.run, program: &turn.SubAgents[i], done: p.arrived}
+		child := &programRun{run: p.run, program: &turn.SubAgents[i], done: p.dependencyDone}
 		child.start()
 	}
 }
 
 // arrived notes that one of the things that the next call waits for is there.
-func (p *programRun) arrived() {
+func (p *programRun) dependencyDone() {
 	p.pending--
 	if p.pending == 0 {
 		p.call()
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -107,7 +107,7 @@
 		Drivers:         drivers,
 		Transport:       loopback{f},
 		Scheduler:       f.scheduler,
-		Members:         alone{zone},
+		Members:         singleMember{zone},
 		Router:          router,
 		Settings:        backends.DefaultSettings(),
 		Logger:          zerolog.Nop(),
@@ -144,16 +144,16 @@
 type lateRouter struct{ *replication.Single }
 
 // alone is the membership of a single daemon.
-type alone struct{ zone structs.ZoneName }
+type singleMember struct{ zone structs.ZoneName }
 
 // Members implements backends.Members.
-func (a alone) Members() []membership.Member {
+func (a singleMember) Members() []membership.Member {
 	return []membership.Member{{Daemon: structs.Daemon{ID: self, Zone: a.zone}, State: membership.StateAlive}}
 }
 
 func (f *fleet) addEngines(parameters enginemodel.Parameters, seed uint64) ([]structs.Machine, error) {
 	f.engines = enginemodel.NewFleet(parameters.AnswerTokens)
-	ledger := enginemodel.NewBlockHistory()
+	history := enginemodel.NewBlockHistory()
 	var machines []structs.Machine
 	for number := range f.shape.Engines {
 		id := structs.EngineID(fmt.Sprintf("10.1.0.%d:8000", number+1))
@@ -163,7 +163,7 @@
 			Random:       rand.New(rand.NewPCG(seed, uint64(number))),
 			Parameters:   parameters,
 			Models:       []structs.ModelName{f.shape.Model},
-			BlockHistory: ledger,
+			BlockHistory: history,
 		})
 		if err != nil {
 			return nil, err
--- a/internal/experiment/lower_bound.go
+++ b/internal/experiment/lower_bound.go
@@ -13,7 +13,7 @@
 	shape      *workload.Shape
 	parameters *enginemodel.Parameters
 	// leastStepSeconds is the least time between tokens, zero for the engine's.
-	leastStepSeconds float64
+	minimumStepSeconds float64
 }
 
 func (b *lowerBound) outcome(policy string, trace *workload.Trace) Outcome {
@@ -55,5 +55,5 @@
 	decodes := float64(turn.AnswerTokens - 1)
 	context := float64(prompt) + decodes/2
 	step := p.StepBase.Seconds() + p.StepPerSequence.Seconds() + context*p.StepPerContextToken.Seconds()
-	return seconds + decodes*max(step, b.leastStepSeconds)
+	return seconds + decodes*max(step, b.minimumStepSeconds)
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -12,7 +12,7 @@
 	sampleInterval = time.Second
 	// patience ends a run whose programs do not come to an end, so long after
 	// the last arrival.
-	patience = time.Hour
+	maximumOverrun = time.Hour
 )
 
 // CacheSample is the use of all caches at one time, in parts of the capacity.
@@ -29,12 +29,12 @@
 	latencies []float64
 	refusals  int
 	samples   []CacheSample
-	cache     cacheFigures
+	cache     cacheWaste
 }
 
 // cacheFigures are taken when the last program has arrived: what an idle
 // fleet keeps afterwards is nobody's loss.
-type cacheFigures struct {
+type cacheWaste struct {
 	recomputedFraction float64
 	heldIdleFraction   float64
 }
@@ -57,7 +57,7 @@
 	}
 	r.sample()
 	f.clock.AfterFunc(time.Duration(options.Duration*float64(time.Second)), func() { r.cache = r.measureCache(options) })
-	limit := startOfRun.Add(time.Duration(options.Duration*float64(time.Second)) + patience)
+	limit := startOfRun.Add(time.Duration(options.Duration*float64(time.Second)) + maximumOverrun)
 	for len(r.latencies) < len(trace.Programs) && f.clock.Now().Before(limit) && f.clock.Step() {
 	}
 	return r.outcome(policy), nil
@@ -90,7 +90,7 @@
 
 // measureCache counts what is cached and not in use as if it were evicted
 // now, also what a later call would hit.
-func (r *run) measureCache(options *Options) cacheFigures {
+func (r *run) measureCache(options *Options) cacheWaste {
 	elapsed := r.fleet.clock.Now().Sub(startOfRun).Seconds()
 	var prompt, recomputed int64
 	idle := 0.0
@@ -102,7 +102,7 @@
 		idle += statistics.IdleTokenSeconds
 	}
 	capacity := float64(options.Parameters.CacheTokens) * float64(r.fleet.shape.Engines) * elapsed
-	return cacheFigures{
+	return cacheWaste{
 		recomputedFraction: float64(recomputed) / float64(max(prompt, 1)),
 		heldIdleFraction:   idle / capacity,
 	}
--- a/internal/experiment/steady_bound.go
+++ b/internal/experiment/steady_bound.go
@@ -31,6 +31,6 @@
 func steadyOutcome(shape *workload.Shape, options *Options, trace *workload.Trace) Outcome {
 	capacity := CapacityOf(shape, options.Parameters)
 	_, step := capacity.steadyBound(options.Load)
-	bound := lowerBound{shape: shape, parameters: &options.Parameters, leastStepSeconds: step}
+	bound := lowerBound{shape: shape, parameters: &options.Parameters, minimumStepSeconds: step}
 	return bound.outcome(SteadyBound, trace)
 }
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -71,7 +71,7 @@
 type observer func(at time.Time, words int64)
 
 // names are the headers of one call.
-type names struct {
+type callHeaders struct {
 	program, request, history string
 	end                       bool
 }
@@ -79,7 +79,7 @@
 // complete makes one streamed call and returns the answer's text when wanted.
 // observe hears of each event with text as it arrives, and how many words it
 // holds; a stand-in engine's tokens are words.
-func (c *caller) complete(ctx context.Context, url string, service Service, called names, body completionBody, observe observer, wanted bool) (string, error) {
+func (c *caller) complete(ctx context.Context, url string, service Service, called callHeaders, body completionBody, observe observer, wanted bool) (string, error) {
 	body.Model, body.Stream = service.Model, true
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return readEvents(response.Body, observe, wanted)
 }
 
-func setHeaders(request *http.Request, service Service, called names) {
+func setHeaders(request *http.Request, service Service, called callHeaders) {
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Authorization", "Bearer "+service.Key)
 	for header, value := range map[string]string{
@@ -149,7 +149,7 @@
 }
 
 // order makes one application request, which must run at most once.
-func (c *caller) order(ctx context.Context, url string, service Service, called names) error {
+func (c *caller) placeOrder(ctx context.Context, url string, service Service, called callHeaders) error {
 	target := url + "/v1/applications/" + service.Target + "/" + service.Operation
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader([]byte(`{"loaves":20}`)))
 	if err != nil {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -27,7 +27,7 @@
 	Seed     uint64
 	// AnswerTokens bounds each answer; 0 leaves that to the template.
 	AnswerTokens int64
-	// LeaveWaiting does not end the programs, which then wait for their callers.
+	// KeepProgramsOpen leaves the programs unended, waiting for their callers.
 	KeepProgramsOpen bool
 	// Progress gets a line each second; nil for none.
 	Progress io.Writer
@@ -59,9 +59,9 @@
 
 // runner is one run under way.
 type runner struct {
-	options Options
-	caller  *caller
-	began   time.Time
+	options   Options
+	caller    *caller
+	startedAt time.Time
 
 	programs, completed, refused, failed, calls, tokens, running atomic.Int64
 
@@ -85,14 +85,14 @@
 	arrivals := shape.Arrivals(random, options.Rate, options.Duration)
 	heapBefore := liveHeap(ctx, options.Addresses)
 	stopProgress := r.showProgress(len(arrivals))
-	r.began = time.Now()
+	r.startedAt = time.Now()
 	var group sync.WaitGroup
 	for number, due := range arrivals {
 		program := shape.Program(random)
-		if !sleepUntil(ctx, r.began.Add(due)) {
+		if !sleepUntil(ctx, r.startedAt.Add(due)) {
 			break
 		}
-		group.Go(func() { r.runProgram(ctx, program, number, r.began.Add(due)) })
+		group.Go(func() { r.runProgram(ctx, program, number, r.startedAt.Add(due)) })
 	}
 	group.Wait()
 	stopProgress()
@@ -117,7 +117,7 @@
 	r.programs.Add(1)
 	r.running.Add(1)
 	defer r.running.Add(-1)
-	name := fmt.Sprintf("load-%d-%d-%d", r.options.Seed, r.began.UnixNano(), number)
+	name := fmt.Sprintf("load-%d-%d-%d", r.options.Seed, r.startedAt.UnixNano(), number)
 	err := r.runTurns(ctx, program, name, number)
 	switch {
 	case err == nil:
@@ -139,7 +139,7 @@
 func (r *runner) runTurns(ctx context.Context, program Program, name string, daemon int) error {
 	for i, turn := range program.Turns {
 		last := i == len(program.Turns)-1 && !program.Order && !r.options.KeepProgramsOpen
-		called := names{program: name, request: fmt.Sprintf("turn-%d", i), history: "append", end: last}
+		called := callHeaders{program: name, request: fmt.Sprintf("turn-%d", i), history: "append", end: last}
 		body := completionBody{Messages: []message{{Role: "user", Content: turn.Question}}, MaxTokens: r.options.AnswerTokens}
 		r.calls.Add(1)
 		if _, err := r.caller.complete(ctx, r.url(daemon+i), program.Service, called, body, r.observe(), false); err != nil {
@@ -158,7 +158,7 @@
 		return nil
 	}
 	r.calls.Add(1)
-	return r.caller.order(ctx, r.url(daemon), program.Service, names{program: name, request: "order", end: !r.options.KeepProgramsOpen})
+	return r.caller.placeOrder(ctx, r.url(daemon), program.Service, callHeaders{program: name, request: "order", end: !r.options.KeepProgramsOpen})
 }
 
 // runSubAgents runs a program's sub-agents at once and waits for all.
@@ -185,7 +185,7 @@
 }
 
 func (r *runner) observe() observer {
-	observe := watch(r.firstToken, r.betweenTokens)
+	observe := newStreamObserver(r.firstToken, r.betweenTokens)
 	return func(at time.Time, words int64) {
 		r.tokens.Add(words)
 		observe(at, words)
@@ -220,7 +220,7 @@
 		Workload:       r.options.Workload,
 		Seed:           r.options.Seed,
 		Rate:           r.options.Rate,
-		Seconds:        time.Since(r.began).Seconds(),
+		Seconds:        time.Since(r.startedAt).Seconds(),
 		Programs:       r.programs.Load(),
 		Completed:      r.completed.Load(),
 		Refused:        r.refused.Load(),
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -9,9 +9,9 @@
 
 const (
 	// longest is the largest value a histogram takes.
-	longest = 30 * time.Minute
+	maximumRecordedTime = 30 * time.Minute
 	// digits is the precision of histograms.
-	digits = 3
+	significantDigits = 3
 )
 
 // Percentiles are the percentiles of one histogram, in seconds.
@@ -30,7 +30,7 @@
 }
 
 func newHistogram() *histogram {
-	return &histogram{values: hdrhistogram.New(1, longest.Microseconds(), digits)}
+	return &histogram{values: hdrhistogram.New(1, maximumRecordedTime.Microseconds(), significantDigits)}
 }
 
 func (h *histogram) record(d time.Duration) {
@@ -56,7 +56,7 @@
 
 // watch returns an observer of one stream that began now: the first event goes
 // into first, the gaps between the others into gaps.
-func watch(first, gaps *histogram) observer {
+func newStreamObserver(first, gaps *histogram) observer {
 	last := time.Now()
 	begun := false
 	return func(at time.Time, _ int64) {
--- a/internal/load/relay_linux.go
+++ b/internal/load/relay_linux.go
@@ -26,11 +26,11 @@
 // calls that this takes and nothing else: a wait for many connections, a read
 // and a write. Its processor time per token is the floor of this machine.
 type relay struct {
-	listener net.Listener
-	engines  []string
-	epoll    int
-	asked    chan chan time.Duration
-	closed   atomic.Bool
+	listener      net.Listener
+	engines       []string
+	epoll         int
+	usageRequests chan chan time.Duration
+	closed        atomic.Bool
 	// writes counts what was passed on, either way.
 	writes atomic.Int64
 
@@ -52,11 +52,11 @@
 		return nil, eris.Wrap(err, "load: relay")
 	}
 	r := &relay{
-		listener: listener,
-		engines:  engines,
-		epoll:    epoll,
-		asked:    make(chan chan time.Duration),
-		peers:    map[int32]int32{},
+		listener:      listener,
+		engines:       engines,
+		epoll:         epoll,
+		usageRequests: make(chan chan time.Duration),
+		peers:         map[int32]int32{},
 	}
 	go r.accept()
 	go r.run()
@@ -71,9 +71,9 @@
 }
 
 // used returns the relay's processor time and its writes so far.
-func (r *relay) used() relayUse {
+func (r *relay) usage() relayUse {
 	answer := make(chan time.Duration, 1)
-	r.asked <- answer
+	r.usageRequests <- answer
 	return relayUse{processorTime: <-answer, writes: r.writes.Load()}
 }
 
@@ -88,13 +88,13 @@
 			_ = caller.Close()
 			continue
 		}
-		r.join(caller, engine)
+		r.connect(caller, engine)
 	}
 }
 
 // join has the bytes of either connection passed on to the other.
-func (r *relay) join(caller, engine net.Conn) {
-	a, b := r.take(caller), r.take(engine)
+func (r *relay) connect(caller, engine net.Conn) {
+	a, b := r.detachDescriptor(caller), r.detachDescriptor(engine)
 	if a < 0 || b < 0 {
 		return
 	}
@@ -108,7 +108,7 @@
 }
 
 // take returns a blocking descriptor of a connection, -1 if there is none.
-func (r *relay) take(conn net.Conn) int32 {
+func (r *relay) detachDescriptor(conn net.Conn) int32 {
 	file, err := conn.(*net.TCPConn).File()
 	_ = conn.Close()
 	if err != nil {
@@ -127,10 +127,10 @@
 	for !r.closed.Load() {
 		count, _ := unix.EpollWait(r.epoll, events, relayPollMilliseconds)
 		for i := range max(count, 0) {
-			r.pass(events[i].Fd, buffer)
+			r.forward(events[i].Fd, buffer)
 		}
 		select {
-		case answer := <-r.asked:
+		case answer := <-r.usageRequests:
 			answer <- threadTime()
 		default:
 		}
@@ -144,7 +144,7 @@
 }
 
 // pass reads what a connection has and writes it to its peer.
-func (r *relay) pass(from int32, buffer []byte) {
+func (r *relay) forward(from int32, buffer []byte) {
 	r.mutex.Lock()
 	to := r.peers[from]
 	r.mutex.Unlock()
--- a/internal/load/scrape.go
+++ b/internal/load/scrape.go
@@ -11,7 +11,7 @@
 )
 
 // process is what a daemon's metrics tell of its process.
-type process struct {
+type processMetrics struct {
 	cpuSeconds     float64
 	residentBytes  float64
 	allocations    float64
@@ -36,8 +36,8 @@
 }
 
 // scrape reads a daemon's metrics.
-func scrape(ctx context.Context, address string) (process, error) {
-	var p process
+func scrape(ctx context.Context, address string) (processMetrics, error) {
+	var p processMetrics
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
 		return p, eris.Wrap(err, "load: metrics")
--- a/internal/load/shape.go
+++ b/internal/load/shape.go
@@ -70,10 +70,10 @@
 
 // Program draws the next program.
 func (s Shape) Program(random *rand.Rand) Program {
-	program := s.without(random)
+	program := s.programWithoutSubAgents(random)
 	if random.Float64() < s.subAgentShare {
 		for range 1 + random.IntN(3) {
-			agent := s.without(random)
+			agent := s.programWithoutSubAgents(random)
 			agent.Service = program.Service
 			program.SubAgents = append(program.SubAgents, agent)
 		}
@@ -82,7 +82,7 @@
 	return program
 }
 
-func (s Shape) without(random *rand.Rand) Program {
+func (s Shape) programWithoutSubAgents(random *rand.Rand) Program {
 	program := Program{Service: s.services[random.IntN(len(s.services))]}
 	for range s.turnsFrom + random.IntN(s.turnsTo-s.turnsFrom+1) {
 		program.Turns = append(program.Turns, Turn{
--- a/internal/load/streams.go
+++ b/internal/load/streams.go
@@ -71,7 +71,7 @@
 }
 
 // streamWay is where streams run, and what came of them in the window.
-type streamWay struct {
+type streamPath struct {
 	address string
 	streams int
 	gaps    *histogram
@@ -90,19 +90,19 @@
 	r := &streamRun{options: options, caller: newCaller()}
 	result := StreamResult{Streams: options.Streams}
 	firstStraight, firstThrough := newHistogram(), newHistogram()
-	r.compareFirst(ctx, firstStraight, firstThrough)
+	r.measureFirstTokens(ctx, firstStraight, firstThrough)
 	floor, err := startRelay(options.Engines)
 	if err != nil {
 		return result, err
 	}
 	defer floor.close()
-	through := &streamWay{address: options.Address, streams: options.Streams, gaps: newHistogram()}
-	straight := &streamWay{address: options.Engines[0], streams: options.DirectStreams, gaps: newHistogram()}
-	relayed := &streamWay{address: floor.address(), streams: options.RelayedStreams, gaps: newHistogram()}
+	through := &streamPath{address: options.Address, streams: options.Streams, gaps: newHistogram()}
+	straight := &streamPath{address: options.Engines[0], streams: options.DirectStreams, gaps: newHistogram()}
+	relayed := &streamPath{address: floor.address(), streams: options.RelayedStreams, gaps: newHistogram()}
 	running, stop := context.WithCancel(ctx)
 	defer stop()
 	var group sync.WaitGroup
-	r.start(running, &group, through, straight, relayed)
+	r.startStreams(running, &group, through, straight, relayed)
 	sleepUntil(ctx, time.Now().Add(options.WarmUp))
 	err = r.window(ctx, &result, through, floor)
 	stop()
@@ -114,40 +114,40 @@
 }
 
 // start holds the streams of all ways until ctx ends.
-func (r *streamRun) start(ctx context.Context, group *sync.WaitGroup, ways ...*streamWay) {
+func (r *streamRun) startStreams(ctx context.Context, group *sync.WaitGroup, ways ...*streamPath) {
 	started := 0
 	for _, way := range ways {
 		for range way.streams {
 			number := started
 			started++
-			group.Go(func() { r.hold(ctx, way, number) })
+			group.Go(func() { r.runStream(ctx, way, number) })
 		}
 	}
 }
 
 // window measures what the daemon and the relay use while it lasts.
-func (r *streamRun) window(ctx context.Context, result *StreamResult, through *streamWay, floor *relay) error {
+func (r *streamRun) window(ctx context.Context, result *StreamResult, through *streamPath, floor *relay) error {
 	before, err := scrape(ctx, r.options.Address)
 	if err != nil {
 		return err
 	}
-	relayBefore := floor.used()
+	relayBefore := floor.usage()
 	r.measuring.Store(true)
 	began := time.Now()
 	sleepUntil(ctx, began.Add(r.options.Window))
 	r.measuring.Store(false)
 	elapsed := time.Since(began)
-	relayAfter := floor.used()
+	relayAfter := floor.usage()
 	after, err := scrape(ctx, r.options.Address)
 	if err != nil {
 		return err
 	}
-	result.fill(through, before, after, elapsed)
-	result.compare(relayBefore, relayAfter)
+	result.setDaemonUsage(through, before, after, elapsed)
+	result.setRelayUsage(relayBefore, relayAfter)
 	return nil
 }
 
-func (s *StreamResult) fill(through *streamWay, before, after process, elapsed time.Duration) {
+func (s *StreamResult) setDaemonUsage(through *streamPath, before, after processMetrics, elapsed time.Duration) {
 	s.Tokens, s.Events = through.tokens.Load(), through.events.Load()
 	tokens, events := float64(max(s.Tokens, 1)), float64(max(s.Events, 1))
 	used := after.cpuSeconds - before.cpuSeconds
@@ -161,7 +161,7 @@
 }
 
 // compare sets the daemon's processor time against the relay's.
-func (s *StreamResult) compare(before, after relayUse) {
+func (s *StreamResult) setRelayUsage(before, after relayUse) {
 	s.RelayWrites = after.writes - before.writes
 	if s.RelayWrites == 0 {
 		return
@@ -172,12 +172,12 @@
 }
 
 // hold keeps one stream running until ctx ends.
-func (r *streamRun) hold(ctx context.Context, way *streamWay, number int) {
+func (r *streamRun) runStream(ctx context.Context, way *streamPath, number int) {
 	unused := newHistogram()
-	observeGap := watch(unused, way.gaps)
+	observeGap := newStreamObserver(unused, way.gaps)
 	observe := func(at time.Time, words int64) {
 		if !r.measuring.Load() {
-			observeGap = watch(unused, way.gaps)
+			observeGap = newStreamObserver(unused, way.gaps)
 			observeGap(at, words)
 			return
 		}
@@ -190,7 +190,7 @@
 		MaxTokens: r.options.AnswerTokens,
 	}
 	service := StandInServices(WorkloadTally)[0]
-	_, err := r.caller.complete(ctx, "http://"+way.address, service, names{}, body, observe, false)
+	_, err := r.caller.complete(ctx, "http://"+way.address, service, callHeaders{}, body, observe, false)
 	if ctx.Err() != nil {
 		return
 	}
@@ -205,7 +205,7 @@
 
 // compareFirst makes calls one at a time, in turn straight to the engine and
 // through the daemon, and records when the first token came.
-func (r *streamRun) compareFirst(ctx context.Context, straight, through *histogram) {
+func (r *streamRun) measureFirstTokens(ctx context.Context, straight, through *histogram) {
 	service := StandInServices(WorkloadTally)[0]
 	for i := range r.options.FirstTokenCalls {
 		for _, way := range []struct {
@@ -216,7 +216,7 @@
 				Messages:  []message{{Role: "user", Content: fmt.Sprintf("Call %d: one word.", i)}},
 				MaxTokens: 1,
 			}
-			if _, err := r.caller.complete(ctx, "http://"+way.address, service, names{}, body, watch(way.first, newHistogram()), false); err != nil {
+			if _, err := r.caller.complete(ctx, "http://"+way.address, service, callHeaders{}, body, newStreamObserver(way.first, newHistogram()), false); err != nil {
 				r.failed.Add(1)
 			}
 		}
--- a/internal/standin/application/application.go
+++ b/internal/standin/application/application.go
@@ -155,7 +155,7 @@
 
 // receive notes that an operation has arrived and has had no effect yet, so
 // that an inspection meanwhile does not call it absent.
-func (a *Application) receive(attempt structs.AttemptID) *record {
+func (a *Application) markReceived(attempt structs.AttemptID) *record {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	entry := a.entry(attempt)
@@ -163,7 +163,7 @@
 	return entry
 }
 
-func (a *Application) drop(entry *record) {
+func (a *Application) unmarkReceived(entry *record) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	entry.received--
--- a/internal/standin/application/http.go
+++ b/internal/standin/application/http.go
@@ -61,18 +61,18 @@
 		name:    name,
 		body:    body,
 	}
-	entry := a.receive(arrived.attempt)
-	defer a.drop(entry)
+	entry := a.markReceived(arrived.attempt)
+	defer a.unmarkReceived(entry)
 	// The caller's leaving stops nothing: what has arrived runs.
 	time.Sleep(time.Duration(faults.Delay))
 	faults.Delay = 0
 	faults.Serve(a.chance, w, r, func() func() {
-		return a.operate(w, r, faults, entry, arrived)
+		return a.runOperation(w, r, faults, entry, arrived)
 	})
 }
 
 // operate has the effect of an operation that arrived, and returns its answer.
-func (a *Application) operate(w http.ResponseWriter, r *http.Request, faults Faults, entry *record, arrived operation) func() {
+func (a *Application) runOperation(w http.ResponseWriter, r *http.Request, faults Faults, entry *record, arrived operation) func() {
 	if a.chance.Happens(faults.Fail) {
 		return func() { http.Error(w, "the operation failed", http.StatusInternalServerError) }
 	}
--- a/internal/standin/cli/backends.go
+++ b/internal/standin/cli/backends.go
@@ -18,7 +18,7 @@
 			"   curl -X PUT 127.0.0.1:8400/faults -d '{\"hang\":0.2,\"delay\":\"300ms\"}'",
 		Flags: []cli.Flag{listenFlag()},
 		Action: func(ctx context.Context, command *cli.Command) error {
-			return serve(ctx, command, listening{"listening", command.String("listen"), tool.New()})
+			return serve(ctx, command, endpoint{"listening", command.String("listen"), tool.New()})
 		},
 	}
 }
@@ -38,7 +38,7 @@
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			settings := application.Settings{Volatile: command.Bool("volatile"), Deduplicate: command.Bool("deduplicate")}
-			return serve(ctx, command, listening{"listening", command.String("listen"), application.NewWithSettings(settings)})
+			return serve(ctx, command, endpoint{"listening", command.String("listen"), application.NewWithSettings(settings)})
 		},
 	}
 }
--- a/internal/standin/cli/cli.go
+++ b/internal/standin/cli/cli.go
@@ -25,7 +25,7 @@
 	// headerTimeout bounds how long a request's headers may take.
 	headerTimeout = 5 * time.Second
 	// stopTimeout bounds a stop; then open connections are broken.
-	stopTimeout = time.Second
+	shutdownTimeout = time.Second
 	// defaultListen is a free port on this machine.
 	defaultListen = "127.0.0.1:0"
 )
@@ -67,7 +67,7 @@
 }
 
 // serve answers HTTP until the process is told to stop.
-func serve(ctx context.Context, command *cli.Command, handlers ...listening) error {
+func serve(ctx context.Context, command *cli.Command, handlers ...endpoint) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	failed := make(chan error, len(handlers))
@@ -87,13 +87,13 @@
 }
 
 // listening is a handler with its address and the word that announces it.
-type listening struct {
-	word    string
+type endpoint struct {
+	label   string
 	address string
 	handler http.Handler
 }
 
-func (l listening) start(out io.Writer, failed chan<- error) (*http.Server, error) {
+func (l endpoint) start(out io.Writer, failed chan<- error) (*http.Server, error) {
 	listener, err := net.Listen("tcp", l.address)
 	if err != nil {
 		return nil, eris.Wrapf(ErrUsage, "cannot listen on %s: %v", l.address, err)
@@ -104,12 +104,12 @@
 			failed <- err
 		}
 	}()
-	_, _ = fmt.Fprintf(out, "%s %s\n", l.word, listener.Addr())
+	_, _ = fmt.Fprintf(out, "%s %s\n", l.label, listener.Addr())
 	return server, nil
 }
 
 func closeServer(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		_ = server.Close()
--- a/internal/standin/cli/engine.go
+++ b/internal/standin/cli/engine.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	return serve(ctx, command, listening{"listening", command.String("listen"), engine.New(settings)})
+	return serve(ctx, command, endpoint{"listening", command.String("listen"), engine.New(settings)})
 }
 
 func engineSettings(command *cli.Command) (engine.Settings, error) {
--- a/internal/standin/cli/platform.go
+++ b/internal/standin/cli/platform.go
@@ -33,9 +33,9 @@
 			if err := log.Faults.Set(eventlog.Faults{ReplicaLag: control.Duration(command.Duration("replica-lag"))}); err != nil {
 				return err
 			}
-			handlers := []listening{{"listening", command.String("listen"), log}}
+			handlers := []endpoint{{"listening", command.String("listen"), log}}
 			if command.IsSet("replica") {
-				handlers = append(handlers, listening{"replica", command.String("replica"), log.Replica()})
+				handlers = append(handlers, endpoint{"replica", command.String("replica"), log.Replica()})
 			}
 			return serve(ctx, command, handlers...)
 		},
@@ -60,7 +60,7 @@
 				return err
 			}
 			list := machinelist.New(machines, command.Duration("lag"))
-			return serve(ctx, command, listening{"listening", command.String("listen"), list})
+			return serve(ctx, command, endpoint{"listening", command.String("listen"), list})
 		},
 	}
 }
@@ -98,7 +98,7 @@
 			if command.Int64("rate") < 1 {
 				return eris.Wrap(ErrUsage, "--rate must be at least 1")
 			}
-			return serve(ctx, command, listening{"listening", command.String("listen"), weights.New(command.Int64("rate"))})
+			return serve(ctx, command, endpoint{"listening", command.String("listen"), weights.New(command.Int64("rate"))})
 		},
 	}
 }
--- a/internal/standin/cli/proxy.go
+++ b/internal/standin/cli/proxy.go
@@ -45,7 +45,7 @@
 		}
 		_, _ = fmt.Fprintf(command.Root().Writer, "route %s %s %s\n", wanted.name, route.Address(), wanted.target)
 	}
-	return serve(ctx, command, listening{"listening", command.String("listen"), p})
+	return serve(ctx, command, endpoint{"listening", command.String("listen"), p})
 }
 
 type routeFlag struct{ name, listen, target string }
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -73,10 +73,10 @@
 	}
 	switch {
 	case err != nil:
-		writeProblem(c.writer, http.StatusBadRequest, err.Error())
+		writeError(c.writer, http.StatusBadRequest, err.Error())
 		return false
 	case len(c.body.Messages) == 0:
-		writeProblem(c.writer, http.StatusBadRequest, "messages must not be empty")
+		writeError(c.writer, http.StatusBadRequest, "messages must not be empty")
 		return false
 	}
 	c.tool = wantedTool(body, c.body.Messages)
@@ -139,14 +139,14 @@
 		return
 	}
 	if c.sent >= c.faults.CutAfter {
-		c.breakOff()
+		c.applyStreamFault()
 	}
 	c.sent += int64(len(chunk.Text))
 	c.writeEvent(openai.Event{Offset: chunk.Offset, Choices: []openai.Choice{{Delta: openai.Delta{Content: chunk.Text}}}})
 }
 
 // breakOff has the faults that were drawn for this stream.
-func (c *completion) breakOff() {
+func (c *completion) applyStreamFault() {
 	if !c.cut && !c.stall {
 		return
 	}
@@ -210,7 +210,7 @@
 	if seconds := int(end.RetryAfter / time.Second); seconds > 0 {
 		c.writer.Header().Set("Retry-After", strconv.Itoa(seconds))
 	}
-	writeProblem(c.writer, status, end.Message)
+	writeError(c.writer, status, end.Message)
 }
 
 // fencedMessage is the model's word for a fenced attempt.
@@ -225,7 +225,7 @@
 
 func (c *completion) writeStreamEnd(end framework.AttemptEnd) {
 	if c.cut || c.stall {
-		c.breakOff()
+		c.applyStreamFault()
 	}
 	reason := c.finishReason(end)
 	choice := openai.Choice{FinishReason: &reason}
@@ -299,17 +299,17 @@
 }
 
 // problem is OpenAI's error.
-type problem struct {
-	Error problemDetail `json:"error"`
+type errorResponse struct {
+	Error errorDetail `json:"error"`
 }
 
-type problemDetail struct {
+type errorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 }
 
-func writeProblem(w http.ResponseWriter, status int, message string) {
+func writeError(w http.ResponseWriter, status int, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(problem{Error: problemDetail{Message: message, Type: "engine_error"}})
+	_ = json.NewEncoder(w).Encode(errorResponse{Error: errorDetail{Message: message, Type: "engine_error"}})
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -50,12 +50,12 @@
 	// Faults may be set at any time.
 	Faults control.Faults[Faults]
 
-	settings Settings
-	chance   *control.Chance
-	mux      *http.ServeMux
-	client   *http.Client
-	plain    atomic.Uint64
-	runs     runLog
+	settings      Settings
+	chance        *control.Chance
+	mux           *http.ServeMux
+	client        *http.Client
+	plainAttempts atomic.Uint64
+	runs          runLog
 
 	// queue owns the model and the reader of prompts.
 	queue  serial.Queue
@@ -79,7 +79,7 @@
 	}
 	e.model = model
 	e.Faults.OnChange(e.applyFaults)
-	e.route()
+	e.registerRoutes()
 	return e
 }
 
@@ -100,18 +100,18 @@
 	return options
 }
 
-func (e *Engine) route() {
+func (e *Engine) registerRoutes() {
 	e.mux.HandleFunc("POST "+openai.PathCompletions, e.serveCompletion)
-	e.mux.HandleFunc("GET /v1/models", e.guard(e.serveModels))
-	e.mux.HandleFunc("GET "+openai.PathAttempts, e.guard(e.serveInspect))
-	e.mux.HandleFunc("POST "+openai.PathCancel, e.guard(e.serveCancel))
-	e.mux.HandleFunc("GET "+openai.PathHolds, e.guard(e.serveHolds))
-	e.mux.HandleFunc("POST "+openai.PathRelease, e.guard(e.serveRelease))
-	e.mux.HandleFunc("GET "+openai.PathLoad, e.guard(e.serveLoad))
-	e.mux.HandleFunc("GET "+openai.PathCacheEvents, e.guard(e.serveCacheEvents))
-	e.mux.HandleFunc("POST "+openai.PathOrders, e.guard(e.serveOrder))
-	e.mux.HandleFunc("POST "+openai.PathTransfer, e.guard(e.serveTransfer))
-	e.mux.HandleFunc("GET "+openai.PathExport, e.guard(e.serveExport))
+	e.mux.HandleFunc("GET /v1/models", e.withFaults(e.serveModels))
+	e.mux.HandleFunc("GET "+openai.PathAttempts, e.withFaults(e.serveInspect))
+	e.mux.HandleFunc("POST "+openai.PathCancel, e.withFaults(e.serveCancel))
+	e.mux.HandleFunc("GET "+openai.PathHolds, e.withFaults(e.serveHolds))
+	e.mux.HandleFunc("POST "+openai.PathRelease, e.withFaults(e.serveRelease))
+	e.mux.HandleFunc("GET "+openai.PathLoad, e.withFaults(e.serveLoad))
+	e.mux.HandleFunc("GET "+openai.PathCacheEvents, e.withFaults(e.serveCacheEvents))
+	e.mux.HandleFunc("POST "+openai.PathOrders, e.withFaults(e.serveOrder))
+	e.mux.HandleFunc("POST "+openai.PathTransfer, e.withFaults(e.serveTransfer))
+	e.mux.HandleFunc("GET "+openai.PathExport, e.withFaults(e.serveExport))
 	e.mux.HandleFunc("GET /statistics", e.serveStatistics)
 	e.mux.HandleFunc("GET /runs", e.serveRuns)
 	e.mux.HandleFunc("POST /restart", e.serveRestart)
@@ -166,5 +166,5 @@
 
 // plainAttempt names a request of a client without the extension.
 func (e *Engine) plainAttempt() structs.AttemptID {
-	return structs.AttemptID("plain-" + strconv.FormatUint(e.plain.Add(1), 10))
+	return structs.AttemptID("plain-" + strconv.FormatUint(e.plainAttempts.Add(1), 10))
 }
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -69,7 +69,7 @@
 }
 
 // guard runs a short request under the faults.
-func (e *Engine) guard(handle func(http.ResponseWriter, *http.Request) func()) http.HandlerFunc {
+func (e *Engine) withFaults(handle func(http.ResponseWriter, *http.Request) func()) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.Faults.Get().Serve(e.chance, w, r, func() func() { return handle(w, r) })
 	}
--- a/internal/standin/machinelist/machinelist.go
+++ b/internal/standin/machinelist/machinelist.go
@@ -82,26 +82,26 @@
 
 // Set replaces the true list.
 func (l *List) Set(machines []structs.Machine) {
-	l.change(func([]structs.Machine) []structs.Machine { return machines })
+	l.update(func([]structs.Machine) []structs.Machine { return machines })
 }
 
 // Put adds a machine, or replaces the one at its address.
 func (l *List) Put(machine structs.Machine) {
-	l.change(func(machines []structs.Machine) []structs.Machine {
+	l.update(func(machines []structs.Machine) []structs.Machine {
 		return append(withoutAddress(machines, machine.Address), machine)
 	})
 }
 
 // Remove takes a machine off the true list.
 func (l *List) Remove(address string) {
-	l.change(func(machines []structs.Machine) []structs.Machine { return withoutAddress(machines, address) })
+	l.update(func(machines []structs.Machine) []structs.Machine { return withoutAddress(machines, address) })
 }
 
 func withoutAddress(machines []structs.Machine, address string) []structs.Machine {
 	return slices.DeleteFunc(slices.Clone(machines), func(m structs.Machine) bool { return m.Address == address })
 }
 
-func (l *List) change(change func([]structs.Machine) []structs.Machine) {
+func (l *List) update(change func([]structs.Machine) []structs.Machine) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	next := change(l.history[len(l.history)-1].machines)
--- a/internal/standin/proxy/pipe.go
+++ b/internal/standin/proxy/pipe.go
@@ -15,7 +15,7 @@
 	// to wait, as with a full window.
 	queuedChunks = 1024
 	// paceInterval is how often a held direction looks whether it may go on.
-	paceInterval = 5 * time.Millisecond
+	pollInterval = 5 * time.Millisecond
 )
 
 // chunkKind tells what a chunk passes on.
@@ -43,13 +43,13 @@
 	// pending was read from the source before the pipe began.
 	pending []byte
 	// faults are this direction's, opposite the other's.
-	faults   func() DirectionFaults
-	opposite func() DirectionFaults
-	draw     func(limit time.Duration) time.Duration
-	queue    chan chunk
-	closed   chan struct{}
-	cut      func()
-	once     sync.Once
+	faults         func() DirectionFaults
+	opposite       func() DirectionFaults
+	randomDuration func(limit time.Duration) time.Duration
+	queue          chan chunk
+	closed         chan struct{}
+	cut            func()
+	once           sync.Once
 }
 
 // run moves bytes until one side ends.
@@ -64,22 +64,22 @@
 func (p *pipe) read() {
 	defer close(p.queue)
 	last := p.dueAfter(time.Time{})
-	if len(p.pending) > 0 && !p.push(chunk{kind: chunkData, bytes: p.pending, due: last}) {
+	if len(p.pending) > 0 && !p.enqueue(chunk{kind: chunkData, bytes: p.pending, due: last}) {
 		return
 	}
 	buffer := make([]byte, chunkBytes)
 	for {
 		count, err := p.source.Read(buffer)
 		last = p.dueAfter(last)
-		if count > 0 && !p.push(chunk{kind: chunkData, bytes: slices.Clone(buffer[:count]), due: last}) {
+		if count > 0 && !p.enqueue(chunk{kind: chunkData, bytes: slices.Clone(buffer[:count]), due: last}) {
 			return
 		}
 		if err == io.EOF {
-			p.push(chunk{kind: chunkEnd, due: last})
+			p.enqueue(chunk{kind: chunkEnd, due: last})
 			return
 		}
 		if err != nil {
-			p.push(chunk{kind: chunkReset, due: last})
+			p.enqueue(chunk{kind: chunkReset, due: last})
 			return
 		}
 	}
@@ -88,14 +88,14 @@
 // dueAfter returns when bytes that come now may go on, behind those before.
 func (p *pipe) dueAfter(last time.Time) time.Time {
 	faults := p.faults()
-	due := time.Now().Add(time.Duration(faults.Delay) + p.draw(time.Duration(faults.Jitter)))
+	due := time.Now().Add(time.Duration(faults.Delay) + p.randomDuration(time.Duration(faults.Jitter)))
 	if due.Before(last) {
 		return last
 	}
 	return due
 }
 
-func (p *pipe) push(next chunk) bool {
+func (p *pipe) enqueue(next chunk) bool {
 	select {
 	case p.queue <- next:
 		return true
@@ -110,10 +110,10 @@
 			return
 		}
 		if p.faults().Drop {
-			p.lose()
+			p.discardUntilLifted()
 			return
 		}
-		if !p.pass(next) {
+		if !p.forward(next) {
 			return
 		}
 	}
@@ -121,14 +121,14 @@
 
 // lose throws away what comes until the fault is lifted, and then cuts the
 // connection: it cannot go on without what was lost.
-func (p *pipe) lose() {
+func (p *pipe) discardUntilLifted() {
 	go func() {
 		for range p.queue {
 			continue
 		}
 	}()
 	for p.faults().Drop {
-		if !sleepUntil(time.Now().Add(paceInterval), p.closed) {
+		if !sleepUntil(time.Now().Add(pollInterval), p.closed) {
 			return
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // pass hands on one chunk; it returns false when the pipe is at its end.
-func (p *pipe) pass(next chunk) bool {
+func (p *pipe) forward(next chunk) bool {
 	switch next.kind {
 	case chunkEnd:
 		closeWrite(p.destination)
@@ -152,14 +152,14 @@
 		}
 	}
 	if _, err := p.destination.Write(next.bytes); err != nil {
-		p.destinationBroken()
+		p.propagateReset()
 		return false
 	}
 	return true
 }
 
 // destinationBroken tells the source, as soon as the way back is open.
-func (p *pipe) destinationBroken() {
+func (p *pipe) propagateReset() {
 	blocked := func() DirectionFaults {
 		faults := p.opposite()
 		faults.Hold = faults.Hold || faults.Drop
@@ -174,7 +174,7 @@
 // connection ended before.
 func (p *pipe) waitWhileHeld(faults func() DirectionFaults) bool {
 	for faults().Hold {
-		if !sleepUntil(time.Now().Add(paceInterval), p.closed) {
+		if !sleepUntil(time.Now().Add(pollInterval), p.closed) {
 			return false
 		}
 	}
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -152,7 +152,7 @@
 }
 
 // named returns the route that a request names, or answers that there is none.
-func (p *Proxy) named(w http.ResponseWriter, r *http.Request) *Route {
+func (p *Proxy) requestedRoute(w http.ResponseWriter, r *http.Request) *Route {
 	route := p.Route(r.PathValue("name"))
 	if route == nil {
 		http.Error(w, "no route of that name", http.StatusNotFound)
@@ -169,7 +169,7 @@
 }
 
 func (p *Proxy) serveFaults(w http.ResponseWriter, r *http.Request) {
-	if route := p.named(w, r); route != nil {
+	if route := p.requestedRoute(w, r); route != nil {
 		route.Faults.ServeHTTP(w, r)
 	}
 }
@@ -180,7 +180,7 @@
 }
 
 func (p *Proxy) serveCut(w http.ResponseWriter, r *http.Request) {
-	if route := p.named(w, r); route != nil {
+	if route := p.requestedRoute(w, r); route != nil {
 		control.WriteJSON(w, affected{Connections: route.Cut()})
 	}
 }
@@ -191,7 +191,7 @@
 		http.Error(w, ErrSide.Error(), http.StatusBadRequest)
 		return
 	}
-	if route := p.named(w, r); route != nil {
+	if route := p.requestedRoute(w, r); route != nil {
 		control.WriteJSON(w, affected{Connections: route.HalfClose(side)})
 	}
 }
--- a/internal/standin/proxy/route.go
+++ b/internal/standin/proxy/route.go
@@ -130,7 +130,7 @@
 		return nil, true
 	}
 	for blocked() {
-		if !sleepUntil(time.Now().Add(paceInterval), r.done) {
+		if !sleepUntil(time.Now().Add(pollInterval), r.done) {
 			return nil, false
 		}
 	}
@@ -143,7 +143,7 @@
 	var ready []byte
 	buffer := make([]byte, chunkBytes)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(paceInterval))
+		_ = conn.SetReadDeadline(time.Now().Add(pollInterval))
 		count, err := conn.Read(buffer)
 		ready = append(ready, buffer[:count]...)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -162,7 +162,7 @@
 	c.pipes[0] = &pipe{source: client, destination: target, pending: pending, faults: toTarget, opposite: toClient}
 	c.pipes[1] = &pipe{source: target, destination: client, faults: toClient, opposite: toTarget}
 	for _, p := range c.pipes {
-		p.draw = r.draw
+		p.randomDuration = r.randomDuration
 		p.queue = make(chan chunk, queuedChunks)
 		p.closed = make(chan struct{})
 		p.cut = c.cut
@@ -181,7 +181,7 @@
 }
 
 // draw returns a time from 0 to limit.
-func (r *Route) draw(limit time.Duration) time.Duration {
+func (r *Route) randomDuration(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
 	}
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -43,8 +43,8 @@
 	chance *control.Chance
 	mutex  sync.Mutex
 	// free is when the last read that was promised ends.
-	free  time.Time
-	reads []Read
+	freeAt time.Time
+	reads  []Read
 }
 
 // Read is one read of the store.
@@ -52,7 +52,7 @@
 	Name      string        `json:"name"`
 	Bytes     int64         `json:"bytes"`
 	StartedAt time.Time     `json:"started_at"`
-	Duration  time.Duration `json:"took"`
+	Took      time.Duration `json:"took"`
 }
 
 // New returns a store that gives out so many bytes each second.
@@ -71,12 +71,12 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	start := time.Now()
-	if s.free.After(start) {
-		start = s.free
+	if s.freeAt.After(start) {
+		start = s.freeAt
 	}
-	s.free = start.Add(took)
-	s.reads = append(s.reads, Read{Name: name, Bytes: bytes, StartedAt: start, Duration: took})
-	return s.free
+	s.freeAt = start.Add(took)
+	s.reads = append(s.reads, Read{Name: name, Bytes: bytes, StartedAt: start, Took: took})
+	return s.freeAt
 }
 
 // Reads returns all reads in the order in which they were asked for.
--- a/internal/standin/weights/weights_test.go
+++ b/internal/standin/weights/weights_test.go
@@ -16,12 +16,12 @@
 	}
 	s.reserve("c", 100)
 	reads := s.Reads()
-	took := []time.Duration{reads[0].Duration, reads[1].Duration, reads[2].Duration}
+	took := []time.Duration{reads[0].Took, reads[1].Took, reads[2].Took}
 	if diff := cmp.Diff([]time.Duration{time.Second / 2, time.Second / 4, time.Second}, took); diff != "" {
 		t.Error(diff)
 	}
 	for i := 1; i < len(reads); i++ {
-		if want := reads[i-1].StartedAt.Add(reads[i-1].Duration); !reads[i].StartedAt.Equal(want) {
+		if want := reads[i-1].StartedAt.Add(reads[i-1].Took); !reads[i].StartedAt.Equal(want) {
 			t.Errorf("read %d starts at %v, want %v", i, reads[i].StartedAt, want)
 		}
 	}
--- a/internal/workload/shape.go
+++ b/internal/workload/shape.go
@@ -45,30 +45,30 @@
 	name   structs.TemplateName
 	weight float64
 	// prefixTokens is the length of the system prompt that its programs share.
-	prefixTokens int64
-	priority     int
-	turns        func(*rand.Rand) int
-	first        tokens
-	following    tokens
-	step         tokens
-	final        tokens
-	pause        pause
+	prefixTokens   int64
+	priority       int
+	turns          func(*rand.Rand) int
+	firstInput     lengthRange
+	followingInput lengthRange
+	stepAnswer     lengthRange
+	finalAnswer    lengthRange
+	pause          pauseDistribution
 	// spawns is the probability that a turn spawns sub-agents.
-	spawns float64
-	child  *template
+	spawnProbability float64
+	child            *template
 }
 
 // tokens is a length between bounds, with a tail to the right.
-type tokens struct{ low, high int64 }
+type lengthRange struct{ low, high int64 }
 
-func (t tokens) draw(random *rand.Rand) int64 {
+func (t lengthRange) draw(random *rand.Rand) int64 {
 	// The square of a uniform number makes short ones more frequent.
 	u := random.Float64()
 	return t.low + int64(float64(t.high-t.low)*u*u)
 }
 
 // pause is a log-normal body with a Pareto tail, both in seconds.
-type pause struct {
+type pauseDistribution struct {
 	median, sigma float64
 	// tail is the probability of a draw from the tail, which starts at
 	// tailFrom and ends at tailTo.
@@ -79,7 +79,7 @@
 // but for its bound.
 const tailIndex = 1.2
 
-func (p pause) draw(random *rand.Rand) float64 {
+func (p pauseDistribution) draw(random *rand.Rand) float64 {
 	if random.Float64() < p.tail {
 		return min(p.tailFrom*math.Pow(1-random.Float64(), -1/tailIndex), p.tailTo)
 	}
@@ -145,8 +145,8 @@
 }
 
 func (s *Shape) program(random *rand.Rand, number int) Program {
-	chosen := pick(random, s.templates, func(t template) float64 { return t.weight })
-	tenant := pick(random, s.tenants, func(t weighted[structs.TenantName]) float64 { return t.weight })
+	chosen := pickWeighted(random, s.templates, func(t template) float64 { return t.weight })
+	tenant := pickWeighted(random, s.tenants, func(t weighted[structs.TenantName]) float64 { return t.weight })
 	return chosen.program(random, structs.ProgramID(fmt.Sprintf("%s-%05d", chosen.name, number)), tenant.value)
 }
 
@@ -160,16 +160,16 @@
 }
 
 func (t *template) turn(random *rand.Rand, program *Program, number int, last bool) Turn {
-	turn := Turn{InputTokens: t.following.draw(random), AnswerTokens: t.step.draw(random)}
+	turn := Turn{InputTokens: t.followingInput.draw(random), AnswerTokens: t.stepAnswer.draw(random)}
 	if number == 0 {
-		turn.InputTokens = t.first.draw(random)
+		turn.InputTokens = t.firstInput.draw(random)
 	}
 	if last {
-		turn.AnswerTokens = t.final.draw(random)
+		turn.AnswerTokens = t.finalAnswer.draw(random)
 		return turn
 	}
 	turn.PauseSeconds = t.pause.draw(random)
-	if t.child != nil && random.Float64() < t.spawns {
+	if t.child != nil && random.Float64() < t.spawnProbability {
 		turn.SubAgents = t.children(random, program, number)
 	}
 	return turn
@@ -187,7 +187,7 @@
 	return children
 }
 
-func pick[T any](random *rand.Rand, choices []T, weight func(T) float64) T {
+func pickWeighted[T any](random *rand.Rand, choices []T, weight func(T) float64) T {
 	total := 0.0
 	for _, choice := range choices {
 		total += weight(choice)
--- a/internal/workload/users.go
+++ b/internal/workload/users.go
@@ -16,19 +16,19 @@
 // Election night. Booths report in bursts; each burst brings summaries, which
 // take one to twelve look-ups.
 const (
-	tallyQuiet     = 0.80
-	tallyBurstGap  = 40.0
-	tallyBurstTime = 10.0
+	tallyBaseIntensity = 0.80
+	tallyBurstGap      = 40.0
+	tallyBurstTime     = 10.0
 	// tallyBurst is chosen so that the mean intensity is 1.
-	tallyBurst = (1 - tallyQuiet) * tallyBurstGap / tallyBurstTime
-	tallyPeak  = tallyQuiet + 2*tallyBurst
+	tallyBurstIntensity = (1 - tallyBaseIntensity) * tallyBurstGap / tallyBurstTime
+	tallyPeak           = tallyBaseIntensity + 2*tallyBurstIntensity
 )
 
 func tally() Shape {
 	lookup := template{
 		name: "lookup", prefixTokens: 900, priority: 5, turns: between(1, 3),
-		first: tokens{150, 500}, following: tokens{200, 900}, step: tokens{30, 80}, final: tokens{80, 200},
-		pause: pause{median: 0.6, sigma: 0.6, tail: 0.03, tailFrom: 3, tailTo: 30},
+		firstInput: lengthRange{150, 500}, followingInput: lengthRange{200, 900}, stepAnswer: lengthRange{30, 80}, finalAnswer: lengthRange{80, 200},
+		pause: pauseDistribution{median: 0.6, sigma: 0.6, tail: 0.03, tailFrom: 3, tailTo: 30},
 	}
 	return Shape{
 		Name:               TallyName,
@@ -40,20 +40,20 @@
 		tenants:            []weighted[structs.TenantName]{{"courier", 1.2}, {"gazette", 1}, {"herald", 0.8}},
 		templates: []template{
 			{
-				name: "summary", weight: 0.35, prefixTokens: 3500, priority: 5, turns: lookUps,
-				first: tokens{400, 1500}, following: tokens{500, 5000}, step: tokens{30, 90}, final: tokens{200, 450},
-				pause:  pause{median: 0.8, sigma: 0.7, tail: 0.05, tailFrom: 3, tailTo: 30},
-				spawns: 0.08, child: &lookup,
+				name: "summary", weight: 0.35, prefixTokens: 3500, priority: 5, turns: lookUpTurns,
+				firstInput: lengthRange{400, 1500}, followingInput: lengthRange{500, 5000}, stepAnswer: lengthRange{30, 90}, finalAnswer: lengthRange{200, 450},
+				pause:            pauseDistribution{median: 0.8, sigma: 0.7, tail: 0.05, tailFrom: 3, tailTo: 30},
+				spawnProbability: 0.08, child: &lookup,
 			},
 			{
 				name: "desk-question", weight: 0.25, prefixTokens: 2200, priority: 6, turns: between(1, 6),
-				first: tokens{100, 600}, following: tokens{300, 3000}, step: tokens{30, 90}, final: tokens{80, 300},
-				pause: pause{median: 1, sigma: 0.7, tail: 0.05, tailFrom: 3, tailTo: 30},
+				firstInput: lengthRange{100, 600}, followingInput: lengthRange{300, 3000}, stepAnswer: lengthRange{30, 90}, finalAnswer: lengthRange{80, 300},
+				pause: pauseDistribution{median: 1, sigma: 0.7, tail: 0.05, tailFrom: 3, tailTo: 30},
 			},
 			{
 				name: "public-page", weight: 0.40, prefixTokens: 1200, priority: 4, turns: between(1, 2),
-				first: tokens{80, 300}, following: tokens{150, 500}, step: tokens{20, 50}, final: tokens{60, 160},
-				pause: pause{median: 0.5, sigma: 0.5, tail: 0.02, tailFrom: 2, tailTo: 30},
+				firstInput: lengthRange{80, 300}, followingInput: lengthRange{150, 500}, stepAnswer: lengthRange{20, 50}, finalAnswer: lengthRange{60, 160},
+				pause: pauseDistribution{median: 0.5, sigma: 0.5, tail: 0.02, tailFrom: 2, tailTo: 30},
 			},
 		},
 		intensity: tallyIntensity,
@@ -62,7 +62,7 @@
 }
 
 // lookUps is one to twelve look-ups and the final answer.
-func lookUps(random *rand.Rand) int {
+func lookUpTurns(random *rand.Rand) int {
 	u := random.Float64()
 	return 2 + int(12*u*u)
 }
@@ -74,10 +74,10 @@
 func tallyIntensity(random *rand.Rand, duration float64) func(float64) float64 {
 	starts := burstTimes(random, tallyBurstGap, duration)
 	return func(at float64) float64 {
-		intensity := tallyQuiet
+		intensity := tallyBaseIntensity
 		for _, start := range starts {
 			if at >= start && at < start+tallyBurstTime {
-				intensity += tallyBurst
+				intensity += tallyBurstIntensity
 			}
 		}
 		return min(intensity, tallyPeak)
@@ -86,15 +86,15 @@
 
 // Before dawn. The load swells over the run; people think between calls.
 const (
-	chlebnetSwell = 0.35
-	chlebnetPeak  = 1 + chlebnetSwell
+	chlebnetAmplitude = 0.35
+	chlebnetPeak      = 1 + chlebnetAmplitude
 )
 
 func chlebnet() Shape {
 	flour := template{
 		name: "flour-check", prefixTokens: 1000, priority: 5, turns: between(1, 2),
-		first: tokens{60, 200}, following: tokens{80, 300}, step: tokens{20, 50}, final: tokens{30, 90},
-		pause: pause{median: 0.5, sigma: 0.5, tail: 0.03, tailFrom: 2, tailTo: 30},
+		firstInput: lengthRange{60, 200}, followingInput: lengthRange{80, 300}, stepAnswer: lengthRange{20, 50}, finalAnswer: lengthRange{30, 90},
+		pause: pauseDistribution{median: 0.5, sigma: 0.5, tail: 0.03, tailFrom: 2, tailTo: 30},
 	}
 	return Shape{
 		Name:               ChlebnetName,
@@ -110,25 +110,25 @@
 		templates: []template{
 			{
 				name: "shop-order", weight: 0.45, prefixTokens: 1500, priority: 5, turns: between(2, 4),
-				first: tokens{40, 200}, following: tokens{40, 250}, step: tokens{20, 70}, final: tokens{30, 120},
-				pause:  pause{median: 3, sigma: 0.9, tail: 0.12, tailFrom: 10, tailTo: 180},
-				spawns: 0.10, child: &flour,
+				firstInput: lengthRange{40, 200}, followingInput: lengthRange{40, 250}, stepAnswer: lengthRange{20, 70}, finalAnswer: lengthRange{30, 120},
+				pause:            pauseDistribution{median: 3, sigma: 0.9, tail: 0.12, tailFrom: 10, tailTo: 180},
+				spawnProbability: 0.10, child: &flour,
 			},
 			{
 				name: "canteen-order", weight: 0.30, prefixTokens: 1800, priority: 5, turns: between(2, 5),
-				first: tokens{80, 300}, following: tokens{60, 300}, step: tokens{20, 80}, final: tokens{40, 150},
-				pause:  pause{median: 4, sigma: 0.9, tail: 0.12, tailFrom: 12, tailTo: 180},
-				spawns: 0.10, child: &flour,
+				firstInput: lengthRange{80, 300}, followingInput: lengthRange{60, 300}, stepAnswer: lengthRange{20, 80}, finalAnswer: lengthRange{40, 150},
+				pause:            pauseDistribution{median: 4, sigma: 0.9, tail: 0.12, tailFrom: 12, tailTo: 180},
+				spawnProbability: 0.10, child: &flour,
 			},
 			{
 				name: "kitchen-diet", weight: 0.15, prefixTokens: 2200, priority: 6, turns: between(2, 4),
-				first: tokens{100, 400}, following: tokens{60, 300}, step: tokens{30, 90}, final: tokens{60, 200},
-				pause: pause{median: 3, sigma: 0.8, tail: 0.10, tailFrom: 10, tailTo: 120},
+				firstInput: lengthRange{100, 400}, followingInput: lengthRange{60, 300}, stepAnswer: lengthRange{30, 90}, finalAnswer: lengthRange{60, 200},
+				pause: pauseDistribution{median: 3, sigma: 0.8, tail: 0.10, tailFrom: 10, tailTo: 120},
 			},
 			{
 				name: "flour-reconcile", weight: 0.10, prefixTokens: 2000, priority: 4, turns: between(3, 9),
-				first: tokens{200, 800}, following: tokens{150, 700}, step: tokens{30, 90}, final: tokens{100, 300},
-				pause: pause{median: 1.0, sigma: 0.8, tail: 0.08, tailFrom: 5, tailTo: 120},
+				firstInput: lengthRange{200, 800}, followingInput: lengthRange{150, 700}, stepAnswer: lengthRange{30, 90}, finalAnswer: lengthRange{100, 300},
+				pause: pauseDistribution{median: 1.0, sigma: 0.8, tail: 0.08, tailFrom: 5, tailTo: 120},
 			},
 		},
 		intensity: chlebnetIntensity,
@@ -138,6 +138,6 @@
 
 func chlebnetIntensity(_ *rand.Rand, duration float64) func(float64) float64 {
 	return func(at float64) float64 {
-		return 1 + chlebnetSwell*math.Sin(math.Pi*(2*at/duration-0.5))
+		return 1 + chlebnetAmplitude*math.Sin(math.Pi*(2*at/duration-0.5))
 	}
 }
