--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -32,8 +32,8 @@
 	Weights WeightSource
 	// Ledger, when set, counts for a whole fleet what is recomputed and what
 	// is held idle; Recorder hears of every attempt.
-	Ledger   *Ledger
-	Recorder Recorder
+	BlockHistory *BlockHistory
+	Recorder     Recorder
 	// Serialize runs the tasks of timers one at a time with everything else
 	// that touches the engine; nil runs them straight away.
 	Serialize func(task func())
@@ -59,13 +59,13 @@
 	holds     holdTable
 	programs  programBlocks
 	// linkFree is when the link to other engines is free again.
-	linkFree time.Time
-	waiting  []*sequence
-	running  []*sequence
-	arrivals uint64
-	span     *span
-	busy     bool
-	woken    bool
+	linkFree      time.Time
+	waiting       []*sequence
+	running       []*sequence
+	arrivals      uint64
+	span          *span
+	busy          bool
+	wakeRequested bool
 }
 
 // New returns an engine that runs and has seen nothing.
@@ -115,7 +115,7 @@
 	e.holds = newHoldTable()
 	e.programs = newProgramBlocks()
 	e.linkFree = started
-	e.noteLoad()
+	e.recordLoadState()
 }
 
 // Crash ends the run: everything is lost, and every reader hears that its
@@ -131,9 +131,9 @@
 		e.span = nil
 	}
 	e.busy = false
-	e.CloseIdle()
+	e.CountIdleBlocks()
 	lost := framework.AttemptEnd{Kind: framework.EndLost, Message: "the engine crashed"}
-	for _, a := range e.attempts.open() {
+	for _, a := range e.attempts.unfinished() {
 		e.recordEnd(a, lost)
 		a.done, a.end = true, lost
 		readers := a.readers
@@ -154,7 +154,7 @@
 // Drain has the engine refuse new attempts and finish those it has.
 func (e *Engine) Drain(draining bool) {
 	e.draining = draining
-	e.noteLoad()
+	e.recordLoadState()
 }
 
 // SetSlowness stretches every step; 1 is normal.
--- a/internal/enginemodel/statistics.go
+++ b/internal/enginemodel/statistics.go
@@ -19,7 +19,7 @@
 	CompletionTokens int64 `json:"completion_tokens"`
 	Preemptions      int64 `json:"preemptions"`
 	// RecomputedTokens counts prefilled tokens of blocks that some engine had
-	// held before; it needs a Ledger.
+	// held before; it needs a BlockHistory.
 	RecomputedTokens int64 `json:"recomputed_tokens"`
 	// IdleTokenSeconds is the memory that blocks took from their last use to
 	// their eviction: held, and never hit again.
@@ -44,48 +44,48 @@
 	AttemptEnded(run AttemptRun)
 }
 
-// Ledger knows which blocks any engine of a fleet has ever held.
-type Ledger struct{ held map[blockKey]struct{} }
+// BlockHistory records which blocks any engine of a fleet has ever stored.
+type BlockHistory struct{ held map[blockKey]struct{} }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{held: map[blockKey]struct{}{}} }
+// NewBlockHistory returns an empty history.
+func NewBlockHistory() *BlockHistory { return &BlockHistory{held: map[blockKey]struct{}{}} }
 
-func (l *Ledger) stored(key blockKey) { l.held[key] = struct{}{} }
+func (l *BlockHistory) stored(key blockKey) { l.held[key] = struct{}{} }
 
-func (l *Ledger) knows(key blockKey) bool {
+func (l *BlockHistory) knows(key blockKey) bool {
 	_, found := l.held[key]
 	return found
 }
 
 // Statistics returns the counts up to now. Blocks that are still cached count
-// as idle since their last use only when the run is closed with CloseIdle.
+// as idle since their last use only when the run is closed with CountIdleBlocks.
 func (e *Engine) Statistics() Statistics { return e.statistics }
 
-// CloseIdle counts the blocks that are cached now and not in use as held idle
+// CountIdleBlocks counts the blocks that are cached now and not in use as held idle
 // since their last use, as if they were evicted now. For the end of a run.
-func (e *Engine) CloseIdle() {
+func (e *Engine) CountIdleBlocks() {
 	idle := int64(0)
 	for _, b := range e.cache.blocks {
-		if b.running == 0 {
+		if b.sequenceRefs == 0 {
 			idle += int64(e.now().Sub(b.lastUse))
 			b.lastUse = e.now()
 		}
 	}
-	e.addIdle(idle)
+	e.addIdleTime(idle)
 }
 
-func (e *Engine) countIdle(b *block, now time.Time) { e.addIdle(int64(now.Sub(b.lastUse))) }
+func (e *Engine) countEvictedIdle(b *block, now time.Time) { e.addIdleTime(int64(now.Sub(b.lastUse))) }
 
-func (e *Engine) addIdle(nanoseconds int64) {
+func (e *Engine) addIdleTime(nanoseconds int64) {
 	e.statistics.IdleTokenSeconds += float64(nanoseconds) / float64(time.Second) * prefix.BlockTokens
 }
 
 // countHits counts a sequence's prompt when it is admitted for the first time.
 func (e *Engine) countHits(s *sequence) {
-	if s.counted {
+	if s.hitsCounted {
 		return
 	}
-	s.counted = true
+	s.hitsCounted = true
 	s.cached = s.computed
 	e.statistics.PromptTokens += s.attempt.request.PromptTokens
 	e.statistics.CachedTokens += s.computed
@@ -94,14 +94,14 @@
 // countComputed counts prefilled tokens just added to a sequence.
 func (e *Engine) countComputed(s *sequence, tokens int64) {
 	e.statistics.PrefilledTokens += tokens
-	if e.options.Ledger == nil {
+	if e.options.BlockHistory == nil {
 		return
 	}
 	first := (s.computed - tokens) / prefix.BlockTokens
 	last := s.computed / prefix.BlockTokens
 	for i := first; i < last; i++ {
 		hash, named := s.hash(int(i))
-		if named && e.options.Ledger.knows(blockKey{s.space(), hash}) {
+		if named && e.options.BlockHistory.knows(blockKey{s.namespace(), hash}) {
 			e.statistics.RecomputedTokens += prefix.BlockTokens
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 // HeldTokens returns the tokens pinned by holds.
-func (e *Engine) HeldTokens() int64 { return int64(e.cache.pinned) * prefix.BlockTokens }
+func (e *Engine) HeldTokens() int64 { return int64(e.cache.pinnedBlocks) * prefix.BlockTokens }
 
 // CachedTokens returns the tokens in the cache, in use or not.
 func (e *Engine) CachedTokens() int64 { return int64(e.cache.used()) * prefix.BlockTokens }
--- a/internal/enginemodel/weights.go
+++ b/internal/enginemodel/weights.go
@@ -13,12 +13,12 @@
 	clock clock.Clock
 	rate  int64
 	// free is when the last load that was promised ends.
-	free time.Time
+	freeAt time.Time
 	// Bytes counts what was read, Reading the loads under way, Peak the most
 	// at a time.
-	Bytes   int64
-	Reading int
-	Peak    int
+	BytesRead   int64
+	ActiveLoads int
+	PeakLoads   int
 }
 
 var _ WeightSource = (*WeightStore)(nil)
@@ -32,15 +32,15 @@
 func (s *WeightStore) Fetch(_ string, bytes int64, done func(error)) {
 	now := s.clock.Now()
 	start := now
-	if s.free.After(now) {
-		start = s.free
+	if s.freeAt.After(now) {
+		start = s.freeAt
 	}
-	s.free = start.Add(time.Duration(float64(bytes) / float64(s.rate) * float64(time.Second)))
-	s.Bytes += bytes
-	s.Reading++
-	s.Peak = max(s.Peak, s.Reading)
-	s.clock.AfterFunc(s.free.Sub(now), func() {
-		s.Reading--
+	s.freeAt = start.Add(time.Duration(float64(bytes) / float64(s.rate) * float64(time.Second)))
+	s.BytesRead += bytes
+	s.ActiveLoads++
+	s.PeakLoads = max(s.PeakLoads, s.ActiveLoads)
+	s.clock.AfterFunc(s.freeAt.Sub(now), func() {
+		s.ActiveLoads--
 		done(nil)
 	})
 }
--- a/internal/gateway/slow_headers_test.go
+++ b/internal/gateway/slow_headers_test.go
@@ -15,7 +15,7 @@
 // TestSlowHeadersAreShedAndDoNotDelayOthers opens connections to a real daemon that
 // never finish their headers. They must be closed, and calls meanwhile served.
 func TestSlowHeadersAreShedAndDoNotDelayOthers(t *testing.T) {
-	address := cluster(t).HTTP[0]
+	address := cluster(t).HTTPAddresses[0]
 	t.Parallel()
 	var slow []net.Conn
 	for range 50 {
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -9,13 +9,13 @@
 
 const (
 	// longest is the largest value a histogram takes.
-	longest = 30 * time.Minute
+	maximumRecordedTime = 30 * time.Minute
 	// digits is the precision of histograms.
-	digits = 3
+	significantDigits = 3
 )
 
-// Times are the percentiles of one histogram, in seconds.
-type Times struct {
+// Percentiles are the percentiles of one histogram, in seconds.
+type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_s"`
 	P95   float64 `json:"p95_s"`
@@ -30,7 +30,7 @@
 }
 
 func newHistogram() *histogram {
-	return &histogram{values: hdrhistogram.New(1, longest.Microseconds(), digits)}
+	return &histogram{values: hdrhistogram.New(1, maximumRecordedTime.Microseconds(), significantDigits)}
 }
 
 func (h *histogram) record(d time.Duration) {
@@ -39,13 +39,13 @@
 	_ = h.values.RecordValue(max(d, time.Microsecond).Microseconds())
 }
 
-func (h *histogram) times() Times {
+func (h *histogram) times() Percentiles {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	at := func(percentile float64) float64 {
 		return (time.Duration(h.values.ValueAtQuantile(percentile)) * time.Microsecond).Seconds()
 	}
-	return Times{
+	return Percentiles{
 		Count: h.values.TotalCount(),
 		P50:   at(50),
 		P95:   at(95),
@@ -56,7 +56,7 @@
 
 // watch returns an observer of one stream that began now: the first event goes
 // into first, the gaps between the others into gaps.
-func watch(first, gaps *histogram) observer {
+func newStreamObserver(first, gaps *histogram) observer {
 	last := time.Now()
 	begun := false
 	return func(at time.Time, _ int64) {
--- a/internal/standin/application/application.go
+++ b/internal/standin/application/application.go
@@ -35,10 +35,10 @@
 	if err := f.ServiceFaults.Validate(); err != nil {
 		return err
 	}
-	if err := control.Fraction("hang_after_effect", f.HangAfterEffect); err != nil {
+	if err := control.ValidateFraction("hang_after_effect", f.HangAfterEffect); err != nil {
 		return err
 	}
-	return control.Fraction("fail", f.Fail)
+	return control.ValidateFraction("fail", f.Fail)
 }
 
 // Settings describe an application.
@@ -155,7 +155,7 @@
 
 // receive notes that an operation has arrived and has had no effect yet, so
 // that an inspection meanwhile does not call it absent.
-func (a *Application) receive(attempt structs.AttemptID) *record {
+func (a *Application) markReceived(attempt structs.AttemptID) *record {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	entry := a.entry(attempt)
@@ -163,7 +163,7 @@
 	return entry
 }
 
-func (a *Application) drop(entry *record) {
+func (a *Application) unmarkReceived(entry *record) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	entry.received--
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -27,7 +27,7 @@
 // Validate implements control.Validator.
 func (f Faults) Validate() error {
 	if f.BytesPerSecond < 0 {
-		return eris.Wrap(control.ErrFault, "bytes_per_second must not be below zero")
+		return eris.Wrap(control.ErrInvalidFault, "bytes_per_second must not be below zero")
 	}
 	return f.ServiceFaults.Validate()
 }
@@ -43,8 +43,8 @@
 	chance *control.Chance
 	mutex  sync.Mutex
 	// free is when the last read that was promised ends.
-	free  time.Time
-	reads []Read
+	freeAt time.Time
+	reads  []Read
 }
 
 // Read is one read of the store.
@@ -71,12 +71,12 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	start := time.Now()
-	if s.free.After(start) {
-		start = s.free
+	if s.freeAt.After(start) {
+		start = s.freeAt
 	}
-	s.free = start.Add(took)
+	s.freeAt = start.Add(took)
 	s.reads = append(s.reads, Read{Name: name, Bytes: bytes, StartedAt: start, Took: took})
-	return s.free
+	return s.freeAt
 }
 
 // Reads returns all reads in the order in which they were asked for.
