--- a/internal/enginemodel/admission.go
+++ b/internal/enginemodel/admission.go
@@ -4,7 +4,8 @@
 
 func (s *sequence) cancelled() bool { return len(s.attempt.cancelCallbacks) > 0 }
 
-// removeCancelled frees what was stopped since the last step.
+// removeCancelled ends the running sequences that were cancelled since the
+// last step.
 func (e *Engine) removeCancelled() {
 	var stopped []*sequence
 	e.running = slices.DeleteFunc(e.running, func(s *sequence) bool {
@@ -18,8 +19,8 @@
 	}
 }
 
-// admitWaiting moves waiting sequences into the batch in their order. One that
-// finds no place may push out a running one of lower priority.
+// admitWaiting moves waiting sequences into the batch in queue order. A
+// sequence that does not fit may preempt running ones of lower priority.
 func (e *Engine) admitWaiting() {
 	for len(e.waiting) > 0 {
 		s := e.waiting[0]
@@ -66,7 +67,8 @@
 	}
 }
 
-// victim returns the running sequence that goes first when memory is short.
+// victim returns the running sequence to preempt first: lowest priority,
+// latest arrival.
 func (e *Engine) victim() *sequence {
 	var last *sequence
 	for _, s := range e.running {
@@ -77,8 +79,8 @@
 	return last
 }
 
-// preempt sends a sequence back to the queue. Its blocks are freed; what is
-// evicted of them must be computed again.
+// preempt returns a sequence to the queue and frees its blocks; those evicted
+// meanwhile must be recomputed.
 func (e *Engine) preempt(s *sequence) {
 	e.running = slices.DeleteFunc(e.running, func(other *sequence) bool { return other == s })
 	s.releaseBlocks(e.cache, e.now())
@@ -87,7 +89,7 @@
 	e.enqueue(s)
 }
 
-// enqueue puts a sequence at its place among those that wait.
+// enqueue inserts a sequence into the waiting queue in order.
 func (e *Engine) enqueue(s *sequence) {
 	place, _ := slices.BinarySearchFunc(e.waiting, s, func(other, wanted *sequence) int {
 		if other.precedes(wanted) {
--- a/internal/enginemodel/answer.go
+++ b/internal/enginemodel/answer.go
@@ -16,24 +16,25 @@
 	// tokensDirective in the last user message sets the answer's length:
 	// "[[tokens=120]]".
 	tokensDirective = "[[tokens="
-	// toolDirective in the last user message has the answer call a tool that
-	// the request offers: "[[tool=swing]]". The HTTP stand-in obeys it.
+	// toolDirective in the last user message requests a call of a tool that
+	// the request offers: "[[tool=swing]]". Only the HTTP stand-in follows it.
 	toolDirective = "[[tool="
 	// directiveEnd closes a directive.
 	directiveEnd = "]]"
-	// maximumAnswerTokens bounds what a directive may ask for.
+	// maximumAnswerTokens limits the length that a directive can set.
 	maximumAnswerTokens = 1 << 20
 )
 
-// Answer is the text that every engine answers to a prompt: four bytes per
-// token, a function of the prompt alone, so that a stream can go on at another
-// engine and any part can be made without the rest.
+// Answer is the text that every engine gives to a prompt: four bytes per
+// token, a function of the prompt alone, so that a stream can continue at
+// another engine and any part can be produced on its own.
 type Answer struct{ Seed uint64 }
 
-// NewAnswer returns the answer to a prompt that ends with the given hasher.
+// NewAnswer returns the answer to a prompt that ends at the given hasher
+// state.
 func NewAnswer(hasher prefix.Hasher) Answer { return Answer{Seed: hasher.Digest()} }
 
-// Text returns bytes from (inclusive) to to (exclusive).
+// Text returns the answer bytes in the range [from, to).
 func (a Answer) Text(from, to int64) string {
 	var builder strings.Builder
 	builder.Grow(int(to - from))
@@ -54,8 +55,8 @@
 	return [prefix.BytesPerToken]byte{hexDigits[sum&15], hexDigits[sum>>4&15], hexDigits[sum>>8&15], ' '}
 }
 
-// DirectedTokens returns the answer length that the last user message asks
-// for with "[[tokens=N]]", and false when it asks for none.
+// DirectedTokens returns the answer length that "[[tokens=N]]" in the last
+// user message sets, and false when there is none.
 func DirectedTokens(messages []structs.Message) (int64, bool) {
 	value, found := directive(messages, tokensDirective)
 	if !found {
@@ -68,13 +69,13 @@
 	return min(tokens, maximumAnswerTokens), true
 }
 
-// DirectedTool returns the tool that the last user message asks for with
-// "[[tool=NAME]]", and false when it asks for none.
+// DirectedTool returns the tool that "[[tool=NAME]]" in the last user message
+// names, and false when there is none.
 func DirectedTool(messages []structs.Message) (string, bool) {
 	return directive(messages, toolDirective)
 }
 
-// directive returns what follows an opening in the last user message.
+// directive returns the value of a directive in the last user message.
 func directive(messages []structs.Message, opening string) (string, bool) {
 	for i := len(messages) - 1; i >= 0; i-- {
 		if messages[i].Role != "user" {
--- a/internal/enginemodel/attempts.go
+++ b/internal/enginemodel/attempts.go
@@ -10,17 +10,17 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// maximumFences bounds the fences that an engine keeps.
+// maximumFences limits the fences that an engine keeps.
 const maximumFences = 1 << 16
 
-// attemptTable is what a run of an engine knows of attempts.
+// attemptTable holds the attempts and fences of one run of an engine.
 type attemptTable struct {
 	byID map[structs.AttemptID]*attempt
-	// started holds a digest of every attempt of the run: none runs twice,
-	// long after its stream was forgotten.
+	// started holds a digest of every attempt of the run, so that none runs
+	// twice, even after its stream was forgotten.
 	started map[uint64]struct{}
 	fences  map[structs.AttemptID]fence
-	// fenceOrder lists fences by the time they were first set.
+	// fenceOrder lists fences in the order in which they were first set.
 	fenceOrder []structs.AttemptID
 }
 
@@ -44,7 +44,7 @@
 	t.started[xxhash.Sum64String(string(a.request.Attempt))] = struct{}{}
 }
 
-// ran tells that an attempt was started in this run.
+// hasRun reports whether an attempt was started in this run.
 func (t *attemptTable) hasRun(id structs.AttemptID) bool {
 	_, found := t.started[xxhash.Sum64String(string(id))]
 	return found
@@ -52,7 +52,7 @@
 
 func (t *attemptTable) forget(id structs.AttemptID) { delete(t.byID, id) }
 
-// open returns the attempts that have not ended, in the order of their names.
+// unfinished returns the attempts that have not ended, sorted by ID.
 func (t *attemptTable) unfinished() []*attempt {
 	var open []*attempt
 	for _, a := range t.byID {
@@ -64,10 +64,10 @@
 	return open
 }
 
-// fence returns the epoch below which an attempt is refused.
+// fence returns the lowest epoch at which an attempt is accepted.
 func (t *attemptTable) fence(id structs.AttemptID) structs.Epoch { return t.fences[id].epoch }
 
-// raise refuses an attempt to epochs below the given one.
+// raiseFence refuses an attempt at epochs below the given one.
 func (t *attemptTable) raiseFence(id structs.AttemptID, epoch structs.Epoch, now time.Time) {
 	current, found := t.fences[id]
 	if !found {
@@ -76,7 +76,8 @@
 	t.fences[id] = fence{epoch: max(current.epoch, epoch), setAt: now}
 }
 
-// dropFences forgets the oldest fences past their retention or the bound.
+// expireFences removes the oldest fences beyond their retention or the maximum
+// number.
 func (t *attemptTable) expireFences(now time.Time, retention time.Duration) {
 	for len(t.fenceOrder) > 0 {
 		oldest := t.fenceOrder[0]
--- a/internal/enginemodel/batch.go
+++ b/internal/enginemodel/batch.go
@@ -10,25 +10,25 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// share is the part of a step that prefills one sequence.
+// prefillChunk is the part of a step that prefills one sequence.
 type prefillChunk struct {
 	sequence *sequence
 	tokens   int64
 }
 
-// span is a run of equal steps: the same sequences decode one token each, and
-// the same one prefills the same number of tokens. One event covers it.
+// span is a series of equal steps, covered by one event: the same sequences
+// decode one token each, and the same ones prefill the same number of tokens.
 type span struct {
 	startedAt time.Time
 	decoding  []*sequence
 	prefill   []prefillChunk
-	// ends are the times from the start to the end of each step.
+	// ends are the offsets from the start of the span to the end of each step.
 	ends  []time.Duration
 	timer clock.Timer
 }
 
-// wake begins a step, or has the span that runs end with its present step,
-// because something changed that the next step should take account of.
+// wake begins a span, or shortens the current one to the step in progress,
+// because something changed that the next step must take into account.
 func (e *Engine) wake() {
 	if e.busy {
 		e.wakeRequested = true
@@ -62,8 +62,8 @@
 }
 
 // beginSpan fills the batch and starts its next steps. Readers that are told
-// of an end meanwhile may start or stop attempts: those only set woken, and
-// are looked at before the batch is closed.
+// of an end meanwhile may start or cancel attempts: those only set
+// wakeRequested and are handled before the batch is fixed.
 func (e *Engine) beginSpan() {
 	e.busy = true
 	for e.wakeRequested = true; e.wakeRequested && !e.down; {
@@ -82,7 +82,7 @@
 	e.schedule(e.span)
 }
 
-// plan chooses what the next steps compute.
+// plan chooses the sequences and tokens of the next steps.
 func (e *Engine) plan() *span {
 	s := &span{startedAt: e.now()}
 	left := e.parameters.StepTokens
@@ -107,7 +107,7 @@
 	return s
 }
 
-// equalSteps returns how many steps like the next one follow each other.
+// equalSteps returns how many identical steps can run from here.
 func (e *Engine) equalSteps(s *span) int {
 	steps := int64(e.parameters.CoalescedSteps)
 	for _, part := range s.prefill {
@@ -132,7 +132,7 @@
 	return blocks
 }
 
-// stepEnds adds up the times of a number of steps.
+// stepEnds returns the cumulative durations of a number of steps.
 func (e *Engine) stepEnds(s *span, steps int) []time.Duration {
 	p := &e.parameters
 	context := int64(0)
@@ -155,7 +155,7 @@
 	return ends
 }
 
-// slowed stretches a time by the engine's fault, if it has one.
+// applySlowness multiplies a duration by the engine's slowness fault, if set.
 func (e *Engine) applySlowness(d time.Duration) time.Duration {
 	if e.slowness <= 1 {
 		return d
@@ -163,7 +163,7 @@
 	return time.Duration(float64(d) * e.slowness)
 }
 
-// endSpan takes account of the steps that ended and goes on.
+// endSpan applies the completed steps and begins the next span.
 func (e *Engine) endSpan() {
 	s := e.span
 	e.span = nil
@@ -176,16 +176,18 @@
 	}
 }
 
-// milestone is a step at which a sequence needs another block or fills one.
+// milestone is a step at which a sequence needs another block, fills one, or
+// prefills.
 type milestone struct {
 	step     int
 	sequence *sequence
-	// computed is what the sequence has computed at the step's end.
+	// computed is the sequence's number of computed tokens at the end of the
+	// step.
 	computed int64
 }
 
-// advance adds the tokens of a span to its sequences. Blocks are taken and
-// named in the order of the steps, as if each step had its own event.
+// advance adds the tokens of a span to its sequences. Blocks are allocated and
+// published in step order, as if each step had its own event.
 func (e *Engine) advance(s *span) {
 	steps := len(s.ends)
 	var milestones []milestone
@@ -225,14 +227,14 @@
 	e.recordProgramBlocks(s, before)
 }
 
-// generate adds tokens to a sequence's answer.
+// generate adds decoded tokens to a sequence's answer.
 func (e *Engine) generate(s *sequence, tokens int64) {
 	s.generated += tokens
 	s.attempt.written = min(s.generated*prefix.BytesPerToken, s.goal*prefix.BytesPerToken)
 	e.statistics.CompletionTokens += tokens
 }
 
-// prefilled counts computed prompt tokens; the step that computes the last
+// prefilled counts prefilled prompt tokens; the step that computes the last
 // one also decodes a token.
 func (e *Engine) prefilled(s *sequence, tokens int64) {
 	s.prefilled += tokens
@@ -247,8 +249,8 @@
 	e.generate(s, 1)
 }
 
-// finishSequences takes finished sequences out of the batch, and only then
-// tells their readers, who may at once ask for more.
+// finishSequences removes finished sequences from the batch, and notifies
+// their readers afterwards, since those may start attempts at once.
 func (e *Engine) finishSequences() {
 	still := e.running[:0:0]
 	var told []*attempt
--- a/internal/enginemodel/cache.go
+++ b/internal/enginemodel/cache.go
@@ -6,52 +6,53 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// blockKey names a block: equal text under two models shares nothing.
+// blockKey identifies a block; models and adapters share no blocks.
 type blockKey struct {
 	namespace namespace
 	hash      structs.BlockHash
 }
 
-// space is a model with its adapter.
+// namespace is a model with its adapter.
 type namespace struct {
 	model   structs.ModelName
 	adapter structs.AdapterName
 }
 
-// block is one block whose content is complete, so that others may share it.
+// block is a full block, which sequences can share.
 type block struct {
 	key blockKey
-	// running and pinned count the sequences and the holds that refer to it.
+	// sequenceRefs and holdRefs count the sequences and holds that reference
+	// the block.
 	sequenceRefs int32
 	holdRefs     int32
 	// owner is the program that filled the block; shared is set once another
-	// one used it.
+	// program used it.
 	owner  structs.ProgramKey
 	shared bool
-	// lastUse is when a sequence last used it.
+	// lastUse is when a sequence last released the block.
 	lastUse time.Time
-	// older and newer link the blocks that nobody refers to.
+	// older and newer link the evictable blocks.
 	older, newer *block
 }
 
-// cacheListener hears of changes of the cache.
+// cacheListener is told of blocks stored and evicted.
 type cacheListener interface {
 	stored(key blockKey)
 	evicted(b *block, now time.Time)
 }
 
-// blockCache is the bounded memory of an engine. A block is private to the
-// sequence that fills it until it is full; then it gets its name and is shared.
-// Blocks that nobody refers to stay until their place is needed, the least
-// recently used going first.
+// blockCache is an engine's bounded block memory. A block is private to the
+// sequence that fills it; once full it is published under its hash and shared.
+// Blocks without references stay cached until their memory is needed and are
+// evicted least recently used first.
 type blockCache struct {
 	capacity     int
 	private      int
 	pinnedBlocks int
 	blocks       map[blockKey]*block
 	listener     cacheListener
-	// unused is the sentinel of the ring of blocks that nobody refers to:
-	// unused.newer is the oldest.
+	// evictable is the sentinel of the LRU ring of blocks without references:
+	// evictable.newer is the oldest.
 	evictable      block
 	evictableCount int
 }
@@ -62,14 +63,14 @@
 	return c
 }
 
-// used returns the number of blocks in use or kept.
+// used returns the number of blocks that are private or cached.
 func (c *blockCache) used() int { return c.private + len(c.blocks) }
 
-// available returns how many blocks can be taken now.
+// available returns how many blocks can be allocated, counting evictable ones.
 func (c *blockCache) available() int { return c.capacity - c.used() + c.evictableCount }
 
-// take makes a number of private blocks, evicting as needed. The caller has
-// checked that they are available.
+// allocate adds private blocks, evicting as needed. The caller has checked
+// that they are available.
 func (c *blockCache) allocate(count int, now time.Time) {
 	c.private += count
 	for c.used() > c.capacity && c.evictableCount > 0 {
@@ -77,11 +78,11 @@
 	}
 }
 
-// giveBack frees private blocks.
+// freePrivate frees private blocks.
 func (c *blockCache) freePrivate(count int) { c.private -= count }
 
 // publish turns a private block into a shared one, or into a reference to the
-// block of that name that is there already.
+// block already cached under that key.
 func (c *blockCache) publish(key blockKey) *block {
 	c.private--
 	b := c.blocks[key]
@@ -96,8 +97,8 @@
 	return b
 }
 
-// insert adds blocks that came from elsewhere, from the first on, as far as
-// there is place. It returns how many of them are there now.
+// insert adds imported blocks from the first on, as far as memory allows. It
+// returns how many of them are cached afterwards.
 func (c *blockCache) insert(in namespace, hashes []structs.BlockHash, now time.Time) int {
 	var present, added []*block
 	for _, hash := range hashes {
@@ -122,7 +123,7 @@
 	return len(present) + len(added)
 }
 
-// match returns how many of the hashes, from the first on, are present.
+// match returns how many of the hashes, from the first on, are cached.
 func (c *blockCache) match(in namespace, hashes []structs.BlockHash) int {
 	for i, hash := range hashes {
 		if c.blocks[blockKey{in, hash}] == nil {
@@ -132,7 +133,7 @@
 	return len(hashes)
 }
 
-// find returns blocks that are present.
+// find returns the blocks that are cached.
 func (c *blockCache) find(in namespace, hashes []structs.BlockHash) []*block {
 	blocks := make([]*block, 0, len(hashes))
 	for _, hash := range hashes {
@@ -143,7 +144,7 @@
 	return blocks
 }
 
-// use makes blocks that are present the latest used ones.
+// touch marks cached blocks as most recently used.
 func (c *blockCache) touch(in namespace, hashes []structs.BlockHash, now time.Time) {
 	blocks := c.find(in, hashes)
 	for _, b := range blocks {
@@ -169,7 +170,7 @@
 	}
 }
 
-// undo takes an acquisition back that was of no use.
+// releaseUnused drops a reference without counting it as a use.
 func (c *blockCache) releaseUnused(b *block) {
 	b.sequenceRefs--
 	if b.sequenceRefs == 0 && b.holdRefs == 0 {
@@ -198,12 +199,12 @@
 	}
 }
 
-// drop evicts the unused blocks of one model, with all its adapters.
+// evictModel evicts the evictable blocks of one model, with all its adapters.
 func (c *blockCache) evictModel(model structs.ModelName, now time.Time) {
 	c.evictWhere(func(in namespace) bool { return in.model == model }, now)
 }
 
-// dropAdapter evicts the unused blocks of one adapter.
+// evictAdapter evicts the evictable blocks of one adapter.
 func (c *blockCache) evictAdapter(adapter namespace, now time.Time) {
 	c.evictWhere(func(in namespace) bool { return in == adapter }, now)
 }
@@ -218,8 +219,8 @@
 	}
 }
 
-// discard evicts blocks that nobody refers to and that served one program
-// alone, the deepest first.
+// evictUnshared evicts the blocks without references that only one program
+// used, the deepest first.
 func (c *blockCache) evictUnshared(blocks []*block, now time.Time) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		b := blocks[i]
@@ -229,7 +230,7 @@
 	}
 }
 
-// usedBy notes that a program used a block.
+// usedBy records that a program used a block.
 func (b *block) usedBy(program structs.ProgramKey) {
 	if b.owner == (structs.ProgramKey{}) {
 		b.owner = program
@@ -244,7 +245,7 @@
 	c.listener.evicted(b, now)
 }
 
-// link puts a block at the newest end of the unused ones.
+// addEvictable inserts a block as the most recently used evictable one.
 func (c *blockCache) addEvictable(b *block) {
 	newest := c.evictable.older
 	b.older, b.newer = newest, &c.evictable
--- a/internal/enginemodel/driver.go
+++ b/internal/enginemodel/driver.go
@@ -11,10 +11,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Operation names a call of a driver, for faults.
+// Operation names a driver call, so that faults can select it.
 type Operation string
 
-// Operations.
+// Operations that faults can affect.
 const (
 	OperationStart       Operation = "start"
 	OperationStream      Operation = "stream"
@@ -30,33 +30,33 @@
 
 // Fault is what happens to one exchange with an engine.
 type Fault struct {
-	// Refuse: no connection; nothing is sent, and the caller knows it.
+	// Refuse rejects the connection: nothing is sent, and the caller knows it.
 	Refuse bool
-	// LoseRequest: it is sent and never arrives.
+	// LoseRequest drops the request in the network.
 	LoseRequest bool
-	// LoseAnswer: it takes effect, and the answer never arrives. On a stream
-	// it breaks the connection.
+	// LoseAnswer lets the request take effect and drops the answer. On a
+	// stream it breaks the connection.
 	LoseAnswer bool
 	// Delay is added in each direction.
 	Delay time.Duration
 }
 
-// DriverOptions describe how one daemon reaches the engines.
+// DriverOptions configure one daemon's access to the engines.
 type DriverOptions struct {
 	Clock clock.Clock
 	Fleet *Fleet
-	// Delay is the network's delay one way to an engine; nil means none.
+	// Delay returns the one-way network delay to an engine; nil means none.
 	Delay func(engine structs.EngineID) time.Duration
-	// Fault is asked once for each exchange, and once for each batch of
-	// pieces of a stream; nil means no faults.
+	// Fault is called once for each exchange, and once for each batch of
+	// stream chunks; nil means no faults.
 	Fault func(engine structs.EngineID, operation Operation) Fault
-	// Timeout bounds an exchange that is not a stream, and is how long a
-	// broken stream goes unnoticed.
+	// Timeout limits an exchange that is not a stream, and is the time until a
+	// broken stream is detected.
 	Timeout time.Duration
 }
 
-// Driver implements framework.EngineDriver over a Fleet. It is one daemon's;
-// it is not safe for concurrent use.
+// Driver implements framework.EngineDriver over a Fleet, for one daemon. It is
+// not safe for concurrent use.
 type Driver struct {
 	options DriverOptions
 	streams []*driverStream
@@ -65,10 +65,10 @@
 
 var _ framework.EngineDriver = (*Driver)(nil)
 
-// defaultDriverTimeout is that of the HTTP driver.
+// defaultDriverTimeout is the timeout of the HTTP driver.
 const defaultDriverTimeout = 2 * time.Second
 
-// NewDriver returns a driver with no stream open.
+// NewDriver returns a driver without open streams.
 func NewDriver(options DriverOptions) *Driver {
 	if options.Timeout == 0 {
 		options.Timeout = defaultDriverTimeout
@@ -76,8 +76,8 @@
 	return &Driver{options: options}
 }
 
-// Close has the driver forget everything, as when its daemon dies: no callback
-// comes any more, and what runs at the engines goes on.
+// Close drops all state, as when the daemon dies: no callback is called
+// afterwards, and attempts at the engines continue.
 func (d *Driver) Close() {
 	d.closed = true
 	for _, s := range d.streams {
@@ -93,7 +93,7 @@
 	return d.options.Fault(engine, operation)
 }
 
-// oneWay returns the time of one direction.
+// oneWay returns the delay in one direction.
 func (d *Driver) oneWay(engine structs.EngineID, fault Fault) time.Duration {
 	if d.options.Delay == nil {
 		return fault.Delay
@@ -101,7 +101,8 @@
 	return d.options.Delay(engine) + fault.Delay
 }
 
-// later runs a task unless the driver is closed by then.
+// afterUnlessClosed runs a task after a delay unless the driver is closed by
+// then.
 func (d *Driver) afterUnlessClosed(wait time.Duration, task func()) clock.Timer {
 	return d.options.Clock.AfterFunc(wait, func() {
 		if !d.closed {
@@ -110,8 +111,9 @@
 	})
 }
 
-// exchange runs an action at an engine and brings its answer back. action must
-// call reply once, at once or later; done is called once.
+// exchange runs an action at an engine and returns its answer through done.
+// action must call reply exactly once, immediately or later; done is called
+// exactly once.
 func (d *Driver) exchange(id structs.EngineID, operation Operation, action func(e *Engine, reply func(error)), done func(error)) {
 	fault := d.fault(id, operation)
 	delay := d.oneWay(id, fault)
@@ -213,8 +215,9 @@
 	}, done)
 }
 
-// Transfer implements framework.EngineDriver. Engines copy between themselves;
-// the time is that of the blocks which the receiver lacks over the link.
+// Transfer implements framework.EngineDriver. Engines copy directly between
+// each other; the duration is that of sending the blocks which the receiver
+// lacks over the link.
 func (d *Driver) Transfer(transfer framework.Transfer, done func(int64, error)) {
 	var tokens int64
 	d.exchange(transfer.To, OperationTransfer, func(receiver *Engine, reply func(error)) {
--- a/internal/enginemodel/driver_stream.go
+++ b/internal/enginemodel/driver_stream.go
@@ -8,8 +8,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// driverStream is the connection over which one attempt's stream comes. It is
-// the engine's observer and hands on what it gets after the network's delay.
+// driverStream is the connection that carries one attempt's stream. It
+// observes the engine and forwards what it receives after the network delay.
 type driverStream struct {
 	driver       *Driver
 	engine       structs.EngineID
@@ -17,7 +17,7 @@
 	subscription *Subscription
 	closed       bool
 	broken       bool
-	// lastArrival keeps pieces in order when the delay changes.
+	// lastArrival keeps chunks in order when the delay changes.
 	lastArrival time.Time
 }
 
@@ -48,8 +48,8 @@
 	return framework.AttemptEnd{Kind: framework.EndLost, Reason: structs.ReasonConnectionLost, Message: "connection lost"}
 }
 
-// arrive is the request's arrival at the engine. It starts even when the
-// caller has stopped reading meanwhile.
+// deliverRequest is the request's arrival at the engine. The attempt starts
+// even if the caller has stopped reading meanwhile.
 func (s *driverStream) deliverRequest(request framework.EngineRequest, fault Fault) {
 	e := s.driver.options.Fleet.Engine(s.engine)
 	if e == nil || e.Down() {
@@ -69,7 +69,8 @@
 	s.subscription = subscription
 }
 
-// unless returns the stream as observer, or one that hears nothing.
+// observerUnless returns the stream as observer, or a discarding one if its
+// reader is gone.
 func (s *driverStream) observerUnless(gone bool) framework.EngineObserver {
 	if gone {
 		return discardObserver{}
@@ -77,7 +78,7 @@
 	return s
 }
 
-// deaf is the observer of a stream that nobody reads.
+// discardObserver is the observer of a stream that nobody reads.
 type discardObserver struct{}
 
 func (discardObserver) Chunks([]structs.Chunk)   {}
@@ -117,7 +118,7 @@
 	s.deliverToReader(fault, func() { s.finish(end) })
 }
 
-// breakOff stops the stream; the reader notices after a while.
+// breakConnection stops the stream; the reader detects it after the timeout.
 func (s *driverStream) breakConnection() {
 	s.subscription.Detach()
 	if !s.broken {
@@ -138,7 +139,8 @@
 	s.observer.End(end)
 }
 
-// arriveBack runs a task at the reader after the delay, behind all before it.
+// deliverToReader runs a task at the reader after the delay, in order with
+// earlier ones.
 func (s *driverStream) deliverToReader(fault Fault, task func()) {
 	now := s.driver.options.Clock.Now()
 	arrival := now.Add(s.driver.oneWay(s.engine, fault))
@@ -153,8 +155,9 @@
 	})
 }
 
-// BreakStreams breaks the open streams from an engine, all of them for "": the
-// readers hear at once that the connection is lost, the engine goes on.
+// BreakStreams breaks the open streams from an engine, or from all engines for
+// "". The readers are told at once that the connection is lost; the attempts
+// continue.
 func (d *Driver) BreakStreams(engine structs.EngineID) {
 	for _, s := range slices.Clone(d.streams) {
 		if engine == "" || s.engine == engine {
--- a/internal/enginemodel/driver_test.go
+++ b/internal/enginemodel/driver_test.go
@@ -12,7 +12,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// testDriver is a testEngine whose engine is reached through a driver 5 ms away.
+// testDriver is a testEngine that is called through a driver with a one-way
+// delay of 5 ms.
 type testDriver struct {
 	*testEngine
 	driver *Driver
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -1,7 +1,7 @@
 // Package enginemodel is a deterministic model of a model engine: continuous
 // batching with chunked prefill, a bounded block cache with prefix sharing,
-// priorities and preemption, resumable streams, holds, fenced orders, late and
-// lossy reports. It is driven by a clock.Clock and by nothing else, so the
+// priorities and preemption, resumable streams, holds, fenced orders, and
+// delayed and lossy reports. Its only source of time is a clock.Clock, so the
 // simulation, the experiment and the HTTP stand-in share it.
 //
 // An Engine is not safe for concurrent use: on a virtual clock everything runs
@@ -18,7 +18,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Options describe one engine.
+// Options configure one engine.
 type Options struct {
 	ID         structs.EngineID
 	Clock      clock.Clock
@@ -28,14 +28,14 @@
 	Models []structs.ModelName
 	// Role is RoleBoth when empty.
 	Role structs.EngineRole
-	// Weights is where loads read from; nil loads at once.
+	// Weights is the source of model and adapter loads; nil loads instantly.
 	Weights WeightSource
-	// Ledger, when set, counts for a whole fleet what is recomputed and what
-	// is held idle; Recorder hears of every attempt.
+	// BlockHistory, when set, counts recomputed tokens over a whole fleet.
+	// Recorder is told of every attempt.
 	BlockHistory *BlockHistory
 	Recorder     Recorder
-	// Serialize runs the tasks of timers one at a time with everything else
-	// that touches the engine; nil runs them straight away.
+	// Serialize runs timer tasks one at a time with everything else that
+	// touches the engine; nil runs them directly.
 	Serialize func(task func())
 }
 
@@ -58,7 +58,7 @@
 	attempts  attemptTable
 	holds     holdTable
 	programs  programBlocks
-	// linkFree is when the link to other engines is free again.
+	// linkFree is when the last reserved transfer over the link ends.
 	linkFree      time.Time
 	waiting       []*sequence
 	running       []*sequence
@@ -68,7 +68,7 @@
 	wakeRequested bool
 }
 
-// New returns an engine that runs and has seen nothing.
+// New returns a running engine with an empty cache.
 func New(options Options) (*Engine, error) {
 	if err := options.Parameters.Validate(); err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 	return e, nil
 }
 
-// ID returns the engine's name.
+// ID returns the engine's ID.
 func (e *Engine) ID() structs.EngineID { return e.options.ID }
 
 func (e *Engine) now() time.Time { return e.options.Clock.Now() }
@@ -96,7 +96,8 @@
 	return e.options.Clock.AfterFunc(wait, func() { e.options.Serialize(task) })
 }
 
-// Boot starts a run of an engine that is down: it knows nothing of the former.
+// Boot starts a new run of an engine that is down. Nothing is kept from the
+// previous run.
 func (e *Engine) Boot() {
 	if !e.down {
 		return
@@ -118,8 +119,7 @@
 	e.recordLoadState()
 }
 
-// Crash ends the run: everything is lost, and every reader hears that its
-// stream broke.
+// Crash ends the run: all state is lost, and every stream ends as lost.
 func (e *Engine) Crash() {
 	if e.down {
 		return
@@ -148,19 +148,20 @@
 	e.waiting, e.running = nil, nil
 }
 
-// Down tells that the engine does not run.
+// Down reports whether the engine is stopped.
 func (e *Engine) Down() bool { return e.down }
 
-// Drain has the engine refuse new attempts and finish those it has.
+// Drain makes the engine refuse new attempts and finish running ones, or ends
+// that.
 func (e *Engine) Drain(draining bool) {
 	e.draining = draining
 	e.recordLoadState()
 }
 
-// SetSlowness stretches every step; 1 is normal.
+// SetSlowness multiplies the duration of every step; 1 is normal.
 func (e *Engine) SetSlowness(factor float64) { e.slowness = factor }
 
-// SetPublication changes how late and how incompletely the engine reports.
+// SetPublication changes the lag and loss of the engine's reports.
 func (e *Engine) SetPublication(publication Publication) {
 	e.parameters.Publication = publication
 }
--- a/internal/enginemodel/engine_test.go
+++ b/internal/enginemodel/engine_test.go
@@ -19,8 +19,8 @@
 
 var testStart = time.Unix(1_000_000, 0)
 
-// testParameters are round numbers: a step takes 10 ms, 1 ms per decoding
-// sequence and 1 ms per prefilled token.
+// testParameters returns round numbers: a step takes 10 ms, plus 1 ms per
+// decoding sequence and per prefilled token.
 func testParameters() Parameters {
 	p := Default()
 	p.StepBase = 10 * time.Millisecond
@@ -93,8 +93,8 @@
 	r.ends++
 }
 
-// request makes a prompt of so many tokens out of a family's text: prompts of
-// one family share their beginning.
+// request returns a prompt of a length in tokens. Prompts of one family share
+// their beginning.
 func request(attempt string, family, promptTokens, answerTokens int64) Request {
 	r := Request{
 		Attempt:      structs.AttemptID(attempt),
@@ -224,9 +224,9 @@
 }
 
 // TestCoalescingChangesNoEnd compares runs that stream each token with runs
-// that put steps together, over random arrivals and cancellations. Prompts
-// are shared where memory is enough, and are their own where it is short: the
-// two together have the difference that Parameters.CoalescedSteps tells of.
+// that coalesce steps, over random arrivals and cancellations. Prompts are
+// shared only where memory is ample: sharing together with short memory has
+// the difference described at Parameters.CoalescedSteps.
 func TestCoalescingChangesNoEnd(t *testing.T) {
 	for seed := range uint64(40) {
 		shared := seed%2 == 0
@@ -259,7 +259,8 @@
 		}
 		r := request(fmt.Sprint(i), family, 1+random.Int64N(300), 1+random.Int64N(200))
 		r.Priority = random.IntN(3)
-		// Odd nanoseconds keep arrivals off the ends of steps.
+		// Odd nanoseconds keep arrivals from coinciding with the ends of
+		// steps.
 		at := time.Duration(random.Int64N(int64(10*time.Second)))/1000*1000 + 1
 		b.clock.AfterFunc(at, func() { readings = append(readings, b.start(r)) })
 		if random.IntN(4) == 0 {
--- a/internal/enginemodel/errors.go
+++ b/internal/enginemodel/errors.go
@@ -6,10 +6,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrInvalid is returned for settings and orders that make no sense.
+// ErrInvalid is returned for parameters out of range.
 var ErrInvalid = eris.New("invalid")
 
-// NewParameterError names a parameter that is out of range.
+// NewParameterError returns an ErrInvalid that names a parameter out of range.
 func NewParameterError(field, allowed string) error {
 	return eris.Wrap(ErrInvalid, fmt.Sprintf("parameter %s must be %s", field, allowed))
 }
--- a/internal/enginemodel/fleet.go
+++ b/internal/enginemodel/fleet.go
@@ -13,13 +13,13 @@
 	order   []structs.EngineID
 }
 
-// NewFleet returns a fleet without engines. answerTokens is the length of an
-// answer that the prompt does not set.
+// NewFleet returns a fleet without engines. answerTokens is the default length
+// of an answer.
 func NewFleet(answerTokens int64) *Fleet {
 	return &Fleet{reader: NewPromptReader(answerTokens), engines: map[structs.EngineID]*Engine{}}
 }
 
-// Add puts an engine into the fleet, in place of the one of its name.
+// Add adds an engine, or replaces the one with its ID.
 func (f *Fleet) Add(e *Engine) {
 	if _, present := f.engines[e.ID()]; !present {
 		f.order = append(f.order, e.ID())
@@ -27,7 +27,7 @@
 	f.engines[e.ID()] = e
 }
 
-// Remove takes an engine out: whoever calls it finds nobody.
+// Remove removes an engine; calls to it are refused from then on.
 func (f *Fleet) Remove(id structs.EngineID) {
 	delete(f.engines, id)
 	f.order = slices.DeleteFunc(f.order, func(other structs.EngineID) bool { return other == id })
--- a/internal/enginemodel/holds.go
+++ b/internal/enginemodel/holds.go
@@ -8,20 +8,21 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// maximumReleased bounds the names of released holds that are remembered.
+// maximumReleased limits the IDs of released holds that are remembered.
 const maximumReleased = 1 << 14
 
-// hold is cache pinned for a program.
+// hold is a set of blocks pinned for a program.
 type hold struct {
 	program structs.ProgramKey
 	blocks  []*block
 }
 
-// holdTable is what an engine pins.
+// holdTable holds an engine's holds by ID.
 type holdTable struct {
 	byID map[structs.HoldID]*hold
-	// released remembers names whose release came before the hold was taken,
-	// so that a late attempt does not pin for a program that gave it up.
+	// released holds the IDs of released holds, including those released
+	// before they were taken, so that a late attempt does not pin blocks for a
+	// program that no longer needs them.
 	released map[structs.HoldID]struct{}
 	order    []structs.HoldID
 }
@@ -30,8 +31,8 @@
 	return holdTable{byID: map[structs.HoldID]*hold{}, released: map[structs.HoldID]struct{}{}}
 }
 
-// takeHold pins the blocks of a sequence that ends, if that was asked for, if
-// nobody released it before, and if the bound on holds allows it.
+// takeHold pins the blocks of an ending sequence, if its request asked for it,
+// the hold was not released before, and the limit on held memory allows it.
 func (e *Engine) takeHold(s *sequence) bool {
 	id := s.attempt.request.Hold
 	if id == "" || len(s.blocks) == 0 {
@@ -47,7 +48,8 @@
 	return true
 }
 
-// mayPin tells whether the bound on holds has room for some blocks.
+// fitsHoldLimit reports whether pinning some blocks stays within the limit on
+// held memory.
 func (e *Engine) fitsHoldLimit(blocks []*block) bool {
 	fresh := 0
 	for _, b := range blocks {
@@ -58,7 +60,7 @@
 	return float64(e.cache.pinnedBlocks+fresh) <= e.parameters.HeldFraction*float64(e.cache.capacity)
 }
 
-// pinUnder pins blocks under a name, in place of those of that name.
+// pinForHold pins blocks for a hold, replacing those it had.
 func (e *Engine) pinForHold(id structs.HoldID, program structs.ProgramKey, blocks []*block) {
 	for _, b := range blocks {
 		e.cache.pin(b)
@@ -71,8 +73,9 @@
 	e.holds.byID[id] = &hold{program: program, blocks: slices.Clone(blocks)}
 }
 
-// Release frees a hold and drops what served its program alone: the program
-// ended, paused for too long or has a newer hold that covers it. It has effect also before the hold is taken.
+// Release frees a hold and evicts the blocks that only its program used: the
+// program ended, paused for too long or has a newer hold that covers it. It
+// also prevents a hold that has not been taken yet.
 func (e *Engine) Release(id structs.HoldID) {
 	h := e.holds.byID[id]
 	if h == nil {
@@ -102,7 +105,7 @@
 	}
 }
 
-// Holds lists what the engine pins, by name.
+// Holds returns the engine's holds, sorted by ID.
 func (e *Engine) Holds() []structs.Hold {
 	holds := make([]structs.Hold, 0, len(e.holds.byID))
 	for id, h := range e.holds.byID {
--- a/internal/enginemodel/invariant_test.go
+++ b/internal/enginemodel/invariant_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestMemoryAddsUp runs random requests, cancellations, holds, releases,
-// imports, drains and crashes, and checks the cache's books after each event.
+// imports and crashes, and checks the block accounting after each event.
 func TestMemoryAddsUp(t *testing.T) {
 	for seed := range uint64(20) {
 		b := newTestEngine(t, func(p *Parameters) {
@@ -24,8 +24,8 @@
 			at := time.Duration(random.Int64N(int64(20 * time.Second)))
 			b.clock.AfterFunc(at, func() { b.randomOperation(random, i) })
 		}
-		// Holds that nobody releases may keep others waiting: they are
-		// released whenever nothing moves any more.
+		// Holds that nobody releases may block other sequences: they are
+		// released whenever no event is pending.
 		for b.clock.Pending() > 0 || len(b.engine.Holds()) > 0 {
 			b.stepChecked(seed)
 			if b.clock.Pending() == 0 {
@@ -40,7 +40,7 @@
 	}
 }
 
-// stepChecked runs an event, if one waits, and checks the books.
+// stepChecked runs the next event, if any, and checks the block accounting.
 func (b *testEngine) stepChecked(seed uint64) {
 	b.clock.Step()
 	if problem := b.engine.cache.check(); problem != "" {
@@ -83,7 +83,7 @@
 	}
 }
 
-// check counts the cache's blocks anew and returns what does not add up.
+// check recounts the cache's blocks and returns a description of any mismatch.
 func (c *blockCache) check() string {
 	pinned, unused := 0, 0
 	for _, b := range c.blocks {
@@ -110,7 +110,8 @@
 	return ""
 }
 
-// TestSameSeedSameRun compares two runs of everything at once.
+// TestSameSeedSameRun guards the determinism of a run with random operations
+// and event loss.
 func TestSameSeedSameRun(t *testing.T) {
 	run := func() string {
 		b := newTestEngine(t, func(p *Parameters) { p.Publication.EventLoss = 0.3 })
--- a/internal/enginemodel/lifecycle.go
+++ b/internal/enginemodel/lifecycle.go
@@ -8,8 +8,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Start begins an attempt, or goes on with the stream of one that this run
-// knows. The observer may be called before Start returns.
+// Start begins an attempt, or resumes the stream of one that this run knows.
+// The observer may be called before Start returns.
 func (e *Engine) Start(request Request, observer framework.EngineObserver) *Subscription {
 	if known := e.attempts.find(request.Attempt); known != nil {
 		return e.resume(known, request, observer)
@@ -56,7 +56,7 @@
 	return reader
 }
 
-// refusal tells why an attempt is not taken; nothing of it ran.
+// refusal returns why an attempt is not accepted, and false if it is.
 func (e *Engine) refusal(request *Request) (framework.AttemptEnd, bool) {
 	rejected := framework.AttemptEnd{Kind: framework.EndRejected, RetryAfter: time.Second}
 	switch {
@@ -88,8 +88,8 @@
 	return framework.AttemptEnd{Kind: framework.EndRejected, Message: "fenced by a higher epoch"}
 }
 
-// Cancel stops an attempt; done is called once it is stopped, at the latest at
-// the end of the present step.
+// Cancel stops an attempt; done is called once it has stopped, at the latest
+// at the end of the current step.
 func (e *Engine) Cancel(id structs.AttemptID, done func()) {
 	a := e.attempts.find(id)
 	if a == nil || a.done {
@@ -105,7 +105,7 @@
 	e.wake()
 }
 
-// Inspect tells what became of an attempt and refuses it to lower epochs from
+// Inspect returns the state of an attempt and refuses it at lower epochs from
 // now on.
 func (e *Engine) Inspect(id structs.AttemptID, epoch structs.Epoch) framework.AttemptStatus {
 	status := framework.AttemptStatus{State: framework.AttemptAbsent, StartedUnixNano: e.startedAt.UnixNano()}
@@ -122,12 +122,12 @@
 	return status
 }
 
-// FinishHandover is the finish reason at an engine that only prefills: the
-// prompt is cached, no token was decoded. The caller has the cache transferred
-// to an engine that decodes and starts the attempt there.
+// FinishHandover is the finish reason of an engine in the prefill role: the
+// prompt is cached, no token was decoded. The caller transfers the cache to an
+// engine that decodes and starts the attempt there.
 const FinishHandover = "handover"
 
-// complete ends a sequence whose answer is whole.
+// complete ends a sequence whose answer is complete.
 func (e *Engine) complete(s *sequence) {
 	a := s.attempt
 	end := framework.AttemptEnd{Kind: framework.EndCompleted, FinishReason: "stop", Usage: s.usage()}
@@ -154,7 +154,7 @@
 	}
 }
 
-// cancelNow ends a sequence that is out of the batch.
+// finishCancelled ends a cancelled sequence that is no longer in the batch.
 func (e *Engine) finishCancelled(s *sequence) {
 	s.releaseBlocks(e.cache, e.now())
 	e.finishAttempt(s.attempt, framework.AttemptEnd{Kind: framework.EndCancelled, Reason: structs.ReasonCancelled, Usage: s.usage()})
@@ -169,7 +169,7 @@
 	return !deadline.IsZero() && e.now().After(deadline)
 }
 
-// expire ends a waiting sequence that nobody waits for any more.
+// expire ends a waiting sequence whose deadline has passed.
 func (e *Engine) expire(s *sequence) {
 	end := framework.AttemptEnd{Kind: framework.EndFailed, Reason: structs.ReasonDeadline, Message: "the deadline passed"}
 	if s.prefilled == 0 && !s.hitsCounted {
@@ -180,7 +180,8 @@
 	s.attempt.broadcast()
 }
 
-// settle records an end and keeps the stream readable for a while.
+// finishAttempt records an attempt's end and keeps its stream readable for the
+// retention time.
 func (e *Engine) finishAttempt(a *attempt, end framework.AttemptEnd) {
 	a.done, a.end, a.sequence = true, end, nil
 	e.recordEnd(a, end)
--- a/internal/enginemodel/memory_test.go
+++ b/internal/enginemodel/memory_test.go
@@ -121,9 +121,9 @@
 	b.start(request("b", 1, 65, 1))
 	b.runFor(10 * time.Second)
 	b.engine.CountIdleBlocks()
-	// a ends at 159 ms with two blocks. b hits the first until 10.011 s: that
-	// wait was of use. At 20 s the first is idle since then, the second since
-	// a's end.
+	// a ends at 159 ms with two blocks. b hits the first one until 10.011 s,
+	// so that wait does not count. At 20 s the first block is idle since then,
+	// the second since a's end.
 	want := (20 - 10.011 + 20 - 0.159) * 64
 	if got := b.engine.Statistics().IdleTokenSeconds; got < want-0.001 || got > want+0.001 {
 		t.Errorf("idle %v token-seconds, want %v", got, want)
@@ -272,9 +272,9 @@
 	}
 }
 
-// BenchmarkFifteenEngines tells how many virtual seconds a real one carries,
-// with 15 engines that get 4 requests a second each, of 2,000 prompt tokens on
-// 200 shared prompts and 200 answer tokens.
+// BenchmarkFifteenEngines measures the ratio of virtual to real time for 15
+// engines that each get 4 requests a second, of 2,000 prompt tokens from 200
+// shared prompts and 200 answer tokens.
 func BenchmarkFifteenEngines(b *testing.B) {
 	const seconds, perSecond = 60, 60
 	for b.Loop() {
--- a/internal/enginemodel/orders.go
+++ b/internal/enginemodel/orders.go
@@ -9,20 +9,21 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// WeightSource is where engines read weights from. done is called once.
+// WeightSource provides model and adapter weights. done is called exactly
+// once.
 type WeightSource interface {
 	Fetch(name string, bytes int64, done func(error))
 }
 
-// loadRetry is the pause before a load that failed is tried again.
+// loadRetryDelay is the delay before a failed load is retried.
 const loadRetryDelay = time.Second
 
-// orderState is what fenced orders set.
+// orderState is the state that fenced orders set.
 type orderState struct {
 	fence uint64
 	last  structs.Order
 	role  structs.EngineRole
-	// listed, loading and versions are never modified in place: reports share
+	// loaded, loading and versions are never modified in place: reports share
 	// them.
 	loaded   []structs.ModelName
 	loading  []structs.ModelName
@@ -30,9 +31,9 @@
 	adapters map[namespace]*adapterState
 }
 
-// adapterState is one adapter at an engine.
+// adapterState is the state of one adapter.
 type adapterState struct {
-	// loading is set while it is read.
+	// loading is set while its weights are being read.
 	loading bool
 	// running counts the sequences that use it.
 	running int
@@ -47,7 +48,7 @@
 	}
 }
 
-// serves tells that a model, and its adapter if one is named, is loaded.
+// serves reports whether a model, and its adapter if one is named, is loaded.
 func (o *orderState) serves(model structs.ModelName, adapter structs.AdapterName) bool {
 	if !slices.Contains(o.loaded, model) {
 		return false
@@ -59,9 +60,9 @@
 	return state != nil && !state.loading
 }
 
-// Order obeys an order unless a higher fence was seen. The same order again
-// has no effect. A load is accepted at once and shows in the load report when
-// it is done.
+// Order executes an order unless a higher fence was seen. Repeating the last
+// order has no effect. A load is accepted at once and appears in the load
+// report when it is done.
 func (e *Engine) Order(order structs.Order) error {
 	order.Engine = e.options.ID
 	switch {
@@ -110,8 +111,8 @@
 	return framework.ErrRefused
 }
 
-// loadModel reads a model or another version of it. The old version serves
-// until the new one is there, if there is memory for both.
+// loadModel loads a model or another version of it. The old version serves
+// until the new one is loaded, if there is memory for both.
 func (e *Engine) loadModel(order structs.Order) {
 	present := slices.Contains(e.orders.loaded, order.Model)
 	if present && e.orders.versions[order.Model] == order.Version {
@@ -140,7 +141,7 @@
 	})
 }
 
-// loadAdapter reads an adapter of a model that is loaded, if there is place.
+// loadAdapter loads an adapter of a loaded model, if the limit allows it.
 func (e *Engine) loadAdapter(adapter namespace) error {
 	if adapter.adapter == "" || !slices.Contains(e.orders.loaded, adapter.model) {
 		return framework.ErrRefused
@@ -160,13 +161,13 @@
 	return nil
 }
 
-// unloadAdapter refuses new attempts for an adapter; those that run finish.
+// unloadAdapter refuses new attempts for an adapter; running ones finish.
 func (e *Engine) unloadAdapter(adapter namespace) {
 	delete(e.orders.adapters, adapter)
 	e.cache.evictAdapter(adapter, e.now())
 }
 
-// adapterReport lists the adapters for a load report.
+// adapterReport returns the adapters for a load report.
 func (e *Engine) adapterReport() []structs.EngineAdapter {
 	if len(e.orders.adapters) == 0 {
 		return nil
@@ -196,7 +197,7 @@
 	}
 }
 
-// Loading tells whether the engine reads weights.
+// Loading reports whether the engine is loading weights.
 func (e *Engine) Loading() bool {
 	if len(e.orders.loading) > 0 {
 		return true
@@ -209,7 +210,7 @@
 	return false
 }
 
-// unloadModel refuses new attempts for a model; those that run finish.
+// unloadModel refuses new attempts for a model; running ones finish.
 func (e *Engine) unloadModel(model structs.ModelName) {
 	e.orders.loaded = withoutModel(e.orders.loaded, model)
 	e.orders.loading = withoutModel(e.orders.loading, model)
@@ -223,7 +224,7 @@
 	return slices.DeleteFunc(slices.Clone(models), func(other structs.ModelName) bool { return other == model })
 }
 
-// fetch reads weights, again and again until it succeeds or the run ends.
+// fetch reads weights, retrying until it succeeds or the run ends.
 func (e *Engine) fetch(name string, bytes int64, done func()) {
 	run := e.run
 	if e.options.Weights == nil {
@@ -246,5 +247,5 @@
 	})
 }
 
-// Models returns the models that are loaded.
+// Models returns the loaded models.
 func (e *Engine) Models() []structs.ModelName { return slices.Clone(e.orders.loaded) }
--- a/internal/enginemodel/parameters.go
+++ b/internal/enginemodel/parameters.go
@@ -6,67 +6,73 @@
 	"github.com/mintpulley/mintpulley/internal/prefix"
 )
 
-// Parameters describe one engine. docs/ENGINE_MODEL.md gives their sources.
+// Parameters are the costs and limits of one engine; docs/ENGINE_MODEL.md
+// gives their sources.
 type Parameters struct {
-	// StepBase is the time of a step whatever its batch: reading the weights.
+	// StepBase is the fixed time of a step, independent of its batch: reading
+	// the weights.
 	StepBase time.Duration
 	// StepPerSequence is added for each sequence that decodes in the step.
 	StepPerSequence time.Duration
 	// StepPerContextToken is added for each token of context that the
 	// decoding sequences attend to: reading the cache.
 	StepPerContextToken time.Duration
-	// PrefillPerToken is added for each prompt token computed in the step.
+	// PrefillPerToken is added for each prompt token prefilled in the step.
 	PrefillPerToken time.Duration
-	// StepTokens bounds the tokens of one step, decoded and prefilled.
+	// StepTokens is the token budget of one step, decoded and prefilled.
 	StepTokens int64
-	// DecodeRoleTokens bounds the prompt tokens of a step at an engine in the
+	// DecodeRoleTokens is the prefill budget of a step at an engine in the
 	// decode role, which computes only what no transfer brought.
 	DecodeRoleTokens int64
-	// MaximumRunning bounds the batch, MaximumWaiting the engine's queue.
+	// MaximumRunning limits the batch, MaximumWaiting the engine's queue.
 	MaximumRunning int
 	MaximumWaiting int
 	// CacheTokens is the size of the block cache.
 	CacheTokens int64
-	// HeldFraction bounds the part of the cache that holds may pin, 0 to 1.
+	// HeldFraction limits the part of the cache that holds may pin, 0 to 1.
 	HeldFraction float64
-	// CacheBytesPerToken and LinkBytesPerSecond give the time of a transfer.
+	// CacheBytesPerToken and LinkBytesPerSecond determine the duration of a
+	// transfer.
 	CacheBytesPerToken int64
 	LinkBytesPerSecond int64
-	// ModelBytes and AdapterBytes are read from the weight store by a load.
+	// ModelBytes and AdapterBytes are what a load reads from the weight store.
 	ModelBytes   int64
 	AdapterBytes int64
-	// SingleVersion has an engine give up a model's version before it reads
-	// another, for want of memory for both.
+	// SingleVersion makes an engine unload a model's version before it loads
+	// another, for lack of memory for both.
 	SingleVersion bool
-	// MaximumAdapters bounds the adapters that are loaded or being read.
+	// MaximumAdapters limits the adapters that are loaded or being loaded.
 	MaximumAdapters int
-	// AttemptRetention is how long the stream of an ended attempt can be read.
+	// AttemptRetention is how long the stream of a finished attempt stays
+	// readable.
 	AttemptRetention time.Duration
 	// FenceRetention is how long a fence is kept.
 	FenceRetention time.Duration
-	// AnswerTokens is the length of an answer that the prompt does not set.
+	// AnswerTokens is the default length of an answer, used when the prompt
+	// sets none.
 	AnswerTokens int64
-	// CoalescedSteps bounds how many equal steps one event covers. 1 streams
-	// each token at its own time; more only delays tokens that are neither
-	// first nor last of an answer, and cache events. It changes no other time
-	// unless two sequences decode the same answer at once and memory is short:
-	// the block that they then share may let a third one in a step early.
+	// CoalescedSteps limits how many equal steps one event covers. 1 streams
+	// each token at its own time; larger values only delay cache events and
+	// tokens that are neither first nor last of an answer. No other time
+	// changes unless two sequences decode the same answer at once while memory
+	// is short: the block that they then share may admit a third one a step
+	// early.
 	CoalescedSteps int
-	// Publication tells how well the engine reports.
+	// Publication sets the lag and loss of the engine's reports.
 	Publication Publication
 }
 
-// Publication tells how late and how incompletely an engine reports.
+// Publication describes how late and how incompletely an engine reports.
 type Publication struct {
 	// LoadLag is the age of the state that a load report shows.
 	LoadLag time.Duration `json:"load_lag"`
-	// EventDelay is the time from a change to its cache event.
+	// EventDelay is the time from a cache change to its event.
 	EventDelay time.Duration `json:"event_delay"`
 	// EventLoss is the fraction of cache events that are never published.
 	EventLoss float64 `json:"event_loss"`
 }
 
-// Validate returns the first field that is out of range.
+// Validate returns an error that names the first field out of range.
 func (p *Parameters) Validate() error {
 	switch {
 	case p.StepTokens < 1:
@@ -89,10 +95,10 @@
 	return nil
 }
 
-// Default returns an 8-billion-parameter model on one accelerator of the
-// 80 GB class. At batch 32 with 1,500 tokens of context each, a step takes
-// 9 ms + 32*0.2 ms + 48,000*60 ns = 18.3 ms; prefill alone runs at 512 tokens in
-// 39.7 ms.
+// Default returns the parameters of an 8-billion-parameter model on one
+// accelerator of the 80 GB class. At batch 32 with 1,500 tokens of context
+// each, a step takes 9 ms + 32*0.2 ms + 48,000*60 ns = 18.3 ms; a step that
+// only prefills its 512 tokens takes 39.7 ms.
 func Default() Parameters {
 	return Parameters{
 		StepBase:            9 * time.Millisecond,
--- a/internal/enginemodel/prompt.go
+++ b/internal/enginemodel/prompt.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// readerPrograms bounds the programs whose prompts a PromptReader
-	// remembers, readerBytes the text of all of them.
+	// maximumRememberedPrograms limits the programs whose last prompt a
+	// PromptReader remembers, maximumRememberedBytes the total text of those
+	// prompts.
 	maximumRememberedPrograms = 4096
 	maximumRememberedBytes    = 64 << 20
 )
 
 // PromptReader turns prompts into hashes and counts. It remembers the prompt
-// of each program's last call, since the next one mostly goes on behind it.
-// It is not safe for concurrent use.
+// of each program's last call, since the next call usually extends it. It is
+// not safe for concurrent use.
 type PromptReader struct {
-	// AnswerTokens is the length of an answer that the prompt does not set.
+	// AnswerTokens is the default length of an answer, used when the prompt
+	// sets none.
 	AnswerTokens int64
 	lastPrompts  map[structs.ProgramKey]*hashedPrompt
 	order        []structs.ProgramKey
 	bytes        int64
 }
 
-// readPrompt is a prompt that has been hashed.
+// hashedPrompt is a prompt with its block hashes.
 type hashedPrompt struct {
 	messages []structs.Message
 	blocks   []structs.BlockHash
 	hasher   prefix.Hasher
 }
 
-// NewPromptReader returns a reader that remembers nothing.
+// NewPromptReader returns a reader that remembers no prompts.
 func NewPromptReader(answerTokens int64) *PromptReader {
 	return &PromptReader{AnswerTokens: answerTokens, lastPrompts: map[structs.ProgramKey]*hashedPrompt{}}
 }
@@ -102,7 +104,7 @@
 	return next
 }
 
-// forgetOldest keeps within the bounds, but for the newest prompt.
+// forgetOldest enforces the limits, keeping at least the newest prompt.
 func (r *PromptReader) forgetOldest() {
 	for len(r.order) > 1 && (len(r.order) > maximumRememberedPrograms || r.bytes > maximumRememberedBytes) {
 		r.bytes -= r.lastPrompts[r.order[0]].bytes()
@@ -111,7 +113,7 @@
 	}
 }
 
-// bytes returns about the length of the prompt's text.
+// bytes returns the approximate length of the prompt's text.
 func (p *hashedPrompt) bytes() int64 { return p.hasher.Tokens() * prefix.BytesPerToken }
 
 func startsWith(messages, beginning []structs.Message) bool {
--- a/internal/enginemodel/publish.go
+++ b/internal/enginemodel/publish.go
@@ -7,20 +7,20 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// maximumEvents bounds the cache events that can still be read.
+// maximumEvents limits the cache events that are kept for readers.
 const maximumEvents = 4096
 
-// eventLog publishes changes of the cache, late and with gaps.
+// eventLog publishes changes of the cache with delay and loss.
 type eventLog struct {
 	engine   *Engine
 	sequence uint64
 	entries  []publishedEvent
-	// pending gathers the blocks of one change, so that they make one event.
+	// pending collects the blocks of one change into one event.
 	pending   structs.CacheEvent
 	namespace namespace
 }
 
-// publishedEvent is an event with the time from which it can be read.
+// publishedEvent is an event and the time from which it is visible.
 type publishedEvent struct {
 	event       structs.CacheEvent
 	visibleFrom time.Time
@@ -50,7 +50,8 @@
 	l.pending.Blocks = append(l.pending.Blocks, key.hash)
 }
 
-// flush gives the pending event its number and loses it by chance.
+// flush numbers the pending event and publishes it, unless it is drawn as
+// lost.
 func (l *eventLog) flush() {
 	if len(l.pending.Blocks) == 0 && l.pending.Kind != structs.CacheCleared {
 		return
@@ -69,7 +70,7 @@
 	}
 }
 
-// CacheEvents returns the published events after a sequence number.
+// CacheEvents returns the visible events after a sequence number.
 func (e *Engine) CacheEvents(after uint64) []structs.CacheEvent {
 	e.events.flush()
 	var events []structs.CacheEvent
@@ -81,7 +82,7 @@
 	return events
 }
 
-// published returns the last sequence number that can be read.
+// lastVisible returns the last visible sequence number.
 func (l *eventLog) lastVisible(now time.Time) uint64 {
 	for i := len(l.entries) - 1; i >= 0; i-- {
 		if !l.entries[i].visibleFrom.After(now) {
@@ -94,7 +95,7 @@
 // loadHistory keeps an engine's states for as long as reports lag.
 type loadHistory struct{ states []loadState }
 
-// loadState is the state of an engine from a moment on.
+// loadState is the state of an engine from a point in time on.
 type loadState struct {
 	from           time.Time
 	running        int
@@ -111,7 +112,7 @@
 	eventsSequence uint64
 }
 
-// noteLoad keeps the present state for reports.
+// recordLoadState records the current state for load reports.
 func (e *Engine) recordLoadState() {
 	now := e.now()
 	state := loadState{
@@ -153,14 +154,14 @@
 	h.trim(visible)
 }
 
-// trim drops the states before the one that was in force at a moment.
+// trim drops the states before the one that was current at a time.
 func (h *loadHistory) trim(visible time.Time) {
 	for len(h.states) > 1 && !h.states[1].from.After(visible) {
 		h.states = h.states[1:]
 	}
 }
 
-// Load returns the state of a while ago, as a report.
+// Load returns the state of LoadLag ago as a report.
 func (e *Engine) Load() structs.LoadReport {
 	e.loads.trim(e.now().Add(-e.parameters.Publication.LoadLag))
 	state := e.loads.states[0]
--- a/internal/enginemodel/request.go
+++ b/internal/enginemodel/request.go
@@ -9,7 +9,7 @@
 
 // Request is one attempt as the model sees it: hashes and counts, no text.
 // PromptReader makes it from a framework.EngineRequest; a workload without
-// text may fill it in itself.
+// text may build it directly.
 type Request struct {
 	Attempt  structs.AttemptID
 	Epoch    structs.Epoch
@@ -18,27 +18,28 @@
 	Adapter  structs.AdapterName
 	Priority int
 	Hold     structs.HoldID
-	// Discard drops what served this program alone once the call ends,
-	// unless the hold is taken.
+	// Discard evicts the blocks that only this program used once the call
+	// ends, unless the hold is taken.
 	Discard bool
-	// Deadline is when nobody waits any more; zero means none.
+	// Deadline is when the attempt expires while it waits; zero means never.
 	Deadline time.Time
 
 	// Blocks and PromptTokens describe the prompt.
 	Blocks       []structs.BlockHash
 	PromptTokens int64
-	// AnswerBlocks are the blocks that the whole answer adds behind Blocks.
+	// AnswerBlocks are the blocks that the complete answer adds after Blocks.
 	AnswerBlocks []structs.BlockHash
-	// AnswerTokens is the length of the whole answer, already bounded by what
-	// the caller allows; Cut is set when that bound made it shorter.
+	// AnswerTokens is the length of the complete answer, already limited to
+	// the caller's maximum; Truncated is set when that made it shorter.
 	AnswerTokens int64
 	Truncated    bool
 	// Answer is the answer's text.
 	Answer Answer
-	// Given is the number of answer bytes that came with the request.
+	// AnswerPrefixBytes is the number of answer bytes that came with the
+	// request.
 	AnswerPrefixBytes int64
-	// ResumeAt is where the stream should start, in answer bytes; ResumeOnly
-	// ends an attempt that this run does not know as lost.
+	// ResumeAt is the answer byte at which the stream starts. With ResumeOnly
+	// an attempt that this run does not know ends as lost.
 	ResumeAt   int64
 	ResumeOnly bool
 }
@@ -47,12 +48,12 @@
 type Subscription struct {
 	attempt  *attempt
 	observer framework.EngineObserver
-	// next is the answer byte that the reader has not had.
+	// next is the offset of the first answer byte not yet delivered.
 	next int64
 }
 
-// Detach stops reading without stopping the attempt. The observer hears
-// nothing more.
+// Detach stops reading without stopping the attempt. The observer is not
+// called again.
 func (s *Subscription) Detach() {
 	if s == nil || s.attempt == nil {
 		return
@@ -61,7 +62,7 @@
 	s.attempt = nil
 }
 
-// attempt is one request that this run of the engine has seen.
+// attempt is one request that this run of the engine has accepted.
 type attempt struct {
 	request  Request
 	epoch    structs.Epoch
@@ -72,7 +73,7 @@
 	done     bool
 	end      framework.AttemptEnd
 	recorded *AttemptRun
-	// cancelled holds the answers owed to those who cancelled it.
+	// cancelCallbacks are called once the attempt has stopped.
 	cancelCallbacks []func()
 }
 
@@ -85,7 +86,7 @@
 	}
 }
 
-// deliver brings a reader up to date.
+// deliver sends a reader the answer text it has not received.
 func (a *attempt) deliver(reader *Subscription) {
 	if reader.next >= a.written {
 		return
@@ -95,7 +96,8 @@
 	reader.observer.Chunks([]structs.Chunk{chunk})
 }
 
-// broadcast brings every reader up to date, and ends them when it is over.
+// broadcast sends every reader its outstanding text and, if the attempt is
+// done, the end.
 func (a *attempt) broadcast() {
 	readers := a.readers
 	if a.done {
--- a/internal/enginemodel/sequence.go
+++ b/internal/enginemodel/sequence.go
@@ -7,27 +7,27 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// sequence is an attempt that waits for a place in the batch or has one.
+// sequence is an attempt in the batch or waiting to enter it.
 type sequence struct {
 	attempt *attempt
-	// arrival orders sequences of one priority.
+	// arrival orders sequences of equal priority.
 	arrival uint64
 	// computed counts the tokens whose cache exists; target is how many must
 	// exist before the next token can be decoded.
 	computed int64
 	target   int64
-	// generated counts answer tokens, those given with the request included.
+	// generated counts answer tokens, including those given with the request.
 	generated int64
 	goal      int64
-	// blocks are the shared blocks it refers to, from the first on; private
-	// counts those behind them.
+	// blocks are the shared blocks it references, from the first; private
+	// counts the blocks behind them.
 	blocks  []*block
 	private int
-	// spanStart is computed as it was when the present span began.
+	// spanStart is the value of computed when the current span began.
 	spanStart int64
-	// handedOver is set once an engine that only prefills is done with it.
+	// handedOver is set once an engine in the prefill role has finished it.
 	handedOver bool
-	// counted is set once its hits are in the statistics.
+	// hitsCounted is set once its cache hits are in the statistics.
 	hitsCounted bool
 	cached      int64
 	prefilled   int64
@@ -44,7 +44,7 @@
 	}
 }
 
-// tokensOf returns the whole tokens in a number of answer bytes.
+// tokensOf returns the number of whole tokens in a number of answer bytes.
 func tokensOf(bytes int64) int64 { return bytes / prefix.BytesPerToken }
 
 // blocksFor returns the number of blocks that hold a number of tokens.
@@ -56,10 +56,10 @@
 	return namespace{s.attempt.request.Model, s.attempt.request.Adapter}
 }
 
-// decoding tells that the whole prompt is computed.
+// decoding reports whether the whole prompt is computed.
 func (s *sequence) decoding() bool { return s.computed >= s.target }
 
-// before orders the waiting queue: priority, then arrival.
+// precedes orders the waiting queue by priority, then arrival.
 func (s *sequence) precedes(other *sequence) bool {
 	if s.attempt.request.Priority != other.attempt.request.Priority {
 		return s.attempt.request.Priority > other.attempt.request.Priority
@@ -67,8 +67,8 @@
 	return s.arrival < other.arrival
 }
 
-// hash returns the name of a block of prompt and answer, and false when the
-// block is none that the text fills.
+// hash returns the hash of a block of prompt and answer, and false when the
+// text does not fill that block.
 func (s *sequence) hash(index int) (structs.BlockHash, bool) {
 	prompt := s.attempt.request.Blocks
 	if index < len(prompt) {
@@ -81,8 +81,8 @@
 	return 0, false
 }
 
-// admit takes the blocks for everything up to the target and one token more.
-// It returns false, with nothing taken, when they are not available.
+// admit allocates the blocks for all tokens up to the target and one more. It
+// returns false, with nothing allocated, when memory is short.
 func (s *sequence) admit(c *blockCache, now time.Time) bool {
 	hits := s.cachedPrefix(c)
 	for i := range hits {
@@ -109,8 +109,8 @@
 	return true
 }
 
-// matches returns how many blocks are cached, leaving at least one token to
-// compute: the answer's first token comes out of that.
+// cachedPrefix returns how many blocks from the first are cached. At least one
+// token is left to compute, since computing it yields the first answer token.
 func (s *sequence) cachedPrefix(c *blockCache) int {
 	limit := int((s.target - 1) / prefix.BlockTokens)
 	for i := range limit {
@@ -122,14 +122,14 @@
 	return limit
 }
 
-// growth returns how many blocks a number of tokens beyond those computed
-// takes.
+// blocksNeeded returns how many further blocks a number of tokens beyond the
+// computed ones takes.
 func (s *sequence) blocksNeeded(tokens int64) int {
 	return max(blocksFor(s.computed+tokens)-len(s.blocks)-s.private, 0)
 }
 
 // milestones appends the steps, from 1 to count, at which the sequence needs
-// another block to decode or has filled one.
+// another block to decode or fills one.
 func (s *sequence) milestones(count int, all []milestone) []milestone {
 	s.spanStart = s.computed
 	capacity := int64(len(s.blocks)+s.private) * prefix.BlockTokens
@@ -143,8 +143,8 @@
 	return all
 }
 
-// publish names the blocks that are full by now, so that others can share
-// them.
+// shareFullBlocks publishes the blocks that are now full under their hashes,
+// so that other sequences can share them.
 func (s *sequence) shareFullBlocks(c *blockCache) {
 	for int64(len(s.blocks)+1)*prefix.BlockTokens <= s.computed {
 		hash, named := s.hash(len(s.blocks))
@@ -158,8 +158,8 @@
 	}
 }
 
-// leave frees all blocks, the deepest first: a block without those before it
-// is of no use to anybody.
+// releaseBlocks frees all blocks, the deepest first: a block is useless
+// without those before it.
 func (s *sequence) releaseBlocks(c *blockCache, now time.Time) {
 	for i := len(s.blocks) - 1; i >= 0; i-- {
 		c.release(s.blocks[i], now)
--- a/internal/enginemodel/statistics.go
+++ b/internal/enginemodel/statistics.go
@@ -11,22 +11,22 @@
 // Statistics are counts over all runs of an engine.
 type Statistics struct {
 	// PromptTokens counts prompt tokens of admitted attempts, CachedTokens
-	// those of them that the cache had, PrefilledTokens what was computed,
-	// preempted work that was done again included.
+	// those of them found in the cache, PrefilledTokens the computed ones,
+	// including work repeated after a preemption.
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CachedTokens     int64 `json:"cached_tokens"`
 	PrefilledTokens  int64 `json:"prefilled_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
 	Preemptions      int64 `json:"preemptions"`
 	// RecomputedTokens counts prefilled tokens of blocks that some engine had
-	// held before; it needs a BlockHistory.
+	// stored before; it needs a BlockHistory.
 	RecomputedTokens int64 `json:"recomputed_tokens"`
-	// IdleTokenSeconds is the memory that blocks took from their last use to
-	// their eviction: held, and never hit again.
+	// IdleTokenSeconds is the memory that blocks occupied from their last use
+	// to their eviction.
 	IdleTokenSeconds float64 `json:"idle_token_seconds"`
 }
 
-// AttemptRun is one execution, as the engine saw it.
+// AttemptRun is one execution of an attempt, as seen by the engine.
 type AttemptRun struct {
 	Engine    structs.EngineID   `json:"engine"`
 	Attempt   structs.AttemptID  `json:"attempt"`
@@ -38,7 +38,7 @@
 	Usage     structs.Usage      `json:"usage"`
 }
 
-// Recorder hears of every attempt that an engine takes.
+// Recorder is told of every attempt that an engine accepts.
 type Recorder interface {
 	AttemptStarted(run AttemptRun)
 	AttemptEnded(run AttemptRun)
@@ -57,12 +57,13 @@
 	return found
 }
 
-// Statistics returns the counts up to now. Blocks that are still cached count
-// as idle since their last use only when the run is closed with CountIdleBlocks.
+// Statistics returns the counts so far. Blocks that are still cached count as
+// idle only after CountIdleBlocks.
 func (e *Engine) Statistics() Statistics { return e.statistics }
 
-// CountIdleBlocks counts the blocks that are cached now and not in use as held idle
-// since their last use, as if they were evicted now. For the end of a run.
+// CountIdleBlocks counts the blocks that are cached and not in use as idle
+// since their last use, as if they were evicted now. It is called at the end
+// of a run.
 func (e *Engine) CountIdleBlocks() {
 	idle := int64(0)
 	for _, b := range e.cache.blocks {
@@ -80,7 +81,7 @@
 	e.statistics.IdleTokenSeconds += float64(nanoseconds) / float64(time.Second) * prefix.BlockTokens
 }
 
-// countHits counts a sequence's prompt when it is admitted for the first time.
+// countHits counts a sequence's prompt and cache hits on its first admission.
 func (e *Engine) countHits(s *sequence) {
 	if s.hitsCounted {
 		return
--- a/internal/enginemodel/transfer.go
+++ b/internal/enginemodel/transfer.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// maximumPrograms bounds the programs whose blocks can be exported by name.
+// maximumPrograms limits the programs whose blocks can be exported.
 const maximumPrograms = 1 << 14
 
 // programBlocks remembers the blocks of each program's last call.
@@ -16,11 +16,11 @@
 	order []structs.ProgramKey
 }
 
-// programChain is a program's prompt and answer as blocks.
+// programChain is the block sequence of a program's prompt and answer.
 type programChain struct {
 	namespace namespace
 	hashes    []structs.BlockHash
-	// owner is the sequence that added last.
+	// lastWriter is the sequence that last added blocks.
 	lastWriter *sequence
 }
 
@@ -28,8 +28,9 @@
 	return programBlocks{byKey: map[structs.ProgramKey]*programChain{}}
 }
 
-// rememberBlocks keeps the names of the blocks that a sequence has. Those up
-// to before are known already if the sequence was the last to add.
+// recordProgramBlocks records the hashes of a sequence's blocks for its
+// program. Those up to before are known already if the sequence was the last
+// writer.
 func (e *Engine) recordProgramBlocks(s *sequence, before int) {
 	if len(s.blocks) == before || s.attempt.request.Program.Program == "" {
 		return
@@ -45,7 +46,8 @@
 	}
 }
 
-// chain returns a program's chain, making place for a new one.
+// chain returns a program's chain, evicting the oldest one for a new program
+// if needed.
 func (p *programBlocks) chain(key structs.ProgramKey) *programChain {
 	chain := p.byKey[key]
 	if chain != nil {
@@ -61,7 +63,7 @@
 	return chain
 }
 
-// Export is a program's cache on its way to another engine.
+// Export is a program's cache in transfer to another engine.
 type Export struct {
 	Model   structs.ModelName   `json:"model"`
 	Adapter structs.AdapterName `json:"adapter,omitempty"`
@@ -71,9 +73,8 @@
 // Tokens returns the number of tokens exported.
 func (x Export) Tokens() int64 { return int64(len(x.Blocks)) * prefix.BlockTokens }
 
-// Export returns what the engine still has of a program's cache, from the
-// first block on. It is asked for by a call that will use it elsewhere, so it
-// counts as a use.
+// Export returns the cached blocks of a program, from the first on. Since they
+// are about to be used at another engine, it counts as a use.
 func (e *Engine) Export(program structs.ProgramKey) Export {
 	chain := e.programs.byKey[program]
 	if chain == nil {
@@ -88,7 +89,8 @@
 	}
 }
 
-// MissingBlocks returns how many blocks of an export this engine does not have.
+// MissingBlocks returns how many blocks of an export this engine does not
+// have.
 func (e *Engine) MissingBlocks(export Export) int {
 	return len(export.Blocks) - e.cache.match(namespace{export.Model, export.Adapter}, export.Blocks)
 }
@@ -99,8 +101,8 @@
 	return time.Duration(bytes / float64(e.parameters.LinkBytesPerSecond) * float64(time.Second))
 }
 
-// ReserveLink returns how long it takes until some blocks have come from a
-// sender: a link carries one transfer after the other. The sender is nil where
+// ReserveLink reserves the link for a transfer and returns the time until it
+// is complete: a link carries one transfer at a time. The sender is nil when
 // it is another process, whose link is not known.
 func (e *Engine) ReserveLink(sender *Engine, blocks int) time.Duration {
 	now := e.now()
@@ -118,9 +120,9 @@
 	return e.linkFree.Sub(now)
 }
 
-// Import takes over exported blocks, as far as there is place, pins them under
-// a hold if one is named, and returns how many of them are here now. It takes
-// nothing for a hold that was released before.
+// Import stores exported blocks as far as memory allows, pins them if a hold
+// is given, and returns how many of them are cached now. It imports nothing
+// for a hold that was released before.
 func (e *Engine) Import(export Export, program structs.ProgramKey, id structs.HoldID) int {
 	in := namespace{export.Model, export.Adapter}
 	if _, released := e.holds.released[id]; released {
@@ -136,8 +138,9 @@
 	return count
 }
 
-// holdImported pins imported blocks until the attempt that follows ends, if the
-// bound on holds allows it. A hold that is there already is the attempt's own.
+// holdImported pins imported blocks until the attempt that follows ends, if
+// the limit on held memory allows it. A hold that exists already is the
+// attempt's own and is kept.
 func (e *Engine) holdImported(id structs.HoldID, program structs.ProgramKey, blocks []*block) {
 	for _, b := range blocks {
 		b.usedBy(program)
--- a/internal/enginemodel/weights.go
+++ b/internal/enginemodel/weights.go
@@ -6,16 +6,16 @@
 	"github.com/mintpulley/mintpulley/internal/clock"
 )
 
-// WeightStore is a weight source that all engines of a fleet share: it gives
-// out so many bytes each second, one load after the other. It is not safe for
-// concurrent use.
+// WeightStore is a weight source that the engines of a fleet share: it serves
+// loads one after the other at a fixed rate. It is not safe for concurrent
+// use.
 type WeightStore struct {
 	clock clock.Clock
 	rate  int64
-	// free is when the last load that was promised ends.
+	// freeAt is when the last accepted load ends.
 	freeAt time.Time
-	// Bytes counts what was read, Reading the loads under way, Peak the most
-	// at a time.
+	// BytesRead counts the bytes of all loads, ActiveLoads the loads in
+	// progress or queued, PeakLoads their maximum.
 	BytesRead   int64
 	ActiveLoads int
 	PeakLoads   int
