--- a/internal/standin/application/application.go
+++ b/internal/standin/application/application.go
@@ -1,5 +1,5 @@
-// Package application stands in for an application back end: the results feed
-// or the wholesale order service. It counts how often each request ran.
+// Package application is a stand-in for an application back end: the results
+// feed or the wholesale order service. It counts how often each request ran.
 package application
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Faults are those of an application.
+// Faults are the faults of an application.
 type Faults struct {
 	control.ServiceFaults
-	// AnswerDelay comes after the effect and before the answer.
+	// AnswerDelay is the delay between the effect and the answer.
 	AnswerDelay control.Duration `json:"answer_delay,omitempty"`
 	// HangAfterEffect is the fraction of operations that take effect and are
 	// never answered.
@@ -26,7 +26,8 @@
 	// Fail is the fraction of operations that have no effect and are answered
 	// with status 500.
 	Fail float64 `json:"fail,omitempty"`
-	// Draining refuses new operations: the back end is leaving.
+	// Draining refuses new operations, as a back end does that is being
+	// removed.
 	Draining bool `json:"draining,omitempty"`
 }
 
@@ -41,13 +42,13 @@
 	return control.ValidateFraction("fail", f.Fail)
 }
 
-// Settings describe an application.
+// Settings configure an application.
 type Settings struct {
-	// Volatile applications forget their attempts and fences on a restart;
+	// Volatile applications lose their attempts and fences on a restart;
 	// others keep them, as with a database behind them.
 	Volatile bool
 	// Deduplicate answers a repeated attempt with the recorded answer. Without
-	// it a repeat runs again and counts.
+	// it a repeat runs again and is counted.
 	Deduplicate bool
 }
 
@@ -61,11 +62,11 @@
 	mutex    sync.Mutex
 	started  int64
 	records  map[structs.AttemptID]*record
-	// runs is the view from outside; no restart clears it.
+	// runs counts executions for checks by tests; it survives restarts.
 	runs map[structs.AttemptID]int
 }
 
-// record is what the application knows of one attempt.
+// record is the state of one attempt.
 type record struct {
 	fence    structs.Epoch
 	received int
@@ -87,7 +88,7 @@
 	}
 }
 
-// Restart begins a new run; a volatile application forgets all attempts.
+// Restart starts a new run; a volatile application loses all attempts.
 func (a *Application) Restart() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -97,7 +98,7 @@
 	}
 }
 
-// Runs returns how often each attempt ran, over all restarts.
+// Runs returns how often each attempt ran, across all restarts.
 func (a *Application) Runs() map[structs.AttemptID]int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -129,7 +130,7 @@
 	return entry
 }
 
-// verdict is what becomes of one operation.
+// verdict is the result of executing an operation.
 type verdict int
 
 const (
@@ -138,7 +139,7 @@
 	verdictFenced
 )
 
-// operation is one request as it arrived.
+// operation is one received request.
 type operation struct {
 	attempt structs.AttemptID
 	epoch   structs.Epoch
@@ -146,15 +147,15 @@
 	body    []byte
 }
 
-// result is the answer to an operation.
+// result is the body of an operation's answer.
 type result struct {
 	Operation string `json:"operation"`
 	Accepted  bool   `json:"accepted"`
 	Bytes     int    `json:"bytes"`
 }
 
-// receive notes that an operation has arrived and has had no effect yet, so
-// that an inspection meanwhile does not call it absent.
+// markReceived records that an operation has arrived without effect yet, so
+// that an inspection meanwhile does not report it as absent.
 func (a *Application) markReceived(attempt structs.AttemptID) *record {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -169,7 +170,7 @@
 	entry.received--
 }
 
-// run has the effect of an operation unless a fence forbids it.
+// run executes an operation unless a fence forbids it.
 func (a *Application) run(entry *record, arrived operation) (verdict, []byte) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -185,7 +186,7 @@
 	return verdictRan, entry.answer
 }
 
-// inspect tells what is known of an attempt and fences it.
+// inspect returns the status of an attempt and fences it.
 func (a *Application) inspect(attempt structs.AttemptID, epoch structs.Epoch) framework.AttemptStatus {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/standin/application/application_test.go
+++ b/internal/standin/application/application_test.go
@@ -14,7 +14,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// harness is an application behind HTTP with the fleet's own driver.
+// harness is an application behind HTTP, called through the fleet's own
+// driver.
 type harness struct {
 	app    *Application
 	driver framework.ApplicationDriver
@@ -91,7 +92,7 @@
 	if got := h.inspect(t, "a", 2); got.State != framework.AttemptRunning {
 		t.Errorf("state %q, want running", got.State)
 	}
-	// The inspection fenced it while it waited.
+	// The inspection fenced the attempt while it waited.
 	if end := <-ended; end.Kind != framework.EndRejected || len(h.app.Runs()) != 0 {
 		t.Errorf("end %q, runs %v", end.Kind, h.app.Runs())
 	}
--- a/internal/standin/application/http.go
+++ b/internal/standin/application/http.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// bodyLimit bounds a request in bytes.
+	// bodyLimit is the maximum size of a request in bytes.
 	bodyLimit = 1 << 20
-	// pathOperations comes before an operation's name.
+	// pathOperations is the path prefix of an operation's name.
 	pathOperations = "/operations/"
 )
 
 // ServeHTTP implements http.Handler: POST /operations/NAME runs an operation,
-// GET /attempts?attempt=&epoch= tells what became of one and fences it, GET
-// /runs lists how often each attempt ran, POST /restart begins a new run, GET
+// GET /attempts?attempt=&epoch= returns the status of one and fences it, GET
+// /runs lists how often each attempt ran, POST /restart starts a new run, GET
 // and PUT /faults.
 func (a *Application) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	name, isOperation := strings.CutPrefix(r.URL.Path, pathOperations)
@@ -63,7 +63,7 @@
 	}
 	entry := a.markReceived(arrived.attempt)
 	defer a.unmarkReceived(entry)
-	// The caller's leaving stops nothing: what has arrived runs.
+	// A disconnect of the caller stops nothing: a received operation runs.
 	time.Sleep(time.Duration(faults.Delay))
 	faults.Delay = 0
 	faults.Serve(a.chance, w, r, func() func() {
@@ -71,7 +71,8 @@
 	})
 }
 
-// operate has the effect of an operation that arrived, and returns its answer.
+// runOperation executes a received operation and returns the function that
+// answers.
 func (a *Application) runOperation(w http.ResponseWriter, r *http.Request, faults Faults, entry *record, arrived operation) func() {
 	if a.chance.Happens(faults.Fail) {
 		return func() { http.Error(w, "the operation failed", http.StatusInternalServerError) }
--- a/internal/standin/cli/cli.go
+++ b/internal/standin/cli/cli.go
@@ -22,11 +22,12 @@
 )
 
 const (
-	// headerTimeout bounds how long a request's headers may take.
+	// headerTimeout limits the time to read a request's headers.
 	headerTimeout = 5 * time.Second
-	// stopTimeout bounds a stop; then open connections are broken.
+	// shutdownTimeout limits a graceful shutdown; after it, open connections
+	// are closed.
 	shutdownTimeout = time.Second
-	// defaultListen is a free port on this machine.
+	// defaultListen is a free port on the loopback interface.
 	defaultListen = "127.0.0.1:0"
 )
 
@@ -66,7 +67,7 @@
 	return &cli.StringFlag{Name: "listen", Value: defaultListen, Usage: "answer on `IP:PORT`; port 0 takes a free one"}
 }
 
-// serve answers HTTP until the process is told to stop.
+// serve runs HTTP servers until the process receives a termination signal.
 func serve(ctx context.Context, command *cli.Command, handlers ...endpoint) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -86,7 +87,8 @@
 	}
 }
 
-// listening is a handler with its address and the word that announces it.
+// endpoint is a handler with its address and the label printed before the
+// address.
 type endpoint struct {
 	label   string
 	address string
--- a/internal/standin/cli/engine.go
+++ b/internal/standin/cli/engine.go
@@ -78,7 +78,7 @@
 	return settings, nil
 }
 
-// override sets the parameters that flags give.
+// override applies the parameters given as flags.
 func override(command *cli.Command, parameters *enginemodel.Parameters) {
 	overrideOne(command, "cache-tokens", command.Int64, &parameters.CacheTokens)
 	overrideOne(command, "answer-tokens", command.Int64, &parameters.AnswerTokens)
--- a/internal/standin/cli/platform.go
+++ b/internal/standin/cli/platform.go
@@ -80,7 +80,7 @@
 	return machines, nil
 }
 
-// defaultWeightRate is what the store gives out, in bytes per second.
+// defaultWeightRate is the store's rate in bytes per second.
 const defaultWeightRate = 2_000_000_000
 
 func weightsCommand() *cli.Command {
--- a/internal/standin/cli/proxy.go
+++ b/internal/standin/cli/proxy.go
@@ -50,8 +50,8 @@
 
 type routeFlag struct{ name, listen, target string }
 
-// parseRoutes reads NAME=LISTEN,TARGET. The command line splits values at
-// commas, so that a route may come as two.
+// parseRoutes parses NAME=LISTEN,TARGET. The flag library splits values at
+// commas, so that a route may arrive as two values.
 func parseRoutes(values []string) ([]routeFlag, error) {
 	var routes []routeFlag
 	joined := strings.Join(values, ",")
--- a/internal/standin/control/control.go
+++ b/internal/standin/control/control.go
@@ -1,5 +1,5 @@
-// Package control holds what all stand-ins share: faults that are set while
-// they run, and short JSON answers.
+// Package control holds what all stand-ins share: faults that can be changed
+// at run time, and JSON requests and answers.
 package control
 
 import (
@@ -14,16 +14,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// PathFaults is where a stand-in's faults are read (GET) and set (PUT).
+// PathFaults is the path at which a stand-in's faults are read (GET) and set
+// (PUT).
 const PathFaults = "/faults"
 
-// bodyLimit bounds what is read of a control request, in bytes.
+// bodyLimit is the maximum size of a control request in bytes.
 const bodyLimit = 1 << 20
 
-// ErrInvalidFault is wrapped by faults that make no sense.
+// ErrInvalidFault is wrapped by errors of invalid faults.
 var ErrInvalidFault = eris.New("invalid fault")
 
-// Duration is a time.Duration that reads and writes as text such as "200ms".
+// Duration is a time.Duration that is encoded as text such as "200ms".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// Validator checks its own fields.
+// Validator validates its own fields.
 type Validator interface{ Validate() error }
 
 // Faults holds the faults of a stand-in. It is safe for concurrent use.
@@ -52,7 +53,7 @@
 	changed func(T)
 }
 
-// OnChange has changed called after each change, and once now.
+// OnChange registers a callback for each change, and calls it once now.
 func (f *Faults[T]) OnChange(changed func(T)) {
 	f.mutex.Lock()
 	f.changed = changed
@@ -61,14 +62,14 @@
 	changed(value)
 }
 
-// Get returns the faults in force.
+// Get returns the current faults.
 func (f *Faults[T]) Get() T {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.value
 }
 
-// Set puts faults in force in place of all former ones.
+// Set validates faults and replaces all current ones.
 func (f *Faults[T]) Set(value T) error {
 	if err := value.Validate(); err != nil {
 		return err
@@ -84,7 +85,7 @@
 }
 
 // ServeHTTP implements http.Handler: GET reads the faults, PUT replaces them.
-// What a PUT leaves out is no fault.
+// A field missing in a PUT means no fault.
 func (f *Faults[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
@@ -104,8 +105,8 @@
 	}
 }
 
-// ReadJSON reads a body strictly: an unknown field is an error. It answers
-// bad requests itself and then returns false.
+// ReadJSON decodes a body strictly: an unknown field is an error. It answers
+// bad requests itself and returns false for them.
 func ReadJSON(w http.ResponseWriter, r *http.Request, value any) bool {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyLimit))
 	if err == nil {
@@ -126,7 +127,8 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// ValidateFraction checks that a field is a fraction.
+// ValidateFraction returns an error that names the field unless its value is
+// from 0 to 1.
 func ValidateFraction(field string, value float64) error {
 	if value < 0 || value > 1 {
 		return eris.Wrapf(ErrInvalidFault, "%s must be 0 to 1", field)
@@ -134,18 +136,18 @@
 	return nil
 }
 
-// Chance draws events from a seed. It is safe for concurrent use.
+// Chance draws random events from a seed. It is safe for concurrent use.
 type Chance struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 }
 
-// NewChance returns draws that depend on the seed alone.
+// NewChance returns a Chance whose draws depend only on the seed.
 func NewChance(seed uint64) *Chance {
 	return &Chance{random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Happens returns true with a probability.
+// Happens returns true with the given probability.
 func (c *Chance) Happens(probability float64) bool {
 	if probability <= 0 {
 		return false
@@ -155,7 +157,8 @@
 	return c.random.Float64() < probability
 }
 
-// Pause waits, or until the request's caller is gone; then it returns false.
+// Pause waits for a duration. It returns false if the request's caller
+// disconnects first.
 func Pause(r *http.Request, d Duration) bool {
 	if d <= 0 {
 		return r.Context().Err() == nil
@@ -170,8 +173,8 @@
 	}
 }
 
-// Hang keeps a request without an answer until its caller gives up.
+// Hang blocks a request without an answer until its caller disconnects.
 func Hang(r *http.Request) { <-r.Context().Done() }
 
-// AbortConnection breaks the connection in place of an answer.
+// AbortConnection closes the connection without an answer.
 func AbortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/standin/control/service.go
+++ b/internal/standin/control/service.go
@@ -4,11 +4,11 @@
 	"net/http"
 )
 
-// ServiceFaults are the faults that any service over HTTP may have.
+// ServiceFaults are the faults common to all HTTP services.
 type ServiceFaults struct {
 	// Down answers every request with status 503.
 	Down bool `json:"down,omitempty"`
-	// Delay comes before each request has any effect.
+	// Delay precedes any effect of a request.
 	Delay Duration `json:"delay,omitempty"`
 	// Hang is the fraction of requests that are never answered and have no
 	// effect.
@@ -32,8 +32,8 @@
 	return ValidateFraction("lose_answers", f.LoseAnswers)
 }
 
-// Serve runs a request under the faults. handle has the effect and returns
-// the function that answers.
+// Serve handles a request under the faults. handle executes it and returns the
+// function that answers.
 func (f ServiceFaults) Serve(chance *Chance, w http.ResponseWriter, r *http.Request, handle func() (answer func())) {
 	if f.Down {
 		http.Error(w, "the service is down", http.StatusServiceUnavailable)
--- a/internal/standin/control/service_test.go
+++ b/internal/standin/control/service_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestServiceFaults calls a service under each fault with a caller that gives
-// up after a while, and looks whether the request took effect and was answered.
+// TestServiceFaults calls a service under each fault with a client timeout,
+// and checks whether the request took effect and was answered.
 func TestServiceFaults(t *testing.T) {
 	cases := map[string]struct {
 		faults   ServiceFaults
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -15,21 +15,22 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// requestLimit bounds a request in bytes: a prompt of 670,000 tokens and more.
+// requestLimit is the maximum size of a request in bytes, enough for a prompt
+// of 670,000 tokens.
 const requestLimit = 64 << 20
 
-// completion is one request for a completion on its way through the handler.
+// completion is one completion request in its handler.
 type completion struct {
 	engine  *Engine
 	writer  http.ResponseWriter
 	request *http.Request
 	body    openai.Request
 	attempt structs.AttemptID
-	// plain requests come from clients without the extension; nobody resumes
-	// them, so they end with their connection.
+	// plain requests come from clients without the scheduler's extension;
+	// nobody can resume them, so they end with their connection.
 	plain   bool
 	created int64
-	// tool is called in place of an answer text, "" for none.
+	// tool is the tool to call instead of answering with text, "" for none.
 	tool   string
 	faults Faults
 	// cut and stall are the faults drawn for this stream.
@@ -54,7 +55,7 @@
 	})
 }
 
-// close stops reading; an attempt that nobody can resume is stopped too.
+// close stops reading, and cancels an attempt that nobody can resume.
 func (c *completion) close() {
 	if c.connection == nil {
 		return
@@ -65,7 +66,7 @@
 	}
 }
 
-// read decodes and checks the request.
+// read decodes and validates the request.
 func (c *completion) read() bool {
 	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, requestLimit))
 	if err == nil {
@@ -107,7 +108,8 @@
 	}
 }
 
-// answer writes the stream, or gathers it for a client that wants it whole.
+// answer streams the answer, or collects it for a client that did not ask for
+// a stream.
 func (c *completion) answer() {
 	var whole strings.Builder
 	for {
@@ -145,7 +147,7 @@
 	c.writeEvent(openai.Event{Offset: chunk.Offset, Choices: []openai.Choice{{Delta: openai.Delta{Content: chunk.Text}}}})
 }
 
-// breakOff has the faults that were drawn for this stream.
+// applyStreamFault cuts or stalls the stream if either fault was drawn for it.
 func (c *completion) applyStreamFault() {
 	if !c.cut && !c.stall {
 		return
@@ -188,7 +190,7 @@
 	}
 }
 
-// writeRefusal answers an attempt that did not come to an answer.
+// writeRefusal answers an attempt that was rejected or failed.
 func (c *completion) writeRefusal(end framework.AttemptEnd) {
 	if c.began {
 		control.AbortConnection()
@@ -213,7 +215,7 @@
 	writeError(c.writer, status, end.Message)
 }
 
-// fencedMessage is the model's word for a fenced attempt.
+// fencedMessage is the message of enginemodel for a fenced attempt.
 const fencedMessage = "fenced by a higher epoch"
 
 func rejectedValue(end framework.AttemptEnd) string {
@@ -260,7 +262,7 @@
 	}
 }
 
-// wholeCompletion is OpenAI's answer that is not streamed.
+// wholeCompletion is OpenAI's response that is not streamed.
 type wholeCompletion struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -298,7 +300,7 @@
 	})
 }
 
-// problem is OpenAI's error.
+// errorResponse is OpenAI's error object.
 type errorResponse struct {
 	Error errorDetail `json:"error"`
 }
--- a/internal/standin/engine/connection.go
+++ b/internal/standin/engine/connection.go
@@ -8,7 +8,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// connection takes an attempt's stream from the model to the goroutine that
+// connection passes an attempt's stream from the model to the goroutine that
 // answers the request.
 type connection struct {
 	engine       *Engine
@@ -23,7 +23,7 @@
 
 var _ framework.EngineObserver = (*connection)(nil)
 
-// open starts an attempt, or goes on with one that is known.
+// open starts an attempt, or resumes a known one.
 func (e *Engine) open(request framework.EngineRequest) *connection {
 	c := &connection{engine: e, ready: make(chan struct{}, 1)}
 	e.queue.Wait(func() { c.subscription = e.model.Start(e.reader.Read(request), c) })
@@ -53,7 +53,8 @@
 	}
 }
 
-// take returns what has come since the last call, and the end if it is there.
+// take returns the chunks received since the last call, and the end if it was
+// received.
 func (c *connection) take() ([]structs.Chunk, *framework.AttemptEnd) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine stands in for a model engine: the model of package
-// enginemodel behind OpenAI's HTTP dialect with the scheduler's extension.
+// Package engine is a stand-in for a model engine: package enginemodel behind
+// OpenAI's HTTP API with the scheduler's extension.
 package engine
 
 import (
@@ -19,21 +19,23 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Settings describe one engine.
+// Settings configure one engine.
 type Settings struct {
-	// ID names the engine in its reports; "" leaves it to the reader.
+	// ID is the engine's ID in its reports; with "" the reader of a report
+	// fills it in.
 	ID         structs.EngineID
 	Models     []structs.ModelName
 	Role       structs.EngineRole
 	Parameters enginemodel.Parameters
-	// WeightStore is the address of the weight store; "" loads at once.
+	// WeightStore is the address of the weight store; "" loads instantly.
 	WeightStore string
-	// Seed sets which cache events are lost.
+	// Seed determines which cache events are lost.
 	Seed uint64
 }
 
-// DefaultSettings returns a fast small engine, for demonstrations and tests:
-// its steps are a quarter of those of enginemodel.Default.
+// DefaultSettings returns the settings of a fast small engine for
+// demonstrations and tests. Its fixed step time is less than half of that of
+// enginemodel.Default, its costs per sequence and prefilled token a quarter.
 func DefaultSettings(models ...structs.ModelName) Settings {
 	parameters := enginemodel.Default()
 	parameters.StepBase = 4 * time.Millisecond
@@ -57,13 +59,13 @@
 	plainAttempts atomic.Uint64
 	runs          runLog
 
-	// queue owns the model and the reader of prompts.
+	// queue serializes access to model and reader.
 	queue  serial.Queue
 	model  *enginemodel.Engine
 	reader *enginemodel.PromptReader
 }
 
-// New returns an engine that has seen nothing. It panics on settings that
+// New returns a running engine. It panics on settings that
 // enginemodel.Parameters.Validate refuses.
 func New(settings Settings) *Engine {
 	e := &Engine{
@@ -128,8 +130,8 @@
 	return count
 }
 
-// Restart loses everything, as a crash of the engine's process would: streams
-// break off and nothing of the former run is known.
+// Restart loses all state, as a crash of the engine's process does: streams
+// break and nothing of the previous run is kept.
 func (e *Engine) Restart() {
 	e.queue.Wait(func() {
 		e.model.Crash()
@@ -138,18 +140,18 @@
 	})
 }
 
-// Statistics returns the model's counts.
+// Statistics returns the model's statistics.
 func (e *Engine) Statistics() enginemodel.Statistics {
 	var statistics enginemodel.Statistics
 	e.queue.Wait(func() { statistics = e.model.Statistics() })
 	return statistics
 }
 
-// Runs returns the attempts that the engine took, over all restarts.
+// Runs returns the attempts that the engine accepted, across all restarts.
 func (e *Engine) Runs() []enginemodel.AttemptRun { return e.runs.list() }
 
-// Answer returns the words that an engine answers to a prompt: the same at
-// every engine, so that a stream can go on elsewhere.
+// Answer returns the tokens of the answer to a prompt. Every engine gives the
+// same, so that a stream can continue elsewhere.
 func Answer(messages []structs.Message, tokens int64) []string {
 	var hasher prefix.Hasher
 	for _, message := range messages {
@@ -164,7 +166,8 @@
 	return words
 }
 
-// plainAttempt names a request of a client without the extension.
+// plainAttempt returns an attempt ID for a request of a client without the
+// extension.
 func (e *Engine) plainAttempt() structs.AttemptID {
 	return structs.AttemptID("plain-" + strconv.FormatUint(e.plainAttempts.Add(1), 10))
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -22,11 +22,11 @@
 
 const (
 	model structs.ModelName = "m"
-	// plenty bounds waits that should be short.
+	// plenty limits waits that should be short.
 	plenty = 3 * time.Second
 )
 
-// harness is an engine behind HTTP with the scheduler's own driver.
+// harness is an engine behind HTTP, called through the scheduler's own driver.
 type harness struct {
 	*testing.T
 	engine *Engine
@@ -57,7 +57,7 @@
 	}
 }
 
-// reader gathers one attempt's stream.
+// reader collects one attempt's stream.
 type reader struct {
 	mutex sync.Mutex
 	text  string
@@ -112,7 +112,7 @@
 	}
 }
 
-// ask runs an exchange and returns its error.
+// ask performs an exchange and returns its error.
 func ask(exchange func(done func(error))) error {
 	answered := make(chan error, 1)
 	exchange(func(err error) { answered <- err })
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -9,24 +9,24 @@
 	"github.com/mintpulley/mintpulley/internal/standin/control"
 )
 
-// Faults are those of an engine.
+// Faults are the faults of an engine.
 type Faults struct {
 	control.ServiceFaults
-	// Slowness stretches every step; 0 and 1 are normal.
+	// Slowness multiplies the duration of every step; 0 and 1 are normal.
 	Slowness float64 `json:"slowness,omitempty"`
-	// Draining refuses new attempts and finishes those that run.
+	// Draining refuses new attempts and finishes running ones.
 	Draining bool `json:"draining,omitempty"`
 	// LoadLag, EventDelay and EventLoss override the engine's parameters when
-	// they are given.
+	// set.
 	LoadLag    *control.Duration `json:"load_lag,omitempty"`
 	EventDelay *control.Duration `json:"event_delay,omitempty"`
 	EventLoss  *float64          `json:"event_loss,omitempty"`
-	// CutStreams is the fraction of streams that break off after CutAfter
-	// bytes of answer text; their attempts go on.
+	// CutStreams is the fraction of streams whose connection breaks after
+	// CutAfter bytes of answer text; their attempts continue.
 	CutStreams float64 `json:"cut_streams,omitempty"`
 	CutAfter   int64   `json:"cut_after,omitempty"`
-	// StallStreams is the fraction of streams that fall silent after CutAfter
-	// bytes and stay open; their attempts go on.
+	// StallStreams is the fraction of streams that send nothing more after
+	// CutAfter bytes and stay open; their attempts continue.
 	StallStreams float64 `json:"stall_streams,omitempty"`
 }
 
@@ -49,7 +49,7 @@
 	return control.ValidateFraction("cut_streams", f.CutStreams)
 }
 
-// applyFaults hands the model what it has to know.
+// applyFaults passes the faults that concern the model on to it.
 func (e *Engine) applyFaults(faults Faults) {
 	publication := e.settings.Parameters.Publication
 	if faults.LoadLag != nil {
@@ -68,7 +68,7 @@
 	})
 }
 
-// guard runs a short request under the faults.
+// withFaults handles a short request under the faults.
 func (e *Engine) withFaults(handle func(http.ResponseWriter, *http.Request) func()) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.Faults.Get().Serve(e.chance, w, r, func() func() { return handle(w, r) })
--- a/internal/standin/engine/faults_test.go
+++ b/internal/standin/engine/faults_test.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// put sets faults as an operator does, while the engine runs.
+// put sets faults over HTTP while the engine runs.
 func (h *harness) put(faults string) {
 	h.Helper()
 	request, err := http.NewRequest(http.MethodPut, h.url+"/faults", strings.NewReader(faults))
@@ -27,7 +27,7 @@
 	}
 }
 
-// events returns the sequence numbers of the cache events that can be read.
+// events returns the sequence numbers of the visible cache events.
 func (h *harness) events() map[uint64]bool {
 	h.Helper()
 	seen := map[uint64]bool{}
@@ -45,7 +45,7 @@
 	return seen
 }
 
-// eventually waits for what the engine's goroutines bring about.
+// eventually polls a condition that the engine's goroutines bring about.
 func (h *harness) eventually(what string, holds func() bool) {
 	h.Helper()
 	deadline := time.Now().Add(plenty)
@@ -73,7 +73,8 @@
 	h.eventually("a fresh report", func() bool { return h.running() == 1 })
 }
 
-// TestCacheEventsComeLateAndWithGaps has every prompt store other blocks.
+// TestCacheEventsComeLateAndWithGaps stores other blocks with every prompt and
+// checks delay and loss of the events.
 func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
 	h := newHarness(t, nil)
 	run := func(name string) {
--- a/internal/standin/engine/runs.go
+++ b/internal/standin/engine/runs.go
@@ -7,10 +7,10 @@
 	"github.com/mintpulley/mintpulley/internal/enginemodel"
 )
 
-// maximumRuns bounds the attempts that are remembered.
+// maximumRuns limits the ended attempts that are remembered.
 const maximumRuns = 1 << 16
 
-// runLog remembers attempts for checks from outside; no restart clears it.
+// runLog records attempts for checks by tests; it survives restarts.
 type runLog struct {
 	mutex sync.Mutex
 	ended []enginemodel.AttemptRun
@@ -37,7 +37,7 @@
 	}
 }
 
-// list returns ended attempts and then open ones.
+// list returns the ended attempts, followed by the open ones.
 func (l *runLog) list() []enginemodel.AttemptRun {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/standin/engine/scheduler.go
+++ b/internal/standin/engine/scheduler.go
@@ -18,7 +18,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// exportTimeout bounds the question to the sender of a transfer.
+// exportTimeout limits the request to the sender of a transfer.
 const exportTimeout = 5 * time.Second
 
 // modelList is OpenAI's list of models.
@@ -108,8 +108,8 @@
 	return func() { http.Error(w, err.Error(), http.StatusUnprocessableEntity) }
 }
 
-// serveTransfer fetches a program's cache from another engine. It answers when
-// the blocks are here.
+// serveTransfer fetches a program's cache from another engine. It answers once
+// the blocks are imported.
 func (e *Engine) serveTransfer(w http.ResponseWriter, r *http.Request) func() {
 	var request openai.TransferRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
@@ -174,7 +174,7 @@
 	control.WriteJSON(w, struct{}{})
 }
 
-// weightClient reads weights from the store over HTTP.
+// weightClient reads weights from the weight store over HTTP.
 type weightClient struct {
 	engine  *Engine
 	address string
--- a/internal/standin/engine/toolcall.go
+++ b/internal/standin/engine/toolcall.go
@@ -11,7 +11,8 @@
 
 const (
 	finishToolCalls = "tool_calls"
-	// toolCallTokens is the length of the answer text that names a tool call.
+	// toolCallTokens is the length in tokens of the answer text from which a
+	// tool call's ID is made.
 	toolCallTokens = 6
 )
 
@@ -25,7 +26,7 @@
 }
 
 // wantedTool returns the tool that "[[tool=NAME]]" in the last user message
-// asks for, if the request offers it; "" otherwise.
+// names, if the request offers it; "" otherwise.
 func wantedTool(body []byte, messages openai.MessageList) string {
 	name, directed := enginemodel.DirectedTool(messages)
 	if !directed {
@@ -45,8 +46,8 @@
 	return name
 }
 
-// toolCall is the answer in place of text; its identifier is the same at every
-// engine.
+// toolCall returns the tool call that replaces the answer text; its ID is the
+// same at every engine.
 func (c *completion) toolCall() []openai.ToolCallDelta {
 	id := strings.ReplaceAll(strings.Join(Answer(c.body.Messages, toolCallTokens), ""), " ", "")
 	return []openai.ToolCallDelta{{
--- a/internal/standin/eventlog/eventlog.go
+++ b/internal/standin/eventlog/eventlog.go
@@ -1,5 +1,5 @@
-// Package eventlog stands in for the platform's append-only log service. It
-// does not deduplicate: an operation that is appended twice is there twice.
+// Package eventlog is a stand-in for the platform's append-only log service.
+// It does not deduplicate: an operation appended twice is stored twice.
 package eventlog
 
 import (
@@ -17,29 +17,29 @@
 )
 
 const (
-	// pathStreams lists the streams; a stream's name comes behind it.
+	// pathStreams lists the streams; a stream's name follows it.
 	pathStreams = "/streams"
-	// defaultLimit bounds a read that names no limit.
+	// defaultLimit limits a read that gives no limit.
 	defaultLimit = 100
-	// maximumLimit bounds every read.
+	// maximumLimit limits every read.
 	maximumLimit = 10_000
-	// defaultEntryBytes bounds a payload.
+	// defaultEntryBytes is the default maximum size of a payload.
 	defaultEntryBytes = 1 << 20
 	// encodingOverhead covers base64 and the other fields of an append.
 	encodingOverhead = 2
 )
 
-// Faults are those of the log service.
+// Faults are the faults of the log service.
 type Faults struct {
 	control.ServiceFaults
-	// AppendsDown answers appends, and only them, with status 503.
+	// AppendsDown answers appends, and only those, with status 503.
 	AppendsDown bool `json:"appends_down,omitempty"`
 	// LoseAppendAnswers is the fraction of appends that take effect and whose
 	// connection breaks in place of the answer.
 	LoseAppendAnswers float64 `json:"lose_append_answers,omitempty"`
-	// MaximumEntryBytes bounds a payload; 0 means 1 MiB.
+	// MaximumEntryBytes is the maximum size of a payload; 0 means 1 MiB.
 	MaximumEntryBytes int64 `json:"maximum_entry_bytes,omitempty"`
-	// ReplicaLag is how far the reader replica is behind.
+	// ReplicaLag is the lag of the read replica.
 	ReplicaLag control.Duration `json:"replica_lag,omitempty"`
 }
 
@@ -73,7 +73,7 @@
 	return &Log{chance: control.NewChance(1), streams: map[framework.StreamName][]storedEntry{}}
 }
 
-// Append adds an entry and returns its offset, whatever the faults.
+// Append adds an entry and returns its offset, regardless of faults.
 func (l *Log) Append(stream framework.StreamName, operationID string, payload []byte) structs.LogOffset {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -88,7 +88,7 @@
 	return l.read(stream, from, limit, 0)
 }
 
-// read leaves out what is younger than lag.
+// read omits entries younger than lag.
 func (l *Log) read(stream framework.StreamName, from structs.LogOffset, limit int, lag time.Duration) []framework.LogEntry {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -115,7 +115,7 @@
 	return lengths
 }
 
-// Replica returns a reader of the log that lags by Faults.ReplicaLag and
+// Replica returns a read replica of the log that lags by Faults.ReplicaLag and
 // refuses appends.
 func (l *Log) Replica() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { l.serve(w, r, true) })
--- a/internal/standin/eventlog/eventlog_test.go
+++ b/internal/standin/eventlog/eventlog_test.go
@@ -17,7 +17,7 @@
 
 const stream = framework.StreamConfiguration
 
-// client is the fleet's own driver of a log behind HTTP.
+// client returns the fleet's own driver for a log behind HTTP.
 func client(t *testing.T, log *Log, replica bool) framework.EventLog {
 	t.Helper()
 	server := httptest.NewServer(log)
--- a/internal/standin/machinelist/machinelist.go
+++ b/internal/standin/machinelist/machinelist.go
@@ -1,5 +1,5 @@
-// Package machinelist stands in for the platform's list of live and leaving
-// machines. What it publishes lags behind what it is told.
+// Package machinelist is a stand-in for the platform's list of live and
+// leaving machines. The published list lags behind the true one.
 package machinelist
 
 import (
@@ -15,54 +15,54 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// pathMachines is the list; a machine's address comes behind it.
+// pathMachines is the list; a machine's address follows it.
 const pathMachines = "/machines"
 
-// parameterSince asks for what differs from a version.
+// parameterSince is the query parameter for changes since a version.
 const parameterSince = "since"
 
-// Faults are those of the list.
+// Faults are the faults of the list.
 type Faults struct {
 	control.ServiceFaults
-	// Lag is the age of what the list shows.
+	// Lag is the age of the published list.
 	Lag control.Duration `json:"lag,omitempty"`
-	// Frozen has the list show what it shows now, until it is lifted.
+	// Frozen keeps the published list as it is while set.
 	Frozen bool `json:"frozen,omitempty"`
 }
 
 // List is the stand-in. It implements http.Handler: GET /machines reads the
-// published list, GET /machines?since=VERSION what differs from a version that
-// such a reading gave (an empty one gives the whole list), PUT /machines replaces the true one, PUT /machines/ADDRESS
-// sets one row of it, DELETE /machines/ADDRESS removes one, GET and PUT
-// /faults.
+// published list, GET /machines?since=VERSION the changes since a version from
+// an earlier read (the full list for an empty one), PUT /machines replaces the
+// true list, PUT /machines/ADDRESS sets one machine, DELETE /machines/ADDRESS
+// removes one, GET and PUT /faults.
 type List struct {
 	// Faults may be set at any time.
 	Faults control.Faults[Faults]
 
 	chance *control.Chance
-	// run tells this list's versions from those of another run.
+	// run distinguishes this list's versions from those of another run.
 	run   int64
 	mutex sync.Mutex
-	// history are the latest versions; those before position visible are kept
-	// for readers that build on them.
+	// history holds the latest versions; those before index visible are kept
+	// for readers that request changes since them.
 	history []version
 	visible int
-	// frozen is what the list shows while isFrozen is set.
+	// frozen is the published version while isFrozen is set.
 	isFrozen bool
 	frozen   version
 }
 
-// keptVersions is how many versions before the visible one are kept.
+// keptVersions is the number of versions kept before the visible one.
 const keptVersions = 64
 
-// version is the list as it was from a moment on.
+// version is the list from a point in time on.
 type version struct {
 	number   int
 	from     time.Time
 	machines []structs.Machine
 }
 
-// New returns a list that publishes changes after lag. The first list given is
+// New returns a list that publishes changes after lag. The initial list is
 // published at once.
 func New(machines []structs.Machine, lag time.Duration) *List {
 	l := &List{chance: control.NewChance(1), run: time.Now().UnixNano(), history: []version{{machines: machines}}}
@@ -109,10 +109,10 @@
 	l.history = append(l.history, version{number: number, from: time.Now(), machines: next})
 }
 
-// published returns the list as it shows now.
+// published returns the list as published now.
 func (l *List) published() []structs.Machine { return l.read("").Machines }
 
-// read answers a reading that builds on a version.
+// read returns the published list, as changes if since is a known version.
 func (l *List) read(since framework.ListVersion) framework.ListResponse {
 	lag := l.Faults.Get().Lag
 	l.mutex.Lock()
@@ -129,12 +129,13 @@
 	return framework.FullListResponse(l.name(shown), shown.machines)
 }
 
-// name returns a version's name, which no other run of a list gives.
+// name returns a version's name, which is unique across runs.
 func (l *List) name(v version) framework.ListVersion {
 	return framework.ListVersion(fmt.Sprintf("%x-%d", l.run, v.number))
 }
 
-// asOf returns the version of lag ago. It never goes back.
+// asOf returns the version that was current lag ago. It never returns an older
+// version than before.
 func (l *List) asOf(lag control.Duration) version {
 	visible := time.Now().Add(-time.Duration(lag))
 	for l.visible+1 < len(l.history) && !l.history[l.visible+1].from.After(visible) {
@@ -185,7 +186,7 @@
 	control.WriteJSON(w, machine)
 }
 
-// serveRead answers with rows alone unless the reader names a version.
+// serveRead answers with the list alone unless the reader gives a version.
 func (l *List) serveRead(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	if query.Has(parameterSince) {
--- a/internal/standin/proxy/faults.go
+++ b/internal/standin/proxy/faults.go
@@ -6,8 +6,8 @@
 	"github.com/mintpulley/mintpulley/internal/standin/control"
 )
 
-// Faults are those of one route. Each direction has its own: ToTarget is from
-// whoever connects to the target, ToClient the way back.
+// Faults are the faults of one route. ToTarget applies from the client to the
+// target, ToClient to the opposite direction.
 type Faults struct {
 	// Refuse closes every new connection at once.
 	Refuse   bool            `json:"refuse,omitempty"`
@@ -15,19 +15,19 @@
 	ToClient DirectionFaults `json:"to_client,omitzero"`
 }
 
-// DirectionFaults are those of one direction of a route.
+// DirectionFaults are the faults of one direction of a route.
 type DirectionFaults struct {
-	// Delay is added to every byte, and a draw from 0 to Jitter besides. Bytes
+	// Delay is added to every byte, plus a random time from 0 to Jitter. Bytes
 	// stay in order.
 	Delay  control.Duration `json:"delay,omitempty"`
 	Jitter control.Duration `json:"jitter,omitempty"`
-	// BytesPerSecond limits each connection; 0 does not.
+	// BytesPerSecond limits each connection; 0 means no limit.
 	BytesPerSecond int64 `json:"bytes_per_second,omitempty"`
-	// Hold keeps bytes back until it is lifted, as a network does whose lost
-	// packets are sent again: a partition that heals.
+	// Hold keeps bytes back until it is lifted, like a partition that heals
+	// and after which lost packets are retransmitted.
 	Hold bool `json:"hold,omitempty"`
-	// Drop loses bytes. A connection that lost some is cut when the fault is
-	// lifted: it cannot go on.
+	// Drop discards bytes. A connection that lost some is reset when the fault
+	// is lifted, since it cannot continue.
 	Drop bool `json:"drop,omitempty"`
 }
 
--- a/internal/standin/proxy/pipe.go
+++ b/internal/standin/proxy/pipe.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// chunkBytes is the most that is read at once.
+	// chunkBytes is the maximum size of one read.
 	chunkBytes = 32 << 10
-	// queuedChunks bounds what one direction keeps back; then the sender has
-	// to wait, as with a full window.
+	// queuedChunks limits the chunks queued in one direction; beyond it the
+	// sender blocks, as with a full TCP window.
 	queuedChunks = 1024
-	// paceInterval is how often a held direction looks whether it may go on.
+	// pollInterval is how often a held direction checks whether it may
+	// continue.
 	pollInterval = 5 * time.Millisecond
 )
 
-// chunkKind tells what a chunk passes on.
+// chunkKind is what a chunk forwards.
 type chunkKind int
 
 const (
@@ -30,7 +31,7 @@
 	chunkReset
 )
 
-// chunk is something to pass on once its time has come.
+// chunk is data or an end to forward at its due time.
 type chunk struct {
 	kind  chunkKind
 	bytes []byte
@@ -40,9 +41,9 @@
 // pipe is one direction of a connection.
 type pipe struct {
 	source, destination net.Conn
-	// pending was read from the source before the pipe began.
+	// pending was read from the source before the pipe started.
 	pending []byte
-	// faults are this direction's, opposite the other's.
+	// faults returns this direction's faults, opposite the other direction's.
 	faults         func() DirectionFaults
 	opposite       func() DirectionFaults
 	randomDuration func(limit time.Duration) time.Duration
@@ -52,13 +53,13 @@
 	once           sync.Once
 }
 
-// run moves bytes until one side ends.
+// run forwards bytes until one side ends.
 func (p *pipe) run() {
 	go p.read()
 	p.write()
 }
 
-// stop has the pipe end at once.
+// stop ends the pipe immediately.
 func (p *pipe) stop() { p.once.Do(func() { close(p.closed) }) }
 
 func (p *pipe) read() {
@@ -85,7 +86,8 @@
 	}
 }
 
-// dueAfter returns when bytes that come now may go on, behind those before.
+// dueAfter returns when bytes received now are due, not before the previous
+// ones.
 func (p *pipe) dueAfter(last time.Time) time.Time {
 	faults := p.faults()
 	due := time.Now().Add(time.Duration(faults.Delay) + p.randomDuration(time.Duration(faults.Jitter)))
@@ -119,8 +121,8 @@
 	}
 }
 
-// lose throws away what comes until the fault is lifted, and then cuts the
-// connection: it cannot go on without what was lost.
+// discardUntilLifted discards bytes until the fault is lifted and then resets
+// the connection, which cannot continue without them.
 func (p *pipe) discardUntilLifted() {
 	go func() {
 		for range p.queue {
@@ -135,7 +137,7 @@
 	p.cut()
 }
 
-// pass hands on one chunk; it returns false when the pipe is at its end.
+// forward forwards one chunk; it returns false when the pipe has ended.
 func (p *pipe) forward(next chunk) bool {
 	switch next.kind {
 	case chunkEnd:
@@ -158,7 +160,7 @@
 	return true
 }
 
-// destinationBroken tells the source, as soon as the way back is open.
+// propagateReset resets the source's side once the opposite direction is open.
 func (p *pipe) propagateReset() {
 	blocked := func() DirectionFaults {
 		faults := p.opposite()
@@ -170,7 +172,7 @@
 	}
 }
 
-// waitWhileHeld returns once a direction is not held, and false when the
+// waitWhileHeld returns true once a direction is not held, and false if the
 // connection ended before.
 func (p *pipe) waitWhileHeld(faults func() DirectionFaults) bool {
 	for faults().Hold {
@@ -181,7 +183,7 @@
 	return true
 }
 
-// sleepUntil returns true at a time, or false once closed is closed.
+// sleepUntil returns true at a time, or false as soon as closed is closed.
 func sleepUntil(due time.Time, closed <-chan struct{}) bool {
 	timer := time.NewTimer(max(time.Until(due), 0))
 	defer timer.Stop()
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -1,7 +1,7 @@
-// Package proxy is a TCP proxy that makes faults: delay, jitter, limited
-// bandwidth, refused and broken connections, bytes held back or lost one way,
-// half-closed connections. One process carries many routes; all are set over
-// HTTP while they run, or through this package.
+// Package proxy is a TCP proxy that injects faults: delay, jitter, limited
+// bandwidth, refused and reset connections, bytes held back or lost in one
+// direction, half-closed connections. One process carries many routes; all are
+// configured at run time, over HTTP or through this package.
 package proxy
 
 import (
@@ -17,17 +17,17 @@
 
 // Errors of the proxy.
 var (
-	// ErrListen: a route's address cannot be listened on.
+	// ErrListen is returned when a route's address cannot be listened on.
 	ErrListen = eris.New("cannot listen")
-	// ErrExists: a route of that name is there already.
+	// ErrExists is returned for a route whose name is in use.
 	ErrExists = eris.New("the route exists")
-	// ErrSide: a side is neither client nor target.
+	// ErrSide is returned for a side that is neither client nor target.
 	ErrSide = eris.New("side must be client or target")
 )
 
-// Proxy is a set of routes. It implements http.Handler for its control: GET
-// and POST /routes, DELETE /routes/NAME, GET and PUT /routes/NAME/faults, POST
-// /routes/NAME/cut, POST /routes/NAME/half_close?side=client|target.
+// Proxy is a set of routes. It implements http.Handler for its control API:
+// GET and POST /routes, DELETE /routes/NAME, GET and PUT /routes/NAME/faults,
+// POST /routes/NAME/cut, POST /routes/NAME/half_close?side=client|target.
 type Proxy struct {
 	seed   uint64
 	mux    *http.ServeMux
@@ -35,7 +35,7 @@
 	routes map[string]*Route
 }
 
-// RouteState is a route as the control shows it.
+// RouteState is a route as the control API shows it.
 type RouteState struct {
 	Name        string `json:"name"`
 	Listen      string `json:"listen"`
@@ -45,7 +45,7 @@
 	Connections int    `json:"connections"`
 }
 
-// New returns a proxy without routes. The seed draws the jitter.
+// New returns a proxy without routes. The seed determines the jitter.
 func New(seed uint64) *Proxy {
 	p := &Proxy{seed: seed, mux: http.NewServeMux(), routes: map[string]*Route{}}
 	p.mux.HandleFunc("GET /routes", p.serveRoutes)
@@ -57,7 +57,7 @@
 	return p
 }
 
-// Add listens on an address, "IP:PORT", and forwards what comes to a target.
+// Add listens on an address, "IP:PORT", and forwards connections to a target.
 func (p *Proxy) Add(name, listen, target string) (*Route, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -79,7 +79,7 @@
 	return p.routes[name]
 }
 
-// Remove ends a route; it returns false when there is none of that name.
+// Remove closes a route; it returns false when none has that name.
 func (p *Proxy) Remove(name string) bool {
 	p.mutex.Lock()
 	route := p.routes[name]
@@ -92,14 +92,14 @@
 	return true
 }
 
-// Close ends all routes.
+// Close closes all routes.
 func (p *Proxy) Close() {
 	for _, state := range p.States() {
 		p.Remove(state.Name)
 	}
 }
 
-// States returns all routes by name.
+// States returns all routes, sorted by name.
 func (p *Proxy) States() []RouteState {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -151,7 +151,8 @@
 	control.WriteJSON(w, route.state())
 }
 
-// named returns the route that a request names, or answers that there is none.
+// requestedRoute returns the route that a request names, or answers that there
+// is none.
 func (p *Proxy) requestedRoute(w http.ResponseWriter, r *http.Request) *Route {
 	route := p.Route(r.PathValue("name"))
 	if route == nil {
@@ -174,7 +175,7 @@
 	}
 }
 
-// affected tells how many connections a fault met.
+// affected is the number of connections that a fault affected.
 type affected struct {
 	Connections int `json:"connections"`
 }
--- a/internal/standin/proxy/proxy_test.go
+++ b/internal/standin/proxy/proxy_test.go
@@ -63,7 +63,7 @@
 	return conn
 }
 
-// exchange sends a line and returns what comes back within a time.
+// exchange sends a line and returns the line read within a time limit.
 func exchange(conn net.Conn, line string, within time.Duration) (string, error) {
 	if _, err := io.WriteString(conn, line+"\n"); err != nil {
 		return "", err
--- a/internal/standin/proxy/route.go
+++ b/internal/standin/proxy/route.go
@@ -14,10 +14,10 @@
 	"github.com/mintpulley/mintpulley/internal/standin/control"
 )
 
-// dialTimeout bounds the connection to a target.
+// dialTimeout limits connecting to a target.
 const dialTimeout = 5 * time.Second
 
-// Side names an end of a route.
+// Side is an end of a route.
 type Side string
 
 // Sides.
@@ -26,7 +26,7 @@
 	SideTarget Side = "target"
 )
 
-// Route forwards the connections to one address.
+// Route forwards the connections to one listening address.
 type Route struct {
 	// Faults may be set at any time; they apply to open connections too.
 	Faults control.Faults[Faults]
@@ -52,7 +52,7 @@
 	once           sync.Once
 }
 
-// newRoute listens on an address, "IP:PORT", and forwards to another.
+// newRoute listens on an address, "IP:PORT", and forwards to a target.
 func newRoute(name, listen, target string, seed uint64) (*Route, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return r, nil
 }
 
-// Address returns where the route listens.
+// Address returns the listening address.
 func (r *Route) Address() string { return r.listener.Addr().String() }
 
 // Connections returns the number of open connections.
@@ -118,9 +118,9 @@
 	c.end(func(conn net.Conn) { _ = conn.Close() })
 }
 
-// waitToDial returns once bytes may go to the target, with those that the
-// client has sent meanwhile. It returns false when the client has gone: over
-// a network that is cut, its connection would never have been made.
+// waitToDial waits until bytes may go to the target and returns those that the
+// client has sent meanwhile. It returns false if the client has disconnected:
+// over a network partition its connection would never have been established.
 func (r *Route) waitToDial(client net.Conn) ([]byte, bool) {
 	blocked := func() bool {
 		faults := r.Faults.Get().ToTarget
@@ -137,7 +137,8 @@
 	return readReady(client)
 }
 
-// readReady reads what a connection has at hand; false when it is closed.
+// readReady reads the bytes already received on a connection; false if it is
+// closed.
 func readReady(conn net.Conn) ([]byte, bool) {
 	defer func() { _ = conn.SetReadDeadline(time.Time{}) }()
 	var ready []byte
@@ -180,7 +181,7 @@
 	return true
 }
 
-// draw returns a time from 0 to limit.
+// randomDuration returns a random duration from 0 to limit.
 func (r *Route) randomDuration(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
@@ -190,7 +191,7 @@
 	return time.Duration(r.random.Int64N(int64(limit) + 1))
 }
 
-// cut breaks the connection: both sides see a reset.
+// cut resets both sides of the connection.
 func (c *connection) cut() { c.end(reset) }
 
 func (c *connection) end(finish func(net.Conn)) {
@@ -206,7 +207,7 @@
 	})
 }
 
-// reset closes a connection so that its other end sees a reset.
+// reset closes a connection so that its peer sees a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -224,7 +225,7 @@
 	return connections
 }
 
-// Cut breaks all open connections and returns how many there were.
+// Cut resets all open connections and returns how many there were.
 func (r *Route) Cut() int {
 	connections := r.open()
 	for _, c := range connections {
@@ -233,8 +234,8 @@
 	return len(connections)
 }
 
-// HalfClose tells one side of each open connection that the other has closed
-// its sending direction, while the other knows nothing of it.
+// HalfClose closes the sending direction towards one side of each open
+// connection; the other side is not told.
 func (r *Route) HalfClose(side Side) int {
 	connections := r.open()
 	for _, c := range connections {
@@ -247,7 +248,7 @@
 	return len(connections)
 }
 
-// close ends the route and waits for its goroutines.
+// close closes the route and waits for its goroutines.
 func (r *Route) close() {
 	r.mutex.Lock()
 	r.closed = true
--- a/internal/standin/tool/tool.go
+++ b/internal/standin/tool/tool.go
@@ -1,6 +1,5 @@
-// Package tool stands in for a tool service: look-ups that answer, or hang.
-// Its operations have no lasting effect, so it counts calls and knows no
-// fences.
+// Package tool is a stand-in for a tool service whose look-ups answer or hang.
+// Its operations have no lasting effect, so it counts calls and has no fences.
 package tool
 
 import (
@@ -16,15 +15,16 @@
 )
 
 const (
-	// pathOperations comes before a look-up's name.
+	// pathOperations is the path prefix of a look-up's name.
 	pathOperations = "/operations/"
-	// bodyLimit bounds a request in bytes.
+	// bodyLimit is the maximum size of a request in bytes.
 	bodyLimit = 1 << 20
-	// answerValues bounds the numbers that look-ups return.
+	// answerValues is the exclusive upper bound of the numbers that look-ups
+	// return.
 	answerValues = 100_000
 )
 
-// Faults are those of a tool service.
+// Faults are the faults of a tool service.
 type Faults struct {
 	control.ServiceFaults
 	// Fail is the fraction of look-ups answered with status 500.
@@ -40,8 +40,8 @@
 }
 
 // Tool is the stand-in. It implements http.Handler: POST /operations/NAME
-// looks something up, GET /calls tells how often each was called, GET
-// /attempts answers that nothing is remembered, GET and PUT /faults.
+// performs a look-up, GET /calls returns how often each was called, GET
+// /attempts reports every attempt as absent, GET and PUT /faults.
 type Tool struct {
 	// Faults may be set at any time.
 	Faults control.Faults[Faults]
@@ -51,7 +51,7 @@
 	calls  map[string]int
 }
 
-// New returns a tool service that was never called.
+// New returns a tool service without calls.
 func New() *Tool { return &Tool{chance: control.NewChance(1), calls: map[string]int{}} }
 
 // Calls returns how often each look-up was called.
@@ -82,7 +82,7 @@
 	}
 }
 
-// lookup is the answer of a look-up.
+// lookup is the body of a look-up's answer.
 type lookup struct {
 	Name  string `json:"name"`
 	Value uint32 `json:"value"`
@@ -106,7 +106,7 @@
 	})
 }
 
-// valueOf returns the same number for the same question.
+// valueOf returns a number that depends only on the look-up's name and body.
 func valueOf(name string, body []byte) uint32 {
 	digest := fnv.New32a()
 	_, _ = fmt.Fprintf(digest, "%s\n%s", name, body)
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights stands in for the platform's weight store: all engines
-// together read from it at a limited rate.
+// Package weights is a stand-in for the platform's weight store, from which
+// all engines together read at a limited rate.
 package weights
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/mintpulley/mintpulley/internal/standin/control"
 )
 
-// pathWeights comes before the name of what is read.
+// pathWeights is the path prefix of the name to read.
 const pathWeights = "/weights/"
 
-// Faults are those of the store.
+// Faults are the faults of the store.
 type Faults struct {
 	control.ServiceFaults
 	// BytesPerSecond overrides the store's rate; 0 keeps it.
@@ -32,9 +32,9 @@
 	return f.ServiceFaults.Validate()
 }
 
-// Store is the stand-in. It implements http.Handler: GET
-// /weights/NAME?bytes=N answers when that many bytes were read, one reader
-// after the other, GET /reads lists what was read, GET and PUT /faults.
+// Store is the stand-in. It implements http.Handler: GET /weights/NAME?bytes=N
+// answers once that many bytes were read, one reader after the other, GET
+// /reads lists the reads, GET and PUT /faults.
 type Store struct {
 	// Faults may be set at any time.
 	Faults control.Faults[Faults]
@@ -42,7 +42,7 @@
 	rate   int64
 	chance *control.Chance
 	mutex  sync.Mutex
-	// free is when the last read that was promised ends.
+	// freeAt is when the last accepted read ends.
 	freeAt time.Time
 	reads  []Read
 }
@@ -55,13 +55,12 @@
 	Took      time.Duration `json:"took"`
 }
 
-// New returns a store that gives out so many bytes each second.
+// New returns a store with a rate in bytes per second.
 func New(bytesPerSecond int64) *Store {
 	return &Store{rate: bytesPerSecond, chance: control.NewChance(1)}
 }
 
-// reserve takes the next place in the queue of readers and returns when the
-// read is over.
+// reserve queues a read and returns when it is complete.
 func (s *Store) reserve(name string, bytes int64) time.Time {
 	rate := s.rate
 	if override := s.Faults.Get().BytesPerSecond; override > 0 {
@@ -79,7 +78,7 @@
 	return s.freeAt
 }
 
-// Reads returns all reads in the order in which they were asked for.
+// Reads returns all reads in the order of their requests.
 func (s *Store) Reads() []Read {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -101,7 +100,7 @@
 	}
 }
 
-// answer tells what was read.
+// answer is the body of the answer to a read.
 type answer struct {
 	Name  string `json:"name"`
 	Bytes int64  `json:"bytes"`
