--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -1,6 +1,6 @@
-// Package demo runs the whole path over real sockets in one process: the
+// Package demo runs a whole fleet over real sockets in one process: the
 // stand-ins of the platform and the back ends, three daemons in three zones,
-// and programs driven through OpenAI's client library.
+// and programs that use OpenAI's client library.
 package demo
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// zones are those of the demonstration.
+// zones are the zones of the demonstration.
 var zones = []structs.ZoneName{"zone-a", "zone-b", "zone-c"}
 
 // Cluster is a fleet with its stand-ins in one process.
@@ -34,19 +34,19 @@
 	Daemons       []*daemon.Daemon
 	HTTPAddresses []string
 	servers       []*http.Server
-	// configs are the daemons' settings, with which they can be started again.
+	// configs are the daemons' settings, kept to start them again.
 	configs []settings.Settings
 	logger  zerolog.Logger
-	// tenants maps hashes of keys to the tenants of the demonstration.
+	// tenants maps key hashes to the tenants of the demonstration.
 	tenants map[string]structs.TenantName
 }
 
-// ClusterOptions describe a cluster.
+// ClusterOptions configure a cluster.
 type ClusterOptions struct {
 	Models       []structs.ModelName
 	Applications []string
 	Logger       zerolog.Logger
-	// Adjust changes the daemons' settings from their defaults; nil changes none.
+	// AdjustSettings changes the daemons' default settings; nil changes none.
 	AdjustSettings func(*settings.Settings)
 }
 
@@ -125,7 +125,8 @@
 	return nil
 }
 
-// RestartAll kills all daemons at once and starts fresh runs at their addresses.
+// RestartAll kills all daemons at once and starts them again at their
+// addresses.
 func (c *Cluster) RestartAll() error {
 	for _, d := range c.Daemons {
 		d.Kill()
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// daemonAddresses lists one daemon per zone with a free address each.
+// daemonAddresses returns one daemon per zone, each with a free address.
 func daemonAddresses() ([]structs.Machine, error) {
 	var daemons []structs.Machine
 	for _, zone := range zones {
@@ -153,7 +154,7 @@
 	return daemons, nil
 }
 
-// serve answers HTTP on a free port and returns the address.
+// serve serves HTTP on a free port and returns the address.
 func (c *Cluster) serve(handler http.Handler) (string, error) {
 	server, address, err := loopback.Serve(handler)
 	if err != nil {
@@ -163,7 +164,7 @@
 	return address, nil
 }
 
-// Close stops the daemons as planned and then the stand-ins.
+// Close shuts down the daemons and then the stand-ins.
 func (c *Cluster) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -15,7 +15,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Result is the closing report of a demonstration.
+// Result is the final report of a demonstration.
 type Result struct {
 	Daemons                        int     `json:"daemons"`
 	Programs                       int     `json:"programs"`
@@ -30,9 +30,9 @@
 }
 
 const (
-	// startWait bounds the wait for the daemons to be ready.
+	// readinessTimeout limits the wait for the daemons to be ready.
 	readinessTimeout = 10 * time.Second
-	// readyPause is the pause between looks whether the daemons are ready.
+	// readyPause is the interval between readiness checks.
 	readyPause = 20 * time.Millisecond
 	// microsecondsPerSecond and microsecondsPerMillisecond convert histogram
 	// values.
@@ -42,9 +42,9 @@
 	histogramDigits = 3
 )
 
-// Run runs the demonstration: both users' example configurations, their
-// programs, a measurement of the first token, and a look from outside at what
-// the back ends saw.
+// Run runs the demonstration: it publishes both users' example configurations,
+// runs their programs, measures the time to the first token, and checks what
+// the back ends executed.
 func Run(ctx context.Context) (Result, error) {
 	wanted, problems := files.LoadFS(examples.Files, "tally", "chlebnet")
 	if len(problems) > 0 {
@@ -84,7 +84,8 @@
 	return models
 }
 
-// rememberTenants notes whose keys are whose, for checks from outside.
+// rememberTenants records the tenant of each key hash for the checks of the
+// back ends.
 func (c *Cluster) rememberTenants(wanted structs.Configuration) {
 	c.tenants = map[string]structs.TenantName{}
 	for name, tenant := range wanted.Tenants {
@@ -94,7 +95,7 @@
 	}
 }
 
-// Publish appends a change to the log that sets everything wanted.
+// Publish appends a full configuration change to the log.
 func (c *Cluster) Publish(wanted structs.Configuration) error {
 	payload, err := configuration.EncodeFullChange("demo", wanted)
 	if err != nil {
--- a/internal/demo/first_token.go
+++ b/internal/demo/first_token.go
@@ -13,23 +13,24 @@
 	"github.com/mintpulley/mintpulley/internal/gateway"
 )
 
-// firstTokenPairs is how many calls are made each way.
+// firstTokenPairs is the number of calls on each path.
 const firstTokenPairs = 150
 
-// firstToken compares the time to the first token straight to the engines with
-// that through the daemons, both in one run, alternating.
+// firstToken holds the time to the first token directly from the engines and
+// through the daemons, measured alternately in one run.
 type firstToken struct {
 	straight *hdrhistogram.Histogram
 	through  *hdrhistogram.Histogram
 }
 
-// at returns what the daemons add at a percentile, in milliseconds.
+// at returns the time that the daemons add at a percentile, in milliseconds.
 func (f firstToken) at(percentile float64) float64 {
 	added := f.through.ValueAtQuantile(percentile) - f.straight.ValueAtQuantile(percentile)
 	return float64(added) / microsecondsPerMillisecond
 }
 
-// measureFirstToken makes calls one at a time, so that no queue is measured.
+// measureFirstToken makes calls one at a time, so that no queueing is
+// measured.
 func (c *Cluster) measureFirstToken(ctx context.Context) (firstToken, error) {
 	result := firstToken{straight: newHistogram(), through: newHistogram()}
 	for i := range firstTokenPairs {
--- a/internal/demo/programs.go
+++ b/internal/demo/programs.go
@@ -27,19 +27,19 @@
 )
 
 const (
-	// programsPerKind is how many programs of each kind run.
+	// programsPerKind is the number of programs of each kind.
 	programsPerKind = 12
 	// arrivalSpan is the time over which programs arrive.
 	arrivalSpan = 2 * time.Second
-	// toolPause is the longest time that a caller's own tool takes.
+	// toolPause is the maximum duration of a caller's own tool.
 	toolPause = 150 * time.Millisecond
-	// demoSeed fixes the shapes of the programs.
+	// demoSeed seeds the programs' random choices.
 	demoSeed = 2026
-	// releaseWait bounds the wait for engines to hold nothing any more.
+	// holdReleaseTimeout limits the wait for engines to release all holds.
 	holdReleaseTimeout = 5 * time.Second
 )
 
-// errRefused is returned by a program whose call was refused as not run.
+// errRefused is returned by a program whose call was refused without running.
 var errRefused = eris.New("demo: refused")
 
 // kind is one kind of program: who runs it and its steps.
@@ -61,14 +61,14 @@
 	}
 }
 
-// run is one program under way.
+// programRun is a program in progress.
 type programRun struct {
 	kind
 	ctx     context.Context
 	cluster *Cluster
 	name    string
 	random  *rand.Rand
-	// daemon is the next daemon to call: a program may turn to any.
+	// daemon is the next daemon to call; a program may call any daemon.
 	daemon   int
 	sequence int
 	calls    int
@@ -77,8 +77,8 @@
 	messages []openai.ChatCompletionMessageParamUnion
 }
 
-// summarise looks up booths until it has enough, and lets a sub-agent look at
-// a special in the meantime.
+// summarise looks up booths a random number of times, while a sub-agent
+// examines the special votes.
 func summarise(p *programRun) error {
 	if err := p.ask("Which electorate is this?", false); err != nil {
 		return err
@@ -155,7 +155,8 @@
 
 func (p *programRun) pause() { time.Sleep(time.Duration(p.random.Int64N(int64(toolPause)))) }
 
-// headers names the next call. Each goes to another daemon than the last.
+// headers returns the headers of the next call, which goes to another daemon
+// than the last.
 func (p *programRun) headers(repeatable, end bool) http.Header {
 	p.sequence++
 	p.calls++
@@ -237,15 +238,15 @@
 	return nil
 }
 
-// attempt returns the name under which back ends know a request.
+// attempt returns the attempt ID under which back ends know a request.
 func (p *programRun) attempt(request string) structs.AttemptID {
 	tenant := p.cluster.tenants[gateway.KeyHash(p.key)]
 	key := structs.ProgramKey{Tenant: tenant, Program: structs.ProgramID(p.name)}
 	return structs.NewAttemptID(key, structs.RequestID(request))
 }
 
-// runPrograms runs the programs of all kinds, each spread over the daemons,
-// and checks what the back ends saw.
+// runPrograms runs the programs of all kinds, spread over the daemons, and
+// checks what the back ends executed.
 func (c *Cluster) runPrograms(ctx context.Context) Result {
 	result := Result{Daemons: len(c.Daemons)}
 	latencies := newHistogram()
@@ -285,7 +286,8 @@
 	return result
 }
 
-// wrongRuns counts requests that must have run once and did not.
+// countWrongRuns counts requests that should have run exactly once and did
+// not.
 func (c *Cluster) countWrongRuns(orders []structs.AttemptID) int {
 	wrong := 0
 	for _, attempt := range orders {
@@ -300,7 +302,8 @@
 	return wrong
 }
 
-// leakedHolds counts what engines still pin a while after all programs ended.
+// countLeakedHolds counts the holds that engines still have after all programs
+// ended and the timeout passed.
 func (c *Cluster) countLeakedHolds(ctx context.Context) int {
 	deadline := time.Now().Add(holdReleaseTimeout)
 	for {
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// endTimeout bounds the request that ends a program.
+	// endTimeout limits the request that ends a program.
 	endTimeout = 10 * time.Second
-	// minimumRetry is the least pause before a refused call is sent again.
+	// minimumRetry is the minimum delay before a refused call is retried.
 	minimumRetry = 500 * time.Millisecond
 )
 
@@ -22,7 +22,7 @@
 	program *workload.Program
 	turn    int
 	tries   int
-	// pending counts what the next call waits for.
+	// pending counts the results that the next call waits for.
 	pending   int
 	startedAt time.Time
 	done      func()
@@ -53,8 +53,8 @@
 	}, p)
 }
 
-// message is the next question or tool result; the engine model reads the
-// wanted length of its answer.
+// message returns the next question or tool result, with a directive that
+// tells the engine model the length of its answer.
 func (p *programRun) message(turn *workload.Turn) structs.Message {
 	directive := fmt.Sprintf("[[tokens=%d]] ", turn.AnswerTokens)
 	line := fmt.Sprintf("Program %s, message %d. ", p.program.ID, p.turn+1)
@@ -87,7 +87,8 @@
 	}
 }
 
-// arrived notes that one of the things that the next call waits for is there.
+// dependencyDone records that one of the results for the next call has
+// arrived.
 func (p *programRun) dependencyDone() {
 	p.pending--
 	if p.pending == 0 {
@@ -95,7 +96,8 @@
 	}
 }
 
-// end is the caller's word that no call follows. Only it knows that.
+// end tells the daemon that the program makes no further call, which only the
+// caller knows.
 func (p *programRun) end() {
 	p.run.fleet.queries.EndProgram(p.key(), endTimeout, ignoreEnd)
 	p.done()
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// referenceStep is the time between tokens that a full engine is allowed.
+	// referenceStep is the maximum time between tokens at a full engine.
 	referenceStep = 30 * time.Millisecond
-	// sampleSeed and samplePrograms give the mean work of a workload's
-	// programs; the sample is the same for every seed of an experiment.
+	// sampleSeed and samplePrograms define the sample from which the mean work
+	// of a workload's programs is computed; it is the same for every seed of
+	// an experiment.
 	sampleSeed     = 424242
 	samplePrograms = 4000
 )
 
-// Capacity is what a fleet can serve at most with nothing computed twice.
+// Capacity is the maximum throughput of a fleet that computes nothing twice.
 type Capacity struct {
 	// ReferenceBatch is the largest batch whose steps take at most 30 ms and
 	// whose contexts fit the cache.
@@ -26,15 +27,16 @@
 	// ProgramsPerSecond is engines / WorkSeconds: load 1.
 	ProgramsPerSecond float64
 
-	// answerTokens and prefillSeconds are a mean program's.
+	// answerTokens and prefillSeconds are those of a mean program.
 	answerTokens   float64
 	prefillSeconds float64
-	// stepBaseSeconds and perSequenceSeconds make up a step.
+	// stepBaseSeconds and perSequenceSeconds are the fixed and the
+	// per-sequence time of a step.
 	stepBaseSeconds    float64
 	perSequenceSeconds float64
 }
 
-// work sums up what calls need.
+// work is the total work of a set of calls.
 type work struct {
 	newTokens     int64
 	answerTokens  int64
@@ -58,8 +60,8 @@
 	}
 }
 
-// fits tells whether a batch keeps its steps short enough, and whether the
-// cache holds its contexts.
+// fits reports whether a batch keeps its steps within referenceStep and its
+// contexts within the cache.
 func fits(batch int, context, perSequence float64, p *enginemodel.Parameters) bool {
 	step := p.StepBase.Seconds() + float64(batch)*perSequence
 	if step > referenceStep.Seconds() {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -11,11 +11,12 @@
 	"github.com/mintpulley/mintpulley/internal/workload"
 )
 
-// DefaultDuration is how long programs arrive, in virtual seconds.
+// DefaultDuration is the default time during which programs arrive, in virtual
+// seconds.
 const DefaultDuration = 120
 
-// cacheTokens is what an 8-billion-parameter model leaves of an accelerator of
-// the 32 GB class: 13 GB at 128 KB a token.
+// cacheTokens is the cache that an 8-billion-parameter model leaves on an
+// accelerator of the 32 GB class: 13 GB at 128 KB per token.
 const cacheTokens = 100_000
 
 // EngineParameters returns the parameters of the experiment's engines.
@@ -25,25 +26,27 @@
 	return parameters
 }
 
-// Options describe one experiment.
+// Options configure one experiment.
 type Options struct {
-	// Load is the arrival rate in parts of the capacity.
+	// Load is the arrival rate as a fraction of the capacity.
 	Load float64
 	Seed uint64
-	// Seeds is how many seeds are run, from Seed on.
+	// Seeds is the number of consecutive seeds to run, starting at Seed.
 	Seeds    int
 	Duration float64
 	Policies []string
-	// Parameters are the engines'.
+	// Parameters are the engines' parameters.
 	Parameters enginemodel.Parameters
-	// Adjust changes the profile of mintpulley, for trials; nil for none.
+	// AdjustProfile changes the profile of the mintpulley policy, for trials;
+	// nil for none.
 	AdjustProfile func(*schedule.Profile)
 }
 
-// Outcome is what one policy made of a trace.
+// Outcome holds the measurements of one policy on a trace.
 type Outcome struct {
 	Policy string
-	// Latencies of programs, in seconds, in the order of their ends.
+	// Latencies are the latencies of programs in seconds, in the order in
+	// which they ended.
 	Latencies          []float64
 	Samples            []CacheSample
 	Refusals           int
@@ -52,7 +55,7 @@
 	HeldIdleFraction   float64
 }
 
-// WastedCacheFraction is recomputed plus held idle.
+// WastedCacheFraction returns the recomputed plus the held idle fraction.
 func (o *Outcome) WastedCacheFraction() float64 { return o.RecomputedFraction + o.HeldIdleFraction }
 
 // Quantile returns a quantile of the latencies.
@@ -73,7 +76,7 @@
 	return sum / float64(max(len(o.Latencies), 1))
 }
 
-// Trace draws the programs of an experiment.
+// Trace generates the programs of an experiment.
 func Trace(shape *workload.Shape, options *Options) workload.Trace {
 	capacity := CapacityOf(shape, options.Parameters)
 	return shape.Generate(options.Seed, options.Load*capacity.ProgramsPerSecond, options.Duration)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// One program on an idle fleet takes its lower bound, but for the prefix that
-// no cache holds yet, the network and the pause until a step begins.
+// A program alone on an idle fleet takes its lower bound plus the prefix that
+// is not cached yet, the network delay and the wait for a step.
 func TestLowerBoundAgreesWithTheEngineModel(t *testing.T) {
 	shape, err := workload.ByName(workload.TallyName)
 	if err != nil {
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -28,17 +28,17 @@
 	self structs.DaemonID = "10.0.0.1:7000#1"
 	// shards is the number of program shards.
 	shards int = 8
-	// waitingLimit is more than any run reaches: nothing is refused, so that
-	// latency shows what a policy does.
+	// waitingLimit is more than any run reaches, so that no call is refused
+	// and latency shows the effect of the policy.
 	waitingLimit int = 1 << 20
-	// retention is how long an ended program is remembered.
+	// retention is how long an ended program is kept.
 	retention time.Duration = time.Second
 )
 
 // startOfRun is the virtual time at which every run begins.
 var startOfRun = time.Date(2026, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is one daemon's dispatch and scheduling code over model engines.
+// fleet is one daemon's dispatch and scheduling code with model engines.
 type fleet struct {
 	shape       *workload.Shape
 	clock       *clock.Virtual
@@ -50,7 +50,7 @@
 	queries     *query.Client
 }
 
-// staticConfiguration is in force from the start.
+// staticConfiguration is a configuration that does not change.
 type staticConfiguration struct{ value *structs.Configuration }
 
 // Current implements dispatch.Configurations.
@@ -140,10 +140,10 @@
 	f.queries = query.New(f.clock, transport, router)
 }
 
-// lateRouter lets the coordinator be made before its shards.
+// lateRouter allows the coordinator to be created before its shards.
 type lateRouter struct{ *replication.Single }
 
-// alone is the membership of a single daemon.
+// singleMember is the membership of a single daemon.
 type singleMember struct{ zone structs.ZoneName }
 
 // Members implements backends.Members.
--- a/internal/experiment/lower_bound.go
+++ b/internal/experiment/lower_bound.go
@@ -6,13 +6,14 @@
 	"github.com/mintpulley/mintpulley/internal/workload"
 )
 
-// lowerBound gives programs the latency that they would have alone on an idle
-// engine with a warm cache: pauses are as drawn, sub-agents run on idle engines
+// lowerBound computes the latency of programs that run alone on an idle engine
+// with a warm cache: pauses are as generated, sub-agents run on idle engines
 // of their own.
 type lowerBound struct {
 	shape      *workload.Shape
 	parameters *enginemodel.Parameters
-	// leastStepSeconds is the least time between tokens, zero for the engine's.
+	// minimumStepSeconds is the minimum time between tokens; with zero the
+	// engine's step time applies.
 	minimumStepSeconds float64
 }
 
@@ -44,8 +45,8 @@
 	return latency
 }
 
-// callSeconds is the time of one call whose former context is cached, as far
-// as it fills blocks.
+// callSeconds returns the time of one call whose previous context is cached in
+// full blocks.
 func (b *lowerBound) callSeconds(cached int64, turn *workload.Turn) float64 {
 	p := b.parameters
 	prompt := cached + turn.InputTokens
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -16,15 +16,15 @@
 	PrefixAffinity  = "prefix-affinity"
 	Mintpulley      = "mintpulley"
 	LowerBound      = "lower-bound"
-	// SteadyBound is run on demand only: what no policy can beat in the mean
-	// at a steady load.
+	// SteadyBound runs on request only: the mean latency at a steady load that
+	// no policy can beat.
 	SteadyBound = "steady-bound"
 )
 
-// ErrUnknownPolicy: there is no policy of that name.
+// ErrUnknownPolicy is returned for an unknown policy name.
 var ErrUnknownPolicy = eris.New("experiment: unknown policy")
 
-// Policies returns the names that are compared by default, in the order of the
+// Policies returns the policies compared by default, in the order of the
 // tables.
 func Policies() []string {
 	return []string{RoundRobin, LeastLoaded, SessionAffinity, PrefixAffinity, Mintpulley, LowerBound}
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// profileOf returns the scheduler's profile of a policy. The baselines serve
-// first come first served, through the same scheduler: a call waits for the
-// engine of its choice until that has a place in its batch and memory for it.
+// profileOf returns the scheduler's profile for a policy. The baselines serve
+// first come, first served through the same scheduler: a call waits until its
+// chosen engine has a slot in its batch and memory for it.
 func profileOf(policy string) schedule.Profile {
 	if policy == Mintpulley {
 		return schedule.DefaultProfile()
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -12,7 +12,7 @@
 	"github.com/mintpulley/mintpulley/internal/workload"
 )
 
-// ErrInvalidOptions: an option is out of range.
+// ErrInvalidOptions is returned for an option out of range.
 var ErrInvalidOptions = eris.New("experiment: option out of range")
 
 // Bounds of options.
@@ -22,10 +22,10 @@
 	maximumDuration = 3600
 )
 
-// parallelRuns bounds the runs at one time; each is deterministic by itself.
+// parallelRuns limits concurrent runs; each is deterministic on its own.
 const parallelRuns = 4
 
-// PolicyResult is one row of a result, in the checked format.
+// PolicyResult is one row of a result in the JSON output.
 type PolicyResult struct {
 	Name                string  `json:"name"`
 	Programs            int     `json:"programs"`
@@ -36,11 +36,11 @@
 	RecomputedFraction  float64 `json:"recomputed_fraction"`
 	HeldIdleFraction    float64 `json:"held_idle_fraction"`
 	WastedCacheFraction float64 `json:"wasted_cache"`
-	// Outcome is what the row was made of.
+	// Outcome holds the measurements behind the row.
 	Outcome Outcome `json:"-"`
 }
 
-// Result is what an experiment prints.
+// Result is the output of an experiment.
 type Result struct {
 	Workload string         `json:"workload"`
 	Load     float64        `json:"load"`
@@ -48,14 +48,15 @@
 	Policies []PolicyResult `json:"policies"`
 }
 
-// DegradedPublication is how engines report in the aims' last line: load reports 2 s old,
-// cache events as late, and a third of them lost.
+// DegradedPublication returns degraded engine reports: load reports 2 s old,
+// cache events 2 s late, and a third of the events lost.
 func DegradedPublication() enginemodel.Publication {
 	const lag = 2 * time.Second
 	return enginemodel.Publication{LoadLag: lag, EventDelay: lag, EventLoss: 1.0 / 3}
 }
 
-// Validate returns ErrInvalidOptions or ErrUnknownPolicy for the first bad option.
+// Validate returns ErrInvalidOptions or ErrUnknownPolicy for the first invalid
+// option.
 func (o *Options) Validate() error {
 	switch {
 	case o.Load <= 0 || o.Load > maximumLoad:
@@ -68,7 +69,7 @@
 	return CheckPolicies(o.Policies)
 }
 
-// Traces draws one trace for each seed.
+// Traces generates one trace for each seed.
 func Traces(shape *workload.Shape, options *Options) []workload.Trace {
 	traces := make([]workload.Trace, options.Seeds)
 	for i := range traces {
@@ -79,8 +80,8 @@
 	return traces
 }
 
-// Compare replays every trace under every policy. Programs of all traces count
-// together; the cache's figures are the means of the traces'.
+// Compare replays every trace under every policy. Latencies of all traces are
+// pooled; the cache fractions are means over the traces.
 func Compare(shape *workload.Shape, options *Options, traces []workload.Trace) (Result, error) {
 	result := Result{Workload: shape.Name, Load: options.Load, Seed: options.Seed}
 	outcomes, err := runAll(shape, options, traces)
@@ -94,8 +95,8 @@
 	return result, nil
 }
 
-// runAll fills a table of outcomes by policy and trace. Runs share nothing, so
-// that their order does not matter.
+// runAll runs every policy on every trace. Runs share no state, so their order
+// does not matter.
 func runAll(shape *workload.Shape, options *Options, traces []workload.Trace) ([][]Outcome, error) {
 	outcomes := make([][]Outcome, len(options.Policies))
 	failures := make([]error, len(options.Policies)*len(traces))
@@ -149,7 +150,7 @@
 	}
 }
 
-// Table renders a result for people.
+// Table renders a result as a text table.
 func (r *Result) Table() string {
 	writer := table.NewWriter()
 	writer.SetTitle(fmt.Sprintf("%s at load %g, seed %d", r.Workload, r.Load, r.Seed))
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// sampleInterval is the pause between looks at the caches.
+	// sampleInterval is the interval between samples of the caches.
 	sampleInterval = time.Second
-	// patience ends a run whose programs do not come to an end, so long after
-	// the last arrival.
+	// maximumOverrun is how long after the last arrival a run ends even if
+	// programs are unfinished.
 	maximumOverrun = time.Hour
 )
 
-// CacheSample is the use of all caches at one time, in parts of the capacity.
+// CacheSample is the use of all caches at one time, as fractions of their
+// capacity.
 type CacheSample struct {
 	AtSeconds float64
 	Cached    float64
@@ -32,8 +33,8 @@
 	cache     cacheWaste
 }
 
-// cacheFigures are taken when the last program has arrived: what an idle
-// fleet keeps afterwards is nobody's loss.
+// cacheWaste is measured when the last program has arrived, since what an idle
+// fleet keeps afterwards is no loss.
 type cacheWaste struct {
 	recomputedFraction float64
 	heldIdleFraction   float64
@@ -41,7 +42,7 @@
 
 func ignoreEnd(dispatch.ProgramEnded, error) {}
 
-// replay runs a trace to its end and returns what was measured.
+// replay runs a trace to its end and returns the measurements.
 func replay(shape *workload.Shape, options *Options, policy string, trace *workload.Trace) (Outcome, error) {
 	profile := profileOf(policy)
 	if policy == Mintpulley && options.AdjustProfile != nil {
@@ -88,8 +89,8 @@
 	r.fleet.clock.AfterFunc(sampleInterval, r.sample)
 }
 
-// measureCache counts what is cached and not in use as if it were evicted
-// now, also what a later call would hit.
+// measureCache counts blocks that are cached and not in use as if they were
+// evicted now, including those that a later call would hit.
 func (r *run) measureCache(options *Options) cacheWaste {
 	elapsed := r.fleet.clock.Now().Sub(startOfRun).Seconds()
 	var prompt, recomputed int64
--- a/internal/experiment/steady_bound.go
+++ b/internal/experiment/steady_bound.go
@@ -26,8 +26,8 @@
 	return answers / steps, 1 / steps
 }
 
-// steadyOutcome gives each program of a trace its time alone on a warm engine,
-// but for tokens that come no faster than at the steady bound.
+// steadyOutcome computes the latency of each program alone on a warm engine
+// whose tokens come no faster than at the steady bound.
 func steadyOutcome(shape *workload.Shape, options *Options, trace *workload.Trace) Outcome {
 	capacity := CapacityOf(shape, options.Parameters)
 	_, step := capacity.steadyBound(options.Load)
--- a/internal/experiment/whole_answers.go
+++ b/internal/experiment/whole_answers.go
@@ -5,9 +5,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// wholeAnswers passes on the first piece of each answer, which tells the time
-// to the first token, and the rest at the end: what a run measures does not
-// depend on the pieces between, and they are most of its cost.
+// wholeAnswers forwards the first chunk of each answer, which determines the
+// time to the first token, and all others together at the end: the
+// measurements do not depend on the chunks between, and these are most of a
+// run's cost.
 type wholeAnswers struct{ framework.EngineDriver }
 
 // Start implements framework.EngineDriver.
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	// connectionsPerDaemon bounds idle connections kept to one daemon.
+	// connectionsPerDaemon limits the idle connections kept to one daemon.
 	connectionsPerDaemon = 4096
-	// lineLimit bounds one event in bytes.
+	// lineLimit is the maximum size of one event in bytes.
 	lineLimit = 1 << 20
 )
 
-// caller makes streamed calls. It reads events by hand: the client library
+// caller makes streamed calls. It parses events itself: the client library
 // would take more processor time than the daemon under test.
 type caller struct{ client *http.Client }
 
@@ -36,7 +36,7 @@
 	return &caller{client: httpdriver.NewClient(connectionsPerDaemon)}
 }
 
-// message is one turn of a conversation on the wire.
+// message is one message of a conversation in the request body.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
@@ -49,7 +49,7 @@
 	MaxTokens int64     `json:"max_completion_tokens,omitempty"`
 }
 
-// event is the part of a chunk that is read.
+// event is the part of a stream event that is decoded.
 type event struct {
 	Choices []struct {
 		Delta struct {
@@ -67,18 +67,19 @@
 	wordEnd       = []byte(" ")
 )
 
-// observer hears of an event with text: when it came and how many words it has.
+// observer is called for each event with text, with its arrival time and
+// number of words.
 type observer func(at time.Time, words int64)
 
-// names are the headers of one call.
+// callHeaders are the header values of one call.
 type callHeaders struct {
 	program, request, history string
 	end                       bool
 }
 
-// complete makes one streamed call and returns the answer's text when wanted.
-// observe hears of each event with text as it arrives, and how many words it
-// holds; a stand-in engine's tokens are words.
+// complete makes one streamed call, and returns the answer's text if wanted is
+// set. observe is called for each event with text as it arrives; a stand-in
+// engine's tokens are words.
 func (c *caller) complete(ctx context.Context, url string, service Service, called callHeaders, body completionBody, observe observer, wanted bool) (string, error) {
 	body.Model, body.Stream = service.Model, true
 	encoded, err := json.Marshal(body)
@@ -148,7 +149,7 @@
 	return "", errBroken
 }
 
-// order makes one application request, which must run at most once.
+// placeOrder makes one application request, which must run at most once.
 func (c *caller) placeOrder(ctx context.Context, url string, service Service, called callHeaders) error {
 	target := url + "/v1/applications/" + service.Target + "/" + service.Operation
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader([]byte(`{"loaves":20}`)))
--- a/internal/load/configuration.go
+++ b/internal/load/configuration.go
@@ -21,8 +21,8 @@
 // standInBudget is more than any program of a run costs.
 const standInBudget = 1_000_000_000
 
-// StandInServices returns what a workload's programs call in a fleet of
-// stand-ins.
+// StandInServices returns the services that a workload's programs call in a
+// fleet of stand-ins.
 func StandInServices(workload string) []Service {
 	service := Service{Key: standInKey, Template: templateTally, Model: standInModel}
 	if workload == WorkloadChlebnet {
@@ -32,7 +32,7 @@
 	return []Service{service}
 }
 
-// StandInConfiguration is the configuration of a fleet of stand-ins.
+// StandInConfiguration returns the configuration of a fleet of stand-ins.
 func StandInConfiguration() structs.Configuration {
 	models := []structs.ModelName{standInModel}
 	limits := structs.Limits{AnswerTokens: 100_000, IdleTime: time.Hour}
@@ -53,8 +53,8 @@
 	}
 }
 
-// StandInModels names the models that stand-in engines serve.
+// StandInModels returns the models that stand-in engines serve.
 func StandInModels() []structs.ModelName { return []structs.ModelName{standInModel} }
 
-// StandInApplications names the applications.
+// StandInApplications returns the names of the applications.
 func StandInApplications() []string { return []string{standInTarget} }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load drives daemons from outside. Arrivals are open-loop: programs
-// begin at their times whether or not former ones were answered, and latency
-// counts from the time a program should have begun.
+// Package load generates load on daemons. Arrivals are open-loop: programs
+// begin at their times whether or not earlier ones were answered, and latency
+// counts from the scheduled start of a program.
 package load
 
 import (
@@ -15,25 +15,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// Options describe a run.
+// Options configure a run.
 type Options struct {
 	// Addresses are the daemons' HTTP addresses, "IP:PORT".
 	Addresses []string
 	Workload  string
 	Services  []Service
-	// Rate is programs per second.
+	// Rate is the mean arrival rate in programs per second.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
-	// AnswerTokens bounds each answer; 0 leaves that to the template.
+	// AnswerTokens limits each answer; 0 leaves the limit to the template.
 	AnswerTokens int64
 	// KeepProgramsOpen leaves the programs unended, waiting for their callers.
 	KeepProgramsOpen bool
-	// Progress gets a line each second; nil for none.
+	// Progress receives a line each second; nil for none.
 	Progress io.Writer
 }
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Workload  string  `json:"workload"`
 	Seed      uint64  `json:"seed"`
@@ -45,19 +45,19 @@
 	Failed    int64   `json:"failed"`
 	Calls     int64   `json:"calls"`
 	Tokens    int64   `json:"tokens"`
-	// ProgramLatency runs from the time a program was due to its last answer,
-	// tool pauses included.
+	// ProgramLatency is the time from a program's scheduled start to its last
+	// answer, including tool pauses.
 	ProgramLatency Percentiles `json:"program_latency"`
 	FirstToken     Percentiles `json:"first_token"`
 	BetweenTokens  Percentiles `json:"between_tokens"`
-	// LiveHeapBefore and LiveHeapAfter are the daemons' together, in bytes.
+	// LiveHeapBefore and LiveHeapAfter are summed over the daemons, in bytes.
 	LiveHeapBefore float64 `json:"live_heap_before_bytes"`
 	LiveHeapAfter  float64 `json:"live_heap_after_bytes"`
-	// FirstError is one of the errors, for people.
+	// FirstError is the text of the first error.
 	FirstError string `json:"first_error,omitempty"`
 }
 
-// runner is one run under way.
+// runner is a run in progress.
 type runner struct {
 	options   Options
 	caller    *caller
@@ -71,7 +71,7 @@
 	firstError atomic.Pointer[string]
 }
 
-// Run makes the programs of a workload and waits for all of them.
+// Run runs the programs of a workload and waits for all of them.
 func Run(ctx context.Context, options Options) (Result, error) {
 	shape, err := ShapeOf(options.Workload, options.Services)
 	if err != nil {
@@ -161,7 +161,7 @@
 	return r.caller.placeOrder(ctx, r.url(daemon), program.Service, callHeaders{program: name, request: "order", end: !r.options.KeepProgramsOpen})
 }
 
-// runSubAgents runs a program's sub-agents at once and waits for all.
+// runSubAgents runs a program's sub-agents concurrently and waits for all.
 func (r *runner) runSubAgents(ctx context.Context, program Program, name string, daemon int) error {
 	if len(program.SubAgents) == 0 {
 		return nil
@@ -192,7 +192,8 @@
 	}
 }
 
-// showProgress writes a line each second until the returned function is called.
+// showProgress writes a line each second until the returned function is
+// called.
 func (r *runner) showProgress(planned int) func() {
 	if r.options.Progress == nil {
 		return func() {}
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// longest is the largest value a histogram takes.
+	// maximumRecordedTime is the largest value that a histogram records.
 	maximumRecordedTime = 30 * time.Minute
-	// digits is the precision of histograms.
+	// significantDigits is the precision of histograms.
 	significantDigits = 3
 )
 
@@ -23,7 +23,7 @@
 	Max   float64 `json:"max_s"`
 }
 
-// histogram records durations from several goroutines.
+// histogram records durations; it is safe for concurrent use.
 type histogram struct {
 	mutex  sync.Mutex
 	values *hdrhistogram.Histogram
@@ -54,8 +54,8 @@
 	}
 }
 
-// watch returns an observer of one stream that began now: the first event goes
-// into first, the gaps between the others into gaps.
+// newStreamObserver returns an observer of a stream that starts now: the time
+// to the first event is recorded in first, the gaps between events in gaps.
 func newStreamObserver(first, gaps *histogram) observer {
 	last := time.Now()
 	begun := false
--- a/internal/load/relay_linux.go
+++ b/internal/load/relay_linux.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// relayBuffer is the most that the relay reads at once, in bytes.
+	// relayBuffer is the maximum size of one read in bytes.
 	relayBuffer = 32 << 10
-	// relayEvents bounds the connections that one wait reports.
+	// relayEvents limits the connections that one wait reports.
 	relayEvents = 256
-	// relayPollMilliseconds bounds one wait, after which the relay looks
-	// whether it was asked for its processor time or closed.
+	// relayPollMilliseconds limits one wait, after which the relay checks for
+	// usage requests and for its close.
 	relayPollMilliseconds = 20
 )
 
-// relay passes bytes between callers and engines on one thread, by the system
-// calls that this takes and nothing else: a wait for many connections, a read
-// and a write. Its processor time per token is the floor of this machine.
+// relay forwards bytes between callers and engines on one thread, with only
+// the system calls needed: a wait for many connections, a read and a write.
+// Its processor time per token is the lower bound on this machine.
 type relay struct {
 	listener      net.Listener
 	engines       []string
 	epoll         int
 	usageRequests chan chan time.Duration
 	closed        atomic.Bool
-	// writes counts what was passed on, either way.
+	// writes counts the reads forwarded, in both directions.
 	writes atomic.Int64
 
 	mutex sync.Mutex
-	// peers has both ends of each connection.
+	// peers maps each descriptor to that of the other end.
 	peers map[int32]int32
 	// files keep the descriptors open.
 	files []*os.File
@@ -70,7 +70,7 @@
 	_ = r.listener.Close()
 }
 
-// used returns the relay's processor time and its writes so far.
+// usage returns the relay's processor time and writes so far.
 func (r *relay) usage() relayUse {
 	answer := make(chan time.Duration, 1)
 	r.usageRequests <- answer
@@ -92,7 +92,7 @@
 	}
 }
 
-// join has the bytes of either connection passed on to the other.
+// connect starts forwarding between two connections.
 func (r *relay) connect(caller, engine net.Conn) {
 	a, b := r.detachDescriptor(caller), r.detachDescriptor(engine)
 	if a < 0 || b < 0 {
@@ -107,7 +107,8 @@
 	}
 }
 
-// take returns a blocking descriptor of a connection, -1 if there is none.
+// detachDescriptor returns a blocking descriptor of a connection, or -1 on
+// failure, and closes the original.
 func (r *relay) detachDescriptor(conn net.Conn) int32 {
 	file, err := conn.(*net.TCPConn).File()
 	_ = conn.Close()
@@ -143,7 +144,8 @@
 	_ = unix.Close(r.epoll)
 }
 
-// pass reads what a connection has and writes it to its peer.
+// forward reads the available bytes of a connection and writes them to its
+// peer.
 func (r *relay) forward(from int32, buffer []byte) {
 	r.mutex.Lock()
 	to := r.peers[from]
--- a/internal/load/relay_other.go
+++ b/internal/load/relay_other.go
@@ -6,7 +6,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// relay is measured on Linux only.
+// relay is implemented on Linux only.
 type relay struct{}
 
 func startRelay([]string) (*relay, error) {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -14,7 +14,7 @@
 	return eris.Wrap(json.NewEncoder(w).Encode(result), "load: report")
 }
 
-// WriteTable writes a result for people.
+// WriteTable writes a result as text and a table.
 func (r Result) WriteTable(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "%s: %d programs in %.1f s, %d completed, %d refused, %d failed, %d calls, %d tokens\n",
 		r.Workload, r.Programs, r.Seconds, r.Completed, r.Refused, r.Failed, r.Calls, r.Tokens)
@@ -27,7 +27,7 @@
 	writeError(w, r.FirstError)
 }
 
-// WriteTable writes a result for people.
+// WriteTable writes a result as text and a table.
 func (r StreamResult) WriteTable(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "%d streams, %d tokens in %d events in %.1f s, %d failed\n", r.Streams, r.Tokens, r.Events, r.WindowSeconds, r.Failed)
 	_, _ = fmt.Fprintf(w, "daemon: %.1f microseconds of processor time per token, %.2f cores, %.1f allocations and %.0f bytes per token, %.0f MB resident\n",
--- a/internal/load/scrape.go
+++ b/internal/load/scrape.go
@@ -10,19 +10,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// process is what a daemon's metrics tell of its process.
+// processMetrics are a daemon's metrics of its own process.
 type processMetrics struct {
 	cpuSeconds     float64
 	residentBytes  float64
 	allocations    float64
 	allocatedBytes float64
-	// nextCollection is the size of the heap at which garbage is collected
-	// next: by default twice what was live at the last collection.
+	// nextCollection is the heap size at which the next garbage collection
+	// starts: by default twice the live heap of the last collection.
 	nextCollection float64
 }
 
-// liveHeap returns what was live at the daemons' last collections in bytes, 0
-// when one does not tell.
+// liveHeap returns the daemons' live heap at their last collections in bytes,
+// or 0 if one cannot be read.
 func liveHeap(ctx context.Context, addresses []string) float64 {
 	total := 0.0
 	for _, address := range addresses {
--- a/internal/load/shape.go
+++ b/internal/load/shape.go
@@ -13,10 +13,11 @@
 	WorkloadChlebnet = "chlebnet"
 )
 
-// ErrUnknownWorkload is returned for a workload's name that is not one above.
+// ErrUnknownWorkload is returned for an unknown workload name.
 var ErrUnknownWorkload = eris.New("load: unknown workload")
 
-// Service is what a workload's programs call.
+// Service is what a workload's programs call, with the key and template to
+// use.
 type Service struct {
 	Key       string
 	Template  string
@@ -25,34 +26,36 @@
 	Operation string
 }
 
-// Program is the shape of one program: what it does is fixed before it begins,
-// so that the same seed makes the same programs whatever the fleet does.
+// Program is one program. Its calls are fixed before it begins, so that the
+// same seed yields the same programs whatever the fleet does.
 type Program struct {
 	Service Service
 	Turns   []Turn
-	// SubAgents are run to their end after the first turn, all at once.
+	// SubAgents run to their end after the first turn, concurrently.
 	SubAgents []Program
 	// Order ends the program with a request that must run at most once.
 	Order bool
 }
 
-// Turn is one model call and the pause of the tool behind it.
+// Turn is one model call and the tool pause after it.
 type Turn struct {
 	Question string
 	Pause    time.Duration
 }
 
-// Shape makes the programs of one user.
+// Shape generates the programs of one workload.
 type Shape struct {
 	services []Service
-	// turnsFrom and turnsTo bound the calls of a program.
+	// turnsFrom and turnsTo are the minimum and maximum number of calls of a
+	// program.
 	turnsFrom, turnsTo int
 	// questionWords is the mean length of a question.
 	questionWords int
 	pause         time.Duration
-	// subAgentShare and orderShare are parts of the programs.
+	// subAgentShare and orderShare are the fractions of programs with
+	// sub-agents and with an order.
 	subAgentShare, orderShare float64
-	// burst is how many programs arrive at once on average.
+	// burst is the mean number of programs that arrive at once.
 	burst int
 }
 
@@ -93,8 +96,8 @@
 	return program
 }
 
-// Arrivals returns the times of a run's programs for a mean rate per second,
-// in order: bursts come at random, whatever the fleet does.
+// Arrivals returns the start times of a run's programs, in order, for a mean
+// rate per second. Bursts arrive at random times.
 func (s Shape) Arrivals(random *rand.Rand, rate float64, duration time.Duration) []time.Duration {
 	var arrivals []time.Duration
 	meanGap := float64(s.burst) / rate * float64(time.Second)
@@ -106,7 +109,7 @@
 	return arrivals
 }
 
-// words make up questions; their meaning does not matter.
+// words are the vocabulary of questions; their meaning does not matter.
 var words = []string{"booth", "count", "swing", "loaf", "flour", "school", "order", "ward", "special", "canteen", "sack", "rye"}
 
 func question(random *rand.Rand, length int) string {
--- a/internal/load/standins.go
+++ b/internal/load/standins.go
@@ -20,24 +20,24 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// StandIns are the engines and the platform of one daemon that runs in a
-// process of its own, so that its processor time can be told apart.
+// StandIns are the engines and the platform for one daemon that runs in a
+// separate process, so that its processor time is measured separately.
 type StandIns struct {
 	Engines []string
-	// HTTPAddress is where the daemon will answer.
+	// HTTPAddress is the address on which the daemon will listen.
 	HTTPAddress string
 	servers     []*http.Server
 }
 
-// StandInOptions describe stand-ins.
+// StandInOptions configure stand-ins.
 type StandInOptions struct {
 	Engines int
 	Engine  engine.Settings
-	// SettingsFile is written for the daemon.
+	// SettingsFile is the path to which the daemon's settings are written.
 	SettingsFile string
 }
 
-// readyPause is the pause between looks for the daemon.
+// readyPause is the interval between readiness checks.
 const readyPause = 200 * time.Millisecond
 
 // StartStandIns starts the stand-ins and writes the daemon's settings.
@@ -74,7 +74,7 @@
 	return s, eris.Wrap(os.WriteFile(options.SettingsFile, encoded, 0o600), "load: settings")
 }
 
-// takeAddresses gives the daemon addresses that are free now.
+// takeAddresses assigns free addresses to the daemon.
 func takeAddresses(config *settings.Settings) error {
 	var err error
 	if config.PeerAddress, err = loopback.FreeAddress(); err != nil {
@@ -117,7 +117,7 @@
 	return address, nil
 }
 
-// WaitForDaemon returns once the daemon is ready for callers.
+// WaitForDaemon returns once the daemon reports ready.
 func (s *StandIns) WaitForDaemon(ctx context.Context) error {
 	for {
 		response, err := http.Get("http://" + s.HTTPAddress + "/readyz")
--- a/internal/load/streams.go
+++ b/internal/load/streams.go
@@ -8,42 +8,43 @@
 	"time"
 )
 
-// StreamOptions describe the measurement of one daemon's streams.
+// StreamOptions configure the measurement of one daemon's streams.
 type StreamOptions struct {
 	Address string
-	// Engines are asked straight, for comparison.
+	// Engines are called directly, for comparison.
 	Engines []string
 	Streams int
-	// Straight is how many of the streams' kind run straight to an engine.
+	// DirectStreams is the number of additional streams directly to an engine.
 	DirectStreams int
-	// Relayed is how many run through a plain relay at the same time, as the
-	// floor of what a daemon can take.
+	// RelayedStreams is the number of additional streams through a plain
+	// relay, whose cost is the lower bound for a daemon.
 	RelayedStreams int
-	// Settle is the time after which the window of measurement begins.
+	// WarmUp is the time before the measurement window begins.
 	WarmUp time.Duration
 	Window time.Duration
-	// AnswerTokens is long enough for a stream to outlast the window.
+	// AnswerTokens must be large enough for a stream to outlast the window.
 	AnswerTokens int64
-	// Calls are made one at a time before, each way, for the first token.
+	// FirstTokenCalls is the number of sequential calls on each path that
+	// measure the time to the first token, before the streams start.
 	FirstTokenCalls int
 }
 
-// StreamResult is what the measurement found.
+// StreamResult holds the results of the measurement.
 type StreamResult struct {
 	Streams       int     `json:"streams"`
 	WindowSeconds float64 `json:"window_s"`
 	Failed        int64   `json:"failed"`
-	// Tokens came in Events: a daemon that falls behind joins tokens.
+	// Tokens arrived in Events: a daemon that falls behind merges tokens.
 	Tokens int64 `json:"tokens"`
 	Events int64 `json:"events"`
-	// CPUMicroseconds is the daemon's processor time per token, and CPUFraction
-	// its processor time in cores.
+	// CPUMicrosecondsPerToken is the daemon's processor time per token, and
+	// CPUCores its processor time in cores.
 	CPUMicrosecondsPerToken float64 `json:"cpu_us_per_token"`
 	CPUCores                float64 `json:"cpu_cores"`
-	// EventMicroseconds is the daemon's processor time per event, and
-	// RelayMicroseconds that of a plain relay of the engines' bytes per write in
-	// the same window: either is one read and one write. CPURatio is the former
-	// over the latter.
+	// CPUMicrosecondsPerEvent is the daemon's processor time per event, and
+	// RelayCPUMicrosecondsPerWrite that of a plain relay of the engines' bytes
+	// per write in the same window: either is one read and one write.
+	// CPUOverRelay is the former divided by the latter.
 	CPUMicrosecondsPerEvent      float64 `json:"cpu_us_per_event"`
 	RelayCPUMicrosecondsPerWrite float64 `json:"relay_cpu_us_per_write"`
 	RelayWrites                  int64   `json:"relay_writes"`
@@ -51,7 +52,8 @@
 	AllocationsPerToken          float64 `json:"allocations_per_token"`
 	AllocatedBytesPerToken       float64 `json:"allocated_bytes_per_token"`
 	ResidentBytes                float64 `json:"resident_bytes"`
-	// The percentiles of one way less those of the other are what a daemon adds.
+	// The difference between the percentiles of both paths is what a daemon
+	// adds.
 	FirstTokenDirect           Percentiles `json:"first_token_straight"`
 	FirstTokenThroughDaemon    Percentiles `json:"first_token_through"`
 	BetweenTokensDirect        Percentiles `json:"between_tokens_straight"`
@@ -59,7 +61,7 @@
 	FirstError                 string      `json:"first_error,omitempty"`
 }
 
-// streamRun is a measurement under way.
+// streamRun is a measurement in progress.
 type streamRun struct {
 	options StreamOptions
 	caller  *caller
@@ -70,7 +72,8 @@
 	firstErr  string
 }
 
-// streamWay is where streams run, and what came of them in the window.
+// streamPath is the address that streams use and what was counted there in the
+// window.
 type streamPath struct {
 	address string
 	streams int
@@ -79,13 +82,14 @@
 	events  atomic.Int64
 }
 
-// relayUse is what a relay has used.
+// relayUse is a relay's resource use so far.
 type relayUse struct {
 	processorTime time.Duration
 	writes        int64
 }
 
-// MeasureStreams holds many streams open at one daemon and reads what it took.
+// MeasureStreams keeps many streams open at one daemon and measures its
+// resource use.
 func MeasureStreams(ctx context.Context, options StreamOptions) (StreamResult, error) {
 	r := &streamRun{options: options, caller: newCaller()}
 	result := StreamResult{Streams: options.Streams}
@@ -113,7 +117,7 @@
 	return result, err
 }
 
-// start holds the streams of all ways until ctx ends.
+// startStreams runs the streams of all paths until ctx ends.
 func (r *streamRun) startStreams(ctx context.Context, group *sync.WaitGroup, ways ...*streamPath) {
 	started := 0
 	for _, way := range ways {
@@ -125,7 +129,8 @@
 	}
 }
 
-// window measures what the daemon and the relay use while it lasts.
+// window measures the resource use of the daemon and the relay during the
+// window.
 func (r *streamRun) window(ctx context.Context, result *StreamResult, through *streamPath, floor *relay) error {
 	before, err := scrape(ctx, r.options.Address)
 	if err != nil {
@@ -160,7 +165,8 @@
 	s.ResidentBytes = after.residentBytes
 }
 
-// compare sets the daemon's processor time against the relay's.
+// setRelayUsage records the relay's processor time and the daemon's ratio to
+// it.
 func (s *StreamResult) setRelayUsage(before, after relayUse) {
 	s.RelayWrites = after.writes - before.writes
 	if s.RelayWrites == 0 {
@@ -171,7 +177,7 @@
 	s.CPUOverRelay = s.CPUMicrosecondsPerEvent / s.RelayCPUMicrosecondsPerWrite
 }
 
-// hold keeps one stream running until ctx ends.
+// runStream keeps one stream running until ctx ends.
 func (r *streamRun) runStream(ctx context.Context, way *streamPath, number int) {
 	unused := newHistogram()
 	observeGap := newStreamObserver(unused, way.gaps)
@@ -203,8 +209,8 @@
 	})
 }
 
-// compareFirst makes calls one at a time, in turn straight to the engine and
-// through the daemon, and records when the first token came.
+// measureFirstTokens makes calls one at a time, alternating between the engine
+// and the daemon, and records the time to the first token.
 func (r *streamRun) measureFirstTokens(ctx context.Context, straight, through *histogram) {
 	service := StandInServices(WorkloadTally)[0]
 	for i := range r.options.FirstTokenCalls {
--- a/internal/outputtest/buffer.go
+++ b/internal/outputtest/buffer.go
@@ -1,4 +1,5 @@
-// Package outputtest gathers what programs and parts under test write.
+// Package outputtest collects the output of programs and components under
+// test.
 package outputtest
 
 import (
@@ -6,8 +7,8 @@
 	"sync"
 )
 
-// Buffer is an io.Writer whose text may be read while others write. The zero value
-// is empty.
+// Buffer is an io.Writer whose text may be read while others write. The zero
+// value is empty.
 type Buffer struct {
 	mutex sync.Mutex
 	bytes bytes.Buffer
@@ -20,7 +21,7 @@
 	return b.bytes.Write(data)
 }
 
-// String returns all that was written so far.
+// String returns the text written so far.
 func (b *Buffer) String() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -15,17 +15,17 @@
 	"github.com/mintpulley/mintpulley/internal/experiment"
 )
 
-// Page is what goes into a report.
+// Page is the content of a report.
 type Page struct {
 	Result experiment.Result
-	// Sweep holds results at further loads.
+	// Sweep holds results at other loads.
 	Sweep []experiment.Result
 }
 
 // fileName is the page's name in the directory.
 const fileName = "index.html"
 
-// Permissions of what is written.
+// Permissions of created files and directories.
 const (
 	directoryMode = 0o755
 	fileMode      = 0o644
@@ -45,7 +45,7 @@
 {{end}}</body></html>
 `))
 
-// Write makes the page in a directory, which is made if need be.
+// Write writes the page into a directory, which is created if missing.
 func (p *Page) Write(directory string) error {
 	plots, err := p.plots()
 	if err != nil {
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -18,7 +18,7 @@
 const (
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 4 * vg.Inch
-	// curvePoints is how many quantiles draw a distribution.
+	// curvePoints is the number of quantiles of a distribution's curve.
 	curvePoints = 200
 )
 
@@ -46,7 +46,7 @@
 	return draw("Program latency", "seconds", "fraction of programs", lines)
 }
 
-// cacheUse draws how full the caches were over time.
+// cacheUse draws the fill level of the caches over time.
 func (p *Page) cacheUse() (template.HTML, error) {
 	var lines []series
 	for _, policy := range p.Result.Policies {
@@ -108,7 +108,7 @@
 		return "", eris.Wrap(err, "report: plot")
 	}
 	text := rendered.String()
-	// The XML header has no place inside a page.
+	// The XML declaration is not allowed inside an HTML page.
 	if start := strings.Index(text, "<svg"); start > 0 {
 		text = text[start:]
 	}
--- a/internal/sample/sample.go
+++ b/internal/sample/sample.go
@@ -1,4 +1,4 @@
-// Package sample draws from lists.
+// Package sample draws random elements from lists.
 package sample
 
 import (
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Of draws up to count elements of a list, each at most once, in the order drawn. It uses the
-// list up.
+// Of draws up to count distinct elements of a list, in random order. It
+// modifies the list.
 func Of[T any](random *rand.Rand, count int, list []T) []T {
 	var drawn []T
 	for range min(count, len(list)) {
--- a/internal/workload/configuration.go
+++ b/internal/workload/configuration.go
@@ -8,14 +8,15 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Bounds that no program of the workloads reaches.
+// Limits that no program of the workloads reaches.
 const (
 	contextTokens = 131_072
 	ampleBudget   = 1 << 50
 	holdTime      = 2 * time.Minute
 )
 
-// Configuration returns what operators would publish for the workload.
+// Configuration returns the configuration that operators would publish for the
+// workload.
 func (s *Shape) Configuration() structs.Configuration {
 	configuration := structs.Configuration{
 		Fleet:     structs.FleetPolicy{CacheWeight: s.CacheWeight},
@@ -64,7 +65,7 @@
 	return 0
 }
 
-// prefixText returns text of a length in tokens that depends on a name.
+// prefixText returns text of a length in tokens that depends on name.
 func prefixText(name string, count int64) string {
 	line := "Template " + name + ": answer from the figures given, name their source, and say what is not known. "
 	return Text(line, count)
--- a/internal/workload/fuzz_test.go
+++ b/internal/workload/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// FuzzRead gives the reader of traces any file: it must refuse it, or give a
-// trace that is the same when it is written and read again.
+// FuzzRead checks that Read rejects arbitrary input or returns a trace that
+// survives writing and reading again.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"workload":"tally","seed":1,"rate":1,"programs":1}` + "\n" +
 		`{"id":"a","tenant":"t","template":"s","arrival_seconds":0.5,"turns":[{"input_tokens":1,"answer_tokens":1}]}`))
--- a/internal/workload/program.go
+++ b/internal/workload/program.go
@@ -1,8 +1,8 @@
-// Package workload makes the programs that the two users run, from a seed: who
-// calls when, how long prompts and answers are, how long tools and people
-// pause, and which sub-agents are spawned. A program's next call depends on
-// the answer before it; only its shape is drawn ahead. Traces can be saved as
-// JSON lines and replayed.
+// Package workload generates the programs of the two users from a seed:
+// arrival times, prompt and answer lengths, pauses of tools and people, and
+// sub-agents. Only the shape of a program is generated ahead; its next call
+// depends on the previous answer. Traces can be saved as JSON lines and
+// replayed.
 package workload
 
 import (
@@ -16,10 +16,10 @@
 	InputTokens int64 `json:"input_tokens"`
 	// AnswerTokens is the length of the answer.
 	AnswerTokens int64 `json:"answer_tokens"`
-	// PauseSeconds passes between the answer and the next call: a tool works,
-	// or a person reads. The last turn's is 0.
+	// PauseSeconds is the time between the answer and the next call, while a
+	// tool works or a person reads. It is 0 for the last turn.
 	PauseSeconds float64 `json:"pause_seconds,omitempty"`
-	// SubAgents start when the answer is there; the next call waits for all
+	// SubAgents start when the answer is complete; the next call waits for all
 	// of them and for the pause.
 	SubAgents []Program `json:"sub_agents,omitempty"`
 }
@@ -29,13 +29,13 @@
 	ID       structs.ProgramID    `json:"id"`
 	Tenant   structs.TenantName   `json:"tenant"`
 	Template structs.TemplateName `json:"template"`
-	// ArrivalSeconds is when its first call comes, from the trace's start. A
-	// sub-agent's is not used.
+	// ArrivalSeconds is the time of the first call, from the start of the
+	// trace. It is unused for sub-agents.
 	ArrivalSeconds float64 `json:"arrival_seconds"`
 	Turns          []Turn  `json:"turns"`
 }
 
-// Calls returns the number of calls of a program with its sub-agents.
+// Calls returns the number of calls of a program, including its sub-agents.
 func (p *Program) Calls() int {
 	calls := len(p.Turns)
 	for i := range p.Turns {
@@ -46,12 +46,12 @@
 	return calls
 }
 
-// Trace is what one run replays.
+// Trace is the sequence of programs that one run replays.
 type Trace struct {
-	// Workload is the shape's name, Seed what it was drawn from.
+	// Workload is the shape's name, Seed the seed of its generation.
 	Workload string
 	Seed     uint64
-	// Rate is programs a second, on average.
+	// Rate is the mean arrival rate in programs per second.
 	Rate     float64
 	Programs []Program
 }
--- a/internal/workload/shape.go
+++ b/internal/workload/shape.go
@@ -11,25 +11,27 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// ErrUnknownWorkload: there is no workload of that name.
+// ErrUnknownWorkload is returned for an unknown workload name.
 var ErrUnknownWorkload = eris.New("workload: unknown")
 
 // Shape is one user's workload.
 type Shape struct {
 	Name string
-	// Zones and Engines are the fleet's size for agent models.
+	// Zones and Engines are the zones and the number of engines of the fleet
+	// for agent models.
 	Zones   []structs.ZoneName
 	Engines int
-	// Model is what its programs call.
+	// Model is the model that its programs call.
 	Model structs.ModelName
-	// ZoneDelaySeconds is one way between zones, ClientDelaySeconds to callers.
+	// ZoneDelaySeconds is the one-way delay between zones, ClientDelaySeconds
+	// that to callers.
 	ZoneDelaySeconds   float64
 	ClientDelaySeconds float64
-	// CacheWeight is what the user's operators would set.
+	// CacheWeight is the value that the user's operators would set.
 	CacheWeight float64
 	tenants     []weighted[structs.TenantName]
 	templates   []template
-	// intensity is the arrival rate over time, in parts of its mean.
+	// intensity returns the arrival rate over time, relative to its mean.
 	intensity func(random *rand.Rand, duration float64) func(at float64) float64
 	peak      float64
 }
@@ -53,30 +55,32 @@
 	stepAnswer     lengthRange
 	finalAnswer    lengthRange
 	pause          pauseDistribution
-	// spawns is the probability that a turn spawns sub-agents.
+	// spawnProbability is the probability that a turn spawns sub-agents.
 	spawnProbability float64
 	child            *template
 }
 
-// tokens is a length between bounds, with a tail to the right.
+// lengthRange is a range of lengths in tokens with a right-skewed
+// distribution.
 type lengthRange struct{ low, high int64 }
 
 func (t lengthRange) draw(random *rand.Rand) int64 {
-	// The square of a uniform number makes short ones more frequent.
+	// Squaring the uniform number makes short lengths more frequent.
 	u := random.Float64()
 	return t.low + int64(float64(t.high-t.low)*u*u)
 }
 
-// pause is a log-normal body with a Pareto tail, both in seconds.
+// pauseDistribution is a log-normal distribution with a Pareto tail, in
+// seconds.
 type pauseDistribution struct {
 	median, sigma float64
-	// tail is the probability of a draw from the tail, which starts at
-	// tailFrom and ends at tailTo.
+	// tail is the probability of a value from the tail, which ranges from
+	// tailFrom to tailTo.
 	tail, tailFrom, tailTo float64
 }
 
-// tailIndex is the exponent of the Pareto tail: finite mean, infinite variance
-// but for its bound.
+// tailIndex is the exponent of the Pareto tail: without its upper bound, the
+// mean is finite and the variance infinite.
 const tailIndex = 1.2
 
 func (p pauseDistribution) draw(random *rand.Rand) float64 {
@@ -86,7 +90,7 @@
 	return p.median * math.Exp(p.sigma*random.NormFloat64())
 }
 
-// Shapes returns all workloads by name.
+// Shapes returns all workloads.
 func Shapes() []Shape { return []Shape{tally(), chlebnet()} }
 
 // ByName returns a workload, or ErrUnknownWorkload.
@@ -99,14 +103,14 @@
 	return Shape{}, eris.Wrapf(ErrUnknownWorkload, "%q (known: tally, chlebnet)", name)
 }
 
-// Seeds of the streams of random numbers; shapes and arrival times are drawn
-// apart, so that the same programs come at any rate.
+// Random number streams. Programs and arrival times use separate streams, so
+// that the same programs are generated at any rate.
 const (
 	programStream = 1
 	arrivalStream = 2
 )
 
-// Generate draws the programs that arrive within a duration, in seconds.
+// Generate generates the programs that arrive within a duration, in seconds.
 func (s *Shape) Generate(seed uint64, rate, duration float64) Trace {
 	trace := Trace{Workload: s.Name, Seed: seed, Rate: rate}
 	arrivals := s.arrivals(rand.New(rand.NewPCG(seed, arrivalStream)), rate, duration)
@@ -119,7 +123,7 @@
 	return trace
 }
 
-// Sample draws programs without arrival times, for their mean.
+// Sample generates programs without arrival times, for computing their mean.
 func (s *Shape) Sample(seed uint64, count int) []Program {
 	random := rand.New(rand.NewPCG(seed, programStream))
 	programs := make([]Program, count)
@@ -129,7 +133,7 @@
 	return programs
 }
 
-// arrivals draws from a Poisson process of varying rate by thinning.
+// arrivals samples an inhomogeneous Poisson process by thinning.
 func (s *Shape) arrivals(random *rand.Rand, rate, duration float64) []float64 {
 	intensity := s.intensity(random, duration)
 	var times []float64
@@ -175,7 +179,7 @@
 	return turn
 }
 
-// maximumSubAgents bounds what one turn spawns.
+// maximumSubAgents limits the sub-agents that one turn spawns.
 const maximumSubAgents = 3
 
 func (t *template) children(random *rand.Rand, parent *Program, number int) []Program {
@@ -202,7 +206,7 @@
 	return choices[len(choices)-1]
 }
 
-// burstTimes draws when bursts start.
+// burstTimes generates the start times of bursts.
 func burstTimes(random *rand.Rand, meanGap, duration float64) []float64 {
 	var starts []float64
 	for at := random.ExpFloat64() * meanGap; at < duration; at += random.ExpFloat64() * meanGap {
--- a/internal/workload/trace.go
+++ b/internal/workload/trace.go
@@ -8,10 +8,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrMalformedTrace: a trace cannot be read.
+// ErrMalformedTrace is returned for a trace that cannot be parsed.
 var ErrMalformedTrace = eris.New("workload: malformed trace")
 
-// maximumLine bounds a line of a trace.
+// maximumLine is the maximum length of a line in bytes.
 const maximumLine = 16 << 20
 
 // traceHeader is the first line of a trace; each further line is a Program.
@@ -39,7 +39,7 @@
 	return eris.Wrap(buffered.Flush(), "workload: write trace")
 }
 
-// Read loads a trace. It returns ErrMalformedTrace with the line's number.
+// Read parses a trace. Its errors wrap ErrMalformedTrace and name the line.
 func Read(r io.Reader) (Trace, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maximumLine)
--- a/internal/workload/users.go
+++ b/internal/workload/users.go
@@ -13,13 +13,13 @@
 	ChlebnetName = "chlebnet"
 )
 
-// Election night. Booths report in bursts; each burst brings summaries, which
-// take one to twelve look-ups.
+// Election night: booths report in bursts, and each burst triggers summaries,
+// which take one to twelve look-ups.
 const (
 	tallyBaseIntensity = 0.80
 	tallyBurstGap      = 40.0
 	tallyBurstTime     = 10.0
-	// tallyBurst is chosen so that the mean intensity is 1.
+	// tallyBurstIntensity makes the mean intensity 1.
 	tallyBurstIntensity = (1 - tallyBaseIntensity) * tallyBurstGap / tallyBurstTime
 	tallyPeak           = tallyBaseIntensity + 2*tallyBurstIntensity
 )
@@ -61,7 +61,8 @@
 	}
 }
 
-// lookUps is one to twelve look-ups and the final answer.
+// lookUpTurns returns the turns of one to twelve look-ups and the final
+// answer.
 func lookUpTurns(random *rand.Rand) int {
 	u := random.Float64()
 	return 2 + int(12*u*u)
@@ -84,7 +85,8 @@
 	}
 }
 
-// Before dawn. The load swells over the run; people think between calls.
+// Orders before dawn: the load rises over the run, and people think between
+// calls.
 const (
 	chlebnetAmplitude = 0.35
 	chlebnetPeak      = 1 + chlebnetAmplitude
