--- a/internal/demo/first_token.go
+++ b/internal/demo/first_token.go
@@ -37,7 +37,7 @@
 		question := fmt.Sprintf("What is the swing in electorate %d?", i)
 		engine := openai.NewClient(option.WithBaseURL("http://"+c.EngineIDs[i%len(c.EngineIDs)]+"/v1"), option.WithAPIKey("unused"))
 		if err := timeFirstToken(ctx, &engine, question, result.straight); err != nil {
-			return result, eris.Wrap(err, "demo: straight to the engine")
+			return result, eris.Wrap(err, "demo: call to the engine")
 		}
 		daemon := openai.NewClient(
 			option.WithBaseURL("http://"+c.HTTPAddresses[i%len(c.HTTPAddresses)]+"/v1"),
@@ -45,7 +45,7 @@
 			option.WithHeader(gateway.HeaderTemplate, "desk-question"),
 		)
 		if err := timeFirstToken(ctx, &daemon, question, result.through); err != nil {
-			return result, eris.Wrap(err, "demo: through the daemon")
+			return result, eris.Wrap(err, "demo: call through the daemon")
 		}
 	}
 	return result, nil
@@ -70,7 +70,7 @@
 		return err
 	}
 	if !seen {
-		return eris.New("demo: no token came")
+		return eris.New("demo: the stream ended without a token")
 	}
 	return nil
 }
--- a/internal/demo/programs.go
+++ b/internal/demo/programs.go
@@ -200,7 +200,7 @@
 		return classify(err)
 	}
 	if !finished || answer.Len() == 0 {
-		return eris.New("demo: the answer is not whole")
+		return eris.New("demo: the answer is incomplete")
 	}
 	p.messages = append(p.messages, openai.AssistantMessage(answer.String()))
 	return nil
@@ -214,19 +214,19 @@
 	return err
 }
 
-// apply makes an application or tool request.
+// callApplication makes an application or tool request.
 func (p *programRun) callApplication(target, operation string, repeatable bool) error {
 	headers := p.headers(repeatable, false)
 	request, err := sling.New().Post("http://" + p.address() + "/v1/applications/" + target + "/" + operation).
 		Body(strings.NewReader(`{"program":"` + p.name + `"}`)).Request()
 	if err != nil {
-		return eris.Wrap(err, "demo: request")
+		return eris.Wrap(err, "demo: build request")
 	}
 	request.Header = headers
 	request.Header.Set("Authorization", "Bearer "+p.key)
 	response, err := http.DefaultClient.Do(request.WithContext(p.ctx))
 	if err != nil {
-		return eris.Wrap(err, "demo: application")
+		return eris.Wrap(err, "demo: call application")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
--- a/internal/enginemodel/batch.go
+++ b/internal/enginemodel/batch.go
@@ -252,22 +252,22 @@
 // finishSequences removes finished sequences from the batch, and notifies
 // their readers afterwards, since those may start attempts at once.
 func (e *Engine) finishSequences() {
-	still := e.running[:0:0]
-	var told []*attempt
+	remaining := e.running[:0:0]
+	var notified []*attempt
 	for _, s := range e.running {
 		switch {
 		case s.generated >= s.goal && !s.cancelled():
 			e.complete(s)
-			told = append(told, s.attempt)
+			notified = append(notified, s.attempt)
 		case s.cancelled():
-			still = append(still, s)
+			remaining = append(remaining, s)
 		default:
-			still = append(still, s)
-			told = append(told, s.attempt)
+			remaining = append(remaining, s)
+			notified = append(notified, s.attempt)
 		}
 	}
-	e.running = still
-	for _, a := range told {
+	e.running = remaining
+	for _, a := range notified {
 		a.broadcast()
 	}
 }
--- a/internal/enginemodel/driver.go
+++ b/internal/enginemodel/driver.go
@@ -28,7 +28,7 @@
 	OperationTransfer    Operation = "transfer"
 )
 
-// Fault is what happens to one exchange with an engine.
+// Fault is the fault injected into one exchange with an engine.
 type Fault struct {
 	// Refuse rejects the connection: nothing is sent, and the caller knows it.
 	Refuse bool
--- a/internal/enginemodel/driver_test.go
+++ b/internal/enginemodel/driver_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestBrokenStreamGoesOnAtItsEngine(t *testing.T) {
+func TestBrokenStreamResumesAtItsEngine(t *testing.T) {
 	d := newTestDriver(t)
 	r, _ := d.send(engineRequest("a", "[[tokens=50]]"))
 	d.runFor(200 * millisecond)
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestStreamGoesOnAtAnotherEngine(t *testing.T) {
+func TestStreamContinuesAtAnotherEngine(t *testing.T) {
 	d := newTestDriver(t)
 	whole, _ := d.send(engineRequest("a", "[[tokens=50]]"))
 	d.runFor(2 * time.Second)
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestPromptReaderAgreesWithPrefix(t *testing.T) {
+func TestPromptReaderMatchesPrefixBlocks(t *testing.T) {
 	reader := NewPromptReader(5)
 	request := engineRequest("a", string(make([]byte, 700)))
 	first := reader.Read(request)
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -151,8 +151,8 @@
 // Down reports whether the engine is stopped.
 func (e *Engine) Down() bool { return e.down }
 
-// Drain makes the engine refuse new attempts and finish running ones, or ends
-// that.
+// Drain sets whether the engine drains: it refuses new attempts and finishes
+// running ones.
 func (e *Engine) Drain(draining bool) {
 	e.draining = draining
 	e.recordLoadState()
--- a/internal/enginemodel/engine_test.go
+++ b/internal/enginemodel/engine_test.go
@@ -121,7 +121,7 @@
 
 const millisecond = time.Millisecond
 
-func TestOneSequenceTakesItsSteps(t *testing.T) {
+func TestStepTimesOfOneSequence(t *testing.T) {
 	b := newTestEngine(t, nil)
 	r := b.start(request("a", 1, 100, 3))
 	b.runFor(time.Second)
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestTheNextCallHitsTheAnswer(t *testing.T) {
+func TestNextCallHitsCachedAnswer(t *testing.T) {
 	b := newTestEngine(t, nil)
 	first := request("a", 1, 64, 70)
 	b.start(first)
@@ -223,11 +223,11 @@
 	}
 }
 
-// TestCoalescingChangesNoEnd compares runs that stream each token with runs
+// TestCoalescingPreservesOutcomes compares runs that stream each token with runs
 // that coalesce steps, over random arrivals and cancellations. Prompts are
 // shared only where memory is ample: sharing together with short memory has
 // the difference described at Parameters.CoalescedSteps.
-func TestCoalescingChangesNoEnd(t *testing.T) {
+func TestCoalescingPreservesOutcomes(t *testing.T) {
 	for seed := range uint64(40) {
 		shared := seed%2 == 0
 		single := randomRun(t, seed, 1, shared)
--- a/internal/enginemodel/errors.go
+++ b/internal/enginemodel/errors.go
@@ -7,7 +7,7 @@
 )
 
 // ErrInvalid is returned for parameters out of range.
-var ErrInvalid = eris.New("invalid")
+var ErrInvalid = eris.New("invalid engine parameters")
 
 // NewParameterError returns an ErrInvalid that names a parameter out of range.
 func NewParameterError(field, allowed string) error {
--- a/internal/enginemodel/holds.go
+++ b/internal/enginemodel/holds.go
@@ -51,13 +51,13 @@
 // fitsHoldLimit reports whether pinning some blocks stays within the limit on
 // held memory.
 func (e *Engine) fitsHoldLimit(blocks []*block) bool {
-	fresh := 0
+	unpinned := 0
 	for _, b := range blocks {
 		if b.holdRefs == 0 {
-			fresh++
+			unpinned++
 		}
 	}
-	return float64(e.cache.pinnedBlocks+fresh) <= e.parameters.HeldFraction*float64(e.cache.capacity)
+	return float64(e.cache.pinnedBlocks+unpinned) <= e.parameters.HeldFraction*float64(e.cache.capacity)
 }
 
 // pinForHold pins blocks for a hold, replacing those it had.
--- a/internal/enginemodel/invariant_test.go
+++ b/internal/enginemodel/invariant_test.go
@@ -10,9 +10,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// TestMemoryAddsUp runs random requests, cancellations, holds, releases,
+// TestBlockAccountingStaysConsistent runs random requests, cancellations, holds, releases,
 // imports and crashes, and checks the block accounting after each event.
-func TestMemoryAddsUp(t *testing.T) {
+func TestBlockAccountingStaysConsistent(t *testing.T) {
 	for seed := range uint64(20) {
 		b := newTestEngine(t, func(p *Parameters) {
 			p.CacheTokens = 24 * prefix.BlockTokens
@@ -110,9 +110,9 @@
 	return ""
 }
 
-// TestSameSeedSameRun guards the determinism of a run with random operations
+// TestRunIsDeterministic guards the determinism of a run with random operations
 // and event loss.
-func TestSameSeedSameRun(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	run := func() string {
 		b := newTestEngine(t, func(p *Parameters) { p.Publication.EventLoss = 0.3 })
 		random := rand.New(rand.NewPCG(4, 4))
--- a/internal/enginemodel/memory_test.go
+++ b/internal/enginemodel/memory_test.go
@@ -17,7 +17,7 @@
 	return func(p *Parameters) { p.CacheTokens = count * prefix.BlockTokens }
 }
 
-func TestHigherPriorityPushesOutLower(t *testing.T) {
+func TestHigherPriorityPreemptsLower(t *testing.T) {
 	b := newTestEngine(t, blocks(6))
 	low := b.start(request("low", 1, 63, 300))
 	b.runFor(80 * millisecond)
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestIdleTimeCountsWhatIsNeverHit(t *testing.T) {
+func TestIdleTimeCountsBlocksNeverHit(t *testing.T) {
 	b := newTestEngine(t, nil)
 	b.start(request("a", 1, 129, 1))
 	b.runFor(10 * time.Second)
--- a/internal/enginemodel/orders_test.go
+++ b/internal/enginemodel/orders_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestAdaptersAreBoundedReadAndUnloaded(t *testing.T) {
+func TestAdaptersAreLimitedLoadedAndUnloaded(t *testing.T) {
 	b := newTestEngine(t, func(p *Parameters) {
 		p.MaximumAdapters = 1
 		p.AdapterBytes = 500
@@ -90,13 +90,13 @@
 		t.Fatal(err)
 	}
 	b.runFor(499 * millisecond)
-	early, reading := serves(), b.engine.Loading()
+	early, loading := serves(), b.engine.Loading()
 	b.runFor(millisecond)
-	if early || !reading || !serves() || b.engine.Loading() {
-		t.Errorf("before 500 ms it serves %v and reads %v, then %v and %v", early, reading, serves(), b.engine.Loading())
+	if early || !loading || !serves() || b.engine.Loading() {
+		t.Errorf("before 500 ms it serves %v and loads %v, then %v and %v", early, loading, serves(), b.engine.Loading())
 	}
 	if err := order(2, structs.OrderLoadAdapter, "y"); !eris.Is(err, framework.ErrRefused) {
-		t.Errorf("an adapter beyond the bound: %v", err)
+		t.Errorf("an adapter beyond the limit: %v", err)
 	}
 	with := request("a", 1, 60, 1)
 	with.Adapter = "x"
--- a/internal/enginemodel/publish.go
+++ b/internal/enginemodel/publish.go
@@ -50,8 +50,8 @@
 	l.pending.Blocks = append(l.pending.Blocks, key.hash)
 }
 
-// flush numbers the pending event and publishes it, unless it is drawn as
-// lost.
+// flush numbers the pending event and publishes it, or drops it with
+// probability EventLoss.
 func (l *eventLog) flush() {
 	if len(l.pending.Blocks) == 0 && l.pending.Kind != structs.CacheCleared {
 		return
--- a/internal/enginemodel/sequence.go
+++ b/internal/enginemodel/sequence.go
@@ -59,7 +59,8 @@
 // decoding reports whether the whole prompt is computed.
 func (s *sequence) decoding() bool { return s.computed >= s.target }
 
-// precedes orders the waiting queue by priority, then arrival.
+// precedes reports whether the sequence is before another one in the waiting
+// queue: by priority, then arrival.
 func (s *sequence) precedes(other *sequence) bool {
 	if s.attempt.request.Priority != other.attempt.request.Priority {
 		return s.attempt.request.Priority > other.attempt.request.Priority
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -70,16 +70,15 @@
 	return float64(batch)*context <= float64(p.CacheTokens)
 }
 
-// CapacityOf computes a workload's capacity. A call needs the prefill of its
-// new tokens, and of each decode step its part in a batch of the reference
+// CapacityOf computes a workload's capacity. A call costs the prefill of its
+// new tokens and its share of each decode step, in a batch of the reference
 // size with contexts of the mean length:
 //
 //	work = new * PrefillPerToken + answer * step(B) / B
 //	step(B) = StepBase + B * (StepPerSequence + context * StepPerContextToken)
 //
 // Shared prefixes and histories count as cached. The memory of paused programs
-// is not counted, so that load 1 is more than any policy can carry when pauses
-// are long.
+// is ignored, so that no policy sustains load 1 when pauses are long.
 func CapacityOf(shape *workload.Shape, p enginemodel.Parameters) Capacity {
 	var total work
 	sample := shape.Sample(sampleSeed, samplePrograms)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -28,7 +28,7 @@
 	return result
 }
 
-func TestSameArgumentsGiveTheSameBytes(t *testing.T) {
+func TestResultIsDeterministic(t *testing.T) {
 	render := func() string {
 		encoded, err := json.Marshal(compare(t, workload.TallyName, smallOptions(SessionAffinity, Mintpulley, LowerBound)))
 		if err != nil {
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -16,8 +16,8 @@
 	PrefixAffinity  = "prefix-affinity"
 	Mintpulley      = "mintpulley"
 	LowerBound      = "lower-bound"
-	// SteadyBound runs on request only: the mean latency at a steady load that
-	// no policy can beat.
+	// SteadyBound runs on request only: a lower bound of the mean latency at a
+	// steady load.
 	SteadyBound = "steady-bound"
 )
 
--- a/internal/experiment/steady_bound.go
+++ b/internal/experiment/steady_bound.go
@@ -6,16 +6,16 @@
 	"github.com/mintpulley/mintpulley/internal/workload"
 )
 
-// steadyBound returns the time between tokens that no policy can beat in the
-// mean while programs arrive evenly at a load, and the batch at which it is
-// reached. Engines are never idle, nothing is computed twice, no call waits
-// and memory is unbounded. In a second, an engine spends
+// steadyBound returns a lower bound of the mean time between tokens when
+// programs arrive evenly at a load, and the batch size at which it is reached.
+// It assumes that engines are never idle, nothing is computed twice, no call
+// waits and memory is unbounded. In a second, an engine spends
 //
 //	steps * StepBase + answer * perSequence + new * PrefillPerToken = 1
 //
-// with answer and new being the tokens of the load; what is left for StepBase
-// gives the steps, and a step yields one token for each call of the batch.
-// Uneven arrivals make it longer: it is convex in the load.
+// where answer and new are the tokens of the load. The time left for StepBase
+// gives the number of steps, and a step yields one token for each call of the
+// batch. Uneven arrivals increase the time, since it is convex in the load.
 func (c *Capacity) steadyBound(load float64) (batch, stepSeconds float64) {
 	rate := load / c.WorkSeconds
 	answers := rate * c.answerTokens
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -77,10 +77,10 @@
 	end                       bool
 }
 
-// complete makes one streamed call, and returns the answer's text if wanted is
-// set. observe is called for each event with text as it arrives; a stand-in
+// complete makes one streamed call, and returns the answer's text if wantText
+// is set. observe is called for each event with text as it arrives; a stand-in
 // engine's tokens are words.
-func (c *caller) complete(ctx context.Context, url string, service Service, called callHeaders, body completionBody, observe observer, wanted bool) (string, error) {
+func (c *caller) complete(ctx context.Context, url string, service Service, headers callHeaders, body completionBody, observe observer, wantText bool) (string, error) {
 	body.Model, body.Stream = service.Model, true
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -90,7 +90,7 @@
 	if err != nil {
 		return "", eris.Wrap(err, "load: request")
 	}
-	setHeaders(request, service, called)
+	setHeaders(request, service, headers)
 	response, err := c.client.Do(request)
 	if err != nil {
 		return "", eris.Wrap(err, "load: call")
@@ -100,28 +100,28 @@
 		answer, _ := io.ReadAll(io.LimitReader(response.Body, lineLimit))
 		return "", eris.Wrapf(errRefused, "status %d: %s", response.StatusCode, answer)
 	}
-	return readEvents(response.Body, observe, wanted)
+	return readEvents(response.Body, observe, wantText)
 }
 
-func setHeaders(request *http.Request, service Service, called callHeaders) {
+func setHeaders(request *http.Request, service Service, headers callHeaders) {
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Authorization", "Bearer "+service.Key)
 	for header, value := range map[string]string{
 		gateway.HeaderTemplate:  service.Template,
-		gateway.HeaderProgram:   called.program,
-		gateway.HeaderRequestID: called.request,
-		gateway.HeaderHistory:   called.history,
+		gateway.HeaderProgram:   headers.program,
+		gateway.HeaderRequestID: headers.request,
+		gateway.HeaderHistory:   headers.history,
 	} {
 		if value != "" {
 			request.Header.Set(header, value)
 		}
 	}
-	if called.end {
+	if headers.end {
 		request.Header.Set(gateway.HeaderEnd, "true")
 	}
 }
 
-func readEvents(body io.Reader, observe observer, wanted bool) (string, error) {
+func readEvents(body io.Reader, observe observer, wantText bool) (string, error) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, lineLimit)
 	var text []byte
@@ -138,7 +138,7 @@
 			continue
 		}
 		observe(time.Now(), int64(bytes.Count(content, wordEnd)))
-		if !wanted {
+		if !wantText {
 			continue
 		}
 		var read event
@@ -150,13 +150,13 @@
 }
 
 // placeOrder makes one application request, which must run at most once.
-func (c *caller) placeOrder(ctx context.Context, url string, service Service, called callHeaders) error {
+func (c *caller) placeOrder(ctx context.Context, url string, service Service, headers callHeaders) error {
 	target := url + "/v1/applications/" + service.Target + "/" + service.Operation
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader([]byte(`{"loaves":20}`)))
 	if err != nil {
 		return eris.Wrap(err, "load: request")
 	}
-	setHeaders(request, service, called)
+	setHeaders(request, service, headers)
 	request.Header.Set(gateway.HeaderRepeatable, "false")
 	response, err := c.client.Do(request)
 	if err != nil {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -27,7 +27,8 @@
 	Seed     uint64
 	// AnswerTokens limits each answer; 0 leaves the limit to the template.
 	AnswerTokens int64
-	// KeepProgramsOpen leaves the programs unended, waiting for their callers.
+	// KeepProgramsOpen does not end the programs, which then stay waiting for
+	// their callers.
 	KeepProgramsOpen bool
 	// Progress receives a line each second; nil for none.
 	Progress io.Writer
@@ -139,10 +140,10 @@
 func (r *runner) runTurns(ctx context.Context, program Program, name string, daemon int) error {
 	for i, turn := range program.Turns {
 		last := i == len(program.Turns)-1 && !program.Order && !r.options.KeepProgramsOpen
-		called := callHeaders{program: name, request: fmt.Sprintf("turn-%d", i), history: "append", end: last}
+		headers := callHeaders{program: name, request: fmt.Sprintf("turn-%d", i), history: "append", end: last}
 		body := completionBody{Messages: []message{{Role: "user", Content: turn.Question}}, MaxTokens: r.options.AnswerTokens}
 		r.calls.Add(1)
-		if _, err := r.caller.complete(ctx, r.url(daemon+i), program.Service, called, body, r.observe(), false); err != nil {
+		if _, err := r.caller.complete(ctx, r.url(daemon+i), program.Service, headers, body, r.observe(), false); err != nil {
 			return err
 		}
 		if i == 0 {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -15,7 +15,7 @@
 	"github.com/rotisserie/eris"
 )
 
-func TestShapesAreRepeatable(t *testing.T) {
+func TestShapesAreDeterministic(t *testing.T) {
 	for _, workload := range []string{WorkloadTally, WorkloadChlebnet} {
 		shape, err := ShapeOf(workload, StandInServices(workload))
 		if err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestRunCountsWhatDaemonsAnswer(t *testing.T) {
+func TestRunCountsOutcomes(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		program := r.Header.Get("Mintpulley-Program")
--- a/internal/load/shape.go
+++ b/internal/load/shape.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// Program draws the next program.
+// Program generates the next program.
 func (s Shape) Program(random *rand.Rand) Program {
 	program := s.programWithoutSubAgents(random)
 	if random.Float64() < s.subAgentShare {
--- a/internal/load/streams.go
+++ b/internal/load/streams.go
@@ -95,20 +95,20 @@
 	result := StreamResult{Streams: options.Streams}
 	firstStraight, firstThrough := newHistogram(), newHistogram()
 	r.measureFirstTokens(ctx, firstStraight, firstThrough)
-	floor, err := startRelay(options.Engines)
+	plainRelay, err := startRelay(options.Engines)
 	if err != nil {
 		return result, err
 	}
-	defer floor.close()
+	defer plainRelay.close()
 	through := &streamPath{address: options.Address, streams: options.Streams, gaps: newHistogram()}
 	straight := &streamPath{address: options.Engines[0], streams: options.DirectStreams, gaps: newHistogram()}
-	relayed := &streamPath{address: floor.address(), streams: options.RelayedStreams, gaps: newHistogram()}
+	relayed := &streamPath{address: plainRelay.address(), streams: options.RelayedStreams, gaps: newHistogram()}
 	running, stop := context.WithCancel(ctx)
 	defer stop()
 	var group sync.WaitGroup
 	r.startStreams(running, &group, through, straight, relayed)
 	sleepUntil(ctx, time.Now().Add(options.WarmUp))
-	err = r.window(ctx, &result, through, floor)
+	err = r.window(ctx, &result, through, plainRelay)
 	stop()
 	group.Wait()
 	result.Failed, result.FirstError = r.failed.Load(), r.firstErr
@@ -131,18 +131,18 @@
 
 // window measures the resource use of the daemon and the relay during the
 // window.
-func (r *streamRun) window(ctx context.Context, result *StreamResult, through *streamPath, floor *relay) error {
+func (r *streamRun) window(ctx context.Context, result *StreamResult, through *streamPath, plainRelay *relay) error {
 	before, err := scrape(ctx, r.options.Address)
 	if err != nil {
 		return err
 	}
-	relayBefore := floor.usage()
+	relayBefore := plainRelay.usage()
 	r.measuring.Store(true)
 	began := time.Now()
 	sleepUntil(ctx, began.Add(r.options.Window))
 	r.measuring.Store(false)
 	elapsed := time.Since(began)
-	relayAfter := floor.usage()
+	relayAfter := plainRelay.usage()
 	after, err := scrape(ctx, r.options.Address)
 	if err != nil {
 		return err
@@ -165,8 +165,8 @@
 	s.ResidentBytes = after.residentBytes
 }
 
-// setRelayUsage records the relay's processor time and the daemon's ratio to
-// it.
+// setRelayUsage records the relay's processor time and the ratio of the
+// daemon's processor time to it.
 func (s *StreamResult) setRelayUsage(before, after relayUse) {
 	s.RelayWrites = after.writes - before.writes
 	if s.RelayWrites == 0 {
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -58,13 +58,13 @@
 	}
 	var page bytes.Buffer
 	if err := layout.Execute(&page, content); err != nil {
-		return eris.Wrap(err, "report: render")
+		return eris.Wrap(err, "report: render page")
 	}
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
-		return eris.Wrap(err, "report: directory")
+		return eris.Wrap(err, "report: create directory")
 	}
 	file := filepath.Join(directory, fileName)
-	return eris.Wrap(os.WriteFile(file, page.Bytes(), fileMode), "report: write")
+	return eris.Wrap(os.WriteFile(file, page.Bytes(), fileMode), "report: write page")
 }
 
 func (p *Page) plots() ([]template.HTML, error) {
--- a/internal/sample/sample_test.go
+++ b/internal/sample/sample_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestAllElementsAreDrawnInTurn(t *testing.T) {
+func TestEveryElementCanBeDrawn(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	seen := map[int]bool{}
 	for range 100 {
--- a/internal/standin/cli/cli_test.go
+++ b/internal/standin/cli/cli_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestBadUse(t *testing.T) {
+func TestInvalidUsage(t *testing.T) {
 	cases := [][]string{
 		{"engine", "--role", "chief"},
 		{"engine", "--profile", "huge"},
--- a/internal/standin/control/control_test.go
+++ b/internal/standin/control/control_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestFaultsAreCheckedAndReplacedWhole(t *testing.T) {
+func TestFaultsAreValidatedAndReplaced(t *testing.T) {
 	var faults Faults[ServiceFaults]
 	var seen []bool
 	faults.OnChange(func(f ServiceFaults) { seen = append(seen, f.Down) })
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestCutStreamGoesOn(t *testing.T) {
+func TestCutStreamCanBeResumed(t *testing.T) {
 	h := newHarness(t, nil)
 	if err := h.engine.Faults.Set(Faults{CutStreams: 1, CutAfter: 16}); err != nil {
 		t.Fatal(err)
--- a/internal/standin/machinelist/machinelist_test.go
+++ b/internal/standin/machinelist/machinelist_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestFrozenListStands(t *testing.T) {
+func TestFrozenListDoesNotChange(t *testing.T) {
 	l := New(nil, 0)
 	_ = l.Faults.Set(Faults{Frozen: true})
 	l.Put(structs.Machine{Address: "a"})
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestRowsOverHTTP(t *testing.T) {
+func TestMachinesOverHTTP(t *testing.T) {
 	l := New(nil, 0)
 	server := httptest.NewServer(l)
 	defer server.Close()
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestUnknownVersionGetsTheWholeList(t *testing.T) {
+func TestUnknownVersionGetsTheFullList(t *testing.T) {
 	l := New([]structs.Machine{{Address: "a"}}, 0)
 	first := l.read("").Version
 	for range 2 * keptVersions {
@@ -102,21 +102,21 @@
 	}
 	other := New([]structs.Machine{{Address: "a"}}, 0).read("").Version
 	for _, since := range []framework.ListVersion{first, other, "nonsense"} {
-		if reading := l.read(since); reading.Since != "" || len(reading.Machines) != 1 {
-			t.Errorf("since %q: %+v, want the whole list", since, reading)
+		if response := l.read(since); response.Since != "" || len(response.Machines) != 1 {
+			t.Errorf("since %q: %+v, want the full list", since, response)
 		}
 	}
 }
 
-func TestReaderOfAFrozenListIsTakenBack(t *testing.T) {
+func TestFrozenListRevertsANewerVersion(t *testing.T) {
 	l := New([]structs.Machine{{Address: "a"}}, 0)
 	_ = l.Faults.Set(Faults{Frozen: true})
 	l.Put(structs.Machine{Address: "b"})
 	_ = l.Faults.Set(Faults{})
 	later := l.read("").Version
 	l.frozen, l.isFrozen = l.history[0], true
-	reading := l.read(later)
-	if diff := cmp.Diff([]string{"b"}, reading.Removed); diff != "" {
+	response := l.read(later)
+	if diff := cmp.Diff([]string{"b"}, response.Removed); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/standin/proxy/proxy_test.go
+++ b/internal/standin/proxy/proxy_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestDropOneWayCutsOnceLifted(t *testing.T) {
+func TestDropResetsConnectionOnceLifted(t *testing.T) {
 	_, route := newRouteForTest(t)
 	conn := dial(t, route)
 	if _, err := exchange(conn, "first", plenty); err != nil {
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestHalfCloseTellsOneSideOnly(t *testing.T) {
+func TestHalfCloseAffectsOneSideOnly(t *testing.T) {
 	_, route := newRouteForTest(t)
 	conn := dial(t, route)
 	if _, err := exchange(conn, "first", plenty); err != nil {
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestClientGoneWhileCutOffNeverArrives(t *testing.T) {
+func TestClientGoneDuringPartitionNeverConnects(t *testing.T) {
 	p, _ := newRouteForTest(t)
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
--- a/internal/workload/shape.go
+++ b/internal/workload/shape.go
@@ -12,7 +12,7 @@
 )
 
 // ErrUnknownWorkload is returned for an unknown workload name.
-var ErrUnknownWorkload = eris.New("workload: unknown")
+var ErrUnknownWorkload = eris.New("workload: unknown workload")
 
 // Shape is one user's workload.
 type Shape struct {
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-func TestTraceIsReplayedAsItWasSaved(t *testing.T) {
+func TestTraceSurvivesWriteAndRead(t *testing.T) {
 	for _, shape := range Shapes() {
 		trace := shape.Generate(5, 4, 60)
 		if len(trace.Programs) < 100 {
