--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -59,11 +59,13 @@
 	holds     holdTable
 	programs  programBlocks
 	// linkFree is when the last reserved transfer over the link ends.
-	linkFree      time.Time
-	waiting       []*sequence
-	running       []*sequence
-	arrivals      uint64
-	span          *span
+	linkFree time.Time
+	waiting  []*sequence
+	running  []*sequence
+	arrivals uint64
+	span     *span
+	// busy is set while a span begins or ends; wake then only sets
+	// wakeRequested.
 	busy          bool
 	wakeRequested bool
 }
--- a/internal/enginemodel/memory_test.go
+++ b/internal/enginemodel/memory_test.go
@@ -178,7 +178,7 @@
 	r := b.start(request("a", 1, 10, 2))
 	b.runFor(time.Second)
 	if r.end.Kind != framework.EndFailed || b.engine.Inspect("a", 1).State != framework.AttemptDone {
-		t.Errorf("end %+v long after the stream was forgotten", r.end)
+		t.Errorf("end %+v after the stream expired", r.end)
 	}
 	if got := b.engine.Statistics().CompletionTokens; got != 2 {
 		t.Errorf("%d tokens computed, want 2", got)
--- a/internal/enginemodel/transfer_test.go
+++ b/internal/enginemodel/transfer_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestLinksCarryOneTransferAfterTheOther(t *testing.T) {
+func TestTransfersShareALinkSequentially(t *testing.T) {
 	b := newTestEngine(t, func(p *Parameters) { p.CacheBytesPerToken, p.LinkBytesPerSecond = 10, 6400 })
 	others := make([]*Engine, 2)
 	for i := range others {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestTransferTakesTheLinksTime(t *testing.T) {
+func TestTransferDurationFollowsLinkBandwidth(t *testing.T) {
 	d := newTestDriver(t)
 	parameters := testParameters()
 	parameters.CacheBytesPerToken, parameters.LinkBytesPerSecond = 10, 6400
--- a/internal/standin/application/application_test.go
+++ b/internal/standin/application/application_test.go
@@ -112,7 +112,7 @@
 		}
 		h.invoke("a", 1)
 		if got := h.app.Repeated(); len(got) != 1 {
-			t.Errorf("repeated %v: the count from outside must outlive the restart", got)
+			t.Errorf("repeated %v: the run counts must survive a restart", got)
 		}
 	}
 }
--- a/internal/standin/control/control_test.go
+++ b/internal/standin/control/control_test.go
@@ -55,6 +55,6 @@
 		return drawn
 	}
 	if !cmp.Equal(draw(1), draw(1)) || cmp.Equal(draw(1), draw(2)) {
-		t.Error("draws do not follow the seed")
+		t.Error("draws do not depend on the seed alone")
 	}
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -22,8 +22,8 @@
 
 const (
 	model structs.ModelName = "m"
-	// plenty limits waits that should be short.
-	plenty = 3 * time.Second
+	// longTimeout limits waits that should be short.
+	longTimeout = 3 * time.Second
 )
 
 // harness is an engine behind HTTP, called through the scheduler's own driver.
@@ -51,7 +51,7 @@
 	return &harness{
 		T:      t,
 		engine: e,
-		driver: openai.New(framework.DriverSettings{Timeout: plenty}),
+		driver: openai.New(framework.DriverSettings{Timeout: longTimeout}),
 		id:     structs.EngineID(strings.TrimPrefix(server.URL, "http://")),
 		url:    server.URL,
 	}
@@ -106,7 +106,7 @@
 	select {
 	case end := <-r.ended:
 		return end
-	case <-time.After(plenty):
+	case <-time.After(longTimeout):
 		h.Fatal("the attempt did not end")
 		return framework.AttemptEnd{}
 	}
@@ -240,7 +240,7 @@
 	if diff := cmp.Diff([]structs.ModelName{"n"}, report.Loading); diff != "" {
 		t.Error(diff)
 	}
-	deadline := time.Now().Add(plenty)
+	deadline := time.Now().Add(longTimeout)
 	for len(h.load().Models) < 2 && time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -280,7 +280,7 @@
 		})
 	})
 	if err != nil || tokens != 384 {
-		t.Fatalf("%d tokens came: %v", tokens, err)
+		t.Fatalf("%d tokens transferred: %v", tokens, err)
 	}
 	if held := to.engine.model.Holds(); len(held) != 1 || held[0].ID != "h" || held[0].Tokens != 384 {
 		t.Errorf("held for the attempt that follows: %+v", held)
@@ -333,18 +333,18 @@
 	}
 }
 
-func TestPlainClientThatLeavesStopsItsAttempt(t *testing.T) {
+func TestDisconnectOfPlainClientCancelsItsAttempt(t *testing.T) {
 	h := newHarness(t, nil)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	body := `{"model":"m","stream":true,"messages":[{"role":"user","content":"[[tokens=100000]]"}]}`
 	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, h.url+openai.PathCompletions, strings.NewReader(body))
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	leave()
+	disconnect()
 	_ = response.Body.Close()
-	deadline := time.Now().Add(plenty)
+	deadline := time.Now().Add(longTimeout)
 	for h.engine.Runs()[0].Kind != framework.EndCancelled && time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/standin/engine/faults_test.go
+++ b/internal/standin/engine/faults_test.go
@@ -46,12 +46,12 @@
 }
 
 // eventually polls a condition that the engine's goroutines bring about.
-func (h *harness) eventually(what string, holds func() bool) {
+func (h *harness) eventually(what string, condition func() bool) {
 	h.Helper()
-	deadline := time.Now().Add(plenty)
-	for !holds() {
+	deadline := time.Now().Add(longTimeout)
+	for !condition() {
 		if time.Now().After(deadline) {
-			h.Fatalf("%s did not come about", what)
+			h.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -73,9 +73,9 @@
 	h.eventually("a fresh report", func() bool { return h.running() == 1 })
 }
 
-// TestCacheEventsComeLateAndWithGaps stores other blocks with every prompt and
+// TestCacheEventsAreDelayedAndLost stores other blocks with every prompt and
 // checks delay and loss of the events.
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndLost(t *testing.T) {
 	h := newHarness(t, nil)
 	run := func(name string) {
 		h.end(h.start(h.request(name, strings.Repeat(name+" ", 400)+"[[tokens=1]]")))
@@ -85,12 +85,12 @@
 	h.put(`{"event_loss":1}`)
 	run("lost")
 	if got := h.events(); len(got) != len(published) {
-		t.Errorf("%d events are there, want the %d of before", len(got), len(published))
+		t.Errorf("%d events are visible, want the %d from before", len(got), len(published))
 	}
 	h.put(`{"event_delay":"1h"}`)
 	run("late")
 	if got := h.events(); len(got) != len(published) {
-		t.Errorf("%d events are there before their time, want %d", len(got), len(published))
+		t.Errorf("%d events are visible before their delay, want %d", len(got), len(published))
 	}
 	h.put(`{}`)
 	run("last")
@@ -103,17 +103,17 @@
 	}
 }
 
-func TestSilentStreamsAndSlowness(t *testing.T) {
+func TestStalledStreamsAndSlowness(t *testing.T) {
 	h := newHarness(t, nil)
 	h.put(`{"stall_streams":1,"cut_after":20}`)
 	stalled := h.start(h.request("stalled", "[[tokens=50]]"))
 	<-stalled.first
-	h.eventually("the end of the attempt behind a silent stream", func() bool {
+	h.eventually("the end of the attempt behind a stalled stream", func() bool {
 		return h.inspect("stalled", 1).State == framework.AttemptDone
 	})
 	select {
 	case end := <-stalled.ended:
-		t.Errorf("the silent stream ended: %+v", end)
+		t.Errorf("the stalled stream ended: %+v", end)
 	default:
 	}
 	h.put(`{"slowness":1000000}`)
@@ -121,7 +121,7 @@
 	h.eventually("the slow attempt's start", func() bool { return h.running() == 1 })
 	select {
 	case <-slow.first:
-		t.Error("a step of a thousand seconds is over")
+		t.Error("a slowed step ended too early")
 	default:
 	}
 }
--- a/internal/standin/machinelist/machinelist_test.go
+++ b/internal/standin/machinelist/machinelist_test.go
@@ -87,8 +87,8 @@
 	if diff := cmp.Diff(want, second); diff != "" {
 		t.Error(diff)
 	}
-	still := l.read(second.Version)
-	if diff := cmp.Diff(framework.ListResponse{Version: second.Version, Since: second.Version, Total: 1}, still); diff != "" {
+	unchanged := l.read(second.Version)
+	if diff := cmp.Diff(framework.ListResponse{Version: second.Version, Since: second.Version, Total: 1}, unchanged); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/standin/proxy/proxy_test.go
+++ b/internal/standin/proxy/proxy_test.go
@@ -18,7 +18,7 @@
 
 const loopback = "127.0.0.1:0"
 
-// echo answers each line with itself until the connection ends.
+// echo starts a server that echoes all bytes and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", loopback)
@@ -85,8 +85,8 @@
 }
 
 const (
-	plenty = 5 * time.Second
-	short  = 60 * time.Millisecond
+	longTimeout  = 5 * time.Second
+	shortTimeout = 60 * time.Millisecond
 )
 
 func TestDelayBothWays(t *testing.T) {
@@ -95,7 +95,7 @@
 	set(t, route, Faults{ToTarget: delay, ToClient: delay})
 	conn := dial(t, route)
 	began := time.Now()
-	answer, err := exchange(conn, "hello", plenty)
+	answer, err := exchange(conn, "hello", longTimeout)
 	if err != nil || answer != "hello" {
 		t.Fatalf("got %q, %v", answer, err)
 	}
@@ -112,7 +112,7 @@
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	if answer, err := exchange(conn, "hello", plenty); err == nil || isTimeout(err) {
+	if answer, err := exchange(conn, "hello", longTimeout); err == nil || isTimeout(err) {
 		t.Errorf("got %q, %v", answer, err)
 	}
 }
@@ -120,14 +120,14 @@
 func TestCutBreaksOpenConnections(t *testing.T) {
 	_, route := newRouteForTest(t)
 	conn := dial(t, route)
-	if _, err := exchange(conn, "hello", plenty); err != nil {
+	if _, err := exchange(conn, "hello", longTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if count := route.Cut(); count != 1 {
 		t.Errorf("cut %d connections, want 1", count)
 	}
-	if _, err := readWithin(conn, plenty); err == nil || isTimeout(err) {
-		t.Errorf("the connection did not break: %v", err)
+	if _, err := readWithin(conn, longTimeout); err == nil || isTimeout(err) {
+		t.Errorf("the connection was not reset: %v", err)
 	}
 }
 
@@ -139,15 +139,15 @@
 func TestHeldBytesArriveWhenLifted(t *testing.T) {
 	_, route := newRouteForTest(t)
 	conn := dial(t, route)
-	if _, err := exchange(conn, "first", plenty); err != nil {
+	if _, err := exchange(conn, "first", longTimeout); err != nil {
 		t.Fatal(err)
 	}
 	set(t, route, Faults{ToClient: DirectionFaults{Hold: true}})
-	if answer, err := exchange(conn, "second", short); !isTimeout(err) {
+	if answer, err := exchange(conn, "second", shortTimeout); !isTimeout(err) {
 		t.Fatalf("got %q, %v while held", answer, err)
 	}
 	set(t, route, Faults{})
-	if answer, err := readWithin(conn, plenty); err != nil || answer != "second" {
+	if answer, err := readWithin(conn, longTimeout); err != nil || answer != "second" {
 		t.Errorf("got %q, %v", answer, err)
 	}
 }
@@ -155,27 +155,27 @@
 func TestDropResetsConnectionOnceLifted(t *testing.T) {
 	_, route := newRouteForTest(t)
 	conn := dial(t, route)
-	if _, err := exchange(conn, "first", plenty); err != nil {
+	if _, err := exchange(conn, "first", longTimeout); err != nil {
 		t.Fatal(err)
 	}
 	set(t, route, Faults{ToTarget: DirectionFaults{Drop: true}})
-	if answer, err := exchange(conn, "second", short); !isTimeout(err) {
+	if answer, err := exchange(conn, "second", shortTimeout); !isTimeout(err) {
 		t.Fatalf("got %q, %v while dropped", answer, err)
 	}
 	set(t, route, Faults{})
-	if answer, err := readWithin(conn, plenty); err == nil || isTimeout(err) {
-		t.Errorf("the connection goes on without its bytes: %q, %v", answer, err)
+	if answer, err := readWithin(conn, longTimeout); err == nil || isTimeout(err) {
+		t.Errorf("the connection survived the loss of bytes: %q, %v", answer, err)
 	}
 }
 
 func TestHalfCloseAffectsOneSideOnly(t *testing.T) {
 	_, route := newRouteForTest(t)
 	conn := dial(t, route)
-	if _, err := exchange(conn, "first", plenty); err != nil {
+	if _, err := exchange(conn, "first", longTimeout); err != nil {
 		t.Fatal(err)
 	}
 	route.HalfClose(SideClient)
-	if _, err := readWithin(conn, plenty); !errors.Is(err, io.EOF) {
+	if _, err := readWithin(conn, longTimeout); !errors.Is(err, io.EOF) {
 		t.Errorf("read %v, want the end", err)
 	}
 	if _, err := io.WriteString(conn, "still open\n"); err != nil {
@@ -196,15 +196,15 @@
 	}
 	set(t, route, Faults{ToTarget: DirectionFaults{Hold: true}})
 	conn := dial(t, route)
-	if _, err := exchange(conn, "hello", short); !isTimeout(err) {
+	if _, err := exchange(conn, "hello", shortTimeout); !isTimeout(err) {
 		t.Fatalf("read %v", err)
 	}
 	_ = conn.Close()
 	set(t, route, Faults{})
-	_ = listener.(*net.TCPListener).SetDeadline(time.Now().Add(short))
+	_ = listener.(*net.TCPListener).SetDeadline(time.Now().Add(shortTimeout))
 	if arrived, err := listener.Accept(); err == nil {
 		_ = arrived.Close()
-		t.Error("a connection was made for a client that had gone")
+		t.Error("the target was connected for a client that had disconnected")
 	}
 }
 
