--- a/internal/enginemodel/driver_test.go
+++ b/internal/enginemodel/driver_test.go
@@ -12,7 +12,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// testDriver is a testEngine whose engine is reached through a driver 5 ms away.
+// testDriver is a testEngine that is called through a driver with a one-way
+// delay of 5 ms.
 type testDriver struct {
 	*testEngine
 	driver *Driver
@@ -94,7 +95,7 @@
 	}
 }
 
-func TestBrokenStreamGoesOnAtItsEngine(t *testing.T) {
+func TestBrokenStreamResumesAtItsEngine(t *testing.T) {
 	d := newTestDriver(t)
 	r, _ := d.send(engineRequest("a", "[[tokens=50]]"))
 	d.runFor(200 * millisecond)
@@ -114,7 +115,7 @@
 	}
 }
 
-func TestStreamGoesOnAtAnotherEngine(t *testing.T) {
+func TestStreamContinuesAtAnotherEngine(t *testing.T) {
 	d := newTestDriver(t)
 	whole, _ := d.send(engineRequest("a", "[[tokens=50]]"))
 	d.runFor(2 * time.Second)
@@ -141,7 +142,7 @@
 	}
 }
 
-func TestPromptReaderAgreesWithPrefix(t *testing.T) {
+func TestPromptReaderMatchesPrefixBlocks(t *testing.T) {
 	reader := NewPromptReader(5)
 	request := engineRequest("a", string(make([]byte, 700)))
 	first := reader.Read(request)
--- a/internal/enginemodel/memory_test.go
+++ b/internal/enginemodel/memory_test.go
@@ -17,7 +17,7 @@
 	return func(p *Parameters) { p.CacheTokens = count * prefix.BlockTokens }
 }
 
-func TestHigherPriorityPushesOutLower(t *testing.T) {
+func TestHigherPriorityPreemptsLower(t *testing.T) {
 	b := newTestEngine(t, blocks(6))
 	low := b.start(request("low", 1, 63, 300))
 	b.runFor(80 * millisecond)
@@ -114,16 +114,16 @@
 	}
 }
 
-func TestIdleTimeCountsWhatIsNeverHit(t *testing.T) {
+func TestIdleTimeCountsBlocksNeverHit(t *testing.T) {
 	b := newTestEngine(t, nil)
 	b.start(request("a", 1, 129, 1))
 	b.runFor(10 * time.Second)
 	b.start(request("b", 1, 65, 1))
 	b.runFor(10 * time.Second)
 	b.engine.CountIdleBlocks()
-	// a ends at 159 ms with two blocks. b hits the first until 10.011 s: that
-	// wait was of use. At 20 s the first is idle since then, the second since
-	// a's end.
+	// a ends at 159 ms with two blocks. b hits the first one until 10.011 s,
+	// so that wait does not count. At 20 s the first block is idle since then,
+	// the second since a's end.
 	want := (20 - 10.011 + 20 - 0.159) * 64
 	if got := b.engine.Statistics().IdleTokenSeconds; got < want-0.001 || got > want+0.001 {
 		t.Errorf("idle %v token-seconds, want %v", got, want)
@@ -178,7 +178,7 @@
 	r := b.start(request("a", 1, 10, 2))
 	b.runFor(time.Second)
 	if r.end.Kind != framework.EndFailed || b.engine.Inspect("a", 1).State != framework.AttemptDone {
-		t.Errorf("end %+v long after the stream was forgotten", r.end)
+		t.Errorf("end %+v after the stream expired", r.end)
 	}
 	if got := b.engine.Statistics().CompletionTokens; got != 2 {
 		t.Errorf("%d tokens computed, want 2", got)
@@ -272,9 +272,9 @@
 	}
 }
 
-// BenchmarkFifteenEngines tells how many virtual seconds a real one carries,
-// with 15 engines that get 4 requests a second each, of 2,000 prompt tokens on
-// 200 shared prompts and 200 answer tokens.
+// BenchmarkFifteenEngines measures the ratio of virtual to real time for 15
+// engines that each get 4 requests a second, of 2,000 prompt tokens from 200
+// shared prompts and 200 answer tokens.
 func BenchmarkFifteenEngines(b *testing.B) {
 	const seconds, perSecond = 60, 60
 	for b.Loop() {
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -15,17 +15,17 @@
 	"github.com/mintpulley/mintpulley/internal/experiment"
 )
 
-// Page is what goes into a report.
+// Page is the content of a report.
 type Page struct {
 	Result experiment.Result
-	// Sweep holds results at further loads.
+	// Sweep holds results at other loads.
 	Sweep []experiment.Result
 }
 
 // fileName is the page's name in the directory.
 const fileName = "index.html"
 
-// Permissions of what is written.
+// Permissions of created files and directories.
 const (
 	directoryMode = 0o755
 	fileMode      = 0o644
@@ -45,7 +45,7 @@
 {{end}}</body></html>
 `))
 
-// Write makes the page in a directory, which is made if need be.
+// Write writes the page into a directory, which is created if missing.
 func (p *Page) Write(directory string) error {
 	plots, err := p.plots()
 	if err != nil {
@@ -58,13 +58,13 @@
 	}
 	var page bytes.Buffer
 	if err := layout.Execute(&page, content); err != nil {
-		return eris.Wrap(err, "report: render")
+		return eris.Wrap(err, "report: render page")
 	}
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
-		return eris.Wrap(err, "report: directory")
+		return eris.Wrap(err, "report: create directory")
 	}
 	file := filepath.Join(directory, fileName)
-	return eris.Wrap(os.WriteFile(file, page.Bytes(), fileMode), "report: write")
+	return eris.Wrap(os.WriteFile(file, page.Bytes(), fileMode), "report: write page")
 }
 
 func (p *Page) plots() ([]template.HTML, error) {
--- a/internal/standin/application/application_test.go
+++ b/internal/standin/application/application_test.go
@@ -14,7 +14,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// harness is an application behind HTTP with the fleet's own driver.
+// harness is an application behind HTTP, called through the fleet's own
+// driver.
 type harness struct {
 	app    *Application
 	driver framework.ApplicationDriver
@@ -91,7 +92,7 @@
 	if got := h.inspect(t, "a", 2); got.State != framework.AttemptRunning {
 		t.Errorf("state %q, want running", got.State)
 	}
-	// The inspection fenced it while it waited.
+	// The inspection fenced the attempt while it waited.
 	if end := <-ended; end.Kind != framework.EndRejected || len(h.app.Runs()) != 0 {
 		t.Errorf("end %q, runs %v", end.Kind, h.app.Runs())
 	}
@@ -111,7 +112,7 @@
 		}
 		h.invoke("a", 1)
 		if got := h.app.Repeated(); len(got) != 1 {
-			t.Errorf("repeated %v: the count from outside must outlive the restart", got)
+			t.Errorf("repeated %v: the run counts must survive a restart", got)
 		}
 	}
 }
