--- a/internal/backends/back_end.go
+++ b/internal/backends/back_end.go
@@ -21,16 +21,18 @@
 	failures    int
 	// polling is set while a poll of its report is in progress; polledAt is when that
 	// began.
-	polling    bool
-	polledAt   time.Time
-	report     structs.LoadReport
-	reportedAt time.Time
-	cache      cacheProgress
+	polling  bool
+	polledAt time.Time
+	report   structs.LoadReport
+	// lastReportAt is when its load was last reported, or its watcher last reported
+	// that it cannot read it.
+	lastReportAt time.Time
+	cache        cacheProgress
 	// borrowedUntil is set for an engine of another cell.
 	borrowedUntil time.Time
-	// reported is the state last sent to the scheduler, inScheduler whether the
-	// scheduler has it.
-	reported    structs.Engine
+	// lastSent is the state last sent to the scheduler, inScheduler whether the
+	// scheduler has the engine.
+	lastSent    structs.Engine
 	inScheduler bool
 }
 
--- a/internal/backends/directory.go
+++ b/internal/backends/directory.go
@@ -233,8 +233,8 @@
 		return
 	}
 	engine := d.engineOf(b)
-	same := b.inScheduler && b.reported.Zone == engine.Zone && b.reported.Region == engine.Region && b.reported.Leaving == engine.Leaving
-	b.reported = engine
+	same := b.inScheduler && b.lastSent.Zone == engine.Zone && b.lastSent.Region == engine.Region && b.lastSent.Leaving == engine.Leaving
+	b.lastSent = engine
 	b.inScheduler = true
 	d.mutex.Unlock()
 	if !same {
--- a/internal/backends/directory_test.go
+++ b/internal/backends/directory_test.go
@@ -23,15 +23,15 @@
 	b.wantLeaving(t, true, "listed as leaving")
 	b.machines[0].State = structs.MachineLive
 	b.run(5 * time.Second)
-	b.wantLeaving(t, true, "an older list comes again")
+	b.wantLeaving(t, true, "just after it is listed as live")
 	b.run(10 * time.Second)
-	b.wantLeaving(t, false, "listed as live for long")
+	b.wantLeaving(t, false, "after ListHoldDown")
 }
 
 func TestDrainingOverridesListAndLaggingReports(t *testing.T) {
 	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.MarkDraining(engineA)
-	b.wantLeaving(t, true, "after its word")
+	b.wantLeaving(t, true, "after MarkDraining")
 	b.run(10 * time.Second)
 	b.wantLeaving(t, true, "reports do not say so yet")
 	b.set(engineA, func(r *structs.LoadReport) { r.Draining = true })
@@ -45,9 +45,9 @@
 func TestLeavingMessageOfAnotherDaemonIsApplied(t *testing.T) {
 	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.Receive("10.0.0.2:7000#1", &Leaving{BackEnd: engineA, Run: 50})
-	b.wantLeaving(t, false, "word of a former run")
+	b.wantLeaving(t, false, "announcement of a former run")
 	b.Receive("10.0.0.2:7000#1", &Leaving{BackEnd: engineA, Run: 100})
-	b.wantLeaving(t, true, "word of this run")
+	b.wantLeaving(t, true, "announcement of this run")
 }
 
 func TestDrainingIsBroadcastOnce(t *testing.T) {
@@ -64,7 +64,7 @@
 	b := newTestDirectory(Guards{}, engineRow(engineA))
 	b.down[engineA] = true
 	b.run(2 * time.Second)
-	b.wantLeaving(t, true, "after failed readings")
+	b.wantLeaving(t, true, "after failed polls")
 	b.down[engineA] = false
 	b.run(time.Second)
 	b.wantLeaving(t, false, "after it answered")
@@ -78,7 +78,7 @@
 	b.machines[0].State = structs.MachineLeaving
 	b.MarkDraining(engineA)
 	b.run(5 * time.Second)
-	b.wantLeaving(t, false, "with the guard off")
+	b.wantLeaving(t, false, "with IgnoreLeaving")
 }
 
 func TestApplicationLeavesAndReturns(t *testing.T) {
@@ -106,7 +106,7 @@
 		t.Errorf("chose %q, which is not listed", got)
 	}
 	if !b.IsDelisted(orders) {
-		t.Error("an unlisted application is not gone")
+		t.Error("IsDelisted is false for an unlisted application")
 	}
 }
 
@@ -122,7 +122,7 @@
 		t.Error(diff)
 	}
 	if b.cacheGaps != 1 {
-		t.Errorf("%d gaps told, want 1", b.cacheGaps)
+		t.Errorf("%d gaps reported, want 1", b.cacheGaps)
 	}
 }
 
@@ -149,7 +149,7 @@
 		}
 	}
 	if seen != mine || mine == 0 || mine == len(rows) {
-		t.Errorf("%d holds reported of the %d engines that are this daemon's, of %d", seen, mine, len(rows))
+		t.Errorf("%d holds reported, want those of %d engines; this daemon must sweep some of the %d engines, not all", seen, mine, len(rows))
 	}
 }
 
@@ -241,10 +241,10 @@
 		t.Error("the engine that was found is not in use")
 	}
 	if missing := b.missingModels(); len(missing) != 0 {
-		t.Errorf("still looked for: %v", missing)
+		t.Errorf("models still missing: %v", missing)
 	}
 	b.run(DefaultSettings().BorrowDuration + 10*time.Second)
 	if b.engines[far].ID == far {
-		t.Error("the engine is in use longer than borrowed")
+		t.Error("the engine is in use after BorrowDuration")
 	}
 }
--- a/internal/backends/list_test.go
+++ b/internal/backends/list_test.go
@@ -37,7 +37,7 @@
 	b.machines = []structs.Machine{engine}
 	b.run(b.Settings.ListInterval)
 	if len(b.lists) != 2 {
-		t.Fatalf("%d lists were passed on, want the first and the one without the daemon", len(b.lists))
+		t.Fatalf("%d lists were passed to OnList, want the first and the one without the daemon", len(b.lists))
 	}
 	if diff := cmp.Diff([]structs.Machine{engine}, b.lists[1]); diff != "" {
 		t.Error(diff)
@@ -48,7 +48,7 @@
 	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines[0].State = structs.MachineLeaving
 	b.run(10 * b.Settings.ListHoldDown)
-	b.wantLeaving(t, true, "listed as leaving in every reading")
+	b.wantLeaving(t, true, "listed as leaving in every read")
 }
 
 func TestUnlistedEngineIsRemovedWhileTheListIsUnchanged(t *testing.T) {
@@ -56,11 +56,11 @@
 	b.machines = b.machines[1:]
 	b.run(2 * b.Settings.ListInterval)
 	if !b.IsDelisted(engineA) {
-		t.Fatal("still listed")
+		t.Fatal("the engine is still listed")
 	}
 	b.run(2 * b.Settings.ListHoldDown)
 	if _, known := b.backEnds[engineA]; known {
-		t.Error("still remembered")
+		t.Error("the engine is still tracked")
 	}
 }
 
@@ -75,9 +75,9 @@
 		return framework.WholeList("other-1", []structs.Machine{engine, other})
 	}
 	b.run(2 * b.Settings.ListInterval)
-	b.wantLeaving(t, true, "shown again by an older list")
+	b.wantLeaving(t, true, "listed again by an older list")
 	b.run(b.Settings.ListHoldDown)
-	b.wantLeaving(t, false, "shown for long")
+	b.wantLeaving(t, false, "listed for ListHoldDown")
 }
 
 func TestReadWithAGapIsFollowedByTheFullList(t *testing.T) {
@@ -93,7 +93,7 @@
 	if diff := cmp.Diff([]framework.ListVersion{""}, b.versionsAsked); diff != "" {
 		t.Error(diff)
 	}
-	b.wantLeaving(t, true, "after the whole list")
+	b.wantLeaving(t, true, "after the full list")
 }
 
 func TestListReadsResumeFromTheLastVersionAfterAnOutage(t *testing.T) {
@@ -102,13 +102,13 @@
 	b.run(time.Minute)
 	b.machines[0].State = structs.MachineLeaving
 	b.run(time.Minute)
-	b.wantLeaving(t, false, "nothing was heard")
+	b.wantLeaving(t, false, "no read succeeded")
 	b.listFails = false
 	b.versionsAsked = nil
 	b.run(b.Settings.ListInterval)
-	b.wantLeaving(t, true, "after the first reading")
+	b.wantLeaving(t, true, "after the first read")
 	if b.versionsAsked[0] == "" {
-		t.Error("the whole list was read, want the changes since the last reading")
+		t.Error("the full list was read, want the changes since the last read")
 	}
 }
 
@@ -118,12 +118,12 @@
 	b.machines = b.machines[1:]
 	b.run(time.Minute)
 	if told, readings := len(b.lists)+b.unchangedLists, len(b.versionsAsked); told != readings {
-		t.Errorf("%d readings were told of %d", told, readings)
+		t.Errorf("%d reads were reported, of %d", told, readings)
 	}
 	told := b.unchangedLists
 	b.listFails = true
 	b.run(time.Minute)
 	if b.unchangedLists != told {
-		t.Error("readings that failed were told as ones without change")
+		t.Error("failed reads were reported as unchanged")
 	}
 }
--- a/internal/backends/machine_list.go
+++ b/internal/backends/machine_list.go
@@ -26,42 +26,42 @@
 // nextBase returns the version on which the next read builds; empty requests the full
 // list. The full list is also requested every fullEvery reads, so that a change which
 // the service failed to report is not missed for good.
-func (v *machineList) nextBase(fullEvery int) framework.ListVersion {
-	if v.readsSinceFull >= fullEvery {
+func (l *machineList) nextBase(fullEvery int) framework.ListVersion {
+	if l.readsSinceFull >= fullEvery {
 		return ""
 	}
-	return v.version
+	return l.version
 }
 
 // apply merges a read and reports whether any row changed. After an error the rows are
 // unchanged, and the full list is read next. An empty list is rejected, since a
 // correct one has this daemon's own machine.
-func (v *machineList) apply(reading framework.ListReading) (changed bool, err error) {
-	rows, changed := v.merged(reading)
+func (l *machineList) apply(reading framework.ListReading) (changed bool, err error) {
+	rows, changed := l.merged(reading)
 	whole := reading.Since == ""
-	leadsOn := whole || (reading.Since == v.version && reading.Total == len(rows))
+	leadsOn := whole || (reading.Since == l.version && reading.Total == len(rows))
 	if len(rows) == 0 || !leadsOn {
-		v.version = ""
+		l.version = ""
 		return false, errListGap
 	}
-	v.rows = rows
-	v.version = reading.Version
-	v.readsSinceFull++
+	l.rows = rows
+	l.version = reading.Version
+	l.readsSinceFull++
 	if whole {
-		v.readsSinceFull = 0
+		l.readsSinceFull = 0
 	}
 	return changed, nil
 }
 
 // merged returns the rows after a read, and whether it contained any. Without changes
 // it returns the current map.
-func (v *machineList) merged(reading framework.ListReading) (rows map[string]structs.Machine, changed bool) {
+func (l *machineList) merged(reading framework.ListReading) (rows map[string]structs.Machine, changed bool) {
 	if reading.Since != "" && len(reading.Machines)+len(reading.Removed) == 0 {
-		return v.rows, false
+		return l.rows, false
 	}
 	rows = make(map[string]structs.Machine, reading.Total)
 	if reading.Since != "" {
-		for address, machine := range v.rows {
+		for address, machine := range l.rows {
 			rows[address] = machine
 		}
 	}
@@ -75,9 +75,9 @@
 }
 
 // machines returns the list ordered by address.
-func (v *machineList) machines() []structs.Machine {
-	list := make([]structs.Machine, 0, len(v.rows))
-	for _, machine := range v.rows {
+func (l *machineList) machines() []structs.Machine {
+	list := make([]structs.Machine, 0, len(l.rows))
+	for _, machine := range l.rows {
 		list = append(list, machine)
 	}
 	slices.SortFunc(list, func(a, b structs.Machine) int { return strings.Compare(a.Address, b.Address) })
--- a/internal/backends/machine_list_test.go
+++ b/internal/backends/machine_list_test.go
@@ -89,16 +89,16 @@
 				t.Fatal(err)
 			}
 			if _, err := view.apply(reading); err == nil {
-				t.Error("taken")
+				t.Error("the read was applied")
 			}
 			if diff := cmp.Diff(before, view.machines()); diff != "" {
 				t.Error(diff)
 			}
 			if since := view.nextBase(testFullListEvery); since != "" {
-				t.Errorf("next reading builds on %q, want the whole list", since)
+				t.Errorf("the next read builds on %q, want the full list", since)
 			}
 			if _, err := view.apply(good); err == nil {
-				t.Error("changes were taken after a gap")
+				t.Error("changes were applied after a gap")
 			}
 		})
 	}
@@ -120,6 +120,6 @@
 		}
 	}
 	if wholes != 2 {
-		t.Errorf("%d whole lists in 101 readings, want 2", wholes)
+		t.Errorf("%d full lists in 101 reads, want 2", wholes)
 	}
 }
--- a/internal/backends/receive.go
+++ b/internal/backends/receive.go
@@ -48,7 +48,7 @@
 	}
 	if digest.Failed {
 		b.failures = d.Settings.FailureLimit
-		b.reportedAt = d.Clock.Now()
+		b.lastReportAt = d.Clock.Now()
 		d.mutex.Unlock()
 		d.updateScheduler(digest.Engine)
 		return
--- a/internal/backends/watch.go
+++ b/internal/backends/watch.go
@@ -46,7 +46,7 @@
 		if !b.listed || !b.isEngine() || !d.uses(b) {
 			continue
 		}
-		overdue := now.Sub(b.reportedAt) > d.summaryTimeout()
+		overdue := now.Sub(b.lastReportAt) > d.summaryTimeout()
 		if d.cells.watches(id) || overdue || b.borrowed(now) {
 			ids = append(ids, id)
 		}
@@ -59,8 +59,8 @@
 	return missedSummaries * time.Duration(d.Settings.SummaryEvery) * d.Settings.WatchInterval
 }
 
-// missedSummaries is after how many summary intervals without news of an engine the
-// other daemons of the cell poll it themselves.
+// missedSummaries is after how many summary intervals without a report the other
+// daemons of the cell poll an engine themselves.
 const missedSummaries = 3
 
 // pollUnread polls the engines that were never polled, such as newly listed ones.
@@ -68,7 +68,7 @@
 	d.mutex.Lock()
 	var ids []structs.EngineID
 	for id, b := range d.backEnds {
-		if b.listed && b.isEngine() && d.uses(b) && b.reportedAt.IsZero() && b.failures == 0 {
+		if b.listed && b.isEngine() && d.uses(b) && b.lastReportAt.IsZero() && b.failures == 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -127,7 +127,7 @@
 	}
 	now := d.Clock.Now()
 	b.report = report
-	b.reportedAt = now
+	b.lastReportAt = now
 	return report.Draining && b.observeDraining(report.StartedUnixNano, d.Settings, now)
 }
 
--- a/internal/backends/watchers_test.go
+++ b/internal/backends/watchers_test.go
@@ -45,15 +45,15 @@
 		moved := 0
 		for position, daemon := range assignWatchers(ids, staying) {
 			if daemon == members[lost] {
-				t.Fatalf("%s watches after it died", daemon)
+				t.Fatalf("%s is assigned engines after it failed", daemon)
 			}
 			if daemon != before[position] {
 				moved++
 			}
 		}
-		// Its own 3 have to move; dealing the shares out anew would move 33.
+		// Its own 3 have to move; assigning all engines anew would move 33.
 		if moved > 18 {
-			t.Errorf("%d of 36 engines changed hands when %s died", moved, members[lost])
+			t.Errorf("%d of 36 engines were reassigned when %s failed", moved, members[lost])
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	ids, _ := cellOfSize(0, 3)
 	for _, daemon := range assignWatchers(ids, nil) {
 		if daemon != "" {
-			t.Errorf("%s watches", daemon)
+			t.Errorf("%s is assigned engines, want none", daemon)
 		}
 	}
 }
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -20,7 +20,7 @@
 	if g.Stopping == nil || !g.Stopping() {
 		return nil
 	}
-	return refusal(structs.ReasonStopping, "", "The daemon is shutting down. Send the request to another daemon.", retryAfterStopping)
+	return refusal(structs.ReasonStopping, "", "The daemon is stopping. Ask another.", retryAfterStopping)
 }
 
 // admission counts the requests in progress, to refuse those beyond the limits before
@@ -35,10 +35,10 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.total >= limits.MaxRequests {
-		return refusal(structs.ReasonOverloaded, "", "The daemon has too many requests in progress.", retryAfterFull)
+		return refusal(structs.ReasonOverloaded, "", "The daemon has too many requests under way.", retryAfterFull)
 	}
 	if a.tenants[tenant] >= limits.MaxRequestsPerTenant {
-		return refusal(structs.ReasonTenantQuota, "", "The tenant has too many requests in progress at this daemon.", retryAfterFull)
+		return refusal(structs.ReasonTenantQuota, "", "The tenant has too many requests under way at this daemon.", retryAfterFull)
 	}
 	if a.tenants == nil {
 		a.tenants = map[structs.TenantName]int64{}
--- a/internal/gateway/answer_collector.go
+++ b/internal/gateway/answer_collector.go
@@ -37,61 +37,61 @@
 }
 
 // Chunks implements submit.Caller. The chunks are contiguous.
-func (f *answerCollector) Chunks(chunks []structs.Chunk) {
-	if f.limit == 0 {
+func (c *answerCollector) Chunks(chunks []structs.Chunk) {
+	if c.limit == 0 {
 		return
 	}
-	f.mutex.Lock()
+	c.mutex.Lock()
 	for _, chunk := range chunks {
-		f.add(chunk)
+		c.add(chunk)
 	}
-	f.mutex.Unlock()
-	f.signal()
+	c.mutex.Unlock()
+	c.signal()
 }
 
 // add buffers a chunk. A single chunk may exceed the limit, as when the whole answer
 // is read from a record.
-func (f *answerCollector) add(chunk structs.Chunk) {
-	if f.overflowed {
+func (c *answerCollector) add(chunk structs.Chunk) {
+	if c.overflowed {
 		return
 	}
-	if len(f.text) > 0 && len(f.text)+len(chunk.Text) > f.limit {
-		f.overflowed = true
+	if len(c.text) > 0 && len(c.text)+len(chunk.Text) > c.limit {
+		c.overflowed = true
 		return
 	}
-	if len(f.text) == 0 {
-		f.offset = chunk.Offset
+	if len(c.text) == 0 {
+		c.offset = chunk.Offset
 	}
-	f.text = append(f.text, chunk.Text...)
+	c.text = append(c.text, chunk.Text...)
 }
 
 // Outcome implements submit.Caller.
-func (f *answerCollector) Outcome(outcome structs.Outcome) {
-	f.mutex.Lock()
-	f.outcome = &outcome
-	f.mutex.Unlock()
-	f.signal()
+func (c *answerCollector) Outcome(outcome structs.Outcome) {
+	c.mutex.Lock()
+	c.outcome = &outcome
+	c.mutex.Unlock()
+	c.signal()
 }
 
 // callerLeft and deadlinePassed set a flag and wake the handler. This is cheaper than
 // a select over three channels for each token.
-func (f *answerCollector) callerLeft() {
-	f.mutex.Lock()
-	f.callerGone = true
-	f.mutex.Unlock()
-	f.signal()
+func (c *answerCollector) callerLeft() {
+	c.mutex.Lock()
+	c.callerGone = true
+	c.mutex.Unlock()
+	c.signal()
 }
 
-func (f *answerCollector) deadlinePassed() {
-	f.mutex.Lock()
-	f.deadlineExceeded = true
-	f.mutex.Unlock()
-	f.signal()
+func (c *answerCollector) deadlinePassed() {
+	c.mutex.Lock()
+	c.deadlineExceeded = true
+	c.mutex.Unlock()
+	c.signal()
 }
 
-func (f *answerCollector) signal() {
+func (c *answerCollector) signal() {
 	select {
-	case f.changed <- struct{}{}:
+	case c.changed <- struct{}{}:
 	default:
 	}
 }
@@ -107,11 +107,11 @@
 
 // take returns what arrived since the last call. used is a buffer that is no longer
 // needed, for the next text.
-func (f *answerCollector) take(used []byte) answerUpdate {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	taken := answerUpdate{text: f.text, offset: f.offset, overflowed: f.overflowed, outcome: f.outcome, callerGone: f.callerGone, deadlineExceeded: f.deadlineExceeded}
-	f.text = used[:0]
+func (c *answerCollector) take(used []byte) answerUpdate {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	taken := answerUpdate{text: c.text, offset: c.offset, overflowed: c.overflowed, outcome: c.outcome, callerGone: c.callerGone, deadlineExceeded: c.deadlineExceeded}
+	c.text = used[:0]
 	return taken
 }
 
@@ -119,16 +119,16 @@
 // returns false. When the caller disconnects, a call with a request identifier of the
 // caller's goes on, since it can be resumed; any other call is cancelled.
 func (e *exchange) follow(limit int, each func(answerUpdate) bool) {
-	f := newAnswerCollector(limit)
-	submission := e.gateway.Node.Submit(*e.call, f)
-	timer := time.AfterFunc(time.Until(e.call.Deadline)+deadlineGrace, f.deadlinePassed)
+	c := newAnswerCollector(limit)
+	submission := e.gateway.Node.Submit(*e.call, c)
+	timer := time.AfterFunc(time.Until(e.call.Deadline)+deadlineGrace, c.deadlinePassed)
 	defer timer.Stop()
-	stop := context.AfterFunc(e.r.Context(), f.callerLeft)
+	stop := context.AfterFunc(e.r.Context(), c.callerLeft)
 	defer stop()
 	var used []byte
 	for {
-		<-f.changed
-		taken := f.take(used)
+		<-c.changed
+		taken := c.take(used)
 		if taken.outcome == nil && (taken.callerGone || taken.deadlineExceeded) {
 			e.detach(submission)
 			if !taken.callerGone {
@@ -164,6 +164,6 @@
 	return structs.Outcome{
 		Status:  structs.OutcomeUnknown,
 		Reason:  structs.ReasonDeadline,
-		Message: "The deadline passed while the call was in progress. Query its outcome by the same request identifier.",
+		Message: "The deadline passed while the call was under way. Ask for its outcome by the same request identifier.",
 	}
 }
--- a/internal/gateway/answer_collector_test.go
+++ b/internal/gateway/answer_collector_test.go
@@ -16,7 +16,7 @@
 	got := f.take(nil)
 	want := answerUpdate{text: []byte("twenty loaves"), offset: 5, outcome: &structs.Outcome{Status: structs.OutcomeCompleted}}
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(answerUpdate{})); diff != "" {
-		t.Errorf("news (-want +got):\n%s", diff)
+		t.Errorf("update (-want +got):\n%s", diff)
 	}
 	f.Chunks([]structs.Chunk{{Offset: 18, Text: "!"}})
 	if next := f.take(got.text); string(next.text) != "!" || next.offset != 18 {
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -47,7 +47,7 @@
 	}
 	if g.bodies.Add(length) > g.Limits.MaxTotalBodyBytes {
 		g.bodies.Add(-length)
-		return func() {}, refusal(structs.ReasonOverloaded, "body", "The request bodies being read fill this daemon's memory limit for them.", retryAfterFull)
+		return func() {}, refusal(structs.ReasonOverloaded, "body", "The daemon is reading too many bodies.", retryAfterFull)
 	}
 	return func() { g.bodies.Add(-length) }, nil
 }
@@ -62,7 +62,7 @@
 		refused.status = http.StatusRequestTimeout
 		return refused
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return invalid("body", "The body ended before its announced length.")
+		return invalid("body", "The body ended early.")
 	default:
 		return invalid("body", "The body cannot be read.")
 	}
--- a/internal/gateway/call_options.go
+++ b/internal/gateway/call_options.go
@@ -96,7 +96,7 @@
 		return invalid(HeaderResumeAt, "Use the number of answer bytes received.")
 	}
 	if options.requestID == "" || options.program == "" {
-		return invalid(HeaderResumeAt, "Name the program and the request whose answer is resumed.")
+		return invalid(HeaderResumeAt, "Name the program and the request whose answer goes on.")
 	}
 	call.ResumeAt = offset
 	call.Retry = true
--- a/internal/gateway/call_options_test.go
+++ b/internal/gateway/call_options_test.go
@@ -85,7 +85,7 @@
 			e := testExchange(map[string]string{test.header: test.value})
 			_, refused := e.newCall(optionsFromHeader(e.r.Header))
 			if refused == nil {
-				t.Fatal("it was taken")
+				t.Fatal("the request was accepted")
 			}
 			if refused.outcome.Field == "" || refused.outcome.Status != structs.OutcomeNotRun {
 				t.Errorf("outcome %+v", refused.outcome)
--- a/internal/gateway/check.go
+++ b/internal/gateway/check.go
@@ -32,7 +32,7 @@
 	case len(request.Messages) == 0:
 		return invalid("messages", "Send at least one message.")
 	case request.StreamOptions != nil && !request.Stream:
-		return invalid("stream_options", "Stream options require a streamed answer.")
+		return invalid("stream_options", "It is for streamed answers only.")
 	default:
 		return nil
 	}
--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -111,7 +111,7 @@
 	return &api
 }
 
-func ask(text string) openai.ChatCompletionNewParams {
+func completionParams(text string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:    testModel,
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(text)},
@@ -215,6 +215,6 @@
 }
 
 // names returns an identifier that no other test uses.
-func names(t *testing.T, suffix string) string {
+func uniqueName(t *testing.T, suffix string) string {
 	return fmt.Sprintf("%s-%s", strings.NewReplacer("/", ".", " ", "-", ",", "").Replace(t.Name()), suffix)
 }
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -120,7 +120,7 @@
 		return nil, malformed(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, invalid("body", "The body has data after the JSON object.")
+		return nil, invalid("body", "Something follows the JSON object.")
 	}
 	return request, nil
 }
@@ -140,19 +140,19 @@
 		if field == "" {
 			field = "body"
 		}
-		return invalid(field, fmt.Sprintf("Found a JSON %s where %s is expected (byte %d).", wrongType.Value, jsonName(wrongType.Type.Kind().String()), wrongType.Offset))
+		return invalid(field, fmt.Sprintf("A JSON %s stands where %s is expected (byte %d).", wrongType.Value, jsonName(wrongType.Type.Kind().String()), wrongType.Offset))
 	case errors.As(err, &syntax):
 		return invalid("body", fmt.Sprintf("The JSON is malformed at byte %d: %s.", syntax.Offset, syntax.Error()))
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return invalid("body", "The JSON is incomplete.")
+		return invalid("body", "The JSON ends early.")
 	case strings.HasPrefix(err.Error(), unknownFieldPrefix):
 		field := strings.Trim(strings.TrimPrefix(err.Error(), unknownFieldPrefix), `"`)
 		if field == "" {
 			field = "body"
 		}
-		return invalid(field, "The field is unknown.")
+		return invalid(field, "The field is not known.")
 	default:
-		return invalid("body", "The JSON cannot be decoded: "+err.Error())
+		return invalid("body", "The JSON cannot be read: "+err.Error())
 	}
 }
 
--- a/internal/gateway/completion_test.go
+++ b/internal/gateway/completion_test.go
@@ -44,7 +44,7 @@
 				refused = fillModelCall(&structs.Call{}, request)
 			}
 			if refused == nil {
-				t.Fatal("it was taken")
+				t.Fatal("the request was accepted")
 			}
 			if refused.status != http.StatusBadRequest || refused.outcome.Status != structs.OutcomeNotRun {
 				t.Errorf("status %d, outcome %s", refused.status, refused.outcome.Status)
@@ -94,7 +94,7 @@
 			refused = fillModelCall(&structs.Call{}, request)
 		}
 		if refused != nil && (refused.outcome.Field == "" || refused.outcome.Message == "") {
-			t.Errorf("a refusal without field or reason: %+v", refused.outcome)
+			t.Errorf("a refusal without field or message: %+v", refused.outcome)
 		}
 	})
 }
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -92,7 +92,7 @@
 		options = append(options, option.WithHeader(headers[i], headers[i+1]))
 	}
 	api := openai.NewClient(options...)
-	_, err := api.Chat.Completions.New(ctx, ask("How many loaves?"))
+	_, err := api.Chat.Completions.New(ctx, completionParams("How many loaves?"))
 	return err
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -132,7 +132,7 @@
 func serveNoRoute(w http.ResponseWriter, r *http.Request) {
 	writeError(w, http.StatusNotFound, errorDetail{
 		Type:    errorNotFound,
-		Message: "There is no route " + r.Method + " " + r.URL.Path + ".",
+		Message: "There is no " + r.Method + " " + r.URL.Path + ".",
 		Code:    structs.ReasonInvalidRequest,
 	})
 }
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Headers by which a caller names its program. All are optional; see
+// Headers by which a caller sets the options of a call. All are optional; see
 // docs/PROTOCOLS.md.
 const (
 	HeaderProgram    = "Mintpulley-Program"
@@ -42,16 +42,16 @@
 	value  *string
 }
 
-func (n *callOptions) fields() []optionField {
+func (o *callOptions) fields() []optionField {
 	return []optionField{
-		{HeaderProgram, "program", &n.program},
-		{HeaderTemplate, "template", &n.template},
-		{HeaderSequence, "sequence", &n.sequence},
-		{HeaderRequestID, "request_id", &n.requestID},
-		{HeaderRepeatable, "repeatable", &n.repeatable},
-		{HeaderEnd, "end", &n.end},
-		{HeaderHistory, "history", &n.history},
-		{HeaderResumeAt, "resume_at", &n.resumeAt},
+		{HeaderProgram, "program", &o.program},
+		{HeaderTemplate, "template", &o.template},
+		{HeaderSequence, "sequence", &o.sequence},
+		{HeaderRequestID, "request_id", &o.requestID},
+		{HeaderRepeatable, "repeatable", &o.repeatable},
+		{HeaderEnd, "end", &o.end},
+		{HeaderHistory, "history", &o.history},
+		{HeaderResumeAt, "resume_at", &o.resumeAt},
 	}
 }
 
@@ -65,14 +65,14 @@
 
 // merge adds the options in the metadata. An option given twice must have the same
 // value. Other metadata keys are ignored.
-func (n *callOptions) merge(metadata map[string]string) *problem {
-	for _, field := range n.fields() {
+func (o *callOptions) merge(metadata map[string]string) *problem {
+	for _, field := range o.fields() {
 		value, given := metadata[field.key]
 		if !given {
 			continue
 		}
 		if *field.value != "" && *field.value != value {
-			return invalid("metadata."+field.key, "The value differs from that of the header "+field.header+".")
+			return invalid("metadata."+field.key, "It differs from the header "+field.header+".")
 		}
 		*field.value = value
 	}
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -76,6 +76,6 @@
 	}
 	return "", &problem{
 		status:  http.StatusUnauthorized,
-		outcome: structs.Refused(structs.ReasonInvalidRequest, "Authorization", "The bearer key is missing or unknown.", 0),
+		outcome: structs.Refused(structs.ReasonInvalidRequest, "Authorization", "The bearer key is missing or not known.", 0),
 	}
 }
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -82,7 +82,7 @@
 	if raw[0] == '"' {
 		var text string
 		if err := json.Unmarshal(raw, &text); err != nil {
-			return "", invalid(field, "The text cannot be decoded.")
+			return "", invalid(field, "The text cannot be read.")
 		}
 		return text, nil
 	}
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -29,7 +29,7 @@
 // types below.
 type errorType string
 
-// Types of error beside the statuses of outcomes.
+// Error types in addition to the statuses of outcomes.
 const (
 	// errorNotFound: the object does not exist, or belongs to another tenant.
 	errorNotFound errorType = "not_found"
--- a/internal/gateway/program_test.go
+++ b/internal/gateway/program_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestProgramOfManyCalls(t *testing.T) {
-	ctx, name := testContext(t), names(t, "p")
+	ctx, name := testContext(t), uniqueName(t, "p")
 	var messages []openai.ChatCompletionMessageParamUnion
 	type turn struct {
 		Role    string `json:"role"`
@@ -46,17 +46,17 @@
 	}
 	_, history := call[struct{ Messages []turn }](t, 2, villageKey, http.MethodGet, "/v1/programs/"+name+"/history", "")
 	if diff := cmp.Diff(spoken, history.Messages); diff != "" {
-		t.Errorf("history (-said +kept):\n%s", diff)
+		t.Errorf("history (-want +got):\n%s", diff)
 	}
 }
 
 func TestSubAgentAndToolPause(t *testing.T) {
-	ctx, name := testContext(t), names(t, "p")
+	ctx, name := testContext(t), uniqueName(t, "p")
 	parent, child := client(t, 0, gateway.HeaderProgram, name), client(t, 1, gateway.HeaderProgram, name+"/flour")
-	if _, err := parent.Chat.Completions.New(ctx, ask("Which flour is left?")); err != nil {
+	if _, err := parent.Chat.Completions.New(ctx, completionParams("Which flour is left?")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := child.Chat.Completions.New(ctx, ask("Count the flour.")); err != nil {
+	if _, err := child.Chat.Completions.New(ctx, completionParams("Count the flour.")); err != nil {
 		t.Fatal(err)
 	}
 	status, order := call[struct{ Accepted bool }](t, 2, villageKey, http.MethodPost, "/v1/applications/wholesale/bread_order", `{"loaves":20}`,
@@ -71,26 +71,26 @@
 	if status != http.StatusOK || ended.State != "ended" || ended.EndReason != "completed" {
 		t.Errorf("end: status %d, %+v", status, ended)
 	}
-	_, err := child.Chat.Completions.New(ctx, ask("Count again."))
+	_, err := child.Chat.Completions.New(ctx, completionParams("Count again."))
 	if refused := apiError(t, err); refused.Code != "program_ended" || refused.Type != "not_run" {
-		t.Errorf("the sub-agent outlived its parent: %v", refused)
+		t.Errorf("the sub-agent did not end with its parent: %v", refused)
 	}
 }
 
 func TestCallsArriveOutOfOrder(t *testing.T) {
-	ctx, name := testContext(t), names(t, "p")
+	ctx, name := testContext(t), uniqueName(t, "p")
 	begin := client(t, 0, gateway.HeaderProgram, name, gateway.HeaderRequestID, "first", gateway.HeaderSequence, "1", gateway.HeaderHistory, "append")
-	if _, err := begin.Chat.Completions.New(ctx, ask("one")); err != nil {
+	if _, err := begin.Chat.Completions.New(ctx, completionParams("one")); err != nil {
 		t.Fatal(err)
 	}
-	// The third call arrives before the second, and each at another daemon.
+	// The third call arrives before the second, each at a different daemon.
 	answers := make([]string, 4)
 	var group sync.WaitGroup
 	for _, sequence := range []int{3, 2} {
 		api := client(t, sequence-1, gateway.HeaderProgram, name, gateway.HeaderHistory, "append",
 			gateway.HeaderRequestID, fmt.Sprintf("call-%d", sequence), gateway.HeaderSequence, fmt.Sprint(sequence))
 		group.Go(func() {
-			completion, err := api.Chat.Completions.New(ctx, ask(fmt.Sprintf("question %d", sequence)))
+			completion, err := api.Chat.Completions.New(ctx, completionParams(fmt.Sprintf("question %d", sequence)))
 			if err != nil {
 				t.Error(err)
 				return
@@ -120,8 +120,8 @@
 }
 
 func TestTenantsAreIsolated(t *testing.T) {
-	ctx, name := testContext(t), names(t, "p")
-	if _, err := client(t, 0, gateway.HeaderProgram, name, gateway.HeaderRequestID, "r").Chat.Completions.New(ctx, ask("secret")); err != nil {
+	ctx, name := testContext(t), uniqueName(t, "p")
+	if _, err := client(t, 0, gateway.HeaderProgram, name, gateway.HeaderRequestID, "r").Chat.Completions.New(ctx, completionParams("secret")); err != nil {
 		t.Fatal(err)
 	}
 	paths := map[string]string{
@@ -142,7 +142,7 @@
 			t.Errorf("%s: status %d, %+v", path, status, others)
 		}
 		if diff := cmp.Diff(nobodys, others); diff != "" {
-			t.Errorf("%s tells that the program exists:\n%s", path, diff)
+			t.Errorf("%s reveals that the program exists:\n%s", path, diff)
 		}
 	}
 	if view := program(t, 0, name); view.State != "running" {
@@ -166,7 +166,7 @@
 
 func TestRequestIsTracedThroughDaemons(t *testing.T) {
 	const trace = "trace-of-one-request"
-	if _, err := client(t, 0, gateway.HeaderTrace, trace).Chat.Completions.New(testContext(t), ask("Follow me.")); err != nil {
+	if _, err := client(t, 0, gateway.HeaderTrace, trace).Chat.Completions.New(testContext(t), completionParams("Follow me.")); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "a line of the gateway and lines of the leader", func() bool {
@@ -182,7 +182,7 @@
 }
 
 func TestHealthAndMetrics(t *testing.T) {
-	if _, err := client(t, 0).Chat.Completions.New(testContext(t), ask("Count me.")); err != nil {
+	if _, err := client(t, 0).Chat.Completions.New(testContext(t), completionParams("Count me.")); err != nil {
 		t.Fatal(err)
 	}
 	for path, want := range map[string]string{
--- a/internal/gateway/protection_test.go
+++ b/internal/gateway/protection_test.go
@@ -21,7 +21,7 @@
 	"github.com/mintpulley/mintpulley/internal/submit"
 )
 
-const leading structs.DaemonID = "127.0.0.1:1#1"
+const leader structs.DaemonID = "127.0.0.1:1#1"
 
 // fakeFleet is a node whose calls are answered by a test function.
 type fakeFleet struct {
@@ -42,7 +42,7 @@
 func (f *fakeFleet) Send(_ structs.DaemonID, message peer.Message) {
 	switch m := message.(type) {
 	case *dispatch.Submit:
-		go f.answer(m.Call, func(answer peer.Message) { f.Receive(leading, withSubmission(answer, m.Submission)) })
+		go f.answer(m.Call, func(answer peer.Message) { f.Receive(leader, withSubmission(answer, m.Submission)) })
 	case *dispatch.Detach:
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
@@ -70,7 +70,7 @@
 
 func (f *fakeFleet) Shard(structs.ProgramKey) structs.ShardNumber { return 0 }
 func (f *fakeFleet) Route(structs.ShardNumber) replication.Route {
-	return replication.Route{Leader: leading, Epoch: 1}
+	return replication.Route{Leader: leader, Epoch: 1}
 }
 func (f *fakeFleet) Learn(structs.ShardNumber, replication.Route) {}
 func (f *fakeFleet) Alive(structs.DaemonID) bool                  { return true }
@@ -112,7 +112,7 @@
 	return conn
 }
 
-func head(length int, extra string) string {
+func requestHead(length int, extra string) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key\r\nContent-Length: %d\r\n%s\r\n", length, extra)
 }
 
@@ -152,7 +152,7 @@
 	server := serve(t, fleet, func(limits *Limits) { limits.BodyTimeout = 200 * time.Millisecond })
 	var halves []net.Conn
 	for range 50 {
-		halves = append(halves, dial(t, server, head(len(plainBody), "")+plainBody[:10]))
+		halves = append(halves, dial(t, server, requestHead(len(plainBody), "")+plainBody[:10]))
 	}
 	for range 20 {
 		if status, _ := post(t, server, "key", plainBody); status != http.StatusOK {
@@ -205,14 +205,14 @@
 	server := serve(t, newFakeFleet(answerAll), func(limits *Limits) {
 		limits.MaxTotalBodyBytes, limits.BodyTimeout = 2000, 5*time.Second
 	})
-	half := dial(t, server, head(1900, "")+"{")
+	half := dial(t, server, requestHead(1900, "")+"{")
 	bodies := &server.Config.Handler.(*Gateway).bodies
-	waitFor(t, "the half body's room", func() bool { return bodies.Load() == 1900 })
+	waitFor(t, "the memory reserved for the incomplete body", func() bool { return bodies.Load() == 1900 })
 	if status, _ := post(t, server, "city", plainBody+strings.Repeat(" ", 200)); status != http.StatusServiceUnavailable {
-		t.Errorf("beyond the memory: status %d", status)
+		t.Errorf("beyond MaxTotalBodyBytes: status %d", status)
 	}
 	_ = half.Close()
-	waitFor(t, "room again", func() bool {
+	waitFor(t, "memory for another body", func() bool {
 		status, _ := post(t, server, "city", plainBody+strings.Repeat(" ", 200))
 		return status == http.StatusOK
 	})
@@ -229,10 +229,10 @@
 	})
 	server := serve(t, fleet, func(limits *Limits) { limits.WriteTimeout = 200 * time.Millisecond })
 	const body = `{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`
-	dial(t, server, head(len(body), HeaderProgram+": p\r\n"+HeaderRequestID+": r\r\n")+body)
-	waitFor(t, "the detachment", func() bool { return len(fleet.detaches()) == 1 })
+	dial(t, server, requestHead(len(body), HeaderProgram+": p\r\n"+HeaderRequestID+": r\r\n")+body)
+	waitFor(t, "the Detach message", func() bool { return len(fleet.detaches()) == 1 })
 	if detach := fleet.detaches()[0]; detach.Cancel || detach.RequestID != "r" {
-		t.Errorf("a named call was cancelled: %+v", detach)
+		t.Errorf("a call with a request identifier was cancelled: %+v", detach)
 	}
 	if fleet.Pending() != 0 {
 		t.Errorf("%d submissions left", fleet.Pending())
@@ -262,7 +262,7 @@
 	})
 	const body = `{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`
 	for i := range stuck {
-		dial(t, server, head(len(body), HeaderProgram+": stuck\r\n"+HeaderRequestID+": r"+strconv.Itoa(i)+"\r\n")+body)
+		dial(t, server, requestHead(len(body), HeaderProgram+": stuck\r\n"+HeaderRequestID+": r"+strconv.Itoa(i)+"\r\n")+body)
 	}
 	sent.Wait()
 	for range 20 {
@@ -271,7 +271,7 @@
 		}
 	}
 	if got := fleet.Pending(); got != stuck {
-		t.Errorf("%d of %d stuck streams are left: they ended before the others were served", got, stuck)
+		t.Errorf("%d of %d stalled streams remain: they ended before the others were served", got, stuck)
 	}
 	server.CloseClientConnections()
 }
@@ -290,7 +290,7 @@
 	})
 	server := serve(t, fleet, func(limits *Limits) { limits.WriteTimeout = 10 * time.Second })
 	const body = `{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`
-	conn := dial(t, server, head(len(body), HeaderProgram+": p\r\n"+HeaderRequestID+": r\r\n")+body)
+	conn := dial(t, server, requestHead(len(body), HeaderProgram+": p\r\n"+HeaderRequestID+": r\r\n")+body)
 	<-sent
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
--- a/internal/gateway/refusal_test.go
+++ b/internal/gateway/refusal_test.go
@@ -47,16 +47,16 @@
 	for reason, test := range cases {
 		t.Run(reason, func(t *testing.T) {
 			t.Parallel()
-			ctx, named := testContext(t), []string{gateway.HeaderProgram, names(t, "p")}
+			ctx, named := testContext(t), []string{gateway.HeaderProgram, uniqueName(t, "p")}
 			const text = "How many loaves?"
 			if test.before != nil {
-				if _, err := client(t, 0, append(named, test.before...)...).Chat.Completions.New(ctx, ask(text)); err != nil {
+				if _, err := client(t, 0, append(named, test.before...)...).Chat.Completions.New(ctx, completionParams(text)); err != nil {
 					t.Fatal(err)
 				}
 			}
-			params := ask(text)
+			params := completionParams(text)
 			if test.text != "" {
-				params = ask(test.text)
+				params = completionParams(test.text)
 			}
 			if test.model != "" {
 				params.Model = test.model
@@ -98,15 +98,16 @@
 }
 
 func TestRefusedCallCanBeSentAgainByTheLibrary(t *testing.T) {
-	// The library retries by itself, with the same names; the call runs once.
-	name := names(t, "p")
+	// The library retries automatically with the same headers; the call must run
+	// once.
+	name := uniqueName(t, "p")
 	api := client(t, 0, gateway.HeaderProgram, name, gateway.HeaderRequestID, "r", gateway.HeaderSequence, "1")
 	ctx := testContext(t)
-	first, err := api.Chat.Completions.New(ctx, ask("once"))
+	first, err := api.Chat.Completions.New(ctx, completionParams("once"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := api.Chat.Completions.New(ctx, ask("once"))
+	second, err := api.Chat.Completions.New(ctx, completionParams("once"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,6 +115,6 @@
 		t.Error("the same request got two different answers")
 	}
 	if view := program(t, 0, name); view.Turns != 1 {
-		t.Errorf("it ran %d times", view.Turns)
+		t.Errorf("the call ran %d times, want 1", view.Turns)
 	}
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -34,10 +34,10 @@
 	request := structs.RequestID(query.Get("request"))
 	switch {
 	case key.Program == "":
-		e.refuse(invalid("program", "Name the program in the URL query."))
+		e.refuse(invalid("program", "Name it in the query."))
 		return key, request, false
 	case request == "":
-		e.refuse(invalid("request", "Name the request in the URL query."))
+		e.refuse(invalid("request", "Name it in the query."))
 		return key, request, false
 	}
 	return key, request, true
--- a/internal/gateway/slow_headers_test.go
+++ b/internal/gateway/slow_headers_test.go
@@ -29,7 +29,7 @@
 		}
 		slow = append(slow, conn)
 	}
-	if _, err := client(t, 0, gateway.HeaderProgram, names(t, "p")).Chat.Completions.New(testContext(t), ask("How many loaves?")); err != nil {
+	if _, err := client(t, 0, gateway.HeaderProgram, uniqueName(t, "p")).Chat.Completions.New(testContext(t), completionParams("How many loaves?")); err != nil {
 		t.Errorf("another caller: %v", err)
 	}
 	for _, conn := range slow {
@@ -40,7 +40,7 @@
 		case errors.As(err, &timeout) && timeout.Timeout():
 			t.Fatal("the daemon keeps a connection whose headers are never completed")
 		case err == nil && response.StatusCode < http.StatusBadRequest:
-			t.Errorf("half a header was answered with status %d", response.StatusCode)
+			t.Errorf("an incomplete header was answered with status %d", response.StatusCode)
 		}
 	}
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestStreamMatchesRecordedAnswer(t *testing.T) {
-	ctx, name := testContext(t), names(t, "p")
-	params := ask("Write a summary.")
+	ctx, name := testContext(t), uniqueName(t, "p")
+	params := completionParams("Write a summary.")
 	params.StreamOptions.IncludeUsage = openai.Bool(true)
 	stream := client(t, 0, gateway.HeaderProgram, name, gateway.HeaderRequestID, "r").Chat.Completions.NewStreaming(ctx, params)
 	accumulator, chunks := openai.ChatCompletionAccumulator{}, 0
@@ -39,11 +39,11 @@
 // TestBrokenStreamResumesAtAnotherDaemon breaks a stream several times and resumes it
 // each time at the next daemon by its offset.
 func TestBrokenStreamResumesAtAnotherDaemon(t *testing.T) {
-	name, text := names(t, "p"), ""
+	name, text := uniqueName(t, "p"), ""
 	for broken := range 4 {
 		ctx, leave := context.WithCancel(testContext(t))
 		headers := []string{gateway.HeaderProgram, name, gateway.HeaderRequestID, "r", gateway.HeaderResumeAt, strconv.Itoa(len(text))}
-		stream := client(t, broken%3, headers...).Chat.Completions.NewStreaming(ctx, ask("Write a long summary."))
+		stream := client(t, broken%3, headers...).Chat.Completions.NewStreaming(ctx, completionParams("Write a long summary."))
 		for pieces := 0; stream.Next(); pieces++ {
 			if choices := stream.Current().Choices; len(choices) > 0 {
 				text += choices[0].Delta.Content
@@ -64,8 +64,8 @@
 
 func TestCallWithoutRequestIDIsCancelledWhenItsCallerLeaves(t *testing.T) {
 	ctx, leave := context.WithCancel(testContext(t))
-	name := names(t, "p")
-	stream := client(t, 0, gateway.HeaderProgram, name).Chat.Completions.NewStreaming(ctx, ask("Never mind."))
+	name := uniqueName(t, "p")
+	stream := client(t, 0, gateway.HeaderProgram, name).Chat.Completions.NewStreaming(ctx, completionParams("Never mind."))
 	if !stream.Next() {
 		t.Fatal(stream.Err())
 	}
@@ -77,8 +77,8 @@
 }
 
 func TestCallIsCancelledOnRequest(t *testing.T) {
-	ctx, name := testContext(t), names(t, "p")
-	stream := client(t, 0, gateway.HeaderProgram, name, gateway.HeaderRequestID, "r").Chat.Completions.NewStreaming(ctx, ask("Stop this."))
+	ctx, name := testContext(t), uniqueName(t, "p")
+	stream := client(t, 0, gateway.HeaderProgram, name, gateway.HeaderRequestID, "r").Chat.Completions.NewStreaming(ctx, completionParams("Stop this."))
 	if !stream.Next() {
 		t.Fatal(stream.Err())
 	}
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -26,7 +26,7 @@
 }
 
 func (h *Handler) serveConfiguration(w http.ResponseWriter, _ *http.Request, _ string) {
-	answer(w, http.StatusOK, ConfigurationInForce{Status: h.status(), Configuration: h.Configurations.Status().Configuration})
+	writeJSON(w, http.StatusOK, ConfigurationInForce{Status: h.status(), Configuration: h.Configurations.Status().Configuration})
 }
 
 func (h *Handler) serveHistory(w http.ResponseWriter, r *http.Request, _ string) {
@@ -40,7 +40,7 @@
 		return verdict.Reason == configuration.VerdictSnapshot
 	})
 	slices.Reverse(listed)
-	answer(w, http.StatusOK, History{Verdicts: listed[:min(limit, len(listed))]})
+	writeJSON(w, http.StatusOK, History{Verdicts: listed[:min(limit, len(listed))]})
 }
 
 func (h *Handler) serveOperation(w http.ResponseWriter, r *http.Request, _ string) {
@@ -54,10 +54,10 @@
 	})
 	got := <-result
 	if !got.known {
-		fail(w, http.StatusNotFound, ErrorDetail{Code: CodeNotFound, Message: "The operation is not among the latest ones."})
+		writeError(w, http.StatusNotFound, ErrorDetail{Code: CodeNotFound, Message: "No such operation is among the latest."})
 		return
 	}
-	answer(w, http.StatusOK, got.verdict)
+	writeJSON(w, http.StatusOK, got.verdict)
 }
 
 // readChange decodes a change and sets the authenticated operator's name in it.
@@ -71,7 +71,7 @@
 		if errors.As(err, &tooLarge) {
 			status = http.StatusRequestEntityTooLarge
 		}
-		fail(w, status, ErrorDetail{Code: CodeInvalid, Message: "The change cannot be read: " + err.Error()})
+		writeError(w, status, ErrorDetail{Code: CodeInvalid, Message: "The change cannot be read: " + err.Error()})
 		return change, false
 	}
 	change.Operator = operator
@@ -80,22 +80,22 @@
 
 // serveCheck answers with the verdict that a change would get, without publishing it.
 func (h *Handler) serveCheck(w http.ResponseWriter, r *http.Request, operator string) {
-	change, good := readChange(w, r, operator)
-	if !good {
+	change, valid := readChange(w, r, operator)
+	if !valid {
 		return
 	}
 	if problems := UnknownPolicies(&change.Patch); len(problems) > 0 {
-		answer(w, http.StatusOK, unknownPolicyVerdict(&change, problems))
+		writeJSON(w, http.StatusOK, unknownPolicyVerdict(&change, problems))
 		return
 	}
 	result := make(chan configuration.Verdict, 1)
 	h.Configurations.Check(change, func(verdict configuration.Verdict) { result <- verdict })
-	answer(w, http.StatusOK, <-result)
+	writeJSON(w, http.StatusOK, <-result)
 }
 
 func (h *Handler) servePublish(w http.ResponseWriter, r *http.Request, operator string) {
-	change, good := readChange(w, r, operator)
-	if !good {
+	change, valid := readChange(w, r, operator)
+	if !valid {
 		return
 	}
 	if problems := UnknownPolicies(&change.Patch); len(problems) > 0 {
@@ -122,10 +122,10 @@
 	var refused *configuration.RefusedError
 	switch {
 	case err == nil:
-		answer(w, http.StatusOK, verdict)
+		writeJSON(w, http.StatusOK, verdict)
 	case errors.As(err, &refused):
-		fail(w, http.StatusConflict, ErrorDetail{Code: CodeRefused, Message: refused.Error(), Verdict: &verdict, InForce: refused.InForce})
+		writeError(w, http.StatusConflict, ErrorDetail{Code: CodeRefused, Message: refused.Error(), Verdict: &verdict, InForce: refused.InForce})
 	default:
-		fail(w, http.StatusGatewayTimeout, ErrorDetail{Code: CodeOutcomeUnknown, Message: configuration.ErrOutcomeUnknown.Error(), Verdict: &verdict})
+		writeError(w, http.StatusGatewayTimeout, ErrorDetail{Code: CodeOutcomeUnknown, Message: configuration.ErrOutcomeUnknown.Error(), Verdict: &verdict})
 	}
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -12,7 +12,7 @@
 )
 
 func (h *Handler) serveFleet(w http.ResponseWriter, _ *http.Request, _ string) {
-	answer(w, http.StatusOK, FleetStatus{
+	writeJSON(w, http.StatusOK, FleetStatus{
 		Self:          h.Self,
 		Configuration: h.status(),
 		Shards:        h.Shards(),
@@ -28,7 +28,7 @@
 		limit = programLimit
 	}
 	tenant := structs.TenantName(r.URL.Query().Get("tenant"))
-	answer(w, http.StatusOK, h.listPrograms(tenant, min(limit, programLimit)))
+	writeJSON(w, http.StatusOK, h.listPrograms(tenant, min(limit, programLimit)))
 }
 
 func (h *Handler) listPrograms(tenant structs.TenantName, limit int) Programs {
@@ -83,10 +83,10 @@
 	got := <-result
 	switch {
 	case got.err != nil:
-		fail(w, http.StatusGatewayTimeout, ErrorDetail{Code: CodeNoAnswer, Message: "The leader of the program's shard did not answer in time."})
+		writeError(w, http.StatusGatewayTimeout, ErrorDetail{Code: CodeNoAnswer, Message: "The leader of the program's shard did not answer in time."})
 	case got.answer.Program == nil:
-		fail(w, http.StatusNotFound, ErrorDetail{Code: CodeNotFound, Message: "The fleet has no program " + key.String() + "."})
+		writeError(w, http.StatusNotFound, ErrorDetail{Code: CodeNotFound, Message: "The fleet has no program " + key.String() + "."})
 	default:
-		answer(w, http.StatusOK, got.answer.Program)
+		writeJSON(w, http.StatusOK, got.answer.Program)
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -98,7 +98,7 @@
 	h.mux.HandleFunc(method+" "+PathPrefix+path, func(w http.ResponseWriter, r *http.Request) {
 		operator, known := h.operatorOf(r)
 		if !known {
-			fail(w, http.StatusUnauthorized, ErrorDetail{Code: CodeUnauthorized, Message: "The key is missing or belongs to no operator in this daemon's settings."})
+			writeError(w, http.StatusUnauthorized, ErrorDetail{Code: CodeUnauthorized, Message: "The key is not that of an operator in this daemon's settings."})
 			return
 		}
 		serve(w, r, operator)
@@ -122,12 +122,12 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body) // fails when the client has disconnected
 }
 
-func fail(w http.ResponseWriter, status int, detail ErrorDetail) {
-	answer(w, status, ErrorBody{Error: detail})
+func writeError(w http.ResponseWriter, status int, detail ErrorDetail) {
+	writeJSON(w, status, ErrorBody{Error: detail})
 }
--- a/internal/program/admit.go
+++ b/internal/program/admit.go
@@ -140,7 +140,7 @@
 func (s *Shard) admitChild(parentKey structs.ProgramKey) (Admission, bool) {
 	parent := s.programs[parentKey]
 	if parent == nil {
-		return refuse(structs.ReasonUnknownProgram, "parent", "The parent program is not running."), false
+		return refuse(structs.ReasonUnknownProgram, "parent", "The parent program is not under way."), false
 	}
 	if parent.Ended {
 		return refuse(structs.ReasonProgramEnded, "parent", fmt.Sprintf("The parent program has ended: %s.", parent.EndReason)), false
@@ -234,7 +234,7 @@
 	rest, matches := cutMessages(call.Messages, known)
 	if !matches {
 		return refuse(structs.ReasonHistoryConflict, "messages",
-			fmt.Sprintf("The messages do not start with the %d messages of the program's history.", len(known))), false
+			fmt.Sprintf("The messages do not start with the program's %d kept ones.", len(known))), false
 	}
 	for _, open := range p.Open {
 		rest = cutIfPresent(rest, open.Call.Messages)
--- a/internal/program/history.go
+++ b/internal/program/history.go
@@ -100,26 +100,26 @@
 
 // From returns the messages from an index on. It does not add the history to the
 // cache.
-func (h *History) From(place int) []structs.Message {
+func (h *History) From(index int) []structs.Message {
 	switch {
-	case place >= h.sealedLen():
-		return h.tail[place-h.sealedLen():]
+	case index >= h.sealedLen():
+		return h.tail[index-h.sealedLen():]
 	case h.unpacked != nil:
-		return h.unpacked[place:]
+		return h.unpacked[index:]
 	default:
-		return h.unpackFrom(place)
+		return h.unpackFrom(index)
 	}
 }
 
 // At returns the message at an index.
-func (h *History) At(place int) structs.Message {
-	if place >= h.sealedLen() || h.unpacked != nil {
-		return h.From(place)[0]
+func (h *History) At(index int) structs.Message {
+	if index >= h.sealedLen() || h.unpacked != nil {
+		return h.From(index)[0]
 	}
 	start := 0
 	for _, sealed := range h.segments {
-		if place < sealed.end {
-			return unpack(sealed.data)[place-start]
+		if index < sealed.end {
+			return unpack(sealed.data)[index-start]
 		}
 		start = sealed.end
 	}
@@ -128,12 +128,12 @@
 
 // unpackFrom returns the messages from an index on, unpacking only the segments that
 // it needs.
-func (h *History) unpackFrom(place int) []structs.Message {
-	messages := make([]structs.Message, 0, h.Len()-place)
+func (h *History) unpackFrom(index int) []structs.Message {
+	messages := make([]structs.Message, 0, h.Len()-index)
 	start := 0
 	for _, sealed := range h.segments {
-		if sealed.end > place {
-			messages = append(messages, unpack(sealed.data)[max(place-start, 0):]...)
+		if sealed.end > index {
+			messages = append(messages, unpack(sealed.data)[max(index-start, 0):]...)
 		}
 		start = sealed.end
 	}
--- a/internal/program/history_test.go
+++ b/internal/program/history_test.go
@@ -34,12 +34,12 @@
 		want := conversation(random, 1+random.IntN(60))
 		history := History{cache: newUnpackedCache(NewMemory(DefaultMemoryLimits()))}
 		history.Append(want...)
-		for place := range want {
-			if diff := cmp.Diff(want[place:], history.From(place)); diff != "" {
-				t.Fatalf("from %d: %s", place, diff)
+		for index := range want {
+			if diff := cmp.Diff(want[index:], history.From(index)); diff != "" {
+				t.Fatalf("from %d: %s", index, diff)
 			}
-			if diff := cmp.Diff(want[place], history.At(place)); diff != "" {
-				t.Fatalf("at %d: %s", place, diff)
+			if diff := cmp.Diff(want[index], history.At(index)); diff != "" {
+				t.Fatalf("at %d: %s", index, diff)
 			}
 		}
 		if diff := cmp.Diff(want, history.All()); diff != "" {
--- a/internal/program/quota.go
+++ b/internal/program/quota.go
@@ -33,10 +33,10 @@
 type Allowance struct {
 	Quota  structs.QuotaKey `json:"quota"`
 	Window int64            `json:"window"`
-	// Ballot orders the requests for the quota; it is that of the request which the
+	// BallotNumber orders the requests for the quota; it is that of the request which the
 	// grant answers.
-	Ballot  structs.Ballot `json:"order"`
-	Granted structs.Cost   `json:"granted"`
+	BallotNumber structs.Ballot `json:"order"`
+	Granted      structs.Cost   `json:"granted"`
 	// Used is what calls dispatched in the window reserved or cost. For program quotas
 	// the live programs are counted instead.
 	Used structs.Cost `json:"used"`
@@ -45,10 +45,10 @@
 // Ledger is the home shard's account of one tenant's quota in one window: the total
 // granted to each shard. The sum never exceeds the tenant's quota.
 type Ledger struct {
-	Quota   structs.QuotaKey                       `json:"quota"`
-	Window  int64                                  `json:"window"`
-	Totals  map[structs.ShardNumber]structs.Cost   `json:"totals"`
-	Ballots map[structs.ShardNumber]structs.Ballot `json:"orders"`
+	Quota         structs.QuotaKey                       `json:"quota"`
+	Window        int64                                  `json:"window"`
+	Totals        map[structs.ShardNumber]structs.Cost   `json:"totals"`
+	BallotNumbers map[structs.ShardNumber]structs.Ballot `json:"orders"`
 }
 
 // Allowance returns the shard's part of a quota in a window; zero when it has none.
@@ -97,7 +97,7 @@
 	if ledger == nil || ledger.Window < ask.Window {
 		ledger = newLedger(ask.Quota, ask.Window)
 	}
-	if ledger.Window > ask.Window || !ledger.Ballots[ask.Shard].Before(ask.Order) {
+	if ledger.Window > ask.Window || !ledger.BallotNumbers[ask.Shard].Before(ask.Order) {
 		return structs.Record{}, false
 	}
 	others := structs.Cost(0)
@@ -122,10 +122,10 @@
 
 func newLedger(quota structs.QuotaKey, window int64) *Ledger {
 	return &Ledger{
-		Quota:   quota,
-		Window:  window,
-		Totals:  map[structs.ShardNumber]structs.Cost{},
-		Ballots: map[structs.ShardNumber]structs.Ballot{},
+		Quota:         quota,
+		Window:        window,
+		Totals:        map[structs.ShardNumber]structs.Cost{},
+		BallotNumbers: map[structs.ShardNumber]structs.Ballot{},
 	}
 }
 
@@ -135,11 +135,11 @@
 		ledger = newLedger(granted.Quota, granted.Window)
 		s.ledgers[granted.Quota] = ledger
 	}
-	if ledger.Window != granted.Window || !ledger.Ballots[granted.Shard].Before(granted.Order) {
+	if ledger.Window != granted.Window || !ledger.BallotNumbers[granted.Shard].Before(granted.Order) {
 		return
 	}
 	ledger.Totals[granted.Shard] = granted.Total
-	ledger.Ballots[granted.Shard] = granted.Order
+	ledger.BallotNumbers[granted.Shard] = granted.Order
 }
 
 // applyQuotaReceived sets the shard's allowance. An answer to an older request changes
@@ -150,11 +150,11 @@
 		allowance = &Allowance{Quota: received.Quota, Window: received.Window}
 		s.allowances[received.Quota] = allowance
 	}
-	if allowance.Window != received.Window || !allowance.Ballot.Before(received.Order) {
+	if allowance.Window != received.Window || !allowance.BallotNumber.Before(received.Order) {
 		return
 	}
 	allowance.Granted = received.Total
-	allowance.Ballot = received.Order
+	allowance.BallotNumber = received.Order
 }
 
 // chargeAllowance adds to what the tenant has used of its allowance in a window. A
--- a/internal/program/recovery.go
+++ b/internal/program/recovery.go
@@ -67,7 +67,7 @@
 	p.LastFingerprint, p.Repeats = 0, 0
 }
 
-const recordsLostMessage = "All replicas of the program's records were lost; the call may or may not have run."
+const recordsLostMessage = "All holders of the program's records were lost; the call may or may not have run."
 
 // revertOpenModelCalls undoes the acceptance of the last calls as long as they are
 // model calls without an outcome, so that the caller may make them again. If one did
@@ -133,7 +133,7 @@
 		return Admission{}, false
 	}
 	admission := refuse(structs.ReasonRecordsLost, "sequence",
-		"All replicas of the shard were lost, and this program may have been among its records. To start a new program, send sequence number 1 with its first call.")
+		"All holders of this program's records were lost, if there was one. A new program must name its first call's sequence number, 1.")
 	if call.Sequence > 1 {
 		admission.Refusal.RetryAfter = retryAfterUnknownStart
 	}
@@ -153,5 +153,5 @@
 		return Admission{}, false
 	}
 	return refuse(structs.ReasonHistoryGap, "sequence",
-		fmt.Sprintf("Turns of the program after call %d may be lost with their replicas. Send the whole conversation.", p.Accepted)), true
+		fmt.Sprintf("Turns of the program behind call %d may be lost with their holders. Send the whole conversation.", p.Accepted)), true
 }
--- a/internal/program/recovery_test.go
+++ b/internal/program/recovery_test.go
@@ -57,7 +57,7 @@
 	anonymous.Anonymous = true
 	update := userCall(rootKey, "x", 0)
 	update.Kind = structs.CallApplication
-	lost := []structs.Message{{Role: "user", Content: "call 3"}, {Role: "assistant", Content: "answer 3"}}
+	lostTurn := []structs.Message{{Role: "user", Content: "call 3"}, {Role: "assistant", Content: "answer 3"}}
 	cases := map[string]struct {
 		call       structs.Call
 		sentBefore bool
@@ -67,28 +67,28 @@
 		status     structs.OutcomeStatus
 		reason     structs.Reason
 	}{
-		"answered call asked again":          {call: userCall(rootKey, "2", 2), sentBefore: true, verdict: VerdictKnown},
-		"unknown call asked again":           {call: userCall(rootKey, "x", 3), sentBefore: true, verdict: VerdictRefuse, status: structs.OutcomeUnknown, reason: structs.ReasonRecordsLost},
-		"next call, appended":                {call: userCall(rootKey, "x", 3), verdict: VerdictAccept},
-		"call behind the next, appended":     {call: userCall(rootKey, "x", 4), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
-		"call without a number, appended":    {call: userCall(rootKey, "x", 0), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
-		"update without a number":            {call: update, verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
-		"call behind the next, whole":        {call: withFullHistory(userCall(rootKey, "x", 4), append(historyMessages(t, recoveredShard(t)), lost...)...), verdict: VerdictAccept},
-		"call without a number, whole":       {call: withFullHistory(userCall(rootKey, "x", 0), append(historyMessages(t, recoveredShard(t)), lost...)...), verdict: VerdictAccept},
-		"whole that contradicts":             {call: withFullHistory(userCall(rootKey, "x", 4), lost...), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryConflict},
-		"open model call made again":         {call: userCall(rootKey, "x", 3), open: []structs.CallKind{structs.CallModel}, verdict: VerdictAccept},
-		"call behind an open model call":     {call: userCall(rootKey, "x", 4), open: []structs.CallKind{structs.CallModel}, verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
-		"open update asked again":            {call: userCall(rootKey, "3", 3), sentBefore: true, open: []structs.CallKind{structs.CallApplication}, verdict: VerdictKnown},
-		"call behind an open update":         {call: userCall(rootKey, "x", 4), open: []structs.CallKind{structs.CallApplication}, verdict: VerdictAccept},
-		"model call before an open update":   {call: userCall(rootKey, "x", 5), open: []structs.CallKind{structs.CallModel, structs.CallApplication}, verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
-		"new program, call 1":                {call: userCall(other, "x", 1), verdict: VerdictAccept},
-		"new program for the call alone":     {call: anonymous, verdict: VerdictAccept},
-		"call 1 of a program, asked again":   {call: userCall(other, "x", 1), sentBefore: true, verdict: VerdictRefuse, status: structs.OutcomeUnknown, reason: structs.ReasonRecordsLost},
-		"program that may be lost":           {call: userCall(other, "x", 0), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonRecordsLost},
-		"later call of a lost program":       {call: userCall(other, "x", 7), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonRecordsLost},
-		"new program after the window":       {call: userCall(other, "x", 0), after: RecoveryWindow, verdict: VerdictAccept},
-		"gap, long after the window":         {call: userCall(rootKey, "x", 0), after: 10 * RecoveryWindow, verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
-		"unknown call long after, sent once": {call: userCall(rootKey, "x", 3), after: 10 * RecoveryWindow, verdict: VerdictAccept},
+		"settled call retried":                       {call: userCall(rootKey, "2", 2), sentBefore: true, verdict: VerdictKnown},
+		"unknown call retried":                       {call: userCall(rootKey, "x", 3), sentBefore: true, verdict: VerdictRefuse, status: structs.OutcomeUnknown, reason: structs.ReasonRecordsLost},
+		"next call, appended":                        {call: userCall(rootKey, "x", 3), verdict: VerdictAccept},
+		"call after the next, appended":              {call: userCall(rootKey, "x", 4), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
+		"call without a number, appended":            {call: userCall(rootKey, "x", 0), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
+		"application call without a number":          {call: update, verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
+		"call after the next, full history":          {call: withFullHistory(userCall(rootKey, "x", 4), append(historyMessages(t, recoveredShard(t)), lostTurn...)...), verdict: VerdictAccept},
+		"call without a number, full history":        {call: withFullHistory(userCall(rootKey, "x", 0), append(historyMessages(t, recoveredShard(t)), lostTurn...)...), verdict: VerdictAccept},
+		"full history that contradicts":              {call: withFullHistory(userCall(rootKey, "x", 4), lostTurn...), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryConflict},
+		"open model call made again":                 {call: userCall(rootKey, "x", 3), open: []structs.CallKind{structs.CallModel}, verdict: VerdictAccept},
+		"call after an open model call":              {call: userCall(rootKey, "x", 4), open: []structs.CallKind{structs.CallModel}, verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
+		"open application call retried":              {call: userCall(rootKey, "3", 3), sentBefore: true, open: []structs.CallKind{structs.CallApplication}, verdict: VerdictKnown},
+		"call after an open application call":        {call: userCall(rootKey, "x", 4), open: []structs.CallKind{structs.CallApplication}, verdict: VerdictAccept},
+		"model call before an open application call": {call: userCall(rootKey, "x", 5), open: []structs.CallKind{structs.CallModel, structs.CallApplication}, verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
+		"new program, call 1":                        {call: userCall(other, "x", 1), verdict: VerdictAccept},
+		"new program for the call alone":             {call: anonymous, verdict: VerdictAccept},
+		"call 1 of a program, retried":               {call: userCall(other, "x", 1), sentBefore: true, verdict: VerdictRefuse, status: structs.OutcomeUnknown, reason: structs.ReasonRecordsLost},
+		"program that may be lost":                   {call: userCall(other, "x", 0), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonRecordsLost},
+		"later call of a lost program":               {call: userCall(other, "x", 7), verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonRecordsLost},
+		"new program after the window":               {call: userCall(other, "x", 0), after: RecoveryWindow, verdict: VerdictAccept},
+		"gap, long after the window":                 {call: userCall(rootKey, "x", 0), after: 10 * RecoveryWindow, verdict: VerdictRefuse, status: structs.OutcomeNotRun, reason: structs.ReasonHistoryGap},
+		"unknown call long after, sent once":         {call: userCall(rootKey, "x", 3), after: 10 * RecoveryWindow, verdict: VerdictAccept},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -102,8 +102,8 @@
 
 func TestWholeConversationFillsTheGapOnceItIsAnswered(t *testing.T) {
 	shard := recoveredShard(t)
-	lost := []structs.Message{{Role: "user", Content: "call 3"}, {Role: "assistant", Content: "answer 3"}}
-	call := withFullHistory(userCall(rootKey, "x", 4), append(historyMessages(t, shard), lost...)...)
+	lostTurn := []structs.Message{{Role: "user", Content: "call 3"}, {Role: "assistant", Content: "answer 3"}}
+	call := withFullHistory(userCall(rootKey, "x", 4), append(historyMessages(t, shard), lostTurn...)...)
 	for _, record := range admitAsLeader(shard, call, false, start).Records {
 		shard.Apply(record)
 	}
@@ -122,7 +122,7 @@
 	want := []structs.Message{
 		{Role: "user", Content: "call 1"}, {Role: "assistant", Content: "answer 1"},
 		{Role: "user", Content: "call 2"}, {Role: "assistant", Content: "answer 2"},
-		lost[0], lost[1],
+		lostTurn[0], lostTurn[1],
 		{Role: "user", Content: "call x"}, {Role: "assistant", Content: "answer 4"},
 	}
 	if diff := cmp.Diff(want, historyMessages(t, shard)); diff != "" {
@@ -197,6 +197,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != string(want) {
-		t.Error("a frozen state changed with the shard")
+		t.Error("the frozen state changed with the shard")
 	}
 }
--- a/internal/program/segment.go
+++ b/internal/program/segment.go
@@ -81,7 +81,7 @@
 		panic("program: damaged segment of a history: " + err.Error())
 	}
 	reader := segmentReader{rest: string(plain)}
-	messages := make([]structs.Message, reader.number())
+	messages := make([]structs.Message, reader.uvarint())
 	for i := range messages {
 		messages[i] = reader.message()
 	}
@@ -92,7 +92,7 @@
 // segment's memory.
 type segmentReader struct{ rest string }
 
-func (r *segmentReader) number() int {
+func (r *segmentReader) uvarint() int {
 	var value uint64
 	for shift := 0; ; shift += 7 {
 		next := r.rest[0]
@@ -105,7 +105,7 @@
 }
 
 func (r *segmentReader) text() string {
-	length := r.number()
+	length := r.uvarint()
 	text := r.rest[:length]
 	r.rest = r.rest[length:]
 	return text
@@ -118,7 +118,7 @@
 		Name:       r.text(),
 		ToolCallID: r.text(),
 	}
-	if calls := r.number(); calls > 0 {
+	if calls := r.uvarint(); calls > 0 {
 		message.ToolCalls = make([]structs.ToolCall, calls)
 		for i := range message.ToolCalls {
 			message.ToolCalls[i] = structs.ToolCall{ID: r.text(), Name: r.text(), Arguments: r.text()}
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -60,7 +60,7 @@
 	}
 	for i, ledger := range contents.Ledgers {
 		frozen := *ledger
-		frozen.Totals, frozen.Ballots = maps.Clone(ledger.Totals), maps.Clone(ledger.Ballots)
+		frozen.Totals, frozen.BallotNumbers = maps.Clone(ledger.Totals), maps.Clone(ledger.BallotNumbers)
 		contents.Ledgers[i] = &frozen
 	}
 	return contents.encode
--- a/internal/query/client_test.go
+++ b/internal/query/client_test.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	asker   structs.DaemonID = "127.0.0.1:1#1"
-	leading structs.DaemonID = "127.0.0.1:2#1"
-	// former is a former leader that redirects to the current one.
-	former  structs.DaemonID = "127.0.0.1:3#1"
-	shards                   = 4
-	timeout                  = 2 * time.Second
+	querier structs.DaemonID = "127.0.0.1:1#1"
+	leader  structs.DaemonID = "127.0.0.1:2#1"
+	// formerLeader is a former leader that redirects to the current one.
+	formerLeader structs.DaemonID = "127.0.0.1:3#1"
+	shards                        = 4
+	timeout                       = 2 * time.Second
 )
 
 // fleet is one daemon that leads every shard and one that queries it.
@@ -40,7 +40,7 @@
 // Send implements peer.Transport: it encodes and decodes the message, and delivers it
 // a millisecond later.
 func (f *fleet) Send(to structs.DaemonID, message peer.Message) {
-	line, err := peer.Encode(asker, to, message)
+	line, err := peer.Encode(querier, to, message)
 	if err != nil {
 		panic(err)
 	}
@@ -49,14 +49,14 @@
 		if err != nil {
 			panic(err)
 		}
-		if to == leading && !f.unresponsive {
-			f.coordinator.Receive(asker, decoded)
+		if to == leader && !f.unresponsive {
+			f.coordinator.Receive(querier, decoded)
 		}
-		if question, isDescribe := decoded.(*dispatch.Describe); isDescribe && to == former {
-			f.Send(asker, &dispatch.Described{Query: question.Query, Redirect: &replication.Route{Leader: leading, Epoch: 1}})
+		if question, isDescribe := decoded.(*dispatch.Describe); isDescribe && to == formerLeader {
+			f.Send(querier, &dispatch.Described{Query: question.Query, Redirect: &replication.Route{Leader: leader, Epoch: 1}})
 		}
-		if to == asker {
-			f.queries.Receive(leading, decoded)
+		if to == querier {
+			f.queries.Receive(leader, decoded)
 		}
 	})
 }
@@ -90,9 +90,9 @@
 }
 
 func newFleet() *fleet {
-	f := &fleet{clock: clock.NewVirtual(time.Unix(1000, 0)), route: replication.Route{Leader: leading, Epoch: 1}}
+	f := &fleet{clock: clock.NewVirtual(time.Unix(1000, 0)), route: replication.Route{Leader: leader, Epoch: 1}}
 	f.coordinator = dispatch.New(dispatch.Options{
-		Self:           leading,
+		Self:           leader,
 		Clock:          f.clock,
 		Transport:      f,
 		Drivers:        framework.Drivers{Applications: f},
@@ -103,13 +103,13 @@
 		Settings:       dispatch.DefaultSettings(),
 		Logger:         zerolog.Nop(),
 	})
-	replication.NewSingle(leading, shards, f.coordinator)
+	replication.NewSingle(leader, shards, f.coordinator)
 	f.queries = query.New(f.clock, f, f)
 	return f
 }
 
 func (f *fleet) submit(program structs.ProgramID, request structs.RequestID, operation string) {
-	f.Send(leading, &dispatch.Submit{Submission: 1, Epoch: 1, Call: structs.Call{
+	f.Send(leader, &dispatch.Submit{Submission: 1, Epoch: 1, Call: structs.Call{
 		Key: key(program), RequestID: request, Kind: structs.CallApplication, Target: "wholesale", Operation: operation,
 	}})
 	f.run(100 * time.Millisecond)
@@ -186,12 +186,12 @@
 func TestQueryFollowsRedirection(t *testing.T) {
 	f := newFleet()
 	f.submit("morning", "first", "bread")
-	f.route = replication.Route{Leader: former, Epoch: 1}
+	f.route = replication.Route{Leader: formerLeader, Epoch: 1}
 	answer, err := f.describe(t, dispatch.Describe{Key: key("morning")})
 	if err != nil || answer.Program == nil {
 		t.Errorf("got %+v, %v", answer, err)
 	}
-	if f.route.Leader != leading {
+	if f.route.Leader != leader {
 		t.Errorf("the route was not updated by the redirection: %+v", f.route)
 	}
 }
@@ -234,9 +234,9 @@
 	f.queries.EndProgram(key("c"), timeout, func(dispatch.ProgramEnded, error) {})
 	f.run(timeout)
 	var listed dispatch.Listed
-	f.queries.List(leading, "village", 3, timeout, func(answer dispatch.Listed, _ error) { listed = answer })
+	f.queries.List(leader, "village", 3, timeout, func(answer dispatch.Listed, _ error) { listed = answer })
 	var others dispatch.Listed
-	f.queries.List(leading, "others", 3, timeout, func(answer dispatch.Listed, _ error) { others = answer })
+	f.queries.List(leader, "others", 3, timeout, func(answer dispatch.Listed, _ error) { others = answer })
 	f.run(timeout)
 	var order []structs.ProgramID
 	for _, summary := range listed.Programs {
--- a/internal/quota/forecast.go
+++ b/internal/quota/forecast.go
@@ -26,18 +26,18 @@
 // geometric means, on which a few endless loops have little effect.
 type demand struct{ logRequests, logSeconds float64 }
 
-func (n demand) requests() float64 { return math.Exp(n.logRequests) }
+func (d demand) requests() float64 { return math.Exp(d.logRequests) }
 
 // requestsWithin returns the expected requests of a program within a time from its
 // start.
-func (n demand) requestsWithin(span time.Duration) float64 {
-	return n.requests() * min(span.Seconds()/math.Exp(n.logSeconds), 1)
+func (d demand) requestsWithin(span time.Duration) float64 {
+	return d.requests() * min(span.Seconds()/math.Exp(d.logSeconds), 1)
 }
 
 // remainingWithin returns the expected requests of a running program within a time. On
 // average it has made half of its requests.
-func (n demand) remainingWithin(span time.Duration) float64 {
-	return min(n.requestsWithin(span), n.requests()/2)
+func (d demand) remainingWithin(span time.Duration) float64 {
+	return min(d.requestsWithin(span), d.requests()/2)
 }
 
 // forecast estimates the demand of the programs of each route.
@@ -56,8 +56,8 @@
 		f.routes = map[string]demand{}
 	}
 	known := f.forRoute(p.route)
-	life := max(p.lastAt.Sub(p.firstAt), minDuration)
+	duration := max(p.lastAt.Sub(p.firstAt), minDuration)
 	known.logRequests += sampleWeight * (math.Log(float64(max(p.requests, 1))) - known.logRequests)
-	known.logSeconds += sampleWeight * (math.Log(life.Seconds()) - known.logSeconds)
+	known.logSeconds += sampleWeight * (math.Log(duration.Seconds()) - known.logSeconds)
 	f.routes[p.route] = known
 }
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -43,7 +43,7 @@
 // use.
 type Owner interface {
 	// AskQuota returns the owner's verdict, or an error if there is none.
-	AskQuota(ctx context.Context, ask Request) (Verdict, error)
+	AskQuota(ctx context.Context, request Request) (Verdict, error)
 }
 
 // Gate asks the owners of tenants' limits on behalf of a daemon's callers. When an
@@ -86,23 +86,23 @@
 // Admit asks the owner to admit a request and returns its verdict. It returns
 // ErrOwnerUnreachable if there is none and the fallback does not apply either, or when
 // ctx ends.
-func (g *Gate) Admit(ctx context.Context, ask Request) (Verdict, error) {
+func (g *Gate) Admit(ctx context.Context, request Request) (Verdict, error) {
 	answers := make(chan answer, 1)
 	go func() {
 		// Detached from ctx: a takeover that this triggers also serves later requests.
 		asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTimeout)
 		defer cancel()
-		verdict, err := g.owner.AskQuota(asking, ask)
+		verdict, err := g.owner.AskQuota(asking, request)
 		answers <- answer{verdict, err}
 	}()
-	ownerTimer := time.NewTimer(g.ownerTimeout(ask.Tenant, time.Now()))
+	ownerTimer := time.NewTimer(g.ownerTimeout(request.Tenant, time.Now()))
 	defer ownerTimer.Stop()
 	for {
 		select {
 		case got := <-answers:
-			return g.handleAnswer(ask, got)
+			return g.handleAnswer(request, got)
 		case <-ownerTimer.C:
-			after := g.admitWithoutOwner(ask.Tenant, time.Now())
+			after := g.admitWithoutOwner(request.Tenant, time.Now())
 			if after == 0 {
 				return Verdict{Admitted: true, Reason: ReasonOwnerSilent}, nil
 			}
@@ -115,27 +115,27 @@
 
 // Refund takes back the admission of a request that did not run. It returns at once.
 // If the message is lost, the owner admits one request fewer than it could.
-func (g *Gate) Refund(ask Request) {
-	ask.Refund = true
+func (g *Gate) Refund(request Request) {
+	request.Refund = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 		defer cancel()
-		_, _ = g.owner.AskQuota(ctx, ask) // a lost refund is safe
+		_, _ = g.owner.AskQuota(ctx, request) // a lost refund is safe
 	}()
 }
 
 // handleAnswer returns the owner's verdict, or the fallback's after an error.
-func (g *Gate) handleAnswer(ask Request, got answer) (Verdict, error) {
+func (g *Gate) handleAnswer(request Request, got answer) (Verdict, error) {
 	now := time.Now()
 	if got.err != nil {
-		if g.admitWithoutOwner(ask.Tenant, now) == 0 {
+		if g.admitWithoutOwner(request.Tenant, now) == 0 {
 			return Verdict{Admitted: true, Reason: ReasonOwnerSilent}, nil
 		}
 		return Verdict{}, eris.Wrapf(ErrOwnerUnreachable, "%v", got.err)
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	u := g.usageOf(ask.Tenant)
+	u := g.usageOf(request.Tenant)
 	u.lastSilentAt, u.silentSince = time.Time{}, time.Time{}
 	if got.verdict.Admitted {
 		u.count(g.slot(now))
--- a/internal/quota/gate_test.go
+++ b/internal/quota/gate_test.go
@@ -64,7 +64,7 @@
 			t.Errorf("%d requests passed without an owner, %d before", during, before)
 		}
 		if longest > testTolerance.Window {
-			t.Errorf("one waited %s", longest)
+			t.Errorf("the slowest request waited %s", longest)
 		}
 		time.Sleep(askTimeout) // requests to the owner end
 	})
@@ -111,7 +111,7 @@
 			t.Errorf("got %+v, %v", verdict, err)
 		}
 		if used := g.tenants["t"].used(g.slot(time.Now())); used != 0 {
-			t.Errorf("%d requests are counted", used)
+			t.Errorf("%d requests are counted as used, want 0", used)
 		}
 	})
 }
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -59,63 +59,63 @@
 }
 
 // Decide admits a request, or returns when a similar one would be admitted.
-func (l *Limiter) Decide(ask Request, now time.Time) Verdict {
-	b := l.bucketOf(ask, now)
+func (l *Limiter) Decide(request Request, now time.Time) Verdict {
+	b := l.bucketOf(request, now)
 	b.Refill(now)
 	if now.Sub(b.scannedAt) >= idleScanInterval {
 		b.scannedAt = now
 		l.endIdlePrograms(b, now)
 	}
-	known := b.programs[ask.Program]
-	if ask.Refund {
+	known := b.programs[request.Program]
+	if request.Refund {
 		b.refund(known)
 	}
 	verdict := Verdict{Tokens: b.Tokens, Programs: len(b.programs)}
 	switch {
-	case ask.Refund:
+	case request.Refund:
 		return verdict
 	case b.Tokens < 1:
 		verdict.Reason = ReasonExhausted
 		verdict.RetryAfterMS = b.timeUntil(1).Milliseconds() + 1
 		return verdict
-	case known == nil && ask.MayStartProgram && l.knowsAllPrograms(now):
-		if room := l.timeUntilRoom(b, ask.Route); room > 0 {
+	case known == nil && request.MayStartProgram && l.knowsAllPrograms(now):
+		if wait := l.timeUntilRoom(b, request.Route); wait > 0 {
 			verdict.Reason = ReasonProgramsUnderWay
-			verdict.RetryAfterMS = room.Milliseconds() + 1
+			verdict.RetryAfterMS = wait.Milliseconds() + 1
 			return verdict
 		}
 	}
 	b.Tokens--
-	b.record(ask, known, now)
+	b.record(request, known, now)
 	verdict.Admitted, verdict.Reason = true, ReasonAdmitted
 	return verdict
 }
 
 // bucketOf returns a tenant's bucket, updated to the newest limit received.
-func (l *Limiter) bucketOf(ask Request, now time.Time) *bucket {
-	b := l.tenants[ask.Tenant]
+func (l *Limiter) bucketOf(request Request, now time.Time) *bucket {
+	b := l.tenants[request.Tenant]
 	if b == nil {
 		b = &bucket{scannedAt: now, programs: map[string]*program{}, byRoute: map[string]int{}}
 		b.UpdatedAt = l.ownerSince
-		b.Tokens = b.setLimit(ask, l.tolerance).initial
+		b.Tokens = b.setLimit(request, l.tolerance).initial
 		if l.firstOwner {
 			b.Tokens = b.Capacity
 		}
 		b.Refill(now)
-		l.tenants[ask.Tenant] = b
+		l.tenants[request.Tenant] = b
 	}
-	if ask.Version > b.version && ask.Limit != b.limit {
+	if request.Version > b.version && request.Limit != b.limit {
 		b.Refill(now)
-		b.setLimit(ask, l.tolerance)
+		b.setLimit(request, l.tolerance)
 	}
-	b.version = max(b.version, ask.Version)
+	b.version = max(b.version, request.Version)
 	return b
 }
 
 // setLimit puts a limit in force and returns the resulting bounds.
-func (b *bucket) setLimit(ask Request, tolerance Tolerance) bounds {
-	b.limit, b.version = ask.Limit, ask.Version
-	made := tolerance.boundsOf(ask.Limit)
+func (b *bucket) setLimit(request Request, tolerance Tolerance) bounds {
+	b.limit, b.version = request.Limit, request.Version
+	made := tolerance.boundsOf(request.Limit)
 	b.Rate, b.Capacity = made.rate, made.capacity
 	b.Tokens = min(b.Tokens, b.Capacity)
 	return made
@@ -150,28 +150,28 @@
 	}
 	var longest time.Duration
 	for _, horizon := range horizons {
-		wanted := l.forecast.forRoute(route).requestsWithin(horizon)
-		for underway, count := range b.byRoute {
-			wanted += float64(count) * l.forecast.forRoute(underway).remainingWithin(horizon)
+		needed := l.forecast.forRoute(route).requestsWithin(horizon)
+		for running, count := range b.byRoute {
+			needed += float64(count) * l.forecast.forRoute(running).remainingWithin(horizon)
 		}
-		if got := b.Tokens + b.Rate*horizon.Seconds(); wanted > got {
-			longest = max(longest, b.TimeToFill(wanted-got))
+		if available := b.Tokens + b.Rate*horizon.Seconds(); needed > available {
+			longest = max(longest, b.TimeToFill(needed-available))
 		}
 	}
 	return min(longest, maxRetryAfter)
 }
 
 // record counts an admitted request for its program.
-func (b *bucket) record(ask Request, known *program, now time.Time) {
-	if ask.Program == "" {
+func (b *bucket) record(request Request, known *program, now time.Time) {
+	if request.Program == "" {
 		return
 	}
 	if known == nil {
 		if len(b.programs) >= maxPrograms {
 			return
 		}
-		known = &program{route: ask.Route, firstAt: now}
-		b.programs[ask.Program] = known
+		known = &program{route: request.Route, firstAt: now}
+		b.programs[request.Program] = known
 		b.byRoute[known.route]++
 	}
 	known.requests++
--- a/internal/submit/keep_alive_test.go
+++ b/internal/submit/keep_alive_test.go
@@ -37,10 +37,10 @@
 	keepAlive := DefaultSettings().KeepAliveInterval
 	w.run(keepAlive - piece - time.Millisecond)
 	if got := w.attachCount(); got != 0 {
-		t.Errorf("asked %d times before the leader was silent for %s", got, keepAlive)
+		t.Errorf("queried %d times before the leader was silent for %s", got, keepAlive)
 	}
 	w.run(time.Millisecond)
 	if got := w.attachCount(); got != 1 {
-		t.Errorf("asked %d times after %s of silence", got, keepAlive)
+		t.Errorf("queried %d times after %s of silence, want 1", got, keepAlive)
 	}
 }
--- a/internal/submit/submission.go
+++ b/internal/submit/submission.go
@@ -161,15 +161,15 @@
 }
 
 // deadlinePassed reports whether the deadline passed while the call waited here. A
-// caller that came after its deadline asks for the call's outcome, and is let wait for
-// it.
+// call that was submitted after its deadline is a query for its outcome and keeps
+// waiting.
 func (s *Submission) deadlinePassed(now time.Time) bool {
 	deadline := s.call.Deadline
 	return !deadline.IsZero() && now.After(deadline) && s.startedAt.Before(deadline)
 }
 
 func (s *Submission) unreachableOutcome(neverAccepted bool, retryAfter time.Duration) structs.Outcome {
-	const message = "The program's records cannot be reached: their shard has no leader with a majority of its replicas."
+	const message = "The program's records cannot be reached by a majority of their holders."
 	if neverAccepted {
 		return structs.Refused(structs.ReasonNoMajority, "", message, retryAfter)
 	}
@@ -185,10 +185,10 @@
 func (s *Submission) answerTimedOut() {
 	s.unansweredQueries++
 	route := s.submitter.router.Route(s.shard)
-	moved := route.Leader != s.leader || route.Epoch != s.epoch
-	if moved || s.unansweredQueries > maxUnansweredQueries || !s.submitter.router.Alive(s.leader) {
+	routeChanged := route.Leader != s.leader || route.Epoch != s.epoch
+	if routeChanged || s.unansweredQueries > maxUnansweredQueries || !s.submitter.router.Alive(s.leader) {
 		s.unansweredQueries = 0
-		if !moved {
+		if !routeChanged {
 			s.waitForLeader(replication.Route{})
 			return
 		}
--- a/internal/submit/submission_test.go
+++ b/internal/submit/submission_test.go
@@ -76,7 +76,7 @@
 	w.run(200 * time.Millisecond)
 	submit, sent := w.sent[len(w.sent)-1].(*dispatch.Submit)
 	if !sent {
-		t.Fatal("the leader was not asked")
+		t.Fatal("the call was not sent to the leader")
 	}
 	done := structs.Outcome{Status: structs.OutcomeCompleted}
 	submitter.Receive(leader, &dispatch.Settled{Submission: submit.Submission, Outcome: done})
