--- a/internal/clock/paced_signal_test.go
+++ b/internal/clock/rate_limited_signal_test.go
@@ -7,12 +7,12 @@
 
 func TestPacedSignalIsGivenOnceInAPause(t *testing.T) {
 	began := time.Now()
-	signal := NewPacedSignal(100 * time.Millisecond)
+	signal := NewRateLimitedSignal(100 * time.Millisecond)
 	taken := 0
 	for i := range 25 {
-		signal.Ask(began.Add(time.Duration(i) * 10 * time.Millisecond))
+		signal.Send(began.Add(time.Duration(i) * 10 * time.Millisecond))
 		select {
-		case <-signal.Asked():
+		case <-signal.C():
 			taken++
 		default:
 		}
@@ -23,10 +23,10 @@
 }
 
 func TestPacedSignalIsKeptUntilItIsTaken(t *testing.T) {
-	signal := NewPacedSignal(0)
-	signal.Ask(time.Now())
-	signal.Ask(time.Now())
-	if got := len(signal.Asked()); got != 1 {
+	signal := NewRateLimitedSignal(0)
+	signal.Send(time.Now())
+	signal.Send(time.Now())
+	if got := len(signal.C()); got != 1 {
 		t.Errorf("%d signals wait, want 1", got)
 	}
 }
--- a/internal/command/sim.go
+++ b/internal/command/sim.go
@@ -85,7 +85,7 @@
 				return err
 			}
 		}
-		if report.Broken() > 0 {
+		if report.ViolationCount() > 0 {
 			failed++
 		}
 		if err := printSim(out, format, report); err != nil {
--- a/internal/configuration/convergence_test.go
+++ b/internal/configuration/convergence_test.go
@@ -36,7 +36,7 @@
 	w.neighbours = 1
 	w.network.Settings.BreakChance = 0.02
 	bytes := 0
-	w.network.Count = func(_, _ structs.DaemonID, _ peer.Class, _ peer.Kind, size int) { bytes += size }
+	w.network.OnSend = func(_, _ structs.DaemonID, _ peer.Class, _ peer.Kind, size int) { bytes += size }
 	w.append("first", 0, 0)
 	w.run(30 * time.Second)
 	bytes = 0
@@ -88,7 +88,7 @@
 	w.run(2 * time.Minute)
 	w.log.Down = logDown
 	fromPeers := 0
-	w.network.Count = func(_, to structs.DaemonID, _ peer.Class, _ peer.Kind, size int) {
+	w.network.OnSend = func(_, to structs.DaemonID, _ peer.Class, _ peer.Kind, size int) {
 		if to.Address() == w.daemons[1].id.Address() {
 			fromPeers += size
 		}
--- a/internal/configuration/interleaving_test.go
+++ b/internal/configuration/interleaving_test.go
@@ -75,7 +75,7 @@
 			w.run(time.Duration(rapid.IntRange(0, 1500).Draw(r, "pause")) * time.Millisecond)
 		}
 		w.network.HealAll()
-		w.log.Down, w.log.ReadLag, w.log.LostAnswers = false, 0, 0
+		w.log.Down, w.log.ReadLag, w.log.AnswerLossChance = false, 0, 0
 		w.run(30 * time.Second)
 		truth := configuration.NewState()
 		for _, entry := range w.log.Entries(framework.StreamConfiguration) {
@@ -112,7 +112,7 @@
 	case 4:
 		w.log.ReadLag = time.Duration(rapid.IntRange(0, 5000).Draw(r, "lag")) * time.Millisecond
 	case 5:
-		w.log.LostAnswers = rapid.Float64Range(0, 1).Draw(r, "lost")
+		w.log.AnswerLossChance = rapid.Float64Range(0, 1).Draw(r, "lost")
 	case 6:
 		w.start(i, configuration.Guards{})
 	default:
--- a/internal/configuration/store_test.go
+++ b/internal/configuration/store_test.go
@@ -51,7 +51,7 @@
 	w := newWorld(t, 3, configuration.Guards{})
 	w.append("first", 0, 0)
 	w.run(3 * time.Second)
-	w.log.LostAnswers = 1
+	w.log.AnswerLossChance = 1
 	w.log.ReadLag = 1500 * time.Millisecond
 	got := w.publish(w.daemons[0], "second", 1, 2)
 	w.run(20 * time.Second)
@@ -187,7 +187,7 @@
 	w.requireRevision(10)
 	w.log.Down = true
 	parts := 0
-	w.network.Observe = func(_, _ structs.DaemonID, kind peer.Kind, _ int) {
+	w.network.OnReceive = func(_, _ structs.DaemonID, kind peer.Kind, _ int) {
 		if kind == (*configuration.SnapshotPart)(nil).MessageKind() {
 			parts++
 		}
--- a/internal/relaydaemon/keys.go
+++ b/internal/relaydaemon/keys.go
@@ -39,12 +39,12 @@
 	// refresh makes the watcher of the routes read at once. newerRoutes tells it that newer routes
 	// exist; this does not interrupt the read in flight, which will return them, and repeats it
 	// only if no answer begins to arrive.
-	refresh, newerRoutes *clock.PacedSignal
+	refresh, newerRoutes *clock.RateLimitedSignal
 }
 
 func newConfirmation() *confirmation {
 	return &confirmation{
-		renewed: make(chan struct{}), refresh: clock.NewPacedSignal(minRefreshInterval), newerRoutes: clock.NewPacedSignal(0),
+		renewed: make(chan struct{}), refresh: clock.NewRateLimitedSignal(minRefreshInterval), newerRoutes: clock.NewRateLimitedSignal(0),
 	}
 }
 
@@ -100,7 +100,7 @@
 		if !now.Before(until) {
 			return false
 		}
-		c.refresh.Ask(now)
+		c.refresh.Send(now)
 		timer := time.NewTimer(min(until.Sub(now), minRefreshInterval))
 		select {
 		case <-renewed:
@@ -141,7 +141,7 @@
 	case table.Version >= version:
 		d.routesConfirmation.confirm(asOf)
 	default:
-		d.routesConfirmation.newerRoutes.Ask(time.Now())
+		d.routesConfirmation.newerRoutes.Send(time.Now())
 	}
 }
 
--- a/internal/relaydaemon/keys_test.go
+++ b/internal/relaydaemon/keys_test.go
@@ -88,7 +88,7 @@
 		if known == nil || refusal != nil {
 			t.Errorf("got %v, %+v", known, refusal)
 		}
-		if len(d.routesConfirmation.refresh.Asked()) == 0 {
+		if len(d.routesConfirmation.refresh.C()) == 0 {
 			t.Error("no read was requested")
 		}
 	})
@@ -106,7 +106,7 @@
 		go func() {
 			for {
 				select {
-				case <-d.routesConfirmation.refresh.Asked():
+				case <-d.routesConfirmation.refresh.C():
 				case <-ended:
 					return
 				}
@@ -138,7 +138,7 @@
 		keys := newConfirmation()
 		watcher := store.Watcher{
 			Store: memory.New(), Partition: store.Partition{Space: "x"}, Settings: store.WatchSettings{Wait: time.Hour, AnswerTimeout: time.Minute},
-			OnChange: func(map[string]store.Record) {}, OnConnectivity: func(error) {}, OnRead: keys.confirm, Refresh: keys.refresh.Asked(),
+			OnChange: func(map[string]store.Record) {}, OnConnectivity: func(error) {}, OnRead: keys.confirm, Refresh: keys.refresh.C(),
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -172,7 +172,7 @@
 		if d.accepts(t, "key") {
 			t.Error("news of newer routes confirms older ones")
 		}
-		if len(d.routesConfirmation.newerRoutes.Asked()) == 0 {
+		if len(d.routesConfirmation.newerRoutes.C()) == 0 {
 			t.Error("newer routes are not expected")
 		}
 		d.ConfirmRoutes(5, time.Now().Add(-d.settings.revocationTime()))
--- a/internal/relaydaemon/watch.go
+++ b/internal/relaydaemon/watch.go
@@ -35,8 +35,8 @@
 		Settings:       routesWatch,
 		OnAdvance:      d.applyOperatorRecords,
 		OnRead:         d.confirmRoutes,
-		Refresh:        d.routesConfirmation.refresh.Asked(),
-		ChangeExpected: d.routesConfirmation.newerRoutes.Asked(),
+		Refresh:        d.routesConfirmation.refresh.C(),
+		ChangeExpected: d.routesConfirmation.newerRoutes.C(),
 		Metrics:        d.watchMetrics,
 		Logger:         &d.logger,
 		OnConnectivity: func(err error) {
--- a/internal/simulation/checker/spending.go
+++ b/internal/simulation/checker/budget.go
@@ -41,9 +41,9 @@
 	return structs.ProgramKey{Tenant: key.Tenant, Program: key.Program.Root()}
 }
 
-// Held judges what engines still hold long after every program has ended and
+// CheckHolds judges what engines still hold long after every program has ended and
 // nothing is wrong any more.
-func (c *Checker) Held(engine structs.EngineID, holds []structs.Hold) {
+func (c *Checker) CheckHolds(engine structs.EngineID, holds []structs.Hold) {
 	for _, hold := range holds {
 		c.Report(EngineMemoryLeaked, "engine %s still holds %s of %s", engine, hold.ID, hold.Program)
 	}
--- a/internal/simulation/checker/checker.go
+++ b/internal/simulation/checker/checker.go
@@ -96,8 +96,8 @@
 	c.findings = append(c.findings, Finding{Violation: violation, At: c.clock.Now(), Detail: detail})
 }
 
-// Issued notes that a program issued a call for the first time.
-func (c *Checker) Issued(call structs.Call) {
+// RecordCall notes that a program issued a call for the first time.
+func (c *Checker) RecordCall(call structs.Call) {
 	p := c.programs[call.Key]
 	if p == nil {
 		p = &programRecord{key: call.Key, template: call.Template}
@@ -113,9 +113,9 @@
 	}
 }
 
-// Answered notes what a caller was told about a request, and the answer text
+// RecordOutcome notes what a caller was told about a request, and the answer text
 // that it has put together over all its connections.
-func (c *Checker) Answered(key structs.ProgramKey, request structs.RequestID, outcome structs.Outcome, text string) {
+func (c *Checker) RecordOutcome(key structs.ProgramKey, request structs.RequestID, outcome structs.Outcome, text string) {
 	record := c.calls[callKey{key, request}]
 	if record == nil {
 		return
@@ -132,9 +132,9 @@
 	}
 }
 
-// Unanswered notes a caller that was left without any outcome although it kept
+// ReportUnanswered notes a caller that was left without any outcome although it kept
 // asking and nothing was wrong any more.
-func (c *Checker) Unanswered(key structs.ProgramKey, request structs.RequestID) {
+func (c *Checker) ReportUnanswered(key structs.ProgramKey, request structs.RequestID) {
 	c.Report(AnswerIncomplete, "%s %s: the caller never got an outcome", key, request)
 }
 
@@ -156,13 +156,13 @@
 	}
 }
 
-// BrokenPiece notes a piece that left a gap or came twice.
-func (c *Checker) BrokenPiece(key structs.ProgramKey, request structs.RequestID, have, offset int64) {
+// ReportMisplacedChunk notes a piece that left a gap or came twice.
+func (c *Checker) ReportMisplacedChunk(key structs.ProgramKey, request structs.RequestID, have, offset int64) {
 	c.Report(AnswerIncomplete, "%s %s: a piece at %d came when the caller had %d bytes", key, request, offset, have)
 }
 
-// ApplicationRan notes an effect at an application back end.
-func (c *Checker) ApplicationRan(request framework.ApplicationRequest) {
+// RecordApplicationRun notes an effect at an application back end.
+func (c *Checker) RecordApplicationRun(request framework.ApplicationRequest) {
 	record := c.attempt(request.Program, request.Attempt)
 	if record == nil {
 		return
--- a/internal/simulation/checker/configuration.go
+++ b/internal/simulation/checker/configuration.go
@@ -12,8 +12,8 @@
 // force at a daemon that can hear of it.
 const configurationBound = 10 * time.Second
 
-// DaemonReading is what an operator reads at one daemon.
-type DaemonReading struct {
+// DaemonConfiguration is what an operator reads at one daemon.
+type DaemonConfiguration struct {
 	Address string
 	// Run names the daemon's present run.
 	Run      structs.DaemonID
@@ -52,14 +52,14 @@
 	}
 }
 
-// Accepted notes that a change became a revision when it entered the log.
-func (c *Checker) Accepted(revision structs.Revision) {
+// RecordRevision notes that a change became a revision when it entered the log.
+func (c *Checker) RecordRevision(revision structs.Revision) {
 	c.fleet.accepted[revision] = c.clock.Now()
 	c.fleet.latest = max(c.fleet.latest, revision)
 }
 
-// Read notes what an operator reads at a daemon now. It must be called often.
-func (c *Checker) Read(reading DaemonReading) {
+// RecordConfiguration notes what an operator reads at a daemon now. It must be called often.
+func (c *Checker) RecordConfiguration(reading DaemonConfiguration) {
 	watch := c.fleet.daemons[reading.Address]
 	if watch == nil {
 		watch = &daemonWatch{}
@@ -77,7 +77,7 @@
 	c.checkLate(watch, reading, now)
 }
 
-func (c *Checker) checkReverted(watch *daemonWatch, reading DaemonReading) {
+func (c *Checker) checkReverted(watch *daemonWatch, reading DaemonConfiguration) {
 	if reading.Revision == 0 {
 		return
 	}
@@ -96,7 +96,7 @@
 	watch.revision = max(watch.revision, reading.Revision)
 }
 
-func (c *Checker) checkLate(watch *daemonWatch, reading DaemonReading, now time.Time) {
+func (c *Checker) checkLate(watch *daemonWatch, reading DaemonConfiguration, now time.Time) {
 	if !watch.hearing || reading.Revision >= c.fleet.latest {
 		return
 	}
--- a/internal/simulation/checker/orders.go
+++ b/internal/simulation/checker/engine_orders.go
@@ -2,11 +2,11 @@
 
 import "github.com/mintpulley/mintpulley/internal/structs"
 
-// Ordered notes an order that arrived at an engine. reading is set when the
+// RecordOrder notes an order that arrived at an engine. reading is set when the
 // engine was still reading weights for an earlier one, taken when it obeys. An
 // engine that restarted knows no fence any more; an order below the highest
 // that it ever took is stale even so.
-func (c *Checker) Ordered(order structs.Order, reading, taken bool) {
+func (c *Checker) RecordOrder(order structs.Order, reading, taken bool) {
 	highest := c.fences[order.Engine]
 	switch {
 	case !taken || order.Fence == highest:
--- a/internal/simulation/checker/leaving.go
+++ b/internal/simulation/checker/leaving.go
@@ -19,17 +19,17 @@
 	refused map[string]int
 }
 
-// Leaving notes that a back end is leaving, and that the word of it has been
+// MarkLeaving notes that a back end is leaving, and that the word of it has been
 // published since now: by the platform's list or by the back end itself.
-func (c *Checker) Leaving(backEnd structs.EngineID) {
+func (c *Checker) MarkLeaving(backEnd structs.EngineID) {
 	c.leaving[backEnd] = &leavingRecord{since: c.clock.Now(), refused: map[string]int{}}
 }
 
-// Back notes that a back end takes work again.
-func (c *Checker) Back(backEnd structs.EngineID) { delete(c.leaving, backEnd) }
+// ClearLeaving notes that a back end takes work again.
+func (c *Checker) ClearLeaving(backEnd structs.EngineID) { delete(c.leaving, backEnd) }
 
-// Arrived notes new work at a back end.
-func (c *Checker) Arrived(backEnd structs.EngineID, attempt structs.AttemptID, accepted bool, from network.Place) {
+// RecordArrival notes new work at a back end.
+func (c *Checker) RecordArrival(backEnd structs.EngineID, attempt structs.AttemptID, accepted bool, from network.Place) {
 	record := c.leaving[backEnd]
 	if record == nil || c.clock.Now().Sub(record.since) <= leavingGrace {
 		return
--- a/internal/simulation/checker/violation.go
+++ b/internal/simulation/checker/violation.go
@@ -29,8 +29,8 @@
 	EngineOrderConflict   Violation = "engine_order_conflict"
 )
 
-// Promises returns the violations that every report names, in its order.
-func Promises() []Violation {
+// FixedViolations returns the violations that every report names, in its order.
+func FixedViolations() []Violation {
 	return []Violation{
 		CallOrder, HistoryLost, HistoryMixed, BudgetExceeded, EngineMemoryLeaked,
 		AnswerIncomplete, RefusalWasRun, RanMoreThanOnce, WorkToLeavingBackEnd,
@@ -38,12 +38,12 @@
 	}
 }
 
-// Further returns the violations that were added since, which a report names
+// FurtherViolations returns the violations that were added since, which a report names
 // apart so that readers of its fixed part find what they know.
-func Further() []Violation { return []Violation{EngineOrderConflict} }
+func FurtherViolations() []Violation { return []Violation{EngineOrderConflict} }
 
 // All returns every violation.
-func All() []Violation { return append(Promises(), Further()...) }
+func All() []Violation { return append(FixedViolations(), FurtherViolations()...) }
 
 // Finding is one broken promise with what shows it.
 type Finding struct {
--- a/internal/simulation/cluster/cluster.go
+++ b/internal/simulation/cluster/cluster.go
@@ -63,15 +63,15 @@
 	// Weights is the weight store, nil without a rate.
 	Weights *enginemodel.WeightStore
 	Daemons []*Daemon
-	// EngineOrder and ApplicationOrder list the back ends in a fixed order.
-	EngineOrder      []*drivers.Engine
-	ApplicationOrder []*drivers.Application
-	// Started is told of each run of a daemon before it starts; nil tells nobody.
-	Started func(*Daemon)
-	// StopCut is told of each request that the end of a daemon's planned stop
+	// EngineList and ApplicationOrder list the back ends in a fixed order.
+	EngineList      []*drivers.Engine
+	ApplicationList []*drivers.Application
+	// OnStart is told of each run of a daemon before it starts; nil tells nobody.
+	OnStart func(*Daemon)
+	// OnRequestCut is told of each request that the end of a daemon's planned stop
 	// cuts off; nil tells nobody.
-	StopCut func(*Daemon, structs.Call)
-	start   time.Time
+	OnRequestCut func(*Daemon, structs.Call)
+	start        time.Time
 }
 
 // New builds a fleet that has not been started.
@@ -129,7 +129,7 @@
 			}
 			engine := drivers.NewEngine(c.Network, place, model, reader)
 			c.Engines.Add(engine)
-			c.EngineOrder = append(c.EngineOrder, engine)
+			c.EngineList = append(c.EngineList, engine)
 		}
 	}
 }
@@ -145,10 +145,10 @@
 func (c *Cluster) addApplications() {
 	for _, name := range c.Options.Applications {
 		for replica := range c.Options.ApplicationReplicas {
-			place := network.Place{Address: fmt.Sprintf("10.2.%d.%d:80", len(c.ApplicationOrder)+1, replica+1), Zone: Zone(replica % c.Options.Zones), Region: region}
+			place := network.Place{Address: fmt.Sprintf("10.2.%d.%d:80", len(c.ApplicationList)+1, replica+1), Zone: Zone(replica % c.Options.Zones), Region: region}
 			application := drivers.NewApplication(c.Network, place, name, 20*time.Millisecond, c.Random(place.Address))
 			c.Applications.Add(application)
-			c.ApplicationOrder = append(c.ApplicationOrder, application)
+			c.ApplicationList = append(c.ApplicationList, application)
 		}
 	}
 }
@@ -171,10 +171,10 @@
 	for _, daemon := range c.Daemons {
 		machines = append(machines, daemon.machine())
 	}
-	for _, engine := range c.EngineOrder {
+	for _, engine := range c.EngineList {
 		machines = append(machines, structs.Machine{Kind: structs.MachineEngine, Address: engine.Place.Address, Zone: engine.Place.Zone, Region: region, State: structs.MachineLive})
 	}
-	for _, application := range c.ApplicationOrder {
+	for _, application := range c.ApplicationList {
 		machines = append(machines, structs.Machine{Kind: structs.MachineApplication, Address: application.Place.Address, Zone: application.Place.Zone, Region: region, State: structs.MachineLive, Name: application.Name})
 	}
 	return machines
--- a/internal/simulation/cluster/daemon.go
+++ b/internal/simulation/cluster/daemon.go
@@ -63,8 +63,8 @@
 		Logger:    c.Options.Logger.With().Str("daemon", d.Address).Logger(),
 	})
 	d.endpoint.Handle(d.Node)
-	if c.Started != nil {
-		c.Started(d)
+	if c.OnStart != nil {
+		c.OnStart(d)
 	}
 	d.Node.Start()
 }
@@ -126,8 +126,8 @@
 // or not their callers will hear of it.
 func (d *Daemon) tellCut() {
 	for _, line := range d.order {
-		if !line.closed && d.cluster.StopCut != nil {
-			d.cluster.StopCut(d, line.call)
+		if !line.closed && d.cluster.OnRequestCut != nil {
+			d.cluster.OnRequestCut(d, line.call)
 		}
 	}
 }
@@ -149,10 +149,10 @@
 // Caller hears the answer to one request to a daemon.
 type Caller interface {
 	submit.Caller
-	// Lost tells that the connection broke before the outcome came.
-	Lost()
-	// Refused tells that no connection was made.
-	Refused()
+	// ConnectionLost tells that the connection broke before the outcome came.
+	ConnectionLost()
+	// ConnectionRefused tells that no connection was made.
+	ConnectionRefused()
 }
 
 // connection is a caller's request to one run of a daemon.
@@ -189,7 +189,7 @@
 	if !d.Running() || d.Stopping {
 		line.toCaller(func() {
 			line.closed = true
-			line.caller.Refused()
+			line.caller.ConnectionRefused()
 		})
 		return
 	}
@@ -233,7 +233,7 @@
 		case l.closed || number < l.received:
 		case number > l.received:
 			l.closed = true
-			l.caller.Lost()
+			l.caller.ConnectionLost()
 		default:
 			l.received++
 			f()
@@ -244,7 +244,7 @@
 func (l *connection) reset() {
 	l.toCaller(func() {
 		l.closed = true
-		l.caller.Lost()
+		l.caller.ConnectionLost()
 	})
 }
 
--- a/internal/simulation/drivers/application.go
+++ b/internal/simulation/drivers/application.go
@@ -25,8 +25,8 @@
 	Name string
 	// ServiceTime is how long a request takes.
 	ServiceTime time.Duration
-	// LostAnswers is the chance that a request takes effect and its answer is lost.
-	LostAnswers float64
+	// AnswerLossChance is the chance that a request takes effect and its answer is lost.
+	AnswerLossChance float64
 	// Hanging makes it take requests and never answer; they have no effect.
 	Hanging bool
 	// Draining makes it refuse new requests because it is leaving.
@@ -34,8 +34,8 @@
 	// Down makes it refuse connections.
 	Down bool
 	// Arrived is told of each request that arrived; Ran of each effect.
-	Arrived func(request framework.ApplicationRequest, accepted bool, from network.Place)
-	Ran     func(request framework.ApplicationRequest)
+	OnRequest func(request framework.ApplicationRequest, accepted bool, from network.Place)
+	OnEffect  func(request framework.ApplicationRequest)
 
 	network *network.Network
 	random  *rand.Rand
@@ -88,8 +88,8 @@
 
 func (a *Application) invoke(request framework.ApplicationRequest, from network.Place, reply func(framework.AttemptEnd, error)) {
 	end, refused := a.refusal(request)
-	if a.Arrived != nil {
-		a.Arrived(request, !refused, from)
+	if a.OnRequest != nil {
+		a.OnRequest(request, !refused, from)
 	}
 	if refused {
 		reply(end, nil)
@@ -101,10 +101,10 @@
 	record := a.record(request.Attempt)
 	record.runs++
 	record.answer = []byte(ApplicationAnswer(request.Attempt))
-	if a.Ran != nil {
-		a.Ran(request)
+	if a.OnEffect != nil {
+		a.OnEffect(request)
 	}
-	lost := a.LostAnswers > 0 && a.random.Float64() < a.LostAnswers
+	lost := a.AnswerLossChance > 0 && a.random.Float64() < a.AnswerLossChance
 	a.network.Clock().AfterFunc(a.ServiceTime, func() {
 		if !lost && !a.Down {
 			reply(framework.AttemptEnd{Kind: framework.EndCompleted, Body: record.answer, BodyStatus: statusDone}, nil)
@@ -132,10 +132,10 @@
 
 // Applications is all application back ends of a fleet.
 type Applications struct {
-	// Sending is told in the asking process just before a request leaves,
+	// BeforeSend is told in the asking process just before a request leaves,
 	// Answering just before its end is handed over; nil tells nobody.
-	Sending   func(from network.Place, request framework.ApplicationRequest)
-	Answering func(from network.Place, request framework.ApplicationRequest)
+	BeforeSend   func(from network.Place, request framework.ApplicationRequest)
+	BeforeAnswer func(from network.Place, request framework.ApplicationRequest)
 
 	members map[structs.EngineID]*Application
 }
@@ -168,16 +168,16 @@
 		return
 	}
 	request.Body = append([]byte{}, request.Body...)
-	if c.applications.Sending != nil {
-		c.applications.Sending(c.client.Place, request)
+	if c.applications.BeforeSend != nil {
+		c.applications.BeforeSend(c.client.Place, request)
 	}
 	serve := func(reply func(framework.AttemptEnd, error)) { application.invoke(request, c.client.Place, reply) }
 	network.Request(c.client, application.Place, invokeTimeout, framework.ErrUnreachable, serve, func(end framework.AttemptEnd, err error) {
 		if err != nil {
 			end = framework.AttemptEnd{Kind: framework.EndLost, Message: err.Error()}
 		}
-		if c.applications.Answering != nil {
-			c.applications.Answering(c.client.Place, request)
+		if c.applications.BeforeAnswer != nil {
+			c.applications.BeforeAnswer(c.client.Place, request)
 		}
 		c.client.Process.Run(func() { done(end) })
 	})
--- a/internal/simulation/drivers/engine.go
+++ b/internal/simulation/drivers/engine.go
@@ -44,14 +44,14 @@
 	Model *enginemodel.Engine
 	// Runs is what it has taken, in order, over all its restarts.
 	Runs []*EngineRun
-	// Arrived is told of each new attempt; accepted is false for one that was
+	// OnAttempt is told of each new attempt; accepted is false for one that was
 	// refused.
-	Arrived func(request framework.EngineRequest, accepted bool, from network.Place)
-	// Ordered is told of each order that arrives: reading is set when the
+	OnAttempt func(request framework.EngineRequest, accepted bool, from network.Place)
+	// OnOrder is told of each order that arrives: reading is set when the
 	// engine was reading weights, err is its answer.
-	Ordered func(order structs.Order, reading bool, err error)
-	// Importing is told of each transfer to it that begins.
-	Importing func(transfer framework.Transfer, tokens int64)
+	OnOrder func(order structs.Order, reading bool, err error)
+	// OnTransfer is told of each transfer to it that begins.
+	OnTransfer func(transfer framework.Transfer, tokens int64)
 
 	network  *network.Network
 	reader   *enginemodel.PromptReader
@@ -92,8 +92,8 @@
 func (e *Engine) order(order structs.Order) error {
 	reading := e.Model.Loading()
 	err := e.Model.Order(order)
-	if e.Ordered != nil {
-		e.Ordered(order, reading, err)
+	if e.OnOrder != nil {
+		e.OnOrder(order, reading, err)
 	}
 	return err
 }
@@ -114,8 +114,8 @@
 	e.known[request.Attempt] = run
 	e.Runs = append(e.Runs, run)
 	e.Model.Start(e.reader.Read(request), recorder)
-	if e.Arrived != nil {
-		e.Arrived(request, run.Kind != framework.EndRejected, from)
+	if e.OnAttempt != nil {
+		e.OnAttempt(request, run.Kind != framework.EndRejected, from)
 	}
 }
 
@@ -151,9 +151,9 @@
 
 // Engines is all engines of a fleet.
 type Engines struct {
-	// Sending is told in the asking process just before an attempt leaves;
+	// BeforeSend is told in the asking process just before an attempt leaves;
 	// nil tells nobody.
-	Sending func(from network.Place, request framework.EngineRequest)
+	BeforeSend func(from network.Place, request framework.EngineRequest)
 
 	members map[structs.EngineID]*Engine
 }
@@ -265,8 +265,8 @@
 			return
 		}
 		export := sender.Model.Export(transfer.Program)
-		if receiver.Importing != nil {
-			receiver.Importing(transfer, export.Tokens())
+		if receiver.OnTransfer != nil {
+			receiver.OnTransfer(transfer, export.Tokens())
 		}
 		restarts := receiver.restarts
 		wait := receiver.Model.ReserveLink(sender.Model, receiver.Model.Missing(export))
--- a/internal/simulation/drivers/eventlog.go
+++ b/internal/simulation/drivers/eventlog.go
@@ -24,14 +24,14 @@
 	Place network.Place
 	// Down makes every request fail.
 	Down bool
-	// Slow is added to every request.
-	Slow time.Duration
-	// LostAnswers is the chance that an append takes effect and its answer is lost.
-	LostAnswers float64
+	// AddedDelay is added to every request.
+	AddedDelay time.Duration
+	// AnswerLossChance is the chance that an append takes effect and its answer is lost.
+	AnswerLossChance float64
 	// ReadLag hides the entries of the last while from readers, at random.
 	ReadLag time.Duration
-	// Appended is told of each entry that took effect; nil tells nobody.
-	Appended func(stream framework.StreamName, entry framework.LogEntry)
+	// OnAppend is told of each entry that took effect; nil tells nobody.
+	OnAppend func(stream framework.StreamName, entry framework.LogEntry)
 
 	network *network.Network
 	random  *rand.Rand
@@ -65,8 +65,8 @@
 	offset := structs.LogOffset(len(l.streams[stream]))
 	entry := framework.LogEntry{Offset: offset, OperationID: operationID, Payload: append([]byte{}, payload...)}
 	l.streams[stream] = append(l.streams[stream], timedEntry{entry: entry, at: l.network.Clock().Now()})
-	if l.Appended != nil {
-		l.Appended(stream, entry)
+	if l.OnAppend != nil {
+		l.OnAppend(stream, entry)
 	}
 	return offset
 }
@@ -89,11 +89,11 @@
 
 // after runs f at once, or later when the service is slow.
 func (l *EventLog) after(f func()) {
-	if l.Slow == 0 {
+	if l.AddedDelay == 0 {
 		f()
 		return
 	}
-	l.network.Clock().AfterFunc(l.Slow, f)
+	l.network.Clock().AfterFunc(l.AddedDelay, f)
 }
 
 type logClient struct {
@@ -112,7 +112,7 @@
 				return
 			}
 			offset := c.log.Append(stream, operationID, payload)
-			if c.log.LostAnswers > 0 && c.log.random.Float64() < c.log.LostAnswers {
+			if c.log.AnswerLossChance > 0 && c.log.random.Float64() < c.log.AnswerLossChance {
 				return
 			}
 			reply(offset, nil)
--- a/internal/simulation/drivers/stream.go
+++ b/internal/simulation/drivers/stream.go
@@ -45,8 +45,8 @@
 	}
 	stream.restarts = engine.restarts
 	request.Messages = append([]structs.Message{}, request.Messages...)
-	if c.engines.Sending != nil {
-		c.engines.Sending(c.client.Place, request)
+	if c.engines.BeforeSend != nil {
+		c.engines.BeforeSend(c.client.Place, request)
 	}
 	c.client.Process.Run(func() {
 		c.client.Network.Deliver(c.client.Place, engine.Place, func() { stream.arrive(request) })
--- a/internal/simulation/network/endpoint.go
+++ b/internal/simulation/network/endpoint.go
@@ -51,8 +51,8 @@
 	if err != nil {
 		panic(fmt.Sprintf("network: %v", err))
 	}
-	if e.network.Count != nil && to.Address() != e.place.Address {
-		e.network.Count(e.self, to, peer.ClassOf(message.MessageKind()), message.MessageKind(), len(line))
+	if e.network.OnSend != nil && to.Address() != e.place.Address {
+		e.network.OnSend(e.self, to, peer.ClassOf(message.MessageKind()), message.MessageKind(), len(line))
 	}
 	e.process.Run(func() { e.leave(to, line) })
 }
@@ -81,8 +81,8 @@
 		if err != nil {
 			panic(fmt.Sprintf("network: %v", err))
 		}
-		if n.Observe != nil {
-			n.Observe(from, target.self, message.MessageKind(), len(line))
+		if n.OnReceive != nil {
+			n.OnReceive(from, target.self, message.MessageKind(), len(line))
 		}
 		target.handler.Receive(from, message)
 	})
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -66,17 +66,17 @@
 	}
 }
 
-// Counter is told of each message between daemons that left one.
-type Counter func(from, to structs.DaemonID, class peer.Class, kind peer.Kind, bytes int)
+// SendFunc is told of each message between daemons that left one.
+type SendFunc func(from, to structs.DaemonID, class peer.Class, kind peer.Kind, bytes int)
 
 // Network carries messages between places. It is used from the virtual
 // clock's event loop only.
 type Network struct {
 	Settings Settings
-	// Count is told of each message between daemons; nil counts nothing.
-	Count Counter
-	// Observe is told of each message that arrived at a daemon; nil tells nobody.
-	Observe func(from, to structs.DaemonID, kind peer.Kind, bytes int)
+	// OnSend is told of each message between daemons; nil counts nothing.
+	OnSend SendFunc
+	// OnReceive is told of each message that arrived at a daemon; nil tells nobody.
+	OnReceive func(from, to structs.DaemonID, kind peer.Kind, bytes int)
 
 	clock       *clock.Virtual
 	random      *rand.Rand
--- a/internal/simulation/network/process.go
+++ b/internal/simulation/network/process.go
@@ -95,5 +95,5 @@
 	}
 }
 
-// Jump sets the wall clock of the machine forward or back.
-func (p *Process) Jump(d time.Duration) { p.offset += d }
+// JumpClock sets the wall clock of the machine forward or back.
+func (p *Process) JumpClock(d time.Duration) { p.offset += d }
--- a/internal/simulation/scenario/back_end_scenarios.go
+++ b/internal/simulation/scenario/back_end_scenarios.go
@@ -31,7 +31,7 @@
 		Faults: func(r *Run) {
 			for at := 3 * time.Second; at < 38*time.Second; at += 4 * time.Second {
 				r.After(at, func() {
-					r.CrashEngine(r.Cluster.EngineOrder[r.Random.IntN(len(r.Cluster.EngineOrder))], 2*time.Second)
+					r.CrashEngine(r.Cluster.EngineList[r.Random.IntN(len(r.Cluster.EngineList))], 2*time.Second)
 				})
 			}
 			r.After(14*time.Second, func() { r.Crash(r.busiest(), 3*time.Second) })
@@ -46,7 +46,7 @@
 		Shape:   mostlyApplications,
 		Load:    defaultLoad(),
 		Faults: func(r *Run) {
-			for _, a := range r.Cluster.ApplicationOrder {
+			for _, a := range r.Cluster.ApplicationList {
 				r.After(2*time.Second, func() { r.LoseAnswers(a, 0.3, 30*time.Second) })
 			}
 			r.After(10*time.Second, func() { r.Crash(r.busiest(), 3*time.Second) })
@@ -59,15 +59,15 @@
 		Name:    "tools_hang",
 		Summary: "Tools hang, callers never come back, and programs loop without end.",
 		Shape: func(shape *workload.Shape) {
-			shape.Lost, shape.Looping = 0.15, 0.15
+			shape.Abandoned, shape.Looping = 0.15, 0.15
 		},
 		Load: defaultLoad(),
 		Faults: func(r *Run) {
 			r.After(6*time.Second, func() {
 				r.Fault("tool_hang")
-				r.Cluster.ApplicationOrder[0].Hanging = true
+				r.Cluster.ApplicationList[0].Hanging = true
 			})
-			r.After(30*time.Second, func() { r.Cluster.ApplicationOrder[0].Hanging = false })
+			r.After(30*time.Second, func() { r.Cluster.ApplicationList[0].Hanging = false })
 			r.After(12*time.Second, func() { r.Crash(r.busiest(), 3*time.Second) })
 		},
 	}
@@ -136,18 +136,18 @@
 		Summary: "Back ends leave: by the lagging list, or by their own word while the list says nothing.",
 		Load:    defaultLoad(),
 		Faults: func(r *Run) {
-			engines, applications := r.Cluster.EngineOrder, r.Cluster.ApplicationOrder
-			r.After(5*time.Second, func() { r.ListedLeaving(engines[0].ID(), 25*time.Second) })
-			r.After(8*time.Second, func() { r.EngineDrains(engines[3]) })
-			r.After(10*time.Second, func() { r.ListedLeaving(applications[0].ID(), 25*time.Second) })
-			r.After(14*time.Second, func() { r.ApplicationDrains(applications[1]) })
+			engines, applications := r.Cluster.EngineList, r.Cluster.ApplicationList
+			r.After(5*time.Second, func() { r.ListAsLeaving(engines[0].ID(), 25*time.Second) })
+			r.After(8*time.Second, func() { r.DrainEngine(engines[3]) })
+			r.After(10*time.Second, func() { r.ListAsLeaving(applications[0].ID(), 25*time.Second) })
+			r.After(14*time.Second, func() { r.DrainApplication(applications[1]) })
 			r.After(20*time.Second, func() { r.Crash(r.busiest(), 3*time.Second) })
 		},
 	}
 }
 
 func (r *Run) crashAllEngines(restartAfter time.Duration) {
-	for _, engine := range r.Cluster.EngineOrder {
+	for _, engine := range r.Cluster.EngineList {
 		r.CrashEngine(engine, restartAfter)
 	}
 }
--- a/internal/simulation/scenario/crash_points.go
+++ b/internal/simulation/scenario/crash_points.go
@@ -52,7 +52,7 @@
 func mostlyApplications(shape *workload.Shape) {
 	shape.Application = 0.7
 	shape.Pause = time.Second
-	shape.Lost, shape.Looping = 0, 0
+	shape.Abandoned, shape.Looping = 0, 0
 }
 
 func crashScenario(name, summary string, faults func(*Run)) *Scenario {
@@ -88,14 +88,14 @@
 
 func crashAfterIntent(r *Run) {
 	p := newCrashPointer(r)
-	r.Cluster.Applications.Sending = func(from place, _ applicationRequest) { p.strike(from.Address) }
+	r.Cluster.Applications.BeforeSend = func(from place, _ applicationRequest) { p.strike(from.Address) }
 }
 
 func crashAfterSend(r *Run) {
 	p := newCrashPointer(r)
-	for _, application := range r.Cluster.ApplicationOrder {
-		former := application.Arrived
-		application.Arrived = func(request applicationRequest, accepted bool, from place) {
+	for _, application := range r.Cluster.ApplicationList {
+		former := application.OnRequest
+		application.OnRequest = func(request applicationRequest, accepted bool, from place) {
 			former(request, accepted, from)
 			p.strike(from.Address)
 		}
@@ -104,9 +104,9 @@
 
 func crashAfterEffect(r *Run) {
 	p := newCrashPointer(r)
-	for _, application := range r.Cluster.ApplicationOrder {
-		former := application.Ran
-		application.Ran = func(request applicationRequest) {
+	for _, application := range r.Cluster.ApplicationList {
+		former := application.OnEffect
+		application.OnEffect = func(request applicationRequest) {
 			former(request)
 			if d := r.leader(request.Program); d != nil {
 				p.strike(d.Address)
@@ -117,14 +117,14 @@
 
 func crashBeforeAnswer(r *Run) {
 	p := newCrashPointer(r)
-	r.Cluster.Applications.Answering = func(from place, _ applicationRequest) { p.strike(from.Address) }
+	r.Cluster.Applications.BeforeAnswer = func(from place, _ applicationRequest) { p.strike(from.Address) }
 }
 
 // crashBeforeAcknowledgement kills the holder when the first of its followers
 // has got the outcome and before it can know.
 func crashBeforeAcknowledgement(r *Run) {
 	p := newCrashPointer(r)
-	r.Cluster.Applications.Answering = func(from place, _ applicationRequest) { p.waiting = from.Address }
+	r.Cluster.Applications.BeforeAnswer = func(from place, _ applicationRequest) { p.waiting = from.Address }
 	r.onMessage(func(from, _ structs.DaemonID, kind peer.Kind) {
 		if from.Address() == p.waiting && strings.HasSuffix(string(kind), ".append") {
 			p.strike(from.Address())
@@ -134,7 +134,7 @@
 
 func crashBeforeOutcome(r *Run) {
 	p := newCrashPointer(r)
-	r.Cluster.Network.Count = func(from, _ structs.DaemonID, _ peer.Class, kind peer.Kind, _ int) {
+	r.Cluster.Network.OnSend = func(from, _ structs.DaemonID, _ peer.Class, kind peer.Kind, _ int) {
 		if kind == dispatch.KindSettled {
 			p.strike(from.Address())
 		}
@@ -143,8 +143,8 @@
 
 // onMessage adds a listener to messages that arrive.
 func (r *Run) onMessage(listener func(from, to structs.DaemonID, kind peer.Kind)) {
-	former := r.Cluster.Network.Observe
-	r.Cluster.Network.Observe = func(from, to structs.DaemonID, kind peer.Kind, bytes int) {
+	former := r.Cluster.Network.OnReceive
+	r.Cluster.Network.OnReceive = func(from, to structs.DaemonID, kind peer.Kind, bytes int) {
 		former(from, to, kind, bytes)
 		listener(from, to, kind)
 	}
--- a/internal/simulation/scenario/faults.go
+++ b/internal/simulation/scenario/faults.go
@@ -61,16 +61,16 @@
 	}
 	r.trouble(d.Zone, 0)
 	r.Fault("process_crash", string(d.ID))
-	r.Callers.Killed(d)
+	r.Callers.RecordKill(d)
 	d.Crash()
 	if restartAfter >= 0 {
 		r.After(restartAfter, func() { r.restart(d) })
 	}
 }
 
-// CrashHolders kills all holders of the first shard that a daemon leads, and
+// CrashReplicas kills all holders of the first shard that a daemon leads, and
 // starts fresh runs at their addresses after a while.
-func (r *Run) CrashHolders(leader *cluster.Daemon, restartAfter time.Duration) {
+func (r *Run) CrashReplicas(leader *cluster.Daemon, restartAfter time.Duration) {
 	for _, status := range leader.Node.Replication.Status() {
 		if !status.Leads || int(status.Shard) >= r.Cluster.Options.Node.Shards {
 			continue
@@ -109,19 +109,19 @@
 	})
 }
 
-// Jump sets the wall clock of a daemon's machine.
-func (r *Run) Jump(d *cluster.Daemon, by time.Duration) {
+// JumpClock sets the wall clock of a daemon's machine.
+func (r *Run) JumpClock(d *cluster.Daemon, by time.Duration) {
 	if !d.Running() {
 		return
 	}
 	r.Fault("clock_jump", string(d.ID), by.String())
 	d.Offset += by
-	d.Process.Jump(by)
+	d.Process.JumpClock(by)
 }
 
-// StopPlanned stops a daemon as planned and starts a fresh run at its address
+// StopGracefully stops a daemon as planned and starts a fresh run at its address
 // once it has ended.
-func (r *Run) StopPlanned(d *cluster.Daemon, restartAfter time.Duration) {
+func (r *Run) StopGracefully(d *cluster.Daemon, restartAfter time.Duration) {
 	if !d.Running() || d.Stopping {
 		return
 	}
@@ -180,13 +180,13 @@
 	r.After(lasting, func() { r.Cluster.Log.Down = false })
 }
 
-// LogSick makes the log slow, its readers lag and the answers to some appends
+// DegradeLog makes the log slow, its readers lag and the answers to some appends
 // get lost after they took effect.
-func (r *Run) LogSick(lasting time.Duration) {
+func (r *Run) DegradeLog(lasting time.Duration) {
 	r.Fault("log_sick", lasting.String())
 	log := r.Cluster.Log
-	log.Slow, log.ReadLag, log.LostAnswers = 300*time.Millisecond, 3*time.Second, 0.4
-	r.After(lasting, func() { log.Slow, log.ReadLag, log.LostAnswers = 0, 0, 0 })
+	log.AddedDelay, log.ReadLag, log.AnswerLossChance = 300*time.Millisecond, 3*time.Second, 0.4
+	r.After(lasting, func() { log.AddedDelay, log.ReadLag, log.AnswerLossChance = 0, 0, 0 })
 }
 
 // CrashEngine kills an engine and starts it again, empty, after a while.
@@ -202,8 +202,8 @@
 // LoseAnswers makes an application back end take effect and not answer, at times.
 func (r *Run) LoseAnswers(a *drivers.Application, chance float64, lasting time.Duration) {
 	r.Fault("lost_answers", string(a.ID()), lasting.String())
-	a.LostAnswers = chance
-	r.After(lasting, func() { a.LostAnswers = 0 })
+	a.AnswerLossChance = chance
+	r.After(lasting, func() { a.AnswerLossChance = 0 })
 }
 
 // DownApplication makes a back end refuse connections.
@@ -213,8 +213,8 @@
 	r.After(lasting, func() { a.Down = false })
 }
 
-// Noise makes connections break and stall for a while.
-func (r *Run) Noise(lasting time.Duration) {
+// DegradeNetwork makes connections break and stall for a while.
+func (r *Run) DegradeNetwork(lasting time.Duration) {
 	r.Fault("network_noise", lasting.String())
 	settings := &r.Cluster.Network.Settings
 	settings.BreakChance, settings.DuplicateChance = 0.005, 0.5
@@ -222,29 +222,29 @@
 	r.After(lasting, func() { r.Cluster.Network.Settings = r.Cluster.Options.Network })
 }
 
-// ListedLeaving marks a back end as leaving on the platform's list, while it
+// ListAsLeaving marks a back end as leaving on the platform's list, while it
 // goes on taking what it gets. It leaves the list after a while.
-func (r *Run) ListedLeaving(backEnd structs.EngineID, goneAfter time.Duration) {
+func (r *Run) ListAsLeaving(backEnd structs.EngineID, goneAfter time.Duration) {
 	r.Fault("backend_leaving", string(backEnd))
 	r.Cluster.SetMachineState(string(backEnd), structs.MachineLeaving)
-	r.After(r.Cluster.List.Lag, func() { r.Checker.Leaving(backEnd) })
+	r.After(r.Cluster.List.Lag, func() { r.Checker.MarkLeaving(backEnd) })
 	r.After(goneAfter, func() { r.Cluster.RemoveMachine(string(backEnd)) })
 }
 
-// EngineDrains makes an engine say that it is leaving, while the list does not.
-func (r *Run) EngineDrains(e *drivers.Engine) {
+// DrainEngine makes an engine say that it is leaving, while the list does not.
+func (r *Run) DrainEngine(e *drivers.Engine) {
 	r.Fault("backend_draining", string(e.ID()))
 	e.Model.Drain(true)
 	lag := r.Cluster.Options.Engine.Publication.LoadLag
-	r.After(lag, func() { r.Checker.Leaving(e.ID()) })
+	r.After(lag, func() { r.Checker.MarkLeaving(e.ID()) })
 }
 
-// ApplicationDrains makes an application refuse work because it is leaving,
+// DrainApplication makes an application refuse work because it is leaving,
 // while the list does not say so.
-func (r *Run) ApplicationDrains(a *drivers.Application) {
+func (r *Run) DrainApplication(a *drivers.Application) {
 	r.Fault("backend_draining", string(a.ID()))
 	a.Draining = true
-	r.Checker.Leaving(a.ID())
+	r.Checker.MarkLeaving(a.ID())
 }
 
 // leader returns the daemon that live daemons say leads the program's shard.
--- a/internal/simulation/scenario/goodput.go
+++ b/internal/simulation/scenario/goodput.go
@@ -24,13 +24,13 @@
 
 // GoodputTimes are the virtual times of a goodput run.
 type GoodputTimes struct {
-	// Settle lets queues fill before programs are counted, for Window.
-	Settle, Window time.Duration
+	// WarmUp lets queues fill before programs are counted, for Window.
+	WarmUp, Window time.Duration
 }
 
 // DefaultGoodputTimes are long against a call's deadline.
 func DefaultGoodputTimes() GoodputTimes {
-	return GoodputTimes{Settle: 40 * time.Second, Window: 80 * time.Second}
+	return GoodputTimes{WarmUp: 40 * time.Second, Window: 80 * time.Second}
 }
 
 // GoodputOptions choose a goodput run.
@@ -70,18 +70,18 @@
 	s := &Scenario{Name: "goodput", Fleet: goodputFleet, Shape: goodputShape}
 	r := newRun(s, Options{Seed: options.Seed, Logger: options.Logger})
 	completed := 0
-	r.Callers.Ended = func(plan *workload.Plan, end workload.End) {
+	r.Callers.OnProgramEnd = func(plan *workload.Plan, end workload.End) {
 		if end == workload.EndCompleted && !options.Course.added(plan) {
 			completed++
 		}
 	}
-	r.Operators.First(firstConfiguration(s.budget()))
+	r.Operators.PublishInitial(firstConfiguration(s.budget()))
 	r.Cluster.Start()
 	r.Cluster.Run(warmUp)
-	end := r.Cluster.Elapsed() + options.Times.Settle + options.Times.Window
+	end := r.Cluster.Elapsed() + options.Times.WarmUp + options.Times.Window
 	r.arrive(arrivals{rate: rate, end: end, tenants: options.Course.counted(), shape: r.shape, prefix: "p"})
 	options.Course.begin(r, rate, options.Times, end)
-	r.Cluster.Run(options.Times.Settle)
+	r.Cluster.Run(options.Times.WarmUp)
 	before := completed
 	r.Cluster.Run(options.Times.Window)
 	inWindow := completed - before
@@ -93,7 +93,7 @@
 		Offered:      rate,
 		Completed:    float64(inWindow) / options.Times.Window.Seconds(),
 		RefusedCalls: report.Calls.Refused,
-		Violations:   report.Broken(),
+		Violations:   report.ViolationCount(),
 		Findings:     report.Findings,
 	}
 }
--- a/internal/simulation/scenario/goodput_courses.go
+++ b/internal/simulation/scenario/goodput_courses.go
@@ -85,13 +85,13 @@
 // begins, and only a fleet that sheds load recovers while callers press on.
 func retryStorm(r *Run, rate float64, times GoodputTimes, end time.Duration) {
 	r.Callers.Impatient = true
-	burst := end - times.Window - times.Settle/2
+	burst := end - times.Window - times.WarmUp/2
 	r.Fault("retry_storm", burst.String())
 	r.arrive(arrivals{rate: stormFactor * rate, end: burst, tenants: tenants, shape: r.shape, prefix: stormPrefix})
 }
 
 func zoneLost(r *Run, _ float64, times GoodputTimes, _ time.Duration) {
-	r.After(times.Settle/2, func() {
+	r.After(times.WarmUp/2, func() {
 		zone := cluster.Zone(0)
 		r.Fault("zone_lost", string(zone))
 		for _, daemon := range r.Cluster.Daemons {
@@ -100,7 +100,7 @@
 				r.Cluster.RemoveMachine(daemon.Address)
 			}
 		}
-		for _, engine := range r.Cluster.EngineOrder {
+		for _, engine := range r.Cluster.EngineList {
 			if engine.Place.Zone == zone {
 				engine.Crash()
 				r.Cluster.RemoveMachine(string(engine.ID()))
--- a/internal/simulation/scenario/goodput_test.go
+++ b/internal/simulation/scenario/goodput_test.go
@@ -9,7 +9,7 @@
 
 // TestOverloadKeepsGoodput offers about the peak and then three times as much.
 func TestOverloadKeepsGoodput(t *testing.T) {
-	times := GoodputTimes{Settle: 15 * time.Second, Window: 15 * time.Second}
+	times := GoodputTimes{WarmUp: 15 * time.Second, Window: 15 * time.Second}
 	points := Goodput(goodputOptions(t, "steady", times), []float64{11, 33})
 	peak, overload := points[0], points[1]
 	if peak.Completed < 5 {
@@ -26,7 +26,7 @@
 // TestLoopingTenantLeavesOthersTheirShare offers two tenants less than their
 // two thirds of the fleet while the third starts as many looping programs.
 func TestLoopingTenantLeavesOthersTheirShare(t *testing.T) {
-	times := GoodputTimes{Settle: 40 * time.Second, Window: 40 * time.Second}
+	times := GoodputTimes{WarmUp: 40 * time.Second, Window: 40 * time.Second}
 	steady := Goodput(goodputOptions(t, "steady", times), []float64{6})[0]
 	looping := Goodput(goodputOptions(t, "looping_tenant", times), []float64{6})[0]
 	if looping.Completed < 0.9*steady.Completed {
--- a/internal/simulation/scenario/loss_scenarios.go
+++ b/internal/simulation/scenario/loss_scenarios.go
@@ -58,14 +58,14 @@
 		Summary: "All three holders of a shard die at once; it goes on from the log, and claims no more than it knows.",
 		Load:    Load{Programs: 80, Over: 60 * time.Second},
 		Shape: func(shape *workload.Shape) {
-			shape.Application, shape.Full = 0.5, 0.3
+			shape.Application, shape.FullHistory = 0.5, 0.3
 		},
 		Faults: func(r *Run) {
 			r.After(18*time.Second, func() { r.loseAllAnswers(0.5, 5*time.Second) })
-			r.After(20*time.Second, func() { r.CrashHolders(r.busiest(), 5*time.Second) })
-			r.After(38*time.Second, func() { r.LogSick(10 * time.Second) })
+			r.After(20*time.Second, func() { r.CrashReplicas(r.busiest(), 5*time.Second) })
+			r.After(38*time.Second, func() { r.DegradeLog(10 * time.Second) })
 			r.After(39*time.Second, func() { r.loseAllAnswers(0.5, 5*time.Second) })
-			r.After(41*time.Second, func() { r.CrashHolders(r.busiest(), 5*time.Second) })
+			r.After(41*time.Second, func() { r.CrashReplicas(r.busiest(), 5*time.Second) })
 		},
 	}
 }
@@ -104,7 +104,7 @@
 			for at := 3 * time.Second; at < 36*time.Second; at += 5 * time.Second {
 				r.After(at, func() {
 					d := r.Cluster.Daemons[r.Random.IntN(len(r.Cluster.Daemons))]
-					r.Jump(d, time.Duration(r.Random.Int64N(int64(4*time.Second)))-2*time.Second)
+					r.JumpClock(d, time.Duration(r.Random.Int64N(int64(4*time.Second)))-2*time.Second)
 				})
 			}
 		},
@@ -126,7 +126,7 @@
 		Summary: "Daemons stop as planned, two in a row; no request is cut.",
 		Load:    defaultLoad(),
 		Faults: func(r *Run) {
-			r.Callers.OnlyPlanned = true
+			r.Callers.OnlyGracefulStops = true
 			r.After(8*time.Second, func() { r.stopServing(5 * time.Second) })
 			r.After(20*time.Second, func() { r.stopServing(5 * time.Second) })
 		},
@@ -150,7 +150,7 @@
 		r.After(servingPoll, func() { r.stopServing(restartAfter) })
 		return
 	}
-	r.StopPlanned(most, restartAfter)
+	r.StopGracefully(most, restartAfter)
 }
 
 // otherZone returns the live daemon in another zone that comes first.
@@ -173,16 +173,16 @@
 }
 
 func replaceAllDaemons(r *Run) {
-	r.Callers.OnlyPlanned = true
+	r.Callers.OnlyGracefulStops = true
 	for number, d := range r.Cluster.Daemons {
-		r.After(time.Duration(4+10*number)*time.Second, func() { r.StopPlanned(d, 2*time.Second) })
+		r.After(time.Duration(4+10*number)*time.Second, func() { r.StopGracefully(d, 2*time.Second) })
 	}
 }
 
 // loseAllAnswers makes all application back ends take effect and not answer, at
 // times.
 func (r *Run) loseAllAnswers(chance float64, lasting time.Duration) {
-	for _, application := range r.Cluster.ApplicationOrder {
+	for _, application := range r.Cluster.ApplicationList {
 		r.LoseAnswers(application, chance, lasting)
 	}
 }
--- a/internal/simulation/scenario/partition_scenarios.go
+++ b/internal/simulation/scenario/partition_scenarios.go
@@ -54,7 +54,7 @@
 		r.After(at, func() { r.race(zones) })
 	}
 	for at := 5 * time.Second; at < 38*time.Second; at += 7 * time.Second {
-		r.After(at, func() { r.LogSick(4 * time.Second) })
+		r.After(at, func() { r.DegradeLog(4 * time.Second) })
 	}
 	r.After(13*time.Second, func() { r.Crash(r.Cluster.Daemons[1], time.Second) })
 	r.After(27*time.Second, func() { r.Crash(r.Cluster.Daemons[3], time.Second) })
@@ -66,7 +66,7 @@
 		r.After(at, func() { r.race(zones) })
 	}
 	r.After(5*time.Second, func() { r.IsolateZone(zones[0], 9*time.Second) })
-	r.After(8*time.Second, func() { r.LogSick(10 * time.Second) })
+	r.After(8*time.Second, func() { r.DegradeLog(10 * time.Second) })
 	r.After(20*time.Second, func() { r.CutOneWay(string(zones[1]), "log", 8*time.Second) })
 	r.After(22*time.Second, func() { r.Crash(r.Cluster.Daemons[2], 2*time.Second) })
 	r.After(30*time.Second, func() { r.LogDown(5 * time.Second) })
--- a/internal/simulation/scenario/placement.go
+++ b/internal/simulation/scenario/placement.go
@@ -92,8 +92,8 @@
 
 func newTransferStriker(r *Run) {
 	s := &transferStriker{run: r}
-	for _, engine := range r.Cluster.EngineOrder {
-		engine.Importing = s.importing
+	for _, engine := range r.Cluster.EngineList {
+		engine.OnTransfer = s.importing
 	}
 }
 
@@ -136,7 +136,7 @@
 
 // patientCallers set no deadline and do nothing that a fleet must refuse.
 func patientCallers(shape *workload.Shape) {
-	shape.Deadline, shape.Looping, shape.Lost, shape.Duplicate, shape.Pipelined = 0, 0, 0, 0, 0
+	shape.Deadline, shape.Looping, shape.Abandoned, shape.Duplicate, shape.Pipelined = 0, 0, 0, 0, 0
 }
 
 // publishVersion has an operator name another version of the model.
@@ -195,7 +195,7 @@
 
 func newOrderStriker(r *Run) {
 	s := &orderStriker{run: r, fences: map[structs.EngineID]uint64{}}
-	r.Ordered = s.ordered
+	r.OnOrder = s.ordered
 }
 
 func (s *orderStriker) ordered(order structs.Order, taken bool) {
@@ -239,7 +239,7 @@
 }
 
 func (r *Run) engine(id structs.EngineID) *drivers.Engine {
-	for _, engine := range r.Cluster.EngineOrder {
+	for _, engine := range r.Cluster.EngineList {
 		if engine.ID() == id {
 			return engine
 		}
--- a/internal/simulation/scenario/placement_test.go
+++ b/internal/simulation/scenario/placement_test.go
@@ -25,11 +25,11 @@
 func TestVersionRolloutRefusesNoCall(t *testing.T) {
 	t.Parallel()
 	r := newRun(find(t, "version_rollout"), Options{Seed: 1})
-	least := len(r.Cluster.EngineOrder)
+	least := len(r.Cluster.EngineList)
 	var watch func()
 	watch = func() {
 		serving := 0
-		for _, engine := range r.Cluster.EngineOrder {
+		for _, engine := range r.Cluster.EngineList {
 			if slices.Contains(engine.Model.Models(), workload.Model) {
 				serving++
 			}
@@ -43,13 +43,13 @@
 	if report.Calls.Refused != 0 || report.Programs.Completed != report.Programs.Started {
 		t.Errorf("%d calls refused, %d of %d programs completed", report.Calls.Refused, report.Programs.Completed, report.Programs.Started)
 	}
-	if least < 3 || least == len(r.Cluster.EngineOrder) {
+	if least < 3 || least == len(r.Cluster.EngineList) {
 		t.Errorf("%d engines served at the least, want 3 or more, and some that did not", least)
 	}
 	if bound := r.Cluster.Options.Node.Placement.MaximumLoading; r.Cluster.Weights.Peak > bound {
 		t.Errorf("%d engines read weights at a time, want at most %d", r.Cluster.Weights.Peak, bound)
 	}
-	for _, engine := range r.Cluster.EngineOrder {
+	for _, engine := range r.Cluster.EngineList {
 		if load := engine.Model.Load(); load.Versions[workload.Model] != "3" {
 			t.Errorf("%s ended with version %q", engine.ID(), load.Versions[workload.Model])
 		}
--- a/internal/simulation/scenario/random.go
+++ b/internal/simulation/scenario/random.go
@@ -58,16 +58,16 @@
 	func(r *Run) { r.CutOneWay(string(r.anyZone()), r.anyDaemon().Address, r.lasting()) },
 	func(r *Run) { r.CutOneWay(string(r.anyZone()), string(r.anyEngine().ID()), r.lasting()) },
 	func(r *Run) { r.LogDown(2 * r.lasting()) },
-	func(r *Run) { r.LogSick(2 * r.lasting()) },
+	func(r *Run) { r.DegradeLog(2 * r.lasting()) },
 	func(r *Run) { r.CrashEngine(r.anyEngine(), r.lasting()) },
 	func(r *Run) { r.CrashEngine(r.anyEngine(), r.lasting()) },
 	func(r *Run) { r.LoseAnswers(r.anyApplication(), 0.3, r.lasting()) },
 	func(r *Run) { r.DownApplication(r.anyApplication(), r.lasting()) },
-	func(r *Run) { r.Noise(r.lasting()) },
-	func(r *Run) { r.Noise(r.lasting()) },
-	func(r *Run) { r.StopPlanned(r.anyDaemon(), r.lasting()) },
+	func(r *Run) { r.DegradeNetwork(r.lasting()) },
+	func(r *Run) { r.DegradeNetwork(r.lasting()) },
+	func(r *Run) { r.StopGracefully(r.anyDaemon(), r.lasting()) },
 	func(r *Run) {
-		r.Jump(r.anyDaemon(), time.Duration(r.Random.Int64N(int64(4*time.Second)))-2*time.Second)
+		r.JumpClock(r.anyDaemon(), time.Duration(r.Random.Int64N(int64(4*time.Second)))-2*time.Second)
 	},
 	func(r *Run) { r.race([]structs.ZoneName{r.anyZone(), r.anyZone(), r.anyZone()}) },
 	func(r *Run) { r.race([]structs.ZoneName{r.anyZone(), r.anyZone()}) },
@@ -97,11 +97,11 @@
 }
 
 func (r *Run) anyEngine() *drivers.Engine {
-	return r.Cluster.EngineOrder[r.Random.IntN(len(r.Cluster.EngineOrder))]
+	return r.Cluster.EngineList[r.Random.IntN(len(r.Cluster.EngineList))]
 }
 
 func (r *Run) anyApplication() *drivers.Application {
-	return r.Cluster.ApplicationOrder[r.Random.IntN(len(r.Cluster.ApplicationOrder))]
+	return r.Cluster.ApplicationList[r.Random.IntN(len(r.Cluster.ApplicationList))]
 }
 
 func (r *Run) anyZone() structs.ZoneName {
--- a/internal/simulation/scenario/report.go
+++ b/internal/simulation/scenario/report.go
@@ -31,7 +31,7 @@
 		fixed
 		Violations map[checker.Violation]int `json:"violations"`
 		Further    map[checker.Violation]int `json:"further_violations"`
-	}{fixed(r), r.count(checker.Promises()), r.count(checker.Further())})
+	}{fixed(r), r.count(checker.FixedViolations()), r.count(checker.FurtherViolations())})
 }
 
 func (r *Report) count(violations []checker.Violation) map[checker.Violation]int {
@@ -66,8 +66,8 @@
 	ConfigurationP99 float64 `json:"configuration_p99_s"`
 }
 
-// Broken returns how many violations were found.
-func (r *Report) Broken() int { return len(r.Findings) }
+// ViolationCount returns how many violations were found.
+func (r *Report) ViolationCount() int { return len(r.Findings) }
 
 // percentile99 returns the 99th percentile of sorted values in seconds.
 func percentile99(sorted []time.Duration) float64 {
--- a/internal/simulation/scenario/run.go
+++ b/internal/simulation/scenario/run.go
@@ -50,8 +50,8 @@
 	Callers   *workload.Callers
 	Operators *workload.Operators
 	Random    *rand.Rand
-	// Ordered is told of each order that arrives at an engine; nil tells nobody.
-	Ordered func(order structs.Order, taken bool)
+	// OnOrder is told of each order that arrives at an engine; nil tells nobody.
+	OnOrder func(order structs.Order, taken bool)
 
 	scenario *Scenario
 	options  Options
@@ -83,7 +83,7 @@
 
 func execute(r *Run) Report {
 	s := r.scenario
-	r.Operators.First(r.firstConfiguration())
+	r.Operators.PublishInitial(r.firstConfiguration())
 	r.Cluster.Start()
 	r.watch()
 	r.Cluster.Run(warmUp)
@@ -138,37 +138,37 @@
 // observe connects the checker and the trace to everything outside.
 func (r *Run) observe() {
 	c := r.Cluster
-	c.Network.Observe = func(from, to structs.DaemonID, kind peer.Kind, bytes int) {
+	c.Network.OnReceive = func(from, to structs.DaemonID, kind peer.Kind, bytes int) {
 		r.trace.add(c.Elapsed(), "message", string(from), string(to), string(kind), strconv.Itoa(bytes))
 	}
-	r.Callers.Observe = func(what string, key structs.ProgramKey, request structs.RequestID, detail string) {
+	r.Callers.OnEvent = func(what string, key structs.ProgramKey, request structs.RequestID, detail string) {
 		r.trace.add(c.Elapsed(), what, key.String(), string(request), detail)
 	}
-	c.Started = func(d *cluster.Daemon) { r.trace.add(c.Elapsed(), "start", string(d.ID)) }
-	for _, application := range c.ApplicationOrder {
-		application.Ran = func(request applicationRequest) {
+	c.OnStart = func(d *cluster.Daemon) { r.trace.add(c.Elapsed(), "start", string(d.ID)) }
+	for _, application := range c.ApplicationList {
+		application.OnEffect = func(request applicationRequest) {
 			r.trace.add(c.Elapsed(), "ran", string(request.BackEnd), string(request.Attempt))
-			r.Checker.ApplicationRan(request)
+			r.Checker.RecordApplicationRun(request)
 		}
-		application.Arrived = func(request applicationRequest, accepted bool, from place) {
-			r.Checker.Arrived(request.BackEnd, request.Attempt, accepted, from)
+		application.OnRequest = func(request applicationRequest, accepted bool, from place) {
+			r.Checker.RecordArrival(request.BackEnd, request.Attempt, accepted, from)
 		}
 	}
-	for _, engine := range c.EngineOrder {
-		engine.Arrived = func(request engineRequest, accepted bool, from place) {
+	for _, engine := range c.EngineList {
+		engine.OnAttempt = func(request engineRequest, accepted bool, from place) {
 			r.trace.add(c.Elapsed(), "engine", string(request.Engine), string(request.Attempt), strconv.FormatBool(accepted))
-			r.Checker.Arrived(request.Engine, request.Attempt, accepted, from)
+			r.Checker.RecordArrival(request.Engine, request.Attempt, accepted, from)
 		}
-		engine.Ordered = r.ordered
+		engine.OnOrder = r.ordered
 	}
 }
 
 // ordered notes an order at an engine.
 func (r *Run) ordered(order structs.Order, reading bool, err error) {
 	r.trace.add(r.Cluster.Elapsed(), "order", string(order.Engine), string(order.Kind), strconv.FormatUint(order.Fence, 10), strconv.FormatBool(err == nil))
-	r.Checker.Ordered(order, reading, err == nil)
-	if r.Ordered != nil {
-		r.Ordered(order, err == nil)
+	r.Checker.RecordOrder(order, reading, err == nil)
+	if r.OnOrder != nil {
+		r.OnOrder(order, err == nil)
 	}
 }
 
@@ -184,7 +184,7 @@
 	tenant := tenants[r.Random.IntN(len(tenants))]
 	// Two tenants use the same program identifiers: they must not meet.
 	key := structs.ProgramKey{Tenant: tenant, Program: structs.ProgramID(fmt.Sprintf("p%d", (r.programs+1)/2))}
-	if r.Callers.Known(key) {
+	if r.Callers.HasStarted(key) {
 		key.Program = structs.ProgramID(fmt.Sprintf("q%d", r.programs))
 	}
 	r.Callers.Start(r.shape.Draw(r.Random, key, workload.Template))
@@ -211,12 +211,12 @@
 	c := r.Cluster
 	c.Network.HealAll()
 	c.Network.Settings = c.Options.Network
-	c.Log.Down, c.Log.Slow, c.Log.LostAnswers, c.Log.ReadLag = false, 0, 0, 0
+	c.Log.Down, c.Log.AddedDelay, c.Log.AnswerLossChance, c.Log.ReadLag = false, 0, 0, 0
 	c.List.Down = false
-	for _, application := range c.ApplicationOrder {
-		application.Down, application.Hanging, application.LostAnswers = false, false, 0
+	for _, application := range c.ApplicationList {
+		application.Down, application.Hanging, application.AnswerLossChance = false, false, 0
 	}
-	for _, engine := range c.EngineOrder {
+	for _, engine := range c.EngineList {
 		if engine.Model.Down() {
 			engine.Restart()
 		}
@@ -238,7 +238,7 @@
 	if !r.Callers.Busy() {
 		return
 	}
-	waiting := r.Callers.Waiting()
+	waiting := r.Callers.OpenRequests()
 	r.Cluster.Run(outcomeTime)
 	r.Callers.CheckAnswered(waiting)
 }
@@ -251,14 +251,14 @@
 	}
 	r.judgeUnanswered()
 	r.Cluster.Run(idleTime + sweepTime)
-	for _, engine := range r.Cluster.EngineOrder {
-		r.Checker.Held(engine.ID(), engine.Model.Holds())
+	for _, engine := range r.Cluster.EngineList {
+		r.Checker.CheckHolds(engine.ID(), engine.Model.Holds())
 	}
 }
 
 func (r *Run) report() Report {
 	c := r.Cluster
-	r.Checker.Finish(c.EngineOrder, tariff(r.scenario.budget()))
+	r.Checker.Finish(c.EngineList, tariff(r.scenario.budget()))
 	report := Report{
 		Scenario:       r.scenario.Name,
 		Seed:           r.options.Seed,
--- a/internal/simulation/scenario/stop_test.go
+++ b/internal/simulation/scenario/stop_test.go
@@ -17,7 +17,7 @@
 			r.After(5*time.Second, func() {
 				daemon := r.busiest()
 				also(r, daemon)
-				r.StopPlanned(daemon, time.Second)
+				r.StopGracefully(daemon, time.Second)
 			})
 		},
 	}
--- a/internal/simulation/scenario/unanswered_test.go
+++ b/internal/simulation/scenario/unanswered_test.go
@@ -15,7 +15,7 @@
 	for name, cut := range map[string]bool{"just sent": false, "cut off": true} {
 		t.Run(name, func(t *testing.T) {
 			r := newRun(find(t, "calm"), Options{Seed: 1})
-			r.Operators.First(r.firstConfiguration())
+			r.Operators.PublishInitial(r.firstConfiguration())
 			r.Cluster.Start()
 			r.Cluster.Run(warmUp)
 			r.Callers.Start(&workload.Plan{
--- a/internal/simulation/scenario/watch.go
+++ b/internal/simulation/scenario/watch.go
@@ -30,12 +30,12 @@
 		if !daemon.Running() || daemon.Process.Paused() {
 			continue
 		}
-		reading := checker.DaemonReading{Address: daemon.Address, Run: daemon.ID, Reachable: hearing[daemon]}
+		reading := checker.DaemonConfiguration{Address: daemon.Address, Run: daemon.ID, Reachable: hearing[daemon]}
 		if current := daemon.Node.Configurations.Current(); current != nil {
 			reading.Revision = current.Revision
 			reading.Digest = r.digest(current)
 		}
-		r.Checker.Read(reading)
+		r.Checker.RecordConfiguration(reading)
 	}
 }
 
--- a/internal/simulation/workload/callers.go
+++ b/internal/simulation/workload/callers.go
@@ -27,7 +27,7 @@
 	Refused   int
 	Failed    int
 	Unknown   int
-	Lost      int
+	Abandoned int
 	// RefusedCalls counts outcomes "not run".
 	RefusedCalls int
 }
@@ -35,15 +35,15 @@
 // Callers runs programs against a fleet.
 type Callers struct {
 	Statistics Statistics
-	// OnlyPlanned is set in runs without any fault but planned stops.
-	OnlyPlanned bool
+	// OnlyGracefulStops is set in runs without any fault but planned stops.
+	OnlyGracefulStops bool
 	// Impatient callers come back at once after a refusal, whatever they were
 	// told, and never give up.
 	Impatient bool
-	// Ended is told of each program's end.
-	Ended func(plan *Plan, end End)
-	// Observe is told of each thing that a caller does or hears.
-	Observe func(what string, key structs.ProgramKey, request structs.RequestID, detail string)
+	// OnProgramEnd is told of each program's end.
+	OnProgramEnd func(plan *Plan, end End)
+	// OnEvent is told of each thing that a caller does or hears.
+	OnEvent func(what string, key structs.ProgramKey, request structs.RequestID, detail string)
 
 	cluster *cluster.Cluster
 	checker *checker.Checker
@@ -65,15 +65,15 @@
 // NewCallers returns callers without programs.
 func NewCallers(c *cluster.Cluster, watcher *checker.Checker) *Callers {
 	callers := &Callers{
-		Ended:   func(*Plan, End) {},
-		Observe: func(string, structs.ProgramKey, structs.RequestID, string) {},
-		cluster: c,
-		checker: watcher,
-		random:  c.Random("callers"),
-		open:    map[*reader]struct{}{},
-		known:   map[structs.ProgramKey]bool{},
+		OnProgramEnd: func(*Plan, End) {},
+		OnEvent:      func(string, structs.ProgramKey, structs.RequestID, string) {},
+		cluster:      c,
+		checker:      watcher,
+		random:       c.Random("callers"),
+		open:         map[*reader]struct{}{},
+		known:        map[structs.ProgramKey]bool{},
 	}
-	c.StopCut = callers.stopCut
+	c.OnRequestCut = callers.stopCut
 	return callers
 }
 
@@ -85,8 +85,8 @@
 // Busy tells whether any program is under way or any caller still waits.
 func (c *Callers) Busy() bool { return c.live > 0 || len(c.open) > 0 }
 
-// Known tells whether a program of this key was started.
-func (c *Callers) Known(key structs.ProgramKey) bool { return c.known[key] }
+// HasStarted tells whether a program of this key was started.
+func (c *Callers) HasStarted(key structs.ProgramKey) bool { return c.known[key] }
 
 // Start sets a program going.
 func (c *Callers) Start(plan *Plan) { c.start(plan, nil) }
@@ -101,8 +101,8 @@
 
 func (c *Callers) ended(p *program) {
 	c.live--
-	c.Ended(p.plan, p.end)
-	c.Observe("end", p.plan.Key, "", fmt.Sprint(p.end))
+	c.OnProgramEnd(p.plan, p.end)
+	c.OnEvent("end", p.plan.Key, "", fmt.Sprint(p.end))
 	switch p.end {
 	case EndCompleted:
 		c.Statistics.Completed++
@@ -112,8 +112,8 @@
 		c.Statistics.Failed++
 	case EndUnknown:
 		c.Statistics.Unknown++
-	case EndLost:
-		c.Statistics.Lost++
+	case EndAbandoned:
+		c.Statistics.Abandoned++
 	case EndNone:
 	}
 }
@@ -121,7 +121,7 @@
 // issue sends a call, to two daemons at once when it is duplicated. A caller
 // that races itself says so, since one copy's refusal then proves nothing.
 func (c *Callers) issue(call structs.Call, duplicate bool, done func(structs.Outcome)) {
-	c.checker.Issued(call)
+	c.checker.RecordCall(call)
 	first := c.random.IntN(len(c.cluster.Daemons))
 	if !duplicate {
 		c.read(call, first, func(outcome structs.Outcome) {
@@ -158,14 +158,14 @@
 	return slices.MinFunc(outcomes, func(a, b structs.Outcome) int { return cmp.Compare(rank[a.Status], rank[b.Status]) })
 }
 
-// Waiting are requests that were open at one moment.
-type Waiting struct {
+// OpenRequests are requests that were open at one moment.
+type OpenRequests struct {
 	readers []*reader
 }
 
-// Waiting returns the requests whose callers wait now, in a fixed order.
-func (c *Callers) Waiting() Waiting {
-	var waiting Waiting
+// OpenRequests returns the requests whose callers wait now, in a fixed order.
+func (c *Callers) OpenRequests() OpenRequests {
+	var waiting OpenRequests
 	for r := range c.open {
 		waiting.readers = append(waiting.readers, r)
 	}
@@ -177,10 +177,10 @@
 
 // CheckAnswered reports those of the requests that still have no outcome,
 // although nothing has been wrong for a long time.
-func (c *Callers) CheckAnswered(waiting Waiting) {
+func (c *Callers) CheckAnswered(waiting OpenRequests) {
 	for _, r := range waiting.readers {
 		if !r.finished {
-			c.checker.Unanswered(r.call.Key, r.call.RequestID)
+			c.checker.ReportUnanswered(r.call.Key, r.call.RequestID)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 // lostConnection notes a broken connection.
 func (c *Callers) lostConnection(r *reader) {
 	daemon := c.cluster.Daemons[r.daemon%len(c.cluster.Daemons)]
-	c.Observe("lost", r.call.Key, r.call.RequestID, daemon.Address)
+	c.OnEvent("lost", r.call.Key, r.call.RequestID, daemon.Address)
 }
 
 // stopCut reports a request that the end of a planned stop cut off.
@@ -199,7 +199,7 @@
 // checkPlanned judges an outcome in a run whose only faults are planned stops:
 // no request may come to harm.
 func (c *Callers) checkPlanned(r *reader, outcome structs.Outcome) {
-	if !c.OnlyPlanned {
+	if !c.OnlyGracefulStops {
 		return
 	}
 	if outcome.Status == structs.OutcomeFailed || outcome.Status == structs.OutcomeUnknown {
--- a/internal/simulation/workload/operators.go
+++ b/internal/simulation/workload/operators.go
@@ -27,7 +27,7 @@
 // NewOperators returns operators that watch the log.
 func NewOperators(c *cluster.Cluster, watcher *checker.Checker) *Operators {
 	o := &Operators{cluster: c, checker: watcher, random: c.Random("operators"), known: map[string]bool{}}
-	c.Log.Appended = o.appended
+	c.Log.OnAppend = o.appended
 	return o
 }
 
@@ -49,11 +49,11 @@
 	}
 	o.known[change.OperationID] = true
 	o.revision++
-	o.checker.Accepted(o.revision)
+	o.checker.RecordRevision(o.revision)
 }
 
-// First puts the first configuration into the log before anything runs.
-func (o *Operators) First(first structs.Configuration) {
+// PublishInitial puts the first configuration into the log before anything runs.
+func (o *Operators) PublishInitial(first structs.Configuration) {
 	change := structs.Change{
 		OperationID: "first",
 		Operator:    "setup",
--- a/internal/simulation/workload/plan.go
+++ b/internal/simulation/workload/plan.go
@@ -27,7 +27,7 @@
 	// Repeated makes the same call again until the fleet refuses it.
 	Repeated bool
 	// Lost: the caller's tool hangs for ever; nobody comes back.
-	Lost bool
+	Abandoned bool
 	// Deadline is how long the caller waits; 0 bounds nothing.
 	Deadline time.Duration
 	// FullHistory sends the whole conversation instead of what is new.
@@ -53,9 +53,9 @@
 	Duplicate   float64
 	Pipelined   float64
 	SubAgents   float64
-	Lost        float64
+	Abandoned   float64
 	Looping     float64
-	Full        float64
+	FullHistory float64
 	Deadline    float64
 	// Tokens bounds the length of an answer.
 	Tokens int
@@ -76,9 +76,9 @@
 		Duplicate:   0.1,
 		Pipelined:   0.1,
 		SubAgents:   0.15,
-		Lost:        0.02,
+		Abandoned:   0.02,
 		Looping:     0.02,
-		Full:        0.3,
+		FullHistory: 0.3,
 		Deadline:    0.1,
 		Tokens:      60,
 	}
@@ -92,7 +92,7 @@
 		step := s.step(random)
 		last := turn == turns-1
 		step.Pipelined = step.Pipelined && !last && !step.Duplicate
-		step.Lost = step.Lost && turn > 0
+		step.Abandoned = step.Abandoned && turn > 0
 		step.Repeated = step.Repeated && turn > 0
 		if key.Program.Parent() == "" && turn > 0 && random.Float64() < s.SubAgents {
 			for child := range 1 + random.IntN(2) {
@@ -122,9 +122,9 @@
 		Tokens:      1 + random.IntN(s.Tokens),
 		Duplicate:   random.Float64() < s.Duplicate,
 		Pipelined:   random.Float64() < s.Pipelined,
-		Lost:        random.Float64() < s.Lost,
+		Abandoned:   random.Float64() < s.Abandoned,
 		Repeated:    random.Float64() < s.Looping,
-		FullHistory: random.Float64() < s.Full,
+		FullHistory: random.Float64() < s.FullHistory,
 	}
 	if random.Float64() < s.Deadline {
 		step.Deadline = shortestDeadline + time.Duration(random.Int64N(int64(longestDeadline)))
--- a/internal/simulation/workload/program.go
+++ b/internal/simulation/workload/program.go
@@ -31,7 +31,7 @@
 	EndFailed
 	EndUnknown
 	// EndLost: the caller never came back.
-	EndLost
+	EndAbandoned
 )
 
 // program is a caller's program under way.
@@ -65,8 +65,8 @@
 	}
 	step := &p.plan.Steps[p.step]
 	p.callers.cluster.After(step.Pause, func() {
-		if step.Lost {
-			p.finish(EndLost)
+		if step.Abandoned {
+			p.finish(EndAbandoned)
 			return
 		}
 		p.runChildren(step)
--- a/internal/simulation/workload/request.go
+++ b/internal/simulation/workload/request.go
@@ -58,7 +58,7 @@
 	call.Retry = call.Retry || r.sent > 0
 	r.sent++
 	r.connected++
-	c.Observe("send", call.Key, call.RequestID, daemon.Address)
+	c.OnEvent("send", call.Key, call.RequestID, daemon.Address)
 	r.hangUp = daemon.Request(c.place(), call, &leg{reader: r, number: r.connected})
 	r.waitForProgress()
 }
@@ -92,17 +92,17 @@
 	}
 	for _, chunk := range chunks {
 		if chunk.Offset != int64(len(r.text)) {
-			r.callers.checker.BrokenPiece(r.call.Key, r.call.RequestID, int64(len(r.text)), chunk.Offset)
+			r.callers.checker.ReportMisplacedChunk(r.call.Key, r.call.RequestID, int64(len(r.text)), chunk.Offset)
 		}
 		r.text += chunk.Text
 	}
-	r.callers.Observe("pieces", r.call.Key, r.call.RequestID, r.text)
+	r.callers.OnEvent("pieces", r.call.Key, r.call.RequestID, r.text)
 	r.callers.progressed(r)
 	r.waitForProgress()
 }
 
 // Lost implements cluster.Caller.
-func (l *leg) Lost() {
+func (l *leg) ConnectionLost() {
 	r := l.reader
 	if l.number != r.connected || r.finished {
 		return
@@ -111,8 +111,8 @@
 	r.turnToNext()
 }
 
-// Refused implements cluster.Caller.
-func (l *leg) Refused() {
+// ConnectionRefused implements cluster.Caller.
+func (l *leg) ConnectionRefused() {
 	if l.number == l.reader.connected && !l.reader.finished {
 		l.reader.turnToNext()
 	}
@@ -125,8 +125,8 @@
 		return
 	}
 	c := r.callers
-	c.checker.Answered(r.call.Key, r.call.RequestID, outcome, r.text)
-	c.Observe("outcome", r.call.Key, r.call.RequestID, string(outcome.Status)+" "+string(outcome.Reason))
+	c.checker.RecordOutcome(r.call.Key, r.call.RequestID, outcome, r.text)
+	c.OnEvent("outcome", r.call.Key, r.call.RequestID, string(outcome.Status)+" "+string(outcome.Reason))
 	waited := c.cluster.Clock.Now().Sub(r.startedAt)
 	if outcome.Status == structs.OutcomeUnknown && waited < unknownPatience {
 		r.connected++
--- a/internal/simulation/workload/takeover.go
+++ b/internal/simulation/workload/takeover.go
@@ -10,9 +10,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Killed notes that a daemon is about to die, and which shards other daemons
+// RecordKill notes that a daemon is about to die, and which shards other daemons
 // say it leads.
-func (c *Callers) Killed(daemon *cluster.Daemon) {
+func (c *Callers) RecordKill(daemon *cluster.Daemon) {
 	shards := map[structs.ShardNumber]bool{}
 	for shard := range structs.ShardNumber(c.cluster.Options.Node.Shards) {
 		if daemon.Node.Route(shard).Leader == daemon.ID {
--- a/internal/warmup/limiter.go
+++ b/internal/warmup/limiter.go
@@ -74,7 +74,7 @@
 	// limits holds the limits by service, only of services that have one; nil if none has.
 	limits atomic.Pointer[map[string]limit]
 	// refresh triggers an immediate read of the registry.
-	refresh *clock.PacedSignal
+	refresh *clock.RateLimitedSignal
 
 	mutex  sync.Mutex
 	roster *roster
@@ -85,7 +85,7 @@
 func NewLimiter(options Options) *Limiter {
 	return &Limiter{
 		options: options,
-		refresh: clock.NewPacedSignal(minRefreshInterval),
+		refresh: clock.NewRateLimitedSignal(minRefreshInterval),
 		roster:  newRoster(options.OwnAddress),
 		shares:  map[string]*share{},
 	}
@@ -116,7 +116,7 @@
 }
 
 // RefreshRequests returns a channel that requests an immediate read of the registry.
-func (l *Limiter) RefreshRequests() <-chan struct{} { return l.refresh.Asked() }
+func (l *Limiter) RefreshRequests() <-chan struct{} { return l.refresh.C() }
 
 // Reason implements instance.Filter.
 func (l *Limiter) Reason() string { return "cold" }
@@ -224,7 +224,7 @@
 	}
 	age := l.roster.age(now)
 	if age > refreshAge {
-		l.refresh.Ask(now)
+		l.refresh.Send(now)
 	}
 	if age > maxRosterAge {
 		return outcomeUnconfirmed
