--- a/internal/simulation/scenario/trace.go
+++ b/internal/simulation/scenario/trace.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// trace folds every event of a run into a hash: two runs are the same when
-// their hashes are. With a writer it also writes the events, one a line.
+// trace hashes the events of a run: equal hashes mean identical runs. If it has
+// a writer, it also writes the events, one per line.
 type trace struct {
 	digest *xxhash.Digest
 	writer io.Writer
@@ -20,8 +20,8 @@
 	return &trace{digest: xxhash.New(), writer: writer}
 }
 
-// add notes an event at a virtual time.
-func (t *trace) add(elapsed time.Duration, what string, details ...string) {
+// record adds an event at a virtual time.
+func (t *trace) record(elapsed time.Duration, what string, details ...string) {
 	var stamp [8]byte
 	binary.LittleEndian.PutUint64(stamp[:], uint64(elapsed))
 	_, _ = t.digest.Write(stamp[:])
--- a/internal/simulation/scenario/unanswered_test.go
+++ b/internal/simulation/scenario/unanswered_test.go
@@ -9,13 +9,14 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// TestOnlyRequestsWithoutAnOutcomeAreUnanswered looks at callers while a
-// request has just been sent, once with the callers cut off for good.
-func TestOnlyRequestsWithoutAnOutcomeAreUnanswered(t *testing.T) {
+// TestCheckUnansweredReportsRequestsWithoutOutcome runs the check just after a
+// request was sent, with and without the callers being cut off permanently:
+// only the second is a violation.
+func TestCheckUnansweredReportsRequestsWithoutOutcome(t *testing.T) {
 	for name, cut := range map[string]bool{"just sent": false, "cut off": true} {
 		t.Run(name, func(t *testing.T) {
 			r := newRun(find(t, "calm"), Options{Seed: 1})
-			r.Operators.PublishInitial(r.firstConfiguration())
+			r.Operators.PublishInitial(r.initialConfiguration())
 			r.Cluster.Start()
 			r.Cluster.Run(warmUp)
 			r.Callers.Start(&workload.Plan{
@@ -31,7 +32,7 @@
 				r.Cluster.Network.Cut("callers", "")
 				r.Cluster.Network.Cut("", "callers")
 			}
-			r.judgeUnanswered()
+			r.checkUnanswered()
 			found := 0
 			for _, finding := range r.Checker.Findings() {
 				if finding.Violation == checker.AnswerIncomplete {
--- a/internal/simulation/scenario/watch.go
+++ b/internal/simulation/scenario/watch.go
@@ -18,29 +18,30 @@
 	place              = network.Place
 )
 
-// watch has an operator read every daemon's configuration, again and again.
-func (r *Run) watch() {
-	r.readAll()
-	r.Cluster.After(readPause, r.watch)
+// watchConfigurations periodically reads every daemon's configuration as an
+// operator would.
+func (r *Run) watchConfigurations() {
+	r.readConfigurations()
+	r.Cluster.After(readInterval, r.watchConfigurations)
 }
 
-func (r *Run) readAll() {
-	hearing := r.hearing()
+func (r *Run) readConfigurations() {
+	reachable := r.reachableDaemons()
 	for _, daemon := range r.Cluster.Daemons {
 		if !daemon.Running() || daemon.Process.Paused() {
 			continue
 		}
-		reading := checker.DaemonConfiguration{Address: daemon.Address, Run: daemon.ID, Reachable: hearing[daemon]}
+		read := checker.DaemonConfiguration{Address: daemon.Address, Run: daemon.ID, Reachable: reachable[daemon]}
 		if current := daemon.Node.Configurations.Current(); current != nil {
-			reading.Revision = current.Revision
-			reading.Digest = r.digest(current)
+			read.Revision = current.Revision
+			read.Digest = r.digest(current)
 		}
-		r.Checker.RecordConfiguration(reading)
+		r.Checker.RecordConfiguration(read)
 	}
 }
 
-// digest identifies a configuration's content. A value in force never changes,
-// so that each is read once.
+// digest returns a hash of a configuration's content. A configuration in force
+// is never modified, so hashes are cached by pointer.
 func (r *Run) digest(current *structs.Configuration) uint64 {
 	if known, found := r.digests[current]; found {
 		return known
@@ -53,11 +54,12 @@
 	return r.digests[current]
 }
 
-// hearing returns the daemons that news can reach over links that work both
-// ways: from the log, or from a daemon with the latest revision.
-func (r *Run) hearing() map[*cluster.Daemon]bool {
+// reachableDaemons returns the daemons that the latest configuration can reach
+// over links that work in both directions, from the log or from a daemon that
+// has it.
+func (r *Run) reachableDaemons() map[*cluster.Daemon]bool {
 	c := r.Cluster
-	heard := map[*cluster.Daemon]bool{}
+	reached := map[*cluster.Daemon]bool{}
 	var frontier []network.Place
 	if !c.Log.Down {
 		frontier = append(frontier, c.Log.Place)
@@ -72,14 +74,14 @@
 		from := frontier[0]
 		frontier = frontier[1:]
 		for _, daemon := range c.Live() {
-			if heard[daemon] || daemon.Process.Paused() || !r.connected(from, daemon.Place()) {
+			if reached[daemon] || daemon.Process.Paused() || !r.connected(from, daemon.Place()) {
 				continue
 			}
-			heard[daemon] = true
+			reached[daemon] = true
 			frontier = append(frontier, daemon.Place())
 		}
 	}
-	return heard
+	return reached
 }
 
 func (r *Run) connected(a, b network.Place) bool {
--- a/internal/simulation/workload/callers.go
+++ b/internal/simulation/workload/callers.go
@@ -13,14 +13,14 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Names that the configuration of a simulated fleet uses.
+// Names used in the configuration of a simulated fleet.
 const (
 	Model    structs.ModelName    = "m1"
 	Target                        = "wholesale"
 	Template structs.TemplateName = "order"
 )
 
-// Statistics count what became of programs and calls.
+// Statistics count the results of programs and calls.
 type Statistics struct {
 	Started   int
 	Completed int
@@ -28,34 +28,37 @@
 	Failed    int
 	Unknown   int
 	Abandoned int
-	// RefusedCalls counts outcomes "not run".
+	// RefusedCalls counts outcomes of "not run".
 	RefusedCalls int
 }
 
-// Callers runs programs against a fleet.
+// Callers run programs against a fleet.
 type Callers struct {
 	Statistics Statistics
-	// OnlyGracefulStops is set in runs without any fault but planned stops.
+	// OnlyGracefulStops is set in runs whose only faults are graceful
+	// shutdowns.
 	OnlyGracefulStops bool
-	// Impatient callers come back at once after a refusal, whatever they were
-	// told, and never give up.
+	// Impatient makes callers retry immediately after a refusal, whatever retry
+	// delay they were given, and without a limit.
 	Impatient bool
-	// OnProgramEnd is told of each program's end.
+	// OnProgramEnd is called for each program's end.
 	OnProgramEnd func(plan *Plan, end End)
-	// OnEvent is told of each thing that a caller does or hears.
+	// OnEvent is called for each action of a caller and each message it
+	// receives.
 	OnEvent func(what string, key structs.ProgramKey, request structs.RequestID, detail string)
 
-	cluster *cluster.Cluster
-	checker *checker.Checker
-	random  *rand.Rand
-	live    int
-	open    map[*reader]struct{}
-	known   map[structs.ProgramKey]bool
-	kills   []kill
-	delays  []time.Duration
+	cluster        *cluster.Cluster
+	checker        *checker.Checker
+	random         *rand.Rand
+	running        int
+	open           map[*pendingRequest]struct{}
+	started        map[structs.ProgramKey]bool
+	kills          []kill
+	takeoverDelays []time.Duration
 }
 
-// kill is a daemon's death, for the time until its programs are answered.
+// kill is the crash of a daemon, kept to measure the time until callers of its
+// shards are answered again.
 type kill struct {
 	at     time.Time
 	run    structs.DaemonID
@@ -70,37 +73,37 @@
 		cluster:      c,
 		checker:      watcher,
 		random:       c.Random("callers"),
-		open:         map[*reader]struct{}{},
-		known:        map[structs.ProgramKey]bool{},
+		open:         map[*pendingRequest]struct{}{},
+		started:      map[structs.ProgramKey]bool{},
 	}
-	c.OnRequestCut = callers.stopCut
+	c.OnRequestCut = callers.reportCutRequest
 	return callers
 }
 
-// place is where callers stand: in a zone of their own.
+// place is the location of callers: a zone of their own.
 func (c *Callers) place() network.Place {
 	return network.Place{Address: "callers", Zone: "callers", Region: "r1"}
 }
 
-// Busy tells whether any program is under way or any caller still waits.
-func (c *Callers) Busy() bool { return c.live > 0 || len(c.open) > 0 }
+// Busy reports whether any program is running or any request is open.
+func (c *Callers) Busy() bool { return c.running > 0 || len(c.open) > 0 }
 
-// HasStarted tells whether a program of this key was started.
-func (c *Callers) HasStarted(key structs.ProgramKey) bool { return c.known[key] }
+// HasStarted reports whether a program with this key was started.
+func (c *Callers) HasStarted(key structs.ProgramKey) bool { return c.started[key] }
 
-// Start sets a program going.
+// Start starts a program.
 func (c *Callers) Start(plan *Plan) { c.start(plan, nil) }
 
 func (c *Callers) start(plan *Plan, onEnd func()) {
 	c.Statistics.Started++
-	c.known[plan.Key] = true
-	c.live++
+	c.started[plan.Key] = true
+	c.running++
 	p := &program{callers: c, plan: plan, onEnd: onEnd}
 	p.next()
 }
 
-func (c *Callers) ended(p *program) {
-	c.live--
+func (c *Callers) programEnded(p *program) {
+	c.running--
 	c.OnProgramEnd(p.plan, p.end)
 	c.OnEvent("end", p.plan.Key, "", fmt.Sprint(p.end))
 	switch p.end {
@@ -118,14 +121,15 @@
 	}
 }
 
-// issue sends a call, to two daemons at once when it is duplicated. A caller
-// that races itself says so, since one copy's refusal then proves nothing.
+// issue sends a call, to two daemons at once if duplicate. Duplicates are
+// marked as retries, since a refusal of one copy does not prove that the other
+// did not run.
 func (c *Callers) issue(call structs.Call, duplicate bool, done func(structs.Outcome)) {
 	c.checker.RecordCall(call)
 	first := c.random.IntN(len(c.cluster.Daemons))
 	if !duplicate {
-		c.read(call, first, func(outcome structs.Outcome) {
-			c.count(outcome)
+		c.send(call, first, func(outcome structs.Outcome) {
+			c.countRefusal(outcome)
 			done(outcome)
 		})
 		return
@@ -133,24 +137,25 @@
 	call.Retry = true
 	var outcomes []structs.Outcome
 	collect := func(outcome structs.Outcome) {
-		c.count(outcome)
+		c.countRefusal(outcome)
 		outcomes = append(outcomes, outcome)
 		if len(outcomes) == 2 {
-			done(best(outcomes))
+			done(mostConclusive(outcomes))
 		}
 	}
-	c.read(call, first, collect)
-	c.read(call, first+1+c.random.IntN(max(len(c.cluster.Daemons)-1, 1)), collect)
+	c.send(call, first, collect)
+	c.send(call, first+1+c.random.IntN(max(len(c.cluster.Daemons)-1, 1)), collect)
 }
 
-func (c *Callers) count(outcome structs.Outcome) {
+func (c *Callers) countRefusal(outcome structs.Outcome) {
 	if outcome.Status == structs.OutcomeNotRun {
 		c.Statistics.RefusedCalls++
 	}
 }
 
-// best prefers what says most.
-func best(outcomes []structs.Outcome) structs.Outcome {
+// mostConclusive returns the outcome that says most about what happened to the
+// call.
+func mostConclusive(outcomes []structs.Outcome) structs.Outcome {
 	rank := map[structs.OutcomeStatus]int{
 		structs.OutcomeCompleted: 0, structs.OutcomeFailed: 1, structs.OutcomeCancelled: 2,
 		structs.OutcomeUnknown: 3, structs.OutcomeNotRun: 4,
@@ -158,51 +163,51 @@
 	return slices.MinFunc(outcomes, func(a, b structs.Outcome) int { return cmp.Compare(rank[a.Status], rank[b.Status]) })
 }
 
-// OpenRequests are requests that were open at one moment.
+// OpenRequests is the set of requests that were open at one moment.
 type OpenRequests struct {
-	readers []*reader
+	requests []*pendingRequest
 }
 
-// OpenRequests returns the requests whose callers wait now, in a fixed order.
+// OpenRequests returns the requests that are open now, in a fixed order.
 func (c *Callers) OpenRequests() OpenRequests {
-	var waiting OpenRequests
+	var open OpenRequests
 	for r := range c.open {
-		waiting.readers = append(waiting.readers, r)
+		open.requests = append(open.requests, r)
 	}
-	slices.SortFunc(waiting.readers, func(a, b *reader) int {
+	slices.SortFunc(open.requests, func(a, b *pendingRequest) int {
 		return cmp.Or(cmp.Compare(a.call.Key.String(), b.call.Key.String()), cmp.Compare(a.call.RequestID, b.call.RequestID))
 	})
-	return waiting
+	return open
 }
 
-// CheckAnswered reports those of the requests that still have no outcome,
-// although nothing has been wrong for a long time.
-func (c *Callers) CheckAnswered(waiting OpenRequests) {
-	for _, r := range waiting.readers {
+// CheckAnswered reports those of the requests that still have no outcome, long
+// after all faults are over.
+func (c *Callers) CheckAnswered(open OpenRequests) {
+	for _, r := range open.requests {
 		if !r.finished {
 			c.checker.ReportUnanswered(r.call.Key, r.call.RequestID)
 		}
 	}
 }
 
-// lostConnection notes a broken connection.
-func (c *Callers) lostConnection(r *reader) {
+func (c *Callers) observeLostConnection(r *pendingRequest) {
 	daemon := c.cluster.Daemons[r.daemon%len(c.cluster.Daemons)]
 	c.OnEvent("lost", r.call.Key, r.call.RequestID, daemon.Address)
 }
 
-// stopCut reports a request that the end of a planned stop cut off.
-func (c *Callers) stopCut(daemon *cluster.Daemon, call structs.Call) {
-	c.checker.Report(checker.StopCutRequest, "%s %s: the planned stop of %s broke the connection", call.Key, call.RequestID, daemon.Address)
+// reportCutRequest reports a request that was cut off at the end of a graceful
+// shutdown.
+func (c *Callers) reportCutRequest(daemon *cluster.Daemon, call structs.Call) {
+	c.checker.Report(checker.StopCutRequest, "%s %s: the graceful shutdown of %s broke the connection", call.Key, call.RequestID, daemon.Address)
 }
 
-// checkPlanned judges an outcome in a run whose only faults are planned stops:
-// no request may come to harm.
-func (c *Callers) checkPlanned(r *reader, outcome structs.Outcome) {
+// checkGracefulStop reports a failed or unknown outcome in a run whose only
+// faults are graceful shutdowns.
+func (c *Callers) checkGracefulStop(r *pendingRequest, outcome structs.Outcome) {
 	if !c.OnlyGracefulStops {
 		return
 	}
 	if outcome.Status == structs.OutcomeFailed || outcome.Status == structs.OutcomeUnknown {
-		c.checker.Report(checker.StopCutRequest, "%s %s ended as %s (%s) although daemons only stopped as planned", r.call.Key, r.call.RequestID, outcome.Status, outcome.Reason)
+		c.checker.Report(checker.StopCutRequest, "%s %s ended as %s (%s) although the only faults were graceful shutdowns", r.call.Key, r.call.RequestID, outcome.Status, outcome.Reason)
 	}
 }
--- a/internal/simulation/workload/operators.go
+++ b/internal/simulation/workload/operators.go
@@ -14,26 +14,28 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Operators publish changes, and note which of them must come into force.
+// Operators publish configuration changes, and record which of them are
+// accepted.
 type Operators struct {
 	cluster  *cluster.Cluster
 	checker  *checker.Checker
 	random   *rand.Rand
 	revision structs.Revision
-	known    map[string]bool
+	accepted map[string]bool
 	changes  int
 }
 
-// NewOperators returns operators that watch the log.
+// NewOperators returns operators that observe the log.
 func NewOperators(c *cluster.Cluster, watcher *checker.Checker) *Operators {
-	o := &Operators{cluster: c, checker: watcher, random: c.Random("operators"), known: map[string]bool{}}
-	c.Log.OnAppend = o.appended
+	o := &Operators{cluster: c, checker: watcher, random: c.Random("operators"), accepted: map[string]bool{}}
+	c.Log.OnAppend = o.recordAppend
 	return o
 }
 
-// appended works out, without the daemons' fold, whether an entry is accepted:
-// it builds on the revision before it and is no copy.
-func (o *Operators) appended(stream framework.StreamName, entry framework.LogEntry) {
+// recordAppend decides, independently of the daemons' code, whether an entry is
+// accepted: its change must be based on the current revision and be no
+// duplicate.
+func (o *Operators) recordAppend(stream framework.StreamName, entry framework.LogEntry) {
 	if stream != framework.StreamConfiguration {
 		return
 	}
@@ -44,15 +46,16 @@
 		return
 	}
 	change := payload.Change
-	if o.known[change.OperationID] || change.Base != o.revision {
+	if o.accepted[change.OperationID] || change.Base != o.revision {
 		return
 	}
-	o.known[change.OperationID] = true
+	o.accepted[change.OperationID] = true
 	o.revision++
 	o.checker.RecordRevision(o.revision)
 }
 
-// PublishInitial puts the first configuration into the log before anything runs.
+// PublishInitial appends the initial configuration to the log before any daemon
+// starts.
 func (o *Operators) PublishInitial(first structs.Configuration) {
 	change := structs.Change{
 		OperationID: "first",
@@ -75,9 +78,9 @@
 	return payload
 }
 
-// Race has several operators publish changes at once, each building on the
-// revision it read at some daemon, from the zones given. An answer that is
-// lost makes an operator append its change again.
+// Race has an operator in each of the zones publish a change at the same time,
+// based on the revision that a daemon of the zone reports. An operator whose
+// answer is lost appends its change again.
 func (o *Operators) Race(zones ...structs.ZoneName) {
 	for _, zone := range zones {
 		o.changes++
@@ -106,22 +109,23 @@
 		Base:        base,
 		Patch:       patch,
 	}
-	o.append(client, change, publishTries)
+	o.append(client, change, maxPublishAttempts)
 }
 
-// publishTries bounds how often an operator appends one change.
-const publishTries = 3
+// maxPublishAttempts limits how often an operator appends one change.
+const maxPublishAttempts = 3
 
-func (o *Operators) append(client network.Client, change structs.Change, tries int) {
+func (o *Operators) append(client network.Client, change structs.Change, attempts int) {
 	payload := encode(change)
 	o.cluster.Log.Client(client).Append(framework.StreamConfiguration, change.OperationID, payload, func(_ structs.LogOffset, err error) {
-		if err != nil && tries > 1 {
-			o.cluster.After(time.Second, func() { o.append(client, change, tries-1) })
+		if err != nil && attempts > 1 {
+			o.cluster.After(time.Second, func() { o.append(client, change, attempts-1) })
 		}
 	})
 }
 
-// readRevision returns what an operator reads at a daemon of the zone.
+// readRevision returns the revision that a daemon of the zone reports, or the
+// latest one if no daemon of the zone has a configuration.
 func (o *Operators) readRevision(zone structs.ZoneName) structs.Revision {
 	for _, daemon := range o.cluster.Daemons {
 		if daemon.Zone == zone && daemon.Running() {
--- a/internal/simulation/workload/plan.go
+++ b/internal/simulation/workload/plan.go
@@ -1,5 +1,5 @@
-// Package workload plays the callers and operators of a simulated fleet. It
-// sees what a real client sees: pieces, outcomes and broken connections.
+// Package workload simulates the callers and operators of a fleet. It sees only
+// what a real client sees: chunks, outcomes and broken connections.
 package workload
 
 import (
@@ -10,45 +10,47 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Step is one call that a program will make.
+// Step is one planned call of a program.
 type Step struct {
 	Kind       structs.CallKind
 	Repeatable bool
-	// Pause is the tool's time before the call.
+	// Pause is the time that the caller's tool takes before the call.
 	Pause time.Duration
-	// Tokens is the length of the model's answer.
+	// Tokens is the length of the model's answer in tokens.
 	Tokens int
-	// Children are sub-agents that run to their end before the call.
+	// Children are sub-agents that run to completion before the call.
 	Children []*Plan
 	// Pipelined issues the next call without waiting for this one's outcome.
 	Pipelined bool
 	// Duplicate sends the call to two daemons at once.
 	Duplicate bool
-	// Repeated makes the same call again until the fleet refuses it.
+	// Repeated makes the same call again until it is refused.
 	Repeated bool
-	// Lost: the caller's tool hangs for ever; nobody comes back.
+	// Abandoned ends the program before this call: the caller's tool hangs, and
+	// the caller never returns.
 	Abandoned bool
-	// Deadline is how long the caller waits; 0 bounds nothing.
+	// Deadline is how long the caller waits for the call; 0 sets no deadline.
 	Deadline time.Duration
-	// FullHistory sends the whole conversation instead of what is new.
+	// FullHistory sends the whole conversation instead of only the new
+	// messages.
 	FullHistory bool
 }
 
-// Plan is the chain of calls that a program will make.
+// Plan is the planned sequence of calls of a program.
 type Plan struct {
 	Key      structs.ProgramKey
 	Template structs.TemplateName
 	Steps    []Step
 }
 
-// Shape tells how programs look.
+// Shape is the distribution from which plans are drawn.
 type Shape struct {
-	// Turns bounds the calls of one program.
+	// Turns is the maximum number of calls of one program.
 	Turns int
-	// Pause bounds a tool's time.
+	// Pause is the maximum time of a tool.
 	Pause time.Duration
-	// Application, Duplicate, Pipelined, SubAgents, Lost, Looping and Full are
-	// the chances of each.
+	// Application, Duplicate, Pipelined, SubAgents, Abandoned, Looping,
+	// FullHistory and Deadline are the probabilities of each.
 	Application float64
 	Duplicate   float64
 	Pipelined   float64
@@ -57,17 +59,17 @@
 	Looping     float64
 	FullHistory float64
 	Deadline    float64
-	// Tokens bounds the length of an answer.
+	// Tokens is the maximum length of an answer.
 	Tokens int
 }
 
-// Bounds of the deadlines that callers set.
+// Range of the deadlines that callers set.
 const (
 	shortestDeadline = 200 * time.Millisecond
 	longestDeadline  = 8 * time.Second
 )
 
-// DefaultShape mixes everything a little.
+// DefaultShape returns a shape with a low probability of each feature.
 func DefaultShape() Shape {
 	return Shape{
 		Turns:       6,
@@ -84,7 +86,7 @@
 	}
 }
 
-// Draw draws a plan. Only roots have sub-agents.
+// Draw returns a random plan. Only root programs have sub-agents.
 func (s Shape) Draw(random *rand.Rand, key structs.ProgramKey, template structs.TemplateName) *Plan {
 	plan := &Plan{Key: key, Template: template}
 	turns := 1 + random.IntN(s.Turns)
--- a/internal/simulation/workload/program.go
+++ b/internal/simulation/workload/program.go
@@ -8,51 +8,51 @@
 )
 
 const (
-	// refusedTries bounds how often a caller comes back after refusals.
-	refusedTries = 12
-	// failedTries bounds how often it makes a failed call again.
-	failedTries = 3
-	// comeBackPause is the least pause before coming back after a refusal.
-	comeBackPause = 500 * time.Millisecond
-	// impatientPause is the least pause of an impatient caller.
-	impatientPause = 100 * time.Millisecond
-	// repeatedCalls bounds a looping program that nobody stops.
-	repeatedCalls = 60
+	// maxRefusals limits how often a caller retries a refused call.
+	maxRefusals = 12
+	// maxFailures limits how often it retries a failed call.
+	maxFailures = 3
+	// minRetryDelay is the minimum delay before a retry.
+	minRetryDelay = 500 * time.Millisecond
+	// impatientRetryDelay is the minimum delay of an impatient caller.
+	impatientRetryDelay = 100 * time.Millisecond
+	// maxRepeatedCalls limits a looping program that the fleet does not stop.
+	maxRepeatedCalls = 60
 )
 
 // End is how a program ended for its caller.
 type End int
 
-// Ends of a program.
 const (
 	EndNone End = iota
 	EndCompleted
 	EndRefused
 	EndFailed
 	EndUnknown
-	// EndLost: the caller never came back.
+	// EndAbandoned means that the caller never returned.
 	EndAbandoned
 )
 
-// program is a caller's program under way.
+// program is the state of a running program at its caller.
 type program struct {
 	callers *Callers
 	plan    *Plan
 	step    int
 	issued  int
-	// consumed counts sequence numbers that are certainly taken; uncertain is
-	// set once a refusal left open whether it took one.
+	// consumed counts the sequence numbers that are certainly used; uncertain
+	// is set once an outcome leaves open whether its call used one.
 	consumed  uint64
 	uncertain bool
-	// conversation is what the caller would send as the whole history.
+	// conversation is the whole history as the caller knows it.
 	conversation []structs.Message
 	refusals     int
 	failures     int
 	inFlight     int
 	end          End
 	onEnd        func()
-	// failedEarlier is set when a pipelined call before was not completed.
-	failedEarlier *structs.Outcome
+	// previousFailure is the outcome of the first of two pipelined calls if it
+	// was not completed.
+	previousFailure *structs.Outcome
 }
 
 func (p *program) next() {
@@ -74,15 +74,15 @@
 }
 
 func (p *program) runChildren(step *Step) {
-	waiting := len(step.Children)
-	if waiting == 0 {
+	remaining := len(step.Children)
+	if remaining == 0 {
 		p.issueStep()
 		return
 	}
 	for _, child := range step.Children {
 		p.callers.start(child, func() {
-			waiting--
-			if waiting == 0 {
+			remaining--
+			if remaining == 0 {
 				p.issueStep()
 			}
 		})
@@ -97,28 +97,28 @@
 	pipelined := step.Pipelined && !p.uncertain && p.step+1 < len(p.plan.Steps)
 	if !pipelined {
 		p.step++
-		p.issue(step, 0, p.step == len(p.plan.Steps), p.settled)
+		p.issue(step, 0, p.step == len(p.plan.Steps), p.handleOutcome)
 		return
 	}
 	second := &p.plan.Steps[p.step+1]
 	p.step += 2
 	base := p.consumed
-	p.failedEarlier = nil
+	p.previousFailure = nil
 	p.issue(step, base+1, false, func(request structs.Call, outcome structs.Outcome) {
 		if outcome.Status != structs.OutcomeCompleted {
-			p.failedEarlier = &outcome
+			p.previousFailure = &outcome
 		}
-		p.record(request, outcome)
+		p.recordOutcome(request, outcome)
 	})
 	p.issue(second, base+2, p.step == len(p.plan.Steps), func(request structs.Call, outcome structs.Outcome) {
-		if p.failedEarlier != nil {
+		if p.previousFailure != nil {
 			p.uncertain = true
 		}
-		p.settled(request, outcome)
+		p.handleOutcome(request, outcome)
 	})
 }
 
-// issue makes one call. sequence 0 lets the fleet number it.
+// issue makes one call. With sequence 0 the fleet assigns the sequence number.
 func (p *program) issue(step *Step, sequence uint64, last bool, done func(structs.Call, structs.Outcome)) {
 	p.issued++
 	p.inFlight++
@@ -135,14 +135,14 @@
 	if step.Deadline > 0 {
 		call.Deadline = p.callers.cluster.Clock.Now().Add(step.Deadline)
 	}
-	p.fill(&call, step)
+	p.setContent(&call, step)
 	p.callers.issue(call, step.Duplicate, func(outcome structs.Outcome) {
 		p.inFlight--
 		done(call, outcome)
 	})
 }
 
-func (p *program) fill(call *structs.Call, step *Step) {
+func (p *program) setContent(call *structs.Call, step *Step) {
 	if step.Kind != structs.CallModel {
 		call.Target = Target
 		call.Operation = "update"
@@ -162,8 +162,9 @@
 	}
 }
 
-// record keeps what an outcome means for what the caller knows.
-func (p *program) record(call structs.Call, outcome structs.Outcome) {
+// recordOutcome updates what the caller knows of the conversation and its
+// sequence numbers.
+func (p *program) recordOutcome(call structs.Call, outcome structs.Outcome) {
 	if outcome.Status != structs.OutcomeCompleted {
 		p.uncertain = true
 		return
@@ -174,34 +175,35 @@
 	}
 }
 
-// settled goes on after an outcome.
-func (p *program) settled(call structs.Call, outcome structs.Outcome) {
-	p.record(call, outcome)
+// handleOutcome continues the program after an outcome.
+func (p *program) handleOutcome(call structs.Call, outcome structs.Outcome) {
+	p.recordOutcome(call, outcome)
 	step := &p.plan.Steps[p.step-1]
 	switch outcome.Status {
 	case structs.OutcomeCompleted:
 		p.refusals, p.failures = 0, 0
-		if step.Repeated && p.issued < repeatedCalls {
-			p.issue(step, 0, false, p.settled)
+		if step.Repeated && p.issued < maxRepeatedCalls {
+			p.issue(step, 0, false, p.handleOutcome)
 			return
 		}
 		p.next()
 	case structs.OutcomeNotRun:
-		p.refused(step, outcome)
+		p.handleRefusal(step, outcome)
 	case structs.OutcomeFailed, structs.OutcomeCancelled:
 		p.failures++
-		if p.failures >= failedTries {
+		if p.failures >= maxFailures {
 			p.finish(EndFailed)
 			return
 		}
-		p.again(step, outcome)
+		p.retry(step, outcome)
 	case structs.OutcomeUnknown:
 		p.finish(EndUnknown)
 	}
 }
 
-// refused comes back later with a new request, unless that is of no use.
-func (p *program) refused(step *Step, outcome structs.Outcome) {
+// handleRefusal retries later with a new request, unless the reason is
+// permanent.
+func (p *program) handleRefusal(step *Step, outcome structs.Outcome) {
 	p.refusals++
 	switch outcome.Reason {
 	case structs.ReasonBudgetExhausted, structs.ReasonProgramEnded, structs.ReasonTurnLimit,
@@ -209,22 +211,22 @@
 		p.finish(EndRefused)
 		return
 	}
-	if p.refusals >= refusedTries && !p.callers.Impatient {
+	if p.refusals >= maxRefusals && !p.callers.Impatient {
 		p.finish(EndRefused)
 		return
 	}
-	p.again(step, outcome)
+	p.retry(step, outcome)
 }
 
-func (p *program) again(step *Step, outcome structs.Outcome) {
-	pause := max(outcome.RetryAfter, comeBackPause)
+func (p *program) retry(step *Step, outcome structs.Outcome) {
+	pause := max(outcome.RetryAfter, minRetryDelay)
 	if p.callers.Impatient {
-		pause = impatientPause
+		pause = impatientRetryDelay
 	}
 	pause += time.Duration(p.callers.random.Int64N(int64(pause)))
 	p.callers.cluster.After(pause, func() {
 		if p.end == EndNone {
-			p.issue(step, 0, p.step == len(p.plan.Steps), p.settled)
+			p.issue(step, 0, p.step == len(p.plan.Steps), p.handleOutcome)
 		}
 	})
 }
@@ -234,7 +236,7 @@
 		return
 	}
 	p.end = end
-	p.callers.ended(p)
+	p.callers.programEnded(p)
 	if p.onEnd != nil {
 		p.onEnd()
 	}
--- a/internal/simulation/workload/request.go
+++ b/internal/simulation/workload/request.go
@@ -9,85 +9,89 @@
 )
 
 const (
-	// progressWait is how long a caller waits for anything before it turns to
-	// another daemon.
-	progressWait = 6 * time.Second
-	// reconnectPause follows a broken connection.
-	reconnectPause = 100 * time.Millisecond
-	// askAgainPause follows an unknown outcome that names no pause.
-	askAgainPause = time.Second
-	// unknownPatience is how long a caller asks what became of a call.
-	unknownPatience = 2 * time.Minute
+	// progressTimeout is how long a caller waits for any message before it
+	// switches to another daemon.
+	progressTimeout = 6 * time.Second
+	// reconnectDelay is the delay after a broken connection.
+	reconnectDelay = 100 * time.Millisecond
+	// unknownRetryDelay is the delay after an unknown outcome that gives no
+	// retry delay.
+	unknownRetryDelay = time.Second
+	// unknownTimeout is how long a caller keeps asking for the outcome of a
+	// call.
+	unknownTimeout = 2 * time.Minute
 )
 
-// reader is a caller that waits for one request. It keeps what it has of the
-// answer through broken connections, and asks the next daemon for the rest.
-type reader struct {
+// pendingRequest is a request that a caller waits for. It keeps the text
+// received so far across connections, and asks the next daemon for the rest.
+type pendingRequest struct {
 	callers *Callers
 	call    structs.Call
 	done    func(structs.Outcome)
 	text    string
 	// sent counts how often the call was sent.
-	sent      int
-	startedAt time.Time
-	daemon    int
-	connected int
-	hangUp    func()
-	timer     clock.Timer
-	finished  bool
+	sent             int
+	startedAt        time.Time
+	daemon           int
+	connectionNumber int
+	closeConnection  func()
+	timer            clock.Timer
+	finished         bool
 }
 
-// leg is one connection of a reader; pieces of former ones are not heard.
-type leg struct {
-	reader *reader
-	number int
+// requestConnection is one connection of a pending request; messages on earlier
+// connections are ignored.
+type requestConnection struct {
+	request *pendingRequest
+	number  int
 }
 
-func (c *Callers) read(call structs.Call, daemon int, done func(structs.Outcome)) {
-	r := &reader{callers: c, call: call, daemon: daemon, done: done, startedAt: c.cluster.Clock.Now()}
+func (c *Callers) send(call structs.Call, daemon int, done func(structs.Outcome)) {
+	r := &pendingRequest{callers: c, call: call, daemon: daemon, done: done, startedAt: c.cluster.Clock.Now()}
 	c.open[r] = struct{}{}
 	r.send()
 }
 
-// send asks the daemon whose turn it is.
-func (r *reader) send() {
+// send sends the call to the current daemon.
+func (r *pendingRequest) send() {
 	c := r.callers
 	daemon := c.cluster.Daemons[r.daemon%len(c.cluster.Daemons)]
 	call := r.call
 	call.ResumeAt = int64(len(r.text))
 	call.Retry = call.Retry || r.sent > 0
 	r.sent++
-	r.connected++
+	r.connectionNumber++
 	c.OnEvent("send", call.Key, call.RequestID, daemon.Address)
-	r.hangUp = daemon.Request(c.place(), call, &leg{reader: r, number: r.connected})
+	r.closeConnection = daemon.Request(c.place(), call, &requestConnection{request: r, number: r.connectionNumber})
 	r.waitForProgress()
 }
 
-func (r *reader) waitForProgress() {
-	r.after(progressWait, func() {
-		r.hangUp()
-		r.turnToNext()
+func (r *pendingRequest) waitForProgress() {
+	r.after(progressTimeout, func() {
+		r.closeConnection()
+		r.switchDaemon()
 	})
 }
 
-func (r *reader) after(d time.Duration, f func()) {
+func (r *pendingRequest) after(d time.Duration, f func()) {
 	if r.timer != nil {
 		r.timer.Stop()
 	}
 	r.timer = r.callers.cluster.Clock.AfterFunc(d, f)
 }
 
-// turnToNext goes to another daemon.
-func (r *reader) turnToNext() {
-	r.connected++
+// switchDaemon selects another daemon and sends the call there after
+// reconnectDelay.
+func (r *pendingRequest) switchDaemon() {
+	r.connectionNumber++
 	r.daemon += 1 + r.callers.random.IntN(len(r.callers.cluster.Daemons)-1+1)
-	r.after(reconnectPause, r.send)
+	r.after(reconnectDelay, r.send)
 }
 
 // Chunks implements submit.Caller.
-func (l *leg) Chunks(chunks []structs.Chunk) {
-	r := l.reader
-	if l.number != r.connected || r.finished {
+func (conn *requestConnection) Chunks(chunks []structs.Chunk) {
+	r := conn.request
+	if conn.number != r.connectionNumber || r.finished {
 		return
 	}
 	for _, chunk := range chunks {
@@ -97,48 +101,48 @@
 		r.text += chunk.Text
 	}
 	r.callers.OnEvent("pieces", r.call.Key, r.call.RequestID, r.text)
-	r.callers.progressed(r)
+	r.callers.recordTakeover(r)
 	r.waitForProgress()
 }
 
-// Lost implements cluster.Caller.
-func (l *leg) ConnectionLost() {
-	r := l.reader
-	if l.number != r.connected || r.finished {
+// ConnectionLost implements cluster.Caller.
+func (conn *requestConnection) ConnectionLost() {
+	r := conn.request
+	if conn.number != r.connectionNumber || r.finished {
 		return
 	}
-	r.callers.lostConnection(r)
-	r.turnToNext()
+	r.callers.observeLostConnection(r)
+	r.switchDaemon()
 }
 
 // ConnectionRefused implements cluster.Caller.
-func (l *leg) ConnectionRefused() {
-	if l.number == l.reader.connected && !l.reader.finished {
-		l.reader.turnToNext()
+func (conn *requestConnection) ConnectionRefused() {
+	if conn.number == conn.request.connectionNumber && !conn.request.finished {
+		conn.request.switchDaemon()
 	}
 }
 
 // Outcome implements submit.Caller.
-func (l *leg) Outcome(outcome structs.Outcome) {
-	r := l.reader
-	if l.number != r.connected || r.finished {
+func (conn *requestConnection) Outcome(outcome structs.Outcome) {
+	r := conn.request
+	if conn.number != r.connectionNumber || r.finished {
 		return
 	}
 	c := r.callers
 	c.checker.RecordOutcome(r.call.Key, r.call.RequestID, outcome, r.text)
 	c.OnEvent("outcome", r.call.Key, r.call.RequestID, string(outcome.Status)+" "+string(outcome.Reason))
 	waited := c.cluster.Clock.Now().Sub(r.startedAt)
-	if outcome.Status == structs.OutcomeUnknown && waited < unknownPatience {
-		r.connected++
-		r.after(max(outcome.RetryAfter, askAgainPause), r.send)
+	if outcome.Status == structs.OutcomeUnknown && waited < unknownTimeout {
+		r.connectionNumber++
+		r.after(max(outcome.RetryAfter, unknownRetryDelay), r.send)
 		return
 	}
-	c.progressed(r)
-	c.checkPlanned(r, outcome)
+	c.recordTakeover(r)
+	c.checkGracefulStop(r, outcome)
 	r.finish(outcome)
 }
 
-func (r *reader) finish(outcome structs.Outcome) {
+func (r *pendingRequest) finish(outcome structs.Outcome) {
 	r.finished = true
 	if r.timer != nil {
 		r.timer.Stop()
@@ -147,4 +151,4 @@
 	r.done(outcome)
 }
 
-var _ cluster.Caller = (*leg)(nil)
+var _ cluster.Caller = (*requestConnection)(nil)
--- a/internal/simulation/workload/takeover.go
+++ b/internal/simulation/workload/takeover.go
@@ -10,8 +10,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// RecordKill notes that a daemon is about to die, and which shards other daemons
-// say it leads.
+// RecordKill records that a daemon is about to crash, and the shards that it
+// leads by its own routes.
 func (c *Callers) RecordKill(daemon *cluster.Daemon) {
 	shards := map[structs.ShardNumber]bool{}
 	for shard := range structs.ShardNumber(c.cluster.Options.Node.Shards) {
@@ -22,30 +22,30 @@
 	c.kills = append(c.kills, kill{at: c.cluster.Clock.Now(), run: daemon.ID, shards: shards})
 }
 
-// progressed measures the time from a leader's death to the first answer that
-// a caller of each of its shards gets.
-func (c *Callers) progressed(r *reader) {
+// recordTakeover measures the time from a leader's crash to the first answer
+// that a caller of each of its shards receives.
+func (c *Callers) recordTakeover(r *pendingRequest) {
 	if len(c.kills) == 0 {
 		return
 	}
 	shard := replication.ShardOf(r.call.Key, c.cluster.Options.Node.Shards)
 	now := c.cluster.Clock.Now()
-	for _, death := range c.kills {
-		if !death.shards[shard] {
+	for _, leaderKill := range c.kills {
+		if !leaderKill.shards[shard] {
 			continue
 		}
-		delete(death.shards, shard)
-		from := death.at
+		delete(leaderKill.shards, shard)
+		from := leaderKill.at
 		if r.startedAt.After(from) {
 			from = r.startedAt
 		}
-		c.delays = append(c.delays, now.Sub(from))
+		c.takeoverDelays = append(c.takeoverDelays, now.Sub(from))
 	}
 }
 
 // TakeoverDelays returns the measured times, sorted.
 func (c *Callers) TakeoverDelays() []time.Duration {
-	delays := slices.Clone(c.delays)
+	delays := slices.Clone(c.takeoverDelays)
 	slices.SortFunc(delays, func(a, b time.Duration) int { return cmp.Compare(a, b) })
 	return delays
 }
