--- a/internal/configuration/convergence_test.go
+++ b/internal/configuration/convergence_test.go
@@ -36,7 +36,7 @@
 	f.neighbours = 1
 	f.network.Settings.BreakChance = 0.02
 	bytes := 0
-	f.network.Count = func(_, _ structs.DaemonID, _ peer.Class, _ peer.Kind, size int) { bytes += size }
+	f.network.OnSend = func(_, _ structs.DaemonID, _ peer.Class, _ peer.Kind, size int) { bytes += size }
 	f.append("first", 0, 0)
 	f.run(30 * time.Second)
 	bytes = 0
@@ -89,7 +89,7 @@
 	f.run(2 * time.Minute)
 	f.log.Down = logDown
 	fromPeers := 0
-	f.network.Count = func(_, to structs.DaemonID, _ peer.Class, _ peer.Kind, size int) {
+	f.network.OnSend = func(_, to structs.DaemonID, _ peer.Class, _ peer.Kind, size int) {
 		if to.Address() == f.daemons[1].id.Address() {
 			fromPeers += size
 		}
--- a/internal/configuration/delivery_order_test.go
+++ b/internal/configuration/delivery_order_test.go
@@ -75,7 +75,7 @@
 			f.run(time.Duration(rapid.IntRange(0, 1500).Draw(r, "pause")) * time.Millisecond)
 		}
 		f.network.HealAll()
-		f.log.Down, f.log.ReadLag, f.log.LostAnswers = false, 0, 0
+		f.log.Down, f.log.ReadLag, f.log.AnswerLossChance = false, 0, 0
 		f.run(30 * time.Second)
 		truth := configuration.NewState()
 		for _, entry := range f.log.Entries(framework.StreamConfiguration) {
@@ -112,7 +112,7 @@
 	case 4:
 		f.log.ReadLag = time.Duration(rapid.IntRange(0, 5000).Draw(r, "lag")) * time.Millisecond
 	case 5:
-		f.log.LostAnswers = rapid.Float64Range(0, 1).Draw(r, "lost")
+		f.log.AnswerLossChance = rapid.Float64Range(0, 1).Draw(r, "lost")
 	case 6:
 		f.start(i, configuration.Guards{})
 	default:
--- a/internal/configuration/store_test.go
+++ b/internal/configuration/store_test.go
@@ -51,7 +51,7 @@
 	f := newFleet(t, 3, configuration.Guards{})
 	f.append("first", 0, 0)
 	f.run(3 * time.Second)
-	f.log.LostAnswers = 1
+	f.log.AnswerLossChance = 1
 	f.log.ReadLag = 1500 * time.Millisecond
 	got := f.publish(f.daemons[0], "second", 1, 2)
 	f.run(20 * time.Second)
@@ -187,7 +187,7 @@
 	f.requireRevision(10)
 	f.log.Down = true
 	parts := 0
-	f.network.Observe = func(_, _ structs.DaemonID, kind peer.Kind, _ int) {
+	f.network.OnReceive = func(_, _ structs.DaemonID, kind peer.Kind, _ int) {
 		if kind == (*configuration.SnapshotPart)(nil).MessageKind() {
 			parts++
 		}
--- a/internal/simulation/workload/plan.go
+++ b/internal/simulation/workload/plan.go
@@ -1,5 +1,5 @@
-// Package workload plays the callers and operators of a simulated fleet. It
-// sees what a real client sees: pieces, outcomes and broken connections.
+// Package workload simulates the callers and operators of a fleet. It sees only
+// what a real client sees: chunks, outcomes and broken connections.
 package workload
 
 import (
@@ -10,64 +10,66 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Step is one call that a program will make.
+// Step is one planned call of a program.
 type Step struct {
 	Kind       structs.CallKind
 	Repeatable bool
-	// Pause is the tool's time before the call.
+	// Pause is the time that the caller's tool takes before the call.
 	Pause time.Duration
-	// Tokens is the length of the model's answer.
+	// Tokens is the length of the model's answer in tokens.
 	Tokens int
-	// Children are sub-agents that run to their end before the call.
+	// Children are sub-agents that run to completion before the call.
 	Children []*Plan
 	// Pipelined issues the next call without waiting for this one's outcome.
 	Pipelined bool
 	// Duplicate sends the call to two daemons at once.
 	Duplicate bool
-	// Repeated makes the same call again until the fleet refuses it.
+	// Repeated makes the same call again until it is refused.
 	Repeated bool
-	// Lost: the caller's tool hangs for ever; nobody comes back.
-	Lost bool
-	// Deadline is how long the caller waits; 0 bounds nothing.
+	// Abandoned ends the program before this call: the caller's tool hangs, and
+	// the caller never returns.
+	Abandoned bool
+	// Deadline is how long the caller waits for the call; 0 sets no deadline.
 	Deadline time.Duration
-	// FullHistory sends the whole conversation instead of what is new.
+	// FullHistory sends the whole conversation instead of only the new
+	// messages.
 	FullHistory bool
 }
 
-// Plan is the chain of calls that a program will make.
+// Plan is the planned sequence of calls of a program.
 type Plan struct {
 	Key      structs.ProgramKey
 	Template structs.TemplateName
 	Steps    []Step
 }
 
-// Shape tells how programs look.
+// Shape is the distribution from which plans are drawn.
 type Shape struct {
-	// Turns bounds the calls of one program.
+	// Turns is the maximum number of calls of one program.
 	Turns int
-	// Pause bounds a tool's time.
+	// Pause is the maximum time of a tool.
 	Pause time.Duration
-	// Application, Duplicate, Pipelined, SubAgents, Lost, Looping and Full are
-	// the chances of each.
+	// Application, Duplicate, Pipelined, SubAgents, Abandoned, Looping,
+	// FullHistory and Deadline are the probabilities of each.
 	Application float64
 	Duplicate   float64
 	Pipelined   float64
 	SubAgents   float64
-	Lost        float64
+	Abandoned   float64
 	Looping     float64
-	Full        float64
+	FullHistory float64
 	Deadline    float64
-	// Tokens bounds the length of an answer.
+	// Tokens is the maximum length of an answer.
 	Tokens int
 }
 
-// Bounds of the deadlines that callers set.
+// Range of the deadlines that callers set.
 const (
 	shortestDeadline = 200 * time.Millisecond
 	longestDeadline  = 8 * time.Second
 )
 
-// DefaultShape mixes everything a little.
+// DefaultShape returns a shape with a low probability of each feature.
 func DefaultShape() Shape {
 	return Shape{
 		Turns:       6,
@@ -76,15 +78,15 @@
 		Duplicate:   0.1,
 		Pipelined:   0.1,
 		SubAgents:   0.15,
-		Lost:        0.02,
+		Abandoned:   0.02,
 		Looping:     0.02,
-		Full:        0.3,
+		FullHistory: 0.3,
 		Deadline:    0.1,
 		Tokens:      60,
 	}
 }
 
-// Draw draws a plan. Only roots have sub-agents.
+// Draw returns a random plan. Only root programs have sub-agents.
 func (s Shape) Draw(random *rand.Rand, key structs.ProgramKey, template structs.TemplateName) *Plan {
 	plan := &Plan{Key: key, Template: template}
 	turns := 1 + random.IntN(s.Turns)
@@ -92,7 +94,7 @@
 		step := s.step(random)
 		last := turn == turns-1
 		step.Pipelined = step.Pipelined && !last && !step.Duplicate
-		step.Lost = step.Lost && turn > 0
+		step.Abandoned = step.Abandoned && turn > 0
 		step.Repeated = step.Repeated && turn > 0
 		if key.Program.Parent() == "" && turn > 0 && random.Float64() < s.SubAgents {
 			for child := range 1 + random.IntN(2) {
@@ -122,9 +124,9 @@
 		Tokens:      1 + random.IntN(s.Tokens),
 		Duplicate:   random.Float64() < s.Duplicate,
 		Pipelined:   random.Float64() < s.Pipelined,
-		Lost:        random.Float64() < s.Lost,
+		Abandoned:   random.Float64() < s.Abandoned,
 		Repeated:    random.Float64() < s.Looping,
-		FullHistory: random.Float64() < s.Full,
+		FullHistory: random.Float64() < s.FullHistory,
 	}
 	if random.Float64() < s.Deadline {
 		step.Deadline = shortestDeadline + time.Duration(random.Int64N(int64(longestDeadline)))
