--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -10,26 +10,26 @@
 
 // Exit codes of all commands.
 const (
-	ExitSound  = 0
-	ExitBroken = 1
+	ExitOK  = 0
+	ExitFailed = 1
 	ExitUsage  = 2
 )
 
-// ErrBroken is returned by commands that found a broken promise or a failed
+// ErrViolation is returned by commands that found a broken promise or a failed
 // check; everything else counts as bad use.
-var ErrBroken = eris.New("a promise was broken")
+var ErrViolation = eris.New("a promise was broken")
 
 // ErrCheckFailed is returned by operators' commands that found something wrong
-// or were refused; it shares the exit code of ErrBroken.
+// or were refused; it shares the exit code of ErrViolation.
 var ErrCheckFailed = eris.New("check failed")
 
 // ExitCode maps a command's error to the exit code of the process.
 func ExitCode(err error) int {
 	switch {
 	case err == nil:
-		return ExitSound
-	case eris.Is(err, ErrBroken), eris.Is(err, ErrCheckFailed):
-		return ExitBroken
+		return ExitOK
+	case eris.Is(err, ErrViolation), eris.Is(err, ErrCheckFailed):
+		return ExitFailed
 	default:
 		return ExitUsage
 	}
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -26,7 +26,7 @@
 				return err
 			}
 			if result.Violations > 0 {
-				return eris.Wrapf(ErrBroken, "%d violations", result.Violations)
+				return eris.Wrapf(ErrViolation, "%d violations", result.Violations)
 			}
 			return nil
 		},
--- a/internal/command/goodput.go
+++ b/internal/command/goodput.go
@@ -66,7 +66,7 @@
 	}
 	for _, point := range points {
 		if point.Violations > 0 {
-			return eris.Wrapf(ErrBroken, "%d violations at %g programs a second", point.Violations, point.Offered)
+			return eris.Wrapf(ErrViolation, "%d violations at %g programs a second", point.Violations, point.Offered)
 		}
 	}
 	return nil
--- a/internal/command/sim.go
+++ b/internal/command/sim.go
@@ -94,7 +94,7 @@
 		options.Seed++
 	}
 	if failed > 0 {
-		return eris.Wrapf(ErrBroken, "%d of %d seeds", failed, max(seeds, 1))
+		return eris.Wrapf(ErrViolation, "%d of %d seeds", failed, max(seeds, 1))
 	}
 	return nil
 }
