--- a/cmd/mintpulley-relay/main.go
+++ b/cmd/mintpulley-relay/main.go
@@ -1,6 +1,5 @@
-// Command mintpulley-relay is the daemon that runs on the users' platform: a
-// lean program with the relay, the ledger and membership behind the platform's
-// adapter.
+// Command mintpulley-relay is the daemon that runs on the users' platform. It
+// contains only the relay, the ledger and membership, and the platform's adapter.
 package main
 
 import (
@@ -15,22 +14,22 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/mintpulley/mintpulley/internal/relaydaemon"
-	_ "github.com/mintpulley/mintpulley/platform" // its adapter
+	_ "github.com/mintpulley/mintpulley/platform" // registers the platform's adapter
 )
 
-// exitBadUse is the exit code for settings that cannot be used.
-const exitBadUse = 2
+// exitUsage is the exit code for wrong usage and for errors at startup.
+const exitUsage = 2
 
-// signalQueue is how many signals may wait while the daemon starts; during a stop
-// further ones change nothing.
-const signalQueue = 4
+// signalBuffer is how many signals may be pending while the daemon starts. Signals
+// during a shutdown are ignored.
+const signalBuffer = 4
 
 var errNoSettings = errors.New("--settings: is missing")
 
 func main() {
 	command := &cli.Command{
 		Name:  "mintpulley-relay",
-		Usage: "carry programs' requests to engines and services on the platform",
+		Usage: "relay programs' requests to engines and services on the platform",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "the settings `FILE`"},
 			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
@@ -40,7 +39,7 @@
 	}
 	if err := command.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "mintpulley-relay:", err)
-		os.Exit(exitBadUse)
+		os.Exit(exitUsage)
 	}
 }
 
@@ -49,8 +48,8 @@
 	if path == "" {
 		return errNoSettings
 	}
-	signals := make(chan os.Signal, signalQueue)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) // at once: a signal not asked for ends the process
+	signals := make(chan os.Signal, signalBuffer)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) // before anything else, as a signal without a handler ends the process
 	settings, err := relaydaemon.ReadSettings(path)
 	if err != nil || command.Bool("check") {
 		return err
@@ -59,11 +58,11 @@
 	if err != nil {
 		return fmt.Errorf("%s: log_level: %w", path, err)
 	}
-	var lost relaydaemon.DroppedLines
-	logger, closer := relaydaemon.NewLogger(os.Stdout, level, lost.Add)
+	var droppedLines relaydaemon.DroppedLines
+	logger, closer := relaydaemon.NewLogger(os.Stdout, level, droppedLines.Add)
 	defer func() { _ = closer.Close() }()
 	logger = logger.With().Str("machine", settings.Name).Logger()
-	daemon, err := relaydaemon.Start(settings, logger, &lost)
+	daemon, err := relaydaemon.Start(settings, logger, &droppedLines)
 	if err != nil {
 		return err
 	}
--- a/cmd/mintpulley-relay/main_test.go
+++ b/cmd/mintpulley-relay/main_test.go
@@ -16,22 +16,22 @@
 	"github.com/mintpulley/mintpulley/internal/outputtest"
 )
 
-// asDaemon is the variable that makes the test's program run as the daemon.
-const asDaemon = "MINTPULLEY_RELAY_TEST_AS_DAEMON"
+// runAsDaemonEnv is the environment variable that makes the test binary run main.
+const runAsDaemonEnv = "MINTPULLEY_RELAY_TEST_AS_DAEMON"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asDaemon) != "" {
+	if os.Getenv(runAsDaemonEnv) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// startProcess starts the daemon's program.
+// startProcess runs the test binary as the daemon.
 func startProcess(t *testing.T, arguments ...string) (*exec.Cmd, *outputtest.Buffer) {
 	t.Helper()
 	command := exec.Command(os.Args[0], arguments...)
-	command.Env = append(os.Environ(), asDaemon+"=1")
+	command.Env = append(os.Environ(), runAsDaemonEnv+"=1")
 	out := &outputtest.Buffer{}
 	command.Stdout, command.Stderr = out, out
 	if err := command.Start(); err != nil {
@@ -41,7 +41,7 @@
 	return command, out
 }
 
-// settingsText are settings of a daemon whose store is not there.
+// settingsText returns settings of a daemon whose store does not listen.
 func settingsText(t *testing.T) string {
 	t.Helper()
 	text := "adapter: platform\nzone: z\nregion: r\nstop_seconds: 1\n"
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestSignalBeforeTheSettingsAreReadDoesNotEndTheProcess: a system that tells of
-// changed settings while it starts the process must not kill it.
-func TestSignalBeforeTheSettingsAreReadDoesNotEndTheProcess(t *testing.T) {
+// A SIGHUP for changed settings that arrives before the daemon has read its
+// settings must not kill it.
+func TestSignalBeforeSettingsAreReadDoesNotEndProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestFurtherSignalsDoNotDisturbAStop(t *testing.T) {
+func TestFurtherSignalsDuringShutdownAreIgnored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	if err := os.WriteFile(path, []byte(settingsText(t)), 0o600); err != nil {
 		t.Fatal(err)
@@ -102,7 +102,7 @@
 	}
 	for _, line := range []string{"Daemon stops.", "Daemon stopped."} {
 		if count := strings.Count(out.String(), line); count != 1 {
-			t.Errorf("%q stands %d times in:\n%s", line, count, out.String())
+			t.Errorf("%q occurs %d times, want once, in:\n%s", line, count, out.String())
 		}
 	}
 }
--- a/cmd/mintpulley-relay/trace.go
+++ b/cmd/mintpulley-relay/trace.go
@@ -12,11 +12,11 @@
 
 var errNoID = errors.New("trace: the id of a request or program is missing")
 
-// traceCommand prints one request's or program's story.
+// traceCommand prints the log lines of one request or program.
 func traceCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "trace",
-		Usage:     "print what logs tell of one request or program, in order",
+		Usage:     "print the log lines of one request or program in order of time",
 		ArgsUsage: "ID [LOG...]",
 		Description: "Reads the logs of any number of processes, from files or standard input.\n" +
 			"Example: mintpulley-relay trace 9cb7078dc5b6abed machine-*.log",
@@ -25,25 +25,25 @@
 			if len(arguments) == 0 {
 				return errNoID
 			}
-			story := tracelog.NewTrace(arguments[0])
-			if err := readLogs(story, arguments[1:]); err != nil {
+			trace := tracelog.NewTrace(arguments[0])
+			if err := readLogs(trace, arguments[1:]); err != nil {
 				return err
 			}
-			return story.Write(os.Stdout)
+			return trace.Write(os.Stdout)
 		},
 	}
 }
 
-func readLogs(story *tracelog.Trace, paths []string) error {
+func readLogs(trace *tracelog.Trace, paths []string) error {
 	if len(paths) == 0 {
-		return story.Read(os.Stdin)
+		return trace.Read(os.Stdin)
 	}
 	for _, path := range paths {
 		file, err := os.Open(path)
 		if err != nil {
 			return err
 		}
-		err = story.Read(file)
+		err = trace.Read(file)
 		_ = file.Close()
 		if err != nil {
 			return err
--- a/cmd/mintpulley-standin/main.go
+++ b/cmd/mintpulley-standin/main.go
@@ -1,5 +1,5 @@
-// Command mintpulley-standin plays the systems outside the fleet, so that it
-// can be run and tested on one machine.
+// Command mintpulley-standin runs stand-ins for the systems outside the fleet, so
+// that a fleet can be run and tested on one machine.
 package main
 
 import (
--- a/cmd/mintpulley/main.go
+++ b/cmd/mintpulley/main.go
@@ -1,5 +1,5 @@
-// Command mintpulley is the scheduler: its daemon, the operators' commands and
-// the tools that measure and prove it.
+// Command mintpulley is the scheduler: its daemon, the operators' commands, and
+// the tools that simulate, test and measure it.
 package main
 
 import (
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -9,13 +9,13 @@
 
 	"github.com/mintpulley/mintpulley/examples"
 	"github.com/mintpulley/mintpulley/internal/configuration/files"
-	_ "github.com/mintpulley/mintpulley/internal/plugins" // the drivers that settings name
+	_ "github.com/mintpulley/mintpulley/internal/plugins" // registers the drivers that the settings name
 	"github.com/mintpulley/mintpulley/internal/settings"
 	"github.com/mintpulley/mintpulley/internal/structs"
 	"github.com/mintpulley/mintpulley/internal/yamlfile"
 )
 
-func TestConfigurationsAreGood(t *testing.T) {
+func TestConfigurationsAreValid(t *testing.T) {
 	for _, directories := range [][]string{{"tally"}, {"chlebnet"}, {"tally", "chlebnet"}} {
 		wanted, problems := files.LoadFS(examples.Files, directories...)
 		problems = append(problems, wanted.Check(nil)...)
@@ -28,10 +28,10 @@
 	}
 }
 
-func TestSettingsAreGood(t *testing.T) {
+func TestSettingsAreValid(t *testing.T) {
 	names, err := fs.Glob(examples.Files, "settings/*.yaml")
 	if err != nil || len(names) != 3 {
-		t.Fatalf("found %v, %v", names, err)
+		t.Fatalf("found settings %v, error %v; want 3 files", names, err)
 	}
 	for _, name := range names {
 		data, err := examples.Files.ReadFile(name)
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestMachinesServeTheExamples: the machine list of the README has the daemons
-// of the settings, and a back end for each target of the bakeries.
-func TestMachinesServeTheExamples(t *testing.T) {
+// The machine list used in the README must have the daemons of the settings and a
+// back end for each target of the chlebnet templates.
+func TestMachineListServesTheExamples(t *testing.T) {
 	data, err := examples.Files.ReadFile("machines.json")
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 		served[machine.Name] = true
 	}
 	if daemons != 3 {
-		t.Errorf("%d daemons are listed", daemons)
+		t.Errorf("the machine list has %d daemons, want 3", daemons)
 	}
 	wanted, _ := files.LoadFS(examples.Files, "chlebnet")
 	for name, template := range wanted.Configuration.Templates {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command holds the commands of mintpulley, one per file.
+// Package command implements the subcommands of mintpulley.
 package command
 
 import (
@@ -10,20 +10,21 @@
 
 // Exit codes of all commands.
 const (
-	ExitOK  = 0
+	ExitOK     = 0
 	ExitFailed = 1
 	ExitUsage  = 2
 )
 
-// ErrViolation is returned by commands that found a broken promise or a failed
-// check; everything else counts as bad use.
-var ErrViolation = eris.New("a promise was broken")
+// ErrViolation is returned by commands that measure or simulate when a checker
+// found a violated guarantee.
+var ErrViolation = eris.New("a guarantee was violated")
 
-// ErrCheckFailed is returned by operators' commands that found something wrong
-// or were refused; it shares the exit code of ErrViolation.
+// ErrCheckFailed is returned by operators' commands when a check failed or the
+// fleet refused a change; it shares the exit code of ErrViolation.
 var ErrCheckFailed = eris.New("check failed")
 
-// ExitCode maps a command's error to the exit code of the process.
+// ExitCode maps a command's error to the exit code of the process. Errors other
+// than ErrViolation and ErrCheckFailed count as wrong usage.
 func ExitCode(err error) int {
 	switch {
 	case err == nil:
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -17,8 +17,8 @@
 )
 
 const configDescription = `Operators keep models, templates, tenants and the fleet's policy in YAML files.
-A publication is one entry of the platform's log. It names the revision it
-builds on; when another change came first it is refused, everywhere alike.
+A publication is one entry of the platform's log. It names the revision it is
+based on; if another change came first, all daemons refuse it.
 
 Examples:
   mintpulley config check examples/tally
@@ -26,7 +26,7 @@
   mintpulley config publish --daemon 10.0.0.1:7001 --comment "more desks" examples/tally
   mintpulley config history --daemon 10.0.0.1:7001
 
-Exit codes: 0 good, 1 a check failed or the change was refused, 2 bad use or no answer.`
+Exit codes: 0 good, 1 a check failed or the change was refused, 2 wrong usage or no answer.`
 
 func configCommand() *cli.Command {
 	return &cli.Command{
@@ -48,8 +48,8 @@
 		Name:      "check",
 		Usage:     "check files, alone or over the configuration in force",
 		ArgsUsage: "FILE|DIRECTORY...",
-		Description: `Names everything that is wrong with file, line and field. With --daemon the
-files are checked over what is in force, so that they may refer to it.
+		Description: `Prints each problem with its file, line and field. With --daemon the files are
+checked on top of the configuration in force, so that they may refer to it.
 
 Examples:
   mintpulley config check examples/tally
@@ -59,7 +59,7 @@
 	}
 }
 
-// checkReport is the JSON of config check.
+// checkReport is the JSON output of config check.
 type checkReport struct {
 	Good     bool               `json:"good"`
 	Problems []yamlfile.Problem `json:"problems"`
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	wanted, unread := files.Load(paths)
+	wanted, loadProblems := files.Load(paths)
 	var current *structs.Configuration
 	if len(command.StringSlice("daemon")) > 0 {
 		client, err := clientOf(command)
@@ -87,7 +87,7 @@
 		}
 		current = inForce.Configuration
 	}
-	problems := wanted.CheckAll(current, unread)
+	problems := wanted.CheckAll(current, loadProblems)
 	patch := configuration.Diff(current, &wanted.Configuration, wanted.Fleet, false)
 	for _, problem := range operator.UnknownPolicies(&patch) {
 		problems = append(problems, wanted.Locate(problem))
@@ -123,7 +123,7 @@
 	return wanted, nil
 }
 
-// reportProblems prints what is wrong and returns the error for exit code 1.
+// reportProblems prints the problems and returns the error for exit code 1.
 func reportProblems(o output, problems []yamlfile.Problem) error {
 	err := write(o, checkReport{Problems: problems}, func(w io.Writer, report checkReport) error {
 		_, err := fmt.Fprintln(w, yamlfile.Problems(report.Problems).Error())
@@ -143,7 +143,7 @@
 		Name:      "show",
 		Usage:     "show the configuration in force",
 		ArgsUsage: "[models|templates|tenants|fleet[/NAME]]",
-		Description: `Lists what is in force; with a kind and a name, prints that entry as YAML.
+		Description: `Lists the entries in force; with a kind and a name, prints that entry as YAML.
 
 Examples:
   mintpulley config show --daemon 10.0.0.1:7001
@@ -155,7 +155,7 @@
 }
 
 func runConfigShow(_ context.Context, command *cli.Command) error {
-	client, o, err := prepared(command)
+	client, o, err := clientAndOutput(command)
 	if err != nil {
 		return err
 	}
--- a/internal/command/config_diff.go
+++ b/internal/command/config_diff.go
@@ -15,8 +15,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// changeLine is one line of a comparison: a field that a change sets, alters
-// or removes.
+// changeLine is one line of a diff: a field that a change adds, updates or
+// removes.
 type changeLine struct {
 	Kind  configuration.ChangeKind `json:"kind"`
 	Field string                   `json:"field"`
@@ -25,36 +25,37 @@
 	To   string `json:"to,omitempty"`
 }
 
-// lines compares what is in force with what the change would bring.
-func (p *preparedChange) lines() []changeLine {
+// lines returns the difference between the configuration in force and
+// the one after the change.
+func (p *preparedChange) changedFields() []changeLine {
 	next, _ := configuration.ApplyPatch(p.current, &p.change.Patch)
-	before, after := leaves(p.current), leaves(next)
+	before, after := leafValues(p.current), leafValues(next)
 	lines := []changeLine{}
 	for _, named := range configuration.Summary(p.current, &p.change.Patch) {
 		if named.Kind != configuration.ChangeUpdate {
 			lines = append(lines, changeLine{Kind: named.Kind, Field: named.Field})
 			continue
 		}
-		lines = append(lines, fieldLines(named.Field, below(before, named.Field), below(after, named.Field))...)
+		lines = append(lines, fieldLines(named.Field, valuesUnder(before, named.Field), valuesUnder(after, named.Field))...)
 	}
 	return lines
 }
 
-// leaves returns the single values of a configuration by their path.
-func leaves(c *structs.Configuration) map[string]string {
+// leafValues returns the scalar values of a configuration by path.
+func leafValues(c *structs.Configuration) map[string]string {
 	result := map[string]string{}
 	if c == nil {
 		return result
 	}
 	var document yaml.Node
 	if err := document.Encode(c); err == nil {
-		collect(&document, "", result)
+		collectLeaves(&document, "", result)
 	}
 	return result
 }
 
-// below returns the values below one entry.
-func below(all map[string]string, field string) map[string]string {
+// valuesUnder returns the values whose path is field or lies under it.
+func valuesUnder(all map[string]string, field string) map[string]string {
 	result := map[string]string{}
 	for path, value := range all {
 		if path == field || strings.HasPrefix(path, field+".") || strings.HasPrefix(path, field+"[") {
@@ -64,19 +65,19 @@
 	return result
 }
 
-func collect(node *yaml.Node, path string, into map[string]string) {
+func collectLeaves(node *yaml.Node, path string, into map[string]string) {
 	switch node.Kind {
 	case yaml.MappingNode:
 		for i := 0; i+1 < len(node.Content); i += 2 {
-			below := node.Content[i].Value
+			childPath := node.Content[i].Value
 			if path != "" {
-				below = path + "." + below
+				childPath = path + "." + childPath
 			}
-			collect(node.Content[i+1], below, into)
+			collectLeaves(node.Content[i+1], childPath, into)
 		}
 	case yaml.SequenceNode:
 		for i, child := range node.Content {
-			collect(child, fmt.Sprintf("%s[%d]", path, i), into)
+			collectLeaves(child, fmt.Sprintf("%s[%d]", path, i), into)
 		}
 	default:
 		into[path] = node.Value
@@ -88,12 +89,12 @@
 	maps.Copy(paths, after)
 	var lines []changeLine
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
-		from, was := before[path]
-		to, is := after[path]
+		from, hadValue := before[path]
+		to, hasValue := after[path]
 		switch {
-		case !was:
+		case !hadValue:
 			lines = append(lines, changeLine{Kind: configuration.ChangeAdd, Field: path, To: to})
-		case !is:
+		case !hasValue:
 			lines = append(lines, changeLine{Kind: configuration.ChangeRemove, Field: path, From: from})
 		case from != to:
 			lines = append(lines, changeLine{Kind: configuration.ChangeUpdate, Field: path, From: from, To: to})
@@ -105,15 +106,15 @@
 	return lines
 }
 
-// shownRunes bounds how much of a value a line shows.
-const shownRunes = 60
+// maxShownRunes bounds how much of a value a line shows.
+const maxShownRunes = 60
 
-func shown(value string) string {
+func abbreviate(value string) string {
 	runes := []rune(value)
-	if len(runes) <= shownRunes {
+	if len(runes) <= maxShownRunes {
 		return fmt.Sprintf("%q", value)
 	}
-	return fmt.Sprintf("%q...", string(runes[:shownRunes]))
+	return fmt.Sprintf("%q...", string(runes[:maxShownRunes]))
 }
 
 func writeLines(w io.Writer, lines []changeLine) error {
@@ -130,11 +131,11 @@
 		text := signs[line.Kind] + " " + line.Field
 		switch {
 		case line.From != "" && line.To != "":
-			text += ": " + shown(line.From) + " -> " + shown(line.To)
+			text += ": " + abbreviate(line.From) + " -> " + abbreviate(line.To)
 		case line.To != "":
-			text += ": " + shown(line.To)
+			text += ": " + abbreviate(line.To)
 		case line.From != "":
-			text += ": was " + shown(line.From)
+			text += ": was " + abbreviate(line.From)
 		}
 		if _, err := fmt.Fprintln(w, text); err != nil {
 			return err
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// writeYAML prints a value as operators write it.
+// writeYAML prints a value in the format of the configuration files.
 func writeYAML[Value any](w io.Writer, value Value) error {
 	encoder := yaml.NewEncoder(w)
 	encoder.SetIndent(2)
@@ -153,7 +154,7 @@
 	return eris.Wrap(encoder.Close(), "write")
 }
 
-// sorted returns the keys of a map in order.
+// sorted returns the sorted keys of a map.
 func sorted[Name ~string, Value any](values map[Name]Value) []Name {
 	return slices.Sorted(maps.Keys(values))
 }
--- a/internal/command/config_history.go
+++ b/internal/command/config_history.go
@@ -11,7 +11,7 @@
 	"github.com/mintpulley/mintpulley/internal/operator"
 )
 
-// defaultHistoryLength is how many changes are listed.
+// defaultHistoryLength is the default of --limit.
 const defaultHistoryLength = 20
 
 func configHistoryCommand() *cli.Command {
@@ -19,7 +19,7 @@
 		Name:      "history",
 		Usage:     "list the latest changes with their verdicts, or explain one",
 		ArgsUsage: "[OPERATION]",
-		Description: `Every daemon comes to the same verdict on every change, also on refused ones.
+		Description: `All daemons reach the same verdict on every change. Refused changes are listed, too.
 
 Examples:
   mintpulley config history --daemon 10.0.0.1:7001 --limit 50
@@ -30,7 +30,7 @@
 }
 
 func runConfigHistory(_ context.Context, command *cli.Command) error {
-	client, o, err := prepared(command)
+	client, o, err := clientAndOutput(command)
 	if err != nil {
 		return err
 	}
--- a/internal/command/config_publish.go
+++ b/internal/command/config_publish.go
@@ -21,12 +21,12 @@
 	"github.com/mintpulley/mintpulley/internal/yamlfile"
 )
 
-// unsetBase stands for the revision in force.
+// unsetBase is the default of --base: the revision in force.
 const unsetBase = -1
 
-func changeFlags() []cli.Flag {
+func removalFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.BoolFlag{Name: "prune", Usage: "remove what is in force and in none of the files"},
+		&cli.BoolFlag{Name: "prune", Usage: "remove entries in force that none of the files has"},
 		&cli.StringSliceFlag{Name: "remove", Usage: "remove `KIND/NAME`, such as tenants/old; may be repeated"},
 	}
 }
@@ -39,30 +39,30 @@
 		Description: `Examples:
   mintpulley config diff --daemon 10.0.0.1:7001 examples/tally
   mintpulley config diff --daemon 10.0.0.1:7001 --prune everything/`,
-		Flags: withClientFlags(changeFlags()...),
+		Flags: withClientFlags(removalFlags()...),
 		Action: func(_ context.Context, command *cli.Command) error {
 			p, err := prepareChange(command)
 			if err != nil {
 				return err
 			}
-			return write(p.output, p.lines(), writeLines)
+			return write(p.output, p.changedFields(), writeLines)
 		},
 	}
 }
 
 func configPublishCommand() *cli.Command {
-	flags := append(changeFlags(),
-		&cli.BoolFlag{Name: "dry-run", Usage: "say what would happen and change nothing"},
-		&cli.Int64Flag{Name: "base", Value: unsetBase, Usage: "`REVISION` the change builds on; the one in force if not given"},
-		&cli.StringFlag{Name: "operation", Usage: "`ID` of an earlier try whose outcome is not known; it applies once"},
-		&cli.StringFlag{Name: "comment", Usage: "`TEXT` for the history"},
+	flags := append(removalFlags(),
+		&cli.BoolFlag{Name: "dry-run", Usage: "print what would happen and change nothing"},
+		&cli.Int64Flag{Name: "base", Value: unsetBase, Usage: "`REVISION` that the change is based on; by default the one in force"},
+		&cli.StringFlag{Name: "operation", Usage: "`ID` of an earlier attempt with unknown outcome; an operation applies at most once"},
+		&cli.StringFlag{Name: "comment", Usage: "`TEXT` shown in the history"},
 	)
 	return &cli.Command{
 		Name:      "publish",
 		Usage:     "publish files to the fleet",
 		ArgsUsage: "FILE|DIRECTORY...",
-		Description: `Sets what the files name and leaves the rest; --prune removes the rest. One
-publication is one change: it comes into force whole or not at all.
+		Description: `Sets the entries in the files and keeps all others; --prune removes the others.
+A publication is atomic: it comes into force as a whole or not at all.
 
 Examples:
   mintpulley config publish --daemon 10.0.0.1:7001 --dry-run examples/tally
@@ -74,7 +74,8 @@
 	}
 }
 
-// preparedChange is a change that is ready to be published.
+// preparedChange is a change computed from files and flags, with the
+// configuration in force that it is based on.
 type preparedChange struct {
 	output  output
 	client  *operator.Client
@@ -83,9 +84,9 @@
 	change  structs.Change
 }
 
-// prepareChange compares the files with what is in force.
+// prepareChange computes the change from the configuration in force to the files.
 func prepareChange(command *cli.Command) (*preparedChange, error) {
-	client, o, err := prepared(command)
+	client, o, err := clientAndOutput(command)
 	if err != nil {
 		return nil, err
 	}
@@ -103,11 +104,11 @@
 	p := &preparedChange{output: o, client: client, wanted: wanted, current: inForce.Configuration}
 	p.change.Base = inForce.Status.Revision
 	p.change.Patch = configuration.Diff(p.current, &wanted.Configuration, wanted.Fleet, command.Bool("prune"))
-	return p, remove(&p.change.Patch, removals)
+	return p, addRemovals(&p.change.Patch, removals)
 }
 
-// remove adds removals to a patch.
-func remove(patch *structs.Patch, removals []string) error {
+// addRemovals adds the entries of --remove, KIND/NAME each, to a patch.
+func addRemovals(patch *structs.Patch, removals []string) error {
 	for _, removal := range removals {
 		kind, name, named := strings.Cut(removal, "/")
 		switch {
@@ -123,19 +124,19 @@
 			return eris.Errorf("--remove: there is no kind %q", kind)
 		}
 	}
-	patch.Models.Remove = canonical(patch.Models.Remove)
-	patch.Templates.Remove = canonical(patch.Templates.Remove)
-	patch.Tenants.Remove = canonical(patch.Tenants.Remove)
+	patch.Models.Remove = sortedUnique(patch.Models.Remove)
+	patch.Templates.Remove = sortedUnique(patch.Templates.Remove)
+	patch.Tenants.Remove = sortedUnique(patch.Tenants.Remove)
 	return nil
 }
 
-// canonical sorts names and drops repeated ones.
-func canonical[Name ~string](names []Name) []Name {
+// sortedUnique sorts names and removes duplicates.
+func sortedUnique[Name ~string](names []Name) []Name {
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// publishReport is the JSON of config publish.
+// publishReport is the JSON output of config publish.
 type publishReport struct {
 	DryRun      bool                   `json:"dry_run"`
 	OperationID string                 `json:"operation_id"`
@@ -151,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	report := publishReport{DryRun: command.Bool("dry-run"), Changes: p.lines()}
+	report := publishReport{DryRun: command.Bool("dry-run"), Changes: p.changedFields()}
 	p.change.OperationID = command.String("operation")
 	p.change.Comment = command.String("comment")
 	p.change.At = time.Now().UTC()
@@ -206,7 +207,7 @@
 	return &verdict, "", err
 }
 
-// operationIDBytes is the length of the random part of an operation.
+// operationIDBytes is the length of the random part of an operation ID.
 const operationIDBytes = 8
 
 func newOperationID() string {
--- a/internal/command/daemon.go
+++ b/internal/command/daemon.go
@@ -17,8 +17,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-const daemonDescription = `Runs until SIGTERM or SIGINT; then it stops as planned: no request is cut.
-Settings come from a YAML file, from flags, or both; flags go first.
+const daemonDescription = `Runs until SIGTERM or SIGINT, then shuts down gracefully: no request is aborted.
+Settings come from a YAML file, from flags, or both; flags take precedence.
 
 Examples:
   mintpulley daemon --settings daemon.yaml
@@ -29,7 +29,7 @@
 func daemonCommand() *cli.Command {
 	flags := []cli.Flag{
 		&cli.StringFlag{Name: "settings", Usage: "the settings `FILE`", TakesFile: true},
-		&cli.BoolFlag{Name: "check", Usage: "check the settings, say what is wrong, and end"},
+		&cli.BoolFlag{Name: "check", Usage: "check the settings, print problems, and exit"},
 	}
 	for _, flag := range settingFlags() {
 		flags = append(flags, flag.flag)
@@ -64,9 +64,9 @@
 		return err
 	}
 	<-ctx.Done()
-	bounded, cancel := context.WithTimeout(context.Background(), config.Limits.ShutdownTimeout)
+	shutdownContext, cancel := context.WithTimeout(context.Background(), config.Limits.ShutdownTimeout)
 	defer cancel()
-	return d.Stop(bounded)
+	return d.Stop(shutdownContext)
 }
 
 func newLogger(config settings.Settings) (zerolog.Logger, error) {
@@ -81,14 +81,14 @@
 	return zerolog.New(writer).Level(level).With().Timestamp().Logger(), nil
 }
 
-// settingFlag is a flag that sets one field of the settings.
+// settingFlag is a flag that overrides one field of the settings.
 type settingFlag struct {
 	flag  cli.Flag
 	field string
 	apply func(command *cli.Command, name string, target *settings.Settings)
 }
 
-// overridesOf returns the settings that were given as flags.
+// overridesOf returns an override for each setting given as a flag.
 func overridesOf(command *cli.Command) []settings.Override {
 	var overrides []settings.Override
 	for _, entry := range settingFlags() {
@@ -105,8 +105,9 @@
 	return overrides
 }
 
-// fromFile stands in the help where a flag has no default of its own.
-const fromFile = "the settings file's"
+// fromFile is the default that the help shows for flags that fall back on
+// the settings file.
+const settingsFileDefault = "the settings file's"
 
 func settingFlags() []settingFlag {
 	return []settingFlag{
@@ -120,25 +121,25 @@
 			func(c *cli.Command, name string, s *settings.Settings) {
 				s.Region = structs.RegionName(c.String(name))
 			}},
-		{&cli.IntFlag{Name: "shards", DefaultText: fromFile, Usage: "`NUMBER` of program shards, the same in the whole fleet"}, "shards",
+		{&cli.IntFlag{Name: "shards", DefaultText: settingsFileDefault, Usage: "`NUMBER` of program shards, the same in the whole fleet"}, "shards",
 			func(c *cli.Command, name string, s *settings.Settings) { s.Shards = c.Int(name) }},
 		{&cli.StringSliceFlag{Name: "event-log", Usage: "`IP:PORT` of the log service; may be repeated"}, "event_log.addresses",
 			func(c *cli.Command, name string, s *settings.Settings) { s.EventLog.Addresses = c.StringSlice(name) }},
-		{&cli.StringFlag{Name: "event-log-driver", Usage: "`NAME` of the log service's dialect"}, "event_log.driver",
+		{&cli.StringFlag{Name: "event-log-driver", Usage: "`NAME` of the log service's driver"}, "event_log.driver",
 			func(c *cli.Command, name string, s *settings.Settings) { s.EventLog.Driver = c.String(name) }},
 		{&cli.StringSliceFlag{Name: "machine-list", Usage: "`IP:PORT` of the machine list; may be repeated"}, "machine_list.addresses",
 			func(c *cli.Command, name string, s *settings.Settings) { s.MachineList.Addresses = c.StringSlice(name) }},
-		{&cli.StringFlag{Name: "machine-list-driver", Usage: "`NAME` of the machine list's dialect"}, "machine_list.driver",
+		{&cli.StringFlag{Name: "machine-list-driver", Usage: "`NAME` of the machine list's driver"}, "machine_list.driver",
 			func(c *cli.Command, name string, s *settings.Settings) { s.MachineList.Driver = c.String(name) }},
-		{&cli.StringFlag{Name: "engines-driver", Usage: "`NAME` of the engines' dialect"}, "engines.driver",
+		{&cli.StringFlag{Name: "engines-driver", Usage: "`NAME` of the engines' driver"}, "engines.driver",
 			func(c *cli.Command, name string, s *settings.Settings) { s.Engines.Driver = c.String(name) }},
-		{&cli.StringFlag{Name: "applications-driver", Usage: "`NAME` of the applications' dialect"}, "applications.driver",
+		{&cli.StringFlag{Name: "applications-driver", Usage: "`NAME` of the applications' driver"}, "applications.driver",
 			func(c *cli.Command, name string, s *settings.Settings) { s.Applications.Driver = c.String(name) }},
-		{&cli.IntFlag{Name: "queue", DefaultText: fromFile, Usage: "`NUMBER` of calls that may wait"}, "limits.queue",
+		{&cli.IntFlag{Name: "queue", DefaultText: settingsFileDefault, Usage: "`NUMBER` of calls that may be queued"}, "limits.queue",
 			func(c *cli.Command, name string, s *settings.Settings) { s.Limits.MaxQueuedCalls = c.Int(name) }},
-		{&cli.DurationFlag{Name: "call-timeout", DefaultText: fromFile, Usage: "`DURATION` a call may take when its caller names none"}, "limits.call_timeout",
+		{&cli.DurationFlag{Name: "call-timeout", DefaultText: settingsFileDefault, Usage: "`DURATION` that a call may take if its caller sets no timeout"}, "limits.call_timeout",
 			func(c *cli.Command, name string, s *settings.Settings) { s.Limits.CallTimeout = c.Duration(name) }},
-		{&cli.DurationFlag{Name: "stop-timeout", DefaultText: fromFile, Usage: "`DURATION` a planned stop may take"}, "limits.stop_timeout",
+		{&cli.DurationFlag{Name: "stop-timeout", DefaultText: settingsFileDefault, Usage: "`DURATION` that a graceful shutdown may take"}, "limits.stop_timeout",
 			func(c *cli.Command, name string, s *settings.Settings) { s.Limits.ShutdownTimeout = c.Duration(name) }},
 		{&cli.StringFlag{Name: "log-level", Usage: "`LEVEL`: trace, debug, info, warn or error"}, "log_level",
 			func(c *cli.Command, name string, s *settings.Settings) { s.LogLevel = c.String(name) }},
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// formatFlag chooses between a table for people and JSON for programs.
+// formatFlag selects the output format, table or JSON.
 func formatFlag() cli.Flag {
 	return &cli.StringFlag{Name: "format", Value: "table", Usage: "`table` or json"}
 }
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -24,16 +24,16 @@
 			"mintpulley experiment --workload chlebnet --seeds 5 --report out/",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "workload", Value: workload.TallyName, Usage: "tally or chlebnet"},
-			&cli.FloatFlag{Name: "load", Value: 0.85, Usage: "arrivals in parts of the fleet's capacity"},
+			&cli.FloatFlag{Name: "load", Value: 0.85, Usage: "arrival rate as a fraction of the fleet's capacity"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds in a row; all their programs count together"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of consecutive seeds; their programs are evaluated together"},
 			&cli.FloatFlag{Name: "duration", Value: experiment.DefaultDuration, Usage: "how long programs arrive, in virtual seconds"},
-			&cli.StringSliceFlag{Name: "policies", Value: experiment.Policies(), Usage: "which policies to run; steady-bound is also known"},
-			&cli.BoolFlag{Name: "without-transfers", Usage: "mintpulley moves no caches between engines"},
-			&cli.BoolFlag{Name: "degraded", Usage: "load reports 2 s old and a third of cache events lost"},
-			&cli.FloatSliceFlag{Name: "sweep", Usage: "further loads, for the report's load sweep"},
+			&cli.StringSliceFlag{Name: "policies", Value: experiment.Policies(), Usage: "which policies to run; steady-bound is also available"},
+			&cli.BoolFlag{Name: "without-transfers", Usage: "the mintpulley policy transfers no caches between engines"},
+			&cli.BoolFlag{Name: "degraded", Usage: "load reports are 2 s old and a third of the cache events is lost"},
+			&cli.FloatSliceFlag{Name: "sweep", Usage: "additional loads for the load sweep of the report"},
 			&cli.StringFlag{Name: "report", Usage: "write an HTML page with plots into `DIR`"},
-			&cli.StringFlag{Name: "trace", Usage: "replay this trace if the `FILE` exists, else save the first seed's there"},
+			&cli.StringFlag{Name: "trace", Usage: "replay the trace in `FILE` if it exists, else save the first seed's trace there"},
 			formatFlag(),
 		},
 		Action: runExperiment,
@@ -75,7 +75,7 @@
 	return printExperiment(command.Root().Writer, command.String("format"), result)
 }
 
-// experimentTraces draws a trace per seed, or reads the one that was saved.
+// experimentTraces generates a trace per seed, or reads the saved one.
 func experimentTraces(file string, shape *workload.Shape, options *experiment.Options) ([]workload.Trace, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -114,9 +114,9 @@
 func writeReport(directory string, shape *workload.Shape, options *experiment.Options, result experiment.Result, loads []float64) error {
 	page := report.Page{Result: result}
 	for _, load := range loads {
-		further := *options
-		further.Load = load
-		swept, err := experiment.Compare(shape, &further, experiment.Traces(shape, &further))
+		sweepOptions := *options
+		sweepOptions.Load = load
+		swept, err := experiment.Compare(shape, &sweepOptions, experiment.Traces(shape, &sweepOptions))
 		if err != nil {
 			return err
 		}
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -17,54 +17,55 @@
 )
 
 const (
-	// memberTimeout bounds the question to each daemon.
+	// memberTimeout bounds the request to each daemon.
 	memberTimeout = 3 * time.Second
-	// membersAtOnce bounds the questions under way.
-	membersAtOnce = 16
+	// membersAtOnce bounds the number of concurrent requests to daemons.
+	maxConcurrentMembers = 16
 )
 
 func fleetCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "fleet",
-		Usage: "look at the fleet",
+		Usage: "inspect the fleet",
 		Commands: []*cli.Command{{
 			Name:  "status",
-			Usage: "show daemons, how far each has the configuration, and back ends",
-			Description: `Asks one daemon for the members it knows, then each of them for itself.
+			Usage: "show daemons, the configuration revision of each, and back ends",
+			Description: `Asks one daemon for the members that it knows, then each member for its own status.
 
 Examples:
   mintpulley fleet status --daemon 10.0.0.1:7001
   mintpulley fleet status --daemon 10.0.0.1:7001 --format json
 
-Exit codes: 0 all daemons answer and agree, 1 some do not, 2 bad use or no answer.`,
+Exit codes: 0 all daemons answer and agree, 1 some do not, 2 wrong usage or no answer.`,
 			Flags:  clientFlags(),
 			Action: runFleetStatus,
 		}},
 	}
 }
 
-// fleetReport is the JSON of fleet status.
+// fleetReport is the JSON output of fleet status.
 type fleetReport struct {
 	Daemons  []daemonReport    `json:"daemons"`
 	Machines []structs.Machine `json:"machines"`
 	// Revision is the highest in force at any daemon.
 	Revision structs.Revision `json:"revision"`
-	// Behind counts daemons that do not answer, do not serve, or have not got
-	// that revision.
+	// Behind counts daemons that do not answer, do not serve, or have an older
+	// revision.
 	Behind int `json:"behind"`
 }
 
-// daemonReport is one daemon: what the asked one believes, and its own word.
+// daemonReport is one daemon's entry in the member list of the daemon asked
+// first, and its own status if it answered.
 type daemonReport struct {
 	Member   membership.Member `json:"member"`
 	Answered bool              `json:"answered"`
-	// Configuration is the daemon's own word.
+	// Configuration is reported by the daemon itself.
 	Configuration operator.ConfigurationStatus `json:"configuration"`
 	Shards        replication.Summary          `json:"shards"`
 }
 
 func runFleetStatus(_ context.Context, command *cli.Command) error {
-	client, o, err := prepared(command)
+	client, o, err := clientAndOutput(command)
 	if err != nil {
 		return err
 	}
@@ -72,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	report := fleetReport{Daemons: askMembers(client, fleet.Members), Machines: fleet.Machines}
+	report := fleetReport{Daemons: queryMembers(client, fleet.Members), Machines: fleet.Machines}
 	for _, daemon := range report.Daemons {
 		report.Revision = max(report.Revision, daemon.Configuration.Revision)
 	}
@@ -90,10 +91,10 @@
 	return nil
 }
 
-// askMembers asks all members for themselves, a few at once.
-func askMembers(client *operator.Client, members []membership.Member) []daemonReport {
+// queryMembers asks all members for their status, a few concurrently.
+func queryMembers(client *operator.Client, members []membership.Member) []daemonReport {
 	reports := make([]daemonReport, len(members))
-	slots := make(chan struct{}, membersAtOnce)
+	slots := make(chan struct{}, maxConcurrentMembers)
 	var group sync.WaitGroup
 	for i, member := range members {
 		reports[i].Member = member
--- a/internal/command/goodput.go
+++ b/internal/command/goodput.go
@@ -18,18 +18,18 @@
 func goodputCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "goodput",
-		Usage: "measure on a virtual clock what a small fleet completes of what it is offered",
+		Usage: "measure the goodput of a small fleet on a virtual clock",
 		UsageText: "mintpulley goodput --rate 1 --rate 2 --rate 4\n" +
 			"mintpulley goodput --course retry_storm --rate 8\n" +
 			"mintpulley goodput --seed 3 --format json",
 		Description: "Three daemons, three engines; programs of one to five calls, each with a\n" +
-			"deadline of 10 s. Refused callers come back when told. The same arguments give\n" +
-			"the same bytes. Courses:\n" + describeCourses(),
+			"deadline of 10 s. Refused callers retry after the time they are told. The same\n" +
+			"arguments give the same output. Courses:\n" + describeCourses(),
 		Flags: []cli.Flag{
 			formatFlag(),
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the `NUMBER` that every random choice comes from"},
-			&cli.StringFlag{Name: "course", Value: "steady", Usage: "the `NAME` of what goes wrong meanwhile"},
-			&cli.FloatSliceFlag{Name: "rate", Value: []float64{2, 4, 6, 8, 12, 16, 24}, Usage: "offered `PROGRAMS` a second; may be repeated"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`NUMBER` that seeds all random choices"},
+			&cli.StringFlag{Name: "course", Value: "steady", Usage: "`NAME` of the faults injected during the run"},
+			&cli.FloatSliceFlag{Name: "rate", Value: []float64{2, 4, 6, 8, 12, 16, 24}, Usage: "offered `PROGRAMS` per second; may be repeated"},
 		},
 		Action: runGoodput,
 	}
@@ -46,7 +46,7 @@
 func runGoodput(_ context.Context, command *cli.Command) error {
 	course, found := scenario.FindGoodputCourse(command.String("course"))
 	if !found {
-		return eris.Errorf("--course: there is no %q", command.String("course"))
+		return eris.Errorf("--course: unknown course %q", command.String("course"))
 	}
 	points := scenario.Goodput(scenario.GoodputOptions{
 		Seed:   command.Uint64("seed"),
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -17,31 +17,33 @@
 )
 
 const (
-	// daemonWait bounds the wait for a daemon to be ready.
-	daemonWait = 2 * time.Minute
-	// streamTokenTime is the time between tokens of the stand-in engines.
+	// daemonReadyTimeout bounds the wait for a daemon to be ready.
+	daemonReadyTimeout = 2 * time.Minute
+	// streamTokenTime is the interval between tokens of the stand-in engines.
 	streamTokenTime = 30 * time.Millisecond
-	// streamEngines and streamsPerEngine are enough for a few thousand streams.
+	// streamEngines and streamsPerEngine allow a few thousand streams.
 	streamEngines    = 4
 	streamsPerEngine = 1024
-	// streamSettle is the time for all streams to begin.
-	streamSettle = 8 * time.Second
-	// straightStreams run straight to an engine beside those through the daemon.
-	straightStreams = 20
-	// firstTokenCalls are made each way before the streams begin.
+	// streamWarmUp is the time for all streams to begin.
+	streamWarmUp = 8 * time.Second
+	// straightStreams go directly to an engine, for comparison with those through
+	// the daemon.
+	directStreams = 20
+	// firstTokenCalls is the number of calls made directly and through the daemon
+	// before the streams begin.
 	firstTokenCalls = 200
 )
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "drive daemons with programs at a given rate, and measure",
-		Description: "Programs arrive at their times whether or not former ones were answered; their\n" +
-			"latency counts from the time they were due.\n\n" +
+		Usage: "run programs against daemons at a given rate and measure latencies",
+		Description: "Programs arrive on schedule whether or not earlier ones were answered; latency\n" +
+			"counts from the scheduled arrival.\n\n" +
 			"Examples:\n" +
 			"  mintpulley load --embedded --workload tally --rate 20 --duration 10s\n" +
 			"  mintpulley load --address 10.0.0.1:8080 --key KEY --template order --model m --workload chlebnet --rate 5\n\n" +
-			"What one daemon takes per token, in a process of its own:\n" +
+			"Processor time per token of one daemon in a process of its own:\n" +
 			"  mintpulley load --streams 1000 --stand-ins daemon.yaml &\n" +
 			"  GOMAXPROCS=1 mintpulley daemon --settings daemon.yaml",
 		Flags: []cli.Flag{
@@ -52,15 +54,15 @@
 			&cli.FloatFlag{Name: "rate", Value: 10, Usage: "`PROGRAMS` per second"},
 			&cli.DurationFlag{Name: "duration", Value: 10 * time.Second, Usage: "how long programs arrive"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`seed` of all random choices"},
-			&cli.Int64Flag{Name: "answer-tokens", Usage: "bound each answer to `N` tokens"},
-			&cli.BoolFlag{Name: "leave-waiting", Usage: "do not end the programs, to see what they take while they wait"},
+			&cli.Int64Flag{Name: "answer-tokens", Usage: "limit each answer to `N` tokens"},
+			&cli.BoolFlag{Name: "leave-waiting", Usage: "do not end the programs, to measure what waiting ones cost"},
 			&cli.StringFlag{Name: "key", Usage: "the tenant's bearer `KEY`"},
 			&cli.StringFlag{Name: "template", Usage: "the `TEMPLATE` of programs"},
 			&cli.StringFlag{Name: "model", Usage: "the `MODEL` of calls"},
-			&cli.StringFlag{Name: "target", Usage: "the application of orders, `NAME`"},
-			&cli.StringFlag{Name: "operation", Usage: "the operation of orders, `NAME`"},
-			&cli.IntFlag{Name: "streams", Usage: "hold `N` streams at one daemon in place of a workload"},
-			&cli.StringFlag{Name: "stand-ins", Usage: "with --streams: play engines and platform, write the daemon's settings to `FILE`, and wait for it"},
+			&cli.StringFlag{Name: "target", Usage: "`NAME` of the application that takes orders"},
+			&cli.StringFlag{Name: "operation", Usage: "`NAME` of the operation that places an order"},
+			&cli.IntFlag{Name: "streams", Usage: "hold `N` streams open at one daemon instead of running a workload"},
+			&cli.StringFlag{Name: "stand-ins", Usage: "with --streams: run stand-ins for engines and platform, write the daemon's settings to `FILE`, and wait for it"},
 		},
 		Action: runLoad,
 	}
@@ -142,7 +144,7 @@
 		return eris.New("load: --streams needs --stand-ins")
 	}
 	window := command.Duration("duration")
-	tokens := int64((window+2*streamSettle)/streamTokenTime) * 2
+	tokens := int64((window+2*streamWarmUp)/streamTokenTime) * 2
 	settings := engine.DefaultSettings(load.StandInModels()...)
 	settings.Parameters.StepBase = streamTokenTime
 	settings.Parameters.StepPerSequence = 0
@@ -155,18 +157,18 @@
 		return err
 	}
 	defer standIns.Close()
-	waiting, cancel := context.WithTimeout(ctx, daemonWait)
+	readyContext, cancel := context.WithTimeout(ctx, daemonReadyTimeout)
 	defer cancel()
-	if err := standIns.WaitForDaemon(waiting); err != nil {
+	if err := standIns.WaitForDaemon(readyContext); err != nil {
 		return err
 	}
 	result, err := load.MeasureStreams(ctx, load.StreamOptions{
 		Address:      standIns.HTTPAddress,
 		Engines:      standIns.Engines,
 		Streams:      int(command.Int("streams")),
-		Straight:     straightStreams,
+		Straight:     directStreams,
 		Relayed:      int(command.Int("streams")),
-		Settle:       streamSettle,
+		Settle:       streamWarmUp,
 		Window:       window,
 		AnswerTokens: tokens,
 		Calls:        firstTokenCalls,
@@ -180,7 +182,7 @@
 // measurement is a result that can be shown as a table.
 type measurement interface{ WriteTable(w io.Writer) }
 
-// writeMeasurement prints a result in the form that --format asks for.
+// writeMeasurement prints a result in the format selected by --format.
 func writeMeasurement(command *cli.Command, result measurement) error {
 	if command.String("format") == "json" {
 		return load.WriteJSON(command.Root().Writer, result)
--- a/internal/command/operators.go
+++ b/internal/command/operators.go
@@ -13,7 +13,7 @@
 	"github.com/mintpulley/mintpulley/internal/operator"
 )
 
-// Formats of an operators' command.
+// Values of --format.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
@@ -27,7 +27,7 @@
 	errArguments = eris.New("wrong number of arguments")
 )
 
-// clientFlags say which daemons to ask and with which key.
+// clientFlags select the daemons to ask, the operator key and the output format.
 func clientFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringSliceFlag{Name: "daemon", Usage: "`IP:PORT` of a daemon; repeat it to try others in turn", Sources: cli.EnvVars("MINTPULLEY_DAEMON")},
@@ -39,7 +39,7 @@
 
 func withClientFlags(more ...cli.Flag) []cli.Flag { return append(clientFlags(), more...) }
 
-// clientOf returns a client as the flags describe it.
+// clientOf returns a client for the daemons and the key given by flags.
 func clientOf(command *cli.Command) (*operator.Client, error) {
 	addresses := command.StringSlice("daemon")
 	if len(addresses) == 0 {
@@ -59,7 +59,7 @@
 	return operator.NewClient(addresses, key), nil
 }
 
-// output writes what a command found, as a table or as JSON.
+// output is where and in which format a command prints its result.
 type output struct {
 	writer io.Writer
 	json   bool
@@ -73,7 +73,7 @@
 	return output{writer: command.Root().Writer, json: format == formatJSON}, nil
 }
 
-// write prints a value as JSON, or calls text.
+// write prints a value as JSON, or calls text to print it for people.
 func write[Value any](o output, value Value, text func(io.Writer, Value) error) error {
 	if !o.json {
 		return text(o.writer, value)
@@ -93,8 +93,8 @@
 	return t
 }
 
-// client and output of a command, in one step.
-func prepared(command *cli.Command) (*operator.Client, output, error) {
+// clientAndOutput returns the client and the output given by flags.
+func clientAndOutput(command *cli.Command) (*operator.Client, output, error) {
 	o, err := outputOf(command)
 	if err != nil {
 		return nil, o, err
--- a/internal/command/operators_test.go
+++ b/internal/command/operators_test.go
@@ -25,12 +25,12 @@
 
 const operatorKey = "test-key"
 
-// startFleet runs three daemons in three zones with their platform and returns
-// the HTTP address of one.
+// startFleet runs three daemons in three zones with a stand-in platform and
+// returns the HTTP address of one.
 func startFleet(t *testing.T) string {
 	t.Helper()
-	log := httptest.NewServer(eventlog.New())
-	t.Cleanup(log.Close)
+	logServer := httptest.NewServer(eventlog.New())
+	t.Cleanup(logServer.Close)
 	var machines []structs.Machine
 	configs := make([]settings.Settings, 3)
 	for i := range configs {
@@ -45,7 +45,7 @@
 	t.Cleanup(list.Close)
 	var daemons []*daemon.Daemon
 	for _, config := range configs {
-		config.EventLog.Addresses = []string{strings.TrimPrefix(log.URL, "http://")}
+		config.EventLog.Addresses = []string{strings.TrimPrefix(logServer.URL, "http://")}
 		config.MachineList.Addresses = []string{strings.TrimPrefix(list.URL, "http://")}
 		config.Operators = []settings.Operator{{Name: "ops", KeyHash: operator.KeyHash(operatorKey)}}
 		daemons = append(daemons, startDaemon(t, config))
@@ -72,7 +72,7 @@
 	return d
 }
 
-// await waits until something holds.
+// await waits until a condition holds.
 func await(t *testing.T, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !holds(); {
@@ -95,7 +95,7 @@
 	return out.String(), command.ExitCode(err)
 }
 
-// step is one command with what it must print.
+// step is a command with its expected exit code and output.
 type step struct {
 	arguments string
 	code      int
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestOperatorsCommands(t *testing.T) {
+func TestOperatorCommands(t *testing.T) {
 	t.Setenv("MINTPULLEY_DAEMON", startFleet(t))
 	t.Setenv("MINTPULLEY_OPERATOR_KEY", operatorKey)
 	broken := filepath.Join(t.TempDir(), "broken.yaml")
@@ -168,13 +168,13 @@
 		t.Fatal(err)
 	}
 	step{"config check " + path, 1, path + ":4: tenants.shop.sahre: is not a known field"}.run(t)
-	// What can be read is judged too.
+	// An unknown field does not keep the rest from being checked.
 	step{"config check " + path, 1, path + ":2: tenants.shop.share: is 0"}.run(t)
 	step{"config check ../../examples/chlebnet", 0, "good"}.run(t)
 	step{"config check ../../examples/absent", 1, "no such file"}.run(t)
 }
 
-func TestOperatorsJSON(t *testing.T) {
+func TestOperatorCommandsPrintJSON(t *testing.T) {
 	t.Setenv("MINTPULLEY_DAEMON", startFleet(t))
 	t.Setenv("MINTPULLEY_OPERATOR_KEY", operatorKey)
 	if out, code := run("config", "publish", "--format", "json", "../../examples/tally"); code != 0 {
--- a/internal/command/programs.go
+++ b/internal/command/programs.go
@@ -15,7 +15,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// defaultProgramLimit is how many programs are listed.
+// defaultProgramLimit is the default of --limit.
 const defaultProgramLimit = 50
 
 const programArgument = "TENANT:PROGRAM"
@@ -23,7 +23,7 @@
 func programsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "programs",
-		Usage: "look at programs through any daemon",
+		Usage: "inspect programs through any daemon",
 		Commands: []*cli.Command{
 			{
 				Name:  "list",
@@ -44,7 +44,7 @@
 				Description: `Examples:
   mintpulley programs show --daemon 10.0.0.1:7001 tally-north:summary-17
   mintpulley programs show --daemon 10.0.0.1:7001 --history tally-north:summary-17/lookup`,
-				Flags:  withClientFlags(&cli.BoolFlag{Name: "history", Usage: "print the conversation too"}),
+				Flags:  withClientFlags(&cli.BoolFlag{Name: "history", Usage: "also print the conversation"}),
 				Action: runProgramsShow,
 			},
 			{
@@ -61,7 +61,7 @@
 }
 
 func runProgramsList(_ context.Context, command *cli.Command) error {
-	client, o, err := prepared(command)
+	client, o, err := clientAndOutput(command)
 	if err != nil {
 		return err
 	}
@@ -96,10 +96,10 @@
 	return "live"
 }
 
-// program asks for the program that the command's argument names.
-func program(command *cli.Command, history bool) (dispatch.ProgramDescription, output, error) {
+// fetchProgram asks a daemon for the program named by the command's argument.
+func fetchProgram(command *cli.Command, history bool) (dispatch.ProgramDescription, output, error) {
 	var none dispatch.ProgramDescription
-	client, o, err := prepared(command)
+	client, o, err := clientAndOutput(command)
 	if err != nil {
 		return none, o, err
 	}
@@ -108,16 +108,16 @@
 		return none, o, eris.Wrapf(errArguments, "want %s", programArgument)
 	}
 	key := structs.ProgramKey{Tenant: structs.TenantName(tenant), Program: structs.ProgramID(id)}
-	described, err := client.Program(key, history)
-	return described, o, err
+	description, err := client.Program(key, history)
+	return description, o, err
 }
 
 func runProgramsShow(_ context.Context, command *cli.Command) error {
-	described, o, err := program(command, command.Bool("history"))
+	description, o, err := fetchProgram(command, command.Bool("history"))
 	if err != nil {
 		return err
 	}
-	return write(o, described, writeProgram)
+	return write(o, description, writeProgram)
 }
 
 func writeProgram(w io.Writer, p dispatch.ProgramDescription) error {
@@ -148,11 +148,11 @@
 }
 
 func runProgramsExplain(_ context.Context, command *cli.Command) error {
-	described, o, err := program(command, false)
+	description, o, err := fetchProgram(command, false)
 	if err != nil {
 		return err
 	}
-	return write(o, described.Decisions, writeDecisions)
+	return write(o, description.Decisions, writeDecisions)
 }
 
 func writeDecisions(w io.Writer, decisions []structs.Decision) error {
--- a/internal/command/sim.go
+++ b/internal/command/sim.go
@@ -17,27 +17,27 @@
 	"github.com/mintpulley/mintpulley/internal/simulation/scenario"
 )
 
-// simReplicas is how many seeds one run covers when --seeds is not given.
-const simReplicas = 1
+// defaultSeeds is the default of --seeds.
+const defaultSeeds = 1
 
 func simCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "sim",
-		Usage: "run the daemons' own code on a virtual clock under faults, and check what must always hold",
+		Usage: "run the daemons' code on a virtual clock under faults, and check its guarantees",
 		UsageText: "mintpulley sim --list\n" +
 			"mintpulley sim --scenario zone_partition --seed 7 --format json\n" +
 			"mintpulley sim --scenario random --seed 1 --seeds 1000\n" +
 			"mintpulley sim --scenario calm --break budget_exceeded",
-		Description: "The same arguments give the same bytes. Exit code 1 means that a promise was broken;\n" +
-			"what shows it goes to standard error. With --break, where the scenario's own faults do\n" +
-			"not try the missing guard, the scenario meant for it follows in the same report.",
+		Description: "The same arguments give the same output. Exit code 1 means that a guarantee was violated;\n" +
+			"the evidence goes to standard error. With --break, if the scenario's own faults do not\n" +
+			"exercise the disabled guard, a scenario that does runs next in the same report.",
 		Flags: []cli.Flag{
 			formatFlag(),
 			&cli.BoolFlag{Name: "list", Usage: "print the names of the scenarios"},
 			&cli.StringFlag{Name: "scenario", Value: scenario.Random, Usage: "the scenario's `NAME`"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the `NUMBER` that every random choice comes from"},
-			&cli.IntFlag{Name: "seeds", Value: simReplicas, Usage: "run this `MANY` seeds, from --seed on; a table line each"},
-			&cli.StringFlag{Name: "break", Usage: "switch off the guard against the `VIOLATION`, to see that the check finds it"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`NUMBER` that seeds all random choices"},
+			&cli.IntFlag{Name: "seeds", Value: defaultSeeds, Usage: "run this `MANY` consecutive seeds, starting at --seed; one table line each"},
+			&cli.StringFlag{Name: "break", Usage: "disable the guard against the `VIOLATION`, to test that the checker detects it"},
 			&cli.StringFlag{Name: "trace", Usage: "write every event and the daemons' logs to `FILE`"},
 		},
 		Action: runSim,
@@ -56,11 +56,11 @@
 	}
 	chosen, found := scenario.Find(command.String("scenario"))
 	if !found {
-		return eris.Errorf("sim: there is no scenario %q; see --list", command.String("scenario"))
+		return eris.Errorf("sim: unknown scenario %q; see --list", command.String("scenario"))
 	}
 	broken := checker.Violation(command.String("break"))
 	if broken != "" && !slices.Contains(checker.All(), broken) {
-		return eris.Errorf("sim: there is no violation %q", broken)
+		return eris.Errorf("sim: unknown violation %q", broken)
 	}
 	options := scenario.Options{Seed: command.Uint64("seed"), Break: broken, Logger: zerolog.Nop()}
 	if path := command.String("trace"); path != "" {
@@ -75,7 +75,7 @@
 	return runSeeds(out, command.Root().ErrWriter, chosen, options, command.Int("seeds"), command.String("format"))
 }
 
-// runSeeds runs one seed after another and prints a report each.
+// runSeeds runs consecutive seeds and prints a report for each.
 func runSeeds(out, errors io.Writer, chosen *scenario.Scenario, options scenario.Options, seeds int, format string) error {
 	failed := 0
 	for range max(seeds, 1) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs a node on the machine's clock and sockets: it opens the
-// listeners, makes the drivers that the settings name, and stops in order.
+// Package daemon runs a node on the system clock and real sockets: it opens the
+// listeners, creates the drivers named by the settings, and shuts down in order.
 package daemon
 
 import (
@@ -20,13 +20,13 @@
 	"github.com/mintpulley/mintpulley/internal/node"
 	"github.com/mintpulley/mintpulley/internal/peer"
 	"github.com/mintpulley/mintpulley/internal/peer/tcp"
-	_ "github.com/mintpulley/mintpulley/internal/plugins" // all drivers
+	_ "github.com/mintpulley/mintpulley/internal/plugins" // registers all drivers
 	"github.com/mintpulley/mintpulley/internal/program"
 	"github.com/mintpulley/mintpulley/internal/settings"
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Daemon is a running daemon.
+// Daemon is a running node with its peer transport and HTTP server.
 type Daemon struct {
 	Node      *node.Node
 	transport *tcp.Transport
@@ -34,7 +34,8 @@
 	logger    zerolog.Logger
 }
 
-// handlerSlot lets the transport start before the node that it serves.
+// handlerSlot lets the transport start before its node exists; messages received
+// until then are dropped.
 type handlerSlot struct{ node atomic.Pointer[node.Node] }
 
 // Receive implements peer.Handler.
@@ -44,7 +45,7 @@
 	}
 }
 
-// Start opens the listeners and sets the node going.
+// Start opens the listeners and starts the node.
 func Start(config settings.Settings, logger zerolog.Logger) (*Daemon, error) {
 	drivers, err := newDrivers(config)
 	if err != nil {
@@ -77,7 +78,7 @@
 		Random:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Transport: transport,
 		Drivers:   drivers,
-		Settings:  nodeSettings(config),
+		Settings:  mergeNodeSettings(config),
 		Logger:    logger,
 	})
 	slot.node.Store(n)
@@ -93,15 +94,16 @@
 	return d, nil
 }
 
-// serveHTTP answers callers until the server is shut down or closed.
+// serveHTTP serves requests until the server is shut down or closed.
 func (d *Daemon) serveHTTP(listener net.Listener) {
 	if err := d.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		d.logger.Error().Str("part", "daemon").Err(err).Msg("Callers are not served any more.")
+		d.logger.Error().Str("part", "daemon").Err(err).Msg("HTTP server failed. Callers are no longer served.")
 	}
 }
 
-// nodeSettings lays what the file sets over the defaults of the parts.
-func nodeSettings(config settings.Settings) node.Settings {
+// mergeNodeSettings returns the default node settings with the configured values
+// applied.
+func mergeNodeSettings(config settings.Settings) node.Settings {
 	result := node.DefaultSettings()
 	result.Shards = config.Shards
 	result.QueueLimit = config.Limits.MaxQueuedCalls
@@ -140,8 +142,9 @@
 	return drivers, nil
 }
 
-// Stop ends the daemon as planned, until ctx ends: new work is refused, requests
-// under way are answered and the shards passed on; then the listeners close.
+// Stop shuts the daemon down gracefully, at most until ctx ends: it refuses new
+// work, answers the requests under way and hands over its shards; then it closes
+// the listeners.
 func (d *Daemon) Stop(ctx context.Context) error {
 	left := make(chan struct{})
 	d.Node.Leave(func() { close(left) })
@@ -150,7 +153,7 @@
 	case <-left:
 	case <-ctx.Done():
 		d.logger.Warn().Str("part", "daemon").Int("shards", d.Node.Replication.ShardsNeedingThisDaemon()).
-			Msg("Stopped at the deadline. These shards have no majority without this daemon.")
+			Msg("Shutdown deadline passed. These shards have no majority without this daemon.")
 	}
 	err := d.server.Shutdown(ctx)
 	d.Node.Stop()
@@ -159,8 +162,8 @@
 	return eris.Wrap(err, "daemon: stop")
 }
 
-// Kill ends the daemon at once, as the loss of its machine would: no request
-// is answered and no shard is passed on.
+// Kill ends the daemon at once, like a crash of its machine: no request is
+// answered and no shard is handed over.
 func (d *Daemon) Kill() {
 	d.transport.Close()
 	_ = d.server.Close()
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -19,15 +19,16 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's headers.
+	// headerTimeout bounds the time to read a request's headers.
 	headerTimeout = 5 * time.Second
-	// headerBytes bounds a request's headers.
-	headerBytes = 32 << 10
-	// idleTimeout closes connections without a request.
+	// maxHeaderBytes bounds the size of a request's headers.
+	maxHeaderBytes = 32 << 10
+	// idleTimeout is how long an idle connection stays open.
 	idleTimeout = 2 * time.Minute
 )
 
-// newServer returns the HTTP server of a daemon: callers, metrics and health.
+// newServer returns the HTTP server of a daemon, which serves callers, operators,
+// metrics and health checks.
 func newServer(n *node.Node, config settings.Settings, traffic *metrics.Traffic, logger zerolog.Logger) *http.Server {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -53,7 +54,7 @@
 	return &http.Server{
 		Handler:           mux,
 		ReadHeaderTimeout: headerTimeout,
-		MaxHeaderBytes:    headerBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 		IdleTimeout:       idleTimeout,
 		ErrorLog:          log.New(httpLogger, "", 0),
 	}
@@ -73,10 +74,11 @@
 	})
 }
 
-// serveHealth tells that the process answers.
+// serveHealth always succeeds: the process is alive.
 func serveHealth(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) }
 
-// serveReady tells whether callers had better be sent here; see node.Readiness.
+// serveReady reports whether callers should be sent to this daemon;
+// see node.Readiness.
 func serveReady(w http.ResponseWriter, n *node.Node) {
 	readiness := n.Readiness()
 	if !readiness.Ready {
--- a/internal/integration/archive_test.go
+++ b/internal/integration/archive_test.go
@@ -15,15 +15,15 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// archivePart is an entry of a shard's archive, as a reader of the platform's
-// log sees it; see docs/REPLICATION.md.
+// archivePart is an entry of a shard's archive in the platform's log; see
+// docs/REPLICATION.md.
 type archivePart struct {
 	Part   int    `json:"part"`
 	Pieces int    `json:"pieces"`
 	Data   []byte `json:"data"`
 }
 
-// archiveSnapshot is the content of part 0.
+// archiveSnapshot is the content of part 0, the snapshot.
 type archiveSnapshot struct {
 	State struct {
 		Programs []struct {
@@ -33,37 +33,38 @@
 	} `json:"state"`
 }
 
-// archiveDelta is an entry of the parts after it.
+// archiveDelta is an element of the content of all later parts.
 type archiveDelta struct {
 	Records []structs.Record `json:"r"`
 }
 
-// archivedOrders returns the attempts whose outcome is in the platform's log.
+// archivedOrders returns the attempts whose outcome is archived in the platform's
+// log.
 func (f *fleet) archivedOrders() map[structs.AttemptID]bool {
 	f.t.Helper()
 	streams := map[framework.StreamName]int{}
-	f.read("http://"+f.log+"/streams", &streams)
+	f.getJSON("http://"+f.log+"/streams", &streams)
 	archived := map[structs.AttemptID]bool{}
 	for stream, length := range streams {
 		if !strings.HasPrefix(string(stream), string(framework.StreamSnapshots)+"-") {
 			continue
 		}
 		var entries []framework.LogEntry
-		f.read(fmt.Sprintf("http://%s/streams/%s?limit=%d", f.log, stream, length), &entries)
+		f.getJSON(fmt.Sprintf("http://%s/streams/%s?limit=%d", f.log, stream, length), &entries)
 		for _, entry := range entries {
-			f.addArchived(archived, entry.Payload)
+			f.addArchivedPart(archived, entry.Payload)
 		}
 	}
 	return archived
 }
 
-// addArchived adds the outcomes in one part of an archive.
-func (f *fleet) addArchived(archived map[structs.AttemptID]bool, payload []byte) {
+// addArchivedPart adds the outcomes in one part of an archive.
+func (f *fleet) addArchivedPart(archived map[structs.AttemptID]bool, payload []byte) {
 	f.t.Helper()
 	var part archivePart
-	f.decode(payload, &part)
+	f.decodeJSON(payload, &part)
 	if part.Pieces != 1 {
-		f.t.Fatalf("part %d of an archive has %d pieces; so few programs need one", part.Part, part.Pieces)
+		f.t.Fatalf("part %d of an archive has %d pieces, want 1 for so few programs", part.Part, part.Pieces)
 	}
 	decoder, err := zstd.NewReader(nil)
 	if err != nil {
@@ -75,11 +76,11 @@
 		f.t.Fatal(err)
 	}
 	if part.Part == 0 {
-		f.addSnapshot(archived, content)
+		f.addArchivedSnapshot(archived, content)
 		return
 	}
 	var deltas []archiveDelta
-	f.decode(content, &deltas)
+	f.decodeJSON(content, &deltas)
 	for _, delta := range deltas {
 		for _, record := range delta.Records {
 			if settled := record.CallSettled; settled != nil {
@@ -89,10 +90,10 @@
 	}
 }
 
-func (f *fleet) addSnapshot(archived map[structs.AttemptID]bool, content []byte) {
+func (f *fleet) addArchivedSnapshot(archived map[structs.AttemptID]bool, content []byte) {
 	f.t.Helper()
 	var snapshot archiveSnapshot
-	f.decode(content, &snapshot)
+	f.decodeJSON(content, &snapshot)
 	for _, program := range snapshot.State.Programs {
 		for request := range program.Settled {
 			archived[structs.NewAttemptID(program.Key, request)] = true
@@ -100,15 +101,15 @@
 	}
 }
 
-func (f *fleet) decode(data []byte, into any) {
+func (f *fleet) decodeJSON(data []byte, into any) {
 	f.t.Helper()
 	if err := json.Unmarshal(data, into); err != nil {
 		f.t.Fatalf("%v in %.200q", err, data)
 	}
 }
 
-// read reads JSON from a stand-in.
-func (f *fleet) read(url string, into any) {
+// getJSON decodes the JSON answer of a stand-in.
+func (f *fleet) getJSON(url string, into any) {
 	f.t.Helper()
 	response, err := http.Get(url)
 	if err != nil {
--- a/internal/integration/caller_test.go
+++ b/internal/integration/caller_test.go
@@ -25,20 +25,20 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// caller is one program driven from a test.
+// caller sends the calls of one program.
 type caller struct {
 	fleet *fleet
 	name  string
 }
 
-func (f *fleet) program(name string) *caller { return &caller{fleet: f, name: name} }
+func (f *fleet) newCaller(name string) *caller { return &caller{fleet: f, name: name} }
 
-// attempt returns the name under which the application knows a request.
+// attempt returns the ID under which the application counts a request.
 func (c *caller) attempt(request string) structs.AttemptID {
 	return structs.NewAttemptID(structs.ProgramKey{Tenant: "bakery", Program: structs.ProgramID(c.name)}, structs.RequestID(request))
 }
 
-// refusal is an answer that is not a success.
+// refusal is an answer with a status other than 200.
 type refusal struct {
 	Status  int
 	Problem struct {
@@ -53,8 +53,8 @@
 	return fmt.Sprintf("%d %s %s: %s", r.Status, r.Problem.Type, r.Problem.Code, r.Problem.Message)
 }
 
-// refusedFor tells whether an error is a refusal for a reason.
-func refusedFor(err error, reason structs.Reason) bool {
+// isRefusedFor reports whether an error is a refusal for a reason.
+func isRefusedFor(err error, reason structs.Reason) bool {
 	var refused *refusal
 	return errors.As(err, &refused) && refused.Problem.Code == reason
 }
@@ -72,24 +72,24 @@
 	return http.DefaultClient.Do(request)
 }
 
-// errNotRun and errUnknown tell the two kinds of bad news apart.
+// Outcomes of a failed order: it certainly did not run, or it may have run.
 var (
 	errNotRun  = errors.New("not run")
 	errUnknown = errors.New("outcome unknown")
 )
 
-// order makes one bread order through a daemon. A connection that breaks leaves
-// the outcome unknown.
-func (c *caller) order(m *member, request string, retry bool) error {
+// placeOrder places one order through a daemon. A broken connection leaves the
+// outcome unknown.
+func (c *caller) placeOrder(m *member, request string, retry bool) error {
 	_, err := c.send(m, breadOrder{request: request, loaves: 20, retry: retry})
 	return err
 }
 
-// breadOrder is one order as its caller sends it.
+// breadOrder is one order as sent by its caller.
 type breadOrder struct {
 	request string
 	loaves  int
-	// sequence is the call's number in its program; 0 names none.
+	// sequence is the call's number in its program; 0 sends no number.
 	sequence uint64
 	// retry says that the order may have been sent before.
 	retry bool
@@ -128,13 +128,13 @@
 	return "", errors.Join(errUnknown, refused)
 }
 
-// orderUntilKnown asks at one daemon after the other, under the same request
-// identifier, until the order is done.
-func (c *caller) orderUntilKnown(request string, within time.Duration) error {
+// retryOrder places an order at one daemon after the other, with the same request
+// ID, until it succeeds.
+func (c *caller) retryOrder(request string, within time.Duration) error {
 	deadline := time.Now().Add(within)
 	for try := 0; ; try++ {
 		m := c.fleet.members[try%len(c.fleet.members)]
-		err := c.order(m, request, try > 0)
+		err := c.placeOrder(m, request, try > 0)
 		if err == nil || time.Now().After(deadline) {
 			return err
 		}
@@ -142,7 +142,7 @@
 	}
 }
 
-// answer is a streamed answer, as far as it came.
+// answer is what has been received of a streamed answer.
 type answer struct {
 	text     string
 	finished bool
@@ -159,14 +159,15 @@
 	} `json:"error"`
 }
 
-// ask streams an answer of tokens tokens through an address, going on behind
-// what is there of it. onText is told after each piece.
-func (c *caller) ask(ctx context.Context, address, request string, tokens int, got *answer, onText func()) error {
+// streamCompletion streams an answer of the given number of tokens through an
+// address and resumes it behind what got has already. It calls onText after each
+// event.
+func (c *caller) streamCompletion(ctx context.Context, address, request string, tokens int, got *answer, onText func()) error {
 	body, _ := json.Marshal(map[string]any{
 		"model":                 modelName,
 		"stream":                true,
 		"max_completion_tokens": tokens,
-		"messages":              []map[string]string{{"role": "user", "content": question(c.name, tokens)}},
+		"messages":              []map[string]string{{"role": "user", "content": promptText(c.name, tokens)}},
 	})
 	response, err := c.post(ctx, address, "/v1/chat/completions", body, map[string]string{
 		"Mintpulley-Request-Id": request,
@@ -184,8 +185,9 @@
 	return got.read(response, onText)
 }
 
-// question has a hint for the engine's stand-in about the answer's length.
-func question(name string, tokens int) string {
+// promptText returns a prompt that tells the stand-in engine how long its answer
+// must be.
+func promptText(name string, tokens int) string {
 	return fmt.Sprintf("Tell me about %s. [[tokens=%d]]", name, tokens)
 }
 
@@ -202,7 +204,7 @@
 			return err
 		}
 		if e.Error != nil {
-			return fmt.Errorf("in the stream: %s %s", e.Error.Type, e.Error.Message)
+			return fmt.Errorf("error event in the stream: %s %s", e.Error.Type, e.Error.Message)
 		}
 		for _, choice := range e.Choices {
 			a.text += choice.Delta.Content
@@ -218,11 +220,12 @@
 	return nil
 }
 
-// straight asks an engine itself for the whole answer to the same question.
-func (c *caller) straight(tokens int) (string, error) {
+// completeDirectly gets the whole answer to the same prompt from an engine, without
+// a daemon.
+func (c *caller) completeDirectly(tokens int) (string, error) {
 	body, _ := json.Marshal(map[string]any{
 		"model": modelName, "stream": true, "max_completion_tokens": tokens,
-		"messages": []map[string]string{{"role": "user", "content": question(c.name, tokens)}},
+		"messages": []map[string]string{{"role": "user", "content": promptText(c.name, tokens)}},
 	})
 	response, err := http.Post("http://"+c.fleet.engines[0]+"/v1/chat/completions", "application/json", bytes.NewReader(body))
 	if err != nil {
--- a/internal/integration/doc.go
+++ b/internal/integration/doc.go
@@ -1,4 +1,4 @@
-// Package integration holds tests with real processes: daemons and stand-ins
-// started from freshly built programs, every connection between them through
-// the fault-injecting proxy. They run under the build tag "integration".
+// Package integration holds tests with real processes: freshly built daemons and
+// stand-ins, with all connections through the fault-injecting proxy. They need the
+// build tag "integration".
 package integration
--- a/internal/integration/fleet_test.go
+++ b/internal/integration/fleet_test.go
@@ -21,20 +21,20 @@
 	tenantKey   = "integration-key"
 	operatorKey = "integration-operator"
 	modelName   = "small"
-	// startTime bounds the start of a fleet.
-	startTime = 30 * time.Second
+	// startTimeout bounds the start of a fleet.
+	startTimeout = 30 * time.Second
 )
 
-// member is one daemon with the addresses at which the proxy stands for it.
+// member is one daemon with its addresses.
 type member struct {
 	name     string
 	process  *process
 	settings string
-	// http and peer are the proxy's; listenHTTP is the daemon's own.
+	// http and peer lead through the proxy; listenHTTP is the daemon's own.
 	http, peer, listenHTTP string
 }
 
-// fleet is three daemons and their stand-ins, with a proxy on every way.
+// fleet is three daemons and their stand-ins, connected through the proxy.
 type fleet struct {
 	t           *testing.T
 	directory   string
@@ -46,8 +46,8 @@
 	members     []*member
 }
 
-// configuration is published to every fleet. The template has no prompt of its
-// own, so that a test can ask an engine for the same answer.
+// configuration is published to every fleet. The template adds no prompt, so that
+// a test can get the same answer directly from an engine.
 const configuration = `
 models:
   small: {prompt_cost: 1, completion_cost: 1, context_tokens: 32768}
@@ -67,14 +67,15 @@
       orders: {}
 `
 
-// newFleet starts everything and publishes the configuration.
+// newFleet starts stand-ins and daemons, publishes the configuration and waits
+// until all daemons serve.
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := &fleet{t: t, directory: t.TempDir()}
-	f.startStandins()
+	f.startStandIns()
 	f.startDaemons()
 	f.publish("initial", strings.Replace(configuration, "ac8ff2e6b5ab5a4a9bd0f8ec87ab3ef7a9be5df8b7b1c0ac0bb6c40e6fd6f5f0", hashOf(tenantKey), 1))
-	eventually(t, startTime, "all daemons ready", func() bool {
+	eventually(t, startTimeout, "all daemons ready", func() bool {
 		for _, m := range f.members {
 			if !ready(m.listenHTTP) {
 				return false
@@ -82,15 +83,15 @@
 		}
 		return true
 	})
-	f.warm()
+	f.waitUntilServing()
 	return f
 }
 
-// startStandins starts the platform and the back ends behind one proxy.
-func (f *fleet) startStandins() {
+// startStandIns starts the platform and the back ends behind one proxy.
+func (f *fleet) startStandIns() {
 	f.proxy = loopbacktest.FreeAddress(f.t)
 	arguments := []string{"proxy", "--listen", f.proxy}
-	behind := func(name, target string) string {
+	throughProxy := func(name, target string) string {
 		listen := loopbacktest.FreeAddress(f.t)
 		arguments = append(arguments, route(name, listen, target))
 		return listen
@@ -101,25 +102,25 @@
 	for i := range 2 {
 		address := loopbacktest.FreeAddress(f.t)
 		f.engines = append(f.engines, address)
-		start(f.t, fmt.Sprintf("engine-%d", i), programs.standin, "engine", "--listen", address, "--model", modelName, "--profile", "fast")
-		machines = append(machines, structs.Machine{Kind: structs.MachineEngine, Address: behind(fmt.Sprintf("engine-%d", i), address), Zone: zoneOf(i), State: structs.MachineLive})
+		startProcess(f.t, fmt.Sprintf("engine-%d", i), programs.standin, "engine", "--listen", address, "--model", modelName, "--profile", "fast")
+		machines = append(machines, structs.Machine{Kind: structs.MachineEngine, Address: throughProxy(fmt.Sprintf("engine-%d", i), address), Zone: zoneOf(i), State: structs.MachineLive})
 	}
-	start(f.t, "log", programs.standin, "log", "--listen", logAddress)
-	start(f.t, "application", programs.standin, "application", "--listen", appAddress)
-	machines = append(machines, structs.Machine{Kind: structs.MachineApplication, Name: "wholesale", Address: behind("application", appAddress), Zone: zoneOf(0), State: structs.MachineLive})
-	proxiedLog := behind("log", logAddress)
+	startProcess(f.t, "log", programs.standin, "log", "--listen", logAddress)
+	startProcess(f.t, "application", programs.standin, "application", "--listen", appAddress)
+	machines = append(machines, structs.Machine{Kind: structs.MachineApplication, Name: "wholesale", Address: throughProxy("application", appAddress), Zone: zoneOf(0), State: structs.MachineLive})
+	proxiedLog := throughProxy("log", logAddress)
 	for i := range 3 {
 		m := &member{name: string(rune('a' + i)), listenHTTP: loopbacktest.FreeAddress(f.t)}
 		listenPeer := loopbacktest.FreeAddress(f.t)
-		m.http, m.peer = behind("http-"+m.name, m.listenHTTP), behind("peer-"+m.name, listenPeer)
+		m.http, m.peer = throughProxy("http-"+m.name, m.listenHTTP), throughProxy("peer-"+m.name, listenPeer)
 		m.settings = f.writeSettings(m, zoneOf(i), listenPeer, proxiedLog)
 		machines = append(machines, structs.Machine{Kind: structs.MachineDaemon, Address: m.peer, Zone: zoneOf(i), State: structs.MachineLive})
 		f.members = append(f.members, m)
 	}
 	f.startMachineList(machines)
-	start(f.t, "proxy", programs.standin, arguments...)
-	eventually(f.t, startTime, "the stand-ins listen", func() bool {
-		return listens(f.proxy) && listens(logAddress) && listens(appAddress) && listens(f.engines[0]) && listens(f.engines[1]) && listens(f.machines)
+	startProcess(f.t, "proxy", programs.standin, arguments...)
+	eventually(f.t, startTimeout, "the stand-ins listen", func() bool {
+		return acceptsConnections(f.proxy) && acceptsConnections(logAddress) && acceptsConnections(appAddress) && acceptsConnections(f.engines[0]) && acceptsConnections(f.engines[1]) && acceptsConnections(f.machines)
 	})
 }
 
@@ -132,7 +133,7 @@
 	if err := os.WriteFile(file, data, 0o600); err != nil {
 		f.t.Fatal(err)
 	}
-	start(f.t, "machines", programs.standin, "machines", "--listen", f.machines, "--file", file, "--lag", "1s")
+	startProcess(f.t, "machines", programs.standin, "machines", "--listen", f.machines, "--file", file, "--lag", "1s")
 }
 
 func zoneOf(i int) structs.ZoneName { return structs.ZoneName(fmt.Sprintf("zone-%c", 'a'+i)) }
@@ -159,10 +160,10 @@
 }
 
 func (f *fleet) startDaemon(m *member) {
-	m.process = start(f.t, "daemon-"+m.name, programs.daemon, "daemon", "--settings", m.settings)
+	m.process = startProcess(f.t, "daemon-"+m.name, programs.daemon, "daemon", "--settings", m.settings)
 }
 
-// publish publishes a configuration by the operators' command.
+// publish publishes a configuration with the command config publish.
 func (f *fleet) publish(name, text string) {
 	f.t.Helper()
 	path := filepath.Join(f.directory, name+".yaml")
@@ -170,7 +171,7 @@
 		f.t.Fatal(err)
 	}
 	var output []byte
-	eventually(f.t, startTime, "publication of "+name, func() bool {
+	eventually(f.t, startTimeout, "publication of "+name, func() bool {
 		arguments := []string{"config", "publish", "--operation", name}
 		for _, m := range f.members {
 			arguments = append(arguments, "--daemon", m.listenHTTP)
@@ -193,25 +194,25 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// warm waits until every daemon answers calls.
-func (f *fleet) warm() {
+// waitUntilServing waits until every daemon has answered a call.
+func (f *fleet) waitUntilServing() {
 	for _, m := range f.members {
-		eventually(f.t, startTime, "daemon "+m.name+" answers", func() bool {
-			return f.program("warm-"+m.name).order(m, "warm", true) == nil
+		eventually(f.t, startTimeout, "daemon "+m.name+" answers", func() bool {
+			return f.newCaller("warm-"+m.name).placeOrder(m, "warm", true) == nil
 		})
 	}
 }
 
 // faults sets the faults of one route of the proxy.
-func (f *fleet) faults(route, body string) {
+func (f *fleet) setFaults(route, body string) {
 	f.t.Helper()
-	put(f.t, http.MethodPut, "http://"+f.proxy+"/routes/"+route+"/faults", body)
+	sendJSON(f.t, http.MethodPut, "http://"+f.proxy+"/routes/"+route+"/faults", body)
 }
 
-// runs returns how often each attempt ran at the application.
+// runs returns how often the application ran each attempt.
 func (f *fleet) runs() map[structs.AttemptID]int {
 	f.t.Helper()
 	runs := map[structs.AttemptID]int{}
-	f.read("http://"+f.application+"/runs", &runs)
+	f.getJSON("http://"+f.application+"/runs", &runs)
 	return runs
 }
--- a/internal/integration/process_test.go
+++ b/internal/integration/process_test.go
@@ -17,7 +17,7 @@
 	"github.com/mintpulley/mintpulley/internal/outputtest"
 )
 
-// programs are the paths of the built programs.
+// programs holds the paths of the programs that TestMain builds.
 var programs struct{ daemon, standin string }
 
 func TestMain(m *testing.M) {
@@ -39,7 +39,7 @@
 	os.Exit(code)
 }
 
-// process is one running program.
+// process is a running program with its output.
 type process struct {
 	t       *testing.T
 	name    string
@@ -48,8 +48,8 @@
 	ended   chan struct{}
 }
 
-// start runs a program until the test ends.
-func start(t *testing.T, name, path string, arguments ...string) *process {
+// startProcess runs a program until the test ends.
+func startProcess(t *testing.T, name, path string, arguments ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, command: exec.Command(path, arguments...), ended: make(chan struct{})}
 	p.command.Stdout = &p.output
@@ -72,20 +72,20 @@
 	return p
 }
 
-// tailBytes bounds what is printed of a process's output.
-const tailBytes = 6000
+// maxTailBytes bounds how much of a process's output a failed test prints.
+const maxTailBytes = 6000
 
-func tail(text string) string { return text[max(0, len(text)-tailBytes):] }
+func tail(text string) string { return text[max(0, len(text)-maxTailBytes):] }
 
 func (p *process) signal(signal syscall.Signal) { _ = p.command.Process.Signal(signal) }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits until the process has ended.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// eventually waits for a condition; what names it in the failure.
+// eventually waits for a condition, which the message of a failure calls what.
 func eventually(t *testing.T, within time.Duration, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(within)
@@ -97,8 +97,8 @@
 	}
 }
 
-// put sends a JSON body to a stand-in's control interface.
-func put(t *testing.T, method, url, body string) {
+// sendJSON sends a JSON body to a stand-in's control interface.
+func sendJSON(t *testing.T, method, url, body string) {
 	t.Helper()
 	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-func listens(address string) bool {
+func acceptsConnections(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return false
@@ -123,7 +123,7 @@
 	return true
 }
 
-// route formats a proxy's route.
+// route returns the proxy's flag for a route.
 func route(name, listen, target string) string {
 	return fmt.Sprintf("--route=%s=%s,%s", name, listen, target)
 }
--- a/internal/integration/recovery_test.go
+++ b/internal/integration/recovery_test.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// archiveTime bounds the wait for an archive, which is written each 5 s.
-	archiveTime = 20 * time.Second
-	// recoveryTime bounds the wait for a shard that is read from its archive.
-	recoveryTime = 30 * time.Second
-	// pollPause is the pause between two questions.
-	pollPause = 20 * time.Millisecond
+	// archiveTimeout bounds the wait for an archive, which is written every 5 s.
+	archiveTimeout = 20 * time.Second
+	// recoveryTimeout bounds the wait for a shard to recover from its archive.
+	recoveryTimeout = 30 * time.Second
+	// pollInterval is the pause between two requests.
+	pollInterval = 20 * time.Millisecond
 )
 
-// recovery is one fleet on its way through the loss of all its daemons.
+// recovery is the state of a test in which a fleet loses all its daemons.
 type recovery struct {
 	*fleet
-	// kept are archived before the loss, late are answered but perhaps not
-	// archived, torn have run and their answers are lost.
-	kept, late, torn []*caller
-	answers          map[*caller]string
-	// refused were told not_run and must never have been sent again.
+	// Orders of archived are in the archive before the loss. Those of recent are
+	// answered, but perhaps not archived. Those of interrupted have run, but their
+	// answers are lost.
+	archived, recent, interrupted []*caller
+	answers                       map[*caller]string
+	// refused are attempts that were refused as not run; they must not run.
 	refused []structs.AttemptID
 }
 
-// orderOf is the order of the i-th caller of a kind. The application's answer
-// tells its length, so that neighbours get different answers.
+// orderOf returns the order of the i-th caller of a group. The application's answer
+// depends on the order's length, so that adjacent callers get different answers.
 func orderOf(i int) breadOrder {
 	loaves := 1
 	for range i % 9 {
@@ -45,57 +46,58 @@
 	return breadOrder{request: "bread", loaves: loaves}
 }
 
-// callers names count programs.
-func (r *recovery) callers(prefix string, count int) []*caller {
+// newCallers returns the callers of count programs.
+func (r *recovery) newCallers(prefix string, count int) []*caller {
 	named := make([]*caller, count)
 	for i := range named {
-		named[i] = r.program(fmt.Sprintf("%s-%d", prefix, i))
+		named[i] = r.newCaller(fmt.Sprintf("%s-%d", prefix, i))
 	}
 	return named
 }
 
 // TestLossOfAllDaemonsIsRecoveredFromTheArchive kills all daemons at once and
-// starts them as fresh runs, which know nothing but the platform's log.
+// starts them again with no state but the platform's log.
 func TestLossOfAllDaemonsIsRecoveredFromTheArchive(t *testing.T) {
 	r := &recovery{fleet: newFleet(t), answers: map[*caller]string{}}
-	r.kept = r.answered("kept", 24)
-	eventually(t, archiveTime, "the archive has the outcomes", func() bool {
+	r.archived = r.placeAnsweredOrders("kept", 24)
+	eventually(t, archiveTimeout, "the archive has the outcomes", func() bool {
 		archived := r.archivedOrders()
-		for _, c := range r.kept {
+		for _, c := range r.archived {
 			if !archived[c.attempt("bread")] {
 				return false
 			}
 		}
 		return true
 	})
-	r.late = r.answered("late", 6)
-	r.killAll(r.tear(6))
+	r.recent = r.placeAnsweredOrders("late", 6)
+	r.killAll(r.interruptOrders(6))
 	r.startDaemons()
-	r.checkKept()
-	r.checkLate()
-	r.checkTorn()
-	r.refuseUnnumbered(6)
-	r.refuseSpent()
-	fresh := r.serveFresh(24)
+	r.checkArchived()
+	r.checkRecent()
+	r.checkInterrupted()
+	r.checkUnnumberedRefused(6)
+	r.checkExhaustedRefused()
+	fresh := r.placeNumberedOrders(24)
 	r.checkRuns(fresh)
 }
 
-// answered has each of some new programs make its order and keeps the answers.
-func (r *recovery) answered(prefix string, count int) []*caller {
+// placeAnsweredOrders places an order of each of count new programs and keeps the
+// answers.
+func (r *recovery) placeAnsweredOrders(prefix string, count int) []*caller {
 	r.t.Helper()
-	callers := r.callers(prefix, count)
+	callers := r.newCallers(prefix, count)
 	for i, c := range callers {
-		r.answers[c] = r.untilAnswered(c, orderOf(i))
+		r.answers[c] = r.retryOrderUntilAnswered(c, orderOf(i))
 	}
 	return callers
 }
 
-// untilAnswered sends an order to one daemon after the other until it is done.
-// Only after an unknown outcome may the order have been sent before.
-func (r *recovery) untilAnswered(c *caller, o breadOrder) string {
+// retryOrderUntilAnswered sends an order to one daemon after the other until it
+// succeeds. It marks the order as a retry once an outcome was unknown.
+func (r *recovery) retryOrderUntilAnswered(c *caller, o breadOrder) string {
 	r.t.Helper()
 	var answer string
-	r.until(func(m *member) (bool, error) {
+	r.pollMembers(func(m *member) (bool, error) {
 		var err error
 		answer, err = c.send(m, o)
 		o.retry = o.retry || errors.Is(err, errUnknown)
@@ -104,36 +106,36 @@
 	return answer
 }
 
-// until asks one daemon after the other until what it waits for has come.
-func (r *recovery) until(try func(m *member) (bool, error), what string) {
+// pollMembers calls attempt for one daemon after the other until it returns true.
+func (r *recovery) pollMembers(attempt func(m *member) (bool, error), what string) {
 	r.t.Helper()
-	deadline := time.Now().Add(recoveryTime)
+	deadline := time.Now().Add(recoveryTimeout)
 	for i := 0; ; i++ {
-		done, err := try(r.members[i%len(r.members)])
+		done, err := attempt(r.members[i%len(r.members)])
 		if done {
 			return
 		}
 		if time.Now().After(deadline) {
-			r.t.Fatalf("not within %s: %s; last: %v", recoveryTime, what, err)
+			r.t.Fatalf("not within %s: %s; last: %v", recoveryTimeout, what, err)
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 }
 
-// tear sends orders that run and whose answers the application never gives. It
-// returns a function that waits for their callers.
-func (r *recovery) tear(count int) func() {
+// interruptOrders sends orders that run but whose answers never leave the
+// application. It returns a function that waits for the callers to fail.
+func (r *recovery) interruptOrders(count int) func() {
 	r.t.Helper()
-	r.faults("application", `{"to_client":{"hold":true}}`)
-	r.torn = r.callers("torn", count)
+	r.setFaults("application", `{"to_client":{"hold":true}}`)
+	r.interrupted = r.newCallers("torn", count)
 	failures := make([]error, count)
 	var group sync.WaitGroup
-	for i, c := range r.torn {
+	for i, c := range r.interrupted {
 		group.Go(func() { _, failures[i] = c.send(r.members[i%len(r.members)], orderOf(i)) })
 	}
-	eventually(r.t, startTime, "the torn orders have run", func() bool {
+	eventually(r.t, startTimeout, "the interrupted orders have run", func() bool {
 		runs := r.runs()
-		for _, c := range r.torn {
+		for _, c := range r.interrupted {
 			if runs[c.attempt("bread")] == 0 {
 				return false
 			}
@@ -144,13 +146,13 @@
 		group.Wait()
 		for i, err := range failures {
 			if !errors.Is(err, errUnknown) {
-				r.t.Errorf("%s, whose answer was lost, heard %v", r.torn[i].name, err)
+				r.t.Errorf("%s, whose answer was lost, got %v, want an unknown outcome", r.interrupted[i].name, err)
 			}
 		}
 	}
 }
 
-// killAll kills all daemons at once, and waits for the callers that they had.
+// killAll kills all daemons at once and waits for their callers to fail.
 func (r *recovery) killAll(callersEnded func()) {
 	for _, m := range r.members {
 		m.process.signal(syscall.SIGKILL)
@@ -159,39 +161,40 @@
 		<-m.process.ended
 	}
 	callersEnded()
-	r.faults("application", `{}`)
+	r.setFaults("application", `{}`)
 }
 
-// checkKept wants archived programs known, and their answers given again.
-func (r *recovery) checkKept() {
+// checkArchived checks that archived programs are known and that retries of their
+// orders get the same answers.
+func (r *recovery) checkArchived() {
 	r.t.Helper()
-	for i, c := range r.kept {
+	for i, c := range r.archived {
 		o := orderOf(i)
 		o.retry = true
-		if answer := r.fromArchive(c, o); answer != r.answers[c] {
+		if answer := r.awaitArchivedAnswer(c, o); answer != r.answers[c] {
 			r.t.Errorf("%s: answer %q, before the loss %q", c.name, answer, r.answers[c])
 		}
-		r.checkKnown(c)
+		r.checkRecovered(c)
 	}
 }
 
-// fromArchive asks for an archived answer. To be told that the records are lost
-// is a failure at once.
-func (r *recovery) fromArchive(c *caller, o breadOrder) string {
+// awaitArchivedAnswer retries an archived order until it is answered. The test fails
+// at once if a daemon says that the records are lost.
+func (r *recovery) awaitArchivedAnswer(c *caller, o breadOrder) string {
 	r.t.Helper()
 	var answer string
-	r.until(func(m *member) (bool, error) {
+	r.pollMembers(func(m *member) (bool, error) {
 		var err error
 		answer, err = c.send(m, o)
-		if refusedFor(err, structs.ReasonRecordsLost) {
-			r.t.Fatalf("%s is archived and heard %v", c.name, err)
+		if isRefusedFor(err, structs.ReasonRecordsLost) {
+			r.t.Fatalf("%s is archived but got %v", c.name, err)
 		}
 		return err == nil, err
 	}, "the archived answer of "+c.name)
 	return answer
 }
 
-// programState is what a caller may read of its program.
+// programState is the part of a program's state that the test reads.
 type programState struct {
 	NextSequence uint64 `json:"next_sequence"`
 	SettledCalls []struct {
@@ -200,11 +203,11 @@
 	} `json:"settled_calls"`
 }
 
-// checkKnown wants a program's one order on record.
-func (r *recovery) checkKnown(c *caller) {
+// checkRecovered checks that the record of a program has exactly its one order.
+func (r *recovery) checkRecovered(c *caller) {
 	r.t.Helper()
 	var known programState
-	r.until(func(m *member) (bool, error) {
+	r.pollMembers(func(m *member) (bool, error) {
 		request, err := http.NewRequest(http.MethodGet, "http://"+m.http+"/v1/programs/"+c.name, nil)
 		if err != nil {
 			return false, err
@@ -225,75 +228,77 @@
 	}
 }
 
-// checkLate wants what was answered last before the loss answered the same, or
-// told lost.
-func (r *recovery) checkLate() {
+// checkRecent checks that retries of orders answered shortly before the loss get
+// the same answer or are told that the records are lost.
+func (r *recovery) checkRecent() {
 	r.t.Helper()
-	for i, c := range r.late {
+	for i, c := range r.recent {
 		o := orderOf(i)
 		o.retry = true
-		r.until(func(m *member) (bool, error) {
+		r.pollMembers(func(m *member) (bool, error) {
 			answer, err := c.send(m, o)
 			if err == nil && answer != r.answers[c] {
 				r.t.Errorf("%s: answer %q, before the loss %q", c.name, answer, r.answers[c])
 			}
-			return err == nil || unknownSinceLoss(err), err
+			return err == nil || isUnknownAfterLoss(err), err
 		}, "an answer to "+c.name)
 	}
 }
 
-// unknownSinceLoss tells whether a caller heard that its order's records are
-// lost, so that it may have run.
-func unknownSinceLoss(err error) bool {
-	return errors.Is(err, errUnknown) && refusedFor(err, structs.ReasonRecordsLost)
+// isUnknownAfterLoss reports whether an order may have run and its records are
+// lost.
+func isUnknownAfterLoss(err error) bool {
+	return errors.Is(err, errUnknown) && isRefusedFor(err, structs.ReasonRecordsLost)
 }
 
-// checkTorn wants orders whose answers were lost told so.
-func (r *recovery) checkTorn() {
+// checkInterrupted checks that retries of orders whose answers were lost are told
+// that their outcome is unknown.
+func (r *recovery) checkInterrupted() {
 	r.t.Helper()
-	for i, c := range r.torn {
+	for i, c := range r.interrupted {
 		o := orderOf(i)
 		o.retry = true
-		r.until(func(m *member) (bool, error) {
+		r.pollMembers(func(m *member) (bool, error) {
 			answer, err := c.send(m, o)
 			if err == nil {
-				r.t.Fatalf("%s got %q, which nobody knows", c.name, answer)
+				r.t.Fatalf("%s got %q, want an unknown outcome", c.name, answer)
 			}
-			return unknownSinceLoss(err), err
-		}, c.name+" hears that its outcome is unknown")
+			return isUnknownAfterLoss(err), err
+		}, c.name+" is told that its outcome is unknown")
 	}
 }
 
-// refuseUnnumbered makes first orders without a number: they may be those of
-// lost programs.
-func (r *recovery) refuseUnnumbered(count int) {
+// checkUnnumberedRefused checks that first orders without a sequence number are
+// refused, as their programs may be among the lost ones.
+func (r *recovery) checkUnnumberedRefused(count int) {
 	r.t.Helper()
 	for i := range count {
 		try := 0
-		r.until(func(m *member) (bool, error) {
-			c := r.program(fmt.Sprintf("unnumbered-%d-%d", i, try))
+		r.pollMembers(func(m *member) (bool, error) {
+			c := r.newCaller(fmt.Sprintf("unnumbered-%d-%d", i, try))
 			try++
-			return r.refusedFor(c, m, orderOf(i), structs.ReasonRecordsLost)
+			return r.expectRefusal(c, m, orderOf(i), structs.ReasonRecordsLost)
 		}, "a refusal for a program that may be lost")
 	}
 }
 
-// refuseSpent makes second orders of recovered programs, which have no budget.
-func (r *recovery) refuseSpent() {
+// checkExhaustedRefused checks that recovered programs, whose budget is unknown, get
+// no further order served.
+func (r *recovery) checkExhaustedRefused() {
 	r.t.Helper()
-	for i, c := range r.kept {
+	for i, c := range r.archived {
 		try := 0
-		r.until(func(m *member) (bool, error) {
+		r.pollMembers(func(m *member) (bool, error) {
 			o := breadOrder{request: fmt.Sprintf("more-%d", try), loaves: 1, sequence: 2}
 			try++
-			return r.refusedFor(c, m, o, structs.ReasonBudgetExhausted)
+			return r.expectRefusal(c, m, o, structs.ReasonBudgetExhausted)
 		}, fmt.Sprintf("a refusal for program %d, whose budget is unknown", i))
 	}
 }
 
-// refusedFor sends an order that must not be served, and notes it if it was
-// refused as not run.
-func (r *recovery) refusedFor(c *caller, m *member, o breadOrder, reason structs.Reason) (bool, error) {
+// expectRefusal sends an order that must not be served and records it if it was
+// refused as not run. It reports whether it was refused for the given reason.
+func (r *recovery) expectRefusal(c *caller, m *member, o breadOrder, reason structs.Reason) (bool, error) {
 	r.t.Helper()
 	answer, err := c.send(m, o)
 	if err == nil {
@@ -303,26 +308,28 @@
 		return false, err
 	}
 	r.refused = append(r.refused, c.attempt(o.request))
-	return refusedFor(err, reason), err
+	return isRefusedFor(err, reason), err
 }
 
-// serveFresh has new programs name their first order's number.
-func (r *recovery) serveFresh(count int) []*caller {
+// placeNumberedOrders places first orders of new programs with their sequence
+// number, which are served.
+func (r *recovery) placeNumberedOrders(count int) []*caller {
 	r.t.Helper()
-	fresh := r.callers("fresh", count)
+	fresh := r.newCallers("fresh", count)
 	for i, c := range fresh {
 		o := orderOf(i)
 		o.sequence = 1
-		r.untilAnswered(c, o)
+		r.retryOrderUntilAnswered(c, o)
 	}
 	return fresh
 }
 
-// checkRuns compares what callers were told with the application's own count.
+// checkRuns compares the outcomes that callers got with how often the application
+// ran each order.
 func (r *recovery) checkRuns(fresh []*caller) {
 	r.t.Helper()
-	for _, callers := range [][]*caller{r.kept, r.late, r.torn, fresh} {
-		r.checkOnce(callers, "bread")
+	for _, callers := range [][]*caller{r.archived, r.recent, r.interrupted, fresh} {
+		r.checkRanOnce(callers, "bread")
 	}
 	runs := r.runs()
 	for attempt, count := range runs {
@@ -332,7 +339,7 @@
 	}
 	for _, attempt := range r.refused {
 		if count := runs[attempt]; count != 0 {
-			r.t.Errorf("%s was told not run and ran %d times", attempt, count)
+			r.t.Errorf("%s was refused as not run but ran %d times", attempt, count)
 		}
 	}
 	r.t.Logf("%d orders refused as not run", len(r.refused))
--- a/internal/ledger/holder.go
+++ b/internal/ledger/holder.go
@@ -46,9 +46,9 @@
 	fleet    fleet
 	// machine is the clock of the machine that this daemon runs on.
 	machine MachineClock
-	// quotaTerms are the terms on which the holder of a tenant's shard enforces the
+	// quotaTolerance is the tolerance with which the holder of a tenant's shard enforces the
 	// tenant's limit.
-	quotaTerms quota.Tolerance
+	quotaTolerance quota.Tolerance
 	// confirmations are included in answers to quota requests.
 	confirmations RouteConfirmations
 	logger        zerolog.Logger
--- a/internal/metrics/callers.go
+++ b/internal/metrics/callers.go
@@ -1,5 +1,5 @@
-// Package metrics holds what a daemon tells Prometheus. Labels take few
-// values: no tenant, program or request becomes one.
+// Package metrics defines the Prometheus metrics of a daemon. To bound their
+// cardinality, no label has a tenant, program or request as its value.
 package metrics
 
 import (
@@ -9,14 +9,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// namespace starts the name of every metric.
+// namespace is the prefix of all metric names.
 const namespace = "mintpulley"
 
-// durationBuckets cover single milliseconds to minutes, in seconds.
+// durationBuckets range from 1 ms to 5 min, in seconds.
 var durationBuckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10, 30, 60, 300}
 
-// Callers counts the requests of callers. Its methods may be called by several
-// goroutines; a nil Callers counts nothing.
+// Callers holds the metrics of callers' requests. Its methods are safe for
+// concurrent use; a nil Callers records nothing.
 type Callers struct {
 	requests    *prometheus.CounterVec
 	durations   *prometheus.HistogramVec
@@ -48,7 +48,7 @@
 	return c
 }
 
-// Request counts an answered request.
+// Request records an answered request and its duration.
 func (c *Callers) Request(route string, status int, result, reason string, took time.Duration) {
 	if c == nil {
 		return
@@ -57,14 +57,15 @@
 	c.durations.WithLabelValues(route).Observe(took.Seconds())
 }
 
-// FirstText notes when the first text of an answer left.
+// FirstText records the time from a request's headers to the first text of its
+// answer.
 func (c *Callers) FirstText(after time.Duration) {
 	if c != nil {
 		c.firstText.Observe(after.Seconds())
 	}
 }
 
-// SlowReader counts a stream that was ended because its caller did not read.
+// SlowReader counts a stream that was ended because its caller read too slowly.
 func (c *Callers) SlowReader() {
 	if c != nil {
 		c.slowReaders.Inc()
--- a/internal/metrics/node.go
+++ b/internal/metrics/node.go
@@ -10,13 +10,14 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Traffic counts what a daemon sends to others. The zero value is ready.
+// Traffic counts the messages and bytes that a daemon sends to other daemons. The
+// zero value is ready to use.
 type Traffic struct {
 	controlBytes, dataBytes       atomic.Int64
 	controlMessages, dataMessages atomic.Int64
 }
 
-// Count adds one message; it fits the transport's counter.
+// Count adds one sent message. Its signature is that of the transport's callback.
 func (t *Traffic) Count(_ structs.DaemonID, kind peer.Kind, bytes int) {
 	class := peer.ClassOf(kind)
 	if class == peer.ClassControl {
@@ -28,7 +29,7 @@
 	t.dataMessages.Add(1)
 }
 
-// RegisterNode registers what is read from a node when Prometheus asks.
+// RegisterNode registers metrics that are read from the node at each scrape.
 func RegisterNode(registry prometheus.Registerer, n *node.Node, traffic *Traffic) {
 	gauge := func(subsystem, name, help string, read func() float64) {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
--- a/internal/relay/give_up.go
+++ b/internal/relay/give_up.go
@@ -55,7 +55,7 @@
 }
 
 // WatchSilence calls GiveUpSilent periodically until ctx ends. It is for a fleet of one
-// zone, where no reach.Watch calls it.
+// zone, where no reach.Monitor calls it.
 func (r *Relay) WatchSilence(ctx context.Context) {
 	ticker := time.NewTicker(zone.StepInterval)
 	defer ticker.Stop()
