--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,9 @@
-# Targets for people and CI. `make test` is the README's test command.
+# Targets for developers and CI. `make test` is the README's test command.
 
 GO ?= go
 
-# Tests of real faults that are not mended yet. KNOWN-RED.txt names at most three,
-# one a line: the test, a colon, the cause and the issue.
+# Tests that fail because of known faults. KNOWN-RED.txt lists at most three, one per
+# line: the test, a colon, the cause and the issue.
 KNOWN_RED := $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|')
 SKIP_KNOWN_RED := $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$',)
 
@@ -15,7 +15,7 @@
 integration:
 	$(GO) test $(SKIP_KNOWN_RED) -tags integration -count=1 ./internal/integration/...
 
-# SOAK takes flags: make soak SOAK='-soak.seed=1 -soak.seeds=50 -soak.daemons=20'
+# SOAK sets the flags of the soak test: make soak SOAK='-soak.seed=1 -soak.seeds=50 -soak.daemons=20'
 SOAK ?= -soak.seed=1 -soak.seeds=2 -soak.daemons=6 -soak.length=30s
 
 soak:
--- a/internal/command/config_diff.go
+++ b/internal/command/config_diff.go
@@ -25,7 +25,7 @@
 	To   string `json:"to,omitempty"`
 }
 
-// lines returns the difference between the configuration in force and
+// changedFields returns the difference between the configuration in force and
 // the one after the change.
 func (p *preparedChange) changedFields() []changeLine {
 	next, _ := configuration.ApplyPatch(p.current, &p.change.Patch)
--- a/internal/command/daemon.go
+++ b/internal/command/daemon.go
@@ -105,7 +105,7 @@
 	return overrides
 }
 
-// fromFile is the default that the help shows for flags that fall back on
+// settingsFileDefault is the default that the help shows for flags that fall back on
 // the settings file.
 const settingsFileDefault = "the settings file's"
 
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -19,7 +19,7 @@
 const (
 	// memberTimeout bounds the request to each daemon.
 	memberTimeout = 3 * time.Second
-	// membersAtOnce bounds the number of concurrent requests to daemons.
+	// maxConcurrentMembers bounds the number of concurrent requests to daemons.
 	maxConcurrentMembers = 16
 )
 
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -26,7 +26,7 @@
 	streamsPerEngine = 1024
 	// streamWarmUp is the time for all streams to begin.
 	streamWarmUp = 8 * time.Second
-	// straightStreams go directly to an engine, for comparison with those through
+	// directStreams go directly to an engine, for comparison with those through
 	// the daemon.
 	directStreams = 20
 	// firstTokenCalls is the number of calls made directly and through the daemon
--- a/internal/integration/caller_test.go
+++ b/internal/integration/caller_test.go
@@ -129,7 +129,7 @@
 }
 
 // retryOrder places an order at one daemon after the other, with the same request
-// ID, until it succeeds.
+// ID, until it succeeds or the given time is over.
 func (c *caller) retryOrder(request string, within time.Duration) error {
 	deadline := time.Now().Add(within)
 	for try := 0; ; try++ {
--- a/internal/integration/fleet_test.go
+++ b/internal/integration/fleet_test.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// faults sets the faults of one route of the proxy.
+// setFaults sets the faults of one route of the proxy.
 func (f *fleet) setFaults(route, body string) {
 	f.t.Helper()
 	sendJSON(f.t, http.MethodPut, "http://"+f.proxy+"/routes/"+route+"/faults", body)
--- a/internal/integration/recovery_test.go
+++ b/internal/integration/recovery_test.go
@@ -27,11 +27,11 @@
 // recovery is the state of a test in which a fleet loses all its daemons.
 type recovery struct {
 	*fleet
-	// Orders of archived are in the archive before the loss. Those of recent are
-	// answered, but perhaps not archived. Those of interrupted have run, but their
-	// answers are lost.
-	archived, recent, interrupted []*caller
-	answers                       map[*caller]string
+	// Orders of archivedCallers are in the archive before the loss. Those of
+	// recentCallers are answered, but perhaps not archived. Those of
+	// interruptedCallers have run, but their answers are lost.
+	archivedCallers, recentCallers, interruptedCallers []*caller
+	answers                                            map[*caller]string
 	// refused are attempts that were refused as not run; they must not run.
 	refused []structs.AttemptID
 }
@@ -59,17 +59,17 @@
 // starts them again with no state but the platform's log.
 func TestLossOfAllDaemonsIsRecoveredFromTheArchive(t *testing.T) {
 	r := &recovery{fleet: newFleet(t), answers: map[*caller]string{}}
-	r.archived = r.placeAnsweredOrders("kept", 24)
+	r.archivedCallers = r.placeAnsweredOrders("kept", 24)
 	eventually(t, archiveTimeout, "the archive has the outcomes", func() bool {
 		archived := r.archivedOrders()
-		for _, c := range r.archived {
+		for _, c := range r.archivedCallers {
 			if !archived[c.attempt("bread")] {
 				return false
 			}
 		}
 		return true
 	})
-	r.recent = r.placeAnsweredOrders("late", 6)
+	r.recentCallers = r.placeAnsweredOrders("late", 6)
 	r.killAll(r.interruptOrders(6))
 	r.startDaemons()
 	r.checkArchived()
@@ -106,12 +106,12 @@
 	return answer
 }
 
-// pollMembers calls attempt for one daemon after the other until it returns true.
-func (r *recovery) pollMembers(attempt func(m *member) (bool, error), what string) {
+// pollMembers calls poll for one daemon after the other until it returns true.
+func (r *recovery) pollMembers(poll func(m *member) (bool, error), what string) {
 	r.t.Helper()
 	deadline := time.Now().Add(recoveryTimeout)
 	for i := 0; ; i++ {
-		done, err := attempt(r.members[i%len(r.members)])
+		done, err := poll(r.members[i%len(r.members)])
 		if done {
 			return
 		}
@@ -127,15 +127,15 @@
 func (r *recovery) interruptOrders(count int) func() {
 	r.t.Helper()
 	r.setFaults("application", `{"to_client":{"hold":true}}`)
-	r.interrupted = r.newCallers("torn", count)
+	r.interruptedCallers = r.newCallers("torn", count)
 	failures := make([]error, count)
 	var group sync.WaitGroup
-	for i, c := range r.interrupted {
+	for i, c := range r.interruptedCallers {
 		group.Go(func() { _, failures[i] = c.send(r.members[i%len(r.members)], orderOf(i)) })
 	}
 	eventually(r.t, startTimeout, "the interrupted orders have run", func() bool {
 		runs := r.runs()
-		for _, c := range r.interrupted {
+		for _, c := range r.interruptedCallers {
 			if runs[c.attempt("bread")] == 0 {
 				return false
 			}
@@ -146,7 +146,7 @@
 		group.Wait()
 		for i, err := range failures {
 			if !errors.Is(err, errUnknown) {
-				r.t.Errorf("%s, whose answer was lost, got %v, want an unknown outcome", r.interrupted[i].name, err)
+				r.t.Errorf("%s, whose answer was lost, got %v, want an unknown outcome", r.interruptedCallers[i].name, err)
 			}
 		}
 	}
@@ -168,7 +168,7 @@
 // orders get the same answers.
 func (r *recovery) checkArchived() {
 	r.t.Helper()
-	for i, c := range r.archived {
+	for i, c := range r.archivedCallers {
 		o := orderOf(i)
 		o.retry = true
 		if answer := r.awaitArchivedAnswer(c, o); answer != r.answers[c] {
@@ -232,7 +232,7 @@
 // the same answer or are told that the records are lost.
 func (r *recovery) checkRecent() {
 	r.t.Helper()
-	for i, c := range r.recent {
+	for i, c := range r.recentCallers {
 		o := orderOf(i)
 		o.retry = true
 		r.pollMembers(func(m *member) (bool, error) {
@@ -255,7 +255,7 @@
 // that their outcome is unknown.
 func (r *recovery) checkInterrupted() {
 	r.t.Helper()
-	for i, c := range r.interrupted {
+	for i, c := range r.interruptedCallers {
 		o := orderOf(i)
 		o.retry = true
 		r.pollMembers(func(m *member) (bool, error) {
@@ -286,7 +286,7 @@
 // no further order served.
 func (r *recovery) checkExhaustedRefused() {
 	r.t.Helper()
-	for i, c := range r.archived {
+	for i, c := range r.archivedCallers {
 		try := 0
 		r.pollMembers(func(m *member) (bool, error) {
 			o := breadOrder{request: fmt.Sprintf("more-%d", try), loaves: 1, sequence: 2}
@@ -328,7 +328,7 @@
 // ran each order.
 func (r *recovery) checkRuns(fresh []*caller) {
 	r.t.Helper()
-	for _, callers := range [][]*caller{r.archived, r.recent, r.interrupted, fresh} {
+	for _, callers := range [][]*caller{r.archivedCallers, r.recentCallers, r.interruptedCallers, fresh} {
 		r.checkRanOnce(callers, "bread")
 	}
 	runs := r.runs()
--- a/internal/quota/gate_test.go
+++ b/internal/quota/gate_test.go
@@ -56,14 +56,14 @@
 func TestRequestsPassAtTheirFormerPaceWithoutAnOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := &scriptedOwner{delay: time.Millisecond, verdict: Verdict{Admitted: true}}
-		g := NewGate(owner, testTolerance)
-		before, _ := admitFor(t, g, testTolerance.Window, 500*time.Millisecond)
+		g := NewGate(owner, testTerms)
+		before, _ := admitFor(t, g, testTerms.Window, 500*time.Millisecond)
 		owner.delay = time.Hour
-		during, longest := admitFor(t, g, testTolerance.Window, 50*time.Millisecond) // ten times as many
+		during, longest := admitFor(t, g, testTerms.Window, 50*time.Millisecond) // ten times as many
 		if during < before-2 || during > before+1 {
 			t.Errorf("%d requests passed without an owner, %d before", during, before)
 		}
-		if longest > testTolerance.Window {
+		if longest > testTerms.Window {
 			t.Errorf("one waited %s", longest)
 		}
 		time.Sleep(askTime) // questions end
@@ -75,8 +75,8 @@
 func TestSilentOwnerHoldsNothingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := &scriptedOwner{delay: time.Millisecond, verdict: Verdict{Admitted: true}}
-		g := NewGate(owner, testTolerance)
-		admitFor(t, g, testTolerance.Window, 200*time.Millisecond)
+		g := NewGate(owner, testTerms)
+		admitFor(t, g, testTerms.Window, 200*time.Millisecond)
 		owner.delay = time.Hour
 		passed, longest := admitFor(t, g, 3*time.Second, 400*time.Millisecond)
 		if passed < 7 || longest > ownerPatience {
@@ -90,7 +90,7 @@
 // cut off, must not let pass what others may have used up.
 func TestDaemonThatNeverHadAnOwnerLetsOneRequestPass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewGate(&scriptedOwner{err: errors.New("moved")}, testTolerance)
+		g := NewGate(&scriptedOwner{err: errors.New("moved")}, testTerms)
 		if passed, _ := admitFor(t, g, 20*time.Second, 100*time.Millisecond); passed != 1 {
 			t.Errorf("%d requests passed, want 1", passed)
 		}
@@ -105,7 +105,7 @@
 func TestOwnersVerdictCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := &scriptedOwner{verdict: Verdict{Reason: ReasonExhausted, RetryAfterMS: 40}}
-		g := NewGate(owner, testTolerance)
+		g := NewGate(owner, testTerms)
 		verdict, err := g.Admit(t.Context(), Request{Tenant: "t"})
 		if err != nil || verdict.Admitted || verdict.RetryAfter() != 40*time.Millisecond {
 			t.Errorf("got %+v, %v", verdict, err)
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// testTolerance has the values of the operators that set any.
-var testTolerance = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+// testTerms are those of the operators whose sheet sets any.
+var testTerms = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
 func askOf(limit Limit, program string, begins bool) Request {
 	return Request{Tenant: "t", Limit: limit, Version: 1, Program: program, Route: "r", MayStartProgram: begins}
@@ -40,12 +40,12 @@
 		takeovers := rapid.IntRange(0, takeoversBorne).Draw(t, "takeovers in each window")
 		pressure := rapid.Float64Range(0.3, 8).Draw(t, "demand, times the rate")
 		start := time.Time{}.Add(time.Hour)
-		limiter := NewLimiter(testTolerance, true, start)
+		limiter := NewLimiter(testTerms, true, start)
 		lostAt := time.Duration(0)
 		var admitted []time.Duration
 		for at := time.Duration(0); at < 12*time.Second; {
-			if takeovers > 0 && at-lostAt > testTolerance.Window/time.Duration(takeovers) {
-				limiter, lostAt = NewLimiter(testTolerance, false, start.Add(at)), at
+			if takeovers > 0 && at-lostAt > testTerms.Window/time.Duration(takeovers) {
+				limiter, lostAt = NewLimiter(testTerms, false, start.Add(at)), at
 			}
 			if limiter.Decide(askOf(limit, "", false), start.Add(at)).Admitted {
 				admitted = append(admitted, at)
@@ -53,7 +53,7 @@
 			gap := rapid.Float64Range(0, 2).Draw(t, "gap") / (limit.PerSecond * pressure)
 			at += max(time.Duration(gap*float64(time.Second)), time.Millisecond)
 		}
-		if got, most := mostInAnyWindow(admitted, testTolerance.Window), testTolerance.most(limit); float64(got) > most {
+		if got, most := mostInAnyWindow(admitted, testTerms.Window), testTerms.most(limit); float64(got) > most {
 			t.Errorf("%d requests in a window that may hold %.1f", got, most)
 		}
 	})
@@ -62,11 +62,11 @@
 // TestBoundsAddUpToTheTerms: what is set aside is what the terms allow, not more.
 func TestBoundsAddUpToTheTerms(t *testing.T) {
 	for _, limit := range []Limit{{1, 1}, {60, 60}, {326, 326}, {5, 0}} {
-		b := testTolerance.boundsOf(limit)
-		spare := testTolerance.most(limit) - limit.PerSecond*testTolerance.Window.Seconds() - limit.Burst
-		total := b.rate*testTolerance.Window.Seconds() + b.capacity + takeoversBorne*b.start + unaskedShare*spare
-		if math.Abs(total-testTolerance.most(limit)) > 1e-6 || b.rate < limit.PerSecond || b.capacity < limit.Burst {
-			t.Errorf("%+v: %+v add up to %.2f, want %.2f, no less rate and burst than the limit's", limit, b, total, testTolerance.most(limit))
+		b := testTerms.boundsOf(limit)
+		spare := testTerms.most(limit) - limit.PerSecond*testTerms.Window.Seconds() - limit.Burst
+		total := b.rate*testTerms.Window.Seconds() + b.capacity + takeoversBorne*b.start + unaskedShare*spare
+		if math.Abs(total-testTerms.most(limit)) > 1e-6 || b.rate < limit.PerSecond || b.capacity < limit.Burst {
+			t.Errorf("%+v: %+v add up to %.2f, want %.2f, no less rate and burst than the limit's", limit, b, total, testTerms.most(limit))
 		}
 	}
 }
@@ -114,7 +114,7 @@
 		waited  time.Duration
 	}
 	start := time.Time{}.Add(time.Hour)
-	limiter := NewLimiter(testTolerance, true, start)
+	limiter := NewLimiter(testTerms, true, start)
 	var result played
 	due := map[int][]step{} // by millisecond
 	between := playedRequests / perSecond * 1000
@@ -147,7 +147,7 @@
 // TestNewestLimitCounts: askers may be behind with the configuration.
 func TestNewestLimitCounts(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
-	limiter := NewLimiter(testTolerance, true, now)
+	limiter := NewLimiter(testTerms, true, now)
 	limiter.Decide(Request{Tenant: "t", Limit: Limit{10, 10}, Version: 4}, now)
 	limiter.Decide(Request{Tenant: "t", Limit: Limit{2, 2}, Version: 6}, now)
 	limiter.Decide(Request{Tenant: "t", Limit: Limit{10, 10}, Version: 5}, now)
@@ -158,7 +158,7 @@
 
 func TestVerdictTellsWhenThereIsRoom(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
-	limiter := NewLimiter(testTolerance, true, now)
+	limiter := NewLimiter(testTerms, true, now)
 	limit := Limit{20, 20}
 	verdict := Verdict{Admitted: true}
 	for verdict.Admitted {
@@ -173,7 +173,7 @@
 // program among 200 under way.
 func BenchmarkDecide(b *testing.B) {
 	now := time.Time{}.Add(time.Hour)
-	limiter := NewLimiter(testTolerance, true, now)
+	limiter := NewLimiter(testTerms, true, now)
 	asks := make([]Request, 200)
 	for i := range asks {
 		asks[i] = askOf(Limit{1e6, 1e6}, fmt.Sprint("p", i), false)
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -183,7 +183,7 @@
 	return d.table.Load()
 }
 
-// Watch implements Gateway.
+// EnsureEnding implements Gateway.
 func (d *Daemon) EnsureEnding(ctx context.Context, request string, responder relay.Responder, serve func(relay.Responder)) {
 	d.relay.EnsureEnding(ctx, request, responder, serve)
 }
