--- a/internal/command/config_diff.go
+++ b/internal/command/config_diff.go
@@ -149,9 +149,9 @@
 	encoder := yaml.NewEncoder(w)
 	encoder.SetIndent(2)
 	if err := encoder.Encode(value); err != nil {
-		return eris.Wrap(err, "write")
+		return eris.Wrap(err, "write output")
 	}
-	return eris.Wrap(encoder.Close(), "write")
+	return eris.Wrap(encoder.Close(), "write output")
 }
 
 // sorted returns the sorted keys of a map.
--- a/internal/command/daemon.go
+++ b/internal/command/daemon.go
@@ -51,7 +51,7 @@
 	}
 	if command.Bool("check") {
 		_, err := fmt.Fprintln(command.Root().Writer, "The settings are good.")
-		return eris.Wrap(err, "write")
+		return eris.Wrap(err, "write output")
 	}
 	logger, err := newLogger(config)
 	if err != nil {
--- a/internal/command/goodput.go
+++ b/internal/command/goodput.go
@@ -24,7 +24,7 @@
 			"mintpulley goodput --seed 3 --format json",
 		Description: "Three daemons, three engines; programs of one to five calls, each with a\n" +
 			"deadline of 10 s. Refused callers retry after the time they are told. The same\n" +
-			"arguments give the same output. Courses:\n" + describeCourses(),
+			"arguments give byte-identical output. Courses:\n" + describeCourses(),
 		Flags: []cli.Flag{
 			formatFlag(),
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`NUMBER` that seeds all random choices"},
--- a/internal/command/operators.go
+++ b/internal/command/operators.go
@@ -79,7 +79,7 @@
 		return text(o.writer, value)
 	}
 	encoder := json.NewEncoder(o.writer)
-	return eris.Wrap(encoder.Encode(value), "write")
+	return eris.Wrap(encoder.Encode(value), "write output")
 }
 
 // newTable returns a table without borders that prints to w.
--- a/internal/command/sim.go
+++ b/internal/command/sim.go
@@ -28,7 +28,7 @@
 			"mintpulley sim --scenario zone_partition --seed 7 --format json\n" +
 			"mintpulley sim --scenario random --seed 1 --seeds 1000\n" +
 			"mintpulley sim --scenario calm --break budget_exceeded",
-		Description: "The same arguments give the same output. Exit code 1 means that a guarantee was violated;\n" +
+		Description: "The same arguments give byte-identical output. Exit code 1 means that a guarantee was violated;\n" +
 			"the evidence goes to standard error. With --break, if the scenario's own faults do not\n" +
 			"exercise the disabled guard, a scenario that does runs next in the same report.",
 		Flags: []cli.Flag{
--- a/internal/integration/recovery_test.go
+++ b/internal/integration/recovery_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// interruptOrders sends orders that run but whose answers never leave the
-// application. It returns a function that waits for the callers to fail.
+// interruptOrders sends orders that run but whose answers never reach a daemon. It
+// returns a function that waits for the callers to fail.
 func (r *recovery) interruptOrders(count int) func() {
 	r.t.Helper()
 	r.setFaults("application", `{"to_client":{"hold":true}}`)
