--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -26,14 +26,14 @@
 				return err
 			}
 			if result.Violations > 0 {
-				return eris.Wrapf(ErrBroken, "%d violations", result.Violations)
+				return eris.Wrapf(ErrViolation, "%d violations", result.Violations)
 			}
 			return nil
 		},
 	}
 }
 
-// formatFlag chooses between a table for people and JSON for programs.
+// formatFlag selects the output format, table or JSON.
 func formatFlag() cli.Flag {
 	return &cli.StringFlag{Name: "format", Value: "table", Usage: "`table` or json"}
 }
