--- a/internal/instance/choice.go
+++ b/internal/instance/choice.go
@@ -27,8 +27,8 @@
 // Query describes the request for which an instance is chosen.
 type Query struct {
 	Service string
-	// Preferred is the ID of the instance that recently handled the affinity key, "" for
-	// none.
+	// Preferred is the ID of the instance to prefer, such as the one that served the session
+	// before; "" for none.
 	Preferred string
 	// AffinityKey identifies what the request is about. Without a preferred instance,
 	// requests with the same key go to the same instance, by rendezvous hashing. "" for
--- a/internal/instance/distance/distance.go
+++ b/internal/instance/distance/distance.go
@@ -20,16 +20,13 @@
 
 const (
 	// zoneLatency and regionLatency are the one-way latencies to another zone of the region
-	// and to another region: typical of sites in one city, and of sites some hundred
-	// kilometres apart.
+	// and to another region.
 	zoneLatency   = time.Millisecond
 	regionLatency = 8 * time.Millisecond
 	// zonePerKilobyte is the penalty for sending a kilobyte to another zone, and
-	// regionPerKilobyte that for another region, where traffic costs four times as much.
-	// For a request of 20 KB it is 4 ms between zones: with the latency 6 ms, or a third of
-	// a request in flight at an instance with sixteen slots and a service time of 300 ms.
-	// That is enough to break ties. A higher penalty would overload the zone with the most
-	// clients while others have free slots, as a daemon knows only its own requests.
+	// regionPerKilobyte that for another region. Between zones it is only meant to break
+	// ties: a higher penalty would overload the zone with the most clients while others have
+	// free slots, as a daemon knows only its own requests.
 	zonePerKilobyte   = 200 * time.Microsecond
 	regionPerKilobyte = 4 * zonePerKilobyte
 	kilobyte          = 1000
--- a/internal/ledger/allowance.go
+++ b/internal/ledger/allowance.go
@@ -32,8 +32,7 @@
 	// allowanceKey is the key of the allowance's record.
 	allowanceKey = "allowance"
 	// allowanceShare is the largest part of a program's budget that is granted without a
-	// record of the program. Most programs end within it: budgets are usually one and a
-	// half times the most of all turns, of which a third is used.
+	// record of the program.
 	allowanceShare = 0.5
 	// budgetReserveShare is the part of a program's budget that no allowance takes. It
 	// remains for programs that begin after the last loss.
@@ -265,8 +264,8 @@
 	return json.Marshal(appending)
 }
 
-// confirmAllowance marks the appended record as durable, for an append that was sent at a
-// time.
+// confirmAllowance marks the appended record as durable. sentAt is when the append was
+// first sent.
 func (s *state) confirmAllowance(sentAt time.Time) {
 	if s.allowance.appending != nil {
 		s.allowance.confirmed = *s.allowance.appending
--- a/internal/ledger/candidates.go
+++ b/internal/ledger/candidates.go
@@ -26,8 +26,8 @@
 )
 
 // chooseTarget returns the daemon to ask for a shard, "" if there is none left. This is the
-// holder, unless it was asked already or failed to answer. Then failed is its epoch, and
-// the target is asked to take the shard.
+// holder, unless it was asked already or failed to answer. Then failedEpoch is its epoch,
+// and the target is asked to take the shard.
 func (s *Service) chooseTarget(shard int, asked []structs.DaemonID, now time.Time) (target structs.DaemonID, failedEpoch uint64) {
 	holder := s.known.get(shard)
 	if holder.Daemon == "" {
--- a/internal/ledger/claim.go
+++ b/internal/ledger/claim.go
@@ -226,7 +226,7 @@
 func (h *holder) installState(records []store.Record, first bool, now time.Time) {
 	h.state = newState(now)
 	h.state.machine = h.machine
-	h.limiter = quota.NewLimiter(h.quotaTerms, first, now)
+	h.limiter = quota.NewLimiter(h.quotaTolerance, first, now)
 	h.status.holding.Store(true)
 	h.tenure.prolong(now)
 	h.known.note(h.shard, holderRecord{Epoch: h.epoch, Daemon: h.daemon})
--- a/internal/ledger/confirm.go
+++ b/internal/ledger/confirm.go
@@ -15,7 +15,7 @@
 // directory takes, unless there is reason to doubt its death.
 
 const (
-	// confirmInterval separates questions to a holder that has not answered.
+	// confirmInterval is the interval between questions to a holder that has not answered.
 	confirmInterval = 200 * time.Millisecond
 	// isolatedConfirmWait is how much longer than the read of the directory a daemon that
 	// was isolated waits for the holder's answer: as long as peers take to reconnect.
@@ -26,7 +26,7 @@
 	reconnectedConfirmWait = 500 * time.Millisecond
 	aliveConfirmWait       = 100 * time.Millisecond
 	// claimIdleTimeout is how long a claim may make no progress until another daemon may
-	// take the shard: one page of a busy store.
+	// take the shard. It must exceed the time to read one page from a busy store.
 	claimIdleTimeout = 3 * time.Second
 	// confirmationTTL is how long a holder's confirmation is relied on. Without it, each
 	// turn would read the directory until this daemon's view shows that the holder is
--- a/internal/ledger/discovery.go
+++ b/internal/ledger/discovery.go
@@ -16,7 +16,7 @@
 	// discoveryQuietPeriod is how long no further daemon must have been discovered then:
 	// several one-way delays between zones.
 	discoveryQuietPeriod = 60 * time.Millisecond
-	// discoveryPollInterval separates checks of that.
+	// discoveryPollInterval is the interval between checks of the number discovered.
 	discoveryPollInterval = 10 * time.Millisecond
 )
 
--- a/internal/ledger/former_state.go
+++ b/internal/ledger/former_state.go
@@ -23,8 +23,8 @@
 	// formerStateTTL is how long a daemon remembers the state of a shard that it lost. By
 	// then the store is back, or another daemon has taken the shard.
 	formerStateTTL = 30 * time.Second
-	// formerAnswerTimeout bounds how long a claim waits for the former holder: a round trip
-	// between regions and a busy machine.
+	// formerAnswerTimeout bounds how long a claim waits for the former holder. It must
+	// exceed a round trip between regions.
 	formerAnswerTimeout = 80 * time.Millisecond
 	// formerAccountsLimit bounds the accounts in the answer, each of about 200 bytes, to
 	// half a megabyte.
--- a/internal/ledger/handover.go
+++ b/internal/ledger/handover.go
@@ -22,8 +22,8 @@
 // if it is leaving, and keeps it otherwise.
 
 const (
-	// prepareTimeout bounds how long a successor may read ahead: four shards one after the
-	// other on a small machine. A stopping daemon waits for it within its own time limit.
+	// prepareTimeout bounds how long a successor may read ahead. It reads several shards
+	// one after the other. A stopping daemon waits for it within its shutdown deadline.
 	prepareTimeout = 4 * time.Second
 	// successorTries bounds the daemons that are asked to read a shard ahead, as the first
 	// one may be stopping, too.
--- a/internal/ledger/holder.go
+++ b/internal/ledger/holder.go
@@ -14,7 +14,7 @@
 const (
 	// operationQueueSize bounds the operations that wait for one shard.
 	operationQueueSize = 1024
-	// expireInterval separates sweeps for expired records, whose space in the store is not
+	// expireInterval is the interval of sweeps for expired records, whose space is not
 	// available to others until they are dropped.
 	expireInterval = time.Second
 	// expireLimit bounds the records dropped in one sweep, as each adds about 40 bytes to
@@ -46,9 +46,9 @@
 	fleet    fleet
 	// machine is the clock of the machine that this daemon runs on.
 	machine MachineClock
-	// quotaTerms are the terms on which the holder of a tenant's shard enforces the
+	// quotaTolerance is the tolerance with which the holder of a tenant's shard enforces the
 	// tenant's limit.
-	quotaTerms quota.Tolerance
+	quotaTolerance quota.Tolerance
 	// confirmations are included in answers to quota requests.
 	confirmations RouteConfirmations
 	logger        zerolog.Logger
--- a/internal/ledger/holder_capacity.go
+++ b/internal/ledger/holder_capacity.go
@@ -40,10 +40,10 @@
 	if _, underway := h.state.accounts[turn.Program]; underway || turn.Previous != "" {
 		return true // programs that have begun may finish
 	}
-	admitted, back := h.gate.Admit(plan, h.capacity.shards, now)
+	admitted, retryAfter := h.gate.Admit(plan, h.capacity.shards, now)
 	if !admitted {
 		h.metrics.refusedCrowded()
-		h.answer(o, Response{Result: resultCrowded, RetryAfterMS: back.Milliseconds()})
+		h.answer(o, Response{Result: resultCrowded, RetryAfterMS: retryAfter.Milliseconds()})
 	}
 	return admitted
 }
--- a/internal/ledger/holder_release.go
+++ b/internal/ledger/holder_release.go
@@ -38,9 +38,9 @@
 
 // claimRetry controls when a shard may be claimed again after the store did not answer.
 type claimRetry struct {
-	// at is the time of the next claim, unless returned is closed earlier.
-	at       time.Time
-	returned <-chan struct{}
+	// at is the time of the next claim, unless recovered is closed earlier.
+	at        time.Time
+	recovered <-chan struct{}
 	// pause is the pause before at; it doubles with each failure.
 	pause time.Duration
 }
@@ -49,11 +49,11 @@
 func (r *claimRetry) postpone(returned <-chan struct{}) {
 	r.pause = min(max(2*r.pause, minClaimPause), maxClaimPause)
 	r.at = time.Now().Add(jitter(r.pause))
-	r.returned = returned
+	r.recovered = returned
 }
 
 // mustWait reports whether it is too early for a claim.
-func (r *claimRetry) mustWait(now time.Time) bool { return now.Before(r.at) && !isClosed(r.returned) }
+func (r *claimRetry) mustWait(now time.Time) bool { return now.Before(r.at) && !isClosed(r.recovered) }
 
 // leave hands the shard over if this daemon holds it. Without a successor it keeps the
 // shard until there is one, but returns the headroom at once, as the process may end before
--- a/internal/ledger/isolation.go
+++ b/internal/ledger/isolation.go
@@ -17,7 +17,7 @@
 // zone, or all daemons.
 
 const (
-	// observeInterval separates checks of the members.
+	// observeInterval is the interval between checks of the members.
 	observeInterval = 200 * time.Millisecond
 	// lostDaemonTTL is how long a lost daemon is remembered. One that has been gone for
 	// longer does not count as a sign of isolation.
--- a/internal/ledger/options.go
+++ b/internal/ledger/options.go
@@ -65,7 +65,7 @@
 	ClientOnly bool
 	// Machine is the monotonic clock of the machine that the daemon runs on.
 	Machine MachineClock
-	// Quota contains the terms on which the holder of a tenant's shard enforces the
+	// Quota is the tolerance with which the holder of a tenant's shard enforces the
 	// tenant's limit.
 	Quota   quota.Tolerance
 	Logger  zerolog.Logger
--- a/internal/ledger/record_store.go
+++ b/internal/ledger/record_store.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// pageTimeout bounds the tries to read one page. A read of many pages may take as long
-	// as it makes progress. A page has up to a megabyte, which takes the smallest machines
-	// (30 Mbit/s) 0.3 s, and longer with others in parallel.
+	// pageTimeout bounds the tries to read one page of up to a megabyte, possibly over a
+	// slow link that other reads share. A read of many pages may take as long as it makes
+	// progress.
 	pageTimeout = 8 * time.Second
 	// pageTryWait is how long the first try to read a page waits for its answer, and
 	// maxPageTryWait the limit for later ones. If an answer is lost, the page arrives
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -15,7 +15,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// handoverPollInterval separates checks whether all shards were handed over.
+// handoverPollInterval is the interval between checks whether all shards were handed over.
 const handoverPollInterval = 20 * time.Millisecond
 
 // Service gives a daemon access to the ledger: it sends requests to the holders of shards,
@@ -72,21 +72,21 @@
 	for shard, partition := range s.Partitions {
 		holders[shard] = &holder{
 			holderOptions: holderOptions{
-				shard:         shard,
-				partition:     partition,
-				directory:     s.Directory,
-				daemon:        string(s.Self),
-				records:       s.records,
-				known:         s.known,
-				capacity:      s.capacity,
-				fleet:         s,
-				machine:       s.Machine,
-				quotaTerms:    s.Quota,
-				confirmations: s.Confirmations,
-				logger:        s.Logger.With().Int("shard", shard).Logger(),
-				metrics:       s.Metrics,
-				leaving:       s.leaving,
-				readingAhead:  readingAhead,
+				shard:          shard,
+				partition:      partition,
+				directory:      s.Directory,
+				daemon:         string(s.Self),
+				records:        s.records,
+				known:          s.known,
+				capacity:       s.capacity,
+				fleet:          s,
+				machine:        s.Machine,
+				quotaTolerance: s.Quota,
+				confirmations:  s.Confirmations,
+				logger:         s.Logger.With().Int("shard", shard).Logger(),
+				metrics:        s.Metrics,
+				leaving:        s.leaving,
+				readingAhead:   readingAhead,
 			},
 			operations: make(chan operation, operationQueueSize),
 		}
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -42,8 +42,10 @@
 type state struct {
 	accounts map[string]*accountEntry
 	turns    map[string]*turnEntry
-	ended    map[string]time.Time
-	dirty    map[string]struct{}
+	// ended maps turns that ended without a reservation to the time of their end, and dirty
+	// holds the keys of the records to append.
+	ended map[string]time.Time
+	dirty map[string]struct{}
 	// inAppend are the accounts whose records are being appended.
 	inAppend []*accountEntry
 	// returningHeadroom: no headroom is set aside any more.
--- a/internal/ledger/store_health.go
+++ b/internal/ledger/store_health.go
@@ -32,8 +32,8 @@
 	answeredAt time.Time
 	// fullAt is when an append was last refused because the store is full.
 	fullAt time.Time
-	// returned is closed when the store is reported to answer again after it failed.
-	returned <-chan struct{}
+	// recovered is closed when the store is reported to answer again after it failed.
+	recovered <-chan struct{}
 }
 
 // isDown reports whether the store does not answer this daemon at all. Every probeInterval
@@ -44,8 +44,8 @@
 	if r.health.failingSince.IsZero() || now.Sub(r.health.failingSince) < downAfter {
 		return false
 	}
-	if isClosed(r.health.returned) {
-		r.health.returned = r.connectivity.Recovered()
+	if isClosed(r.health.recovered) {
+		r.health.recovered = r.connectivity.Recovered()
 		return false
 	}
 	if now.Before(r.health.probeAt) {
@@ -96,7 +96,7 @@
 		r.health.failedAt = time.Now()
 		if r.health.failingSince.IsZero() {
 			r.health.failingSince = r.health.failedAt
-			r.health.returned = r.connectivity.Recovered()
+			r.health.recovered = r.connectivity.Recovered()
 		}
 	}
 }
--- a/internal/ledger/text_cache.go
+++ b/internal/ledger/text_cache.go
@@ -5,8 +5,7 @@
 	"sync"
 )
 
-// textsLimit bounds the cached bytes of chains: enough for the programs that a daemon of a
-// large fleet has under way.
+// textsLimit bounds the cached bytes of chains.
 const textsLimit = 512 << 10
 
 // textCache caches the texts of chains that this daemon recently sent or received, by their
--- a/internal/ledger/turns.go
+++ b/internal/ledger/turns.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// endRetryPause separates tries to settle a turn; it doubles up to maxEndRetryPause.
+	// endRetryPause is the pause between tries to settle a turn; it doubles up to
+	// maxEndRetryPause.
 	endRetryPause    = 150 * time.Millisecond
 	maxEndRetryPause = 600 * time.Millisecond
 )
--- a/internal/quota/forecast.go
+++ b/internal/quota/forecast.go
@@ -6,14 +6,13 @@
 )
 
 const (
-	// idleAfter is how long a program makes no request until it counts as ended. Its
-	// tools are expected to answer within a second or two.
+	// idleAfter is how long a program makes no request until it counts as ended. It
+	// must exceed the usual pauses for tool calls.
 	idleAfter = 2 * time.Second
 	// sampleWeight is the weight of the latest program in a route's moving averages.
 	sampleWeight = 0.1
-	// priorRequests and priorDuration are assumed for a route until one of its
-	// programs has ended: three turns with one or two tool calls each, in three
-	// seconds.
+	// priorRequests and priorDuration are assumed for the programs of a route until one
+	// of them has ended.
 	priorRequests = 7.0
 	priorDuration = 3 * time.Second
 	// minDuration is the least duration that is recorded for a program.
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -10,15 +10,14 @@
 	"github.com/mintpulley/mintpulley/internal/tokenbucket"
 )
 
-// ErrOwnerUnreachable: the tenant's owner cannot be reached, and this daemon has no
-// former rate at which to admit the request.
+// ErrOwnerUnreachable: the owner of the tenant's limit cannot be reached, and this
+// daemon has no former rate at which to admit the request.
 var ErrOwnerUnreachable = eris.New("quota: the owner of the tenant's limit cannot be reached")
 
 const (
 	// fallbackDelay is how long the owner may be silent before a request is admitted
-	// at the tenant's former rate: ten times the latency between zones, which also
-	// covers a small owner with some requests queued. Callers' tools expect an answer
-	// within 80 to 200 ms.
+	// at the tenant's former rate. It must exceed several round trips between zones, and
+	// stay below the time that callers wait for an answer.
 	fallbackDelay = 60 * time.Millisecond
 	// ownerBackoff is how long after such a timeout requests do not wait for the owner
 	// first.
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -9,16 +9,14 @@
 const (
 	// idleScanInterval is the pause between scans for ended programs.
 	idleScanInterval = 500 * time.Millisecond
-	// maxPrograms bounds the programs tracked for a tenant, well above what a limit of
-	// 100 requests a second can keep under way.
+	// maxPrograms bounds the programs tracked for a tenant.
 	maxPrograms = 4096
 	// maxRetryAfter bounds the retry delay that is given to a caller.
 	maxRetryAfter = 5 * time.Second
 )
 
 // horizons are the times ahead at which the bucket must still have tokens for the
-// running programs if a further one starts: the next request, a turn with its tool
-// calls, and a window.
+// running programs if a further one starts.
 var horizons = [...]time.Duration{500 * time.Millisecond, time.Second, 2500 * time.Millisecond, 5 * time.Second}
 
 // Limiter decides on the requests of the tenants that one shard owns. The caller
@@ -112,7 +110,7 @@
 	return b
 }
 
-// setLimit puts a limit in force and returns the resulting bounds.
+// setLimit applies a limit and returns the resulting bounds.
 func (b *bucket) setLimit(ask Request, tolerance Tolerance) bounds {
 	b.limit, b.version = ask.Limit, ask.Version
 	made := tolerance.boundsOf(ask.Limit)
--- a/internal/quota/tolerance.go
+++ b/internal/quota/tolerance.go
@@ -27,9 +27,8 @@
 	// moves at a planned shutdown, and once more if its successor is lost.
 	maxTakeovers = 2
 	// rateShare is the part of the tolerance beyond rate and burst that is added to
-	// the rate. The rest is burst: a tenant of one request a second, whose programs
-	// make four at once, then has ten tokens to start one. With half of it in the
-	// rate, it would have two.
+	// the rate. Most of it goes to the burst, as programs of tenants with a low rate
+	// make several requests at once.
 	rateShare = 0.25
 	// startShare is the part of the tolerance that each new owner's bucket starts
 	// with.
--- a/internal/relay/call_handler.go
+++ b/internal/relay/call_handler.go
@@ -30,7 +30,7 @@
 	// boundTo is the only one that may run it again, "" for any: see bindToLastInstance.
 	ranOn   []string
 	boundTo string
-	// preferred is the instance that has the call's object or session in its cache.
+	// preferred is the instance that has the call's session in its cache, "" if unknown.
 	preferred string
 	// runs counts the runs that may have happened.
 	runs int
@@ -128,7 +128,7 @@
 	return instance.Query{
 		Service:     c.service,
 		Preferred:   c.preferred,
-		AffinityKey: c.object(),
+		AffinityKey: c.affinityKey(),
 		Only:        c.boundTo,
 		Regions:     c.regions,
 		Excluded:    c.excluded,
@@ -136,7 +136,7 @@
 	}
 }
 
-func (c *callHandler) object() string {
+func (c *callHandler) affinityKey() string {
 	if !c.call.Route.Sticky {
 		return ""
 	}
--- a/internal/relay/connect_probe.go
+++ b/internal/relay/connect_probe.go
@@ -88,7 +88,7 @@
 // hasService reports whether the current routes contain a service.
 func (r *Relay) hasService(service string) bool { return r.configuredService(service) != nil }
 
-// Try connects to an instance of a zone and, if that succeeds, notes that the zone is
+// TryConnect connects to an instance of a zone and, if that succeeds, notes that the zone is
 // reachable. It does not block. It implements reach.Connections.
 func (r *Relay) TryConnect(zone string) {
 	target, found := r.Pool.AnyIn(zone, r.hasService)
--- a/internal/relay/give_up.go
+++ b/internal/relay/give_up.go
@@ -10,10 +10,10 @@
 )
 
 // errGivenUp is the cause of canceling a wait: for a back end that is presumed unreachable
-// or whose run is over, or for a program's record that cannot be reached.
+// or has restarted, or for a program's record that cannot be reached.
 var errGivenUp = httpconn.ErrPeerCutOff
 
-// GiveUpSilent cancels the waits for silent back ends whose run is over, and for silent
+// GiveUpSilent cancels the waits for silent back ends that have restarted, and for silent
 // back ends that are presumed unreachable if another back end can take the request. While
 // this daemon is isolated it also cancels the waits of turns for their program's record. It
 // implements reach.Connections.
@@ -55,7 +55,7 @@
 }
 
 // WatchSilence calls GiveUpSilent periodically until ctx ends. It is for a fleet of one
-// zone, where no reach.Watch calls it.
+// zone, where no reach.Monitor calls it.
 func (r *Relay) WatchSilence(ctx context.Context) {
 	ticker := time.NewTicker(zone.StepInterval)
 	defer ticker.Stop()
--- a/internal/relay/logs.go
+++ b/internal/relay/logs.go
@@ -15,7 +15,7 @@
 	routineLogBurst = 60
 	sampleInterval  = 20
 	// brokenOffLogBurst is the same for requests that ended without an answer or a refusal.
-	// Failures stay far below it; only many callers that disconnect at once exceed it.
+	// Only many callers that disconnect at once should exceed it.
 	brokenOffLogBurst = 200
 )
 
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -140,9 +140,9 @@
 
 func (m *Metrics) resumed() { m.furtherRuns.WithLabelValues("resumed").Inc() }
 
-func (m *Metrics) notRun(otherInstance bool) {
+func (m *Metrics) notRun(misdirected bool) {
 	cause := "full"
-	if otherInstance {
+	if misdirected {
 		cause = "other_instance"
 	}
 	m.offersNotTaken.WithLabelValues(cause).Inc()
--- a/internal/relay/offer_monitor.go
+++ b/internal/relay/offer_monitor.go
@@ -132,7 +132,7 @@
 	return now.Sub(o.waitingSince) - latencyFactor*usual
 }
 
-// Waiting returns the number of overdue and silent back ends per zone, as seen by this
+// UnresponsiveBackends returns the number of overdue and silent back ends per zone, as seen by this
 // daemon's requests. It implements reach.Connections.
 func (r *Relay) UnresponsiveBackends(now time.Time) map[string]zone.UnresponsiveBackends {
 	waiting := map[string]zone.UnresponsiveBackends{}
--- a/internal/relay/offer_monitor_test.go
+++ b/internal/relay/offer_monitor_test.go
@@ -149,7 +149,7 @@
 	return h, driver
 }
 
-// watch does what reach.Watch does.
+// watch does what reach.Monitor does.
 func (h *zonesHarness) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := time.Now()
--- a/internal/relay/quota.go
+++ b/internal/relay/quota.go
@@ -35,7 +35,7 @@
 	started := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, c.beginDeadline(started))
 	defer cancel()
-	ask := c.quotaAsk()
+	ask := c.quotaRequest()
 	c.quota.asked = ask
 	for {
 		verdict, err := c.relay.Quota.Admit(ctx, ask)
@@ -54,7 +54,7 @@
 	}
 }
 
-func (c *callHandler) quotaAsk() quota.Request {
+func (c *callHandler) quotaRequest() quota.Request {
 	ask := quota.Request{
 		Tenant:  c.call.Tenant.Name,
 		Limit:   quota.Limit{PerSecond: c.call.Tenant.PerSecond, Burst: c.call.Tenant.Burst},
@@ -69,9 +69,9 @@
 	return ask
 }
 
-// returnQuota returns the call's quota if it was offered to no instance: otherwise a
+// refundQuota returns the call's quota if it was offered to no instance: otherwise a
 // program that has spent its budget and keeps asking would use up its tenant's limit.
-func (c *callHandler) returnQuota() {
+func (c *callHandler) refundQuota() {
 	if c.quota.verdict.Reason == quota.ReasonAdmitted && c.offers == 0 {
 		c.relay.Quota.Refund(c.quota.asked)
 	}
--- a/internal/relay/refuse.go
+++ b/internal/relay/refuse.go
@@ -53,7 +53,7 @@
 	}
 	c.relay.Metrics.refused(c.call, refusal.Reason)
 	c.countHeldUp(heldUpRefused)
-	c.returnQuota()
+	c.refundQuota()
 	c.responder.refuse(refusal, cause, func(line *zerolog.Event) *zerolog.Event { return c.logRefusal(line, refusal) })
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -21,8 +21,8 @@
 
 const (
 	// minRoundPause is the pause after the first round of offers to the instances of a
-	// service. It doubles per round up to maxRoundPause, which is about the time of a few
-	// requests, so that a slot that becomes free is found soon.
+	// service. It doubles per round up to maxRoundPause, which is short so that a slot that
+	// becomes free is found soon.
 	minRoundPause = 15 * time.Millisecond
 	maxRoundPause = 60 * time.Millisecond
 	// shortRetryAfter is the shortest Retry-After: other daemons can serve the request at
--- a/internal/relay/split.go
+++ b/internal/relay/split.go
@@ -14,7 +14,10 @@
 	routes map[string]*split
 }
 
+// split is the round-robin state of one route.
 type split struct {
+	// version is the route's configuration that the state belongs to; credit holds the
+	// credit of each of its services.
 	version *route.Route
 	credit  []float64
 }
--- a/internal/relay/tenant_metrics.go
+++ b/internal/relay/tenant_metrics.go
@@ -8,8 +8,7 @@
 
 const (
 	// maxTenantLabels bounds the tenants with time series of their own, so that adding
-	// tenants does not grow a daemon's memory without limit: three counters take about 200
-	// bytes each.
+	// tenants does not grow a daemon's memory without limit.
 	maxTenantLabels = 256
 	// otherTenants is the label under which all further tenants are counted.
 	otherTenants = "other"
--- a/internal/relay/turned_down.go
+++ b/internal/relay/turned_down.go
@@ -15,8 +15,7 @@
 	// maxFalsePositiveRate bounds the probability that an ordinary call is mistaken for one
 	// that all instances turn down.
 	maxFalsePositiveRate = 0.001
-	// maxOffersPerRound bounds the instances that are offered a call in one round. If one
-	// instance in five has a free slot, twelve offers find one in 93% of the rounds.
+	// maxOffersPerRound bounds the instances that are offered a call in one round.
 	maxOffersPerRound = 12
 	// maxDrainBytes bounds an answer that is read to its end to keep its connection.
 	// Refusals are short.
--- a/internal/relaydaemon/adapter.go
+++ b/internal/relaydaemon/adapter.go
@@ -46,7 +46,7 @@
 	// Identify returns the tenant that a request acts for, nil for none, or why the request is
 	// refused. It must be called once the request has arrived.
 	Identify(ctx context.Context, query IdentifyQuery) (*tenant.Tenant, *relay.Refusal)
-	// Watch calls serve with a responder that records how the request ends, and aborts a request
+	// EnsureEnding calls serve with a responder that records how the request ends, and aborts a request
 	// that serve leaves without an ending.
 	EnsureEnding(ctx context.Context, request string, responder relay.Responder, serve func(relay.Responder))
 	// Serve handles a call until it ends.
--- a/internal/relaydaemon/cutoff.go
+++ b/internal/relaydaemon/cutoff.go
@@ -16,9 +16,8 @@
 	// exceeds all other costs, so that even an instance that failed recently is preferred.
 	cutOffCost = 10_000
 	// rampCost is the cost of an instance right after its zone became reachable again; it falls to
-	// 0 within zone.RampTime. During the first third of the ramp it exceeds the bonus of the
-	// instance that knows a session (0.4), so that the instance gets only requests which find no
-	// free slot elsewhere.
+	// 0 within zone.RampTime. At the start of the ramp it exceeds the gain of the preferred
+	// instance, so that the instance gets only requests which find no free slot elsewhere.
 	rampCost = 0.6
 	// lastKey sorts after all keys of a space.
 	lastKey = "\xff"
@@ -69,11 +68,11 @@
 }
 
 // expireIdleAfterReroute closes idle connections once the platform routes new ones to other
-// daemons, if this daemon is still cut off by then. Their callers then reach a daemon that can
+// daemons, if this daemon is still isolated by then. Their callers then reach a daemon that can
 // serve them without being refused first. Connections that their caller may still reuse stay open.
 func (d *Daemon) expireIdleAfterReroute() {
 	time.AfterFunc(rerouteTime, func() {
-		if _, isCutOff := d.cutOffSince(); isCutOff {
+		if _, isolated := d.isolatedSince(); isolated {
 			d.front.expireIdle(time.Now())
 		}
 	})
@@ -92,8 +91,9 @@
 	return d.reachMonitor != nil && d.reachMonitor.Receive(from, message)
 }
 
-// cutOffSince returns since when this daemon has been cut off from the store and most of the fleet.
-func (d *Daemon) cutOffSince() (since time.Time, isCutOff bool) {
+// isolatedSince returns since when this daemon has been isolated from the store and most of the
+// fleet; false if it is not.
+func (d *Daemon) isolatedSince() (since time.Time, isolated bool) {
 	if d.reachability == nil {
 		return time.Time{}, false
 	}
@@ -101,9 +101,9 @@
 }
 
 // RedirectsCallers reports whether callers should send their next request on a new connection,
-// because the platform routes new connections to other daemons: while this daemon stops or is cut
-// off.
+// because the platform routes new connections to other daemons: while this daemon is shutting down
+// or isolated.
 func (d *Daemon) RedirectsCallers() bool {
-	_, isCutOff := d.cutOffSince()
-	return isCutOff || d.stopping.Load()
+	_, isolated := d.isolatedSince()
+	return isolated || d.stopping.Load()
 }
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -183,7 +183,7 @@
 	return d.table.Load()
 }
 
-// Watch implements Gateway.
+// EnsureEnding implements Gateway.
 func (d *Daemon) EnsureEnding(ctx context.Context, request string, responder relay.Responder, serve func(relay.Responder)) {
 	d.relay.EnsureEnding(ctx, request, responder, serve)
 }
@@ -193,7 +193,7 @@
 	d.relay.Serve(ctx, call, responder)
 }
 
-// isReady reports whether the daemon should get requests. One that is cut off should not, since it
+// isReady reports whether the daemon should get requests. One that is isolated should not, since it
 // cannot serve most of them and another zone could.
 func (d *Daemon) isReady() bool {
 	return !d.RedirectsCallers() && d.table.Load() != nil && d.pool.HasList() && d.ledger.DiscoveryDone()
--- a/internal/relaydaemon/front_listener.go
+++ b/internal/relaydaemon/front_listener.go
@@ -12,7 +12,7 @@
 	SetDeadline(at time.Time) error
 }
 
-// frontListener accepts frontConnections until acceptRemaining is called.
+// frontListener accepts connections until acceptRemaining is called.
 type frontListener struct {
 	net.Listener
 	// isFinalDeadline: the deadline has passed once, and Accept is called with a second one.
--- a/internal/relaydaemon/front_reuse.go
+++ b/internal/relaydaemon/front_reuse.go
@@ -10,7 +10,7 @@
 // that request is lost, and its caller may not be allowed to repeat it. Therefore each answer
 // announces how long the connection may be reused, or that it closes. Until that time is over, only
 // the caller or the exit of the process ends an idle connection: not the drain of a planned
-// shutdown, nor a lower limit of the operators, nor being cut off.
+// shutdown, nor a lower limit of the operators, nor the daemon's isolation.
 
 const (
 	// reuseTime is how long callers may reuse a connection after an answer. Including
--- a/internal/relaydaemon/join.go
+++ b/internal/relaydaemon/join.go
@@ -24,9 +24,8 @@
 	// ledgerDirectory is the store's space for the directory of the shards' holders.
 	ledgerDirectory = "ledger-holders"
 	// recordMemoryShare is the share of the memory that the text of turns being written to the
-	// ledger may take: a few hundred turns on the smallest machines. The same amount again may wait
-	// to be written. Finished turns hold less memory than running ones, as their histories are
-	// dropped.
+	// ledger may take. The same amount again may wait to be written. Finished turns hold less
+	// memory than running ones, as their histories are dropped.
 	recordMemoryShare = 0.1
 )
 
@@ -152,8 +151,8 @@
 	})
 }
 
-// membershipSettings search for other daemons every 50 ms after the start, so that daemons which
-// start after the loss of all of them find each other within about 0.1 s.
+// membershipSettings returns the default settings with a frequent search for other daemons after
+// the start, so that daemons which start after the loss of all of them find each other soon.
 func membershipSettings() membership.Settings {
 	settings := membership.DefaultSettings()
 	settings.FirstJoinTime = 600 * time.Millisecond
--- a/internal/relaydaemon/keys.go
+++ b/internal/relaydaemon/keys.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// RoutesConfirmed implements ledger.RouteConfirmations. It loads the routes after the confirmation, so that
-// they are at least as new.
+// RoutesConfirmed implements ledger.RouteConfirmations. It loads the routes after the confirmation,
+// so that they are at least as new.
 func (d *Daemon) RoutesConfirmed() (version int64, asOf time.Time) {
 	asOf, _ = d.routesConfirmation.last()
 	table := d.table.Load()
@@ -131,9 +131,9 @@
 	return time.Since(asOf)
 }
 
-// ConfirmRoutes implements ledger.RouteConfirmations. RouteConfirmations are exchanged between daemons, which keeps
-// keys confirmed further into an outage without calls to the store. News of newer routes makes this
-// daemon expect them.
+// ConfirmRoutes implements ledger.RouteConfirmations. Daemons exchange their confirmations, which
+// keeps keys confirmed further into an outage without calls to the store. A confirmation of newer
+// routes makes this daemon expect them.
 func (d *Daemon) ConfirmRoutes(version int64, asOf time.Time) {
 	table := d.table.Load()
 	switch {
@@ -145,7 +145,7 @@
 	}
 }
 
-// Identify implements Gateway. A daemon that is cut off or was suspended must not accept a key that
+// Identify implements Gateway. A daemon that is isolated or was suspended must not accept a key that
 // has been revoked in the meantime, so the age of its confirmation is checked. It is checked once
 // the request has arrived, and is thus at least the age at which it was sent. A delay of the
 // request after this check does not invalidate its key.
@@ -179,7 +179,7 @@
 		left = assumedPatience
 	}
 	now := time.Now()
-	if _, isCutOff := d.cutOffSince(); isCutOff {
+	if _, isolated := d.isolatedSince(); isolated {
 		return d.routesConfirmation.await(ctx, maxAge, now) // another daemon can answer at once
 	}
 	wait := admission.HeldUpRequest{Kind: admission.StoreUnavailable, Since: d.routesConfirmation.outageStart(now), LatestStart: now.Add(left)}
@@ -189,7 +189,7 @@
 func (d *Daemon) refuseUnconfirmed(query IdentifyQuery) *relay.Refusal {
 	now := time.Now()
 	after := d.admission.Decide(admission.HeldUpRequest{Kind: admission.StoreUnavailable, Since: d.routesConfirmation.outageStart(now)}, now).MedianRemaining
-	if since, isCutOff := d.cutOffSince(); isCutOff {
+	if since, isolated := d.isolatedSince(); isolated {
 		after = relay.RetryAfterReroute(since, rerouteTime)
 	}
 	return d.refuseKey(query, relay.Refusal{
--- a/internal/relaydaemon/regional.go
+++ b/internal/relaydaemon/regional.go
@@ -84,7 +84,8 @@
 	return service, service != nil
 }
 
-// startAll starts the ledgers of all regions, so that they are settled before requests need them.
+// startAll starts the ledgers of all regions, so that their discovery is done before requests need
+// them.
 func (r *regionalLedgers) startAll() {
 	if r.inUse.Swap(true) {
 		return
--- a/internal/relaydaemon/stop.go
+++ b/internal/relaydaemon/stop.go
@@ -13,7 +13,7 @@
 	// this one became unready; requests keep arriving until then.
 	rerouteTime = 2500 * time.Millisecond
 	// handoverTimeout is how long a daemon that has answered all requests waits for the handover of
-	// its shards: a small successor reads some of them for seconds.
+	// its shards, as a successor may take seconds to read them.
 	handoverTimeout = 2 * time.Second
 	// exitMargin is the time between the last answers of a planned shutdown and its deadline, at
 	// which the platform kills the process.
--- a/internal/relaydaemon/zones.go
+++ b/internal/relaydaemon/zones.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/zone"
 )
 
-// Sources of news of evacuations, in logs.
+// Sources of evacuation updates, in logs.
 const (
 	sourceStore  = "store"
 	sourceDaemon = "daemon"
--- a/internal/store/fanout/bundle.go
+++ b/internal/store/fanout/bundle.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// pieceSize is the size of the pieces in which a bundle is sent: 44 KB on the wire, which take
-	// 12 ms on a link of 30 Mbit/s. Other messages on the link are delayed by no more than that.
+	// pieceSize is the size of the pieces in which a bundle is sent. It bounds how long a piece
+	// delays other messages on a slow link.
 	pieceSize = 32 << 10
 	// maxBundleSize is the maximum size of a bundle, and maxContentSize that of its uncompressed
 	// content: the maximum size of one answer of the store.
@@ -53,7 +53,7 @@
 }
 
 // codec compresses at the fastest level, with a single goroutine and a small window, since it also
-// runs on machines with 112 MB of memory and a fifth of a core.
+// runs on machines with little memory and a fraction of a core.
 var codec = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
 	encoder, _ := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
 		zstd.WithWindowSize(codecWindowSize), zstd.WithEncoderLevel(zstd.SpeedFastest)) // fails only for invalid options
--- a/internal/store/fanout/fanout.go
+++ b/internal/store/fanout/fanout.go
@@ -23,7 +23,7 @@
 const (
 	// maxBusyTime is how long the reads of all daemons may keep the store busy: half of the 0.4 s
 	// after which a read of the list of instances is late. Larger records are distributed between
-	// daemons; with 295 daemons and 80 MB/s that is above 54 KB.
+	// daemons.
 	maxBusyTime = 200 * time.Millisecond
 	// defaultReadRate is the read rate of the store in bytes per second if it is not configured:
 	// low enough for a store with ordinary disks and links.
--- a/internal/store/fanout/follow.go
+++ b/internal/store/fanout/follow.go
@@ -14,8 +14,8 @@
 	// reads with the same wait, so its next answer is due by then, and half of the 0.4 s after
 	// which the watcher repeats the read remains for the store's answer.
 	neighbourTimeout = 200 * time.Millisecond
-	// pieceTimeout is how long the next piece may take: several pieces on a link of 30 Mbit/s
-	// shared with five other daemons, plus the delay of a busy small machine.
+	// pieceTimeout is how long the next piece may take. It covers a slow link that the neighbour's
+	// other children share, and the delay of a busy machine.
 	pieceTimeout = 300 * time.Millisecond
 )
 
@@ -82,9 +82,9 @@
 	return readResult{}, false
 }
 
-// ask sends a request and waits up to patience for the answer; nil if none arrived.
-func (s *Service) ask(ctx context.Context, neighbour structs.DaemonID, request Request, patience time.Duration) *Response {
-	response, _ := s.replies.Ask(ctx, patience, func(number uint64) { // nil if no answer arrived
+// ask sends a request and waits up to timeout for the answer; nil if none arrived.
+func (s *Service) ask(ctx context.Context, neighbour structs.DaemonID, request Request, timeout time.Duration) *Response {
+	response, _ := s.replies.Ask(ctx, timeout, func(number uint64) { // nil if no answer arrived
 		request.Number = number
 		s.Transport.Send(neighbour, &request)
 	})
--- a/internal/store/fanout/neighbours.go
+++ b/internal/store/fanout/neighbours.go
@@ -11,8 +11,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// avoidDuration is how long a neighbour that did not deliver is not asked: two reads, and longer
-// than the membership protocol takes to detect that it died (1.4 s).
+// avoidDuration is how long a neighbour that did not deliver is not asked. It must exceed the time
+// that the membership protocol takes to detect that a daemon died.
 const avoidDuration = 3 * time.Second
 
 // neighbours tracks which neighbours can be asked. It is safe for concurrent use.
--- a/internal/store/fanout/tree.go
+++ b/internal/store/fanout/tree.go
@@ -15,9 +15,8 @@
 	// rootsPerZone is the number of daemons of a zone that read from the store: if one dies, the
 	// other still brings records to the zone.
 	rootsPerZone = 2
-	// fanOut is the number of daemons that request from one neighbour. With 62 daemons in a zone,
-	// each is at most two steps from the store, and six bundles of 0.16 MB take a link of 30 Mbit/s
-	// 0.26 s.
+	// fanOut is the number of daemons that request from one neighbour. A higher number makes the
+	// tree flatter, but a neighbour sends each bundle that many times.
 	fanOut = 6
 )
 
--- a/internal/store/hedged_read.go
+++ b/internal/store/hedged_read.go
@@ -17,7 +17,7 @@
 
 const (
 	// hedgeDelayGrowth is the factor by which the delay until the next hedge grows, up to
-	// maxHedgeDelay. While the store does not answer, a call every 1.6 s notices when it is back.
+	// maxHedgeDelay. While the store does not answer, these calls notice when it is back.
 	hedgeDelayGrowth = 2
 	maxHedgeDelay    = 1600 * time.Millisecond
 	// hedgesUntilUnreachable is the number of hedges without an answer after which the store counts
@@ -225,7 +225,7 @@
 	}
 }
 
-// expectChange handles the news that there is a change: a call that waits for one should be
+// expectChange handles the signal that there is a change: a call that waits for one should be
 // answered now, so hedgeTimer fires after hedgeDelay rather than after the wait.
 func (r *hedgedRead) expectChange() {
 	if r.isWaiting() && time.Until(r.hedgeAt) > r.hedgeDelay {
--- a/internal/store/proxy/helper.go
+++ b/internal/store/proxy/helper.go
@@ -25,8 +25,7 @@
 	// silentHelperPause is how long a helper that did not answer is not asked.
 	silentHelperPause = 3 * time.Second
 	// otherRegionsTime is how long helpers of all regions may be asked after one of this daemon's
-	// region failed, since whatever keeps that one from the store may affect the whole region. A
-	// helper of another region answers a few one-way delays of 8 ms later.
+	// region failed, since whatever keeps that one from the store may affect the whole region.
 	otherRegionsTime = 5 * time.Second
 	// noHelperPause is how long no helper is asked after one answered that it does not reach the
 	// store either, or that it is at its limit.
@@ -98,7 +97,8 @@
 	return usable
 }
 
-// recordAnswer records an answer of a helper. helped is false if it did not reach the store either.
+// recordAnswer records an answer of a helper. reachedStore is false if the helper did not reach the
+// store either.
 func (h *helpers) recordAnswer(reachedStore bool, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -172,21 +172,21 @@
 
 // helperTimeoutFor returns how long a helper may take to answer.
 func helperTimeoutFor(ctx context.Context, request *Request) time.Duration {
-	patience := request.wait() + helperTimeout
+	timeout := request.wait() + helperTimeout
 	deadline, bounded := ctx.Deadline()
 	if request.Call != callNewest || !bounded {
-		return patience
+		return timeout
 	}
-	return max(patience, time.Duration(helperPageShare*float64(time.Until(deadline))))
+	return max(timeout, time.Duration(helperPageShare*float64(time.Until(deadline))))
 }
 
 // ask sends a call to a helper and waits for the answer; nil if none arrived.
 func (s *Service) ask(ctx context.Context, helper structs.DaemonID, request *Request) *Response {
-	patience := helperTimeoutFor(ctx, request)
+	timeout := helperTimeoutFor(ctx, request)
 	sent := *request
 	sent.Purpose = helpedPrefix + request.Purpose
-	sent.WithinMS = patience.Milliseconds()
-	response, _ := s.replies.Ask(ctx, patience, func(number uint64) { // nil if no answer arrived
+	sent.WithinMS = timeout.Milliseconds()
+	response, _ := s.replies.Ask(ctx, timeout, func(number uint64) { // nil if no answer arrived
 		sent.Number = number
 		s.Transport.Send(helper, &sent)
 	})
--- a/internal/storecapacity/estimate.go
+++ b/internal/storecapacity/estimate.go
@@ -44,7 +44,7 @@
 	return &Estimate{shards: shards, reports: map[int]timedProfile{}}
 }
 
-// Merge adds the valid ones of another daemon's reports.
+// Merge records the valid reports among those of another daemon.
 func (e *Estimate) Merge(reports []Report, now time.Time) {
 	for _, report := range reports {
 		if report.AgeMS >= 0 && report.Shard >= 0 && report.Shard < e.shards {
--- a/internal/storecapacity/gate.go
+++ b/internal/storecapacity/gate.go
@@ -4,12 +4,11 @@
 
 const (
 	// reservedShare is the part of the store that programs' newest records leave free: for
-	// claims, the dropping of records, history (two seconds of appends and 128 KB for each
-	// of 48 shards: 4 in 100), programs that are admitted by outdated reports, and the
-	// error of the estimate (6% with 16 of 48 shards).
+	// claims, the dropping of records, history, programs that are admitted by outdated
+	// reports, and the error of the estimate.
 	reservedShare = 0.15
 	// tightShare is the fill level from which on data of the least value is dropped at
-	// once. The usual load of a busy deployment lies just above it.
+	// once.
 	tightShare = 0.5
 	// exhaustedShare is the fill level from which on nothing more may be written, even by
 	// programs under way: the rest is for what makes room.
--- a/internal/storecapacity/profile.go
+++ b/internal/storecapacity/profile.go
@@ -16,8 +16,7 @@
 	"time"
 )
 
-// SlotLength is the duration that one entry of Profile.Expiring stands for: a twelfth of
-// the shortest usual retention.
+// SlotLength is the duration that one entry of Profile.Expiring stands for.
 const SlotLength = 5 * time.Second
 
 // maxRetention bounds the retention in a profile.
@@ -67,8 +66,8 @@
 	return sum
 }
 
-// TimeToFull returns when so many bytes are kept, if bytes are written and expire as
-// before; 0 if that is not within the retention or the slots.
+// TimeToFull returns the time until bound bytes are kept, if bytes are written and expire
+// as before; 0 if that is not within the retention or the slots.
 func (p Profile) TimeToFull(bound float64) time.Duration {
 	retention := min(p.retention(), slotsLimit*SlotLength)
 	for passed := time.Duration(0); passed < retention; passed += time.Second {
--- a/internal/zone/detection.go
+++ b/internal/zone/detection.go
@@ -4,7 +4,8 @@
 
 const (
 	// probeTimeout is for how long all probed daemons of a zone, and its back ends, must
-	// have been silent: ten times as long as a daemon on a busy machine takes to answer.
+	// have been silent. It must exceed the time that a daemon on a busy machine takes to
+	// answer.
 	probeTimeout = 250 * time.Millisecond
 	// minSilent is the minimum number of silent daemons and back ends of a zone.
 	minSilent = 3
--- a/internal/zone/placement.go
+++ b/internal/zone/placement.go
@@ -13,8 +13,8 @@
 
 const (
 	// returnRampTime is the time over which requests return to the back ends of a zone
-	// after its evacuation ended. It is several times as long as a turn: if the back ends
-	// are slow or refuse requests, the first ones show it before all daemons send there.
+	// after its evacuation ended. It must exceed several turns, so that the first requests
+	// show whether the back ends are slow or refuse them before all daemons send there.
 	returnRampTime = 2 * time.Second
 	// returnCost is the cost of a back end to which this daemon does not send yet, as a
 	// fraction of its slots: it is chosen once all slots elsewhere are in use.
--- a/internal/zone/reach/monitor.go
+++ b/internal/zone/reach/monitor.go
@@ -28,10 +28,9 @@
 	firstRefreshInterval = 100 * time.Millisecond
 	// notifiedDaemons is the number of daemons that are notified of each suspected zone and
 	// of each that was found cut off. A daemon without requests in the zone learns of it
-	// only that way: with this number, hardly one daemon of 300 is notified by nobody.
+	// only that way.
 	notifiedDaemons = 8
-	// storeTimeout limits the call that checks whether the store answers: a store that is
-	// sixty times slower than usual still answers in time.
+	// storeTimeout limits the call that checks whether the store answers.
 	storeTimeout = 300 * time.Millisecond
 )
 
