--- a/internal/ledger/holder.go
+++ b/internal/ledger/holder.go
@@ -14,7 +14,7 @@
 const (
 	// operationQueueSize bounds the operations that wait for one shard.
 	operationQueueSize = 1024
-	// expireInterval separates sweeps for expired records, whose space in the store is not
+	// expireInterval is the interval of sweeps for expired records, whose space is not
 	// available to others until they are dropped.
 	expireInterval = time.Second
 	// expireLimit bounds the records dropped in one sweep, as each adds about 40 bytes to
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -15,7 +15,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// handoverPollInterval separates checks whether all shards were handed over.
+// handoverPollInterval is the interval between checks whether all shards were handed over.
 const handoverPollInterval = 20 * time.Millisecond
 
 // Service gives a daemon access to the ledger: it sends requests to the holders of shards,
