--- a/internal/backends/directory.go
+++ b/internal/backends/directory.go
@@ -1,7 +1,7 @@
-// Package backends keeps the list of engines and application back ends that
-// take new work. The platform's list lags; what a back end says of itself and
-// what connections show is joined to it. The newest bad news wins, and only
-// news that is certainly newer clears it.
+// Package backends maintains the engines and application back ends that accept new
+// work. The platform's list lags, so it is combined with what a back end reports
+// itself and with broken connections. The latest evidence that a back end is leaving
+// or failing applies until certainly newer evidence clears it.
 package backends
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Scheduler is told about engines.
+// Scheduler receives the state of engines.
 type Scheduler interface {
 	UpdateEngine(engine structs.Engine)
 	RemoveEngine(id structs.EngineID)
@@ -31,27 +31,27 @@
 	WaitingByModel() []schedule.ModelWaiting
 }
 
-// Members tells of the other daemons.
+// Members lists the daemons of the fleet.
 type Members interface {
 	Members() []membership.Member
 }
 
-// Router tells where the shards of programs are led.
+// Router returns the leaders of programs' shards.
 type Router interface {
 	Shard(key structs.ProgramKey) structs.ShardNumber
 	Route(shard structs.ShardNumber) replication.Route
 }
 
-// Guards lets a simulation switch off a protection, to show that its checker
-// notices. The zero value has every guard on.
+// Guards lets a simulation disable a safeguard, to show that its checker detects the
+// consequences. The zero value has every guard on.
 type Guards struct {
-	// IgnoreLeaving takes no notice of any news that a back end is leaving.
+	// IgnoreLeaving ignores all evidence that a back end is leaving.
 	IgnoreLeaving bool
-	// SkipHoldSweep never looks for engine memory that nobody remembers.
+	// SkipHoldSweep skips the search for orphaned holds on engine memory.
 	SkipHoldSweep bool
 }
 
-// Options give a Directory what it works with.
+// Options are the dependencies and settings of a Directory.
 type Options struct {
 	Self      structs.Daemon
 	Clock     clock.Clock
@@ -63,44 +63,44 @@
 	Settings  Settings
 	Guards    Guards
 	Logger    zerolog.Logger
-	// OnList is told the list whenever it changed, ordered by address.
+	// OnList is called with the list, ordered by address, whenever it changed.
 	OnList func([]structs.Machine)
-	// OnListUnchanged is told of each reading that shows what was there before.
+	// OnListUnchanged is called after each read that found the list unchanged.
 	OnListUnchanged func()
 }
 
-// Directory knows the back ends. It implements dispatch.Directory and is safe
-// for concurrent use; drivers, scheduler and peers are called without its lock.
+// Directory tracks the back ends. It implements dispatch.Directory and is safe for
+// concurrent use; drivers, scheduler and peers are called without its mutex.
 type Directory struct {
 	Options
 
-	mutex    sync.Mutex
-	backEnds map[structs.EngineID]*backEnd
-	view     machineView
-	cells    cells
-	sweep    holdSweep
-	stopped  bool
-	turn     int
-	watches  int
-	// asked counts the daemons of other cells that were asked for engines.
-	asked int
+	mutex       sync.Mutex
+	backEnds    map[structs.EngineID]*backEnd
+	machineList machineList
+	cells       cells
+	sweep       holdSweep
+	stopped     bool
+	roundRobin  int
+	pollRounds  int
+	// nextContact counts the daemons of other cells that were asked for engines.
+	nextContact int
 }
 
-// New returns a directory that knows no back end.
+// New returns a directory without back ends.
 func New(options Options) *Directory {
 	return &Directory{Options: options, backEnds: map[structs.EngineID]*backEnd{}, sweep: newHoldSweep()}
 }
 
-// Start begins to read the list and the engines' reports.
+// Start starts the periodic reads of the list and the polls of engines.
 func (d *Directory) Start() {
 	d.readList()
-	d.watch()
+	d.pollEngines()
 	d.probeApplications()
-	d.findModels()
+	d.findMissingModels()
 	d.Clock.AfterFunc(d.Settings.HoldSweepInterval, d.sweepHolds)
 }
 
-// Stop ends the readings.
+// Stop ends all periodic work.
 func (d *Directory) Stop() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -113,16 +113,16 @@
 	return d.stopped
 }
 
-// Application returns a back end for a target that takes new work: one in the
-// daemon's own zone if there is any, in turn. One that was not reached lately
-// is chosen only where there is no other.
+// Application returns a back end for a target that accepts new work, in rotation: one
+// in the daemon's own zone if there is any, and an unreachable one only if there is no
+// other.
 func (d *Directory) Application(target string, avoid []structs.EngineID) (structs.EngineID, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.Clock.Now()
 	var candidates []*backEnd
 	for id, b := range d.backEnds {
-		serves := b.machine.Name == target && !b.isEngine() && d.takesWork(b, now)
+		serves := b.machine.Name == target && !b.isEngine() && d.acceptsWork(b, now)
 		if serves && !slices.Contains(avoid, id) {
 			candidates = append(candidates, b)
 		}
@@ -133,11 +133,11 @@
 		return "", false
 	}
 	slices.SortFunc(candidates, func(a, b *backEnd) int { return cmp.Compare(a.id, b.id) })
-	d.turn++
-	return candidates[d.turn%len(candidates)].id, true
+	d.roundRobin++
+	return candidates[d.roundRobin%len(candidates)].id, true
 }
 
-// prefer keeps those that fit, or all if none does.
+// prefer returns the candidates that fit, or all if none does.
 func prefer(candidates []*backEnd, fits func(*backEnd) bool) []*backEnd {
 	fitting := slices.DeleteFunc(slices.Clone(candidates), func(b *backEnd) bool { return !fits(b) })
 	if len(fitting) > 0 {
@@ -146,15 +146,15 @@
 	return candidates
 }
 
-func (d *Directory) takesWork(b *backEnd, now time.Time) bool {
+func (d *Directory) acceptsWork(b *backEnd, now time.Time) bool {
 	if d.Guards.IgnoreLeaving {
 		return b.listed
 	}
 	return !b.leaving(d.Settings, now)
 }
 
-// Machines returns the back ends on the platform's list, ordered by address.
-// One that gets no new work counts as leaving.
+// Machines returns the back ends on the platform's list, ordered by address. One that
+// gets no new work has the state leaving.
 func (d *Directory) Machines() []structs.Machine {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -174,7 +174,8 @@
 	return listed
 }
 
-// IsDelisted reports whether a back end is no longer on the platform's list.
+// IsDelisted reports whether a back end is not on the platform's list, once that was
+// read.
 func (d *Directory) IsDelisted(id structs.EngineID) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -182,7 +183,7 @@
 	return len(d.backEnds) > 0 && (b == nil || !b.listed)
 }
 
-// MarkDraining records a back end's own word that it is leaving.
+// MarkDraining records a back end's announcement that it is leaving.
 func (d *Directory) MarkDraining(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
@@ -191,20 +192,20 @@
 		return
 	}
 	run, engine := b.run, b.isEngine()
-	news := b.sawDraining(run, d.Settings, d.Clock.Now())
+	news := b.observeDraining(run, d.Settings, d.Clock.Now())
 	d.mutex.Unlock()
-	d.tell(id)
+	d.updateScheduler(id)
 	if news {
 		d.Logger.Info().Str("back_end", string(id)).Msg("Back end is leaving.")
-		d.passOn(&Leaving{BackEnd: id, Run: run})
+		d.broadcast(&Leaving{BackEnd: id, Run: run})
 	}
 	if news && !engine {
 		d.probeApplication(id)
 	}
 }
 
-// MarkUnreachable records that a connection to a back end broke. It gets no new
-// work until it answers.
+// MarkUnreachable records that a connection to a back end broke. It gets no new work
+// until it answers.
 func (d *Directory) MarkUnreachable(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
@@ -215,7 +216,7 @@
 	b.unreachable = true
 	engine := b.isEngine()
 	d.mutex.Unlock()
-	d.tell(id)
+	d.updateScheduler(id)
 	if engine {
 		d.poll(id)
 	} else {
@@ -223,8 +224,8 @@
 	}
 }
 
-// tell gives the scheduler what is new about an engine.
-func (d *Directory) tell(id structs.EngineID) {
+// updateScheduler sends the state of an engine to the scheduler if it changed.
+func (d *Directory) updateScheduler(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
 	if b == nil || !b.isEngine() || !b.listed || !d.uses(b) {
@@ -232,9 +233,9 @@
 		return
 	}
 	engine := d.engineOf(b)
-	same := b.isKnown && b.told.Zone == engine.Zone && b.told.Region == engine.Region && b.told.Leaving == engine.Leaving
-	b.told = engine
-	b.isKnown = true
+	same := b.inScheduler && b.lastSent.Zone == engine.Zone && b.lastSent.Region == engine.Region && b.lastSent.Leaving == engine.Leaving
+	b.lastSent = engine
+	b.inScheduler = true
 	d.mutex.Unlock()
 	if !same {
 		d.Scheduler.UpdateEngine(engine)
@@ -243,7 +244,7 @@
 
 func (d *Directory) engineOf(b *backEnd) structs.Engine {
 	now := d.Clock.Now()
-	noWork := !d.takesWork(b, now) || b.suspected(d.Settings, now)
+	noWork := !d.acceptsWork(b, now) || b.suspected(d.Settings, now)
 	return structs.Engine{
 		ID:      b.id,
 		Zone:    b.machine.Zone,
--- a/internal/backends/list.go
+++ b/internal/backends/list.go
@@ -13,32 +13,32 @@
 		return
 	}
 	d.mutex.Lock()
-	since := d.view.next(d.Settings.FullListEvery)
+	since := d.machineList.nextBase(d.Settings.FullListEvery)
 	d.mutex.Unlock()
 	d.Drivers.Machines.List(since, func(reading framework.ListResponse, err error) {
 		if err == nil {
-			d.takeReading(reading)
+			d.applyListRead(reading)
 		}
 		d.Clock.AfterFunc(d.listInterval(), d.readList)
 	})
 }
 
-// takeReading joins a reading to the list and acts on what it shows.
-func (d *Directory) takeReading(reading framework.ListResponse) {
+// applyListRead merges a read into the list and acts on the changes.
+func (d *Directory) applyListRead(reading framework.ListResponse) {
 	d.mutex.Lock()
-	changed, err := d.view.take(reading)
+	changed, err := d.machineList.apply(reading)
 	var machines []structs.Machine
 	if changed {
-		machines = d.view.machines()
+		machines = d.machineList.machines()
 	}
 	d.mutex.Unlock()
 	switch {
 	case err != nil:
-		d.Logger.Warn().Err(err).Msg("Machine list is read anew.")
+		d.Logger.Warn().Err(err).Msg("Machine list does not follow from the last read. The whole list is read.")
 	case changed:
-		d.update(machines)
+		d.listChanged(machines)
 	default:
-		d.unchanged()
+		d.listUnchanged()
 	}
 }
 
@@ -51,8 +51,8 @@
 	return d.Settings.LargeFleetListInterval
 }
 
-// update takes a list that changed.
-func (d *Directory) update(machines []structs.Machine) {
+// listChanged applies a list that differs from the former one.
+func (d *Directory) listChanged(machines []structs.Machine) {
 	d.mutex.Lock()
 	present := map[structs.EngineID]bool{}
 	for _, machine := range machines {
@@ -61,9 +61,9 @@
 		}
 		id := structs.EngineID(machine.Address)
 		present[id] = true
-		d.list(id, machine)
+		d.addListed(id, machine)
 	}
-	gone := d.unlist(present)
+	gone := d.removeUnlisted(present)
 	d.mutex.Unlock()
 	for _, id := range gone {
 		d.Scheduler.RemoveEngine(id)
@@ -71,30 +71,30 @@
 	d.OnList(machines)
 	d.assignCells()
 	d.refresh()
-	d.pollNew()
+	d.pollUnread()
 }
 
-// unchanged takes a list that shows what it showed before: who was leaving
-// still is, and who is not listed may be forgotten.
-func (d *Directory) unchanged() {
+// listUnchanged renews the hold-down of back ends that are still listed as leaving,
+// and removes unlisted ones after theirs.
+func (d *Directory) listUnchanged() {
 	d.mutex.Lock()
 	now := d.Clock.Now()
 	for id, b := range d.backEnds {
 		switch {
 		case b.listed && b.machine.State == structs.MachineLeaving:
-			b.listedBadAt = now
-		case !b.listed && now.Sub(b.listedBadAt) >= d.Settings.ListHoldDown:
+			b.lastBadListingAt = now
+		case !b.listed && now.Sub(b.lastBadListingAt) >= d.Settings.ListHoldDown:
 			delete(d.backEnds, id)
 		}
 	}
 	d.mutex.Unlock()
 	d.OnListUnchanged()
 	d.refresh()
-	d.pollNew()
+	d.pollUnread()
 }
 
-// list takes one row.
-func (d *Directory) list(id structs.EngineID, machine structs.Machine) {
+// addListed adds or updates a listed back end.
+func (d *Directory) addListed(id structs.EngineID, machine structs.Machine) {
 	b := d.backEnds[id]
 	if b == nil {
 		b = &backEnd{id: id}
@@ -103,13 +103,13 @@
 	b.machine = machine
 	b.listed = true
 	if machine.State == structs.MachineLeaving {
-		b.listedBadAt = d.Clock.Now()
+		b.lastBadListingAt = d.Clock.Now()
 	}
 }
 
-// unlist marks back ends that are no longer listed, and forgets those that
-// have been so for a while. It returns, in order, those that are newly gone.
-func (d *Directory) unlist(present map[structs.EngineID]bool) []structs.EngineID {
+// removeUnlisted marks back ends that are no longer listed, and removes those whose
+// hold-down has passed. It returns the newly unlisted ones, in order.
+func (d *Directory) removeUnlisted(present map[structs.EngineID]bool) []structs.EngineID {
 	now := d.Clock.Now()
 	var gone []structs.EngineID
 	for id, b := range d.backEnds {
@@ -117,10 +117,10 @@
 		case present[id]:
 		case b.listed:
 			b.listed = false
-			b.isKnown = false
-			b.listedBadAt = now
+			b.inScheduler = false
+			b.lastBadListingAt = now
 			gone = append(gone, id)
-		case now.Sub(b.listedBadAt) >= d.Settings.ListHoldDown:
+		case now.Sub(b.lastBadListingAt) >= d.Settings.ListHoldDown:
 			delete(d.backEnds, id)
 		}
 	}
@@ -128,18 +128,18 @@
 	return gone
 }
 
-// refresh brings the scheduler up to what time and news have changed.
+// refresh updates the scheduler after time passed or the state of back ends changed.
 func (d *Directory) refresh() {
-	for _, id := range d.unused() {
+	for _, id := range d.withdrawUnused() {
 		d.Scheduler.RemoveEngine(id)
 	}
-	for _, id := range d.used() {
-		d.tell(id)
+	for _, id := range d.usedEngines() {
+		d.updateScheduler(id)
 	}
 }
 
-// used lists the engines that this daemon gives work to, in order.
-func (d *Directory) used() []structs.EngineID {
+// usedEngines returns the engines that this daemon sends work to, in order.
+func (d *Directory) usedEngines() []structs.EngineID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var ids []structs.EngineID
@@ -152,15 +152,15 @@
 	return ids
 }
 
-// unused lists, in order, the engines that the scheduler was told of and that
-// this daemon no longer uses, and notes that they are taken back.
-func (d *Directory) unused() []structs.EngineID {
+// withdrawUnused returns, in order, the engines that the scheduler has and this daemon
+// no longer uses, and marks them as removed from the scheduler.
+func (d *Directory) withdrawUnused() []structs.EngineID {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var ids []structs.EngineID
 	for id, b := range d.backEnds {
-		if b.isKnown && !d.uses(b) {
-			b.isKnown = false
+		if b.inScheduler && !d.uses(b) {
+			b.inScheduler = false
 			ids = append(ids, id)
 		}
 	}
--- a/internal/backends/list_test.go
+++ b/internal/backends/list_test.go
@@ -18,7 +18,7 @@
 
 func TestListIsPassedOnOnlyWhenItChanges(t *testing.T) {
 	engine, peer := engineRow(engineA), daemonRow(peerAddress)
-	b := newBench(Guards{}, peer, engine)
+	b := newTestDirectory(Guards{}, peer, engine)
 	b.run(time.Minute)
 	b.machines = []structs.Machine{engine}
 	b.run(time.Minute)
@@ -30,100 +30,100 @@
 	}
 }
 
-func TestRemovalIsToldByTheReadingThatShowsIt(t *testing.T) {
+func TestRemovalIsReportedByTheFirstReadWithoutTheMachine(t *testing.T) {
 	engine := engineRow(engineA)
-	b := newBench(Guards{}, daemonRow(peerAddress), engine)
+	b := newTestDirectory(Guards{}, daemonRow(peerAddress), engine)
 	b.run(time.Minute)
 	b.machines = []structs.Machine{engine}
 	b.run(b.Settings.ListInterval)
 	if len(b.lists) != 2 {
-		t.Fatalf("%d lists were passed on, want the first and the one without the daemon", len(b.lists))
+		t.Fatalf("%d lists were passed to OnList, want the first and the one without the daemon", len(b.lists))
 	}
 	if diff := cmp.Diff([]structs.Machine{engine}, b.lists[1]); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestLeavingStandsThroughReadingsWithoutChange(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+func TestLeavingPersistsWhileTheListIsUnchanged(t *testing.T) {
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines[0].State = structs.MachineLeaving
 	b.run(10 * b.Settings.ListHoldDown)
-	b.wantLeaving(t, true, "listed as leaving in every reading")
+	b.wantLeaving(t, true, "listed as leaving in every read")
 }
 
-func TestUnlistedEngineIsForgottenThoughTheListStandsStill(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+func TestUnlistedEngineIsRemovedWhileTheListIsUnchanged(t *testing.T) {
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines = b.machines[1:]
 	b.run(2 * b.Settings.ListInterval)
 	if !b.IsDelisted(engineA) {
-		t.Fatal("still listed")
+		t.Fatal("the engine is still listed")
 	}
 	b.run(2 * b.Settings.ListHoldDown)
 	if _, known := b.backEnds[engineA]; known {
-		t.Error("still remembered")
+		t.Error("the engine is still tracked")
 	}
 }
 
-func TestListThatGoesBackGivesNoWorkToWhoWasLeaving(t *testing.T) {
+func TestOlderListGivesNoWorkToUnlistedEngine(t *testing.T) {
 	engine, other := engineRow(engineA), engineRow(engineB)
-	b := newBench(Guards{}, engine, other)
+	b := newTestDirectory(Guards{}, engine, other)
 	b.machines = []structs.Machine{other}
 	b.run(2 * b.Settings.ListInterval)
-	// Another instance of the service takes over. It knows no version of the
-	// former one and lags behind it.
-	b.reading = func(since framework.ListVersion) framework.ListResponse {
+	// Another instance of the service takes over. It knows none of the former
+	// one's versions and lags behind it.
+	b.listOverride = func(since framework.ListVersion) framework.ListResponse {
 		return framework.FullListResponse("other-1", []structs.Machine{engine, other})
 	}
 	b.run(2 * b.Settings.ListInterval)
-	b.wantLeaving(t, true, "shown again by an older list")
+	b.wantLeaving(t, true, "listed again by an older list")
 	b.run(b.Settings.ListHoldDown)
-	b.wantLeaving(t, false, "shown for long")
+	b.wantLeaving(t, false, "listed for ListHoldDown")
 }
 
-func TestReadingWithAGapIsFollowedByTheWholeList(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+func TestReadWithAGapIsFollowedByTheFullList(t *testing.T) {
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.machines[0].State = structs.MachineLeaving
-	b.reading = func(since framework.ListVersion) framework.ListResponse {
+	b.listOverride = func(since framework.ListVersion) framework.ListResponse {
 		return framework.ListResponse{Version: "9", Since: since, Total: 7}
 	}
 	b.run(b.Settings.ListInterval)
-	b.reading = nil
+	b.listOverride = nil
 	b.versionsAsked = nil
 	b.run(b.Settings.ListInterval)
 	if diff := cmp.Diff([]framework.ListVersion{""}, b.versionsAsked); diff != "" {
 		t.Error(diff)
 	}
-	b.wantLeaving(t, true, "after the whole list")
+	b.wantLeaving(t, true, "after the full list")
 }
 
-func TestDaemonCutOffFromTheListTakesItUpWhereItStood(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+func TestListReadsResumeFromTheLastVersionAfterAnOutage(t *testing.T) {
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.listFails = true
 	b.run(time.Minute)
 	b.machines[0].State = structs.MachineLeaving
 	b.run(time.Minute)
-	b.wantLeaving(t, false, "nothing was heard")
+	b.wantLeaving(t, false, "no read succeeded")
 	b.listFails = false
 	b.versionsAsked = nil
 	b.run(b.Settings.ListInterval)
-	b.wantLeaving(t, true, "after the first reading")
+	b.wantLeaving(t, true, "after the first read")
 	if b.versionsAsked[0] == "" {
-		t.Error("the whole list was read, want the changes since the last reading")
+		t.Error("the full list was read, want the changes since the last read")
 	}
 }
 
-func TestEveryReadingIsToldOnceAsAChangeOrAsTheSame(t *testing.T) {
-	b := newBench(Guards{}, engineRow(engineA), engineRow(engineB))
+func TestEveryReadIsReportedOnceAsChangedOrUnchanged(t *testing.T) {
+	b := newTestDirectory(Guards{}, engineRow(engineA), engineRow(engineB))
 	b.run(time.Minute)
 	b.machines = b.machines[1:]
 	b.run(time.Minute)
-	if told, readings := len(b.lists)+b.sameLists, len(b.versionsAsked); told != readings {
-		t.Errorf("%d readings were told of %d", told, readings)
+	if told, readings := len(b.lists)+b.unchangedLists, len(b.versionsAsked); told != readings {
+		t.Errorf("%d reads were reported, of %d", told, readings)
 	}
-	told := b.sameLists
+	told := b.unchangedLists
 	b.listFails = true
 	b.run(time.Minute)
-	if b.sameLists != told {
-		t.Error("readings that failed were told as ones without change")
+	if b.unchangedLists != told {
+		t.Error("failed reads were reported as unchanged")
 	}
 }
--- a/internal/backends/machine_view_test.go
+++ b/internal/backends/machine_list_test.go
@@ -14,10 +14,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-const wholeEveryTest = 50
+const testFullListEvery = 50
 
-// listService publishes random lists. Its readers may be sent back to an older
-// one, and it may have forgotten the version that a reader builds on.
+// listService serves random lists. It may serve an older list, and it may have
+// forgotten the version on which a read builds.
 type listService struct {
 	random *rand.Rand
 	states [][]structs.Machine
@@ -53,16 +53,16 @@
 	return list
 }
 
-func TestViewFollowsAListThatLagsAndGoesBack(t *testing.T) {
+func TestMachineListFollowsAServiceThatLagsAndGoesBack(t *testing.T) {
 	for seed := range uint64(20) {
 		s := &listService{random: rand.New(rand.NewPCG(seed, 1)), states: [][]structs.Machine{{engineRow("10.0.1.1:9000")}}}
-		view := machineView{}
+		view := machineList{}
 		for step := range 300 {
 			for range s.random.IntN(3) {
 				s.change()
 			}
 			shown := max(0, len(s.states)-1-s.random.IntN(5))
-			changed, err := view.take(s.read(view.next(wholeEveryTest), shown))
+			changed, err := view.apply(s.read(view.nextBase(testFullListEvery), shown))
 			if err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, step, err)
 			}
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestReadingWithAGapIsNotTaken(t *testing.T) {
+func TestReadWithAGapIsNotApplied(t *testing.T) {
 	before := []structs.Machine{engineRow(engineA), engineRow(engineB)}
 	good := framework.DeltaListResponse("1", before, "2", before[:1])
 	tests := map[string]framework.ListResponse{
@@ -84,42 +84,42 @@
 	}
 	for name, reading := range tests {
 		t.Run(name, func(t *testing.T) {
-			view := machineView{}
-			if _, err := view.take(framework.FullListResponse("1", before)); err != nil {
+			view := machineList{}
+			if _, err := view.apply(framework.FullListResponse("1", before)); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := view.take(reading); err == nil {
-				t.Error("taken")
+			if _, err := view.apply(reading); err == nil {
+				t.Error("the read was applied")
 			}
 			if diff := cmp.Diff(before, view.machines()); diff != "" {
 				t.Error(diff)
 			}
-			if since := view.next(wholeEveryTest); since != "" {
-				t.Errorf("next reading builds on %q, want the whole list", since)
+			if since := view.nextBase(testFullListEvery); since != "" {
+				t.Errorf("the next read builds on %q, want the full list", since)
 			}
-			if _, err := view.take(good); err == nil {
-				t.Error("changes were taken after a gap")
+			if _, err := view.apply(good); err == nil {
+				t.Error("changes were applied after a gap")
 			}
 		})
 	}
 }
 
-func TestWholeListIsReadNowAndThen(t *testing.T) {
-	view := machineView{}
+func TestFullListIsReadPeriodically(t *testing.T) {
+	view := machineList{}
 	machines := []structs.Machine{engineRow(engineA)}
 	wholes := 0
 	for range 101 {
-		since := view.next(wholeEveryTest)
+		since := view.nextBase(testFullListEvery)
 		reading := framework.DeltaListResponse(since, machines, "1", machines)
 		if since == "" {
 			wholes++
 			reading = framework.FullListResponse("1", machines)
 		}
-		if _, err := view.take(reading); err != nil {
+		if _, err := view.apply(reading); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if wholes != 2 {
-		t.Errorf("%d whole lists in 101 readings, want 2", wholes)
+		t.Errorf("%d full lists in 101 reads, want 2", wholes)
 	}
 }
--- a/internal/configuration/benchmark_test.go
+++ b/internal/configuration/benchmark_test.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Sizes of the letter: tenants and models in steady use.
+// Size of a production configuration.
 const (
 	benchmarkTenants   = 2100
 	benchmarkModels    = 18
@@ -31,8 +31,8 @@
 	}
 }
 
-// fullState folds a configuration with the letter's models.
-func fullState(b *testing.B, tenants int) *State {
+// stateWithTenants returns a state with a production-size configuration.
+func stateWithTenants(b *testing.B, tenants int) *State {
 	b.Helper()
 	patch := structs.Patch{
 		Models:    structs.Edit[structs.ModelName, structs.Model]{Set: map[structs.ModelName]structs.Model{}},
@@ -60,8 +60,8 @@
 	return state
 }
 
-// oneTenant is a change of one tenant of many.
-func oneTenant(b *testing.B, offset, base, tenants int) framework.LogEntry {
+// tenantChange returns a log entry that changes one of many tenants.
+func tenantChange(b *testing.B, offset, base, tenants int) framework.LogEntry {
 	name := structs.TenantName(fmt.Sprintf("tenant-%d", base%tenants))
 	tenant := benchmarkTenant(base % tenants)
 	tenant.Programs = 100 + base
@@ -70,16 +70,16 @@
 	})
 }
 
-// BenchmarkFold is the cost of one change of one tenant among many; the bytes
-// of its entry are reported too.
+// BenchmarkFold measures the fold of a change of one tenant among many, and the
+// size of its entry.
 func BenchmarkFold(b *testing.B) {
 	for _, tenants := range []int{525, 1050, benchmarkTenants} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
-			state := fullState(b, tenants)
+			state := stateWithTenants(b, tenants)
 			offset, bytes := 1, 0
 			b.ReportAllocs()
 			for b.Loop() {
-				entry := oneTenant(b, offset, offset, tenants)
+				entry := tenantChange(b, offset, offset, tenants)
 				bytes += len(entry.Payload)
 				if verdict, _ := state.Fold(entry); !verdict.Accepted {
 					b.Fatalf("refused: %+v", verdict)
@@ -91,16 +91,15 @@
 	}
 }
 
-// BenchmarkMemory is the heap that a state with a full window of verdicts
-// holds.
+// BenchmarkMemory measures the heap of a state with a full window of verdicts.
 func BenchmarkMemory(b *testing.B) {
 	for _, tenants := range []int{525, 1050, benchmarkTenants} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			for b.Loop() {
 				before := heapBytes()
-				state := fullState(b, tenants)
+				state := stateWithTenants(b, tenants)
 				for offset := 1; offset <= VerdictWindow; offset++ {
-					state.Fold(oneTenant(b, offset, offset, tenants))
+					state.Fold(tenantChange(b, offset, offset, tenants))
 				}
 				b.ReportMetric(float64(heapBytes()-before), "heap-bytes")
 				runtime.KeepAlive(state)
@@ -117,12 +116,12 @@
 	return int64(statistics.HeapAlloc)
 }
 
-// BenchmarkSnapshot is the cost of packing and of unpacking a full state with
-// a full window of verdicts.
+// BenchmarkSnapshot measures encoding and decoding of a snapshot with a full
+// window of verdicts.
 func BenchmarkSnapshot(b *testing.B) {
-	state := fullState(b, benchmarkTenants)
+	state := stateWithTenants(b, benchmarkTenants)
 	for offset := 1; offset <= VerdictWindow; offset++ {
-		state.Fold(oneTenant(b, offset, offset, benchmarkTenants))
+		state.Fold(tenantChange(b, offset, offset, benchmarkTenants))
 	}
 	data, err := EncodeSnapshot(state)
 	if err != nil {
--- a/internal/configuration/interleaving_test.go
+++ b/internal/configuration/delivery_order_test.go
@@ -12,8 +12,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Whatever order entries come in, as often as they come: states that have got
-// all of them agree, and none ever goes back.
+// Guards against a fold that depends on the order or number of deliveries, or
+// that rolls back.
 func TestAnyDeliveryOrderConverges(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		entries := drawEntries(t, r)
@@ -27,7 +27,7 @@
 			before := state.Next
 			state.Fold(entries[at])
 			if state.Next < before {
-				r.Fatalf("went back from %d to %d", before, state.Next)
+				r.Fatalf("rolled back from %d to %d", before, state.Next)
 			}
 			if verdict, known := want.Verdict(state.Next - 1); known && verdict.Digest != state.Digest() {
 				r.Fatalf("at offset %d the digest is %x, want %x", state.Next, state.Digest(), verdict.Digest)
@@ -42,7 +42,7 @@
 	})
 }
 
-// drawEntries draws a log in which operations repeat, race and break.
+// drawEntries draws a log with duplicate, conflicting and invalid operations.
 func drawEntries(t *testing.T, r *rapid.T) []framework.LogEntry {
 	count := rapid.IntRange(1, 20).Draw(r, "entries")
 	entries := make([]framework.LogEntry, 0, count)
@@ -59,29 +59,29 @@
 	return entries
 }
 
-// Stores that go through cuts, a log that is down, lags or loses answers, and
-// restarts, agree in the end; world.watch sees that none goes back, and that
-// each publication gets one answer which the log bears out.
+// Stores must converge after network partitions, log failures and restarts. No
+// store may roll back (checked by failOnRollback), and the single answer to each
+// publication must match the log.
 func TestStoresConvergeThroughFaults(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := newWorld(t, 4, configuration.Guards{})
-		w.append("first", 0, 0)
-		w.run(2 * time.Second)
+		f := newFleet(t, 4, configuration.Guards{})
+		f.append("first", 0, 0)
+		f.run(2 * time.Second)
 		var answers []*answer
 		for step := range rapid.IntRange(5, 30).Draw(r, "steps") {
-			if got := w.randomStep(r, step); got != nil {
+			if got := f.randomStep(r, step); got != nil {
 				answers = append(answers, got)
 			}
-			w.run(time.Duration(rapid.IntRange(0, 1500).Draw(r, "pause")) * time.Millisecond)
+			f.run(time.Duration(rapid.IntRange(0, 1500).Draw(r, "pause")) * time.Millisecond)
 		}
-		w.network.HealAll()
-		w.log.Down, w.log.ReadLag, w.log.LostAnswers = false, 0, 0
-		w.run(30 * time.Second)
+		f.network.HealAll()
+		f.log.Down, f.log.ReadLag, f.log.AnswerLossChance = false, 0, 0
+		f.run(30 * time.Second)
 		truth := configuration.NewState()
-		for _, entry := range w.log.Entries(framework.StreamConfiguration) {
+		for _, entry := range f.log.Entries(framework.StreamConfiguration) {
 			truth.Fold(entry)
 		}
-		for _, d := range w.daemons {
+		for _, d := range f.daemons {
 			if status := d.store.Status(); !status.Serving || status.Digest != truth.Digest() || status.Divergences > 0 {
 				r.Fatalf("%s: %+v, want offset %d digest %x", d.id, status, truth.Next, truth.Digest())
 			}
@@ -95,35 +95,36 @@
 	})
 }
 
-// randomStep brings about one fault, repair or publication.
-func (w *world) randomStep(r *rapid.T, step int) *answer {
-	i := rapid.IntRange(0, len(w.daemons)-1).Draw(r, "daemon")
+// randomStep causes one random fault, repair or publication.
+func (f *fleet) randomStep(r *rapid.T, step int) *answer {
+	i := rapid.IntRange(0, len(f.daemons)-1).Draw(r, "daemon")
 	zone := fmt.Sprintf("zone-%d", rapid.IntRange(0, 2).Draw(r, "zone"))
 	switch rapid.IntRange(0, 8).Draw(r, "step") {
 	case 0:
-		w.network.Cut(zone, "log")
+		f.network.Cut(zone, "log")
 	case 1:
-		w.network.Cut(zone, "")
-		w.network.Cut("", zone)
+		f.network.Cut(zone, "")
+		f.network.Cut("", zone)
 	case 2:
-		w.network.HealAll()
+		f.network.HealAll()
 	case 3:
-		w.log.Down = !w.log.Down
+		f.log.Down = !f.log.Down
 	case 4:
-		w.log.ReadLag = time.Duration(rapid.IntRange(0, 5000).Draw(r, "lag")) * time.Millisecond
+		f.log.ReadLag = time.Duration(rapid.IntRange(0, 5000).Draw(r, "lag")) * time.Millisecond
 	case 5:
-		w.log.LostAnswers = rapid.Float64Range(0, 1).Draw(r, "lost")
+		f.log.AnswerLossChance = rapid.Float64Range(0, 1).Draw(r, "lost")
 	case 6:
-		w.start(i, configuration.Guards{})
+		f.start(i, configuration.Guards{})
 	default:
-		d := w.daemons[i]
-		return w.publish(d, fmt.Sprintf("step-%d", step), int(d.store.Revision()), step+1)
+		d := f.daemons[i]
+		return f.publish(d, fmt.Sprintf("step-%d", step), int(d.store.Revision()), step+1)
 	}
 	return nil
 }
 
-// The check of a change alone comes to the same as a check of all that results.
-func TestChangesAreCheckedAsTheWhole(t *testing.T) {
+// Incremental validation of a change must agree with validation of the whole
+// resulting configuration.
+func TestChangeValidationMatchesFullValidation(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		state := configuration.NewState()
 		state.Fold(configuration.Encoded(t, 0, "first", 0, configuration.FirstPatch()))
@@ -139,7 +140,8 @@
 	})
 }
 
-// drawTenants draws a change of tenants that may share keys and miss parts.
+// drawTenants draws an edit of tenants that may have conflicting keys or miss
+// required values.
 func drawTenants(r *rapid.T) structs.Patch {
 	names := []structs.TenantName{"shop-1", "shop-2", "shop-3"}
 	patch := structs.Patch{Tenants: structs.Edit[structs.TenantName, structs.Tenant]{Set: map[structs.TenantName]structs.Tenant{}}}
--- a/internal/configuration/fold_test.go
+++ b/internal/configuration/fold_test.go
@@ -11,10 +11,10 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// keyHash returns a well-formed hash that differs by number.
+// keyHash returns a valid key hash that is unique per number.
 func keyHash(number int) string { return fmt.Sprintf("%064x", number+1) }
 
-// firstPatch brings in one model, one template and one tenant.
+// firstPatch sets one model, one template and one tenant.
 func firstPatch() structs.Patch {
 	return structs.Patch{
 		Models: structs.Edit[structs.ModelName, structs.Model]{Set: map[structs.ModelName]structs.Model{
@@ -58,7 +58,7 @@
 		encoded(t, 4, "broken", 2, structs.Patch{Tenants: invalid}),
 		{Offset: 5, Payload: []byte(`{"change":{"operation_id":"x","surprise":1}}`)},
 		encoded(t, 6, "racer-b-again", 2, structs.Patch{Tenants: tenantEdit("shop-1", 3)}),
-		// Built on the revision in force by now, but refused before: stays so.
+		// Based on the revision in force, but its operation was refused before.
 		encoded(t, 7, "racer-b", 3, structs.Patch{Tenants: tenantEdit("shop-1", 9)}),
 	}
 	state := NewState()
@@ -83,8 +83,8 @@
 	if share := state.Configuration.Tenants["shop-1"].Share; share != 3 {
 		t.Errorf("share is %d, want 3", share)
 	}
-	if state.contents != contentsOf(state.Configuration) {
-		t.Error("the running sum of the contents differs from the sum made anew")
+	if state.contentHash != contentHashOf(state.Configuration) {
+		t.Error("the incremental content hash differs from the recomputed one")
 	}
 }
 
@@ -94,7 +94,7 @@
 	digest := state.Digest()
 	for _, offset := range []int{0, 2, 7} {
 		if _, folded := state.Fold(encoded(t, offset, "later", 1, structs.Patch{Tenants: tenantEdit("shop-1", 2)})); folded {
-			t.Errorf("an entry at offset %d was folded where 1 is next", offset)
+			t.Errorf("an entry at offset %d was folded, but the next offset is 1", offset)
 		}
 	}
 	if state.Digest() != digest || state.Next != 1 {
@@ -102,20 +102,20 @@
 	}
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestVerdictsBeyondWindowAreForgotten(t *testing.T) {
 	state := NewState()
 	state.Fold(encoded(t, 0, "first", 0, firstPatch()))
 	for i := 1; i < VerdictWindow+50; i++ {
 		state.Fold(encoded(t, i, fmt.Sprintf("op-%d", i), i, structs.Patch{Tenants: tenantEdit("shop-1", i)}))
 	}
 	if len(state.Verdicts) != VerdictWindow || len(state.operations) != VerdictWindow {
-		t.Errorf("%d verdicts and %d operations are kept, want %d", len(state.Verdicts), len(state.operations), VerdictWindow)
+		t.Errorf("state has %d verdicts and %d operations, want %d", len(state.Verdicts), len(state.operations), VerdictWindow)
 	}
 	if _, known := state.OperationVerdict("op-10"); known {
 		t.Error("an operation beyond the window is still known")
 	}
 	if verdict, known := state.OperationVerdict("op-1060"); !known || verdict.Offset != 1060 {
-		t.Errorf("a recent operation gives %+v, %v", verdict, known)
+		t.Errorf("the verdict on a recent operation is %+v, %v", verdict, known)
 	}
 }
 
@@ -135,14 +135,14 @@
 	want, _ := state.Fold(next)
 	got, _ := restored.Fold(next)
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("a restored state judges otherwise (-want +got):\n%s", diff)
+		t.Errorf("verdict of the restored state (-want +got):\n%s", diff)
 	}
 	if _, err := DecodeSnapshot(data, state.Digest()+1); err == nil {
-		t.Error("a snapshot with another digest was taken")
+		t.Error("a snapshot with another digest was accepted")
 	}
 }
 
-func TestValidateFindsAll(t *testing.T) {
+func TestValidateReportsEveryProblem(t *testing.T) {
 	patch := firstPatch()
 	priority := 12
 	patch.Templates.Set["order"] = structs.Template{Models: []structs.ModelName{"small", "absent", "small"}, SystemPrompt: "For {{shop}}", Parameters: []string{"town"}, Priority: 10, Adapters: map[structs.ModelName]structs.AdapterName{"other": "two words"}}
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -11,21 +11,22 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// ErrOutcomeUnknown: the change may have been appended and may yet come into
-// force. Publishing it again under the same operation identifier is safe.
+// ErrOutcomeUnknown: the change may have been appended and may still take
+// effect. Publishing it again under the same operation identifier is safe.
 var ErrOutcomeUnknown = eris.New("configuration: it is not known whether the change was appended; publish it again under the same operation identifier")
 
-// RefusedError is a change that the fold refused.
+// RefusedError reports a change that the fold did not accept.
 type RefusedError struct {
 	Verdict Verdict
-	// InForce is the change that made the revision in force, if it is known.
+	// InForce is the verdict on the change that created the revision in force,
+	// nil if unknown.
 	InForce *Verdict
 }
 
-// Error explains the refusal to an operator.
+// Error implements error.
 func (e *RefusedError) Error() string { return Explain(e.Verdict, e.InForce) }
 
-// Explain says in words why an entry was not applied and what to do.
+// Explain describes to an operator why an entry was not applied and what to do.
 func Explain(verdict Verdict, inForce *Verdict) string {
 	switch verdict.Reason {
 	case VerdictStaleBase:
@@ -47,15 +48,15 @@
 	}
 }
 
-// PublishSettings bound a publication.
+// PublishSettings holds the timeout and retry settings of a publication.
 type PublishSettings struct {
-	// Timeout is how long to go on before the outcome is given up as unknown.
+	// Timeout is how long to wait for the verdict before ErrOutcomeUnknown.
 	Timeout time.Duration
-	// RetryDelay comes before an operation is looked up after a lost answer, and
-	// between tries. A reader of the log may lag by as much.
+	// RetryDelay is the pause before each retry, and before the operation is
+	// looked up after a lost answer. It allows for stale reads of the log.
 	RetryDelay time.Duration
-	// MaximumLookups is how often the log is searched before the entry is appended
-	// again.
+	// MaximumLookups is how often the log is searched for the operation before
+	// it is appended again.
 	MaximumLookups int
 }
 
@@ -65,41 +66,41 @@
 	return PublishSettings{Timeout: 15 * time.Second, RetryDelay: 300 * time.Millisecond, MaximumLookups: 2}
 }
 
-// publication is one change on its way into force.
+// publication is one change that is being published.
 type publication struct {
 	store    *Store
 	settings PublishSettings
 	change   structs.Change
 	payload  []byte
-	// from is where a search of the log begins: the operation was not folded
-	// before it.
-	from    structs.LogOffset
-	lookups int
-	begun   time.Time
-	ended   bool
-	done    func(Verdict, error)
+	// searchFrom is the offset at which a search of the log begins: the
+	// operation was not folded before it.
+	searchFrom structs.LogOffset
+	lookups    int
+	startedAt  time.Time
+	completed  bool
+	done       func(Verdict, error)
 }
 
-// Publish appends a change and calls done once with the fold's verdict on it.
-// The error is nil when the change came into force, a *RefusedError when it
-// was refused, or ErrOutcomeUnknown. After an append whose answer was lost the
-// operation is looked up in the log before it is appended again; should a
-// lagging reader hide it even so, the fold applies it once.
+// Publish appends a change and calls done once with the verdict on it. The error
+// is nil when the change was accepted, a *RefusedError when it was not, or
+// ErrOutcomeUnknown. After an append whose answer was lost, the operation is
+// looked up in the log before it is appended again; if a stale read hides it,
+// the fold drops the second entry as a duplicate.
 func (s *Store) Publish(change structs.Change, settings PublishSettings, done func(Verdict, error)) {
 	s.queue.Do(func() {
-		p := &publication{store: s, settings: settings, change: change, begun: s.Clock.Now(), from: s.state.Next, done: done}
+		p := &publication{store: s, settings: settings, change: change, startedAt: s.Clock.Now(), searchFrom: s.state.Next, done: done}
 		payload, err := EncodeEntry(Entry{Change: &change})
 		if err != nil {
-			p.end(Verdict{OperationID: change.OperationID, Reason: VerdictMalformed, Problems: []Problem{{Reason: err.Error()}}}, nil)
+			p.complete(Verdict{OperationID: change.OperationID, Reason: VerdictMalformed, Problems: []Problem{{Reason: err.Error()}}}, nil)
 			return
 		}
-		if problems := checkChange(&change); len(problems) > 0 {
-			p.end(Verdict{OperationID: change.OperationID, Reason: VerdictInvalid, Problems: problems}, nil)
+		if problems := checkChangeMetadata(&change); len(problems) > 0 {
+			p.complete(Verdict{OperationID: change.OperationID, Reason: VerdictInvalid, Problems: problems}, nil)
 			return
 		}
 		p.payload = payload
 		if verdict, known := s.state.OperationVerdict(change.OperationID); known {
-			p.end(verdict, nil)
+			p.complete(verdict, nil)
 			return
 		}
 		s.publications = append(s.publications, p)
@@ -108,9 +109,9 @@
 	})
 }
 
-// append sends the entry to the log.
+// append appends the entry to the log.
 func (p *publication) append() {
-	if p.ended {
+	if p.completed {
 		return
 	}
 	s := p.store
@@ -122,9 +123,9 @@
 
 func (p *publication) appended(err error) {
 	switch {
-	case p.ended || p.store.stopped:
+	case p.completed || p.store.stopped:
 	case err == nil:
-		p.store.readNow()
+		p.store.readOnce()
 	case eris.Is(err, framework.ErrNotSent), eris.Is(err, framework.ErrRefused):
 		p.store.after(p.settings.RetryDelay, p.append)
 	default:
@@ -132,24 +133,25 @@
 	}
 }
 
-// lookUp searches the log for the operation after a lost answer.
+// lookUp searches the log for the operation after the answer to an append was
+// lost.
 func (p *publication) lookUp() {
 	p.lookups++
-	p.scan(max(p.from, p.store.state.Next))
+	p.scan(max(p.searchFrom, p.store.state.Next))
 }
 
 func (p *publication) scan(at structs.LogOffset) {
-	if p.ended {
+	if p.completed {
 		return
 	}
 	s := p.store
-	s.Log.Read(framework.StreamConfiguration, at, readLimit, func(entries []framework.LogEntry, err error) {
+	s.Log.Read(framework.StreamConfiguration, at, maximumReadEntries, func(entries []framework.LogEntry, err error) {
 		s.queue.Do(func() { p.scanned(at, entries, err) })
 	})
 }
 
 func (p *publication) scanned(at structs.LogOffset, entries []framework.LogEntry, err error) {
-	if p.ended || p.store.stopped {
+	if p.completed || p.store.stopped {
 		return
 	}
 	if err != nil {
@@ -158,7 +160,7 @@
 	}
 	for _, entry := range entries {
 		if entry.OperationID == p.change.OperationID {
-			p.store.readNow()
+			p.store.readOnce()
 			return
 		}
 	}
@@ -173,15 +175,15 @@
 }
 
 func (p *publication) expire() {
-	if !p.ended {
-		p.ended = true
+	if !p.completed {
+		p.completed = true
 		p.done(Verdict{OperationID: p.change.OperationID, Base: p.change.Base, Revision: p.store.state.Revision()}, ErrOutcomeUnknown)
 	}
 }
 
-// end reports a verdict.
-func (p *publication) end(verdict Verdict, inForce *Verdict) {
-	p.ended = true
+// complete calls done with a verdict.
+func (p *publication) complete(verdict Verdict, inForce *Verdict) {
+	p.completed = true
 	if verdict.Accepted {
 		p.done(verdict, nil)
 		return
@@ -189,16 +191,16 @@
 	p.done(verdict, &RefusedError{Verdict: verdict, InForce: inForce})
 }
 
-// settlePublications ends the publications whose verdict is known by now.
-func (s *Store) settlePublications() {
+// completePublications completes the publications whose verdict is known.
+func (s *Store) completePublications() {
 	kept := s.publications[:0]
 	var settled []*publication
 	for _, p := range s.publications {
-		if _, known := s.state.OperationVerdict(p.change.OperationID); known && !p.ended {
+		if _, known := s.state.OperationVerdict(p.change.OperationID); known && !p.completed {
 			settled = append(settled, p)
 			continue
 		}
-		if !p.ended {
+		if !p.completed {
 			kept = append(kept, p)
 		}
 	}
@@ -206,12 +208,13 @@
 	s.publications = kept
 	for _, p := range settled {
 		verdict, _ := s.state.OperationVerdict(p.change.OperationID)
-		p.end(verdict, s.state.maker(verdict.Revision))
+		p.complete(verdict, s.state.revisionVerdict(verdict.Revision))
 	}
 }
 
-// maker returns the verdict on the change that made a revision.
-func (s *State) maker(revision structs.Revision) *Verdict {
+// revisionVerdict returns the verdict on the change that created a revision, nil
+// if it is not in the window.
+func (s *State) revisionVerdict(revision structs.Revision) *Verdict {
 	for i := len(s.Verdicts) - 1; i >= 0; i-- {
 		if s.Verdicts[i].Accepted && s.Verdicts[i].Revision == revision {
 			verdict := s.Verdicts[i]
--- a/internal/configuration/validate_template.go
+++ b/internal/configuration/validate_template.go
@@ -13,7 +13,7 @@
 	c.name(field, string(name), modelName)
 	within(c, field+".prompt_cost", model.PromptCost, 0, maximumTokenCost)
 	within(c, field+".completion_cost", model.CompletionCost, 0, maximumTokenCost)
-	within(c, field+".context_tokens", model.ContextTokens, 1, maximumContext)
+	within(c, field+".context_tokens", model.ContextTokens, 1, maximumContextTokens)
 	within(c, field+".minimum_engines", model.MinimumEngines, 0, maximumEngines)
 	if model.Version != "" {
 		c.name(field+".version", model.Version, modelName)
@@ -51,7 +51,7 @@
 	c.adapters(field+".adapters", &template, template.Adapters)
 }
 
-// adapters checks that adapters are for models that the template may call.
+// adapters checks that each adapter is for a model of the template.
 func (c *checker) adapters(field string, template *structs.Template, adapters map[structs.ModelName]structs.AdapterName) {
 	for _, model := range sortedNames(adapters) {
 		at := field + "." + string(model)
@@ -62,9 +62,9 @@
 	}
 }
 
-// prompt checks that a prompt's placeholders and the parameters agree.
+// prompt checks that the placeholders of the system prompt match the parameters.
 func (c *checker) prompt(field string, template *structs.Template) {
-	within(c, field+".system_prompt (bytes)", len(template.SystemPrompt), 0, maximumPromptSize)
+	within(c, field+".system_prompt (bytes)", len(template.SystemPrompt), 0, maximumPromptBytes)
 	for i, parameter := range template.Parameters {
 		at := fmt.Sprintf("%s.parameters[%d]", field, i)
 		c.name(at, parameter, plainName)
--- a/internal/demo/first_token.go
+++ b/internal/demo/first_token.go
@@ -13,38 +13,39 @@
 	"github.com/mintpulley/mintpulley/internal/gateway"
 )
 
-// firstTokenPairs is how many calls are made each way.
+// firstTokenPairs is the number of calls on each path.
 const firstTokenPairs = 150
 
-// firstToken compares the time to the first token straight to the engines with
-// that through the daemons, both in one run, alternating.
+// firstToken holds the time to the first token directly from the engines and
+// through the daemons, measured alternately in one run.
 type firstToken struct {
 	straight *hdrhistogram.Histogram
 	through  *hdrhistogram.Histogram
 }
 
-// at returns what the daemons add at a percentile, in milliseconds.
+// at returns the time that the daemons add at a percentile, in milliseconds.
 func (f firstToken) at(percentile float64) float64 {
 	added := f.through.ValueAtQuantile(percentile) - f.straight.ValueAtQuantile(percentile)
 	return float64(added) / microsecondsPerMillisecond
 }
 
-// measureFirstToken makes calls one at a time, so that no queue is measured.
+// measureFirstToken makes calls one at a time, so that no queueing is
+// measured.
 func (c *Cluster) measureFirstToken(ctx context.Context) (firstToken, error) {
 	result := firstToken{straight: newHistogram(), through: newHistogram()}
 	for i := range firstTokenPairs {
 		question := fmt.Sprintf("What is the swing in electorate %d?", i)
 		engine := openai.NewClient(option.WithBaseURL("http://"+c.EngineIDs[i%len(c.EngineIDs)]+"/v1"), option.WithAPIKey("unused"))
 		if err := timeFirstToken(ctx, &engine, question, result.straight); err != nil {
-			return result, eris.Wrap(err, "demo: straight to the engine")
+			return result, eris.Wrap(err, "demo: call to the engine")
 		}
 		daemon := openai.NewClient(
-			option.WithBaseURL("http://"+c.HTTP[i%len(c.HTTP)]+"/v1"),
+			option.WithBaseURL("http://"+c.HTTPAddresses[i%len(c.HTTPAddresses)]+"/v1"),
 			option.WithAPIKey("harbour-times-demo-key"),
 			option.WithHeader(gateway.HeaderTemplate, "desk-question"),
 		)
 		if err := timeFirstToken(ctx, &daemon, question, result.through); err != nil {
-			return result, eris.Wrap(err, "demo: through the daemon")
+			return result, eris.Wrap(err, "demo: call through the daemon")
 		}
 	}
 	return result, nil
@@ -69,7 +70,7 @@
 		return err
 	}
 	if !seen {
-		return eris.New("demo: no token came")
+		return eris.New("demo: the stream ended without a token")
 	}
 	return nil
 }
--- a/internal/demo/programs.go
+++ b/internal/demo/programs.go
@@ -27,19 +27,19 @@
 )
 
 const (
-	// programsPerKind is how many programs of each kind run.
+	// programsPerKind is the number of programs of each kind.
 	programsPerKind = 12
 	// arrivalSpan is the time over which programs arrive.
 	arrivalSpan = 2 * time.Second
-	// toolPause is the longest time that a caller's own tool takes.
+	// toolPause is the maximum duration of a caller's own tool.
 	toolPause = 150 * time.Millisecond
-	// demoSeed fixes the shapes of the programs.
+	// demoSeed seeds the programs' random choices.
 	demoSeed = 2026
-	// releaseWait bounds the wait for engines to hold nothing any more.
-	releaseWait = 5 * time.Second
+	// holdReleaseTimeout limits the wait for engines to release all holds.
+	holdReleaseTimeout = 5 * time.Second
 )
 
-// errRefused is returned by a program whose call was refused as not run.
+// errRefused is returned by a program whose call was refused without running.
 var errRefused = eris.New("demo: refused")
 
 // kind is one kind of program: who runs it and its steps.
@@ -47,7 +47,7 @@
 	key      string
 	template string
 	model    string
-	steps    func(p *run) error
+	steps    func(p *programRun) error
 }
 
 // kinds are the programs of both users' examples.
@@ -61,14 +61,14 @@
 	}
 }
 
-// run is one program under way.
-type run struct {
+// programRun is a program in progress.
+type programRun struct {
 	kind
 	ctx     context.Context
 	cluster *Cluster
 	name    string
 	random  *rand.Rand
-	// daemon is the next daemon to call: a program may turn to any.
+	// daemon is the next daemon to call; a program may call any daemon.
 	daemon   int
 	sequence int
 	calls    int
@@ -77,9 +77,9 @@
 	messages []openai.ChatCompletionMessageParamUnion
 }
 
-// summarise looks up booths until it has enough, and lets a sub-agent look at
-// a special in the meantime.
-func summarise(p *run) error {
+// summarise looks up booths a random number of times, while a sub-agent
+// examines the special votes.
+func summarise(p *programRun) error {
 	if err := p.ask("Which electorate is this?", false); err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 		if err := p.ask("Which booth next?", false); err != nil {
 			return err
 		}
-		if err := p.apply(targetBooths, "lookup", true); err != nil {
+		if err := p.callApplication(targetBooths, "lookup", true); err != nil {
 			return err
 		}
 		p.pause()
@@ -102,7 +102,7 @@
 	return p.ask("Write the summary.", true)
 }
 
-func answerDesk(p *run) error {
+func answerDesk(p *programRun) error {
 	for range 1 + p.random.IntN(3) {
 		if err := p.ask("What is the swing?", false); err != nil {
 			return err
@@ -112,32 +112,32 @@
 	return p.ask("And the specials?", true)
 }
 
-func updateCount(p *run) error {
+func updateCount(p *programRun) error {
 	for range 3 {
-		if err := p.apply(targetResults, "count", false); err != nil {
+		if err := p.callApplication(targetResults, "count", false); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func orderBread(p *run) error {
+func orderBread(p *programRun) error {
 	if err := p.ask("Twenty loaves for tomorrow.", false); err != nil {
 		return err
 	}
 	p.pause()
-	if err := p.apply(targetFlour, "check", true); err != nil {
+	if err := p.callApplication(targetFlour, "check", true); err != nil {
 		return err
 	}
-	if err := p.apply(targetOrders, "order", false); err != nil {
+	if err := p.callApplication(targetOrders, "order", false); err != nil {
 		return err
 	}
 	return p.ask("Confirm the order.", true)
 }
 
-func reconcileFlour(p *run) error {
+func reconcileFlour(p *programRun) error {
 	for range 2 {
-		if err := p.apply(targetFlour, "allocation", true); err != nil {
+		if err := p.callApplication(targetFlour, "allocation", true); err != nil {
 			return err
 		}
 		if err := p.ask("Compare with the orders.", false); err != nil {
@@ -149,14 +149,15 @@
 }
 
 // child returns a sub-agent of the program.
-func (p *run) child(name string) *run {
-	return &run{kind: p.kind, ctx: p.ctx, cluster: p.cluster, name: p.name + "/" + name, daemon: p.daemon + 1}
+func (p *programRun) child(name string) *programRun {
+	return &programRun{kind: p.kind, ctx: p.ctx, cluster: p.cluster, name: p.name + "/" + name, daemon: p.daemon + 1}
 }
 
-func (p *run) pause() { time.Sleep(time.Duration(p.random.Int64N(int64(toolPause)))) }
+func (p *programRun) pause() { time.Sleep(time.Duration(p.random.Int64N(int64(toolPause)))) }
 
-// headers names the next call. Each goes to another daemon than the last.
-func (p *run) headers(repeatable, end bool) http.Header {
+// headers returns the headers of the next call, which goes to another daemon
+// than the last.
+func (p *programRun) headers(repeatable, end bool) http.Header {
 	p.sequence++
 	p.calls++
 	p.daemon++
@@ -170,10 +171,12 @@
 	return headers
 }
 
-func (p *run) address() string { return p.cluster.HTTP[p.daemon%len(p.cluster.HTTP)] }
+func (p *programRun) address() string {
+	return p.cluster.HTTPAddresses[p.daemon%len(p.cluster.HTTPAddresses)]
+}
 
 // ask makes a model call through OpenAI's client library, streaming.
-func (p *run) ask(question string, end bool) error {
+func (p *programRun) ask(question string, end bool) error {
 	p.messages = append(p.messages, openai.UserMessage(question))
 	headers := p.headers(true, end)
 	options := []option.RequestOption{option.WithBaseURL("http://" + p.address() + "/v1"), option.WithAPIKey(p.key)}
@@ -197,7 +200,7 @@
 		return classify(err)
 	}
 	if !finished || answer.Len() == 0 {
-		return eris.New("demo: the answer is not whole")
+		return eris.New("demo: the answer is incomplete")
 	}
 	p.messages = append(p.messages, openai.AssistantMessage(answer.String()))
 	return nil
@@ -211,19 +214,19 @@
 	return err
 }
 
-// apply makes an application or tool request.
-func (p *run) apply(target, operation string, repeatable bool) error {
+// callApplication makes an application or tool request.
+func (p *programRun) callApplication(target, operation string, repeatable bool) error {
 	headers := p.headers(repeatable, false)
 	request, err := sling.New().Post("http://" + p.address() + "/v1/applications/" + target + "/" + operation).
 		Body(strings.NewReader(`{"program":"` + p.name + `"}`)).Request()
 	if err != nil {
-		return eris.Wrap(err, "demo: request")
+		return eris.Wrap(err, "demo: build request")
 	}
 	request.Header = headers
 	request.Header.Set("Authorization", "Bearer "+p.key)
 	response, err := http.DefaultClient.Do(request.WithContext(p.ctx))
 	if err != nil {
-		return eris.Wrap(err, "demo: application")
+		return eris.Wrap(err, "demo: call application")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
@@ -235,15 +238,15 @@
 	return nil
 }
 
-// attempt returns the name under which back ends know a request.
-func (p *run) attempt(request string) structs.AttemptID {
+// attempt returns the attempt ID under which back ends know a request.
+func (p *programRun) attempt(request string) structs.AttemptID {
 	tenant := p.cluster.tenants[gateway.KeyHash(p.key)]
 	key := structs.ProgramKey{Tenant: tenant, Program: structs.ProgramID(p.name)}
 	return structs.NewAttemptID(key, structs.RequestID(request))
 }
 
-// runPrograms runs the programs of all kinds, each spread over the daemons,
-// and checks what the back ends saw.
+// runPrograms runs the programs of all kinds, spread over the daemons, and
+// checks what the back ends executed.
 func (c *Cluster) runPrograms(ctx context.Context) Result {
 	result := Result{Daemons: len(c.Daemons)}
 	latencies := newHistogram()
@@ -254,7 +257,7 @@
 		for i := range programsPerKind {
 			result.Programs++
 			random := rand.New(rand.NewPCG(demoSeed, uint64(number*programsPerKind+i)))
-			p := &run{kind: kind, ctx: ctx, cluster: c, name: fmt.Sprintf("%s-%d", kind.template, i), random: random, daemon: i}
+			p := &programRun{kind: kind, ctx: ctx, cluster: c, name: fmt.Sprintf("%s-%d", kind.template, i), random: random, daemon: i}
 			group.Go(func() {
 				time.Sleep(time.Duration(random.Int64N(int64(arrivalSpan))))
 				began := time.Now()
@@ -279,12 +282,13 @@
 	group.Wait()
 	result.ProgramLatencyP50Seconds = float64(latencies.ValueAtQuantile(50)) / microsecondsPerSecond
 	result.ProgramLatencyP95Seconds = float64(latencies.ValueAtQuantile(95)) / microsecondsPerSecond
-	result.Violations += c.wrongRuns(orders) + c.leakedHolds(ctx)
+	result.Violations += c.countWrongRuns(orders) + c.countLeakedHolds(ctx)
 	return result
 }
 
-// wrongRuns counts requests that must have run once and did not.
-func (c *Cluster) wrongRuns(orders []structs.AttemptID) int {
+// countWrongRuns counts requests that should have run exactly once and did
+// not.
+func (c *Cluster) countWrongRuns(orders []structs.AttemptID) int {
 	wrong := 0
 	for _, attempt := range orders {
 		runs := 0
@@ -298,13 +302,14 @@
 	return wrong
 }
 
-// leakedHolds counts what engines still pin a while after all programs ended.
-func (c *Cluster) leakedHolds(ctx context.Context) int {
-	deadline := time.Now().Add(releaseWait)
+// countLeakedHolds counts the holds that engines still have after all programs
+// ended and the timeout passed.
+func (c *Cluster) countLeakedHolds(ctx context.Context) int {
+	deadline := time.Now().Add(holdReleaseTimeout)
 	for {
 		held := 0
 		for _, engine := range c.Engines {
-			held += engine.Held()
+			held += engine.HoldCount()
 		}
 		if held == 0 || time.Now().After(deadline) || ctx.Err() != nil {
 			return held
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -25,7 +25,7 @@
 
 var begin = time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC)
 
-// fakeEngine answers when the test says so.
+// fakeEngine leaves answers to the test.
 type fakeEngine struct {
 	framework.EngineDriver
 	requests  []framework.EngineRequest
@@ -35,9 +35,9 @@
 	statusErr error
 	released  []structs.HoldID
 	cancelled []structs.AttemptID
-	// transfers are answered when the test says so.
-	transfers []framework.Transfer
-	moved     []func(int64, error)
+	// transfers are completed by the test through moved.
+	transfers    []framework.Transfer
+	transferDone []func(int64, error)
 }
 
 func (e *fakeEngine) Start(request framework.EngineRequest, observer framework.EngineObserver) framework.Stream {
@@ -63,7 +63,7 @@
 // Transfer implements framework.EngineDriver.
 func (e *fakeEngine) Transfer(transfer framework.Transfer, done func(int64, error)) {
 	e.transfers = append(e.transfers, transfer)
-	e.moved = append(e.moved, done)
+	e.transferDone = append(e.transferDone, done)
 }
 
 func (e *fakeEngine) Cancel(_ structs.EngineID, attempt structs.AttemptID, done func(error)) {
@@ -80,7 +80,7 @@
 	observer.End(framework.AttemptEnd{Kind: framework.EndCompleted, FinishReason: "stop", Usage: structs.Usage{PromptTokens: 10, CompletionTokens: 5}, HoldTaken: true})
 }
 
-// fakeApplication answers each invocation as the test says.
+// fakeApplication answers each invocation with end.
 type fakeApplication struct {
 	invoked   []framework.ApplicationRequest
 	inspected []structs.Epoch
@@ -99,7 +99,7 @@
 	done(a.status, a.statusErr)
 }
 
-// fakeScheduler assigns the one engine at once, or holds items back.
+// fakeScheduler assigns every item to the engine at once, or holds items back.
 type fakeScheduler struct {
 	held     []*schedule.Item
 	full     bool
@@ -107,9 +107,9 @@
 	assigned int
 	finished int
 	ended    int
-	// transfer goes along with the next assignments.
+	// transfer is added to the next assignments.
 	transfer schedule.Transfer
-	// taught is what Transferred was told last.
+	// transferredTokens is the argument of the last RecordTransfer.
 	transferredTokens int64
 }
 
@@ -136,12 +136,12 @@
 // ProgramEnded implements Scheduler.
 func (s *fakeScheduler) ProgramEnded(structs.ProgramKey) { s.ended++ }
 
-type fakeDirectory struct{ gone bool }
+type fakeDirectory struct{ left bool }
 
 func (fakeDirectory) Application(string, []structs.EngineID) (structs.EngineID, bool) {
 	return "10.0.0.8:9000", true
 }
-func (d fakeDirectory) IsDelisted(structs.EngineID) bool { return d.gone }
+func (d fakeDirectory) IsDelisted(structs.EngineID) bool { return d.left }
 func (fakeDirectory) MarkDraining(structs.EngineID)      {}
 func (fakeDirectory) MarkUnreachable(structs.EngineID)   {}
 
@@ -149,19 +149,19 @@
 
 func (f fixedConfiguration) Current() *structs.Configuration { return f.fixture.configuration }
 
-// fakeGroup is a group of one whose leadership the test hands on.
+// fakeGroup is a group of one replica. The test moves its leadership.
 type fakeGroup struct {
 	queue       serial.Queue
 	machine     replication.StateMachine
 	application replication.Application
-	// pressure is what the other members say.
+	// pressure is that of the other members.
 	pressure replication.Pressure
 	epoch    structs.Epoch
-	// lose drops proposals; stall delays their acknowledgement.
-	lose  bool
-	stall []func(error)
-	delay bool
-	// refuseConfirm makes Confirm fail, as after a takeover elsewhere.
+	// delayAcks collects the acknowledgements of proposals in delayedAcks.
+	dropProposals bool
+	delayedAcks   []func(error)
+	delayAcks     bool
+	// refuseConfirm makes Confirm fail, as after a takeover by another daemon.
 	refuseConfirm bool
 	records       []structs.Record
 }
@@ -180,12 +180,12 @@
 }
 
 func (g *fakeGroup) Propose(records []structs.Record, done func(error)) {
-	if g.lose {
+	if g.dropProposals {
 		return
 	}
 	g.records = append(g.records, records...)
-	if g.delay {
-		g.stall = append(g.stall, func(err error) { g.apply(records); done(err) })
+	if g.delayAcks {
+		g.delayedAcks = append(g.delayedAcks, func(err error) { g.apply(records); done(err) })
 		return
 	}
 	g.apply(records)
@@ -198,14 +198,14 @@
 	}
 }
 
-// lead starts the next epoch on the state as committed.
+// lead starts the next epoch on the committed state.
 func (g *fakeGroup) lead() {
 	g.epoch++
-	g.lose, g.delay, g.refuseConfirm = false, false, false
+	g.dropProposals, g.delayAcks, g.refuseConfirm = false, false, false
 	g.queue.Do(func() { g.application.Lead(0, g.machine, g) })
 }
 
-// fixture is one daemon with everything around it under the test's control.
+// fixture is one daemon whose surroundings are controlled by the test.
 type fixture struct {
 	t           *testing.T
 	clock       *clock.Virtual
@@ -286,10 +286,10 @@
 func (f *fixture) Learn(structs.ShardNumber, replication.Route) {}
 func (f *fixture) Alive(structs.DaemonID) bool                  { return true }
 
-// run lets virtual time pass.
+// run advances the virtual clock.
 func (f *fixture) run(d time.Duration) { f.clock.RunUntil(f.clock.Now().Add(d)) }
 
-// answerTo collects what one caller gets.
+// recordedCaller records what one caller receives.
 type recordedCaller struct {
 	text     string
 	outcomes []structs.Outcome
@@ -322,7 +322,7 @@
 	}
 }
 
-func breadOrder(request string) structs.Call {
+func applicationCall(request string) structs.Call {
 	return structs.Call{
 		Key:       structs.ProgramKey{Tenant: "bakery", Program: "order"},
 		RequestID: structs.RequestID(request),
--- a/internal/enginemodel/memory_test.go
+++ b/internal/enginemodel/memory_test.go
@@ -17,8 +17,8 @@
 	return func(p *Parameters) { p.CacheTokens = count * prefix.BlockTokens }
 }
 
-func TestHigherPriorityPushesOutLower(t *testing.T) {
-	b := newBench(t, blocks(6))
+func TestHigherPriorityPreemptsLower(t *testing.T) {
+	b := newTestEngine(t, blocks(6))
 	low := b.start(request("low", 1, 63, 300))
 	b.runFor(80 * millisecond)
 	urgent := request("urgent", 2, 257, 1)
@@ -37,7 +37,7 @@
 }
 
 func TestOutOfMemoryPreemptsTheLatest(t *testing.T) {
-	b := newBench(t, blocks(4))
+	b := newTestEngine(t, blocks(4))
 	// Each fits alone: 1 + 2 blocks. Together they need 6 at the end.
 	first := b.start(request("a", 1, 60, 130))
 	second := b.start(request("b", 2, 60, 130))
@@ -54,7 +54,7 @@
 }
 
 func TestHoldKeepsBlocksUntilReleased(t *testing.T) {
-	b := newBench(t, blocks(8))
+	b := newTestEngine(t, blocks(8))
 	held := request("a", 1, 193, 1)
 	held.Hold = "h"
 	if r := b.start(held); func() bool { b.runFor(time.Second); return !r.end.HoldTaken }() {
@@ -87,7 +87,7 @@
 }
 
 func TestReleaseBeforeTheHoldPreventsIt(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	held := request("a", 1, 193, 1)
 	held.Hold = "h"
 	r := b.start(held)
@@ -99,7 +99,7 @@
 }
 
 func TestHoldsAreBounded(t *testing.T) {
-	b := newBench(t, func(p *Parameters) { p.HeldFraction = 0.5 })
+	b := newTestEngine(t, func(p *Parameters) { p.HeldFraction = 0.5 })
 	var taken []bool
 	for i, tokens := range []int64{193, 193, 129} {
 		held := request(fmt.Sprint(i), int64(i), tokens, 1)
@@ -114,16 +114,16 @@
 	}
 }
 
-func TestIdleTimeCountsWhatIsNeverHit(t *testing.T) {
-	b := newBench(t, nil)
+func TestIdleTimeCountsBlocksNeverHit(t *testing.T) {
+	b := newTestEngine(t, nil)
 	b.start(request("a", 1, 129, 1))
 	b.runFor(10 * time.Second)
 	b.start(request("b", 1, 65, 1))
 	b.runFor(10 * time.Second)
-	b.engine.CloseIdle()
-	// a ends at 159 ms with two blocks. b hits the first until 10.011 s: that
-	// wait was of use. At 20 s the first is idle since then, the second since
-	// a's end.
+	b.engine.CountIdleBlocks()
+	// a ends at 159 ms with two blocks. b hits the first one until 10.011 s,
+	// so that wait does not count. At 20 s the first block is idle since then,
+	// the second since a's end.
 	want := (20 - 10.011 + 20 - 0.159) * 64
 	if got := b.engine.Statistics().IdleTokenSeconds; got < want-0.001 || got > want+0.001 {
 		t.Errorf("idle %v token-seconds, want %v", got, want)
@@ -131,7 +131,7 @@
 }
 
 func TestQueueIsBoundedAndDeadlinesEndWaiting(t *testing.T) {
-	b := newBench(t, func(p *Parameters) { p.MaximumRunning, p.MaximumWaiting = 1, 1 })
+	b := newTestEngine(t, func(p *Parameters) { p.MaximumRunning, p.MaximumWaiting = 1, 1 })
 	first := b.start(request("a", 1, 10, 50))
 	b.runFor(millisecond)
 	waiting := request("b", 2, 10, 1)
@@ -148,7 +148,7 @@
 }
 
 func TestFencesAndUnknownAttempts(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	if got := b.engine.Inspect("a", 5); got.State != framework.AttemptAbsent || !got.Fenced {
 		t.Errorf("status %+v", got)
 	}
@@ -172,13 +172,13 @@
 }
 
 func TestAnAttemptNeverRunsTwice(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	b.start(request("a", 1, 10, 2))
 	b.runFor(2 * time.Minute)
 	r := b.start(request("a", 1, 10, 2))
 	b.runFor(time.Second)
 	if r.end.Kind != framework.EndFailed || b.engine.Inspect("a", 1).State != framework.AttemptDone {
-		t.Errorf("end %+v long after the stream was forgotten", r.end)
+		t.Errorf("end %+v after the stream expired", r.end)
 	}
 	if got := b.engine.Statistics().CompletionTokens; got != 2 {
 		t.Errorf("%d tokens computed, want 2", got)
@@ -186,7 +186,7 @@
 }
 
 func TestCrashLosesEverythingAndDrainFinishes(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	held := request("a", 1, 130, 1)
 	held.Hold = "h"
 	b.start(held)
@@ -216,7 +216,7 @@
 }
 
 func TestReportsLagAndEventsAreLateAndLost(t *testing.T) {
-	b := newBench(t, func(p *Parameters) {
+	b := newTestEngine(t, func(p *Parameters) {
 		p.Publication = Publication{LoadLag: time.Second, EventDelay: time.Second}
 	})
 	b.runFor(100 * millisecond)
@@ -245,7 +245,7 @@
 }
 
 func TestRoles(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	if err := b.engine.Order(structs.Order{Kind: structs.OrderSetRole, Fence: 1, Role: structs.RolePrefill}); err != nil {
 		t.Fatal(err)
 	}
@@ -263,7 +263,7 @@
 		t.Errorf("imported %d blocks, want 2", got)
 	}
 	began := b.elapsed()
-	second := &reading{bench: b}
+	second := &streamRecorder{testEngine: b}
 	decode.Start(request("a", 1, 129, 20), second)
 	b.runFor(time.Second)
 	// One token is missing: 11 ms, then 19 more at 11 ms.
@@ -272,9 +272,9 @@
 	}
 }
 
-// BenchmarkFifteenEngines tells how many virtual seconds a real one carries,
-// with 15 engines that get 4 requests a second each, of 2,000 prompt tokens on
-// 200 shared prompts and 200 answer tokens.
+// BenchmarkFifteenEngines measures the ratio of virtual to real time for 15
+// engines that each get 4 requests a second, of 2,000 prompt tokens from 200
+// shared prompts and 200 answer tokens.
 func BenchmarkFifteenEngines(b *testing.B) {
 	const seconds, perSecond = 60, 60
 	for b.Loop() {
@@ -290,7 +290,7 @@
 		for i := range seconds * perSecond {
 			r := request(fmt.Sprint(i), int64(i%200), 2000, 200)
 			virtual.AfterFunc(time.Duration(i)*time.Second/perSecond, func() {
-				fleet.Engines()[i%15].Start(r, deaf{})
+				fleet.Engines()[i%15].Start(r, discardObserver{})
 			})
 		}
 		virtual.RunUntil(testStart.Add(seconds * time.Second))
--- a/internal/enginemodel/orders_test.go
+++ b/internal/enginemodel/orders_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestOrdersAreFencedAndShareTheStore(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	store := NewWeightStore(b.clock, 1000)
 	engines := []*Engine{}
 	for _, id := range []structs.EngineID{"x", "y"} {
@@ -52,7 +52,7 @@
 
 func TestVersionsAreChangedInPlaceOrSideBySide(t *testing.T) {
 	for single, want := range map[bool][]bool{false: {true, true}, true: {false, true}} {
-		b := newBench(t, func(p *Parameters) {
+		b := newTestEngine(t, func(p *Parameters) {
 			p.ModelBytes = 500
 			p.SingleVersion = single
 		})
@@ -72,8 +72,8 @@
 	}
 }
 
-func TestAdaptersAreBoundedReadAndUnloaded(t *testing.T) {
-	b := newBench(t, func(p *Parameters) {
+func TestAdaptersAreLimitedLoadedAndUnloaded(t *testing.T) {
+	b := newTestEngine(t, func(p *Parameters) {
 		p.MaximumAdapters = 1
 		p.AdapterBytes = 500
 	})
@@ -90,13 +90,13 @@
 		t.Fatal(err)
 	}
 	b.runFor(499 * millisecond)
-	early, reading := serves(), b.engine.Loading()
+	early, loading := serves(), b.engine.Loading()
 	b.runFor(millisecond)
-	if early || !reading || !serves() || b.engine.Loading() {
-		t.Errorf("before 500 ms it serves %v and reads %v, then %v and %v", early, reading, serves(), b.engine.Loading())
+	if early || !loading || !serves() || b.engine.Loading() {
+		t.Errorf("before 500 ms it serves %v and loads %v, then %v and %v", early, loading, serves(), b.engine.Loading())
 	}
 	if err := order(2, structs.OrderLoadAdapter, "y"); !eris.Is(err, framework.ErrRefused) {
-		t.Errorf("an adapter beyond the bound: %v", err)
+		t.Errorf("an adapter beyond the limit: %v", err)
 	}
 	with := request("a", 1, 60, 1)
 	with.Adapter = "x"
--- a/internal/enginemodel/publish.go
+++ b/internal/enginemodel/publish.go
@@ -7,50 +7,51 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// maximumEvents bounds the cache events that can still be read.
+// maximumEvents limits the cache events that are kept for readers.
 const maximumEvents = 4096
 
-// eventLog publishes changes of the cache, late and with gaps.
+// eventLog publishes changes of the cache with delay and loss.
 type eventLog struct {
 	engine   *Engine
 	sequence uint64
 	entries  []publishedEvent
-	// pending gathers the blocks of one change, so that they make one event.
-	pending structs.CacheEvent
-	in      space
+	// pending collects the blocks of one change into one event.
+	pending   structs.CacheEvent
+	namespace namespace
 }
 
-// publishedEvent is an event with the time from which it can be read.
+// publishedEvent is an event and the time from which it is visible.
 type publishedEvent struct {
-	event structs.CacheEvent
-	from  time.Time
+	event       structs.CacheEvent
+	visibleFrom time.Time
 }
 
 func newEventLog(e *Engine) *eventLog { return &eventLog{engine: e} }
 
 // stored implements cacheListener.
 func (e *Engine) stored(key blockKey) {
-	e.events.gather(structs.CacheStored, key)
-	if e.options.Ledger != nil {
-		e.options.Ledger.stored(key)
+	e.events.addToPending(structs.CacheStored, key)
+	if e.options.BlockHistory != nil {
+		e.options.BlockHistory.stored(key)
 	}
 }
 
 // evicted implements cacheListener.
 func (e *Engine) evicted(b *block, now time.Time) {
-	e.events.gather(structs.CacheEvicted, b.key)
-	e.countIdle(b, now)
+	e.events.addToPending(structs.CacheEvicted, b.key)
+	e.countEvictedIdle(b, now)
 }
 
-func (l *eventLog) gather(kind structs.CacheEventKind, key blockKey) {
-	if l.pending.Kind != kind || l.in != key.space {
+func (l *eventLog) addToPending(kind structs.CacheEventKind, key blockKey) {
+	if l.pending.Kind != kind || l.namespace != key.namespace {
 		l.flush()
 	}
-	l.pending.Kind, l.pending.Model, l.in = kind, key.space.model, key.space
+	l.pending.Kind, l.pending.Model, l.namespace = kind, key.namespace.model, key.namespace
 	l.pending.Blocks = append(l.pending.Blocks, key.hash)
 }
 
-// flush gives the pending event its number and loses it by chance.
+// flush numbers the pending event and publishes it, or drops it with
+// probability EventLoss.
 func (l *eventLog) flush() {
 	if len(l.pending.Blocks) == 0 && l.pending.Kind != structs.CacheCleared {
 		return
@@ -69,22 +70,22 @@
 	}
 }
 
-// CacheEvents returns the published events after a sequence number.
+// CacheEvents returns the visible events after a sequence number.
 func (e *Engine) CacheEvents(after uint64) []structs.CacheEvent {
 	e.events.flush()
 	var events []structs.CacheEvent
 	for _, entry := range e.events.entries {
-		if entry.event.Sequence > after && !entry.from.After(e.now()) {
+		if entry.event.Sequence > after && !entry.visibleFrom.After(e.now()) {
 			events = append(events, entry.event)
 		}
 	}
 	return events
 }
 
-// published returns the last sequence number that can be read.
-func (l *eventLog) published(now time.Time) uint64 {
+// lastVisible returns the last visible sequence number.
+func (l *eventLog) lastVisible(now time.Time) uint64 {
 	for i := len(l.entries) - 1; i >= 0; i-- {
-		if !l.entries[i].from.After(now) {
+		if !l.entries[i].visibleFrom.After(now) {
 			return l.entries[i].event.Sequence
 		}
 	}
@@ -94,7 +95,7 @@
 // loadHistory keeps an engine's states for as long as reports lag.
 type loadHistory struct{ states []loadState }
 
-// loadState is the state of an engine from a moment on.
+// loadState is the state of an engine from a point in time on.
 type loadState struct {
 	from           time.Time
 	running        int
@@ -111,8 +112,8 @@
 	eventsSequence uint64
 }
 
-// noteLoad keeps the present state for reports.
-func (e *Engine) noteLoad() {
+// recordLoadState records the current state for load reports.
+func (e *Engine) recordLoadState() {
 	now := e.now()
 	state := loadState{
 		from:           now,
@@ -120,9 +121,9 @@
 		waiting:        len(e.waiting),
 		queuedPrefill:  e.queuedPrefill(),
 		cacheBlocks:    e.cache.used(),
-		pinnedBlocks:   e.cache.pinned,
+		pinnedBlocks:   e.cache.pinnedBlocks,
 		draining:       e.draining,
-		models:         e.orders.listed,
+		models:         e.orders.loaded,
 		loading:        e.orders.loading,
 		role:           e.orders.role,
 		versions:       e.orders.versions,
@@ -153,14 +154,14 @@
 	h.trim(visible)
 }
 
-// trim drops the states before the one that was in force at a moment.
+// trim drops the states before the one that was current at a time.
 func (h *loadHistory) trim(visible time.Time) {
 	for len(h.states) > 1 && !h.states[1].from.After(visible) {
 		h.states = h.states[1:]
 	}
 }
 
-// Load returns the state of a while ago, as a report.
+// Load returns the state of LoadLag ago as a report.
 func (e *Engine) Load() structs.LoadReport {
 	e.loads.trim(e.now().Add(-e.parameters.Publication.LoadLag))
 	state := e.loads.states[0]
@@ -180,7 +181,7 @@
 		CacheCapacityTokens: int64(e.cache.capacity) * prefix.BlockTokens,
 		HeldTokens:          int64(state.pinnedBlocks) * prefix.BlockTokens,
 		Draining:            state.draining,
-		CacheEventSequence:  e.events.published(e.now()),
+		CacheEventSequence:  e.events.lastVisible(e.now()),
 		StartedUnixNano:     e.startedAt.UnixNano(),
 	}
 }
--- a/internal/enginemodel/transfer.go
+++ b/internal/enginemodel/transfer.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// maximumPrograms bounds the programs whose blocks can be exported by name.
+// maximumPrograms limits the programs whose blocks can be exported.
 const maximumPrograms = 1 << 14
 
 // programBlocks remembers the blocks of each program's last call.
@@ -16,36 +16,38 @@
 	order []structs.ProgramKey
 }
 
-// programChain is a program's prompt and answer as blocks.
+// programChain is the block sequence of a program's prompt and answer.
 type programChain struct {
-	in     space
-	hashes []structs.BlockHash
-	// owner is the sequence that added last.
-	owner *sequence
+	namespace namespace
+	hashes    []structs.BlockHash
+	// lastWriter is the sequence that last added blocks.
+	lastWriter *sequence
 }
 
 func newProgramBlocks() programBlocks {
 	return programBlocks{byKey: map[structs.ProgramKey]*programChain{}}
 }
 
-// rememberBlocks keeps the names of the blocks that a sequence has. Those up
-// to before are known already if the sequence was the last to add.
-func (e *Engine) rememberBlocks(s *sequence, before int) {
+// recordProgramBlocks records the hashes of a sequence's blocks for its
+// program. Those up to before are known already if the sequence was the last
+// writer.
+func (e *Engine) recordProgramBlocks(s *sequence, before int) {
 	if len(s.blocks) == before || s.attempt.request.Program.Program == "" {
 		return
 	}
 	chain := e.programs.chain(s.attempt.request.Program)
-	if chain.owner != s || len(chain.hashes) != before {
+	if chain.lastWriter != s || len(chain.hashes) != before {
 		before = 0
 	}
-	chain.owner, chain.in = s, s.space()
+	chain.lastWriter, chain.namespace = s, s.namespace()
 	chain.hashes = chain.hashes[:before]
 	for _, b := range s.blocks[before:] {
 		chain.hashes = append(chain.hashes, b.key.hash)
 	}
 }
 
-// chain returns a program's chain, making place for a new one.
+// chain returns a program's chain, evicting the oldest one for a new program
+// if needed.
 func (p *programBlocks) chain(key structs.ProgramKey) *programChain {
 	chain := p.byKey[key]
 	if chain != nil {
@@ -61,7 +63,7 @@
 	return chain
 }
 
-// Export is a program's cache on its way to another engine.
+// Export is a program's cache in transfer to another engine.
 type Export struct {
 	Model   structs.ModelName   `json:"model"`
 	Adapter structs.AdapterName `json:"adapter,omitempty"`
@@ -71,26 +73,26 @@
 // Tokens returns the number of tokens exported.
 func (x Export) Tokens() int64 { return int64(len(x.Blocks)) * prefix.BlockTokens }
 
-// Export returns what the engine still has of a program's cache, from the
-// first block on. It is asked for by a call that will use it elsewhere, so it
-// counts as a use.
+// Export returns the cached blocks of a program, from the first on. Since they
+// are about to be used at another engine, it counts as a use.
 func (e *Engine) Export(program structs.ProgramKey) Export {
 	chain := e.programs.byKey[program]
 	if chain == nil {
 		return Export{}
 	}
-	count := e.cache.match(chain.in, chain.hashes)
-	e.cache.use(chain.in, chain.hashes[:count], e.now())
+	count := e.cache.match(chain.namespace, chain.hashes)
+	e.cache.touch(chain.namespace, chain.hashes[:count], e.now())
 	return Export{
-		Model:   chain.in.model,
-		Adapter: chain.in.adapter,
+		Model:   chain.namespace.model,
+		Adapter: chain.namespace.adapter,
 		Blocks:  append([]structs.BlockHash{}, chain.hashes[:count]...),
 	}
 }
 
-// Missing returns how many blocks of an export this engine does not have.
-func (e *Engine) Missing(export Export) int {
-	return len(export.Blocks) - e.cache.match(space{export.Model, export.Adapter}, export.Blocks)
+// MissingBlocks returns how many blocks of an export this engine does not
+// have.
+func (e *Engine) MissingBlocks(export Export) int {
+	return len(export.Blocks) - e.cache.match(namespace{export.Model, export.Adapter}, export.Blocks)
 }
 
 // TransferTime returns how long a number of blocks takes over the link.
@@ -99,8 +101,8 @@
 	return time.Duration(bytes / float64(e.parameters.LinkBytesPerSecond) * float64(time.Second))
 }
 
-// ReserveLink returns how long it takes until some blocks have come from a
-// sender: a link carries one transfer after the other. The sender is nil where
+// ReserveLink reserves the link for a transfer and returns the time until it
+// is complete: a link carries one transfer at a time. The sender is nil when
 // it is another process, whose link is not known.
 func (e *Engine) ReserveLink(sender *Engine, blocks int) time.Duration {
 	now := e.now()
@@ -118,11 +120,11 @@
 	return e.linkFree.Sub(now)
 }
 
-// Import takes over exported blocks, as far as there is place, pins them under
-// a hold if one is named, and returns how many of them are here now. It takes
-// nothing for a hold that was released before.
+// Import stores exported blocks as far as memory allows, pins them if a hold
+// is given, and returns how many of them are cached now. It imports nothing
+// for a hold that was released before.
 func (e *Engine) Import(export Export, program structs.ProgramKey, id structs.HoldID) int {
-	in := space{export.Model, export.Adapter}
+	in := namespace{export.Model, export.Adapter}
 	if _, released := e.holds.released[id]; released {
 		return 0
 	}
@@ -132,18 +134,19 @@
 	count := e.cache.insert(in, export.Blocks, e.now())
 	e.holdImported(id, program, e.cache.find(in, export.Blocks[:count]))
 	e.events.flush()
-	e.noteLoad()
+	e.recordLoadState()
 	return count
 }
 
-// holdImported pins imported blocks until the attempt that follows ends, if the
-// bound on holds allows it. A hold that is there already is the attempt's own.
+// holdImported pins imported blocks until the attempt that follows ends, if
+// the limit on held memory allows it. A hold that exists already is the
+// attempt's own and is kept.
 func (e *Engine) holdImported(id structs.HoldID, program structs.ProgramKey, blocks []*block) {
 	for _, b := range blocks {
 		b.usedBy(program)
 	}
-	if id == "" || len(blocks) == 0 || e.holds.byID[id] != nil || !e.mayPin(blocks) {
+	if id == "" || len(blocks) == 0 || e.holds.byID[id] != nil || !e.fitsHoldLimit(blocks) {
 		return
 	}
-	e.pinUnder(id, program, blocks)
+	e.pinForHold(id, program, blocks)
 }
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -16,33 +16,33 @@
 	PrefixAffinity  = "prefix-affinity"
 	Mintpulley      = "mintpulley"
 	LowerBound      = "lower-bound"
-	// SteadyBound is run on demand only: what no policy can beat in the mean
-	// at a steady load.
+	// SteadyBound runs on request only: a lower bound of the mean latency at a
+	// steady load.
 	SteadyBound = "steady-bound"
 )
 
-// ErrPolicy: there is no policy of that name.
-var ErrPolicy = eris.New("experiment: unknown policy")
+// ErrUnknownPolicy is returned for an unknown policy name.
+var ErrUnknownPolicy = eris.New("experiment: unknown policy")
 
-// Policies returns the names that are compared by default, in the order of the
+// Policies returns the policies compared by default, in the order of the
 // tables.
 func Policies() []string {
 	return []string{RoundRobin, LeastLoaded, SessionAffinity, PrefixAffinity, Mintpulley, LowerBound}
 }
 
-// CheckPolicies returns ErrPolicy for the first unknown name.
+// CheckPolicies returns ErrUnknownPolicy for the first unknown name.
 func CheckPolicies(names []string) error {
 	for _, name := range names {
 		if known := append(Policies(), SteadyBound); !slices.Contains(known, name) {
-			return eris.Wrapf(ErrPolicy, "%q (known: %v)", name, known)
+			return eris.Wrapf(ErrUnknownPolicy, "%q (known: %v)", name, known)
 		}
 	}
 	return nil
 }
 
-// profileOf returns the scheduler's profile of a policy. The baselines serve
-// first come first served, through the same scheduler: a call waits for the
-// engine of its choice until that has a place in its batch and memory for it.
+// profileOf returns the scheduler's profile for a policy. The baselines serve
+// first come, first served through the same scheduler: a call waits until its
+// chosen engine has a slot in its batch and memory for it.
 func profileOf(policy string) schedule.Profile {
 	if policy == Mintpulley {
 		return schedule.DefaultProfile()
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -12,8 +12,8 @@
 	"github.com/mintpulley/mintpulley/internal/workload"
 )
 
-// ErrOptions: an option is out of range.
-var ErrOptions = eris.New("experiment: option out of range")
+// ErrInvalidOptions is returned for an option out of range.
+var ErrInvalidOptions = eris.New("experiment: option out of range")
 
 // Bounds of options.
 const (
@@ -22,25 +22,25 @@
 	maximumDuration = 3600
 )
 
-// parallelRuns bounds the runs at one time; each is deterministic by itself.
+// parallelRuns limits concurrent runs; each is deterministic on its own.
 const parallelRuns = 4
 
-// PolicyResult is one row of a result, in the checked format.
+// PolicyResult is one row of a result in the JSON output.
 type PolicyResult struct {
-	Name               string  `json:"name"`
-	Programs           int     `json:"programs"`
-	LatencyP50Seconds  float64 `json:"latency_p50_s"`
-	LatencyP95Seconds  float64 `json:"latency_p95_s"`
-	LatencyP99Seconds  float64 `json:"latency_p99_s"`
-	LatencyMeanSeconds float64 `json:"latency_mean_s"`
-	RecomputedFraction float64 `json:"recomputed_fraction"`
-	HeldIdleFraction   float64 `json:"held_idle_fraction"`
-	WastedCache        float64 `json:"wasted_cache"`
-	// Outcome is what the row was made of.
+	Name                string  `json:"name"`
+	Programs            int     `json:"programs"`
+	LatencyP50Seconds   float64 `json:"latency_p50_s"`
+	LatencyP95Seconds   float64 `json:"latency_p95_s"`
+	LatencyP99Seconds   float64 `json:"latency_p99_s"`
+	LatencyMeanSeconds  float64 `json:"latency_mean_s"`
+	RecomputedFraction  float64 `json:"recomputed_fraction"`
+	HeldIdleFraction    float64 `json:"held_idle_fraction"`
+	WastedCacheFraction float64 `json:"wasted_cache"`
+	// Outcome holds the measurements behind the row.
 	Outcome Outcome `json:"-"`
 }
 
-// Result is what an experiment prints.
+// Result is the output of an experiment.
 type Result struct {
 	Workload string         `json:"workload"`
 	Load     float64        `json:"load"`
@@ -48,27 +48,28 @@
 	Policies []PolicyResult `json:"policies"`
 }
 
-// Degraded is how engines report in the aims' last line: load reports 2 s old,
-// cache events as late, and a third of them lost.
-func Degraded() enginemodel.Publication {
+// DegradedPublication returns degraded engine reports: load reports 2 s old,
+// cache events 2 s late, and a third of the events lost.
+func DegradedPublication() enginemodel.Publication {
 	const lag = 2 * time.Second
 	return enginemodel.Publication{LoadLag: lag, EventDelay: lag, EventLoss: 1.0 / 3}
 }
 
-// Validate returns ErrOptions or ErrPolicy for the first bad option.
+// Validate returns ErrInvalidOptions or ErrUnknownPolicy for the first invalid
+// option.
 func (o *Options) Validate() error {
 	switch {
 	case o.Load <= 0 || o.Load > maximumLoad:
-		return eris.Wrapf(ErrOptions, "load %g, want above 0 and at most %d", o.Load, maximumLoad)
+		return eris.Wrapf(ErrInvalidOptions, "load %g, want above 0 and at most %d", o.Load, maximumLoad)
 	case o.Seeds < 1 || o.Seeds > maximumSeeds:
-		return eris.Wrapf(ErrOptions, "seeds %d, want 1 to %d", o.Seeds, maximumSeeds)
+		return eris.Wrapf(ErrInvalidOptions, "seeds %d, want 1 to %d", o.Seeds, maximumSeeds)
 	case o.Duration <= 0 || o.Duration > maximumDuration:
-		return eris.Wrapf(ErrOptions, "duration %g, want above 0 and at most %d", o.Duration, maximumDuration)
+		return eris.Wrapf(ErrInvalidOptions, "duration %g, want above 0 and at most %d", o.Duration, maximumDuration)
 	}
 	return CheckPolicies(o.Policies)
 }
 
-// Traces draws one trace for each seed.
+// Traces generates one trace for each seed.
 func Traces(shape *workload.Shape, options *Options) []workload.Trace {
 	traces := make([]workload.Trace, options.Seeds)
 	for i := range traces {
@@ -79,8 +80,8 @@
 	return traces
 }
 
-// Compare replays every trace under every policy. Programs of all traces count
-// together; the cache's figures are the means of the traces'.
+// Compare replays every trace under every policy. Latencies of all traces are
+// pooled; the cache fractions are means over the traces.
 func Compare(shape *workload.Shape, options *Options, traces []workload.Trace) (Result, error) {
 	result := Result{Workload: shape.Name, Load: options.Load, Seed: options.Seed}
 	outcomes, err := runAll(shape, options, traces)
@@ -94,8 +95,8 @@
 	return result, nil
 }
 
-// runAll fills a table of outcomes by policy and trace. Runs share nothing, so
-// that their order does not matter.
+// runAll runs every policy on every trace. Runs share no state, so their order
+// does not matter.
 func runAll(shape *workload.Shape, options *Options, traces []workload.Trace) ([][]Outcome, error) {
 	outcomes := make([][]Outcome, len(options.Policies))
 	failures := make([]error, len(options.Policies)*len(traces))
@@ -136,20 +137,20 @@
 
 func row(o Outcome) PolicyResult {
 	return PolicyResult{
-		Name:               o.Policy,
-		Programs:           len(o.Latencies),
-		LatencyP50Seconds:  o.Quantile(0.50),
-		LatencyP95Seconds:  o.Quantile(0.95),
-		LatencyP99Seconds:  o.Quantile(0.99),
-		LatencyMeanSeconds: o.Mean(),
-		RecomputedFraction: o.RecomputedFraction,
-		HeldIdleFraction:   o.HeldIdleFraction,
-		WastedCache:        o.WastedCache(),
-		Outcome:            o,
+		Name:                o.Policy,
+		Programs:            len(o.Latencies),
+		LatencyP50Seconds:   o.Quantile(0.50),
+		LatencyP95Seconds:   o.Quantile(0.95),
+		LatencyP99Seconds:   o.Quantile(0.99),
+		LatencyMeanSeconds:  o.Mean(),
+		RecomputedFraction:  o.RecomputedFraction,
+		HeldIdleFraction:    o.HeldIdleFraction,
+		WastedCacheFraction: o.WastedCacheFraction(),
+		Outcome:             o,
 	}
 }
 
-// Table renders a result for people.
+// Table renders a result as a text table.
 func (r *Result) Table() string {
 	writer := table.NewWriter()
 	writer.SetTitle(fmt.Sprintf("%s at load %g, seed %d", r.Workload, r.Load, r.Seed))
@@ -160,7 +161,7 @@
 			fmt.Sprintf("%.2f", p.LatencyP50Seconds), fmt.Sprintf("%.2f", p.LatencyP95Seconds),
 			fmt.Sprintf("%.2f", p.LatencyP99Seconds), fmt.Sprintf("%.2f", p.LatencyMeanSeconds),
 			fmt.Sprintf("%.3f", p.RecomputedFraction), fmt.Sprintf("%.3f", p.HeldIdleFraction),
-			fmt.Sprintf("%.3f", p.WastedCache),
+			fmt.Sprintf("%.3f", p.WastedCacheFraction),
 		})
 	}
 	return writer.Render()
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// sampleInterval is the pause between looks at the caches.
+	// sampleInterval is the interval between samples of the caches.
 	sampleInterval = time.Second
-	// patience ends a run whose programs do not come to an end, so long after
-	// the last arrival.
-	patience = time.Hour
+	// maximumOverrun is how long after the last arrival a run ends even if
+	// programs are unfinished.
+	maximumOverrun = time.Hour
 )
 
-// CacheSample is the use of all caches at one time, in parts of the capacity.
+// CacheSample is the use of all caches at one time, as fractions of their
+// capacity.
 type CacheSample struct {
 	AtSeconds float64
 	Cached    float64
@@ -29,23 +30,23 @@
 	latencies []float64
 	refusals  int
 	samples   []CacheSample
-	cache     cacheFigures
+	cache     cacheWaste
 }
 
-// cacheFigures are taken when the last program has arrived: what an idle
-// fleet keeps afterwards is nobody's loss.
-type cacheFigures struct {
+// cacheWaste is measured when the last program has arrived, since what an idle
+// fleet keeps afterwards is no loss.
+type cacheWaste struct {
 	recomputedFraction float64
 	heldIdleFraction   float64
 }
 
 func ignoreEnd(dispatch.ProgramEnded, error) {}
 
-// replay runs a trace to its end and returns what was measured.
+// replay runs a trace to its end and returns the measurements.
 func replay(shape *workload.Shape, options *Options, policy string, trace *workload.Trace) (Outcome, error) {
 	profile := profileOf(policy)
-	if policy == Mintpulley && options.Adjust != nil {
-		options.Adjust(&profile)
+	if policy == Mintpulley && options.AdjustProfile != nil {
+		options.AdjustProfile(&profile)
 	}
 	f, err := newFleet(shape, options, profile, trace.Seed)
 	if err != nil {
@@ -57,7 +58,7 @@
 	}
 	r.sample()
 	f.clock.AfterFunc(time.Duration(options.Duration*float64(time.Second)), func() { r.cache = r.measureCache(options) })
-	limit := startOfRun.Add(time.Duration(options.Duration*float64(time.Second)) + patience)
+	limit := startOfRun.Add(time.Duration(options.Duration*float64(time.Second)) + maximumOverrun)
 	for len(r.latencies) < len(trace.Programs) && f.clock.Now().Before(limit) && f.clock.Step() {
 	}
 	return r.outcome(policy), nil
@@ -88,21 +89,21 @@
 	r.fleet.clock.AfterFunc(sampleInterval, r.sample)
 }
 
-// measureCache counts what is cached and not in use as if it were evicted
-// now, also what a later call would hit.
-func (r *run) measureCache(options *Options) cacheFigures {
+// measureCache counts blocks that are cached and not in use as if they were
+// evicted now, including those that a later call would hit.
+func (r *run) measureCache(options *Options) cacheWaste {
 	elapsed := r.fleet.clock.Now().Sub(startOfRun).Seconds()
 	var prompt, recomputed int64
 	idle := 0.0
 	for _, engine := range r.fleet.engines.Engines() {
-		engine.CloseIdle()
+		engine.CountIdleBlocks()
 		statistics := engine.Statistics()
 		prompt += statistics.PromptTokens
 		recomputed += statistics.RecomputedTokens
 		idle += statistics.IdleTokenSeconds
 	}
 	capacity := float64(options.Parameters.CacheTokens) * float64(r.fleet.shape.Engines) * elapsed
-	return cacheFigures{
+	return cacheWaste{
 		recomputedFraction: float64(recomputed) / float64(max(prompt, 1)),
 		heldIdleFraction:   idle / capacity,
 	}
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Headers by which a caller names its program. All are optional; see
+// Headers by which a caller sets the options of a call. All are optional; see
 // docs/PROTOCOLS.md.
 const (
 	HeaderProgram    = "Mintpulley-Program"
@@ -18,13 +18,13 @@
 	HeaderRetry      = "Mintpulley-Retry"
 	// HeaderClientRetry is set by OpenAI's client libraries on retries.
 	HeaderClientRetry = "X-Stainless-Retry-Count"
-	// HeaderShouldRetry tells OpenAI's client libraries whether to try again.
+	// HeaderShouldRetry tells OpenAI's client libraries whether to retry.
 	HeaderShouldRetry = "X-Should-Retry"
 )
 
-// callNames is what a caller says about a call, by headers or in the metadata
-// of the body.
-type callNames struct {
+// callOptions are a caller's options for a call, from headers or from the metadata in
+// the body.
+type callOptions struct {
 	program    string
 	template   string
 	sequence   string
@@ -35,38 +35,38 @@
 	resumeAt   string
 }
 
-// namedField is one name with its header and its key in the metadata.
-type namedField struct {
+// optionField is one option with its header and its metadata key.
+type optionField struct {
 	header string
 	key    string
 	value  *string
 }
 
-func (n *callNames) fields() []namedField {
-	return []namedField{
-		{HeaderProgram, "program", &n.program},
-		{HeaderTemplate, "template", &n.template},
-		{HeaderSequence, "sequence", &n.sequence},
-		{HeaderRequestID, "request_id", &n.requestID},
-		{HeaderRepeatable, "repeatable", &n.repeatable},
-		{HeaderEnd, "end", &n.end},
-		{HeaderHistory, "history", &n.history},
-		{HeaderResumeAt, "resume_at", &n.resumeAt},
+func (o *callOptions) fields() []optionField {
+	return []optionField{
+		{HeaderProgram, "program", &o.program},
+		{HeaderTemplate, "template", &o.template},
+		{HeaderSequence, "sequence", &o.sequence},
+		{HeaderRequestID, "request_id", &o.requestID},
+		{HeaderRepeatable, "repeatable", &o.repeatable},
+		{HeaderEnd, "end", &o.end},
+		{HeaderHistory, "history", &o.history},
+		{HeaderResumeAt, "resume_at", &o.resumeAt},
 	}
 }
 
-func namesOf(header http.Header) callNames {
-	var names callNames
-	for _, field := range names.fields() {
+func optionsFromHeader(header http.Header) callOptions {
+	var options callOptions
+	for _, field := range options.fields() {
 		*field.value = header.Get(field.header)
 	}
-	return names
+	return options
 }
 
-// merge fills in what the metadata says. A name given twice must agree. Other
-// keys are the caller's own and have no meaning here.
-func (n *callNames) merge(metadata map[string]string) *problem {
-	for _, field := range n.fields() {
+// merge adds the options in the metadata. An option given twice must have the same
+// value. Other metadata keys are ignored.
+func (o *callOptions) merge(metadata map[string]string) *problem {
+	for _, field := range o.fields() {
 		value, given := metadata[field.key]
 		if !given {
 			continue
--- a/internal/gateway/protection_test.go
+++ b/internal/gateway/protection_test.go
@@ -21,12 +21,12 @@
 	"github.com/mintpulley/mintpulley/internal/submit"
 )
 
-const leading structs.DaemonID = "127.0.0.1:1#1"
+const leader structs.DaemonID = "127.0.0.1:1#1"
 
-// fakeFleet answers the calls of a gateway under test as the test says.
+// fakeFleet is a node whose calls are answered by a test function.
 type fakeFleet struct {
 	*submit.Submitter
-	// answer is called with each new call and a way to send its answer.
+	// answer is called with each new call and a function that sends its answer.
 	answer func(call structs.Call, send func(peer.Message))
 
 	mutex    sync.Mutex
@@ -42,7 +42,7 @@
 func (f *fakeFleet) Send(_ structs.DaemonID, message peer.Message) {
 	switch m := message.(type) {
 	case *dispatch.Submit:
-		go f.answer(m.Call, func(answer peer.Message) { f.Receive(leading, withSubmission(answer, m.Submission)) })
+		go f.answer(m.Call, func(answer peer.Message) { f.Receive(leader, withSubmission(answer, m.Submission)) })
 	case *dispatch.Detach:
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
@@ -70,7 +70,7 @@
 
 func (f *fakeFleet) Shard(structs.ProgramKey) structs.ShardNumber { return 0 }
 func (f *fakeFleet) Route(structs.ShardNumber) replication.Route {
-	return replication.Route{Leader: leading, Epoch: 1}
+	return replication.Route{Leader: leader, Epoch: 1}
 }
 func (f *fakeFleet) Learn(structs.ShardNumber, replication.Route) {}
 func (f *fakeFleet) Alive(structs.DaemonID) bool                  { return true }
@@ -82,7 +82,7 @@
 	"city":    {KeyHashes: []string{KeyHash("city")}},
 }}
 
-// answerAll answers each call with one word.
+// answerAll answers each call with the same text.
 func answerAll(_ structs.Call, send func(peer.Message)) {
 	send(&dispatch.Settled{Outcome: structs.Outcome{Status: structs.OutcomeCompleted, Answer: structs.Message{Content: "yes"}, FinishReason: "stop"}})
 }
@@ -112,7 +112,7 @@
 	return conn
 }
 
-func head(length int, extra string) string {
+func requestHead(length int, extra string) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key\r\nContent-Length: %d\r\n%s\r\n", length, extra)
 }
 
@@ -147,12 +147,12 @@
 	}
 }
 
-func TestHalfSentRequestsAreShedAndCostOthersNothing(t *testing.T) {
+func TestIncompleteRequestsAreShedAndDoNotDelayOthers(t *testing.T) {
 	fleet := newFakeFleet(answerAll)
 	server := serve(t, fleet, func(limits *Limits) { limits.BodyTimeout = 200 * time.Millisecond })
 	var halves []net.Conn
 	for range 50 {
-		halves = append(halves, dial(t, server, head(len(plainBody), "")+plainBody[:10]))
+		halves = append(halves, dial(t, server, requestHead(len(plainBody), "")+plainBody[:10]))
 	}
 	for range 20 {
 		if status, _ := post(t, server, "key", plainBody); status != http.StatusOK {
@@ -169,11 +169,11 @@
 		}
 	}
 	if fleet.Pending() != 0 {
-		t.Errorf("%d calls came of half requests", fleet.Pending())
+		t.Errorf("%d calls were submitted from incomplete requests", fleet.Pending())
 	}
 }
 
-func TestFullDaemonTurnsRequestsAway(t *testing.T) {
+func TestDaemonAtItsLimitRefusesRequests(t *testing.T) {
 	hold := make(chan struct{})
 	fleet := newFakeFleet(func(call structs.Call, send func(peer.Message)) {
 		send(&dispatch.Accepted{})
@@ -201,26 +201,26 @@
 	}
 }
 
-func TestBodiesMemoryIsBounded(t *testing.T) {
+func TestBodyMemoryIsBounded(t *testing.T) {
 	server := serve(t, newFakeFleet(answerAll), func(limits *Limits) {
 		limits.MaxTotalBodyBytes, limits.BodyTimeout = 2000, 5*time.Second
 	})
-	half := dial(t, server, head(1900, "")+"{")
+	half := dial(t, server, requestHead(1900, "")+"{")
 	bodies := &server.Config.Handler.(*Gateway).bodies
-	waitFor(t, "the half body's room", func() bool { return bodies.Load() == 1900 })
+	waitFor(t, "the memory reserved for the incomplete body", func() bool { return bodies.Load() == 1900 })
 	if status, _ := post(t, server, "city", plainBody+strings.Repeat(" ", 200)); status != http.StatusServiceUnavailable {
-		t.Errorf("beyond the memory: status %d", status)
+		t.Errorf("beyond MaxTotalBodyBytes: status %d", status)
 	}
 	_ = half.Close()
-	waitFor(t, "room again", func() bool {
+	waitFor(t, "memory for another body", func() bool {
 		status, _ := post(t, server, "city", plainBody+strings.Repeat(" ", 200))
 		return status == http.StatusOK
 	})
 }
 
-// TestReaderThatStopsIsDetached streams far more than the sockets hold to a
-// caller that reads nothing.
-func TestReaderThatStopsIsDetached(t *testing.T) {
+// TestStalledReaderIsDetached guards against a caller that reads nothing holding a
+// stream open: the answer exceeds the socket buffers.
+func TestStalledReaderIsDetached(t *testing.T) {
 	text := strings.Repeat("~", 64<<10)
 	fleet := newFakeFleet(func(_ structs.Call, send func(peer.Message)) {
 		for i := range 400 {
@@ -229,19 +229,19 @@
 	})
 	server := serve(t, fleet, func(limits *Limits) { limits.WriteTimeout = 200 * time.Millisecond })
 	const body = `{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`
-	dial(t, server, head(len(body), HeaderProgram+": p\r\n"+HeaderRequestID+": r\r\n")+body)
-	waitFor(t, "the detachment", func() bool { return len(fleet.detaches()) == 1 })
+	dial(t, server, requestHead(len(body), HeaderProgram+": p\r\n"+HeaderRequestID+": r\r\n")+body)
+	waitFor(t, "the Detach message", func() bool { return len(fleet.detaches()) == 1 })
 	if detach := fleet.detaches()[0]; detach.Cancel || detach.RequestID != "r" {
-		t.Errorf("a named call was cancelled: %+v", detach)
+		t.Errorf("a call with a request identifier was cancelled: %+v", detach)
 	}
 	if fleet.Pending() != 0 {
 		t.Errorf("%d submissions left", fleet.Pending())
 	}
 }
 
-// TestReaderThatStopsCostsOthersNothing has callers that read nothing of long
-// answers while others are served at the same gateway.
-func TestReaderThatStopsCostsOthersNothing(t *testing.T) {
+// TestStalledReadersDoNotDelayOthers guards against callers that read nothing of long
+// answers blocking other requests at the same gateway.
+func TestStalledReadersDoNotDelayOthers(t *testing.T) {
 	text := strings.Repeat("~", 64<<10)
 	const stuck = 4
 	var sent sync.WaitGroup
@@ -256,13 +256,13 @@
 			send(&dispatch.Answer{Chunks: []structs.Chunk{{Offset: int64(i * len(text)), Text: text}}})
 		}
 	})
-	// One write is more than the sockets hold, and lasts as long as the test.
+	// One write exceeds the socket buffers and blocks for the whole test.
 	server := serve(t, fleet, func(limits *Limits) {
 		limits.WriteTimeout, limits.MaxPendingBytes = time.Minute, 24<<20
 	})
 	const body = `{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`
 	for i := range stuck {
-		dial(t, server, head(len(body), HeaderProgram+": stuck\r\n"+HeaderRequestID+": r"+strconv.Itoa(i)+"\r\n")+body)
+		dial(t, server, requestHead(len(body), HeaderProgram+": stuck\r\n"+HeaderRequestID+": r"+strconv.Itoa(i)+"\r\n")+body)
 	}
 	sent.Wait()
 	for range 20 {
@@ -271,14 +271,14 @@
 		}
 	}
 	if got := fleet.Pending(); got != stuck {
-		t.Errorf("%d of %d stuck streams are left: they ended before the others were served", got, stuck)
+		t.Errorf("%d of %d stalled streams remain: they ended before the others were served", got, stuck)
 	}
 	server.CloseClientConnections()
 }
 
-// TestSlowReaderIsToldWhereToGoOn fills the buffer of a caller that reads
-// nothing for a while, and then reads to the end.
-func TestSlowReaderIsToldWhereToGoOn(t *testing.T) {
+// TestSlowReaderIsToldWhereToResume overflows the buffer of a caller that reads
+// nothing for a while. The stream must end with the byte at which to resume.
+func TestSlowReaderIsToldWhereToResume(t *testing.T) {
 	const pieces = 400
 	text := strings.Repeat("~", 64<<10)
 	sent := make(chan struct{})
@@ -290,7 +290,7 @@
 	})
 	server := serve(t, fleet, func(limits *Limits) { limits.WriteTimeout = 10 * time.Second })
 	const body = `{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`
-	conn := dial(t, server, head(len(body), HeaderProgram+": p\r\n"+HeaderRequestID+": r\r\n")+body)
+	conn := dial(t, server, requestHead(len(body), HeaderProgram+": p\r\n"+HeaderRequestID+": r\r\n")+body)
 	<-sent
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -314,7 +314,7 @@
 	deadline := time.Now().Add(20 * time.Second)
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s did not come about", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -330,7 +330,7 @@
 	const body = `{"model":"m","stream":true,"metadata":{"program":"p","request_id":"r","resume_at":"%d"},"messages":[{"role":"user","content":"x"}]}`
 	for offset, want := range map[int]int{0: http.StatusOK, 1: http.StatusBadRequest, 2: http.StatusOK, len(answer): http.StatusOK} {
 		if status, _ := post(t, server, "key", fmt.Sprintf(body, offset)); status != want {
-			t.Errorf("from byte %d: status %d, want %d", offset, status, want)
+			t.Errorf("resumed at byte %d: status %d, want %d", offset, status, want)
 		}
 	}
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -8,26 +8,27 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// requestBody tells what became of a request: where it stands while it has no
-// outcome, and its answer or error afterwards.
+// requestBody describes a request: its progress until it has an outcome, and then its
+// answer or error.
 type requestBody struct {
 	Program   structs.ProgramID `json:"program"`
 	RequestID structs.RequestID `json:"request_id"`
 	// State is "running" or the status of the outcome.
-	State      string          `json:"state"`
-	Open       *openCallBody   `json:"open,omitempty"`
-	Completion *wholeResponse  `json:"completion,omitempty"`
-	BodyStatus int             `json:"body_status,omitempty"`
-	Body       json.RawMessage `json:"body,omitempty"`
-	Error      *errorDetail    `json:"error,omitempty"`
+	State      string              `json:"state"`
+	Open       *openCallBody       `json:"open,omitempty"`
+	Completion *completionResponse `json:"completion,omitempty"`
+	BodyStatus int                 `json:"body_status,omitempty"`
+	Body       json.RawMessage     `json:"body,omitempty"`
+	Error      *errorDetail        `json:"error,omitempty"`
 }
 
-// noRequest is said of a request that the program has not seen. It does not
-// say that it will never run: a copy may still be under way.
-const noRequest = "The program has not seen this request."
+// noRequestMessage is the message for a request that the program has not seen. It may
+// still run, since a copy may be on its way.
+const noRequestMessage = "The program has not seen this request."
 
-// requestNames reads the query; on false the request has been answered.
-func (e *exchange) requestNames() (structs.ProgramKey, structs.RequestID, bool) {
+// requestFromQuery reads the URL query. If it returns false, it has written the
+// response.
+func (e *exchange) requestFromQuery() (structs.ProgramKey, structs.RequestID, bool) {
 	query := e.r.URL.Query()
 	key := structs.ProgramKey{Tenant: e.tenant, Program: structs.ProgramID(query.Get("program"))}
 	request := structs.RequestID(query.Get("request"))
@@ -43,7 +44,7 @@
 }
 
 func (e *exchange) serveRequest() {
-	key, request, named := e.requestNames()
+	key, request, named := e.requestFromQuery()
 	if !named {
 		return
 	}
@@ -52,7 +53,7 @@
 		return
 	}
 	if described.Request == nil {
-		e.answerNotFound(structs.ReasonUnknownProgram, noRequest)
+		e.answerNotFound(structs.ReasonUnknownProgram, noRequestMessage)
 		return
 	}
 	e.answerJSON(http.StatusOK, requestBodyOf(key, request, described.Request))
@@ -75,16 +76,16 @@
 		body.BodyStatus = outcome.BodyStatus
 		body.Body = jsonOrText(outcome.Body)
 	default:
-		whole := wholeOf(request, "", *outcome)
+		whole := completionOf(request, "", *outcome)
 		body.Completion = &whole
 	}
 	return body
 }
 
-// serveCancel stops a call wherever it is. Its outcome is asked for afterwards:
-// a call that its back end cannot stop runs to its end.
+// serveCancel cancels a call. The outcome is queried afterwards, since a call that its
+// back end cannot stop runs to its end.
 func (e *exchange) serveCancel() {
-	key, request, named := e.requestNames()
+	key, request, named := e.requestFromQuery()
 	if !named {
 		return
 	}
@@ -95,7 +96,7 @@
 	case err != nil:
 		e.answerUnavailable()
 	case cancelled.Request == nil:
-		e.answerNotFound(structs.ReasonUnknownProgram, noRequest)
+		e.answerNotFound(structs.ReasonUnknownProgram, noRequestMessage)
 	default:
 		e.answerJSON(http.StatusOK, requestBodyOf(key, request, cancelled.Request))
 	}
--- a/internal/gateway/stuck_test.go
+++ b/internal/gateway/slow_headers_test.go
@@ -12,10 +12,10 @@
 	"github.com/mintpulley/mintpulley/internal/gateway"
 )
 
-// TestSlowHeadersAreShedAndCostOthersNothing opens connections to a real daemon
-// that never finish their headers. They are closed; calls meanwhile are served.
-func TestSlowHeadersAreShedAndCostOthersNothing(t *testing.T) {
-	address := cluster(t).HTTP[0]
+// TestSlowHeadersAreShedAndDoNotDelayOthers opens connections to a real daemon that
+// never finish their headers. They must be closed, and calls meanwhile served.
+func TestSlowHeadersAreShedAndDoNotDelayOthers(t *testing.T) {
+	address := cluster(t).HTTPAddresses[0]
 	t.Parallel()
 	var slow []net.Conn
 	for range 50 {
@@ -29,7 +29,7 @@
 		}
 		slow = append(slow, conn)
 	}
-	if _, err := client(t, 0, gateway.HeaderProgram, names(t, "p")).Chat.Completions.New(testContext(t), ask("How many loaves?")); err != nil {
+	if _, err := client(t, 0, gateway.HeaderProgram, uniqueName(t, "p")).Chat.Completions.New(testContext(t), completionParams("How many loaves?")); err != nil {
 		t.Errorf("another caller: %v", err)
 	}
 	for _, conn := range slow {
@@ -38,9 +38,9 @@
 		var timeout net.Error
 		switch {
 		case errors.As(err, &timeout) && timeout.Timeout():
-			t.Fatal("the daemon keeps a connection whose headers never end")
+			t.Fatal("the daemon keeps a connection whose headers are never completed")
 		case err == nil && response.StatusCode < http.StatusBadRequest:
-			t.Errorf("half a header was answered with status %d", response.StatusCode)
+			t.Errorf("an incomplete header was answered with status %d", response.StatusCode)
 		}
 	}
 }
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	// connectionsPerDaemon bounds idle connections kept to one daemon.
+	// connectionsPerDaemon limits the idle connections kept to one daemon.
 	connectionsPerDaemon = 4096
-	// lineLimit bounds one event in bytes.
+	// lineLimit is the maximum size of one event in bytes.
 	lineLimit = 1 << 20
 )
 
-// caller makes streamed calls. It reads events by hand: the client library
+// caller makes streamed calls. It parses events itself: the client library
 // would take more processor time than the daemon under test.
 type caller struct{ client *http.Client }
 
@@ -36,7 +36,7 @@
 	return &caller{client: httpdriver.NewClient(connectionsPerDaemon)}
 }
 
-// message is one turn of a conversation on the wire.
+// message is one message of a conversation in the request body.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
@@ -49,7 +49,7 @@
 	MaxTokens int64     `json:"max_completion_tokens,omitempty"`
 }
 
-// event is the part of a chunk that is read.
+// event is the part of a stream event that is decoded.
 type event struct {
 	Choices []struct {
 		Delta struct {
@@ -67,19 +67,20 @@
 	wordEnd       = []byte(" ")
 )
 
-// observer hears of an event with text: when it came and how many words it has.
+// observer is called for each event with text, with its arrival time and
+// number of words.
 type observer func(at time.Time, words int64)
 
-// names are the headers of one call.
-type names struct {
+// callHeaders are the header values of one call.
+type callHeaders struct {
 	program, request, history string
 	end                       bool
 }
 
-// complete makes one streamed call and returns the answer's text when wanted.
-// observe hears of each event with text as it arrives, and how many words it
-// holds; a stand-in engine's tokens are words.
-func (c *caller) complete(ctx context.Context, url string, service Service, called names, body completionBody, observe observer, wanted bool) (string, error) {
+// complete makes one streamed call, and returns the answer's text if wantText
+// is set. observe is called for each event with text as it arrives; a stand-in
+// engine's tokens are words.
+func (c *caller) complete(ctx context.Context, url string, service Service, headers callHeaders, body completionBody, observe observer, wantText bool) (string, error) {
 	body.Model, body.Stream = service.Model, true
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -89,7 +90,7 @@
 	if err != nil {
 		return "", eris.Wrap(err, "load: request")
 	}
-	setHeaders(request, service, called)
+	setHeaders(request, service, headers)
 	response, err := c.client.Do(request)
 	if err != nil {
 		return "", eris.Wrap(err, "load: call")
@@ -99,28 +100,28 @@
 		answer, _ := io.ReadAll(io.LimitReader(response.Body, lineLimit))
 		return "", eris.Wrapf(errRefused, "status %d: %s", response.StatusCode, answer)
 	}
-	return readEvents(response.Body, observe, wanted)
+	return readEvents(response.Body, observe, wantText)
 }
 
-func setHeaders(request *http.Request, service Service, called names) {
+func setHeaders(request *http.Request, service Service, headers callHeaders) {
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Authorization", "Bearer "+service.Key)
 	for header, value := range map[string]string{
 		gateway.HeaderTemplate:  service.Template,
-		gateway.HeaderProgram:   called.program,
-		gateway.HeaderRequestID: called.request,
-		gateway.HeaderHistory:   called.history,
+		gateway.HeaderProgram:   headers.program,
+		gateway.HeaderRequestID: headers.request,
+		gateway.HeaderHistory:   headers.history,
 	} {
 		if value != "" {
 			request.Header.Set(header, value)
 		}
 	}
-	if called.end {
+	if headers.end {
 		request.Header.Set(gateway.HeaderEnd, "true")
 	}
 }
 
-func readEvents(body io.Reader, observe observer, wanted bool) (string, error) {
+func readEvents(body io.Reader, observe observer, wantText bool) (string, error) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, lineLimit)
 	var text []byte
@@ -137,7 +138,7 @@
 			continue
 		}
 		observe(time.Now(), int64(bytes.Count(content, wordEnd)))
-		if !wanted {
+		if !wantText {
 			continue
 		}
 		var read event
@@ -148,14 +149,14 @@
 	return "", errBroken
 }
 
-// order makes one application request, which must run at most once.
-func (c *caller) order(ctx context.Context, url string, service Service, called names) error {
+// placeOrder makes one application request, which must run at most once.
+func (c *caller) placeOrder(ctx context.Context, url string, service Service, headers callHeaders) error {
 	target := url + "/v1/applications/" + service.Target + "/" + service.Operation
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader([]byte(`{"loaves":20}`)))
 	if err != nil {
 		return eris.Wrap(err, "load: request")
 	}
-	setHeaders(request, service, called)
+	setHeaders(request, service, headers)
 	request.Header.Set(gateway.HeaderRepeatable, "false")
 	response, err := c.client.Do(request)
 	if err != nil {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load drives daemons from outside. Arrivals are open-loop: programs
-// begin at their times whether or not former ones were answered, and latency
-// counts from the time a program should have begun.
+// Package load generates load on daemons. Arrivals are open-loop: programs
+// begin at their times whether or not earlier ones were answered, and latency
+// counts from the scheduled start of a program.
 package load
 
 import (
@@ -15,25 +15,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// Options describe a run.
+// Options configure a run.
 type Options struct {
 	// Addresses are the daemons' HTTP addresses, "IP:PORT".
 	Addresses []string
 	Workload  string
 	Services  []Service
-	// Rate is programs per second.
+	// Rate is the mean arrival rate in programs per second.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
-	// AnswerTokens bounds each answer; 0 leaves that to the template.
+	// AnswerTokens limits each answer; 0 leaves the limit to the template.
 	AnswerTokens int64
-	// LeaveWaiting does not end the programs, which then wait for their callers.
-	LeaveWaiting bool
-	// Progress gets a line each second; nil for none.
+	// KeepProgramsOpen does not end the programs, which then stay waiting for
+	// their callers.
+	KeepProgramsOpen bool
+	// Progress receives a line each second; nil for none.
 	Progress io.Writer
 }
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Workload  string  `json:"workload"`
 	Seed      uint64  `json:"seed"`
@@ -45,23 +46,23 @@
 	Failed    int64   `json:"failed"`
 	Calls     int64   `json:"calls"`
 	Tokens    int64   `json:"tokens"`
-	// ProgramLatency runs from the time a program was due to its last answer,
-	// tool pauses included.
-	ProgramLatency Times `json:"program_latency"`
-	FirstToken     Times `json:"first_token"`
-	BetweenTokens  Times `json:"between_tokens"`
-	// LiveHeapBefore and LiveHeapAfter are the daemons' together, in bytes.
+	// ProgramLatency is the time from a program's scheduled start to its last
+	// answer, including tool pauses.
+	ProgramLatency Percentiles `json:"program_latency"`
+	FirstToken     Percentiles `json:"first_token"`
+	BetweenTokens  Percentiles `json:"between_tokens"`
+	// LiveHeapBefore and LiveHeapAfter are summed over the daemons, in bytes.
 	LiveHeapBefore float64 `json:"live_heap_before_bytes"`
 	LiveHeapAfter  float64 `json:"live_heap_after_bytes"`
-	// FirstError is one of the errors, for people.
+	// FirstError is the text of the first error.
 	FirstError string `json:"first_error,omitempty"`
 }
 
-// runner is one run under way.
+// runner is a run in progress.
 type runner struct {
-	options Options
-	caller  *caller
-	began   time.Time
+	options   Options
+	caller    *caller
+	startedAt time.Time
 
 	programs, completed, refused, failed, calls, tokens, running atomic.Int64
 
@@ -71,7 +72,7 @@
 	firstError atomic.Pointer[string]
 }
 
-// Run makes the programs of a workload and waits for all of them.
+// Run runs the programs of a workload and waits for all of them.
 func Run(ctx context.Context, options Options) (Result, error) {
 	shape, err := ShapeOf(options.Workload, options.Services)
 	if err != nil {
@@ -85,14 +86,14 @@
 	arrivals := shape.Arrivals(random, options.Rate, options.Duration)
 	heapBefore := liveHeap(ctx, options.Addresses)
 	stopProgress := r.showProgress(len(arrivals))
-	r.began = time.Now()
+	r.startedAt = time.Now()
 	var group sync.WaitGroup
 	for number, due := range arrivals {
 		program := shape.Program(random)
-		if !sleepUntil(ctx, r.began.Add(due)) {
+		if !sleepUntil(ctx, r.startedAt.Add(due)) {
 			break
 		}
-		group.Go(func() { r.runProgram(ctx, program, number, r.began.Add(due)) })
+		group.Go(func() { r.runProgram(ctx, program, number, r.startedAt.Add(due)) })
 	}
 	group.Wait()
 	stopProgress()
@@ -117,7 +118,7 @@
 	r.programs.Add(1)
 	r.running.Add(1)
 	defer r.running.Add(-1)
-	name := fmt.Sprintf("load-%d-%d-%d", r.options.Seed, r.began.UnixNano(), number)
+	name := fmt.Sprintf("load-%d-%d-%d", r.options.Seed, r.startedAt.UnixNano(), number)
 	err := r.runTurns(ctx, program, name, number)
 	switch {
 	case err == nil:
@@ -138,11 +139,11 @@
 
 func (r *runner) runTurns(ctx context.Context, program Program, name string, daemon int) error {
 	for i, turn := range program.Turns {
-		last := i == len(program.Turns)-1 && !program.Order && !r.options.LeaveWaiting
-		called := names{program: name, request: fmt.Sprintf("turn-%d", i), history: "append", end: last}
+		last := i == len(program.Turns)-1 && !program.Order && !r.options.KeepProgramsOpen
+		headers := callHeaders{program: name, request: fmt.Sprintf("turn-%d", i), history: "append", end: last}
 		body := completionBody{Messages: []message{{Role: "user", Content: turn.Question}}, MaxTokens: r.options.AnswerTokens}
 		r.calls.Add(1)
-		if _, err := r.caller.complete(ctx, r.url(daemon+i), program.Service, called, body, r.observe(), false); err != nil {
+		if _, err := r.caller.complete(ctx, r.url(daemon+i), program.Service, headers, body, r.observe(), false); err != nil {
 			return err
 		}
 		if i == 0 {
@@ -158,10 +159,10 @@
 		return nil
 	}
 	r.calls.Add(1)
-	return r.caller.order(ctx, r.url(daemon), program.Service, names{program: name, request: "order", end: !r.options.LeaveWaiting})
+	return r.caller.placeOrder(ctx, r.url(daemon), program.Service, callHeaders{program: name, request: "order", end: !r.options.KeepProgramsOpen})
 }
 
-// runSubAgents runs a program's sub-agents at once and waits for all.
+// runSubAgents runs a program's sub-agents concurrently and waits for all.
 func (r *runner) runSubAgents(ctx context.Context, program Program, name string, daemon int) error {
 	if len(program.SubAgents) == 0 {
 		return nil
@@ -185,14 +186,15 @@
 }
 
 func (r *runner) observe() observer {
-	observe := watch(r.firstToken, r.betweenTokens)
+	observe := newStreamObserver(r.firstToken, r.betweenTokens)
 	return func(at time.Time, words int64) {
 		r.tokens.Add(words)
 		observe(at, words)
 	}
 }
 
-// showProgress writes a line each second until the returned function is called.
+// showProgress writes a line each second until the returned function is
+// called.
 func (r *runner) showProgress(planned int) func() {
 	if r.options.Progress == nil {
 		return func() {}
@@ -220,7 +222,7 @@
 		Workload:       r.options.Workload,
 		Seed:           r.options.Seed,
 		Rate:           r.options.Rate,
-		Seconds:        time.Since(r.began).Seconds(),
+		Seconds:        time.Since(r.startedAt).Seconds(),
 		Programs:       r.programs.Load(),
 		Completed:      r.completed.Load(),
 		Refused:        r.refused.Load(),
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// longest is the largest value a histogram takes.
-	longest = 30 * time.Minute
-	// digits is the precision of histograms.
-	digits = 3
+	// maximumRecordedTime is the largest value that a histogram records.
+	maximumRecordedTime = 30 * time.Minute
+	// significantDigits is the precision of histograms.
+	significantDigits = 3
 )
 
-// Times are the percentiles of one histogram, in seconds.
-type Times struct {
+// Percentiles are the percentiles of one histogram, in seconds.
+type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_s"`
 	P95   float64 `json:"p95_s"`
@@ -23,14 +23,14 @@
 	Max   float64 `json:"max_s"`
 }
 
-// histogram records durations from several goroutines.
+// histogram records durations; it is safe for concurrent use.
 type histogram struct {
 	mutex  sync.Mutex
 	values *hdrhistogram.Histogram
 }
 
 func newHistogram() *histogram {
-	return &histogram{values: hdrhistogram.New(1, longest.Microseconds(), digits)}
+	return &histogram{values: hdrhistogram.New(1, maximumRecordedTime.Microseconds(), significantDigits)}
 }
 
 func (h *histogram) record(d time.Duration) {
@@ -39,13 +39,13 @@
 	_ = h.values.RecordValue(max(d, time.Microsecond).Microseconds())
 }
 
-func (h *histogram) times() Times {
+func (h *histogram) times() Percentiles {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	at := func(percentile float64) float64 {
 		return (time.Duration(h.values.ValueAtQuantile(percentile)) * time.Microsecond).Seconds()
 	}
-	return Times{
+	return Percentiles{
 		Count: h.values.TotalCount(),
 		P50:   at(50),
 		P95:   at(95),
@@ -54,9 +54,9 @@
 	}
 }
 
-// watch returns an observer of one stream that began now: the first event goes
-// into first, the gaps between the others into gaps.
-func watch(first, gaps *histogram) observer {
+// newStreamObserver returns an observer of a stream that starts now: the time
+// to the first event is recorded in first, the gaps between events in gaps.
+func newStreamObserver(first, gaps *histogram) observer {
 	last := time.Now()
 	begun := false
 	return func(at time.Time, _ int64) {
--- a/internal/load/relay_linux.go
+++ b/internal/load/relay_linux.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// relayBuffer is the most that the relay reads at once, in bytes.
+	// relayBuffer is the maximum size of one read in bytes.
 	relayBuffer = 32 << 10
-	// relayEvents bounds the connections that one wait reports.
+	// relayEvents limits the connections that one wait reports.
 	relayEvents = 256
-	// relayPollMilliseconds bounds one wait, after which the relay looks
-	// whether it was asked for its processor time or closed.
+	// relayPollMilliseconds limits one wait, after which the relay checks for
+	// usage requests and for its close.
 	relayPollMilliseconds = 20
 )
 
-// relay passes bytes between callers and engines on one thread, by the system
-// calls that this takes and nothing else: a wait for many connections, a read
-// and a write. Its processor time per token is the floor of this machine.
+// relay forwards bytes between callers and engines on one thread, with only
+// the system calls needed: a wait for many connections, a read and a write.
+// Its processor time per token is the lower bound on this machine.
 type relay struct {
-	listener net.Listener
-	engines  []string
-	epoll    int
-	asked    chan chan time.Duration
-	closed   atomic.Bool
-	// writes counts what was passed on, either way.
+	listener      net.Listener
+	engines       []string
+	epoll         int
+	usageRequests chan chan time.Duration
+	closed        atomic.Bool
+	// writes counts the reads forwarded, in both directions.
 	writes atomic.Int64
 
 	mutex sync.Mutex
-	// peers has both ends of each connection.
+	// peers maps each descriptor to that of the other end.
 	peers map[int32]int32
 	// files keep the descriptors open.
 	files []*os.File
@@ -52,11 +52,11 @@
 		return nil, eris.Wrap(err, "load: relay")
 	}
 	r := &relay{
-		listener: listener,
-		engines:  engines,
-		epoll:    epoll,
-		asked:    make(chan chan time.Duration),
-		peers:    map[int32]int32{},
+		listener:      listener,
+		engines:       engines,
+		epoll:         epoll,
+		usageRequests: make(chan chan time.Duration),
+		peers:         map[int32]int32{},
 	}
 	go r.accept()
 	go r.run()
@@ -70,10 +70,10 @@
 	_ = r.listener.Close()
 }
 
-// used returns the relay's processor time and its writes so far.
-func (r *relay) used() relayUse {
+// usage returns the relay's processor time and writes so far.
+func (r *relay) usage() relayUse {
 	answer := make(chan time.Duration, 1)
-	r.asked <- answer
+	r.usageRequests <- answer
 	return relayUse{processorTime: <-answer, writes: r.writes.Load()}
 }
 
@@ -88,13 +88,13 @@
 			_ = caller.Close()
 			continue
 		}
-		r.join(caller, engine)
+		r.connect(caller, engine)
 	}
 }
 
-// join has the bytes of either connection passed on to the other.
-func (r *relay) join(caller, engine net.Conn) {
-	a, b := r.take(caller), r.take(engine)
+// connect starts forwarding between two connections.
+func (r *relay) connect(caller, engine net.Conn) {
+	a, b := r.detachDescriptor(caller), r.detachDescriptor(engine)
 	if a < 0 || b < 0 {
 		return
 	}
@@ -107,8 +107,9 @@
 	}
 }
 
-// take returns a blocking descriptor of a connection, -1 if there is none.
-func (r *relay) take(conn net.Conn) int32 {
+// detachDescriptor returns a blocking descriptor of a connection, or -1 on
+// failure, and closes the original.
+func (r *relay) detachDescriptor(conn net.Conn) int32 {
 	file, err := conn.(*net.TCPConn).File()
 	_ = conn.Close()
 	if err != nil {
@@ -127,10 +128,10 @@
 	for !r.closed.Load() {
 		count, _ := unix.EpollWait(r.epoll, events, relayPollMilliseconds)
 		for i := range max(count, 0) {
-			r.pass(events[i].Fd, buffer)
+			r.forward(events[i].Fd, buffer)
 		}
 		select {
-		case answer := <-r.asked:
+		case answer := <-r.usageRequests:
 			answer <- threadTime()
 		default:
 		}
@@ -143,8 +144,9 @@
 	_ = unix.Close(r.epoll)
 }
 
-// pass reads what a connection has and writes it to its peer.
-func (r *relay) pass(from int32, buffer []byte) {
+// forward reads the available bytes of a connection and writes them to its
+// peer.
+func (r *relay) forward(from int32, buffer []byte) {
 	r.mutex.Lock()
 	to := r.peers[from]
 	r.mutex.Unlock()
--- a/internal/load/streams.go
+++ b/internal/load/streams.go
@@ -8,58 +8,60 @@
 	"time"
 )
 
-// StreamOptions describe the measurement of one daemon's streams.
+// StreamOptions configure the measurement of one daemon's streams.
 type StreamOptions struct {
 	Address string
-	// Engines are asked straight, for comparison.
+	// Engines are called directly, for comparison.
 	Engines []string
 	Streams int
-	// Straight is how many of the streams' kind run straight to an engine.
-	Straight int
-	// Relayed is how many run through a plain relay at the same time, as the
-	// floor of what a daemon can take.
-	Relayed int
-	// Settle is the time after which the window of measurement begins.
-	Settle time.Duration
+	// DirectStreams is the number of additional streams directly to an engine.
+	DirectStreams int
+	// RelayedStreams is the number of additional streams through a plain
+	// relay, whose cost is the lower bound for a daemon.
+	RelayedStreams int
+	// WarmUp is the time before the measurement window begins.
+	WarmUp time.Duration
 	Window time.Duration
-	// AnswerTokens is long enough for a stream to outlast the window.
+	// AnswerTokens must be large enough for a stream to outlast the window.
 	AnswerTokens int64
-	// Calls are made one at a time before, each way, for the first token.
-	Calls int
+	// FirstTokenCalls is the number of sequential calls on each path that
+	// measure the time to the first token, before the streams start.
+	FirstTokenCalls int
 }
 
-// StreamResult is what the measurement found.
+// StreamResult holds the results of the measurement.
 type StreamResult struct {
 	Streams       int     `json:"streams"`
 	WindowSeconds float64 `json:"window_s"`
 	Failed        int64   `json:"failed"`
-	// Tokens came in Events: a daemon that falls behind joins tokens.
+	// Tokens arrived in Events: a daemon that falls behind merges tokens.
 	Tokens int64 `json:"tokens"`
 	Events int64 `json:"events"`
-	// CPUMicroseconds is the daemon's processor time per token, and CPUFraction
-	// its processor time in cores.
-	CPUMicroseconds float64 `json:"cpu_us_per_token"`
-	CPUFraction     float64 `json:"cpu_cores"`
-	// EventMicroseconds is the daemon's processor time per event, and
-	// RelayMicroseconds that of a plain relay of the engines' bytes per write in
-	// the same window: either is one read and one write. CPURatio is the former
-	// over the latter.
-	EventMicroseconds float64 `json:"cpu_us_per_event"`
-	RelayMicroseconds float64 `json:"relay_cpu_us_per_write"`
-	RelayWrites       int64   `json:"relay_writes"`
-	CPURatio          float64 `json:"cpu_over_relay"`
-	AllocationsPer    float64 `json:"allocations_per_token"`
-	BytesPer          float64 `json:"allocated_bytes_per_token"`
-	ResidentBytes     float64 `json:"resident_bytes"`
-	// The percentiles of one way less those of the other are what a daemon adds.
-	FirstStraight   Times  `json:"first_token_straight"`
-	FirstThrough    Times  `json:"first_token_through"`
-	BetweenStraight Times  `json:"between_tokens_straight"`
-	BetweenThrough  Times  `json:"between_tokens_through"`
-	FirstError      string `json:"first_error,omitempty"`
+	// CPUMicrosecondsPerToken is the daemon's processor time per token, and
+	// CPUCores its processor time in cores.
+	CPUMicrosecondsPerToken float64 `json:"cpu_us_per_token"`
+	CPUCores                float64 `json:"cpu_cores"`
+	// CPUMicrosecondsPerEvent is the daemon's processor time per event, and
+	// RelayCPUMicrosecondsPerWrite that of a plain relay of the engines' bytes
+	// per write in the same window: either is one read and one write.
+	// CPUOverRelay is the former divided by the latter.
+	CPUMicrosecondsPerEvent      float64 `json:"cpu_us_per_event"`
+	RelayCPUMicrosecondsPerWrite float64 `json:"relay_cpu_us_per_write"`
+	RelayWrites                  int64   `json:"relay_writes"`
+	CPUOverRelay                 float64 `json:"cpu_over_relay"`
+	AllocationsPerToken          float64 `json:"allocations_per_token"`
+	AllocatedBytesPerToken       float64 `json:"allocated_bytes_per_token"`
+	ResidentBytes                float64 `json:"resident_bytes"`
+	// The difference between the percentiles of both paths is what a daemon
+	// adds.
+	FirstTokenDirect           Percentiles `json:"first_token_straight"`
+	FirstTokenThroughDaemon    Percentiles `json:"first_token_through"`
+	BetweenTokensDirect        Percentiles `json:"between_tokens_straight"`
+	BetweenTokensThroughDaemon Percentiles `json:"between_tokens_through"`
+	FirstError                 string      `json:"first_error,omitempty"`
 }
 
-// streamRun is a measurement under way.
+// streamRun is a measurement in progress.
 type streamRun struct {
 	options StreamOptions
 	caller  *caller
@@ -70,8 +72,9 @@
 	firstErr  string
 }
 
-// streamWay is where streams run, and what came of them in the window.
-type streamWay struct {
+// streamPath is the address that streams use and what was counted there in the
+// window.
+type streamPath struct {
 	address string
 	streams int
 	gaps    *histogram
@@ -79,105 +82,108 @@
 	events  atomic.Int64
 }
 
-// relayUse is what a relay has used.
+// relayUse is a relay's resource use so far.
 type relayUse struct {
 	processorTime time.Duration
 	writes        int64
 }
 
-// MeasureStreams holds many streams open at one daemon and reads what it took.
+// MeasureStreams keeps many streams open at one daemon and measures its
+// resource use.
 func MeasureStreams(ctx context.Context, options StreamOptions) (StreamResult, error) {
 	r := &streamRun{options: options, caller: newCaller()}
 	result := StreamResult{Streams: options.Streams}
 	firstStraight, firstThrough := newHistogram(), newHistogram()
-	r.compareFirst(ctx, firstStraight, firstThrough)
-	floor, err := startRelay(options.Engines)
+	r.measureFirstTokens(ctx, firstStraight, firstThrough)
+	plainRelay, err := startRelay(options.Engines)
 	if err != nil {
 		return result, err
 	}
-	defer floor.close()
-	through := &streamWay{address: options.Address, streams: options.Streams, gaps: newHistogram()}
-	straight := &streamWay{address: options.Engines[0], streams: options.Straight, gaps: newHistogram()}
-	relayed := &streamWay{address: floor.address(), streams: options.Relayed, gaps: newHistogram()}
+	defer plainRelay.close()
+	through := &streamPath{address: options.Address, streams: options.Streams, gaps: newHistogram()}
+	straight := &streamPath{address: options.Engines[0], streams: options.DirectStreams, gaps: newHistogram()}
+	relayed := &streamPath{address: plainRelay.address(), streams: options.RelayedStreams, gaps: newHistogram()}
 	running, stop := context.WithCancel(ctx)
 	defer stop()
 	var group sync.WaitGroup
-	r.start(running, &group, through, straight, relayed)
-	sleepUntil(ctx, time.Now().Add(options.Settle))
-	err = r.window(ctx, &result, through, floor)
+	r.startStreams(running, &group, through, straight, relayed)
+	sleepUntil(ctx, time.Now().Add(options.WarmUp))
+	err = r.window(ctx, &result, through, plainRelay)
 	stop()
 	group.Wait()
 	result.Failed, result.FirstError = r.failed.Load(), r.firstErr
-	result.FirstStraight, result.FirstThrough = firstStraight.times(), firstThrough.times()
-	result.BetweenStraight, result.BetweenThrough = straight.gaps.times(), through.gaps.times()
+	result.FirstTokenDirect, result.FirstTokenThroughDaemon = firstStraight.times(), firstThrough.times()
+	result.BetweenTokensDirect, result.BetweenTokensThroughDaemon = straight.gaps.times(), through.gaps.times()
 	return result, err
 }
 
-// start holds the streams of all ways until ctx ends.
-func (r *streamRun) start(ctx context.Context, group *sync.WaitGroup, ways ...*streamWay) {
+// startStreams runs the streams of all paths until ctx ends.
+func (r *streamRun) startStreams(ctx context.Context, group *sync.WaitGroup, ways ...*streamPath) {
 	started := 0
 	for _, way := range ways {
 		for range way.streams {
 			number := started
 			started++
-			group.Go(func() { r.hold(ctx, way, number) })
+			group.Go(func() { r.runStream(ctx, way, number) })
 		}
 	}
 }
 
-// window measures what the daemon and the relay use while it lasts.
-func (r *streamRun) window(ctx context.Context, result *StreamResult, through *streamWay, floor *relay) error {
+// window measures the resource use of the daemon and the relay during the
+// window.
+func (r *streamRun) window(ctx context.Context, result *StreamResult, through *streamPath, plainRelay *relay) error {
 	before, err := scrape(ctx, r.options.Address)
 	if err != nil {
 		return err
 	}
-	relayBefore := floor.used()
+	relayBefore := plainRelay.usage()
 	r.measuring.Store(true)
 	began := time.Now()
 	sleepUntil(ctx, began.Add(r.options.Window))
 	r.measuring.Store(false)
 	elapsed := time.Since(began)
-	relayAfter := floor.used()
+	relayAfter := plainRelay.usage()
 	after, err := scrape(ctx, r.options.Address)
 	if err != nil {
 		return err
 	}
-	result.fill(through, before, after, elapsed)
-	result.compare(relayBefore, relayAfter)
+	result.setDaemonUsage(through, before, after, elapsed)
+	result.setRelayUsage(relayBefore, relayAfter)
 	return nil
 }
 
-func (s *StreamResult) fill(through *streamWay, before, after process, elapsed time.Duration) {
+func (s *StreamResult) setDaemonUsage(through *streamPath, before, after processMetrics, elapsed time.Duration) {
 	s.Tokens, s.Events = through.tokens.Load(), through.events.Load()
 	tokens, events := float64(max(s.Tokens, 1)), float64(max(s.Events, 1))
 	used := after.cpuSeconds - before.cpuSeconds
 	s.WindowSeconds = elapsed.Seconds()
-	s.CPUMicroseconds = used * 1e6 / tokens
-	s.EventMicroseconds = used * 1e6 / events
-	s.CPUFraction = used / elapsed.Seconds()
-	s.AllocationsPer = (after.allocations - before.allocations) / tokens
-	s.BytesPer = (after.allocatedBytes - before.allocatedBytes) / tokens
+	s.CPUMicrosecondsPerToken = used * 1e6 / tokens
+	s.CPUMicrosecondsPerEvent = used * 1e6 / events
+	s.CPUCores = used / elapsed.Seconds()
+	s.AllocationsPerToken = (after.allocations - before.allocations) / tokens
+	s.AllocatedBytesPerToken = (after.allocatedBytes - before.allocatedBytes) / tokens
 	s.ResidentBytes = after.residentBytes
 }
 
-// compare sets the daemon's processor time against the relay's.
-func (s *StreamResult) compare(before, after relayUse) {
+// setRelayUsage records the relay's processor time and the ratio of the
+// daemon's processor time to it.
+func (s *StreamResult) setRelayUsage(before, after relayUse) {
 	s.RelayWrites = after.writes - before.writes
 	if s.RelayWrites == 0 {
 		return
 	}
 	used := after.processorTime - before.processorTime
-	s.RelayMicroseconds = float64(used.Nanoseconds()) / 1e3 / float64(s.RelayWrites)
-	s.CPURatio = s.EventMicroseconds / s.RelayMicroseconds
+	s.RelayCPUMicrosecondsPerWrite = float64(used.Nanoseconds()) / 1e3 / float64(s.RelayWrites)
+	s.CPUOverRelay = s.CPUMicrosecondsPerEvent / s.RelayCPUMicrosecondsPerWrite
 }
 
-// hold keeps one stream running until ctx ends.
-func (r *streamRun) hold(ctx context.Context, way *streamWay, number int) {
+// runStream keeps one stream running until ctx ends.
+func (r *streamRun) runStream(ctx context.Context, way *streamPath, number int) {
 	unused := newHistogram()
-	observeGap := watch(unused, way.gaps)
+	observeGap := newStreamObserver(unused, way.gaps)
 	observe := func(at time.Time, words int64) {
 		if !r.measuring.Load() {
-			observeGap = watch(unused, way.gaps)
+			observeGap = newStreamObserver(unused, way.gaps)
 			observeGap(at, words)
 			return
 		}
@@ -190,7 +196,7 @@
 		MaxTokens: r.options.AnswerTokens,
 	}
 	service := StandInServices(WorkloadTally)[0]
-	_, err := r.caller.complete(ctx, "http://"+way.address, service, names{}, body, observe, false)
+	_, err := r.caller.complete(ctx, "http://"+way.address, service, callHeaders{}, body, observe, false)
 	if ctx.Err() != nil {
 		return
 	}
@@ -203,11 +209,11 @@
 	})
 }
 
-// compareFirst makes calls one at a time, in turn straight to the engine and
-// through the daemon, and records when the first token came.
-func (r *streamRun) compareFirst(ctx context.Context, straight, through *histogram) {
+// measureFirstTokens makes calls one at a time, alternating between the engine
+// and the daemon, and records the time to the first token.
+func (r *streamRun) measureFirstTokens(ctx context.Context, straight, through *histogram) {
 	service := StandInServices(WorkloadTally)[0]
-	for i := range r.options.Calls {
+	for i := range r.options.FirstTokenCalls {
 		for _, way := range []struct {
 			address string
 			first   *histogram
@@ -216,7 +222,7 @@
 				Messages:  []message{{Role: "user", Content: fmt.Sprintf("Call %d: one word.", i)}},
 				MaxTokens: 1,
 			}
-			if _, err := r.caller.complete(ctx, "http://"+way.address, service, names{}, body, watch(way.first, newHistogram()), false); err != nil {
+			if _, err := r.caller.complete(ctx, "http://"+way.address, service, callHeaders{}, body, newStreamObserver(way.first, newHistogram()), false); err != nil {
 				r.failed.Add(1)
 			}
 		}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -12,7 +12,7 @@
 )
 
 func (h *Handler) serveFleet(w http.ResponseWriter, _ *http.Request, _ string) {
-	answer(w, http.StatusOK, FleetStatus{
+	writeJSON(w, http.StatusOK, FleetStatus{
 		Self:          h.Self,
 		Configuration: h.status(),
 		Shards:        h.Shards(),
@@ -28,7 +28,7 @@
 		limit = programLimit
 	}
 	tenant := structs.TenantName(r.URL.Query().Get("tenant"))
-	answer(w, http.StatusOK, h.listPrograms(tenant, min(limit, programLimit)))
+	writeJSON(w, http.StatusOK, h.listPrograms(tenant, min(limit, programLimit)))
 }
 
 func (h *Handler) listPrograms(tenant structs.TenantName, limit int) Programs {
@@ -37,7 +37,7 @@
 	result := Programs{Programs: []dispatch.ProgramSummary{}}
 	for _, member := range h.Members.Members() {
 		group.Add(1)
-		h.Queries.List(member.Daemon.ID, tenant, limit, askTimeout, func(listed dispatch.Listed, err error) {
+		h.Queries.List(member.Daemon.ID, tenant, limit, queryTimeout, func(listed dispatch.Listed, err error) {
 			defer group.Done()
 			mutex.Lock()
 			defer mutex.Unlock()
@@ -56,7 +56,7 @@
 	return result
 }
 
-// latestFirst orders live programs before ended ones, and the latest begun
+// latestFirst orders live programs before ended ones, and then by start time, newest
 // first.
 func latestFirst(a, b dispatch.ProgramSummary) int {
 	if a.Ended != b.Ended {
@@ -68,7 +68,7 @@
 	return cmp.Or(b.StartedAt.Compare(a.StartedAt), cmp.Compare(a.Key.String(), b.Key.String()))
 }
 
-// serveProgram asks the leader of one program's shard.
+// serveProgram asks the leader of a program's shard.
 func (h *Handler) serveProgram(w http.ResponseWriter, r *http.Request, _ string) {
 	key := structs.ProgramKey{Tenant: structs.TenantName(r.PathValue("tenant")), Program: structs.ProgramID(r.PathValue("program"))}
 	request := dispatch.Describe{Key: key, WithDecisions: true, WithHistory: r.URL.Query().Get("history") == "true"}
@@ -77,16 +77,16 @@
 		err    error
 	}
 	result := make(chan described, 1)
-	h.Queries.Describe(request, askTimeout, func(answer dispatch.Described, err error) {
+	h.Queries.Describe(request, queryTimeout, func(answer dispatch.Described, err error) {
 		result <- described{answer, err}
 	})
 	got := <-result
 	switch {
 	case got.err != nil:
-		fail(w, http.StatusGatewayTimeout, ErrorDetail{Code: CodeNoAnswer, Message: "The leader of the program's shard did not answer in time."})
+		writeError(w, http.StatusGatewayTimeout, ErrorDetail{Code: CodeNoAnswer, Message: "The leader of the program's shard did not answer in time."})
 	case got.answer.Program == nil:
-		fail(w, http.StatusNotFound, ErrorDetail{Code: CodeNotFound, Message: "The fleet has no program " + key.String() + "."})
+		writeError(w, http.StatusNotFound, ErrorDetail{Code: CodeNotFound, Message: "The fleet has no program " + key.String() + "."})
 	default:
-		answer(w, http.StatusOK, got.answer.Program)
+		writeJSON(w, http.StatusOK, got.answer.Program)
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -22,18 +22,19 @@
 	large structs.ModelName = "large"
 )
 
-// fakeEngines obey orders after a load time, unless their answers are lost.
+// fakeEngines carry out orders after a load time, unless they are unreachable
+// or refuse.
 type fakeEngines struct {
 	framework.EngineDriver
-	clock    *clock.Virtual
-	loads    map[structs.EngineID]*structs.LoadReport
-	fences   map[structs.EngineID]uint64
-	orders   []structs.Order
-	loadTime time.Duration
-	deaf     bool
-	// refusing engines answer ErrRefused; orderedAt is when orders came.
+	clock       *clock.Virtual
+	loads       map[structs.EngineID]*structs.LoadReport
+	fences      map[structs.EngineID]uint64
+	orders      []structs.Order
+	loadTime    time.Duration
+	unreachable bool
+	// refusing engines answer ErrRefused; orderedAt is when orders arrived.
 	refusing bool
-	// singleVersion engines serve nothing while they read another version.
+	// singleVersion engines serve nothing while they load another version.
 	singleVersion bool
 	orderedAt     []time.Time
 }
@@ -43,7 +44,7 @@
 }
 
 func (f *fakeEngines) Order(order structs.Order, done func(error)) {
-	if f.deaf {
+	if f.unreachable {
 		done(framework.ErrUnreachable)
 		return
 	}
@@ -70,13 +71,13 @@
 	run := f.loads[order.Engine].StartedUnixNano
 	f.clock.AfterFunc(f.loadTime, func() {
 		if f.loads[order.Engine].StartedUnixNano == run {
-			f.obey(order)
+			f.apply(order)
 		}
 	})
 	done(framework.ErrUnreachable)
 }
 
-func (f *fakeEngines) obey(order structs.Order) {
+func (f *fakeEngines) apply(order structs.Order) {
 	load := *f.loads[order.Engine]
 	adapter := structs.ModelAdapter{Model: order.Model, Adapter: order.Adapter}
 	switch order.Kind {
@@ -108,29 +109,29 @@
 	delete(f.fences, engine)
 }
 
-// group is a control shard of one replica whose leadership can move.
-type group struct {
-	queue serial.Queue
-	epoch structs.Epoch
-	state *State
-	lost  bool
-	// replaced is set once another daemon leads without this one's knowing.
+// fakeGroup is a control shard of one replica whose leadership can move.
+type fakeGroup struct {
+	queue         serial.Queue
+	epoch         structs.Epoch
+	state         *State
+	dropProposals bool
+	// replaced is set when another daemon leads and this one does not know it.
 	replaced bool
 	manager  *Manager
 }
 
-func (g *group) Epoch() structs.Epoch { return g.epoch }
-func (g *group) Queue() *serial.Queue { return &g.queue }
+func (g *fakeGroup) Epoch() structs.Epoch { return g.epoch }
+func (g *fakeGroup) Queue() *serial.Queue { return &g.queue }
 
-func (g *group) Pressure() replication.Pressure { return replication.PressureNone }
+func (g *fakeGroup) Pressure() replication.Pressure { return replication.PressureNone }
 
-func (g *group) Confirm(done func(error)) {
+func (g *fakeGroup) Confirm(done func(error)) {
 	if !g.replaced {
 		done(nil)
 	}
 }
-func (g *group) Propose(records []structs.Record, done func(error)) {
-	if g.lost {
+func (g *fakeGroup) Propose(records []structs.Record, done func(error)) {
+	if g.dropProposals {
 		return
 	}
 	for _, record := range records {
@@ -139,7 +140,7 @@
 	g.queue.Do(func() { done(nil) })
 }
 
-func (g *group) lead() {
+func (g *fakeGroup) lead() {
 	g.epoch++
 	g.queue.Do(func() { g.manager.Lead(0, g.state, g) })
 }
@@ -147,12 +148,12 @@
 type world struct {
 	clock   *clock.Virtual
 	engines *fakeEngines
-	group   *group
+	group   *fakeGroup
 	manager *Manager
 	waiting []ModelWaiting
 	current *structs.Configuration
-	// routed, if set, is where the world says that shards are led; learned
-	// holds the routes that the manager was told.
+	// routed, if set, is the leader of all shards; learned holds the routes
+	// that the manager learned.
 	routed  structs.DaemonID
 	learned []replication.Route
 }
@@ -171,7 +172,7 @@
 	return replication.Route{Leader: cmp.Or(w.routed, "d"), Epoch: w.group.epoch}
 }
 
-// newWorld has four engines with the small model, none with the large.
+// newWorld returns four engines with the small model, none with the large one.
 func newWorld() *world {
 	w := &world{clock: clock.NewVirtual(time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC))}
 	w.engines = &fakeEngines{clock: w.clock, loads: map[structs.EngineID]*structs.LoadReport{}, fences: map[structs.EngineID]uint64{}, loadTime: 20 * time.Second}
@@ -190,7 +191,7 @@
 		Self: "d", Clock: w.clock, Transport: w, Engines: w.engines, Configurations: w, Router: w, Queues: w, Settings: settings, Logger: zerolog.Nop(),
 	})
 	w.manager.MachinesListed(machines)
-	w.group = &group{state: NewState(), manager: w.manager}
+	w.group = &fakeGroup{state: NewState(), manager: w.manager}
 	w.group.lead()
 	w.manager.Start()
 	return w
@@ -211,7 +212,7 @@
 	return count
 }
 
-func TestModelInDemandGetsEnginesAboveOthersMinimum(t *testing.T) {
+func TestDemandMovesEnginesDownToOthersMinimum(t *testing.T) {
 	w := newWorld()
 	w.waiting = []ModelWaiting{{ModelAdapter: structs.ModelAdapter{Model: large}, Calls: 30}}
 	w.run(time.Minute)
@@ -224,7 +225,7 @@
 	}
 	for _, load := range w.engines.loads {
 		if len(load.Models) != 1 {
-			t.Errorf("engine %s holds %v; the former model must be freed", load.Engine, load.Models)
+			t.Errorf("engine %s holds %v; the previous model must be unloaded", load.Engine, load.Models)
 		}
 	}
 }
@@ -233,7 +234,7 @@
 	w := newWorld()
 	w.run(time.Hour)
 	if len(w.engines.orders) != 0 {
-		t.Errorf("orders without need: %+v", w.engines.orders)
+		t.Errorf("unneeded orders: %+v", w.engines.orders)
 	}
 }
 
@@ -250,7 +251,7 @@
 
 func TestOneOrderInForceThroughTakeover(t *testing.T) {
 	w := newWorld()
-	w.engines.deaf = true
+	w.engines.unreachable = true
 	w.waiting = []ModelWaiting{{ModelAdapter: structs.ModelAdapter{Model: large}, Calls: 30}}
 	w.run(time.Minute)
 	before := w.group.state.InForce()
@@ -258,7 +259,7 @@
 		t.Fatal("no order in force")
 	}
 	w.group.lead()
-	w.engines.deaf = false
+	w.engines.unreachable = false
 	w.run(time.Minute)
 	given := map[structs.EngineID]int{}
 	for _, order := range w.engines.orders {
@@ -268,11 +269,11 @@
 	}
 	for engine, count := range given {
 		if count > 1 {
-			t.Errorf("engine %s was given %d loads", engine, count)
+			t.Errorf("engine %s was sent %d loads", engine, count)
 		}
 	}
 	if diff := gocmp.Diff(before[0].InForce.Fence, w.engines.orders[0].Fence); diff != "" {
-		t.Errorf("the successor gave another order than the recorded one:\n%s", diff)
+		t.Errorf("the successor sent another order than the recorded one:\n%s", diff)
 	}
 }
 
--- a/internal/plugins/engine/openai/event.go
+++ b/internal/plugins/engine/openai/event.go
@@ -14,17 +14,17 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// eventParser reads the lines of a stream. The end it holds is what the stream
-// has said so far about how the attempt ended.
+// eventParser parses the lines of a stream. Its end is the result of the attempt
+// according to the events so far.
 type eventParser struct {
 	chunks    []structs.Chunk
 	end       framework.AttemptEnd
 	toolCalls []structs.ToolCall
 }
 
-// line takes one line; done is set at the mark of the end. Lines that are no
-// data, comments for instance, change nothing.
-func (p *eventParser) line(line []byte) (done bool, malformed error) {
+// parseLine parses one line and returns done for the end marker. Lines without
+// data, such as comments, are ignored.
+func (p *eventParser) parseLine(line []byte) (done bool, malformed error) {
 	data, isData := bytes.CutPrefix(line, dataPrefix)
 	if !isData {
 		return false, nil
@@ -41,31 +41,31 @@
 	if err := json.Unmarshal(data, &event); err != nil {
 		return false, err
 	}
-	p.event(&event)
+	p.applyEvent(&event)
 	return false, nil
 }
 
-func (p *eventParser) event(event *Event) {
+func (p *eventParser) applyEvent(event *Event) {
 	for i := range event.Choices {
-		p.choice(event, &event.Choices[i])
+		p.applyChoice(event, &event.Choices[i])
 	}
 	if event.Cancelled {
 		p.end.Kind = framework.EndCancelled
 	}
 	if event.Usage != nil {
-		p.end.Usage = usageOf(event.Usage)
+		p.end.Usage = fromWireUsage(event.Usage)
 	}
 	if event.HoldTaken {
 		p.end.HoldTaken = true
 	}
 }
 
-func (p *eventParser) choice(event *Event, choice *Choice) {
+func (p *eventParser) applyChoice(event *Event, choice *Choice) {
 	if choice.Delta.Content != "" {
 		p.chunks = append(p.chunks, structs.Chunk{Offset: event.Offset, Text: choice.Delta.Content})
 	}
 	for _, piece := range choice.Delta.ToolCalls {
-		p.toolCall(piece)
+		p.addToolCallDelta(piece)
 	}
 	if choice.FinishReason != nil {
 		p.end.Kind = framework.EndCompleted
@@ -78,8 +78,8 @@
 // maximumToolCalls bounds the tool calls of one answer.
 const maximumToolCalls = 128
 
-// toolCall adds a piece to the tool call with its index.
-func (p *eventParser) toolCall(piece ToolCallDelta) {
+// addToolCallDelta appends a fragment to the tool call with its index.
+func (p *eventParser) addToolCallDelta(piece ToolCallDelta) {
 	if piece.Index < 0 || piece.Index >= maximumToolCalls {
 		return
 	}
@@ -92,28 +92,29 @@
 	call.Arguments += piece.Function.Arguments
 }
 
-// takeChunks returns the pieces read since the last call.
+// takeChunks returns the chunks parsed since the last call.
 func (p *eventParser) takeChunks() []structs.Chunk {
 	chunks := p.chunks
 	p.chunks = nil
 	return chunks
 }
 
-// Parts of the event of a token, as engines of the dialect write it.
+// Fixed parts of the JSON of an event with text only, as engines write it.
 var (
-	textEventHead   = []byte(`"choices":[{"index":0,"delta":{"content":`)
+	textEventPrefix = []byte(`"choices":[{"index":0,"delta":{"content":`)
 	textEventOffset = []byte(`},"finish_reason":null}],"offset":`)
-	textEventEnd    = []byte(`}`)
+	textEventSuffix = []byte(`}`)
 )
 
-// scanTextEvent reads the event of a token without encoding/json, which took a
-// seventh of a daemon's processor time. Events of any other form are left to it.
+// scanTextEvent parses an event with text only. It avoids encoding/json, whose
+// cost for every token is significant, and returns false for events of any other
+// form.
 func scanTextEvent(data []byte) (structs.Chunk, bool) {
 	rest, ok := bytes.CutPrefix(data, []byte("{"))
 	if !ok {
 		return structs.Chunk{}, false
 	}
-	if rest, ok = bytes.CutPrefix(skipNames(rest), textEventHead); !ok {
+	if rest, ok = bytes.CutPrefix(skipMetadataFields(rest), textEventPrefix); !ok {
 		return structs.Chunk{}, false
 	}
 	text, rest, ok := jsontext.ScanString(rest)
@@ -124,14 +125,15 @@
 		return structs.Chunk{}, false
 	}
 	offset, rest, ok := jsontext.ScanInteger(rest)
-	if !ok || !bytes.Equal(rest, textEventEnd) {
+	if !ok || !bytes.Equal(rest, textEventSuffix) {
 		return structs.Chunk{}, false
 	}
 	return structs.Chunk{Offset: offset, Text: text}, true
 }
 
-// skipNames passes over the fields that say nothing new in each event.
-func skipNames(data []byte) []byte {
+// skipMetadataFields skips the fields that are the same in all events of a
+// stream.
+func skipMetadataFields(data []byte) []byte {
 	for _, key := range [][]byte{[]byte(`"id":`), []byte(`"object":`), []byte(`"created":`), []byte(`"model":`)} {
 		rest, found := bytes.CutPrefix(data, key)
 		if !found {
--- a/internal/program/apply.go
+++ b/internal/program/apply.go
@@ -7,9 +7,9 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Apply folds one committed record into the state. A record about a program
-// or call that is not there any more changes nothing: a record proposed twice,
-// by a leader and its successor, must count once.
+// Apply folds one committed record into the state. A record about a program or call
+// that no longer exists changes nothing, and a record that is proposed twice, by a
+// leader and its successor, counts once.
 func (s *Shard) Apply(record structs.Record) {
 	switch {
 	case record.ProgramStarted != nil:
@@ -33,7 +33,7 @@
 	case record.ShardRecovered != nil:
 		s.applyShardRecovered(record.At)
 	}
-	s.warmth.advance(record.At)
+	s.cache.evictIdle(record.At)
 }
 
 func (s *Shard) applyProgramStarted(at time.Time, started *structs.ProgramStarted) {
@@ -46,7 +46,7 @@
 		Priority:        started.Priority,
 		Limits:          started.Limits,
 		SystemPrompt:    Intern(started.SystemPrompt),
-		History:         History{warmth: s.warmth},
+		History:         History{cache: s.cache},
 		ApplicationCost: started.ApplicationCost,
 		Budget:          started.Budget,
 		StartedAt:       at,
@@ -57,15 +57,15 @@
 	if parent := s.programs[started.Key.Parent()]; parent != nil {
 		parent.Children++
 	}
-	s.account(started.Key)
+	s.updateFootprint(started.Key)
 }
 
 func (s *Shard) applyProgramRemoved(removed *structs.ProgramRemoved) {
 	if program := s.programs[removed.Key]; program != nil {
-		s.warmth.forget(&program.History)
+		s.cache.evict(&program.History)
 	}
 	delete(s.programs, removed.Key)
-	s.account(removed.Key)
+	s.updateFootprint(removed.Key)
 }
 
 func (s *Shard) applyCallAccepted(at time.Time, accepted *structs.CallAccepted) {
@@ -94,7 +94,7 @@
 		program.Repeats = 1
 	}
 	program.Open = append(program.Open, &CallState{Call: call, Stage: StageAccepted, AcceptedAt: at, Whole: accepted.WholeConversation})
-	s.account(accepted.Key)
+	s.updateFootprint(accepted.Key)
 }
 
 func (s *Shard) applyCallDispatched(at time.Time, dispatched *structs.CallDispatched) {
@@ -108,7 +108,7 @@
 	}
 	if dispatched.PreviousNotRun {
 		root.Reserved -= call.Reserved
-		s.spend(program.Key.Tenant, call.Window, -call.Reserved)
+		s.chargeAllowance(program.Key.Tenant, call.Window, -call.Reserved)
 	} else {
 		call.LostReserved += call.Reserved
 	}
@@ -124,7 +124,7 @@
 	call.Reserved = dispatched.Reserved
 	root.Reserved += dispatched.Reserved
 	call.Window = WindowOf(structs.QuotaSpending, at)
-	s.spend(program.Key.Tenant, call.Window, dispatched.Reserved)
+	s.chargeAllowance(program.Key.Tenant, call.Window, dispatched.Reserved)
 	if call.Call.Kind == structs.CallModel {
 		program.LastEngine = dispatched.BackEnd
 	}
@@ -139,11 +139,11 @@
 		return
 	}
 	if former := program.Settled[settled.RequestID]; former != nil {
-		learnUnknownOutcome(root, former, settled.Outcome)
-		s.account(settled.Key)
+		resolveUnknownOutcome(root, former, settled.Outcome)
+		s.updateFootprint(settled.Key)
 		return
 	}
-	position := openPosition(program, settled.RequestID)
+	position := openIndex(program, settled.RequestID)
 	if position < 0 {
 		return
 	}
@@ -157,28 +157,27 @@
 	charged := charge(call, settled.Outcome)
 	root.Reserved -= call.Reserved + call.LostReserved
 	root.Spent += charged
-	s.spend(program.Key.Tenant, call.Window, charged-call.Reserved-call.LostReserved)
+	s.chargeAllowance(program.Key.Tenant, call.Window, charged-call.Reserved-call.LostReserved)
 	program.ServedTokens += settled.Outcome.Usage.PromptTokens - settled.Outcome.Usage.CachedTokens + settled.Outcome.Usage.CompletionTokens
 	if settled.Outcome.Status == structs.OutcomeNotRun && call.Call.Sequence == program.Accepted {
-		program.takeBack()
+		program.revertAcceptance()
 	} else {
-		program.remember(call, settled.Outcome, charged)
+		program.recordOutcome(call, settled.Outcome, charged)
 	}
-	s.account(settled.Key)
+	s.updateFootprint(settled.Key)
 }
 
-// takeBack undoes the acceptance of the latest call, which did not run: the
-// caller may send it again under the same sequence and request identifier.
-// A call with successors keeps its refusal, or it would run out of order.
-func (p *Program) takeBack() {
+// revertAcceptance undoes the acceptance of the latest call, which did not run, so
+// that the caller may send it again under the same sequence number and request
+// identifier. A call with successors keeps its refusal, or it would run out of order.
+func (p *Program) revertAcceptance() {
 	p.Accepted--
 	p.Turns--
 	p.Repeats--
 }
 
-// charge returns what a settled call takes from the budget. Attempts whose
-// cost was never learnt are charged their worst case, and so is a call whose
-// outcome is unknown.
+// charge returns what a settled call takes from the budget. Attempts of unknown cost
+// are charged their worst case, and so is a call whose outcome is unknown.
 func charge(call *CallState, outcome structs.Outcome) structs.Cost {
 	if outcome.Status == structs.OutcomeUnknown {
 		return call.Reserved + call.LostReserved
@@ -186,9 +185,9 @@
 	return min(outcome.Cost, call.Reserved) + call.LostReserved
 }
 
-// learnUnknownOutcome replaces an unknown outcome of a call without history
-// once the back end has told what happened, and refunds what it did not cost.
-func learnUnknownOutcome(root *Program, former *SettledCall, outcome structs.Outcome) {
+// resolveUnknownOutcome replaces the unknown outcome of an application call once the
+// back end has reported the real one, and refunds what it did not cost.
+func resolveUnknownOutcome(root *Program, former *SettledCall, outcome structs.Outcome) {
 	if former.Outcome.Status != structs.OutcomeUnknown || former.Kind == structs.CallModel {
 		return
 	}
@@ -198,7 +197,7 @@
 	former.Outcome = outcome
 }
 
-func openPosition(program *Program, request structs.RequestID) int {
+func openIndex(program *Program, request structs.RequestID) int {
 	for position, call := range program.Open {
 		if call.Call.RequestID == request {
 			return position
@@ -207,9 +206,9 @@
 	return -1
 }
 
-// remember keeps a call's outcome for the program's life, so that the same
+// recordOutcome keeps a call's outcome as long as the program, so that the same
 // request identifier never runs again.
-func (p *Program) remember(call *CallState, outcome structs.Outcome, charged structs.Cost) {
+func (p *Program) recordOutcome(call *CallState, outcome structs.Outcome, charged structs.Cost) {
 	settled := &SettledCall{
 		Sequence:    call.Call.Sequence,
 		Kind:        call.Call.Kind,
@@ -242,18 +241,18 @@
 	if program == nil || program.Ended {
 		return
 	}
-	s.endOne(program, at, ended.Reason)
+	s.endProgram(program, at, ended.Reason)
 	prefix := string(ended.Key.Program) + "/"
 	for key, descendant := range s.programs {
 		if key.Tenant == ended.Key.Tenant && strings.HasPrefix(string(key.Program), prefix) && !descendant.Ended {
-			s.endOne(descendant, at, ended.Reason)
+			s.endProgram(descendant, at, ended.Reason)
 		}
 	}
 }
 
-// endOne closes a program. Calls that were never dispatched certainly did not
+// endProgram ends a single program. Calls that were never dispatched certainly did not
 // run; dispatched ones stay open until their outcome is known.
-func (s *Shard) endOne(program *Program, at time.Time, reason structs.Reason) {
+func (s *Shard) endProgram(program *Program, at time.Time, reason structs.Reason) {
 	program.Ended = true
 	program.EndReason = reason
 	program.EndedAt = at
@@ -267,8 +266,8 @@
 			continue
 		}
 		outcome := structs.Refused(structs.ReasonProgramEnded, "", "The program ended before the call was sent.", 0)
-		program.remember(call, outcome, 0)
+		program.recordOutcome(call, outcome, 0)
 	}
 	program.Open = open
-	s.account(program.Key)
+	s.updateFootprint(program.Key)
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -12,11 +12,11 @@
 )
 
 var (
-	start   = time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC)
-	rootKey = structs.ProgramKey{Tenant: "bakery", Program: "order"}
-	subKey  = structs.ProgramKey{Tenant: "bakery", Program: "order/flour"}
-	basic   = Policy{Template: "orders", Budget: 1000, Limits: structs.Limits{Turns: 5, Repetitions: 2, AnswerTokens: 10}}
-	price   = structs.Price{Prompt: 1, Completion: 2}
+	start       = time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC)
+	rootKey     = structs.ProgramKey{Tenant: "bakery", Program: "order"}
+	subKey      = structs.ProgramKey{Tenant: "bakery", Program: "order/flour"}
+	basicPolicy = Policy{Template: "orders", Budget: 1000, Limits: structs.Limits{Turns: 5, Repetitions: 2, AnswerTokens: 10}}
+	price       = structs.Price{Prompt: 1, Completion: 2}
 )
 
 func userCall(key structs.ProgramKey, request string, sequence uint64) structs.Call {
@@ -33,7 +33,7 @@
 // admit admits a call that must be accepted and applies its records.
 func admit(t *testing.T, shard *Shard, call structs.Call) {
 	t.Helper()
-	admission := shard.Admit(call, basic, nil, start)
+	admission := shard.Admit(call, basicPolicy, nil, start)
 	if admission.Verdict != VerdictAccept {
 		t.Fatalf("call %s: verdict %d, refusal %+v", call.RequestID, admission.Verdict, admission.Refusal)
 	}
@@ -59,14 +59,14 @@
 func TestCallsKeepTheirOrder(t *testing.T) {
 	shard := NewShard()
 	admit(t, shard, userCall(rootKey, "a", 1))
-	if verdict := shard.Admit(userCall(rootKey, "c", 3), basic, nil, start).Verdict; verdict != VerdictWait {
+	if verdict := shard.Admit(userCall(rootKey, "c", 3), basicPolicy, nil, start).Verdict; verdict != VerdictWait {
 		t.Errorf("call 3 before call 2: verdict %d, want wait", verdict)
 	}
 	admit(t, shard, userCall(rootKey, "b", 2))
 	if head := shard.Program(rootKey).Head().Call.RequestID; head != "a" {
 		t.Errorf("head is %q, want a", head)
 	}
-	if got := shard.Admit(userCall(rootKey, "d", 1), basic, nil, start); got.Refusal.Reason != structs.ReasonSequenceConflict {
+	if got := shard.Admit(userCall(rootKey, "d", 1), basicPolicy, nil, start); got.Refusal.Reason != structs.ReasonSequenceConflict {
 		t.Errorf("a used sequence number: %+v", got.Refusal)
 	}
 }
@@ -74,17 +74,17 @@
 func TestKnownRequestIsNotAcceptedAgain(t *testing.T) {
 	shard := NewShard()
 	admit(t, shard, userCall(rootKey, "a", 1))
-	if verdict := shard.Admit(userCall(rootKey, "a", 0), basic, nil, start).Verdict; verdict != VerdictKnown {
+	if verdict := shard.Admit(userCall(rootKey, "a", 0), basicPolicy, nil, start).Verdict; verdict != VerdictKnown {
 		t.Errorf("open request: verdict %d, want known", verdict)
 	}
 	shard.Apply(dispatchRecord(rootKey, "a", 1, 50, false))
 	shard.Apply(settleRecord(rootKey, "a", completed("yes", 20)))
-	if verdict := shard.Admit(userCall(rootKey, "a", 0), basic, nil, start).Verdict; verdict != VerdictKnown {
+	if verdict := shard.Admit(userCall(rootKey, "a", 0), basicPolicy, nil, start).Verdict; verdict != VerdictKnown {
 		t.Errorf("settled request: verdict %d, want known", verdict)
 	}
-	conflict := shard.Admit(userCall(rootKey, "a", 2), basic, nil, start)
+	conflict := shard.Admit(userCall(rootKey, "a", 2), basicPolicy, nil, start)
 	if conflict.Refusal.Reason != structs.ReasonRequestConflict {
-		t.Errorf("same request under another number: %+v", conflict.Refusal)
+		t.Errorf("same request with another sequence number: %+v", conflict.Refusal)
 	}
 	outcome, _ := shard.Program(rootKey).Outcome("a")
 	if outcome.Answer.Content != "yes" {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestRefusedCallMayComeAgain(t *testing.T) {
+func TestRefusedCallMayBeSentAgain(t *testing.T) {
 	shard := NewShard()
 	admit(t, shard, userCall(rootKey, "a", 1))
 	shard.Apply(settleRecord(rootKey, "a", structs.Refused(structs.ReasonOverloaded, "", "", 0)))
@@ -104,7 +104,7 @@
 	admit(t, shard, userCall(rootKey, "a", 1))
 	admit(t, shard, userCall(rootKey, "b", 2))
 	shard.Apply(settleRecord(rootKey, "a", structs.Refused(structs.ReasonOverloaded, "", "", 0)))
-	if verdict := shard.Admit(userCall(rootKey, "a", 1), basic, nil, start).Verdict; verdict != VerdictKnown {
+	if verdict := shard.Admit(userCall(rootKey, "a", 1), basicPolicy, nil, start).Verdict; verdict != VerdictKnown {
 		t.Errorf("verdict %d, want known: it would run after its successor", verdict)
 	}
 }
@@ -117,12 +117,12 @@
 	call := userCall(rootKey, "b", 2)
 	call.History = structs.HistoryFull
 	call.Messages = []structs.Message{{Role: "user", Content: "call a"}, {Role: "assistant", Content: "yes"}, {Role: "user", Content: "and?"}}
-	admission := shard.Admit(call, basic, nil, start)
+	admission := shard.Admit(call, basicPolicy, nil, start)
 	if diff := cmp.Diff([]structs.Message{{Role: "user", Content: "and?"}}, admission.Call.Messages); diff != "" {
 		t.Errorf("new messages (-want +got):\n%s", diff)
 	}
 	call.Messages = []structs.Message{{Role: "user", Content: "something else"}, {Role: "assistant", Content: "yes"}}
-	if got := shard.Admit(call, basic, nil, start); got.Refusal.Reason != structs.ReasonHistoryConflict {
+	if got := shard.Admit(call, basicPolicy, nil, start); got.Refusal.Reason != structs.ReasonHistoryConflict {
 		t.Errorf("another history: %+v", got.Refusal)
 	}
 }
@@ -133,7 +133,7 @@
 	admit(t, shard, userCall(subKey, "a", 1))
 	shard.Apply(dispatchRecord(subKey, "a", 1, 900, false))
 	if remaining := shard.Remaining(rootKey); remaining != 100 {
-		t.Errorf("the parent has %d left, want 100", remaining)
+		t.Errorf("remaining budget of the parent is %d, want 100", remaining)
 	}
 	attempt := Attempt{Call: &shard.Program(rootKey).Head().Call, Price: structs.Price{Prompt: 100}}
 	if _, refusal := shard.Reserve(shard.Program(rootKey), attempt); refusal == nil || refusal.Reason != structs.ReasonBudgetExhausted {
@@ -147,11 +147,11 @@
 	shard.Apply(dispatchRecord(rootKey, "a", 1, 300, false))
 	shard.Apply(dispatchRecord(rootKey, "a", 2, 200, false))
 	if remaining := shard.Remaining(rootKey); remaining != 500 {
-		t.Errorf("after a lost attempt %d left, want 500", remaining)
+		t.Errorf("after a lost attempt: remaining %d, want 500", remaining)
 	}
 	shard.Apply(dispatchRecord(rootKey, "a", 3, 200, true))
 	if remaining := shard.Remaining(rootKey); remaining != 500 {
-		t.Errorf("after a disproved attempt %d left, want 500", remaining)
+		t.Errorf("after a disproved attempt: remaining %d, want 500", remaining)
 	}
 	shard.Apply(settleRecord(rootKey, "a", completed("yes", 50)))
 	if root := shard.Program(rootKey); root.Spent != 350 || root.Reserved != 0 {
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestUnknownOutcomeIsChargedUntilLearnt(t *testing.T) {
+func TestUnknownOutcomeIsChargedUntilResolved(t *testing.T) {
 	shard := NewShard()
 	call := userCall(rootKey, "a", 1)
 	call.Kind = structs.CallApplication
@@ -171,11 +171,11 @@
 	}
 	shard.Apply(settleRecord(rootKey, "a", structs.Outcome{Status: structs.OutcomeCompleted, Cost: 40}))
 	if spent := shard.Program(rootKey).Spent; spent != 40 {
-		t.Errorf("learnt outcome charged %d, want 40", spent)
+		t.Errorf("resolved outcome charged %d, want 40", spent)
 	}
 }
 
-func TestRunawaysEndWithTheirReason(t *testing.T) {
+func TestRunawayProgramEndsWithItsReason(t *testing.T) {
 	shard := NewShard()
 	same := func(i int) structs.Call {
 		call := userCall(rootKey, fmt.Sprint(i), uint64(i))
@@ -184,7 +184,7 @@
 	}
 	admit(t, shard, same(1))
 	admit(t, shard, same(2))
-	admission := shard.Admit(same(3), basic, nil, start)
+	admission := shard.Admit(same(3), basicPolicy, nil, start)
 	if admission.Refusal.Reason != structs.ReasonRepetitionLimit || len(admission.Records) != 1 {
 		t.Fatalf("third identical call: %+v", admission)
 	}
@@ -231,12 +231,12 @@
 		t.Errorf("restored state (-want +got):\n%s", diff)
 	}
 	if err := restored.Restore([]byte("{")); err == nil {
-		t.Error("a broken snapshot was taken")
+		t.Error("Restore accepted a malformed snapshot")
 	}
 }
 
-// TestBudgetNeverExceeded applies random records, some of them twice, and
-// checks what must hold after each.
+// TestBudgetNeverExceeded applies random records, some of them twice, and checks the
+// budget's invariants after each.
 func TestBudgetNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shard := NewShard()
@@ -253,7 +253,7 @@
 }
 
 func randomStep(t *rapid.T, shard *Shard, key structs.ProgramKey, step int) {
-	policy := basic
+	policy := basicPolicy
 	policy.Limits.Turns = 0
 	switch rapid.IntRange(0, 3).Draw(t, "action") {
 	case 0:
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -12,20 +12,20 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// shardSnapshot is the serialized state of a shard, ordered by key so that
-// equal states give equal bytes.
+// shardSnapshot is the serialized state of a shard, ordered by key so that equal
+// states give equal bytes.
 type shardSnapshot struct {
 	Programs   []*Program   `json:"programs"`
 	Allowances []*Allowance `json:"allowances,omitempty"`
 	Ledgers    []*Ledger    `json:"ledgers,omitempty"`
-	// RecoveredAt is when the shard went on after the loss of all holders.
+	// RecoveredAt is when the shard was recovered after the loss of all its replicas.
 	RecoveredAt time.Time `json:"recovered_at,omitzero"`
 }
 
-// ErrSnapshot is returned for a snapshot that cannot be read.
+// ErrSnapshot is returned for a snapshot that cannot be decoded.
 var ErrSnapshot = eris.New("program: malformed snapshot")
 
-// contents returns the state, which is not copied.
+// contents returns the state without copying it.
 func (s *Shard) contents() shardSnapshot {
 	return shardSnapshot{
 		Programs:   s.Programs(),
@@ -47,8 +47,8 @@
 	return contents.encode()
 }
 
-// Freeze implements replication.StateMachine. It copies what changes in place;
-// histories and calls' contents only grow or are replaced.
+// Freeze implements replication.StateMachine. It copies only what changes in place;
+// histories only grow, and the contents of calls are replaced as a whole.
 func (s *Shard) Freeze() func() ([]byte, error) {
 	contents := s.contents()
 	for i, program := range contents.Programs {
@@ -60,7 +60,7 @@
 	}
 	for i, ledger := range contents.Ledgers {
 		frozen := *ledger
-		frozen.Totals, frozen.Ballots = maps.Clone(ledger.Totals), maps.Clone(ledger.Ballots)
+		frozen.Totals, frozen.BallotNumbers = maps.Clone(ledger.Totals), maps.Clone(ledger.BallotNumbers)
 		contents.Ledgers[i] = &frozen
 	}
 	return contents.encode
@@ -96,19 +96,20 @@
 	return sorted
 }
 
-// Restore replaces the state by a snapshot's. On an error the state is kept.
+// Restore replaces the state with that of a snapshot. On an error the state is
+// unchanged.
 func (s *Shard) Restore(data []byte) error {
 	var snapshot shardSnapshot
 	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return eris.Wrap(ErrSnapshot, err.Error())
 	}
-	if snapshot.hasGaps() {
-		return eris.Wrap(ErrSnapshot, "an entry is null")
+	if snapshot.hasNulls() {
+		return eris.Wrap(ErrSnapshot, "programs, allowances or ledgers: an entry is null")
 	}
 	restored := NewShardWithMemory(s.memory)
 	for _, program := range snapshot.Programs {
 		program.fillMaps()
-		program.History.warmth = restored.warmth
+		program.History.cache = restored.cache
 		restored.programs[program.Key] = program
 	}
 	for _, allowance := range snapshot.Allowances {
@@ -121,20 +122,20 @@
 	s.Discard()
 	*s = *restored
 	for key := range s.programs {
-		s.account(key)
+		s.updateFootprint(key)
 	}
 	return nil
 }
 
-// hasGaps tells whether an entry is missing where one must be: JSON's null is
-// read without an error, and nothing here would bear it.
-func (s *shardSnapshot) hasGaps() bool {
-	return slices.ContainsFunc(s.Programs, (*Program).hasGaps) ||
+// hasNulls reports whether an entry is null. JSON decodes null without an error, and
+// later uses of the entry would panic.
+func (s *shardSnapshot) hasNulls() bool {
+	return slices.ContainsFunc(s.Programs, (*Program).hasNulls) ||
 		slices.Contains(s.Allowances, nil) ||
 		slices.Contains(s.Ledgers, nil)
 }
 
-func (p *Program) hasGaps() bool {
+func (p *Program) hasNulls() bool {
 	if p == nil || slices.Contains(p.Open, nil) {
 		return true
 	}
@@ -146,7 +147,7 @@
 	return false
 }
 
-// fillMaps makes maps that JSON leaves out when they are empty.
+// fillMaps makes the maps that JSON leaves out when they are empty.
 func (p *Program) fillMaps() {
 	if p.Settled == nil {
 		p.Settled = map[structs.RequestID]*SettledCall{}
--- a/internal/quota/forecast.go
+++ b/internal/quota/forecast.go
@@ -6,54 +6,57 @@
 )
 
 const (
-	// idleAfter is how long a program asks for nothing until it counts as ended: its
-	// tools answer within a second or two.
+	// idleAfter is how long a program makes no request until it counts as ended. It
+	// must exceed the usual pauses for tool calls.
 	idleAfter = 2 * time.Second
-	// sampleWeight is the weight of the newest program in what programs of a route
-	// need.
+	// sampleWeight is the weight of the latest program in a route's moving averages.
 	sampleWeight = 0.1
-	// priorRequests and priorLife are believed of a route's programs before one
-	// ended: three turns with a tool call or two each, in three seconds.
+	// priorRequests and priorDuration are assumed for the programs of a route until one
+	// of them has ended.
 	priorRequests = 7.0
-	priorLife     = 3 * time.Second
-	// shortestLife is the least that counts as the life of a program.
-	shortestLife = 500 * time.Millisecond
-	// routeLimit bounds the routes whose programs are remembered.
-	routeLimit = 256
+	priorDuration = 3 * time.Second
+	// minDuration is the least duration that is recorded for a program.
+	minDuration = 500 * time.Millisecond
+	// maxRoutes bounds the routes that are tracked.
+	maxRoutes = 256
 )
 
-// need is what the programs of a route need, as logarithms: the geometric mean is what
-// most of them need, whatever a few that loop without end do.
-type need struct{ logRequests, logSeconds float64 }
+// demand is what the programs of a route need, as logarithms. The averages are thus
+// geometric means, on which a few endless loops have little effect.
+type demand struct{ logRequests, logSeconds float64 }
 
-func (n need) requests() float64 { return math.Exp(n.logRequests) }
+func (d demand) requests() float64 { return math.Exp(d.logRequests) }
 
-// within is what one program that just begins makes in a time.
-func (n need) within(span time.Duration) float64 {
-	return n.requests() * min(span.Seconds()/math.Exp(n.logSeconds), 1)
+// requestsWithin returns the expected requests of a program within a time from its
+// start.
+func (d demand) requestsWithin(span time.Duration) float64 {
+	return d.requests() * min(span.Seconds()/math.Exp(d.logSeconds), 1)
 }
 
-// left is what one that is under way makes in a time: it has made half, on average.
-func (n need) left(span time.Duration) float64 { return min(n.within(span), n.requests()/2) }
+// remainingWithin returns the expected requests of a running program within a time. On
+// average it has made half of its requests.
+func (d demand) remainingWithin(span time.Duration) float64 {
+	return min(d.requestsWithin(span), d.requests()/2)
+}
 
-// forecast learns what the programs of each route need.
-type forecast struct{ routes map[string]need }
+// forecast estimates the demand of the programs of each route.
+type forecast struct{ routes map[string]demand }
 
-func (f *forecast) of(route string) need {
+func (f *forecast) forRoute(route string) demand {
 	if known, found := f.routes[route]; found {
 		return known
 	}
-	return need{logRequests: math.Log(priorRequests), logSeconds: math.Log(priorLife.Seconds())}
+	return demand{logRequests: math.Log(priorRequests), logSeconds: math.Log(priorDuration.Seconds())}
 }
 
-// note takes a program that ended.
-func (f *forecast) note(p *program) {
-	if f.routes == nil || len(f.routes) >= routeLimit {
-		f.routes = map[string]need{}
+// observe updates the forecast with a program that ended.
+func (f *forecast) observe(p *program) {
+	if f.routes == nil || len(f.routes) >= maxRoutes {
+		f.routes = map[string]demand{}
 	}
-	known := f.of(p.route)
-	life := max(p.lastAt.Sub(p.firstAt), shortestLife)
-	known.logRequests += sampleWeight * (math.Log(float64(max(p.made, 1))) - known.logRequests)
-	known.logSeconds += sampleWeight * (math.Log(life.Seconds()) - known.logSeconds)
+	known := f.forRoute(p.route)
+	duration := max(p.lastAt.Sub(p.firstAt), minDuration)
+	known.logRequests += sampleWeight * (math.Log(float64(max(p.requests, 1))) - known.logRequests)
+	known.logSeconds += sampleWeight * (math.Log(duration.Seconds()) - known.logSeconds)
 	f.routes[p.route] = known
 }
--- a/internal/schedule/overload.go
+++ b/internal/schedule/overload.go
@@ -73,13 +73,13 @@
 		if queue == nil {
 			continue
 		}
-		looked := 0
+		visited := 0
 		queue.items.Descend(func(entry *waitingItem) bool {
 			if victim == nil || evictedBefore(entry, victim) {
 				victim = entry
 			}
-			looked++
-			return looked < victimSearchLimit
+			visited++
+			return visited < victimSearchLimit
 		})
 	}
 	if victim == nil {
--- a/internal/simulation/drivers/application.go
+++ b/internal/simulation/drivers/application.go
@@ -10,32 +10,34 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// invokeTimeout bounds one application request.
+// invokeTimeout limits one application request.
 const invokeTimeout = 5 * time.Second
 
-// statusDone is the status of an application's answer.
+// statusDone is the status code of an application's answer.
 const statusDone = 200
 
-// Application is one application back end or tool service. It runs whatever
-// arrives, as often as it arrives, but refuses attempts that were asked for
+// Application simulates one application back end or tool service. It runs every
+// request as often as it arrives, but refuses attempts that were inspected
 // under a higher epoch.
 type Application struct {
 	Place network.Place
-	// Name is the target that it serves.
+	// Name is the name of the target that it serves.
 	Name string
-	// ServiceTime is how long a request takes.
+	// ServiceTime is the duration of a request.
 	ServiceTime time.Duration
-	// LostAnswers is the chance that a request takes effect and its answer is lost.
-	LostAnswers float64
-	// Hanging makes it take requests and never answer; they have no effect.
+	// AnswerLossChance is the probability that a request takes effect and its
+	// answer is lost.
+	AnswerLossChance float64
+	// Hanging makes it accept requests without effect or answer.
 	Hanging bool
 	// Draining makes it refuse new requests because it is leaving.
 	Draining bool
 	// Down makes it refuse connections.
 	Down bool
-	// Arrived is told of each request that arrived; Ran of each effect.
-	Arrived func(request framework.ApplicationRequest, accepted bool, from network.Place)
-	Ran     func(request framework.ApplicationRequest)
+	// OnRequest is called for each request that arrives, OnEffect for each one
+	// that takes effect; nil is allowed.
+	OnRequest func(request framework.ApplicationRequest, accepted bool, from network.Place)
+	OnEffect  func(request framework.ApplicationRequest)
 
 	network *network.Network
 	random  *rand.Rand
@@ -48,7 +50,7 @@
 	answer []byte
 }
 
-// NewApplication returns a back end that has run nothing.
+// NewApplication returns a back end that has run no requests.
 func NewApplication(n *network.Network, place network.Place, name string, serviceTime time.Duration, random *rand.Rand) *Application {
 	return &Application{
 		Place:       place,
@@ -72,7 +74,8 @@
 	return record
 }
 
-// refusal returns why a request is not taken, if it is not.
+// refusal returns the refusal of a request and true, or false if the request is
+// accepted.
 func (a *Application) refusal(request framework.ApplicationRequest) (framework.AttemptEnd, bool) {
 	switch {
 	case a.Down:
@@ -88,8 +91,8 @@
 
 func (a *Application) invoke(request framework.ApplicationRequest, from network.Place, reply func(framework.AttemptEnd, error)) {
 	end, refused := a.refusal(request)
-	if a.Arrived != nil {
-		a.Arrived(request, !refused, from)
+	if a.OnRequest != nil {
+		a.OnRequest(request, !refused, from)
 	}
 	if refused {
 		reply(end, nil)
@@ -101,10 +104,10 @@
 	record := a.record(request.Attempt)
 	record.runs++
 	record.answer = []byte(ApplicationAnswer(request.Attempt))
-	if a.Ran != nil {
-		a.Ran(request)
+	if a.OnEffect != nil {
+		a.OnEffect(request)
 	}
-	lost := a.LostAnswers > 0 && a.random.Float64() < a.LostAnswers
+	lost := a.AnswerLossChance > 0 && a.random.Float64() < a.AnswerLossChance
 	a.network.Clock().AfterFunc(a.ServiceTime, func() {
 		if !lost && !a.Down {
 			reply(framework.AttemptEnd{Kind: framework.EndCompleted, Body: record.answer, BodyStatus: statusDone}, nil)
@@ -127,20 +130,20 @@
 	return status, nil
 }
 
-// ApplicationAnswer is what an application answers to an attempt.
+// ApplicationAnswer returns an application's answer to an attempt.
 func ApplicationAnswer(attempt structs.AttemptID) string { return fmt.Sprintf("done %s", attempt) }
 
-// Applications is all application back ends of a fleet.
+// Applications holds the application back ends of a fleet.
 type Applications struct {
-	// Sending is told in the asking process just before a request leaves,
-	// Answering just before its end is handed over; nil tells nobody.
-	Sending   func(from network.Place, request framework.ApplicationRequest)
-	Answering func(from network.Place, request framework.ApplicationRequest)
+	// BeforeSend is called in the calling process just before a request is
+	// sent, BeforeAnswer just before its result is handed over; nil is allowed.
+	BeforeSend   func(from network.Place, request framework.ApplicationRequest)
+	BeforeAnswer func(from network.Place, request framework.ApplicationRequest)
 
 	members map[structs.EngineID]*Application
 }
 
-// Add puts a back end among the others.
+// Add adds a back end.
 func (a *Applications) Add(application *Application) {
 	if a.members == nil {
 		a.members = map[structs.EngineID]*Application{}
@@ -148,7 +151,7 @@
 	a.members[application.ID()] = application
 }
 
-// Client returns the back ends as one process sees them.
+// Client returns a driver that calls the back ends from one process.
 func (a *Applications) Client(c network.Client) framework.ApplicationDriver {
 	return &applicationClient{applications: a, client: c}
 }
@@ -168,16 +171,16 @@
 		return
 	}
 	request.Body = append([]byte{}, request.Body...)
-	if c.applications.Sending != nil {
-		c.applications.Sending(c.client.Place, request)
+	if c.applications.BeforeSend != nil {
+		c.applications.BeforeSend(c.client.Place, request)
 	}
 	serve := func(reply func(framework.AttemptEnd, error)) { application.invoke(request, c.client.Place, reply) }
 	network.Request(c.client, application.Place, invokeTimeout, framework.ErrUnreachable, serve, func(end framework.AttemptEnd, err error) {
 		if err != nil {
 			end = framework.AttemptEnd{Kind: framework.EndLost, Message: err.Error()}
 		}
-		if c.applications.Answering != nil {
-			c.applications.Answering(c.client.Place, request)
+		if c.applications.BeforeAnswer != nil {
+			c.applications.BeforeAnswer(c.client.Place, request)
 		}
 		c.client.Process.Run(func() { done(end) })
 	})
--- a/internal/simulation/scenario/goodput_test.go
+++ b/internal/simulation/scenario/goodput_test.go
@@ -7,9 +7,10 @@
 	"github.com/rs/zerolog"
 )
 
-// TestOverloadKeepsGoodput offers about the peak and then three times as much.
+// TestOverloadKeepsGoodput requires that goodput at three times the peak load
+// stays close to that at the peak.
 func TestOverloadKeepsGoodput(t *testing.T) {
-	times := GoodputTimes{Settle: 15 * time.Second, Window: 15 * time.Second}
+	times := GoodputTimes{WarmUp: 15 * time.Second, Window: 15 * time.Second}
 	points := Goodput(goodputOptions(t, "steady", times), []float64{11, 33})
 	peak, overload := points[0], points[1]
 	if peak.Completed < 5 {
@@ -23,10 +24,10 @@
 	}
 }
 
-// TestLoopingTenantLeavesOthersTheirShare offers two tenants less than their
-// two thirds of the fleet while the third starts as many looping programs.
+// TestLoopingTenantLeavesOthersTheirShare requires that two tenants whose load
+// is below their share keep their goodput beside a third whose programs loop.
 func TestLoopingTenantLeavesOthersTheirShare(t *testing.T) {
-	times := GoodputTimes{Settle: 40 * time.Second, Window: 40 * time.Second}
+	times := GoodputTimes{WarmUp: 40 * time.Second, Window: 40 * time.Second}
 	steady := Goodput(goodputOptions(t, "steady", times), []float64{6})[0]
 	looping := Goodput(goodputOptions(t, "looping_tenant", times), []float64{6})[0]
 	if looping.Completed < 0.9*steady.Completed {
--- a/internal/standin/cli/cli.go
+++ b/internal/standin/cli/cli.go
@@ -17,16 +17,17 @@
 
 // Exit codes.
 const (
-	ExitSound = 0
+	ExitOK    = 0
 	ExitUsage = 2
 )
 
 const (
-	// headerTimeout bounds how long a request's headers may take.
+	// headerTimeout limits the time to read a request's headers.
 	headerTimeout = 5 * time.Second
-	// stopTimeout bounds a stop; then open connections are broken.
-	stopTimeout = time.Second
-	// defaultListen is a free port on this machine.
+	// shutdownTimeout limits a graceful shutdown; after it, open connections
+	// are closed.
+	shutdownTimeout = time.Second
+	// defaultListen is a free port on the loopback interface.
 	defaultListen = "127.0.0.1:0"
 )
 
@@ -36,7 +37,7 @@
 // ExitCode maps a command's error to the exit code of the process.
 func ExitCode(err error) int {
 	if err == nil {
-		return ExitSound
+		return ExitOK
 	}
 	return ExitUsage
 }
@@ -66,8 +67,8 @@
 	return &cli.StringFlag{Name: "listen", Value: defaultListen, Usage: "answer on `IP:PORT`; port 0 takes a free one"}
 }
 
-// serve answers HTTP until the process is told to stop.
-func serve(ctx context.Context, command *cli.Command, handlers ...listening) error {
+// serve runs HTTP servers until the process receives a termination signal.
+func serve(ctx context.Context, command *cli.Command, handlers ...endpoint) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	failed := make(chan error, len(handlers))
@@ -86,14 +87,15 @@
 	}
 }
 
-// listening is a handler with its address and the word that announces it.
-type listening struct {
-	word    string
+// endpoint is a handler with its address and the label printed before the
+// address.
+type endpoint struct {
+	label   string
 	address string
 	handler http.Handler
 }
 
-func (l listening) start(out io.Writer, failed chan<- error) (*http.Server, error) {
+func (l endpoint) start(out io.Writer, failed chan<- error) (*http.Server, error) {
 	listener, err := net.Listen("tcp", l.address)
 	if err != nil {
 		return nil, eris.Wrapf(ErrUsage, "cannot listen on %s: %v", l.address, err)
@@ -104,12 +106,12 @@
 			failed <- err
 		}
 	}()
-	_, _ = fmt.Fprintf(out, "%s %s\n", l.word, listener.Addr())
+	_, _ = fmt.Fprintf(out, "%s %s\n", l.label, listener.Addr())
 	return server, nil
 }
 
 func closeServer(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		_ = server.Close()
--- a/internal/standin/cli/proxy.go
+++ b/internal/standin/cli/proxy.go
@@ -45,13 +45,13 @@
 		}
 		_, _ = fmt.Fprintf(command.Root().Writer, "route %s %s %s\n", wanted.name, route.Address(), wanted.target)
 	}
-	return serve(ctx, command, listening{"listening", command.String("listen"), p})
+	return serve(ctx, command, endpoint{"listening", command.String("listen"), p})
 }
 
 type routeFlag struct{ name, listen, target string }
 
-// parseRoutes reads NAME=LISTEN,TARGET. The command line splits values at
-// commas, so that a route may come as two.
+// parseRoutes parses NAME=LISTEN,TARGET. The flag library splits values at
+// commas, so that a route may arrive as two values.
 func parseRoutes(values []string) ([]routeFlag, error) {
 	var routes []routeFlag
 	joined := strings.Join(values, ",")
