--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -15,21 +15,22 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// requestLimit bounds a request in bytes: a prompt of 670,000 tokens and more.
+// requestLimit is the maximum size of a request in bytes, enough for a prompt
+// of 670,000 tokens.
 const requestLimit = 64 << 20
 
-// completion is one request for a completion on its way through the handler.
+// completion is one completion request in its handler.
 type completion struct {
 	engine  *Engine
 	writer  http.ResponseWriter
 	request *http.Request
 	body    openai.Request
 	attempt structs.AttemptID
-	// plain requests come from clients without the extension; nobody resumes
-	// them, so they end with their connection.
+	// plain requests come from clients without the scheduler's extension;
+	// nobody can resume them, so they end with their connection.
 	plain   bool
 	created int64
-	// tool is called in place of an answer text, "" for none.
+	// tool is the tool to call instead of answering with text, "" for none.
 	tool   string
 	faults Faults
 	// cut and stall are the faults drawn for this stream.
@@ -54,7 +55,7 @@
 	})
 }
 
-// close stops reading; an attempt that nobody can resume is stopped too.
+// close stops reading, and cancels an attempt that nobody can resume.
 func (c *completion) close() {
 	if c.connection == nil {
 		return
@@ -65,7 +66,7 @@
 	}
 }
 
-// read decodes and checks the request.
+// read decodes and validates the request.
 func (c *completion) read() bool {
 	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, requestLimit))
 	if err == nil {
@@ -73,10 +74,10 @@
 	}
 	switch {
 	case err != nil:
-		writeProblem(c.writer, http.StatusBadRequest, err.Error())
+		writeError(c.writer, http.StatusBadRequest, err.Error())
 		return false
 	case len(c.body.Messages) == 0:
-		writeProblem(c.writer, http.StatusBadRequest, "messages must not be empty")
+		writeError(c.writer, http.StatusBadRequest, "messages must not be empty")
 		return false
 	}
 	c.tool = wantedTool(body, c.body.Messages)
@@ -107,7 +108,8 @@
 	}
 }
 
-// answer writes the stream, or gathers it for a client that wants it whole.
+// answer streams the answer, or collects it for a client that did not ask for
+// a stream.
 func (c *completion) answer() {
 	var whole strings.Builder
 	for {
@@ -139,14 +141,14 @@
 		return
 	}
 	if c.sent >= c.faults.CutAfter {
-		c.breakOff()
+		c.applyStreamFault()
 	}
 	c.sent += int64(len(chunk.Text))
 	c.writeEvent(openai.Event{Offset: chunk.Offset, Choices: []openai.Choice{{Delta: openai.Delta{Content: chunk.Text}}}})
 }
 
-// breakOff has the faults that were drawn for this stream.
-func (c *completion) breakOff() {
+// applyStreamFault cuts or stalls the stream if either fault was drawn for it.
+func (c *completion) applyStreamFault() {
 	if !c.cut && !c.stall {
 		return
 	}
@@ -157,7 +159,7 @@
 	if c.stall {
 		control.Hang(c.request)
 	}
-	control.LoseAnswer()
+	control.AbortConnection()
 }
 
 func (c *completion) writeEvent(event openai.Event) {
@@ -176,7 +178,7 @@
 func (c *completion) writeEnd(end framework.AttemptEnd, whole string) {
 	switch end.Kind {
 	case framework.EndLost:
-		control.LoseAnswer()
+		control.AbortConnection()
 	case framework.EndRejected, framework.EndFailed:
 		c.writeRefusal(end)
 	default:
@@ -188,10 +190,10 @@
 	}
 }
 
-// writeRefusal answers an attempt that did not come to an answer.
+// writeRefusal answers an attempt that was rejected or failed.
 func (c *completion) writeRefusal(end framework.AttemptEnd) {
 	if c.began {
-		control.LoseAnswer()
+		control.AbortConnection()
 	}
 	status := http.StatusServiceUnavailable
 	switch {
@@ -210,10 +212,10 @@
 	if seconds := int(end.RetryAfter / time.Second); seconds > 0 {
 		c.writer.Header().Set("Retry-After", strconv.Itoa(seconds))
 	}
-	writeProblem(c.writer, status, end.Message)
+	writeError(c.writer, status, end.Message)
 }
 
-// fencedMessage is the model's word for a fenced attempt.
+// fencedMessage is the message of enginemodel for a fenced attempt.
 const fencedMessage = "fenced by a higher epoch"
 
 func rejectedValue(end framework.AttemptEnd) string {
@@ -225,7 +227,7 @@
 
 func (c *completion) writeStreamEnd(end framework.AttemptEnd) {
 	if c.cut || c.stall {
-		c.breakOff()
+		c.applyStreamFault()
 	}
 	reason := c.finishReason(end)
 	choice := openai.Choice{FinishReason: &reason}
@@ -260,7 +262,7 @@
 	}
 }
 
-// wholeCompletion is OpenAI's answer that is not streamed.
+// wholeCompletion is OpenAI's response that is not streamed.
 type wholeCompletion struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -298,18 +300,18 @@
 	})
 }
 
-// problem is OpenAI's error.
-type problem struct {
-	Error problemDetail `json:"error"`
+// errorResponse is OpenAI's error object.
+type errorResponse struct {
+	Error errorDetail `json:"error"`
 }
 
-type problemDetail struct {
+type errorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 }
 
-func writeProblem(w http.ResponseWriter, status int, message string) {
+func writeError(w http.ResponseWriter, status int, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(problem{Error: problemDetail{Message: message, Type: "engine_error"}})
+	_ = json.NewEncoder(w).Encode(errorResponse{Error: errorDetail{Message: message, Type: "engine_error"}})
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -22,11 +22,11 @@
 
 const (
 	model structs.ModelName = "m"
-	// plenty bounds waits that should be short.
-	plenty = 3 * time.Second
+	// longTimeout limits waits that should be short.
+	longTimeout = 3 * time.Second
 )
 
-// harness is an engine behind HTTP with the scheduler's own driver.
+// harness is an engine behind HTTP, called through the scheduler's own driver.
 type harness struct {
 	*testing.T
 	engine *Engine
@@ -51,13 +51,13 @@
 	return &harness{
 		T:      t,
 		engine: e,
-		driver: openai.New(framework.DriverSettings{Timeout: plenty}),
+		driver: openai.New(framework.DriverSettings{Timeout: longTimeout}),
 		id:     structs.EngineID(strings.TrimPrefix(server.URL, "http://")),
 		url:    server.URL,
 	}
 }
 
-// reader gathers one attempt's stream.
+// reader collects one attempt's stream.
 type reader struct {
 	mutex sync.Mutex
 	text  string
@@ -106,13 +106,13 @@
 	select {
 	case end := <-r.ended:
 		return end
-	case <-time.After(plenty):
+	case <-time.After(longTimeout):
 		h.Fatal("the attempt did not end")
 		return framework.AttemptEnd{}
 	}
 }
 
-// ask runs an exchange and returns its error.
+// ask performs an exchange and returns its error.
 func ask(exchange func(done func(error))) error {
 	answered := make(chan error, 1)
 	exchange(func(err error) { answered <- err })
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestCutStreamGoesOn(t *testing.T) {
+func TestCutStreamCanBeResumed(t *testing.T) {
 	h := newHarness(t, nil)
 	if err := h.engine.Faults.Set(Faults{CutStreams: 1, CutAfter: 16}); err != nil {
 		t.Fatal(err)
@@ -189,12 +189,12 @@
 	}
 	held := h.request("held", "hello "+strings.Repeat("x", 300))
 	held.Hold = "h"
-	if end := h.end(h.start(held)); !end.HoldTaken || h.engine.Held() != 1 {
-		t.Errorf("hold taken %v, %d held", end.HoldTaken, h.engine.Held())
+	if end := h.end(h.start(held)); !end.HoldTaken || h.engine.HoldCount() != 1 {
+		t.Errorf("hold taken %v, %d held", end.HoldTaken, h.engine.HoldCount())
 	}
 	release := func(done func(error)) { h.driver.Release(structs.Hold{ID: "h", Engine: h.id}, done) }
-	if err := ask(release); err != nil || h.engine.Held() != 0 {
-		t.Errorf("release: %v, %d held", err, h.engine.Held())
+	if err := ask(release); err != nil || h.engine.HoldCount() != 0 {
+		t.Errorf("release: %v, %d held", err, h.engine.HoldCount())
 	}
 	long := h.start(h.request("long", "[[tokens=100000]]"))
 	<-long.first
@@ -240,7 +240,7 @@
 	if diff := cmp.Diff([]structs.ModelName{"n"}, report.Loading); diff != "" {
 		t.Error(diff)
 	}
-	deadline := time.Now().Add(plenty)
+	deadline := time.Now().Add(longTimeout)
 	for len(h.load().Models) < 2 && time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -280,7 +280,7 @@
 		})
 	})
 	if err != nil || tokens != 384 {
-		t.Fatalf("%d tokens came: %v", tokens, err)
+		t.Fatalf("%d tokens transferred: %v", tokens, err)
 	}
 	if held := to.engine.model.Holds(); len(held) != 1 || held[0].ID != "h" || held[0].Tokens != 384 {
 		t.Errorf("held for the attempt that follows: %+v", held)
@@ -333,18 +333,18 @@
 	}
 }
 
-func TestPlainClientThatLeavesStopsItsAttempt(t *testing.T) {
+func TestDisconnectOfPlainClientCancelsItsAttempt(t *testing.T) {
 	h := newHarness(t, nil)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	body := `{"model":"m","stream":true,"messages":[{"role":"user","content":"[[tokens=100000]]"}]}`
 	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, h.url+openai.PathCompletions, strings.NewReader(body))
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	leave()
+	disconnect()
 	_ = response.Body.Close()
-	deadline := time.Now().Add(plenty)
+	deadline := time.Now().Add(longTimeout)
 	for h.engine.Runs()[0].Kind != framework.EndCancelled && time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/standin/proxy/pipe.go
+++ b/internal/standin/proxy/pipe.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// chunkBytes is the most that is read at once.
+	// chunkBytes is the maximum size of one read.
 	chunkBytes = 32 << 10
-	// queuedChunks bounds what one direction keeps back; then the sender has
-	// to wait, as with a full window.
+	// queuedChunks limits the chunks queued in one direction; beyond it the
+	// sender blocks, as with a full TCP window.
 	queuedChunks = 1024
-	// paceInterval is how often a held direction looks whether it may go on.
-	paceInterval = 5 * time.Millisecond
+	// pollInterval is how often a held direction checks whether it may
+	// continue.
+	pollInterval = 5 * time.Millisecond
 )
 
-// chunkKind tells what a chunk passes on.
+// chunkKind is what a chunk forwards.
 type chunkKind int
 
 const (
@@ -30,7 +31,7 @@
 	chunkReset
 )
 
-// chunk is something to pass on once its time has come.
+// chunk is data or an end to forward at its due time.
 type chunk struct {
 	kind  chunkKind
 	bytes []byte
@@ -40,62 +41,63 @@
 // pipe is one direction of a connection.
 type pipe struct {
 	source, destination net.Conn
-	// pending was read from the source before the pipe began.
+	// pending was read from the source before the pipe started.
 	pending []byte
-	// faults are this direction's, opposite the other's.
-	faults   func() DirectionFaults
-	opposite func() DirectionFaults
-	draw     func(limit time.Duration) time.Duration
-	queue    chan chunk
-	closed   chan struct{}
-	cut      func()
-	once     sync.Once
+	// faults returns this direction's faults, opposite the other direction's.
+	faults         func() DirectionFaults
+	opposite       func() DirectionFaults
+	randomDuration func(limit time.Duration) time.Duration
+	queue          chan chunk
+	closed         chan struct{}
+	cut            func()
+	once           sync.Once
 }
 
-// run moves bytes until one side ends.
+// run forwards bytes until one side ends.
 func (p *pipe) run() {
 	go p.read()
 	p.write()
 }
 
-// stop has the pipe end at once.
+// stop ends the pipe immediately.
 func (p *pipe) stop() { p.once.Do(func() { close(p.closed) }) }
 
 func (p *pipe) read() {
 	defer close(p.queue)
 	last := p.dueAfter(time.Time{})
-	if len(p.pending) > 0 && !p.push(chunk{kind: chunkData, bytes: p.pending, due: last}) {
+	if len(p.pending) > 0 && !p.enqueue(chunk{kind: chunkData, bytes: p.pending, due: last}) {
 		return
 	}
 	buffer := make([]byte, chunkBytes)
 	for {
 		count, err := p.source.Read(buffer)
 		last = p.dueAfter(last)
-		if count > 0 && !p.push(chunk{kind: chunkData, bytes: slices.Clone(buffer[:count]), due: last}) {
+		if count > 0 && !p.enqueue(chunk{kind: chunkData, bytes: slices.Clone(buffer[:count]), due: last}) {
 			return
 		}
 		if err == io.EOF {
-			p.push(chunk{kind: chunkEnd, due: last})
+			p.enqueue(chunk{kind: chunkEnd, due: last})
 			return
 		}
 		if err != nil {
-			p.push(chunk{kind: chunkReset, due: last})
+			p.enqueue(chunk{kind: chunkReset, due: last})
 			return
 		}
 	}
 }
 
-// dueAfter returns when bytes that come now may go on, behind those before.
+// dueAfter returns when bytes received now are due, not before the previous
+// ones.
 func (p *pipe) dueAfter(last time.Time) time.Time {
 	faults := p.faults()
-	due := time.Now().Add(time.Duration(faults.Delay) + p.draw(time.Duration(faults.Jitter)))
+	due := time.Now().Add(time.Duration(faults.Delay) + p.randomDuration(time.Duration(faults.Jitter)))
 	if due.Before(last) {
 		return last
 	}
 	return due
 }
 
-func (p *pipe) push(next chunk) bool {
+func (p *pipe) enqueue(next chunk) bool {
 	select {
 	case p.queue <- next:
 		return true
@@ -110,33 +112,33 @@
 			return
 		}
 		if p.faults().Drop {
-			p.lose()
+			p.discardUntilLifted()
 			return
 		}
-		if !p.pass(next) {
+		if !p.forward(next) {
 			return
 		}
 	}
 }
 
-// lose throws away what comes until the fault is lifted, and then cuts the
-// connection: it cannot go on without what was lost.
-func (p *pipe) lose() {
+// discardUntilLifted discards bytes until the fault is lifted and then resets
+// the connection, which cannot continue without them.
+func (p *pipe) discardUntilLifted() {
 	go func() {
 		for range p.queue {
 			continue
 		}
 	}()
 	for p.faults().Drop {
-		if !sleepUntil(time.Now().Add(paceInterval), p.closed) {
+		if !sleepUntil(time.Now().Add(pollInterval), p.closed) {
 			return
 		}
 	}
 	p.cut()
 }
 
-// pass hands on one chunk; it returns false when the pipe is at its end.
-func (p *pipe) pass(next chunk) bool {
+// forward forwards one chunk; it returns false when the pipe has ended.
+func (p *pipe) forward(next chunk) bool {
 	switch next.kind {
 	case chunkEnd:
 		closeWrite(p.destination)
@@ -152,14 +154,14 @@
 		}
 	}
 	if _, err := p.destination.Write(next.bytes); err != nil {
-		p.destinationBroken()
+		p.propagateReset()
 		return false
 	}
 	return true
 }
 
-// destinationBroken tells the source, as soon as the way back is open.
-func (p *pipe) destinationBroken() {
+// propagateReset resets the source's side once the opposite direction is open.
+func (p *pipe) propagateReset() {
 	blocked := func() DirectionFaults {
 		faults := p.opposite()
 		faults.Hold = faults.Hold || faults.Drop
@@ -170,18 +172,18 @@
 	}
 }
 
-// waitWhileHeld returns once a direction is not held, and false when the
+// waitWhileHeld returns true once a direction is not held, and false if the
 // connection ended before.
 func (p *pipe) waitWhileHeld(faults func() DirectionFaults) bool {
 	for faults().Hold {
-		if !sleepUntil(time.Now().Add(paceInterval), p.closed) {
+		if !sleepUntil(time.Now().Add(pollInterval), p.closed) {
 			return false
 		}
 	}
 	return true
 }
 
-// sleepUntil returns true at a time, or false once closed is closed.
+// sleepUntil returns true at a time, or false as soon as closed is closed.
 func sleepUntil(due time.Time, closed <-chan struct{}) bool {
 	timer := time.NewTimer(max(time.Until(due), 0))
 	defer timer.Stop()
--- a/internal/workload/shape.go
+++ b/internal/workload/shape.go
@@ -11,25 +11,27 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// ErrUnknown: there is no workload of that name.
-var ErrUnknown = eris.New("workload: unknown")
+// ErrUnknownWorkload is returned for an unknown workload name.
+var ErrUnknownWorkload = eris.New("workload: unknown workload")
 
 // Shape is one user's workload.
 type Shape struct {
 	Name string
-	// Zones and Engines are the fleet's size for agent models.
+	// Zones and Engines are the zones and the number of engines of the fleet
+	// for agent models.
 	Zones   []structs.ZoneName
 	Engines int
-	// Model is what its programs call.
+	// Model is the model that its programs call.
 	Model structs.ModelName
-	// ZoneDelaySeconds is one way between zones, ClientDelaySeconds to callers.
+	// ZoneDelaySeconds is the one-way delay between zones, ClientDelaySeconds
+	// that to callers.
 	ZoneDelaySeconds   float64
 	ClientDelaySeconds float64
-	// CacheWeight is what the user's operators would set.
+	// CacheWeight is the value that the user's operators would set.
 	CacheWeight float64
 	tenants     []weighted[structs.TenantName]
 	templates   []template
-	// intensity is the arrival rate over time, in parts of its mean.
+	// intensity returns the arrival rate over time, relative to its mean.
 	intensity func(random *rand.Rand, duration float64) func(at float64) float64
 	peak      float64
 }
@@ -45,68 +47,70 @@
 	name   structs.TemplateName
 	weight float64
 	// prefixTokens is the length of the system prompt that its programs share.
-	prefixTokens int64
-	priority     int
-	turns        func(*rand.Rand) int
-	first        tokens
-	following    tokens
-	step         tokens
-	final        tokens
-	pause        pause
-	// spawns is the probability that a turn spawns sub-agents.
-	spawns float64
-	child  *template
-}
-
-// tokens is a length between bounds, with a tail to the right.
-type tokens struct{ low, high int64 }
-
-func (t tokens) draw(random *rand.Rand) int64 {
-	// The square of a uniform number makes short ones more frequent.
+	prefixTokens   int64
+	priority       int
+	turns          func(*rand.Rand) int
+	firstInput     lengthRange
+	followingInput lengthRange
+	stepAnswer     lengthRange
+	finalAnswer    lengthRange
+	pause          pauseDistribution
+	// spawnProbability is the probability that a turn spawns sub-agents.
+	spawnProbability float64
+	child            *template
+}
+
+// lengthRange is a range of lengths in tokens with a right-skewed
+// distribution.
+type lengthRange struct{ low, high int64 }
+
+func (t lengthRange) draw(random *rand.Rand) int64 {
+	// Squaring the uniform number makes short lengths more frequent.
 	u := random.Float64()
 	return t.low + int64(float64(t.high-t.low)*u*u)
 }
 
-// pause is a log-normal body with a Pareto tail, both in seconds.
-type pause struct {
+// pauseDistribution is a log-normal distribution with a Pareto tail, in
+// seconds.
+type pauseDistribution struct {
 	median, sigma float64
-	// tail is the probability of a draw from the tail, which starts at
-	// tailFrom and ends at tailTo.
+	// tail is the probability of a value from the tail, which ranges from
+	// tailFrom to tailTo.
 	tail, tailFrom, tailTo float64
 }
 
-// tailIndex is the exponent of the Pareto tail: finite mean, infinite variance
-// but for its bound.
+// tailIndex is the exponent of the Pareto tail: without its upper bound, the
+// mean is finite and the variance infinite.
 const tailIndex = 1.2
 
-func (p pause) draw(random *rand.Rand) float64 {
+func (p pauseDistribution) draw(random *rand.Rand) float64 {
 	if random.Float64() < p.tail {
 		return min(p.tailFrom*math.Pow(1-random.Float64(), -1/tailIndex), p.tailTo)
 	}
 	return p.median * math.Exp(p.sigma*random.NormFloat64())
 }
 
-// Shapes returns all workloads by name.
+// Shapes returns all workloads.
 func Shapes() []Shape { return []Shape{tally(), chlebnet()} }
 
-// Named returns a workload, or ErrUnknown.
-func Named(name string) (Shape, error) {
+// ByName returns a workload, or ErrUnknownWorkload.
+func ByName(name string) (Shape, error) {
 	for _, shape := range Shapes() {
 		if shape.Name == name {
 			return shape, nil
 		}
 	}
-	return Shape{}, eris.Wrapf(ErrUnknown, "%q (known: tally, chlebnet)", name)
+	return Shape{}, eris.Wrapf(ErrUnknownWorkload, "%q (known: tally, chlebnet)", name)
 }
 
-// Seeds of the streams of random numbers; shapes and arrival times are drawn
-// apart, so that the same programs come at any rate.
+// Random number streams. Programs and arrival times use separate streams, so
+// that the same programs are generated at any rate.
 const (
 	programStream = 1
 	arrivalStream = 2
 )
 
-// Generate draws the programs that arrive within a duration, in seconds.
+// Generate generates the programs that arrive within a duration, in seconds.
 func (s *Shape) Generate(seed uint64, rate, duration float64) Trace {
 	trace := Trace{Workload: s.Name, Seed: seed, Rate: rate}
 	arrivals := s.arrivals(rand.New(rand.NewPCG(seed, arrivalStream)), rate, duration)
@@ -119,7 +123,7 @@
 	return trace
 }
 
-// Sample draws programs without arrival times, for their mean.
+// Sample generates programs without arrival times, for computing their mean.
 func (s *Shape) Sample(seed uint64, count int) []Program {
 	random := rand.New(rand.NewPCG(seed, programStream))
 	programs := make([]Program, count)
@@ -129,7 +133,7 @@
 	return programs
 }
 
-// arrivals draws from a Poisson process of varying rate by thinning.
+// arrivals samples an inhomogeneous Poisson process by thinning.
 func (s *Shape) arrivals(random *rand.Rand, rate, duration float64) []float64 {
 	intensity := s.intensity(random, duration)
 	var times []float64
@@ -145,8 +149,8 @@
 }
 
 func (s *Shape) program(random *rand.Rand, number int) Program {
-	chosen := pick(random, s.templates, func(t template) float64 { return t.weight })
-	tenant := pick(random, s.tenants, func(t weighted[structs.TenantName]) float64 { return t.weight })
+	chosen := pickWeighted(random, s.templates, func(t template) float64 { return t.weight })
+	tenant := pickWeighted(random, s.tenants, func(t weighted[structs.TenantName]) float64 { return t.weight })
 	return chosen.program(random, structs.ProgramID(fmt.Sprintf("%s-%05d", chosen.name, number)), tenant.value)
 }
 
@@ -160,22 +164,22 @@
 }
 
 func (t *template) turn(random *rand.Rand, program *Program, number int, last bool) Turn {
-	turn := Turn{InputTokens: t.following.draw(random), AnswerTokens: t.step.draw(random)}
+	turn := Turn{InputTokens: t.followingInput.draw(random), AnswerTokens: t.stepAnswer.draw(random)}
 	if number == 0 {
-		turn.InputTokens = t.first.draw(random)
+		turn.InputTokens = t.firstInput.draw(random)
 	}
 	if last {
-		turn.AnswerTokens = t.final.draw(random)
+		turn.AnswerTokens = t.finalAnswer.draw(random)
 		return turn
 	}
 	turn.PauseSeconds = t.pause.draw(random)
-	if t.child != nil && random.Float64() < t.spawns {
+	if t.child != nil && random.Float64() < t.spawnProbability {
 		turn.SubAgents = t.children(random, program, number)
 	}
 	return turn
 }
 
-// maximumSubAgents bounds what one turn spawns.
+// maximumSubAgents limits the sub-agents that one turn spawns.
 const maximumSubAgents = 3
 
 func (t *template) children(random *rand.Rand, parent *Program, number int) []Program {
@@ -187,7 +191,7 @@
 	return children
 }
 
-func pick[T any](random *rand.Rand, choices []T, weight func(T) float64) T {
+func pickWeighted[T any](random *rand.Rand, choices []T, weight func(T) float64) T {
 	total := 0.0
 	for _, choice := range choices {
 		total += weight(choice)
@@ -202,7 +206,7 @@
 	return choices[len(choices)-1]
 }
 
-// burstTimes draws when bursts start.
+// burstTimes generates the start times of bursts.
 func burstTimes(random *rand.Rand, meanGap, duration float64) []float64 {
 	var starts []float64
 	for at := random.ExpFloat64() * meanGap; at < duration; at += random.ExpFloat64() * meanGap {
