--- a/internal/backends/back_end.go
+++ b/internal/backends/back_end.go
@@ -85,7 +85,7 @@
 	if run != 0 && run < b.run {
 		return false
 	}
-	news := !b.draining(settings, now)
+	isNew := !b.draining(settings, now)
 	b.drainingAt = now
-	return news
+	return isNew
 }
--- a/internal/backends/borrow.go
+++ b/internal/backends/borrow.go
@@ -74,17 +74,17 @@
 // handleFind answers with engines of the own cell only; borrowed ones are reported by
 // their own cell.
 func (d *Directory) handleFind(from structs.DaemonID, find *FindEngines) {
-	var digests []LoadSummary
+	var summaries []LoadSummary
 	for _, wanted := range find.Models {
 		for _, report := range d.serving(wanted) {
-			known := slices.ContainsFunc(digests, func(g LoadSummary) bool { return g.Engine == report.Engine })
-			if !known && d.inCell(report.Engine) && len(digests) < d.Settings.FindEngines*len(find.Models) {
-				digests = append(digests, summaryOf(report))
+			known := slices.ContainsFunc(summaries, func(g LoadSummary) bool { return g.Engine == report.Engine })
+			if !known && d.inCell(report.Engine) && len(summaries) < d.Settings.FindEngines*len(find.Models) {
+				summaries = append(summaries, summaryOf(report))
 			}
 		}
 	}
-	if len(digests) > 0 {
-		d.Transport.Send(from, &EnginesFound{Summaries: digests})
+	if len(summaries) > 0 {
+		d.Transport.Send(from, &EnginesFound{Summaries: summaries})
 	}
 }
 
@@ -97,13 +97,13 @@
 
 // borrow starts to use engines of other cells.
 func (d *Directory) borrow(found *EnginesFound) {
-	for _, digest := range found.Summaries {
+	for _, summary := range found.Summaries {
 		d.mutex.Lock()
-		if b := d.backEnds[digest.Engine]; b != nil && b.listed {
+		if b := d.backEnds[summary.Engine]; b != nil && b.listed {
 			b.borrowedUntil = d.Clock.Now().Add(d.Settings.BorrowDuration)
 		}
 		d.mutex.Unlock()
-		d.receiveSummary(digest)
+		d.receiveSummary(summary)
 	}
 }
 
--- a/internal/backends/directory.go
+++ b/internal/backends/directory.go
@@ -192,14 +192,14 @@
 		return
 	}
 	run, engine := b.run, b.isEngine()
-	news := b.observeDraining(run, d.Settings, d.Clock.Now())
+	isNew := b.observeDraining(run, d.Settings, d.Clock.Now())
 	d.mutex.Unlock()
 	d.updateScheduler(id)
-	if news {
+	if isNew {
 		d.Logger.Info().Str("back_end", string(id)).Msg("Back end is leaving.")
 		d.broadcast(&Leaving{BackEnd: id, Run: run})
 	}
-	if news && !engine {
+	if isNew && !engine {
 		d.probeApplication(id)
 	}
 }
--- a/internal/backends/list.go
+++ b/internal/backends/list.go
@@ -63,9 +63,9 @@
 		present[id] = true
 		d.addListed(id, machine)
 	}
-	gone := d.removeUnlisted(present)
+	unlisted := d.removeUnlisted(present)
 	d.mutex.Unlock()
-	for _, id := range gone {
+	for _, id := range unlisted {
 		d.Scheduler.RemoveEngine(id)
 	}
 	d.OnList(machines)
@@ -111,7 +111,7 @@
 // hold-down has passed. It returns the newly unlisted ones, in order.
 func (d *Directory) removeUnlisted(present map[structs.EngineID]bool) []structs.EngineID {
 	now := d.Clock.Now()
-	var gone []structs.EngineID
+	var unlisted []structs.EngineID
 	for id, b := range d.backEnds {
 		switch {
 		case present[id]:
@@ -119,13 +119,13 @@
 			b.listed = false
 			b.inScheduler = false
 			b.lastBadListingAt = now
-			gone = append(gone, id)
+			unlisted = append(unlisted, id)
 		case now.Sub(b.lastBadListingAt) >= d.Settings.ListHoldDown:
 			delete(d.backEnds, id)
 		}
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(unlisted)
+	return unlisted
 }
 
 // refresh updates the scheduler after time passed or the state of back ends changed.
--- a/internal/backends/messages.go
+++ b/internal/backends/messages.go
@@ -55,21 +55,21 @@
 	}
 }
 
-func (g LoadSummary) report() structs.LoadReport {
+func (s LoadSummary) report() structs.LoadReport {
 	return structs.LoadReport{
-		Engine:              g.Engine,
-		Models:              g.Models,
-		Adapters:            g.adapters(),
-		Role:                g.Role,
-		Running:             g.Running,
-		Waiting:             g.Waiting,
-		QueuedPrefillTokens: g.Queued,
-		MaximumRunning:      g.Maximum,
-		CacheTokens:         g.Cached,
-		CacheCapacityTokens: g.Cache,
-		HeldTokens:          g.Held,
-		Draining:            g.Draining,
-		StartedUnixNano:     g.Run,
+		Engine:              s.Engine,
+		Models:              s.Models,
+		Adapters:            s.adapters(),
+		Role:                s.Role,
+		Running:             s.Running,
+		Waiting:             s.Waiting,
+		QueuedPrefillTokens: s.Queued,
+		MaximumRunning:      s.Maximum,
+		CacheTokens:         s.Cached,
+		CacheCapacityTokens: s.Cache,
+		HeldTokens:          s.Held,
+		Draining:            s.Draining,
+		StartedUnixNano:     s.Run,
 	}
 }
 
@@ -84,9 +84,9 @@
 	return loaded
 }
 
-func (g LoadSummary) adapters() []structs.EngineAdapter {
+func (s LoadSummary) adapters() []structs.EngineAdapter {
 	var adapters []structs.EngineAdapter
-	for _, adapter := range g.Adapters {
+	for _, adapter := range s.Adapters {
 		adapters = append(adapters, structs.EngineAdapter{ModelAdapter: adapter})
 	}
 	return adapters
--- a/internal/backends/receive.go
+++ b/internal/backends/receive.go
@@ -12,8 +12,8 @@
 	case *Leaving:
 		d.receiveLeaving(message)
 	case *Loads:
-		for _, digest := range message.Summaries {
-			d.receiveSummary(digest)
+		for _, summary := range message.Summaries {
+			d.receiveSummary(summary)
 		}
 	case *FindEngines:
 		d.handleFind(from, message)
@@ -30,35 +30,35 @@
 func (d *Directory) receiveLeaving(message *Leaving) {
 	d.mutex.Lock()
 	b := d.backEnds[message.BackEnd]
-	news := b != nil && b.observeDraining(message.Run, d.Settings, d.Clock.Now())
+	isNew := b != nil && b.observeDraining(message.Run, d.Settings, d.Clock.Now())
 	application := b != nil && !b.isEngine()
 	d.mutex.Unlock()
 	d.updateScheduler(message.BackEnd)
-	if news && application {
+	if isNew && application {
 		d.probeApplication(message.BackEnd)
 	}
 }
 
-func (d *Directory) receiveSummary(digest LoadSummary) {
+func (d *Directory) receiveSummary(summary LoadSummary) {
 	d.mutex.Lock()
-	b := d.backEnds[digest.Engine]
+	b := d.backEnds[summary.Engine]
 	if b == nil || !b.listed || !d.uses(b) {
 		d.mutex.Unlock()
 		return
 	}
-	if digest.Failed {
+	if summary.Failed {
 		b.failures = d.Settings.FailureLimit
 		b.lastReportAt = d.Clock.Now()
 		d.mutex.Unlock()
-		d.updateScheduler(digest.Engine)
+		d.updateScheduler(summary.Engine)
 		return
 	}
 	b.failures = 0
 	b.unreachable = false
-	d.applyReport(b, digest.report())
+	d.applyReport(b, summary.report())
 	d.mutex.Unlock()
-	d.updateScheduler(digest.Engine)
-	d.forwardReport(digest.report())
+	d.updateScheduler(summary.Engine)
+	d.forwardReport(summary.report())
 }
 
 // broadcast sends a message to the daemons of the cell, in a small fleet to all.
@@ -74,21 +74,21 @@
 // sendSummaries sends the load of the watched engines to the cell.
 func (d *Directory) sendSummaries(cells cells) {
 	d.mutex.Lock()
-	var digests []LoadSummary
+	var summaries []LoadSummary
 	for _, id := range cells.watched {
 		b := d.backEnds[id]
 		if b == nil || !b.listed || b.report.Engine == "" {
 			continue
 		}
-		digest := summaryOf(b.report)
-		digest.Failed = b.suspected(d.Settings, d.Clock.Now())
-		digests = append(digests, digest)
+		summary := summaryOf(b.report)
+		summary.Failed = b.suspected(d.Settings, d.Clock.Now())
+		summaries = append(summaries, summary)
 	}
 	d.mutex.Unlock()
-	if len(digests) == 0 {
+	if len(summaries) == 0 {
 		return
 	}
 	for _, other := range cells.peers {
-		d.Transport.Send(other, &Loads{Summaries: digests})
+		d.Transport.Send(other, &Loads{Summaries: summaries})
 	}
 }
--- a/internal/backends/watch.go
+++ b/internal/backends/watch.go
@@ -109,9 +109,9 @@
 	}
 	b.failures = 0
 	b.unreachable = false
-	news := d.applyReport(b, report)
+	isNew := d.applyReport(b, report)
 	d.mutex.Unlock()
-	if news {
+	if isNew {
 		d.broadcast(&Leaving{BackEnd: id, Run: report.StartedUnixNano})
 	}
 	d.updateScheduler(id)
--- a/internal/gateway/answer_collector.go
+++ b/internal/gateway/answer_collector.go
@@ -9,8 +9,8 @@
 	"github.com/mintpulley/mintpulley/internal/submit"
 )
 
-// deadlineGrace is how long after its deadline a call's outcome is awaited: the
-// shard's leader refuses by itself the calls that it has not sent by then.
+// deadlineGrace is how long a call's outcome is awaited after its deadline: the
+// shard's leader refuses a call that it has not dispatched by its deadline.
 const deadlineGrace = 2 * time.Second
 
 // answerCollector collects an answer for an HTTP handler. It implements submit.Caller,
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -76,8 +76,8 @@
 		body.BodyStatus = outcome.BodyStatus
 		body.Body = jsonOrText(outcome.Body)
 	default:
-		whole := completionOf(request, "", *outcome)
-		body.Completion = &whole
+		completion := completionOf(request, "", *outcome)
+		body.Completion = &completion
 	}
 	return body
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -24,11 +24,11 @@
 	if err := stream.Err(); err != nil {
 		t.Fatal(err)
 	}
-	whole := request(t, name, "r").Completion
-	if got := accumulator.Choices[0].Message.Content; got == "" || got != whole.Choices[0].Message.Content {
-		t.Errorf("streamed %q, recorded %q", got, whole.Choices[0].Message.Content)
+	recorded := request(t, name, "r").Completion
+	if got := accumulator.Choices[0].Message.Content; got == "" || got != recorded.Choices[0].Message.Content {
+		t.Errorf("streamed %q, recorded %q", got, recorded.Choices[0].Message.Content)
 	}
-	if accumulator.Usage.TotalTokens != whole.Usage.TotalTokens || accumulator.Choices[0].FinishReason != "stop" {
+	if accumulator.Usage.TotalTokens != recorded.Usage.TotalTokens || accumulator.Choices[0].FinishReason != "stop" {
 		t.Errorf("usage %+v, finish %q", accumulator.Usage, accumulator.Choices[0].FinishReason)
 	}
 	if chunks < 5 {
@@ -57,8 +57,8 @@
 		}
 		leave()
 	}
-	if whole := request(t, name, "r").Completion.Choices[0].Message.Content; text != whole {
-		t.Errorf("pieces joined\n%q\nwant\n%q", text, whole)
+	if recorded := request(t, name, "r").Completion.Choices[0].Message.Content; text != recorded {
+		t.Errorf("pieces joined\n%q\nwant\n%q", text, recorded)
 	}
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -67,7 +67,7 @@
 // Handler implements http.Handler for all paths under PathPrefix.
 type Handler struct {
 	Options
-	operatorsByKeyHash map[string]string // operator by key hash
+	operatorsByKeyHash map[string]string // names of operators
 	mux                *http.ServeMux
 }
 
--- a/internal/program/memory.go
+++ b/internal/program/memory.go
@@ -86,14 +86,14 @@
 
 // updateFootprint updates the daemon's count after a change to one program.
 func (s *Shard) updateFootprint(key structs.ProgramKey) {
-	former, now := s.footprints[key], int64(0)
+	before, now := s.footprints[key], int64(0)
 	if program := s.programs[key]; program != nil {
 		now = program.footprint()
 		s.footprints[key] = now
 	} else {
 		delete(s.footprints, key)
 	}
-	s.memory.programBytes.Add(now - former)
+	s.memory.programBytes.Add(now - before)
 }
 
 // Discard removes the shard from the daemon's count. The shard must not be used
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -9,8 +9,8 @@
 const (
 	// idleScanInterval is the pause between scans for ended programs.
 	idleScanInterval = 500 * time.Millisecond
-	// maxPrograms bounds the programs tracked for a tenant, well above what a limit of
-	// 100 requests a second can keep under way.
+	// maxPrograms bounds the programs tracked for a tenant. A limit of 100 requests a
+	// second cannot keep as many running.
 	maxPrograms = 4096
 	// maxRetryAfter bounds the retry delay that is given to a caller.
 	maxRetryAfter = 5 * time.Second
--- a/internal/submit/submission.go
+++ b/internal/submit/submission.go
@@ -251,7 +251,7 @@
 	s.leaderHeard(from)
 }
 
-// notKnown sends the whole call again to a leader that does not have it.
+// notKnown sends the call again to a leader that does not have it.
 func (s *Submission) notKnown(from structs.DaemonID) {
 	if from == s.leader {
 		s.route()
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -24,7 +24,7 @@
 	ErrEmptyKey = eris.New("tenant: keys: a key is empty")
 )
 
-// Tenant is a client organisation that shares the fleet with others.
+// Tenant is one of the clients that share a fleet.
 type Tenant struct {
 	Name string
 	// Priority ranks the tenant's requests, 0 first, in place of their routes'
