--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -15,7 +15,7 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run stand-ins, three daemons and both users' programs in one process",
+		Usage: "run stand-ins, three daemons and the example programs in one process",
 		Flags: []cli.Flag{formatFlag()},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			result, err := demo.Run(ctx)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -59,11 +59,11 @@
 	}
 	slot := &handlerSlot{}
 	traffic := &metrics.Traffic{}
-	listenOn := config.PeerListen
-	if listenOn == "" {
-		listenOn = config.PeerAddress
+	peerListenAddress := config.PeerListen
+	if peerListenAddress == "" {
+		peerListenAddress = config.PeerAddress
 	}
-	transport, err := tcp.ListenOn(listenOn, self.ID, slot, traffic.Count, logger.With().Str("part", "peer").Logger())
+	transport, err := tcp.ListenOn(peerListenAddress, self.ID, slot, traffic.Count, logger.With().Str("part", "peer").Logger())
 	if err != nil {
 		return nil, err
 	}
@@ -146,11 +146,11 @@
 // work, answers the requests under way and hands over its shards; then it closes
 // the listeners.
 func (d *Daemon) Stop(ctx context.Context) error {
-	left := make(chan struct{})
-	d.Node.Leave(func() { close(left) })
+	leaveDone := make(chan struct{})
+	d.Node.Leave(func() { close(leaveDone) })
 	d.server.SetKeepAlivesEnabled(false)
 	select {
-	case <-left:
+	case <-leaveDone:
 	case <-ctx.Done():
 		d.logger.Warn().Str("part", "daemon").Int("shards", d.Node.Replication.ShardsNeedingThisDaemon()).
 			Msg("Shutdown deadline passed. These shards have no majority without this daemon.")
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -35,7 +35,7 @@
 	metrics.RegisterNode(registry, n, traffic)
 	limits := gateway.DefaultLimits()
 	limits.MaxBodyBytes, limits.MaxTimeout = config.Limits.MaxBodyBytes, config.Limits.CallTimeout
-	callers := gateway.New(gateway.Options{
+	gatewayHandler := gateway.New(gateway.Options{
 		Node:           n,
 		Queries:        n.Queries,
 		Configurations: n.Configurations,
@@ -49,7 +49,7 @@
 	mux.HandleFunc("GET /healthz", serveHealth)
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { serveReady(w, n) })
 	mux.Handle(operator.PathPrefix, newOperator(n, config, logger))
-	mux.Handle("/", callers)
+	mux.Handle("/", gatewayHandler)
 	httpLogger := logger.With().Str("part", "http").Logger()
 	return &http.Server{
 		Handler:           mux,
