--- a/internal/ledger/client_only_test.go
+++ b/internal/ledger/client_only_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 )
 
-// TestClientOnlyDaemonHoldsNoShard: text of turns that are bound to a region must not reach
+// TestClientOnlyDaemonHoldsNoShard: text of turns restricted to a region must not reach
 // a daemon elsewhere, even if it is asked to take a shard, to read one ahead or to keep a
 // turn.
 func TestClientOnlyDaemonHoldsNoShard(t *testing.T) {
--- a/internal/ledger/evacuations_test.go
+++ b/internal/ledger/evacuations_test.go
@@ -41,10 +41,10 @@
 			f.service(id).Evacuations = news[string(id)]
 		}
 		synctest.Wait()
-		tell := func(reading zone.OrderSnapshot) { // what all others read from the store
+		tell := func(snapshot zone.OrderSnapshot) { // what all others read from the store
 			for id, e := range news {
 				if id != string(cut) {
-					e.ApplySnapshot(reading, time.Now())
+					e.ApplySnapshot(snapshot, time.Now())
 				}
 			}
 		}
--- a/internal/ledger/fleet_test.go
+++ b/internal/ledger/fleet_test.go
@@ -102,7 +102,7 @@
 		StoreBytes:     f.storeBytes,
 
 		Machine: testMachine(id),
-		Quota:   testTerms,
+		Quota:   testTolerance,
 		Logger:  zerolog.Nop(),
 		Metrics: NewMetrics(prometheus.NewRegistry()),
 	})
--- a/internal/ledger/holder_release.go
+++ b/internal/ledger/holder_release.go
@@ -46,10 +46,10 @@
 }
 
 // postpone schedules the next claim.
-func (r *claimRetry) postpone(returned <-chan struct{}) {
+func (r *claimRetry) postpone(recovered <-chan struct{}) {
 	r.pause = min(max(2*r.pause, minClaimPause), maxClaimPause)
 	r.at = time.Now().Add(jitter(r.pause))
-	r.recovered = returned
+	r.recovered = recovered
 }
 
 // mustWait reports whether it is too early for a claim.
--- a/internal/ledger/quota_test.go
+++ b/internal/ledger/quota_test.go
@@ -9,9 +9,9 @@
 	"github.com/mintpulley/mintpulley/internal/quota"
 )
 
-// testTerms allow a tenant with a limit of ten requests a second and a burst of one 66.6
+// testTolerance allows a tenant with a limit of ten requests a second and a burst of one 66.6
 // requests in five seconds.
-var testTerms = quota.Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 10.5}
+var testTolerance = quota.Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 10.5}
 
 // admissions are the times at which requests of one tenant were admitted.
 type admissions struct {
@@ -72,7 +72,7 @@
 			}
 		}
 		time.Sleep(5 * time.Second)
-		most, got := int(testTerms.Window.Seconds()*10*1.1+1.1+10.5), admitted.mostWithin(testTerms.Window)
+		most, got := int(testTolerance.Window.Seconds()*10*1.1+1.1+10.5), admitted.mostWithin(testTolerance.Window)
 		if got > most {
 			t.Errorf("%d requests in five seconds, want %d at most", got, most)
 		}
--- a/internal/ledger/record_store_test.go
+++ b/internal/ledger/record_store_test.go
@@ -80,7 +80,7 @@
 			t.Errorf("the page was read %d times, want once", s.pages)
 		}
 		if _, err := r.newestOnce(t.Context(), store.Partition{}); err == nil {
-			t.Error("a short reading was waited for")
+			t.Error("a short read was waited for")
 		}
 		time.Sleep(downAfter)
 		if r.isDown(time.Now()) {
--- a/internal/ledger/simulation_test.go
+++ b/internal/ledger/simulation_test.go
@@ -27,7 +27,7 @@
 	// provocationSeeds is the number of courses in which a disabled protection must be
 	// detected at least once.
 	provocationSeeds = 150
-	// rollingPause separates the planned shutdowns of daemons one after the other.
+	// rollingPause is the pause between the planned shutdowns of daemons.
 	rollingPause = 270 * time.Millisecond
 )
 
--- a/internal/ledger/simulation_world_test.go
+++ b/internal/ledger/simulation_world_test.go
@@ -24,7 +24,7 @@
 	simulatedShards  = 4
 	// detectionTime is how long the others take to detect that a daemon died.
 	detectionTime = time.Second
-	// pollPause separates checks whether a fault is over.
+	// pollPause is the pause between checks whether a fault is over.
 	pollPause = 10 * time.Millisecond
 )
 
--- a/internal/relaydaemon/front_reuse_test.go
+++ b/internal/relaydaemon/front_reuse_test.go
@@ -104,7 +104,7 @@
 }
 
 // TestAnswersAnnounceTheCloseWhileCallersAreRedirected checks that no connection is kept while a
-// daemon stops or is cut off.
+// daemon is shutting down or isolated.
 func TestAnswersAnnounceTheCloseWhileCallersAreRedirected(t *testing.T) {
 	for redirects, want := range map[bool]string{true: "", false: "timeout=2"} {
 		limitsTest(t, func(t *testing.T, d *drainTest) {
--- a/internal/relaydaemon/keys_test.go
+++ b/internal/relaydaemon/keys_test.go
@@ -160,7 +160,7 @@
 }
 
 // TestConfirmationsOfOtherDaemonsCount checks that a confirmation by a daemon with the same or
-// older routes counts, with its age, and that news of newer routes confirms nothing but makes this
+// older routes counts, with its age, and that one of newer routes confirms nothing but makes this
 // daemon expect them.
 func TestConfirmationsOfOtherDaemonsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/relaydaemon/regional_test.go
+++ b/internal/relaydaemon/regional_test.go
@@ -57,7 +57,7 @@
 	regional *regionalLedgers
 	joined   *residency.Ledger
 	stop     context.CancelFunc
-	// refused: the store refuses its calls. leaving: it announces that it stops.
+	// refused: the store refuses its calls. leaving: it announces its shutdown.
 	refused, leaving bool
 }
 
@@ -438,7 +438,7 @@
 	})
 }
 
-// leave makes a daemon announce that it stops.
+// leave makes a daemon announce its shutdown.
 func (f *regionalFleet) leave(i int) {
 	f.mutex.Lock()
 	f.daemons[i].leaving = true
--- a/internal/store/watch_busy_test.go
+++ b/internal/store/watch_busy_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// refreshThoseBehind requests an immediate read from each daemon that lacks a version, as news from
-// other daemons would, and returns how many lack it.
+// refreshThoseBehind requests an immediate read from each daemon that lacks a version, as notices
+// from other daemons would, and returns how many lack it.
 func (f *busyFleet) refreshThoseBehind(version int64) (behind int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/storecapacity/capacity_test.go
+++ b/internal/storecapacity/capacity_test.go
@@ -96,10 +96,10 @@
 			length := time.Duration(rapid.IntRange(5, 60).Draw(t, "seconds")) * time.Second
 			before := m.refused
 			begun := m.run(offered, length)
-			floor := baseRateShare * (1 - reservedShare) * testBound / testLife.Seconds()
-			least := 0.8 * min(offered, floor) * (length - 4*time.Second).Seconds() / programBytes
+			baseRate := baseRateShare * (1 - reservedShare) * testBound / testLife.Seconds()
+			least := 0.8 * min(offered, baseRate) * (length - 4*time.Second).Seconds() / programBytes
 			if float64(begun) < least {
-				t.Fatalf("%d programs began and %d were refused of %.1f MB/s in %s, floor %.1f MB/s", begun, m.refused-before, offered/1e6, length, floor/1e6)
+				t.Fatalf("%d programs began and %d were refused of %.1f MB/s in %s, base rate %.1f MB/s", begun, m.refused-before, offered/1e6, length, baseRate/1e6)
 			}
 		}
 		if float64(m.most) > exhaustedShare*testBound {
--- a/internal/warmup/fleet_test.go
+++ b/internal/warmup/fleet_test.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	testTerms    = Tolerance{Overage: 1.5, Slack: 5}
-	testServices = map[string]*route.Service{
+	testTolerance = Tolerance{Overage: 1.5, Slack: 5}
+	testServices  = map[string]*route.Service{
 		"s": {Name: "s", ColdStart: 3 * time.Second, ColdRequestsPerSecond: 28},
 		"t": {Name: "t"},
 	}
@@ -29,7 +29,7 @@
 )
 
 func newTestLimiter(address string) *Limiter {
-	l := NewLimiter(Options{Tolerance: testTerms, OwnAddress: address, Logger: zerolog.Nop()})
+	l := NewLimiter(Options{Tolerance: testTolerance, OwnAddress: address, Logger: zerolog.Nop()})
 	l.SetServices(testServices)
 	return l
 }
