--- a/internal/ledger/allowance.go
+++ b/internal/ledger/allowance.go
@@ -141,7 +141,7 @@
 
 // countLostAllowance counts the former holder's allowance as lost.
 func (s *state) countLostAllowance(now time.Time) {
-	if s.machine.isSoonAfter(s.allowance.allowanceRecord) {
+	if s.machine.startedSoonAfter(s.allowance.allowanceRecord) {
 		s.allowance.OfOneTurn++
 	} else {
 		s.allowance.OfAll++
--- a/internal/ledger/headroom.go
+++ b/internal/ledger/headroom.go
@@ -126,7 +126,7 @@
 // forfeitHeadroom counts as spent what the former holder may have granted from the headroom
 // of the accounts that were read.
 func (s *state) forfeitHeadroom() {
-	immediateOnly := s.machine.isSoonAfter(s.allowance.allowanceRecord)
+	immediateOnly := s.machine.startedSoonAfter(s.allowance.allowanceRecord)
 	for _, entry := range s.accounts {
 		entry.forfeit(immediateOnly)
 	}
--- a/internal/ledger/holder_capacity.go
+++ b/internal/ledger/holder_capacity.go
@@ -62,7 +62,7 @@
 
 // reportCapacity reports how many bytes the shard's records use in the store.
 func (h *holder) reportCapacity(now time.Time) {
-	profile, sizes := h.state.kept(now)
+	profile, sizes := h.state.usage(now)
 	sizes.history = h.appended.bytes()
 	profile.ProgramBytes = sizes.turns / int64(max(len(h.state.accounts), 1))
 	coming := remainingShare * float64(profile.ProgramBytes) * float64(h.state.underway(now))
@@ -79,8 +79,8 @@
 	h.sizes = shardSizes{}
 }
 
-// kept returns the sizes of the shard's newest records and when they expire.
-func (s *state) kept(now time.Time) (profile storecapacity.Profile, sizes shardSizes) {
+// usage returns the sizes of the shard's newest records and when they expire.
+func (s *state) usage(now time.Time) (profile storecapacity.Profile, sizes shardSizes) {
 	add := func(sum *int64, bytes int64, usedAt time.Time, retentionMS int64) {
 		life := time.Duration(retentionMS)*time.Millisecond + retentionMargin
 		*sum += bytes
--- a/internal/ledger/machine_clock.go
+++ b/internal/ledger/machine_clock.go
@@ -13,9 +13,9 @@
 	Started time.Duration
 }
 
-// isSoonAfter reports whether the previous process on this machine wrote a record and ended
-// within singleTurnPeriod of that.
-func (m MachineClock) isSoonAfter(record allowanceRecord) bool {
+// startedSoonAfter reports whether the previous process on this machine wrote a record and
+// this process started within singleTurnPeriod of that.
+func (m MachineClock) startedSoonAfter(record allowanceRecord) bool {
 	if m.Boot == "" || m.Boot != record.Boot {
 		return false
 	}
--- a/internal/storecapacity/estimate.go
+++ b/internal/storecapacity/estimate.go
@@ -70,16 +70,16 @@
 func (e *Estimate) Reports(shard int, others bool, now time.Time) []Report {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	var told []Report
+	var list []Report
 	if known, isKnown := e.reports[shard]; isKnown {
-		told = append(told, known.reportOf(shard, now))
+		list = append(list, known.reportOf(shard, now))
 	}
 	for other, known := range e.reports { // in random order
-		if others && len(told) <= maxPassedOn && other != shard && now.Sub(known.at) <= maxPassOnAge {
-			told = append(told, known.reportOf(other, now))
+		if others && len(list) <= maxPassedOn && other != shard && now.Sub(known.at) <= maxPassOnAge {
+			list = append(list, known.reportOf(other, now))
 		}
 	}
-	return told
+	return list
 }
 
 func (t timedProfile) reportOf(shard int, now time.Time) Report {
@@ -92,22 +92,22 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	var sum Profile
-	heard, programs := 0, 0
+	reported, programs := 0, 0
 	for shard, known := range e.reports {
 		age := now.Sub(known.at)
 		if age > reportTTL {
 			delete(e.reports, shard)
 			continue
 		}
-		heard++
+		reported++
 		if known.profile.ProgramBytes > 0 {
 			programs++
 		}
 		sum.include(known.profile.after(max(age, 0)))
 	}
-	if heard == 0 {
+	if reported == 0 {
 		return Profile{}, false
 	}
 	sum.ProgramBytes /= int64(max(programs, 1))
-	return sum.scaledBy(float64(e.shards) / float64(heard)), true
+	return sum.scaledBy(float64(e.shards) / float64(reported)), true
 }
--- a/internal/storecapacity/profile.go
+++ b/internal/storecapacity/profile.go
@@ -39,8 +39,8 @@
 }
 
 // Add adds bytes that expire after a duration.
-func (p *Profile) Add(bytes int64, dropped time.Duration) {
-	slot := int(min(max(dropped, 0)/SlotLength, slotsLimit-1))
+func (p *Profile) Add(bytes int64, expiresIn time.Duration) {
+	slot := int(min(max(expiresIn, 0)/SlotLength, slotsLimit-1))
 	for len(p.Expiring) <= slot {
 		p.Expiring = append(p.Expiring, 0)
 	}
--- a/internal/warmup/tolerance.go
+++ b/internal/warmup/tolerance.go
@@ -46,8 +46,8 @@
 }
 
 func (t Tolerance) rate(perSecond float64) int {
-	if usual := math.Floor(perSecond * t.Overage); usual >= 1 {
-		return int(min(usual, maxRate))
+	if allowed := math.Floor(perSecond * t.Overage); allowed >= 1 {
+		return int(min(allowed, maxRate))
 	}
 	return int(min(math.Floor(perSecond*t.Overage+t.Slack), 1))
 }
