--- a/internal/storecapacity/estimate.go
+++ b/internal/storecapacity/estimate.go
@@ -70,16 +70,16 @@
 func (e *Estimate) Reports(shard int, others bool, now time.Time) []Report {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	var reports []Report
+	var list []Report
 	if known, isKnown := e.reports[shard]; isKnown {
-		reports = append(reports, known.reportOf(shard, now))
+		list = append(list, known.reportOf(shard, now))
 	}
 	for other, known := range e.reports { // in random order
-		if others && len(reports) <= maxPassedOn && other != shard && now.Sub(known.at) <= maxPassOnAge {
-			reports = append(reports, known.reportOf(other, now))
+		if others && len(list) <= maxPassedOn && other != shard && now.Sub(known.at) <= maxPassOnAge {
+			list = append(list, known.reportOf(other, now))
 		}
 	}
-	return reports
+	return list
 }
 
 func (t timedProfile) reportOf(shard int, now time.Time) Report {
