--- a/internal/dispatch/active_call.go
+++ b/internal/dispatch/active_call.go
@@ -20,7 +20,8 @@
 	stageProposed stage = iota
 	// stageWaiting: accepted; earlier calls of the program are not settled yet.
 	stageWaiting
-	// stageWaitingForQuota: waiting for a slice of the tenant's quota.
+	// stageWaitingForQuota: waiting for a larger allowance of the tenant's
+	// quota.
 	stageWaitingForQuota
 	// stageQueued: waiting for an engine.
 	stageQueued
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -81,8 +81,9 @@
 	l.Transport.Send(from, &NotKnown{Submission: attach.Submission})
 }
 
-// shedProgram refuses a new program while the queue has no room for it. Nothing
-// is recorded, so that a flood of new programs costs the replicas nothing.
+// shedProgram refuses a new program while the queue has no room for it, and
+// reports whether it did. No record is proposed, so that a flood of new programs
+// costs the replicas nothing.
 func (l *leader) shedProgram(follower attachment, call structs.Call, admission program.Admission) bool {
 	if admission.Records[0].ProgramStarted == nil || call.Kind != structs.CallModel {
 		return false
@@ -132,7 +133,8 @@
 	return ""
 }
 
-// answerSettled answers a request whose outcome is recorded.
+// answerSettled answers a request that was accepted before: with its outcome if
+// that is recorded, and with Accepted otherwise.
 func (l *leader) answerSettled(follower attachment, call structs.Call) {
 	p := l.machine.Program(call.Key)
 	if p == nil {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// retryWithoutBackEnd is the retry-after time when no live machine serves the
+// retryWithoutBackEnd is the retry delay when no live machine serves the
 // target.
 const retryWithoutBackEnd = 2 * time.Second
 
--- a/internal/dispatch/await_configuration.go
+++ b/internal/dispatch/await_configuration.go
@@ -3,8 +3,7 @@
 import "github.com/mintpulley/mintpulley/internal/structs"
 
 // configurationWaits bounds how often a submission waits configurationRetry for
-// the first configuration: two seconds in total, twice the time that a starting
-// daemon takes to learn it from its peers.
+// the first configuration: for two seconds in total.
 const configurationWaits = 20
 
 // refuseUnresolved refuses a call that the configuration does not allow. A
--- a/internal/dispatch/coordinator.go
+++ b/internal/dispatch/coordinator.go
@@ -26,8 +26,8 @@
 	// NewProgramRefusal returns the refusal that the first call of a tenant's
 	// next program would get now, and false when there is room.
 	NewProgramRefusal(tenant structs.TenantName) (structs.Outcome, bool)
-	// Remove removes an item that was neither assigned nor refused. It returns
-	// false when the item was assigned or refused already.
+	// Remove removes an item that was neither assigned nor refused, and
+	// reports whether it did.
 	Remove(item *schedule.Item) bool
 	// Finished returns the slot of an assignment.
 	Finished(assignment schedule.Assignment, result schedule.Result)
@@ -78,12 +78,13 @@
 	// RerunAfter is how long an unreachable back end is inspected before a
 	// repeatable call is run elsewhere.
 	RerunAfter time.Duration
-	// UnknownAfter is when the caller is told that the outcome is unknown for
-	// now.
+	// UnknownAfter is how long a back end is inspected before the caller is
+	// told that the outcome is unknown for now.
 	UnknownAfter time.Duration
 	// StallAfter is how long a back end may make no progress.
 	StallAfter time.Duration
-	// GiveUpAfter is when the outcome is recorded as unknown.
+	// GiveUpAfter is how long a back end is inspected before the outcome is
+	// recorded as unknown.
 	GiveUpAfter time.Duration
 	// MaximumAttempts bounds the attempts of one call.
 	MaximumAttempts int
@@ -218,7 +219,7 @@
 	return c.leaders.Get(shard)
 }
 
-// Receive handles a message of this package. It returns false for others.
+// Receive handles a message of this package, and reports whether it is one.
 func (c *Coordinator) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch m := message.(type) {
 	case *Submit:
--- a/internal/dispatch/leader.go
+++ b/internal/dispatch/leader.go
@@ -124,8 +124,8 @@
 	})
 }
 
-// propose records, and runs done on success. After lost leadership nothing more
-// happens here: the successor decides.
+// propose proposes records, and runs done once they are committed. When the
+// leadership is lost, done is not called: the successor decides.
 func (l *leader) propose(records []structs.Record, done func()) {
 	l.leadership.Propose(records, func(err error) {
 		if l.stopped {
--- a/internal/dispatch/list.go
+++ b/internal/dispatch/list.go
@@ -13,7 +13,8 @@
 // maximumListed bounds the programs in one answer.
 const maximumListed = 10000
 
-// receiveQuery handles the queries of describe_messages.go.
+// receiveQuery handles a query of describe_messages.go, and reports whether the
+// message is one.
 func (c *Coordinator) receiveQuery(from structs.DaemonID, message peer.Message) bool {
 	switch m := message.(type) {
 	case *Describe:
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -9,8 +9,8 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// retryAfterMemory is the retry-after time when a daemon of the shard's group
-// has no memory left. Memory is freed as ended programs are removed.
+// retryAfterMemory is the retry delay when a daemon of the shard's group has no
+// memory left. Memory is freed as ended programs are removed.
 const retryAfterMemory = 10 * time.Second
 
 // Pressure implements replication.Application.
@@ -28,7 +28,8 @@
 
 // shedForMemory refuses a call when a daemon of the shard's group is short of
 // memory: a new program at the lower limit, any call at the higher one. A
-// sub-agent counts as part of a program in progress. Nothing is recorded.
+// sub-agent counts as part of a program in progress. It reports whether the
+// call was refused; no record is proposed.
 func (l *leader) shedForMemory(follower attachment, call structs.Call, admission program.Admission) bool {
 	pressure := l.leadership.Pressure()
 	starts := admission.Records[0].ProgramStarted != nil && call.Key.Parent().Program == ""
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -85,12 +85,13 @@
 	Hold structs.Hold `json:"hold"`
 }
 
-// QuotaRequest asks a tenant's home shard for a slice of its quota.
+// QuotaRequest asks a tenant's home shard for a larger allowance of its quota,
+// or returns an unused part.
 type QuotaRequest struct {
 	Ask structs.QuotaRequest `json:"ask"`
 }
 
-// QuotaAnswer grants a slice. Total may be less than was requested.
+// QuotaAnswer grants an allowance. Total may be less than was requested.
 type QuotaAnswer struct {
 	Quota  structs.QuotaKey    `json:"quota"`
 	Window int64               `json:"window"`
--- a/internal/dispatch/out_of_order.go
+++ b/internal/dispatch/out_of_order.go
@@ -16,8 +16,8 @@
 	timer  clock.Timer
 }
 
-// retryAfterMissingCalls is the retry-after time of a call whose predecessors
-// have not arrived.
+// retryAfterMissingCalls is the retry delay of a call whose predecessors have
+// not arrived.
 const retryAfterMissingCalls = time.Second
 
 // firstCallWait is how long a later call waits for the first one of its
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// quotaSlices is the number of slices into which a tenant's quota is
-	// divided: few enough to keep requests rare, many enough to leave some for
-	// other shards.
+	// quotaSlices is the divisor of a tenant's quota that gives the reserve in
+	// a request: asking for this much more than is needed keeps requests rare,
+	// and still leaves quota for other shards.
 	quotaSlices = 64
 	// quotaRetry is the interval after which an unanswered request is sent
 	// again.
 	quotaRetry = 300 * time.Millisecond
-	// quotaTimeout is how long calls wait for a slice before they are refused.
+	// quotaTimeout is how long calls wait for a larger allowance before they
+	// are refused.
 	quotaTimeout = 5 * time.Second
 )
 
 // quotaState tracks a leader's requests to tenants' home shards and, as a home
-// shard, the slices it is granting. It need not survive a takeover: totals and
-// the order of requests are recorded.
+// shard, the allowances that it is granting. It need not survive a takeover:
+// totals and the order of requests are recorded.
 type quotaState struct {
 	// count numbers the requests of this leadership.
 	count    uint64
@@ -59,7 +60,7 @@
 	return structs.ProgramKey{Tenant: tenant}
 }
 
-// quotaLimit returns a tenant's quota; false means that it is unbounded.
+// quotaLimit returns a tenant's quota, and reports whether it is bounded.
 func (l *leader) quotaLimit(quota structs.QuotaKey) (structs.Cost, bool) {
 	configuration := l.Configurations.Current()
 	if configuration == nil {
@@ -73,7 +74,8 @@
 	return limit, limit > 0
 }
 
-// requestQuota requests more of a quota, or adds to the open request.
+// requestQuota requests a larger allowance of a quota, or adds to the open
+// request.
 func (l *leader) requestQuota(quota structs.QuotaKey, needed structs.Cost) *openQuotaRequest {
 	request := l.quotas.requests[quota]
 	if request != nil {
@@ -127,8 +129,8 @@
 	return structs.Ballot{Epoch: l.leadership.Epoch(), Count: l.quotas.count}
 }
 
-// handleQuotaRequest grants a slice at the home shard. The grant is recorded
-// before the answer is sent.
+// handleQuotaRequest grants an allowance at the home shard. The grant is
+// recorded before the answer is sent.
 func (l *leader) handleQuotaRequest(from structs.DaemonID, ask structs.QuotaRequest) {
 	if l.stopped || l.quotas.granting[ask.Quota] {
 		return
@@ -154,7 +156,7 @@
 	})
 }
 
-// handleQuotaAnswer records a granted slice before anything is spent of it.
+// handleQuotaAnswer records a granted allowance before anything is spent of it.
 // Only the answer to the latest copy of the request counts.
 func (l *leader) handleQuotaAnswer(answer *QuotaAnswer) {
 	request := l.quotas.requests[answer.Quota]
@@ -187,7 +189,7 @@
 )
 
 // closeQuotaRequest lets everything that waited for the request try again. When
-// less than requested was granted, what the slice does not cover is refused.
+// less than requested was granted, what the allowance does not cover is refused.
 func (l *leader) closeQuotaRequest(request *openQuotaRequest, result quotaResult) {
 	delete(l.quotas.requests, request.ask.Quota)
 	for _, active := range request.calls {
--- a/internal/dispatch/quota_slots.go
+++ b/internal/dispatch/quota_slots.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// retryWithoutSlot is the retry-after time when the tenant has reached its
-	// limit of live programs.
+	// retryWithoutSlot is the retry delay when the tenant has reached its limit
+	// of live programs.
 	retryWithoutSlot = 5 * time.Second
 	// slotIdleTimeout is how long a program slot stays unused before it is
 	// returned.
@@ -23,7 +23,7 @@
 }
 
 // waitForProgramSlot holds back the first call of a program while its tenant
-// has no slot left in this shard. It returns false when the call may proceed.
+// has no slot left in this shard, and reports whether it does.
 func (l *leader) waitForProgramSlot(follower attachment, submit *Submit, admission program.Admission) bool {
 	started := admission.Records[0].ProgramStarted
 	if started == nil || started.Key.Program.Parent() != "" {
--- a/internal/dispatch/quota_spending.go
+++ b/internal/dispatch/quota_spending.go
@@ -6,7 +6,7 @@
 )
 
 // waitForBudget holds back a call while its tenant's allowance in this shard
-// does not cover it. It returns false when the call may proceed.
+// does not cover it, and reports whether it does.
 func (l *leader) waitForBudget(p *program.Program, active *activeCall) bool {
 	quota := structs.QuotaKey{Tenant: active.key.Tenant, Kind: structs.QuotaSpending}
 	if _, bounded := l.quotaLimit(quota); !bounded {
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -10,7 +10,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// retryAfterOverload is the retry-after time of a call that no back end took.
+// retryAfterOverload is the retry delay of a call that no back end took.
 const retryAfterOverload = time.Second
 
 // attemptEnded handles the end of an attempt.
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -189,7 +189,7 @@
 	return m.Settings.FirstShard + structs.ShardNumber(xxhash.Sum64String(name)%uint64(m.Settings.Shards))
 }
 
-// Receive handles a message of this package. It returns false for others.
+// Receive handles a message of this package, and reports whether it is one.
 func (m *Manager) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch typed := message.(type) {
 	case *Demand:
--- a/internal/program/admit.go
+++ b/internal/program/admit.go
@@ -151,9 +151,9 @@
 	return Admission{}, true
 }
 
-// admitKnown recognises a request identifier that the program has seen. The same
-// identifier with another sequence number is a conflict: the caller would get the
-// answer to another call.
+// admitKnown reports whether the program has seen the call's request identifier, and
+// returns the admission then. The same identifier with another sequence number is
+// refused: the caller would get the answer to another call.
 func (p *Program) admitKnown(call structs.Call, pending []structs.Call) (bool, Admission) {
 	if open := p.OpenCall(call.RequestID); open != nil {
 		return true, knownUnlessSequenceDiffers(call, open.Call.Sequence)
@@ -196,8 +196,9 @@
 	}
 }
 
-// admitLimits stops runaway programs: a program that reaches a limit ends, with the
-// limit as its recorded reason.
+// admitLimits reports whether the program is within its limits. If it has reached one,
+// the returned admission refuses the call and ends the program with that limit as the
+// reason.
 func (p *Program) admitLimits(call structs.Call, pending []structs.Call, now time.Time) (Admission, bool) {
 	turns := p.Turns + len(pending)
 	if p.Limits.Turns > 0 && turns >= p.Limits.Turns {
@@ -224,8 +225,9 @@
 	return structs.Record{At: now, ProgramEnded: &structs.ProgramEnded{Key: key, Reason: reason}}
 }
 
-// reduceHistory reduces a whole conversation to its new messages. Messages of earlier
-// calls that have no answer yet may be part of the conversation.
+// reduceHistory reduces a whole conversation to its new messages, and reports whether
+// it continues the recorded history. Messages of earlier calls that have no answer yet
+// may be part of the conversation.
 func (p *Program) reduceHistory(call *structs.Call, pending []structs.Call) (Admission, bool) {
 	if call.Kind != structs.CallModel || call.History != structs.HistoryFull {
 		return Admission{}, true
--- a/internal/program/apply.go
+++ b/internal/program/apply.go
@@ -7,7 +7,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Apply folds one committed record into the state. A record about a program or call
+// Apply applies one committed record to the state. A record about a program or call
 // that no longer exists changes nothing, and a record that is proposed twice, by a
 // leader and its successor, counts once.
 func (s *Shard) Apply(record structs.Record) {
--- a/internal/program/quota.go
+++ b/internal/program/quota.go
@@ -42,8 +42,8 @@
 	Used structs.Cost `json:"used"`
 }
 
-// Ledger is the home shard's account of one tenant's quota in one window: the total
-// granted to each shard. The sum never exceeds the tenant's quota.
+// Ledger is the home shard's account of one tenant's quota in one window: the
+// allowance granted to each shard. The sum never exceeds the tenant's quota.
 type Ledger struct {
 	Quota         structs.QuotaKey                       `json:"quota"`
 	Window        int64                                  `json:"window"`
@@ -51,7 +51,7 @@
 	BallotNumbers map[structs.ShardNumber]structs.Ballot `json:"orders"`
 }
 
-// Allowance returns the shard's part of a quota in a window; zero when it has none.
+// Allowance returns the shard's allowance of a quota in a window; zero when it has none.
 func (s *Shard) Allowance(quota structs.QuotaKey, window int64) Allowance {
 	allowance := s.allowances[quota]
 	if allowance == nil || allowance.Window != window {
@@ -89,8 +89,8 @@
 	return quotas
 }
 
-// Grant decides at the home shard how much another shard may have in total, and
-// returns the record that grants it. It returns false for a request older than one
+// Grant decides at the home shard on another shard's total allowance, and returns the
+// record that grants it. It returns false for a request older than one
 // already answered, or for a past window.
 func (s *Shard) Grant(ask structs.QuotaRequest, limit structs.Cost, now time.Time) (structs.Record, bool) {
 	ledger := s.ledgers[ask.Quota]
--- a/internal/program/recovery.go
+++ b/internal/program/recovery.go
@@ -8,7 +8,8 @@
 )
 
 // RecoveryWindow is how long after the loss of all replicas a shard treats unknown
-// programs and repeated calls as possibly lost. It is longer than callers retry.
+// programs and repeated calls as possibly lost. It must exceed the time for which
+// callers retry.
 const RecoveryWindow = time.Hour
 
 // Gap says whether turns may be missing from a program that was recovered from an
@@ -89,10 +90,10 @@
 	return p.Gap != GapNone && call.Kind == structs.CallModel && call.History == structs.HistoryFull
 }
 
-// AdmitRecovered checks a call against what a recovered shard may have lost. It
-// returns false when the loss is no obstacle and Admit decides. sentBefore means that
-// a copy may have been accepted already; pending holds calls of the program whose
-// acceptance is being recorded.
+// AdmitRecovered refuses a call that a recovered shard cannot admit because of what it
+// may have lost. It returns false for any other call, on which Admit then decides.
+// sentBefore means that a copy may have been accepted already; pending holds calls of
+// the program whose acceptance is being recorded.
 func (s *Shard) AdmitRecovered(call structs.Call, sentBefore bool, pending []structs.Call, now time.Time) (Admission, bool) {
 	program := s.programs[call.Key]
 	if program == nil {
@@ -123,8 +124,9 @@
 	}}
 }
 
-// admitUnknownProgram admits the first call of a program that is certainly new: the
-// caller says that this is call 1, or the program was made for this call alone.
+// admitUnknownProgram refuses a call of an unknown program that may have been lost. It
+// returns false for a program that is certainly new: the caller says that this is call
+// 1, or the program was made for this call alone.
 func admitUnknownProgram(call structs.Call, sentBefore bool) (Admission, bool) {
 	if sentBefore {
 		return unknownSinceLoss(), true
@@ -144,9 +146,9 @@
 // first call may still arrive.
 const retryAfterUnknownStart = time.Second
 
-// admitAcrossGap continues a recovered program only where no lost turn can go
-// unnoticed: with the whole conversation, or with the very next sequence number, which
-// proves that no later call was accepted.
+// admitAcrossGap refuses a call of a recovered program if a lost turn could go
+// unnoticed. It returns false for a call with the whole conversation, or with the very
+// next sequence number, which proves that no later call was accepted.
 func (p *Program) admitAcrossGap(call structs.Call, pending int) (Admission, bool) {
 	next := call.Sequence == p.Accepted+1 && p.Gap == GapPossible && len(p.Open) == 0 && pending == 0
 	if next || p.acceptsFullHistory(&call) {
--- a/internal/program/reserve.go
+++ b/internal/program/reserve.go
@@ -41,8 +41,8 @@
 }
 
 // Reserve computes the worst case of an attempt and checks it against the remaining
-// budget of its family. An answer without a limit of the caller's is limited to what
-// the budget allows.
+// budget of its family, or returns the refusal. If the caller sets no limit for the
+// answer, it is limited to what the budget allows.
 func (s *Shard) Reserve(program *Program, attempt Attempt) (Reservation, *structs.Outcome) {
 	call, price := attempt.Call, attempt.Price
 	remaining := s.Remaining(program.Key) + attempt.Freed
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -1,5 +1,5 @@
 // Package program holds the state of the programs of one shard and the rules by which
-// it changes. It is deterministic: Apply folds a committed record into the state,
+// it changes. It is deterministic: Apply applies a committed record to the state,
 // Admit and its variants turn a call into records or a refusal, and nothing here reads
 // a clock, uses random numbers or does I/O.
 package program
--- a/internal/schedule/estimates.go
+++ b/internal/schedule/estimates.go
@@ -72,7 +72,7 @@
 	remainingSeconds float64
 }
 
-// templateStatistics learns the typical course of a template's programs.
+// templateStatistics holds the observations of a template's programs, by turn.
 type templateStatistics struct {
 	turns [trackedTurns]turnStatistics
 	// sharedPrefixTokens is the length of the prompt prefix that the template's
--- a/internal/schedule/fairness.go
+++ b/internal/schedule/fairness.go
@@ -144,7 +144,7 @@
 	rate rate
 }
 
-// Bounds on the retry-after time of refusals.
+// Bounds on the retry delay of refusals.
 const (
 	minimumRetryAfter = 500 * time.Millisecond
 	maximumRetryAfter = 60 * time.Second
--- a/internal/schedule/overload.go
+++ b/internal/schedule/overload.go
@@ -30,10 +30,11 @@
 		fmt.Sprintf("%d calls wait already.", waiting), s.dequeueRate.retryAfter(waiting, now))
 }
 
-// makeRoom makes room in the queue for an arrival. A full queue refuses a call
-// of the tenant furthest over its share: one of the lowest priority, and among
-// those one of the program that was served least. It returns false when that
-// call is the arrival itself.
+// makeRoom reports whether the queue has room for an arrival. If it is full, a
+// call of the tenant furthest over its share is refused to make room: one of
+// the lowest priority, and among those one of the program that was served
+// least. It returns false when that call is the arrival itself. The first call
+// of a program of that tenant displaces no other call.
 func (s *Scheduler) makeRoom(entry *waitingItem, account *tenantAccount, now time.Time) bool {
 	limit := s.limit
 	if isFirstCall(entry) {
