--- a/internal/backends/back_end.go
+++ b/internal/backends/back_end.go
@@ -45,9 +45,9 @@
 	return !b.listed || listedBad || b.draining(settings, now)
 }
 
-// draining reports whether its own announcement that it is leaving still counts. An
-// engine's expires, since a leaving engine repeats it in each report; an application's
-// counts until a new run answers.
+// draining reports whether its own announcement that it is draining still counts. An
+// engine's expires, since a draining engine repeats it in each report; an
+// application's counts until a new run answers.
 func (b *backEnd) draining(settings Settings, now time.Time) bool {
 	if b.drainingAt.IsZero() {
 		return false
@@ -61,8 +61,8 @@
 	return b.unreachable || silent || b.failures >= settings.FailureLimit
 }
 
-// observeRun records the run in which it answered. It returns false for a former run.
-// Announcements of a former run do not apply to a new one.
+// observeRun records the run in which it answered, and reports whether that is the
+// latest one known. Announcements of a former run do not apply to a new one.
 func (b *backEnd) observeRun(run int64) bool {
 	if run < b.run {
 		return false
@@ -79,7 +79,7 @@
 	return true
 }
 
-// observeDraining records the announcement that a run is leaving. It reports whether
+// observeDraining records the announcement that a run is draining, and reports whether
 // that was not known before.
 func (b *backEnd) observeDraining(run int64, settings Settings, now time.Time) bool {
 	if run != 0 && run < b.run {
--- a/internal/backends/directory.go
+++ b/internal/backends/directory.go
@@ -183,7 +183,7 @@
 	return len(d.backEnds) > 0 && (b == nil || !b.listed)
 }
 
-// MarkDraining records a back end's announcement that it is leaving.
+// MarkDraining records a back end's announcement that it is draining.
 func (d *Directory) MarkDraining(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
--- a/internal/backends/machine_list.go
+++ b/internal/backends/machine_list.go
@@ -53,8 +53,8 @@
 	return changed, nil
 }
 
-// merged returns the rows after a read, and whether it contained any. Without changes
-// it returns the current map.
+// merged returns the rows after a read, and whether the read contained any change.
+// Without one it returns the current map.
 func (l *machineList) merged(reading framework.ListResponse) (rows map[string]structs.Machine, changed bool) {
 	if reading.Since != "" && len(reading.Machines)+len(reading.Removed) == 0 {
 		return l.rows, false
--- a/internal/backends/messages.go
+++ b/internal/backends/messages.go
@@ -5,7 +5,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Leaving passes on a back end's announcement that it is leaving.
+// Leaving passes on a back end's announcement that it is draining.
 type Leaving struct {
 	BackEnd structs.EngineID `json:"b"`
 	// Run is the run that announced it, 0 when unknown.
--- a/internal/backends/receive.go
+++ b/internal/backends/receive.go
@@ -5,8 +5,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Receive handles a message from another daemon. It returns false for messages of
-// other packages.
+// Receive handles a message of this package, and reports whether it is one.
 func (d *Directory) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch message := message.(type) {
 	case *Leaving:
--- a/internal/backends/settings.go
+++ b/internal/backends/settings.go
@@ -19,7 +19,7 @@
 	// as leaving or not at all, before it gets new work: the list lags, and a read may
 	// return an older state.
 	ListHoldDown time.Duration
-	// DrainHoldDown is how long an engine's announcement that it is leaving overrides
+	// DrainHoldDown is how long an engine's announcement that it is draining overrides
 	// reports of the same run that do not say so, since reports lag.
 	DrainHoldDown time.Duration
 	// ProbeInterval is the pause between probes of an application that is draining or
--- a/internal/backends/watch.go
+++ b/internal/backends/watch.go
@@ -119,8 +119,8 @@
 	d.readCacheEvents(id)
 }
 
-// applyReport records a report, and reports whether it is the first to say that the
-// engine is leaving. The mutex must be held.
+// applyReport stores a load report, and reports whether it is the first to say that the
+// engine is draining. The mutex must be held.
 func (d *Directory) applyReport(b *backEnd, report structs.LoadReport) bool {
 	if !b.observeRun(report.StartedUnixNano) {
 		return false
--- a/internal/gateway/answer_collector.go
+++ b/internal/gateway/answer_collector.go
@@ -116,8 +116,8 @@
 }
 
 // follow submits a call and passes updates to each, until the outcome arrived or each
-// returns false. When the caller disconnects, a call with a request identifier of the
-// caller's goes on, since it can be resumed; any other call is cancelled.
+// returns false. When the caller disconnects, a call whose request identifier the
+// caller has set goes on, since it can be resumed; any other call is cancelled.
 func (e *exchange) follow(limit int, each func(answerUpdate) bool) {
 	c := newAnswerCollector(limit)
 	submission := e.gateway.Node.Submit(*e.call, c)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -20,8 +20,8 @@
 
 	// call is set once the request was parsed.
 	call *structs.Call
-	// hasRequestID is set when the caller gave the request identifier; only then can
-	// it resume the call.
+	// hasRequestID is set when the caller has set the request identifier; only then
+	// can it resume the call.
 	hasRequestID bool
 	// sentBefore is set when the caller marked the request as a retry.
 	sentBefore bool
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -88,7 +88,8 @@
 }
 
 // shouldRetry reports whether OpenAI's client libraries may automatically send a call
-// again. Without a request identifier of the caller's, the copy would be a new call.
+// again. Unless the caller has set the request identifier, the copy would be a new
+// call.
 func shouldRetry(outcome structs.Outcome, hasRequestID bool) bool {
 	switch outcome.Status {
 	case structs.OutcomeNotRun:
--- a/internal/gateway/programs.go
+++ b/internal/gateway/programs.go
@@ -180,7 +180,8 @@
 	return structs.ProgramKey{Tenant: e.tenant, Program: structs.ProgramID(e.r.PathValue("program"))}
 }
 
-// describe queries a program. If it returns false, it has written the response.
+// describe queries a program, and reports whether it has a description. If it returns
+// false, it has written the response.
 func (e *exchange) describe(question dispatch.Describe) (*dispatch.ProgramDescription, bool) {
 	described, err := await(func(done func(dispatch.Described, error)) {
 		e.gateway.Queries.Describe(question, e.gateway.Limits.QueryTimeout, done)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -26,8 +26,8 @@
 // still run, since a copy may be on its way.
 const noRequestMessage = "The program has not seen this request."
 
-// requestFromQuery reads the URL query. If it returns false, it has written the
-// response.
+// requestFromQuery returns the program and the request that the URL names, and reports
+// whether both are given. If it returns false, it has written the response.
 func (e *exchange) requestFromQuery() (structs.ProgramKey, structs.RequestID, bool) {
 	query := e.r.URL.Query()
 	key := structs.ProgramKey{Tenant: e.tenant, Program: structs.ProgramID(query.Get("program"))}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -52,7 +52,8 @@
 	return s
 }
 
-// write writes an update; false ends the stream before its outcome.
+// write writes an update, and reports whether the stream goes on; false ends it before
+// its outcome.
 func (s *eventStream) write(n answerUpdate) bool {
 	failed := n.outcome != nil && n.outcome.Status != structs.OutcomeCompleted
 	if failed && !s.begun && len(n.text) == 0 {
@@ -206,7 +207,7 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// send writes the buffer; false means that the caller has disconnected.
+// send writes the buffer, and reports whether the caller is still connected.
 func (s *eventStream) send() bool {
 	if len(s.buffer) == 0 {
 		return true
--- a/internal/historycost/history.go
+++ b/internal/historycost/history.go
@@ -45,10 +45,10 @@
 	PerTurnBytes    int64 `json:"per_turn_compressed_bytes"`
 }
 
-// Ratio is the compression ratio of the whole history.
+// Ratio returns the compression ratio of the whole history.
 func (c Cost) Ratio() float64 { return float64(c.EncodedBytes) / float64(c.CompressedBytes) }
 
-// PerTurnRatio is the compression ratio with each turn compressed separately.
+// PerTurnRatio returns the compression ratio with each turn compressed separately.
 func (c Cost) PerTurnRatio() float64 { return float64(c.EncodedBytes) / float64(c.PerTurnBytes) }
 
 // writer generates synthetic conversations.
--- a/internal/operator/policies.go
+++ b/internal/operator/policies.go
@@ -12,8 +12,8 @@
 )
 
 // UnknownPolicies returns the queue policies that a change names and this binary has
-// no plug-in for. The configuration fold cannot check them, since daemons of two
-// versions would come to different verdicts.
+// no plug-in for. They are checked before the change is appended to the log: later, the
+// verdict must be the same in daemons of all versions, which differ in their plug-ins.
 func UnknownPolicies(patch *structs.Patch) []configuration.Problem {
 	var problems []configuration.Problem
 	check := func(field string, name structs.QueuePolicyName) {
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -22,7 +22,7 @@
 	CodeInvalid ErrorCode = "invalid_request"
 	// CodeNotFound: the requested object does not exist.
 	CodeNotFound ErrorCode = "not_found"
-	// CodeRefused: the configuration fold refused a change.
+	// CodeRefused: a change was checked against the configuration in force and refused.
 	CodeRefused ErrorCode = "refused"
 	// CodeOutcomeUnknown: it is not known whether a change was appended.
 	CodeOutcomeUnknown ErrorCode = "outcome_unknown"
@@ -46,7 +46,8 @@
 	InForce *configuration.Verdict `json:"in_force,omitempty"`
 }
 
-// ConfigurationStatus is the state of a daemon's configuration fold.
+// ConfigurationStatus is how far a daemon has applied the log of changes, and the
+// revision that this gives.
 type ConfigurationStatus struct {
 	Offset   structs.LogOffset `json:"offset"`
 	Digest   uint64            `json:"digest"`
--- a/internal/query/client.go
+++ b/internal/query/client.go
@@ -201,7 +201,7 @@
 	return query
 }
 
-// Receive handles answers. It returns false for other messages.
+// Receive handles an answer to a query, and reports whether the message is one.
 func (c *Client) Receive(_ structs.DaemonID, message peer.Message) bool {
 	switch m := message.(type) {
 	case *dispatch.Described:
--- a/internal/quota/forecast.go
+++ b/internal/quota/forecast.go
@@ -7,7 +7,7 @@
 
 const (
 	// idleAfter is how long a program makes no request until it counts as ended. It
-	// must exceed the usual pauses for tool calls.
+	// must exceed the pauses for tool calls.
 	idleAfter = 2 * time.Second
 	// sampleWeight is the weight of the latest program in a route's moving averages.
 	sampleWeight = 0.1
@@ -22,7 +22,7 @@
 )
 
 // demand is what the programs of a route need, as logarithms. The averages are thus
-// geometric means, on which a few endless loops have little effect.
+// geometric means, on which a few programs in endless loops have little effect.
 type demand struct{ logRequests, logSeconds float64 }
 
 func (d demand) requests() float64 { return math.Exp(d.logRequests) }
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -16,8 +16,7 @@
 
 const (
 	// fallbackDelay is how long the owner may be silent before a request is admitted
-	// at the tenant's former rate. It must exceed several round trips between zones, and
-	// stay below the time that callers wait for an answer.
+	// at the tenant's former rate. It must exceed several round trips between zones.
 	fallbackDelay = 60 * time.Millisecond
 	// ownerBackoff is how long after such a timeout requests do not wait for the owner
 	// first.
@@ -26,8 +25,7 @@
 	// lost owner.
 	askTimeout = 1500 * time.Millisecond
 	// fallbackPeriod is how long a daemon admits requests without an owner. It covers
-	// a store outage of some seconds; a daemon that is cut off for longer should get
-	// no more requests.
+	// a short outage of the store; a daemon that is cut off for longer admits none.
 	fallbackPeriod = 10 * time.Second
 	// fallbackCapacity is how many requests may be admitted at once without an owner.
 	fallbackCapacity = 1.0
@@ -46,9 +44,9 @@
 }
 
 // Gate asks the owners of tenants' limits on behalf of a daemon's callers. When an
-// owner cannot be reached, the daemon admits the tenant's requests at the rate at
-// which it did before: since all daemons together stayed within the limit then, they
-// do now. It is safe for concurrent use.
+// owner cannot be reached, the daemon admits the tenant's requests at its former rate:
+// all daemons together stayed within the limit at their former rates, and still do. It
+// is safe for concurrent use.
 type Gate struct {
 	owner  Owner
 	window time.Duration
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -49,5 +49,5 @@
 	Programs int     `json:"n,omitempty"`
 }
 
-// RetryAfter is the retry delay for a request that is not admitted.
+// RetryAfter returns the retry delay for a request that is not admitted.
 func (v Verdict) RetryAfter() time.Duration { return time.Duration(v.RetryAfterMS) * time.Millisecond }
--- a/internal/quota/tolerance.go
+++ b/internal/quota/tolerance.go
@@ -27,8 +27,8 @@
 	// moves at a planned shutdown, and once more if its successor is lost.
 	maxTakeovers = 2
 	// rateShare is the part of the tolerance beyond rate and burst that is added to
-	// the rate. Most of it goes to the burst, as programs of tenants with a low rate
-	// make several requests at once.
+	// the rate. Most of the rest goes to the burst, so that a program of a tenant with
+	// a low rate can make several requests at once.
 	rateShare = 0.25
 	// startShare is the part of the tolerance that each new owner's bucket starts
 	// with.
--- a/internal/submit/submitter.go
+++ b/internal/submit/submitter.go
@@ -134,7 +134,7 @@
 	delete(s.pending, id)
 }
 
-// Receive handles messages from leaders. It returns false for other messages.
+// Receive handles a message from a leader, and reports whether it is one.
 func (s *Submitter) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch m := message.(type) {
 	case *dispatch.Accepted:
