--- a/internal/backends/receive.go
+++ b/internal/backends/receive.go
@@ -24,8 +24,8 @@
 	return true
 }
 
-// receiveLeaving applies another daemon's Leaving message. It is not forwarded: the
-// daemon that observed it has sent it to all.
+// receiveLeaving applies another daemon's Leaving message. It is not forwarded: its
+// first sender has sent it to the whole cell.
 func (d *Directory) receiveLeaving(message *Leaving) {
 	d.mutex.Lock()
 	b := d.backEnds[message.BackEnd]
--- a/internal/dispatch/active_call.go
+++ b/internal/dispatch/active_call.go
@@ -56,7 +56,7 @@
 	// deliveredText is answer text that a caller received before this leader
 	// took over.
 	deliveredText string
-	// gaps counts consecutive resumed streams that began behind the end of
+	// gaps counts consecutive streams of the answer that began after the end of
 	// text.
 	gaps int
 
--- a/internal/gateway/answer_collector.go
+++ b/internal/gateway/answer_collector.go
@@ -115,8 +115,8 @@
 	return taken
 }
 
-// follow submits a call and passes updates to each, until the outcome arrived or each
-// returns false. When the caller disconnects, a call whose request identifier the
+// follow submits a call and passes updates to each, until the outcome has arrived, the
+// deadline and its grace have passed, or each returns false. When the caller disconnects, a call whose request identifier the
 // caller has set goes on, since it can be resumed; any other call is cancelled.
 func (e *exchange) follow(limit int, each func(answerUpdate) bool) {
 	c := newAnswerCollector(limit)
--- a/internal/program/quota.go
+++ b/internal/program/quota.go
@@ -11,8 +11,8 @@
 // QuotaWindow is the length of the window over which spending is bounded.
 const QuotaWindow = time.Hour
 
-// liveWindow is the only window of quotas that bound live programs, which are not
-// counted over time.
+// liveWindow is the only window of a quota of live programs, which are not counted
+// over time.
 const liveWindow int64 = 0
 
 // WindowOf returns the window of a quota that contains a time.
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -56,7 +56,8 @@
 	lastAt   time.Time
 }
 
-// Decide admits a request, or returns when a similar one would be admitted.
+// Decide admits a request, or returns when a similar one would be admitted. For a
+// refund it returns the token.
 func (l *Limiter) Decide(request Request, now time.Time) Verdict {
 	b := l.bucketOf(request, now)
 	b.Refill(now)
--- a/internal/schedule/demand.go
+++ b/internal/schedule/demand.go
@@ -10,9 +10,9 @@
 	// assigned. The rest is reserved for programs in progress, whose contexts
 	// grow with every call.
 	newProgramMemoryFraction = 0.75
-	// memoryWaitLimit is how long the first call in an engine's queue may be
-	// passed over by smaller calls because it does not fit in the engine's
-	// memory.
+	// memoryWaitLimit is how long the first call in an engine's queue may wait
+	// because it does not fit in the engine's memory, before new programs must
+	// yield to it.
 	memoryWaitLimit = 60 * time.Second
 )
 
@@ -48,8 +48,8 @@
 
 // mustYield reports whether the first call of a program must leave an engine's
 // memory to the first call in the engine's queue. That is so when the waiting
-// call does not fit and smaller ones have been passing it for memoryWaitLimit.
-// Programs in progress need not yield: they end and free their memory.
+// call has waited for memoryWaitLimit and does not fit. Programs in progress
+// need not yield: they end and free their memory.
 func (s *Scheduler) mustYield(entry *waitingItem, view *EngineView, now time.Time) bool {
 	first := view.waiters.first(1)
 	if len(first) == 0 || first[0] == entry || !isFirstCall(entry) {
--- a/internal/schedule/engine_queue.go
+++ b/internal/schedule/engine_queue.go
@@ -49,7 +49,7 @@
 	q.refill()
 }
 
-// refill moves up the call behind the front, if there is one.
+// refill appends the next call of items to front, if there is one.
 func (q *engineQueue) refill() {
 	if len(q.front) == q.items.Len() {
 		return
--- a/internal/schedule/engine_view.go
+++ b/internal/schedule/engine_view.go
@@ -105,7 +105,7 @@
 }
 
 // fitsInMemory reports whether the engine's memory has room for a call next to
-// the others. A call always fits on an engine without calls.
+// the others. A call always fits on an engine without calls of this daemon.
 func (v *EngineView) fitsInMemory(d requirements) bool {
 	if v.Assigned == 0 {
 		return true
@@ -114,7 +114,8 @@
 	return capacity == 0 || v.AssignedTokens+v.HeldTokens+d.tokens <= capacity
 }
 
-// slotWait returns the expected time that a call waits for a free slot.
+// slotWait returns the expected time that a call waits for a free slot, or for
+// the prefill backlog if a slot is free.
 func (v *EngineView) slotWait(entry *waitingItem, backlogSeconds float64) float64 {
 	slots := max(v.slots(), 1)
 	if v.Occupied() < slots {
@@ -149,7 +150,7 @@
 }
 
 // learnSpeed updates the learned speeds from an answer. The time to the first
-// token includes queueing, so an observation slower than the mean gets a lower
+// token includes queueing, so an observation of a slower prefill gets a lower
 // weight.
 func (v *EngineView) learnSpeed(result Result) {
 	computed := result.Usage.PromptTokens - result.Usage.CachedTokens
@@ -179,8 +180,8 @@
 	}
 }
 
-// assignedHistory records the number of this daemon's calls on an engine over
-// the last reportLag.
+// assignedHistory records the number of this daemon's calls on an engine, and
+// the prefill work assigned to it, over the last reportLag.
 type assignedHistory struct {
 	entries []assignedEntry
 }
--- a/internal/schedule/estimates.go
+++ b/internal/schedule/estimates.go
@@ -63,6 +63,7 @@
 
 // turnStatistics holds the observations of one turn of a template.
 type turnStatistics struct {
+	// reached counts the programs that made this call.
 	reached        float64
 	serviceSeconds mean
 	answerTokens   mean
--- a/internal/schedule/held_caches.go
+++ b/internal/schedule/held_caches.go
@@ -12,6 +12,7 @@
 	engine    *EngineView
 	tokens    int64
 	expiresAt time.Time
+	// heapIndex is the position in heldByExpiry, -1 once the hold has expired.
 	heapIndex int
 }
 
--- a/internal/schedule/pauses.go
+++ b/internal/schedule/pauses.go
@@ -2,23 +2,24 @@
 
 import "math"
 
-// The histogram of pauses has logarithmic buckets from pauseSmallest up, four
-// to a doubling.
+// The histogram of pauses has logarithmic buckets from pauseSmallest up,
+// pausesPerDouble to a doubling. All counts are halved after pauseForgetAfter
+// observations.
 const (
 	pauseBuckets     = 64
 	pauseSmallest    = 0.05
 	pausesPerDouble  = 4
 	pauseForgetAfter = 512
-	// priorPauses is added to each of the first priorBuckets buckets, which
-	// cover three minutes: pauses have a long tail that few observations do not
-	// show.
+	// priorPauses is added to each of the first priorBuckets buckets, since few
+	// observations do not show the long tail of pauses.
 	priorPauses  = 0.1
 	priorBuckets = 48
 	// negligiblePrice is the price below which memory counts as free.
 	negligiblePrice = 1e-4
 )
 
-// pauseStatistics is a decaying histogram of the pauses after a turn.
+// pauseStatistics is a decaying histogram of the pauses between a program's
+// calls.
 type pauseStatistics struct {
 	mean   mean
 	counts [pauseBuckets]float64
@@ -51,10 +52,9 @@
 }
 
 // bestHold returns for how long a cache should be held over a pause, and the
-// expected gain of that. Each second costs price, a loss of the cache costs 1,
-// and the program returns with probability returns. Holding for t costs price
-// for every second until the return or t, and gains 1 if the program returns
-// before t.
+// expected gain of that. The program returns with probability returns. Holding
+// for t costs price for every second until it returns or t has passed, and
+// gains 1 if it returns before t.
 func (p *pauseStatistics) bestHold(returns, price float64) (seconds, gain float64) {
 	if price < negligiblePrice {
 		return math.MaxInt32, returns
--- a/internal/submit/submission.go
+++ b/internal/submit/submission.go
@@ -24,8 +24,8 @@
 	// leader and epoch are where the call was last sent.
 	leader structs.DaemonID
 	epoch  structs.Epoch
-	// unresolvedCopies counts the copies sent whose fate is not known; wasAccepted is
-	// set once any leader accepted the call.
+	// unresolvedCopies counts the copies sent that may have been accepted; wasAccepted
+	// is set once any leader accepted the call.
 	unresolvedCopies int
 	wasAccepted      bool
 	// unansweredQueries counts consecutive messages to the leader without an answer.
