--- a/internal/gateway/answer_collector.go
+++ b/internal/gateway/answer_collector.go
@@ -116,8 +116,9 @@
 }
 
 // follow submits a call and passes updates to each, until the outcome has arrived, the
-// deadline and its grace have passed, or each returns false. When the caller disconnects, a call whose request identifier the
-// caller has set goes on, since it can be resumed; any other call is cancelled.
+// deadline and its grace have passed, or each returns false. When the caller
+// disconnects, a call whose request identifier the caller has set goes on, since it can
+// be resumed; any other call is cancelled.
 func (e *exchange) follow(limit int, each func(answerUpdate) bool) {
 	c := newAnswerCollector(limit)
 	submission := e.gateway.Node.Submit(*e.call, c)
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -60,7 +60,8 @@
 	writeJSON(w, http.StatusOK, got.verdict)
 }
 
-// readChange decodes a change and sets the authenticated operator's name in it.
+// readChange decodes a change, sets the authenticated operator's name in it, and
+// reports whether it is valid. If it returns false, it has written the response.
 func readChange(w http.ResponseWriter, r *http.Request, operator string) (structs.Change, bool) {
 	var change structs.Change
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, configuration.MaxEntryBytes))
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -22,7 +22,7 @@
 	CodeInvalid ErrorCode = "invalid_request"
 	// CodeNotFound: the requested object does not exist.
 	CodeNotFound ErrorCode = "not_found"
-	// CodeRefused: a change was checked against the configuration in force and refused.
+	// CodeRefused: a change was not accepted; the verdict says why.
 	CodeRefused ErrorCode = "refused"
 	// CodeOutcomeUnknown: it is not known whether a change was appended.
 	CodeOutcomeUnknown ErrorCode = "outcome_unknown"
