--- a/internal/dispatch/coordinator.go
+++ b/internal/dispatch/coordinator.go
@@ -144,8 +144,8 @@
 	Guards Guards
 }
 
-// Guards lets a simulation switch off one protection at a time, to show that
-// its checker detects that. The zero value has every protection on.
+// Guards lets a simulation disable a safeguard, to show that its checker
+// detects the consequences. The zero value has every guard on.
 type Guards struct {
 	// SkipOrder sends calls of a program without waiting for the previous one.
 	SkipOrder bool
--- a/internal/gateway/call_options.go
+++ b/internal/gateway/call_options.go
@@ -45,7 +45,7 @@
 	return call, e.gateway.refuseWhileStopping()
 }
 
-// sentBefore reports whether the headers mark a request as a retry.
+// sentBefore reports whether the headers mark a request as a retry or resume an answer.
 func sentBefore(header http.Header) bool {
 	count := header.Get(HeaderClientRetry)
 	retriedByClient := count != "" && count != "0"
--- a/internal/historycost/shard.go
+++ b/internal/historycost/shard.go
@@ -27,7 +27,7 @@
 	// ApplyTime is the time per call to apply its three records.
 	ApplyTime time.Duration `json:"apply_ns_per_call"`
 	// FreezeTime is the time for which a snapshot blocks a shard, per program,
-	// SnapshotTime the time to encode it, and SnapshotBytes its size.
+	// SnapshotTime the time to freeze and encode it, and SnapshotBytes its size.
 	FreezeTime    time.Duration `json:"freeze_ns_per_program"`
 	SnapshotTime  time.Duration `json:"snapshot_ns_per_program"`
 	SnapshotBytes int64         `json:"snapshot_bytes_per_program"`
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -82,8 +82,8 @@
 	WaitingByModel() []ModelWaiting
 }
 
-// Guards lets a simulation switch off protections, to show that its checks
-// detect that. The zero value has every protection on.
+// Guards lets a simulation disable a safeguard, to show that its checker
+// detects the consequences. The zero value has every guard on.
 type Guards struct {
 	// SkipRecord sends orders without recording them, and ignores orders in
 	// progress.
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// applyIssued puts an order in force, unless the engine still has one or has
-// seen a higher fence.
+// applyIssued puts an order in force, unless the engine still has one or an
+// order with the same or a higher fence was in force before.
 func (s *State) applyIssued(at time.Time, issued *structs.OrderIssued) {
 	order := issued.Order
 	state := s.engines[order.Engine]
