--- a/internal/backends/receive.go
+++ b/internal/backends/receive.go
@@ -5,8 +5,7 @@
 	"github.com/mintpulley/mintpulley/internal/structs"
 )
 
-// Receive handles a message from another daemon. It returns false for messages of
-// other packages.
+// Receive handles a message of this package, and reports whether it is one.
 func (d *Directory) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch message := message.(type) {
 	case *Leaving:
@@ -25,8 +24,8 @@
 	return true
 }
 
-// receiveLeaving applies another daemon's Leaving message. It is not forwarded: the
-// daemon that observed it has sent it to all.
+// receiveLeaving applies another daemon's Leaving message. It is not forwarded: its
+// first sender has sent it to the whole cell.
 func (d *Directory) receiveLeaving(message *Leaving) {
 	d.mutex.Lock()
 	b := d.backEnds[message.BackEnd]
--- a/internal/dispatch/active_call.go
+++ b/internal/dispatch/active_call.go
@@ -20,7 +20,8 @@
 	stageProposed stage = iota
 	// stageWaiting: accepted; earlier calls of the program are not settled yet.
 	stageWaiting
-	// stageWaitingForQuota: waiting for a slice of the tenant's quota.
+	// stageWaitingForQuota: waiting for a larger allowance of the tenant's
+	// quota.
 	stageWaitingForQuota
 	// stageQueued: waiting for an engine.
 	stageQueued
@@ -55,7 +56,7 @@
 	// deliveredText is answer text that a caller received before this leader
 	// took over.
 	deliveredText string
-	// gaps counts consecutive resumed streams that began behind the end of
+	// gaps counts consecutive streams of the answer that began after the end of
 	// text.
 	gaps int
 
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -82,8 +82,8 @@
 	WaitingByModel() []ModelWaiting
 }
 
-// Guards lets a simulation switch off protections, to show that its checks
-// detect that. The zero value has every protection on.
+// Guards lets a simulation disable a safeguard, to show that its checker
+// detects the consequences. The zero value has every guard on.
 type Guards struct {
 	// SkipRecord sends orders without recording them, and ignores orders in
 	// progress.
@@ -189,7 +189,7 @@
 	return m.Settings.FirstShard + structs.ShardNumber(xxhash.Sum64String(name)%uint64(m.Settings.Shards))
 }
 
-// Receive handles a message of this package. It returns false for others.
+// Receive handles a message of this package, and reports whether it is one.
 func (m *Manager) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch typed := message.(type) {
 	case *Demand:
--- a/internal/schedule/estimates.go
+++ b/internal/schedule/estimates.go
@@ -63,6 +63,7 @@
 
 // turnStatistics holds the observations of one turn of a template.
 type turnStatistics struct {
+	// reached counts the programs that made this call.
 	reached        float64
 	serviceSeconds mean
 	answerTokens   mean
@@ -72,7 +73,7 @@
 	remainingSeconds float64
 }
 
-// templateStatistics learns the typical course of a template's programs.
+// templateStatistics holds the observations of a template's programs, by turn.
 type templateStatistics struct {
 	turns [trackedTurns]turnStatistics
 	// sharedPrefixTokens is the length of the prompt prefix that the template's
