--- a/internal/configuration/fold.go
+++ b/internal/configuration/fold.go
@@ -9,8 +9,8 @@
 )
 
 // Fold applies the entry at the state's next offset and returns its verdict. It
-// ignores an entry at any other offset and returns false, so that older entries
-// from a stale read never roll the state back.
+// ignores an entry at any other offset and returns false, so that entries of a
+// stale read never roll the state back.
 func (s *State) Fold(entry framework.LogEntry) (Verdict, bool) {
 	if entry.Offset != s.Next {
 		return Verdict{}, false
--- a/internal/configuration/peer_sync.go
+++ b/internal/configuration/peer_sync.go
@@ -54,7 +54,7 @@
 	s.queue.Do(func() { s.receiveOffset(from, note.ConfigurationOffset, note.ConfigurationDigest) })
 }
 
-// Receive handles the messages of this package and returns false for all others.
+// Receive handles a message of this package and reports whether it was one.
 func (s *Store) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch m := message.(type) {
 	case *Offer:
--- a/internal/configuration/retained_entries.go
+++ b/internal/configuration/retained_entries.go
@@ -26,7 +26,7 @@
 func (r *retainedEntries) clear() { *r = retainedEntries{} }
 
 // entriesFrom returns entries from an offset on: up to limit bytes, but at least
-// one if there is any. It returns false when that offset is no longer retained.
+// one if there is any; false when that offset is no longer retained.
 func (r *retainedEntries) entriesFrom(offset structs.LogOffset, limit int) ([]PeerEntry, bool) {
 	if len(r.entries) == 0 || offset < r.entries[0].Offset {
 		return nil, false
--- a/internal/configuration/snapshot_writer.go
+++ b/internal/configuration/snapshot_writer.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// appendNotice appends the entry that announces a snapshot. Whether that fails
-// does not matter: without the notice, a snapshot is due again.
+// appendNotice appends the entry that announces a snapshot. A failure is not
+// retried: without the notice, a snapshot is due again.
 func (s *Store) appendNotice(operation string, notice SnapshotNotice) {
 	payload, err := EncodeEntry(Entry{Snapshot: &notice})
 	if err != nil {
--- a/internal/membership/change_log.go
+++ b/internal/membership/change_log.go
@@ -12,9 +12,8 @@
 	// changeWindow is the period over which changes are summarized when there
 	// are too many for a line each.
 	changeWindow = time.Second
-	// maxChangeLines limits the lines for single changes in each window: when
-	// some hundred daemons start at once, each learns of all others within two
-	// seconds.
+	// maxChangeLines limits the lines for single changes in each window, so that
+	// the start of a large fleet does not flood the log.
 	maxChangeLines = 8
 )
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -123,8 +123,7 @@
 	})
 }
 
-// Receive handles a message of this package. It returns false for other
-// messages.
+// Receive handles a message of this package and reports whether it was one.
 func (m *Membership) Receive(from structs.DaemonID, message peer.Message) bool {
 	switch message.(type) {
 	case *Ping, *Ack, *PingRequest, *UpdatePush, *SyncRequest, *SyncReply:
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -46,8 +46,9 @@
 	PushBurst          int
 
 	// FirstJoinTime is how long after its start a daemon asks FirstJoinFanout
-	// others at a time, every FirstJoinInterval: for fleets that serve no calls
-	// after a loss of all daemons until these know each other. 0 for never.
+	// others at a time, every FirstJoinInterval. It is for fleets that, after a
+	// loss of all daemons, serve no calls until these know each other; 0 turns
+	// it off.
 	FirstJoinTime     time.Duration
 	FirstJoinInterval time.Duration
 	FirstJoinFanout   int
@@ -72,9 +73,9 @@
 	VerifyPerSecond int
 
 	// HealDuration is how long, after a daemon learns that a partition has
-	// ended, others' tables are merged and others' failure reports are ignored:
-	// the report of the end reaches 74 daemons in 0.3 s, and one or two syncs
-	// follow. HealCooldown is the shortest time from the start of one such
+	// ended, others' tables are merged and others' failure reports are ignored.
+	// It must cover the spread of the report through the fleet and the syncs
+	// that follow. HealCooldown is the shortest time from the start of one such
 	// period to the next.
 	HealDuration time.Duration
 	HealCooldown time.Duration
--- a/internal/membership/verify.go
+++ b/internal/membership/verify.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// pendingVerification is a run about which tables disagree. It is done when the
-// run's state here has changed.
+// pendingVerification is a run about which tables disagree. The probe is no
+// longer needed once the run's state in this table has changed.
 type pendingVerification struct {
 	address string
 	gone    bool
 }
 
-// verify queues a probe of a daemon, at a bounded rate.
+// verify queues a probe of a daemon. Queued probes are sent at a limited rate.
 func (m *Membership) verify(r *record) {
 	s := &m.syncer
 	entry := pendingVerification{address: r.address, gone: r.isGone()}
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -16,7 +16,7 @@
 	// readyPercent of the sampled shards must have a known leader before a
 	// daemon becomes ready, or partlyReadyPercent for partlyReadyDuration.
 	readyPercent = 90
-	// partlyReadyPercent keeps a ready daemon ready.
+	// partlyReadyPercent must have a known leader for a daemon to stay ready.
 	partlyReadyPercent  = 50
 	partlyReadyDuration = 10 * time.Second
 )
@@ -38,7 +38,7 @@
 	partlySince time.Time
 }
 
-// update returns whether the daemon is ready, given that led of sampled shards
+// update reports whether the daemon is ready, given that led of sampled shards
 // have a known leader at now.
 func (t *readinessTracker) update(now time.Time, led, sampled int) bool {
 	t.mutex.Lock()
--- a/internal/replication/archive_reader.go
+++ b/internal/replication/archive_reader.go
@@ -63,7 +63,8 @@
 	})
 }
 
-// hasEntryFrom reads whether there is an entry at an offset or after it.
+// hasEntryFrom passes then whether there is an entry at an offset or after it.
+// After an error it ends the search and passes that to done.
 func (r *archiveReader) hasEntryFrom(offset structs.LogOffset, then func(bool)) {
 	r.log.Read(r.stream, offset, 1, func(entries []framework.LogEntry, err error) {
 		if err != nil {
@@ -118,8 +119,8 @@
 	r.chains[piece.Chain].addPiece(piece)
 }
 
-// finishWindow passes on the latest chain with a complete snapshot, or reads
-// the window before.
+// finishWindow passes done the state of the latest chain with a complete
+// snapshot, or reads the window before if there is none.
 func (r *archiveReader) finishWindow(begin structs.LogOffset) {
 	var complete []*chain
 	for _, read := range r.chains {
--- a/internal/replication/archive_writer.go
+++ b/internal/replication/archive_writer.go
@@ -204,7 +204,8 @@
 	})
 }
 
-// buildPart makes a part off the shard's queue, and continues.
+// buildPart makes a part off the shard's queue, adds it to the archiver on the
+// queue, and then calls again.
 func (a *archiveWriter) buildPart(l *leaderState, build func() (archivePart, error), again func()) {
 	a.manager.Clock.AfterFunc(0, func() {
 		part, err := build()
--- a/internal/replication/extra_routes.go
+++ b/internal/replication/extra_routes.go
@@ -14,8 +14,8 @@
 // never need the rest.
 
 const (
-	// missingDivisor: a daemon that lacks more than one in so many routes asks
-	// for extra ones.
+	// missingDivisor: a daemon asks for extra routes if it lacks more than one
+	// in missingDivisor.
 	missingDivisor = 8
 	// frequentRequestPause is the interval below which requests count as
 	// frequent.
@@ -47,7 +47,7 @@
 	return request
 }
 
-// nextMissingRoute returns the next shard in turn whose route is not known;
+// nextMissingRoute returns the next shard in turn whose route is not known, and
 // false when few are missing.
 func (m *Manager) nextMissingRoute() (structs.ShardNumber, bool) {
 	m.mutex.Lock()
--- a/internal/replication/genesis.go
+++ b/internal/replication/genesis.go
@@ -66,17 +66,17 @@
 }
 
 // Shares of the listed daemons that must be seen before the first groups are
-// written: nearly all at first, half after a wait, and any in the end. Groups
-// written among the first few daemons to start would put every shard on those,
-// and rebalancing takes long.
+// written: nearly all at first, half after a wait, and any number in the end.
+// Otherwise every shard would be placed on the first few daemons to start, and
+// rebalancing takes long.
 const (
 	genesisShare          = 0.9
 	genesisShareAfterWait = 0.5
 	genesisAnyWaits       = 6
 	genesisShareWaits     = 1
-	// genesisListDivisor gives the part of the wait for the first read of the
-	// machine list: other daemons may find this one before it knows how many
-	// there are.
+	// genesisListDivisor gives the part of GenesisWait in which a daemon waits
+	// for its first read of the machine list: it may be found by others before
+	// it knows how many there are.
 	genesisListDivisor = 5
 )
 
--- a/internal/replication/leaderless.go
+++ b/internal/replication/leaderless.go
@@ -7,7 +7,7 @@
 )
 
 // leaderlessAfter is how long no leader of a shard must be known before a
-// former member asks all daemons. It is longer than any election takes.
+// former member asks all daemons. It must exceed the time of an election.
 const leaderlessAfter = 10 * time.Second
 
 // A leaderless shard is one whose group in the stream is out of date: it
@@ -78,7 +78,7 @@
 }
 
 // coversRecentMachineList reports whether asked includes every daemon that the
-// machine list names or named within the grace time.
+// machine list names now or has named within ClaimGrace.
 func (m *Manager) coversRecentMachineList(asked Group) bool {
 	if !m.coversMachineList(asked) {
 		return false
--- a/internal/replication/limits.go
+++ b/internal/replication/limits.go
@@ -3,7 +3,7 @@
 import "time"
 
 // acquireTransferSlot reserves one of the daemon's concurrent snapshot
-// transfers.
+// transfers and reports whether one was free.
 func (m *Manager) acquireTransferSlot() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -20,7 +20,8 @@
 	m.transfers--
 }
 
-// acquireChangeSlot reserves one of the daemon's concurrent group changes.
+// acquireChangeSlot reserves one of the daemon's concurrent group changes and
+// reports whether one was free.
 func (m *Manager) acquireChangeSlot() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/replication/machines.go
+++ b/internal/replication/machines.go
@@ -106,7 +106,7 @@
 
 // isConfirmedGone reports whether a daemon has certainly ended: a later run has
 // its address, or it is believed dead and the machine list has lacked its
-// address for the grace time.
+// address for ClaimGrace.
 func (m *Manager) isConfirmedGone(daemon structs.DaemonID) bool {
 	since, dead := m.deadSince(daemon)
 	if !dead {
--- a/internal/replication/manager.go
+++ b/internal/replication/manager.go
@@ -40,7 +40,7 @@
 	mutex    sync.Mutex
 	stopped  bool
 	replicas map[structs.ShardNumber]*replica
-	// voteStates are those of replicas that were dropped.
+	// voteStates are the vote states of replicas that were dropped.
 	voteStates  map[structs.ShardNumber]voteState
 	routes      routeTable
 	routeLookup routeLookup
@@ -89,7 +89,7 @@
 	m.scheduleAudit()
 }
 
-// Stop ends everything at once, as a crash would, except that
+// Stop ends all replicas at once, as a crash would, except that
 // Application.Follow is called for the shards led here.
 func (m *Manager) Stop() {
 	m.mutex.Lock()
@@ -114,8 +114,7 @@
 	return daemon == m.Self.ID || m.Members.State(daemon) != membership.StateDead
 }
 
-// Receive handles a message of this package. It returns false for other
-// messages.
+// Receive handles a message of this package and reports whether it was one.
 func (m *Manager) Receive(from structs.DaemonID, message peer.Message) bool {
 	shard, routed := shardOf(message)
 	if !routed {
--- a/internal/replication/plan.go
+++ b/internal/replication/plan.go
@@ -35,8 +35,8 @@
 func (l *leaderState) requestPlan() { l.schedulePlanOf(l.shard, planDelay) }
 
 // plan takes the next step, if any, towards a group of the right size on
-// available daemons, placed and led according to rendezvous hashing. It returns
-// true while more steps remain.
+// available daemons, placed and led according to rendezvous hashing. It reports
+// whether more steps may remain.
 func (l *leaderState) plan(daemons []structs.Daemon) bool {
 	if l.ended || !l.ready {
 		return false
@@ -118,7 +118,7 @@
 }
 
 // grow adds the daemon with the lowest placement penalty beside the members
-// that stay. It returns false when there is none.
+// that stay, and reports whether there was one.
 func (l *leaderState) grow(daemons []structs.Daemon, failing structs.DaemonID) bool {
 	staying := daemonsOf(l.log.group.without(failing), daemons)
 	free := slices.DeleteFunc(slices.Clone(daemons), func(daemon structs.Daemon) bool {
@@ -200,7 +200,7 @@
 
 // rebalance moves one replica or the leadership towards its place by rendezvous
 // hashing, at a limited rate unless the group's spread over zones is at stake.
-// It returns true while something is out of place.
+// It reports whether something is out of place.
 func (l *leaderState) rebalance(daemons []structs.Daemon) bool {
 	target := identifiers(chooseGroup(l.shard, daemons, l.Settings.GroupSize))
 	for _, id := range target {
--- a/internal/replication/planned_stop.go
+++ b/internal/replication/planned_stop.go
@@ -118,8 +118,8 @@
 	return count
 }
 
-// recordLeaving records which addresses' daemons have announced their stop, and
-// keeps that after they stopped. The caller holds the mutex.
+// recordLeaving records that the daemon at an address has announced its stop, and
+// keeps the record after the daemon has stopped. The caller holds the mutex.
 func (m *Manager) recordLeaving(member membership.Member) {
 	address := member.Daemon.ID.Address()
 	switch member.State {
@@ -128,7 +128,7 @@
 	case membership.StateAlive:
 		delete(m.leavingAddresses, address)
 	case membership.StateSuspect, membership.StateDead:
-		// Neither state tells why the daemon is silent.
+		// Neither state shows whether the daemon has announced its stop.
 	}
 }
 
--- a/internal/replication/planner.go
+++ b/internal/replication/planner.go
@@ -11,8 +11,8 @@
 // further requests within it are served by the same round.
 const planDelay = 20 * time.Millisecond
 
-// schedulePlanOf includes a shard in a planning round that starts within delay.
-// Rounds stop when nothing is left to do.
+// schedulePlanOf includes a shard in a planning round that starts after pause at
+// the latest. Rounds stop when nothing is left to do.
 func (m *Manager) schedulePlanOf(shard structs.ShardNumber, pause time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -20,7 +20,8 @@
 	m.schedulePlan(pause)
 }
 
-// schedulePlanSoon advances the next round if any shard waits for it.
+// schedulePlanSoon makes the next round start within planDelay if any shard
+// waits for it.
 func (m *Manager) schedulePlanSoon() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/replication/route_lookup.go
+++ b/internal/replication/route_lookup.go
@@ -33,14 +33,14 @@
 }
 
 const (
-	// repeatedRequestFanout is how many daemons a repeated request adds.
+	// repeatedRequestFanout is how many further daemons a repeated request asks.
 	repeatedRequestFanout = 3
 	// firstRequestFanout is how many daemons are asked at first.
 	firstRequestFanout = 2
 	// requestBatchDelay is how long requests wait to be batched with others.
 	requestBatchDelay = 5 * time.Millisecond
-	// maxRequestBackoffDoublings limits the delays: RouteRequestInterval times
-	// a power of two.
+	// maxRequestBackoffDoublings limits how often the delay between repeated
+	// requests doubles from RouteRequestInterval.
 	maxRequestBackoffDoublings = 2
 	// requestBytesPerSecond and requestBurstBytes limit each byteBudget.
 	requestBytesPerSecond = 500
--- a/internal/replication/search.go
+++ b/internal/replication/search.go
@@ -147,7 +147,7 @@
 	return s
 }
 
-// add adds a shard to the search; it returns false when the search is full.
+// add adds a shard unless the search is full, and reports whether it did.
 func (s *search) add(shard structs.ShardNumber) bool {
 	if len(s.shards) >= maxSearchShards {
 		return false
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -26,7 +26,7 @@
 	Lagging Group `json:"lagging,omitempty"`
 }
 
-// Summary has the numbers of a daemon's replicas.
+// Summary counts a daemon's replicas by their state.
 type Summary struct {
 	// Replicas counts the groups that the daemon is a member of, Leads those
 	// that it leads.
@@ -39,8 +39,8 @@
 	Contradictions int `json:"contradictions"`
 }
 
-// Summary counts the replicas of this daemon. It never blocks on a shard's
-// queue.
+// Summary returns the counts of this daemon's replicas. It never blocks on a
+// shard's queue.
 func (m *Manager) Summary() Summary {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
