--- a/internal/enginemodel/attempts.go
+++ b/internal/enginemodel/attempts.go
@@ -67,7 +67,7 @@
 // fence returns the lowest epoch at which an attempt is accepted.
 func (t *attemptTable) fence(id structs.AttemptID) structs.Epoch { return t.fences[id].epoch }
 
-// raiseFence refuses an attempt at epochs below the given one.
+// raiseFence makes the engine refuse an attempt at epochs below the given one.
 func (t *attemptTable) raiseFence(id structs.AttemptID, epoch structs.Epoch, now time.Time) {
 	current, found := t.fences[id]
 	if !found {
--- a/internal/enginemodel/batch.go
+++ b/internal/enginemodel/batch.go
@@ -61,9 +61,9 @@
 	})
 }
 
-// beginSpan fills the batch and starts its next steps. Readers that are told
-// of an end meanwhile may start or cancel attempts: those only set
-// wakeRequested and are handled before the batch is fixed.
+// beginSpan fills the batch and starts its next steps. Readers that are notified
+// of an end meanwhile may start or cancel attempts, which sets wakeRequested: the
+// batch is then filled again before its steps start.
 func (e *Engine) beginSpan() {
 	e.busy = true
 	for e.wakeRequested = true; e.wakeRequested && !e.down; {
--- a/internal/enginemodel/cache.go
+++ b/internal/enginemodel/cache.go
@@ -35,7 +35,7 @@
 	older, newer *block
 }
 
-// cacheListener is told of blocks stored and evicted.
+// cacheListener is notified of stored and evicted blocks.
 type cacheListener interface {
 	stored(key blockKey)
 	evicted(b *block, now time.Time)
--- a/internal/enginemodel/driver_stream.go
+++ b/internal/enginemodel/driver_stream.go
@@ -48,8 +48,8 @@
 	return framework.AttemptEnd{Kind: framework.EndLost, Reason: structs.ReasonConnectionLost, Message: "connection lost"}
 }
 
-// deliverRequest is the request's arrival at the engine. The attempt starts
-// even if the caller has stopped reading meanwhile.
+// deliverRequest starts the attempt when the request arrives at the engine, even
+// if the caller has stopped reading meanwhile.
 func (s *driverStream) deliverRequest(request framework.EngineRequest, fault Fault) {
 	e := s.driver.options.Fleet.Engine(s.engine)
 	if e == nil || e.Down() {
@@ -156,7 +156,7 @@
 }
 
 // BreakStreams breaks the open streams from an engine, or from all engines for
-// "". The readers are told at once that the connection is lost; the attempts
+// "". The readers are notified at once that the connection is lost; the attempts
 // continue.
 func (d *Driver) BreakStreams(engine structs.EngineID) {
 	for _, s := range slices.Clone(d.streams) {
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -31,7 +31,7 @@
 	// Weights is the source of model and adapter loads; nil loads instantly.
 	Weights WeightSource
 	// BlockHistory, when set, counts recomputed tokens over a whole fleet.
-	// Recorder is told of every attempt.
+	// Recorder, when set, is notified of every attempt.
 	BlockHistory *BlockHistory
 	Recorder     Recorder
 	// Serialize runs timer tasks one at a time with everything else that
--- a/internal/enginemodel/lifecycle.go
+++ b/internal/enginemodel/lifecycle.go
@@ -56,7 +56,7 @@
 	return reader
 }
 
-// refusal returns why an attempt is not accepted, and false if it is.
+// refusal returns why an attempt is refused, and false if it is accepted.
 func (e *Engine) refusal(request *Request) (framework.AttemptEnd, bool) {
 	rejected := framework.AttemptEnd{Kind: framework.EndRejected, RetryAfter: time.Second}
 	switch {
--- a/internal/enginemodel/sequence.go
+++ b/internal/enginemodel/sequence.go
@@ -82,8 +82,8 @@
 	return 0, false
 }
 
-// admit allocates the blocks for all tokens up to the target and one more. It
-// returns false, with nothing allocated, when memory is short.
+// admit allocates the blocks for all tokens up to the target and one more, and
+// reports whether memory sufficed. If not, nothing is allocated.
 func (s *sequence) admit(c *blockCache, now time.Time) bool {
 	hits := s.cachedPrefix(c)
 	for i := range hits {
--- a/internal/enginemodel/statistics.go
+++ b/internal/enginemodel/statistics.go
@@ -38,7 +38,7 @@
 	Usage     structs.Usage      `json:"usage"`
 }
 
-// Recorder is told of every attempt that an engine accepts.
+// Recorder is notified of every attempt that an engine accepts.
 type Recorder interface {
 	AttemptStarted(run AttemptRun)
 	AttemptEnded(run AttemptRun)
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -19,8 +19,8 @@
 
 // Capacity is the maximum throughput of a fleet that computes nothing twice.
 type Capacity struct {
-	// ReferenceBatch is the largest batch whose steps take at most 30 ms and
-	// whose contexts fit the cache.
+	// ReferenceBatch is the largest batch whose steps take at most
+	// referenceStep and whose contexts fit the cache.
 	ReferenceBatch int
 	// WorkSeconds is the engine time of a mean program in such a batch.
 	WorkSeconds float64
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -140,7 +140,8 @@
 	f.queries = query.New(f.clock, transport, router)
 }
 
-// lateRouter allows the coordinator to be created before its shards.
+// lateRouter is a router whose Single is set later, so that the coordinator can
+// be created before its shards.
 type lateRouter struct{ *replication.Single }
 
 // singleMember is the membership of a single daemon.
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -33,8 +33,8 @@
 	cache     cacheWaste
 }
 
-// cacheWaste is measured when the last program has arrived, since what an idle
-// fleet keeps afterwards is no loss.
+// cacheWaste is measured when the last program has arrived: blocks that an idle
+// fleet keeps after that are not wasted.
 type cacheWaste struct {
 	recomputedFraction float64
 	heldIdleFraction   float64
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -22,7 +22,7 @@
 	// written receives the result of writing the request.
 	written chan error
 	inline  bool
-	// unlimitedUnacknowledged: the connection has no limit on unacknowledged bytes.
+	// unlimitedUnacknowledged is set while the connection has no limit on unacknowledged bytes.
 	unlimitedUnacknowledged bool
 	finished                sync.Once
 }
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -133,7 +133,7 @@
 	Connections int
 	// SendBy is the latest time to start sending the request; zero for no limit.
 	SendBy time.Time
-	// Fresh: open a new connection instead of reusing an idle one.
+	// Fresh makes the exchange open a new connection instead of reusing an idle one.
 	Fresh bool
 	// ConnectTimeout is the timeout of dialling; 0 for that of the pool.
 	ConnectTimeout time.Duration
--- a/internal/load/streams.go
+++ b/internal/load/streams.go
@@ -130,7 +130,7 @@
 }
 
 // window measures the resource use of the daemon and the relay during the
-// window.
+// measurement window.
 func (r *streamRun) window(ctx context.Context, result *StreamResult, through *streamPath, plainRelay *relay) error {
 	before, err := scrape(ctx, r.options.Address)
 	if err != nil {
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -19,8 +19,8 @@
 
 // Scanner is implemented by messages that decode their own JSON.
 type Scanner interface {
-	// ScanJSON decodes a body. It returns false, possibly with some fields set, for any form that
-	// it does not support; encoding/json then decodes the body.
+	// ScanJSON decodes a body and reports whether it supports the body's form. If not, some fields
+	// may have been set, and encoding/json decodes the body.
 	ScanJSON(body []byte) bool
 }
 
--- a/internal/peer/replies.go
+++ b/internal/peer/replies.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// Ask sends a request with a unique number by calling send, and waits for the first answer. It
-// returns false if none arrived within patience or before ctx ended. It uses the system clock, so
-// it is not for code that uses a clock.Clock.
+// Ask sends a request with a unique number by calling send, and waits for the first answer until
+// patience has passed or ctx has ended. arrived reports whether there was one. It uses the system
+// clock, so it is not for code that uses a clock.Clock.
 func (r *Replies[R]) Ask(ctx context.Context, patience time.Duration, send func(number uint64)) (answer R, arrived bool) {
 	number, answers, forget := r.Expect(1)
 	defer forget()
--- a/internal/peer/tcp/inbound.go
+++ b/internal/peer/tcp/inbound.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// receive handles one line. It returns false if the line cannot be decoded; the connection is then
-// closed.
+// receive handles one line and reports whether it could be decoded. If not, the caller closes the
+// connection.
 func (t *Transport) receive(decoder *peer.Decoder, line []byte) bool {
 	from, to, message, err := decoder.Decode(line)
 	if err != nil {
--- a/internal/peer/tcp/link.go
+++ b/internal/peer/tcp/link.go
@@ -12,29 +12,27 @@
 )
 
 const (
-	// dialTimeout is the timeout of one connection attempt. A round trip between regions takes 16
-	// ms. The kernel retransmits a lost SYN only after a second; another attempt before that
-	// restores the link within 0.3 s of the end of a network failure.
+	// dialTimeout is the timeout of one connection attempt. It is shorter than the second after
+	// which the kernel retransmits a lost SYN, so that another attempt restores the link sooner
+	// after a network failure.
 	dialTimeout = 300 * time.Millisecond
 	// writeTimeout is the timeout of one write to a daemon that does not read.
 	writeTimeout = 2 * time.Second
 	// closeTimeout is the time for writing queued messages when the transport closes.
 	closeTimeout = 200 * time.Millisecond
 	// unacknowledgedTimeout is how long sent bytes may stay unacknowledged until the kernel closes
-	// the connection. A silent connection is replaced before its daemon would be considered dead
-	// (1.4 s, see package membership), and up to three packets in a row may be lost before that.
+	// the connection. It is shorter than the time in which package membership declares a daemon
+	// dead, so that a broken connection is replaced first.
 	unacknowledgedTimeout = time.Second
-	// firstRedialPause is the time from one connection attempt to the next. It doubles with each
-	// failure up to longestRedialPause. Messages in the meantime are dropped. The first pause is
-	// short against the 0.3 s after which a silent holder of shards counts as failed, as daemons
-	// that start together miss each other by a few milliseconds.
+	// firstRedialPause is the time from the first connection attempt to the next. It doubles with
+	// each failure up to longestRedialPause. Messages in the meantime are dropped. It is short,
+	// because daemons that start together miss each other by a few milliseconds.
 	firstRedialPause   = 50 * time.Millisecond
 	longestRedialPause = 200 * time.Millisecond
-	// linkIdleTimeout is how long a link without messages is kept: several rounds of membership,
-	// which contacts each live daemon about every 10 s. Without this limit, a daemon that was
-	// replaced at another address would be dialled five times a second for good.
+	// linkIdleTimeout is how long a link without messages is kept. Without this limit, the address
+	// of a daemon that is permanently gone would be dialled forever.
 	linkIdleTimeout = time.Minute
-	// idleCheckInterval is the interval at which a connection is checked for that.
+	// idleCheckInterval is the interval between checks whether a link is idle.
 	idleCheckInterval = 10 * time.Second
 )
 
--- a/internal/peer/tcp/transport.go
+++ b/internal/peer/tcp/transport.go
@@ -21,8 +21,8 @@
 	// queueLength is the maximum number of messages queued for one daemon.
 	queueLength = 8192
 	// bufferSize is the initial size of read and write buffers in bytes; a read buffer grows with
-	// longer lines. A daemon has one buffer per direction for every other daemon, so small buffers
-	// matter on machines with 112 MB of memory.
+	// longer lines. It is small, because a daemon has one buffer per direction for every other
+	// daemon.
 	bufferSize = 8 << 10
 )
 
--- a/internal/plugins/engine/openai/event.go
+++ b/internal/plugins/engine/openai/event.go
@@ -106,9 +106,8 @@
 	textEventSuffix = []byte(`}`)
 )
 
-// scanTextEvent parses an event with text only. It avoids encoding/json, whose
-// cost for every token is significant, and returns false for events of any other
-// form.
+// scanTextEvent parses an event with text only, without encoding/json, which is
+// too slow to run for every token. It returns false for events of any other form.
 func scanTextEvent(data []byte) (structs.Chunk, bool) {
 	rest, ok := bytes.CutPrefix(data, []byte("{"))
 	if !ok {
--- a/internal/plugins/engine/openai/stream.go
+++ b/internal/plugins/engine/openai/stream.go
@@ -68,7 +68,7 @@
 // endOfErrorResponse returns the end of an attempt whose response is not a
 // stream.
 func endOfErrorResponse(response *http.Response) framework.AttemptEnd {
-	body, _ := io.ReadAll(io.LimitReader(response.Body, maximumErrorBytes)) // what came is the message
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maximumErrorBytes)) // a truncated message is still useful
 	end := framework.AttemptEnd{Kind: framework.EndFailed, Reason: structs.ReasonBackEnd, Message: string(body)}
 	if rejected := response.Header.Get(HeaderRejected); rejected != "" {
 		end.Kind = framework.EndRejected
--- a/internal/plugins/scorer/prefix/setup.go
+++ b/internal/plugins/scorer/prefix/setup.go
@@ -15,7 +15,7 @@
 
 type scorer struct{}
 
-// batchDelayFactor is how often avoidable prefill counts for each call in the
+// batchDelayFactor weighs the time of avoidable prefill for each call in the
 // batch: it delays running calls, and those that are queued meanwhile.
 const batchDelayFactor = 4
 
--- a/internal/simulation/checker/engine_orders.go
+++ b/internal/simulation/checker/engine_orders.go
@@ -2,11 +2,10 @@
 
 import "github.com/mintpulley/mintpulley/internal/structs"
 
-// RecordOrder checks an order that arrived at an engine. loading is set when
-// the engine was still loading weights for an earlier order, taken when it
-// accepts the order. A restarted engine has lost its fence, so the checker
-// keeps the highest one that the engine ever accepted: an order below it is
-// stale.
+// RecordOrder checks an order that arrived at an engine. loading is set if the
+// engine was still loading weights for an earlier order, taken if it accepted the
+// order. A restarted engine has lost its fence, so the checker keeps the highest
+// one that the engine ever accepted: an order below it is stale.
 func (c *Checker) RecordOrder(order structs.Order, loading, taken bool) {
 	highest := c.highestFences[order.Engine]
 	switch {
--- a/internal/simulation/scenario/faults.go
+++ b/internal/simulation/scenario/faults.go
@@ -39,7 +39,8 @@
 	return others < 2
 }
 
-// thirdZoneLost is the fault count of crashes that toleratesZoneLoss rules out.
+// thirdZoneLost names, in the fault counts, the crashes that toleratesZoneLoss
+// rules out.
 const thirdZoneLost = "third_zone_lost"
 
 // toleratesCrash reports whether the guarantees cover a crash of this daemon
--- a/internal/simulation/scenario/joint_losses.go
+++ b/internal/simulation/scenario/joint_losses.go
@@ -50,9 +50,9 @@
 }
 
 // survivesLoss reports whether a shard survives the loss of one of its
-// replicas. It returns false while a replica has no majority or knows no
-// leader: the stream may contain a claim that gives the shard to the lost
-// daemon, and all other copies would yield to that.
+// replicas. It reports false while a replica has no majority or knows no leader:
+// the stream may contain a claim that gives the shard to the lost daemon, after
+// which the other replicas would drop their state.
 func survivesLoss(own replication.ShardStatus, lost *cluster.Daemon, replicas []replicaState) bool {
 	survives := false
 	for _, other := range replicas {
--- a/internal/simulation/scenario/loss_scenarios.go
+++ b/internal/simulation/scenario/loss_scenarios.go
@@ -155,8 +155,8 @@
 	r.StopGracefully(most, restartAfter)
 }
 
-// otherZone returns the first live daemon in another zone, or than itself if
-// there is none.
+// otherZone returns the first live daemon in another zone than the given daemon,
+// or that daemon if there is none.
 func (r *Run) otherZone(than *cluster.Daemon) *cluster.Daemon {
 	for _, d := range r.Cluster.Live() {
 		if d.Zone != than.Zone {
--- a/internal/simulation/workload/callers.go
+++ b/internal/simulation/workload/callers.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// mostConclusive returns the outcome that says most about what happened to the
-// call.
+// mostConclusive returns, of the outcomes of one call's copies, the one that says
+// most about the call. A refusal says least, since another copy may have run.
 func mostConclusive(outcomes []structs.Outcome) structs.Outcome {
 	rank := map[structs.OutcomeStatus]int{
 		structs.OutcomeCompleted: 0, structs.OutcomeFailed: 1, structs.OutcomeCancelled: 2,
