--- a/internal/membership/partition_heal.go
+++ b/internal/membership/partition_heal.go
@@ -88,9 +88,9 @@
 	return lost
 }
 
-// handleReturn handles the return of a lost run. Runs are often suspected by
-// mistake, so that one shows the end of a partition only if others were lost
-// just before.
+// handleReturn handles the return of a lost run. Since runs are often suspected
+// by mistake, the return of a suspected one shows the end of a partition only if
+// others were lost just before.
 func (m *Membership) handleReturn(r *record, wasDead bool) {
 	if m.isHealing() {
 		m.extendHealing(r)
@@ -143,8 +143,8 @@
 	m.after(m.jitter(healSyncSpread), m.syncAcrossPartition)
 }
 
-// extendHealing adds another run that is back. Until a table was received the
-// period starts again: with a one-way partition, returns may be reported before
+// extendHealing adds another run that is back. Until a table was received it
+// restarts the period: during a one-way partition, returns may be reported before
 // its end.
 func (m *Membership) extendHealing(back *record) {
 	h := &m.healer
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -87,8 +87,8 @@
 	m.after(interval/2+m.jitter(interval), m.joinTick)
 }
 
-// requestSyncAt requests the table of the daemon at an address. If that is dead
-// here the request says so: it has probably lost this daemon, too.
+// requestSyncAt requests the table of the daemon at an address. If that daemon is
+// dead in this table, the request says so, so that it can refute that.
 func (m *Membership) requestSyncAt(address string) {
 	request := &SyncRequest{Self: m.self.update(), Buckets: m.buckets}
 	if r := m.records[address]; r != nil && r.status == statusDead {
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -53,7 +53,7 @@
 }
 
 // rank returns this daemon's position among the live members by rendezvous
-// weight; stopping members come last.
+// weight; a daemon that is handing over comes after all others.
 func (r *replica) rank() int {
 	rank := 0
 	own := rendezvousWeight(r.shard, r.Self.ID)
--- a/internal/replication/machines.go
+++ b/internal/replication/machines.go
@@ -105,8 +105,8 @@
 }
 
 // isConfirmedGone reports whether a daemon has certainly ended: a later run has
-// its address, or it is believed dead and the machine list has lacked its
-// address for ClaimGrace.
+// its address, or it has been believed dead, and its address missing from the
+// machine list, for ClaimGrace.
 func (m *Manager) isConfirmedGone(daemon structs.DaemonID) bool {
 	since, dead := m.deadSince(daemon)
 	if !dead {
--- a/internal/replication/plan.go
+++ b/internal/replication/plan.go
@@ -97,7 +97,8 @@
 	return false
 }
 
-// memberToReplace returns a member that is to be replaced, "" if there is none.
+// memberToReplace returns a member that is leaving, or has been dead or lagging
+// for too long; "" if there is none.
 func (l *leaderState) memberToReplace() structs.DaemonID {
 	now := l.Clock.Now()
 	for _, member := range l.log.group {
--- a/internal/replication/routes.go
+++ b/internal/replication/routes.go
@@ -272,8 +272,8 @@
 	m.Transport.Send(leader, &Audit{Shards: shards})
 }
 
-// answerAudit reports the shards on which the sender's replicas and this daemon
-// disagree.
+// answerAudit replies with the shards on which the sender's replicas and this
+// daemon disagree. The sender is dismissed from groups that it is no member of.
 func (m *Manager) answerAudit(from structs.DaemonID, audit *Audit) {
 	answer := &RouteReply{}
 	for _, asked := range audit.Shards {
--- a/internal/replication/search.go
+++ b/internal/replication/search.go
@@ -54,8 +54,8 @@
 // that lose their majority at the same time.
 const searchBatchDelay = 50 * time.Millisecond
 
-// scheduleSearch starts a search before the next tick, but not before
-// searchInterval since the previous one has passed.
+// scheduleSearch schedules a search without waiting for the next tick, but no
+// sooner than searchInterval after the previous one.
 func (g *registry) scheduleSearch() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/replication/snapshot_transfer.go
+++ b/internal/replication/snapshot_transfer.go
@@ -194,8 +194,8 @@
 	r.send(from, &SnapshotChunkReply{Shard: r.shard, Epoch: m.Epoch, Index: m.Index, Next: len(in.data), Round: m.Round})
 }
 
-// install replaces the state by a complete snapshot. Log entries that follow it
-// and match it are kept.
+// install replaces the state by a complete snapshot, and reports whether that was
+// well-formed. Log entries that follow it and match it are kept.
 func (r *replica) install(m *SnapshotChunk, data []byte) bool {
 	machine := r.Application.NewStateMachine(r.shard)
 	if err := unpackSnapshot(machine, data); err != nil {
--- a/internal/replication/supersede.go
+++ b/internal/replication/supersede.go
@@ -5,9 +5,9 @@
 // observe handles an epoch seen in a message or the stream. A higher one ends
 // this replica's leadership or candidacy. A higher generation means that a
 // claim in the platform's log replaces the group's logs by that of one daemon.
-// Others may read the claim before this daemon does, and it may be this
-// daemon's own: so the log is kept, but takes part in nothing, until the stream
-// or a leader shows who claimed the shard.
+// Others may read the claim before this daemon does, and it may be this daemon's
+// own: so the replica keeps its log, but has no vote, until the stream or a
+// leader shows who claimed the shard.
 func (r *replica) observe(epoch structs.Epoch) {
 	if epoch <= r.voteState.epoch {
 		return
