--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -280,10 +280,11 @@
 	s.scheduleSnapshotIfDue()
 }
 
-// startServingIfCaughtUp lets a starting daemon serve once its grace is over
-// and it has caught up with every peer that reported an offset, and with the
-// log or, while the log is unavailable, at least one peer. Otherwise a restart
-// could roll back a configuration that callers have already seen in force.
+// startServingIfCaughtUp lets a starting daemon serve once its grace is over, it
+// has caught up with every peer that reported an offset, and it has read the log
+// to its end or, as when the log is unavailable, received the offset of a peer.
+// Otherwise a restart could roll back a configuration that callers have already
+// seen in force.
 func (s *Store) startServingIfCaughtUp() {
 	if s.serving || s.stopped {
 		return
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -22,7 +22,8 @@
 	// written receives the result of writing the request.
 	written chan error
 	inline  bool
-	// unlimitedUnacknowledged is set while the connection has no limit on unacknowledged bytes.
+	// unlimitedUnacknowledged is set if the request is so long that the connection must have no
+	// limit on unacknowledged bytes.
 	unlimitedUnacknowledged bool
 	finished                sync.Once
 }
@@ -117,7 +118,7 @@
 	e.pool.release(e.address)
 }
 
-// body is a response body that returns the connection to the pool at its end.
+// body is a response body whose Close ends the exchange.
 type body struct {
 	source   io.ReadCloser
 	exchange *exchange
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -160,6 +160,6 @@
 	return sum.Sum64() & digestMask
 }
 
-// digestMask keeps digests short on the wire. Two different tables have the
-// same digest once in a billion times.
+// digestMask keeps digests short on the wire. Two different tables have the same
+// digest with a probability of one in a billion.
 const digestMask = 1<<30 - 1
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -74,8 +74,9 @@
 // fleetSize returns the number of members, this daemon included.
 func (m *Membership) fleetSize() int { return len(m.ring.members) }
 
-// successor returns the next member on the ring that is not suspected, since a
-// suspected one is decided by its timer. It returns nil when there is none.
+// successor returns the next member on the ring that is not suspected, nil if
+// there is none. A suspected member needs no probe: it refutes the suspicion, or
+// is declared dead when its timer fires.
 func (m *Membership) successor() *record {
 	m.refreshRing()
 	for _, r := range m.ring.successors {
