--- a/internal/membership/partition_heal_test.go
+++ b/internal/membership/partition_heal_test.go
@@ -90,8 +90,8 @@
 	return w, watch
 }
 
-// TestHealedPartitionIsRepairedByOneSync: all daemons are alive, so after the
-// end of a partition every failure report is wrong.
+// TestHealedPartitionIsRepairedByOneSync guards against failure reports that
+// circulate after the end of a partition, when all daemons are alive.
 func TestHealedPartitionIsRepairedByOneSync(t *testing.T) {
 	for name, c := range map[string]partitionCase{
 		"a zone of four":     {74, 5500 * time.Millisecond, inLastZone, false, 1500 * time.Millisecond, 60, 12_000},
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestBothSidesDetectAPartitionAndItsEnd: the end within a second; its start
-// within a second or so by daemons that are not cut off, which is when they
-// suspect half of the members of the zone.
+// TestBothSidesDetectAPartitionAndItsEnd checks how soon after its start daemons
+// have lost nine members of the other side, and how soon after its end they see
+// one of them alive.
 func TestBothSidesDetectAPartitionAndItsEnd(t *testing.T) {
 	for seed := range uint64(5) {
 		c := partitionCase{daemons: 74, length: 5500 * time.Millisecond, inside: inLastZone}
@@ -167,8 +167,8 @@
 	}
 }
 
-// TestDeathsAtTheEndOfAPartitionAreDetected although failure reports by others
-// are ignored then.
+// TestDeathsAtTheEndOfAPartitionAreDetected checks that deaths are detected
+// although failure reports by others are ignored then.
 func TestDeathsAtTheEndOfAPartitionAreDetected(t *testing.T) {
 	c := partitionCase{daemons: 74, length: 5500 * time.Millisecond, inside: inLastZone}
 	for seed := range uint64(5) {
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestFailureReportsOfALostDaemonAreIgnored: it was cut off, or is slow, and
-// believes others lost.
+// TestFailureReportsOfALostDaemonAreIgnored guards against the reports of a daemon
+// that is itself cut off or slow, and therefore believes others lost.
 func TestFailureReportsOfALostDaemonAreIgnored(t *testing.T) {
 	w := convergedNetwork(t, 25, 5)
 	observer, subject, lost := w.nodes[0], w.nodes[1], w.nodes[2]
@@ -199,8 +199,8 @@
 	observer.wantState(t, subject, StateSuspect, "after another daemon's report")
 }
 
-// TestManyChangesAreSummarized: a line each for some, and one a second for all
-// others.
+// TestManyChangesAreSummarized guards against a flooded log: some changes get a
+// line each, all others one summary a second.
 func TestManyChangesAreSummarized(t *testing.T) {
 	w := newTestNetwork(t, 26, 74)
 	w.introduceAll()
--- a/internal/plugins/engine/openai/event.go
+++ b/internal/plugins/engine/openai/event.go
@@ -22,8 +22,8 @@
 	toolCalls []structs.ToolCall
 }
 
-// parseLine parses one line and returns done for the end marker. Lines without
-// data, such as comments, are ignored.
+// parseLine parses one line and reports whether it is the end marker. Lines
+// without data, such as comments, are ignored.
 func (p *eventParser) parseLine(line []byte) (done bool, malformed error) {
 	data, isData := bytes.CutPrefix(line, dataPrefix)
 	if !isData {
--- a/internal/simulation/workload/request.go
+++ b/internal/simulation/workload/request.go
@@ -80,8 +80,8 @@
 	r.timer = r.callers.cluster.Clock.AfterFunc(d, f)
 }
 
-// switchDaemon selects another daemon and sends the call there after
-// reconnectDelay.
+// switchDaemon selects a daemon at random, possibly the same one, and sends the
+// call there after reconnectDelay.
 func (r *pendingRequest) switchDaemon() {
 	r.connectionNumber++
 	r.daemon += 1 + r.callers.random.IntN(len(r.callers.cluster.Daemons)-1+1)
--- a/internal/simulation/workload/takeover.go
+++ b/internal/simulation/workload/takeover.go
@@ -22,8 +22,9 @@
 	c.kills = append(c.kills, kill{at: c.cluster.Clock.Now(), run: daemon.ID, shards: shards})
 }
 
-// recordTakeover measures the time from a leader's crash to the first answer
-// that a caller of each of its shards receives.
+// recordTakeover measures the time from a leader's crash, or from the start of
+// the request if that is later, to the first answer that a caller of each of its
+// shards receives.
 func (c *Callers) recordTakeover(r *pendingRequest) {
 	if len(c.kills) == 0 {
 		return
