--- a/internal/backends/directory.go
+++ b/internal/backends/directory.go
@@ -183,7 +183,7 @@
 	return len(d.backEnds) > 0 && (b == nil || !b.listed)
 }
 
-// MarkDraining records a back end's announcement that it is leaving.
+// MarkDraining records a back end's announcement that it is draining.
 func (d *Directory) MarkDraining(id structs.EngineID) {
 	d.mutex.Lock()
 	b := d.backEnds[id]
@@ -192,14 +192,14 @@
 		return
 	}
 	run, engine := b.run, b.isEngine()
-	news := b.observeDraining(run, d.Settings, d.Clock.Now())
+	isNew := b.observeDraining(run, d.Settings, d.Clock.Now())
 	d.mutex.Unlock()
 	d.updateScheduler(id)
-	if news {
+	if isNew {
 		d.Logger.Info().Str("back_end", string(id)).Msg("Back end is leaving.")
 		d.broadcast(&Leaving{BackEnd: id, Run: run})
 	}
-	if news && !engine {
+	if isNew && !engine {
 		d.probeApplication(id)
 	}
 }
--- a/internal/gateway/answer_collector.go
+++ b/internal/gateway/answer_collector.go
@@ -9,8 +9,8 @@
 	"github.com/mintpulley/mintpulley/internal/submit"
 )
 
-// deadlineGrace is how long after its deadline a call's outcome is awaited: the
-// shard's leader refuses by itself the calls that it has not sent by then.
+// deadlineGrace is how long a call's outcome is awaited after its deadline: the
+// shard's leader refuses a call that it has not dispatched by its deadline.
 const deadlineGrace = 2 * time.Second
 
 // answerCollector collects an answer for an HTTP handler. It implements submit.Caller,
@@ -115,9 +115,10 @@
 	return taken
 }
 
-// follow submits a call and passes updates to each, until the outcome arrived or each
-// returns false. When the caller disconnects, a call with a request identifier of the
-// caller's goes on, since it can be resumed; any other call is cancelled.
+// follow submits a call and passes updates to each, until the outcome has arrived, the
+// deadline and its grace have passed, or each returns false. When the caller
+// disconnects, a call whose request identifier the caller has set goes on, since it can
+// be resumed; any other call is cancelled.
 func (e *exchange) follow(limit int, each func(answerUpdate) bool) {
 	c := newAnswerCollector(limit)
 	submission := e.gateway.Node.Submit(*e.call, c)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -26,8 +26,8 @@
 // still run, since a copy may be on its way.
 const noRequestMessage = "The program has not seen this request."
 
-// requestFromQuery reads the URL query. If it returns false, it has written the
-// response.
+// requestFromQuery returns the program and the request that the URL names, and reports
+// whether both are given. If it returns false, it has written the response.
 func (e *exchange) requestFromQuery() (structs.ProgramKey, structs.RequestID, bool) {
 	query := e.r.URL.Query()
 	key := structs.ProgramKey{Tenant: e.tenant, Program: structs.ProgramID(query.Get("program"))}
@@ -76,8 +76,8 @@
 		body.BodyStatus = outcome.BodyStatus
 		body.Body = jsonOrText(outcome.Body)
 	default:
-		whole := completionOf(request, "", *outcome)
-		body.Completion = &whole
+		completion := completionOf(request, "", *outcome)
+		body.Completion = &completion
 	}
 	return body
 }
--- a/internal/submit/submission.go
+++ b/internal/submit/submission.go
@@ -24,8 +24,8 @@
 	// leader and epoch are where the call was last sent.
 	leader structs.DaemonID
 	epoch  structs.Epoch
-	// unresolvedCopies counts the copies sent whose fate is not known; wasAccepted is
-	// set once any leader accepted the call.
+	// unresolvedCopies counts the copies sent that may have been accepted; wasAccepted
+	// is set once any leader accepted the call.
 	unresolvedCopies int
 	wasAccepted      bool
 	// unansweredQueries counts consecutive messages to the leader without an answer.
@@ -251,7 +251,7 @@
 	s.leaderHeard(from)
 }
 
-// notKnown sends the whole call again to a leader that does not have it.
+// notKnown sends the call again to a leader that does not have it.
 func (s *Submission) notKnown(from structs.DaemonID) {
 	if from == s.leader {
 		s.route()
