--- a/internal/relay/ending_recorder.go
+++ b/internal/relay/ending_recorder.go
@@ -24,8 +24,8 @@
 type endingRecorder struct {
 	responder Responder
 	relay     *Relay
-	// context is the request's context: its cause shows whether the daemon closed the
-	// connection at the shutdown deadline.
+	// context is the request's context: its cause shows whether the daemon reached its
+	// shutdown deadline.
 	context    context.Context
 	logger     zerolog.Logger
 	receivedAt time.Time
@@ -164,7 +164,7 @@
 }
 
 // closedFor returns the ending of a connection that was closed for a cause, which may be
-// that of an undeliverable refusal. At the shutdown deadline the daemon itself closes
+// that of an undeliverable refusal. From the shutdown deadline on the daemon itself closes
 // connections, which looks as if callers disconnected.
 func (e *endingRecorder) closedFor(cause Cause) Ending {
 	switch {
--- a/internal/relay/refuse.go
+++ b/internal/relay/refuse.go
@@ -14,8 +14,8 @@
 // for the answer.
 var stoppingRefusal = Refusal{Reason: ReasonStopping, RetryAfter: shortRetryAfter, Detail: "This daemon stops."}
 
-// refuseEnded ends a call whose context ended or whose deadline is too close: its deadline
-// passed, its caller disconnected, or the daemon reached its shutdown deadline.
+// refuseEnded ends a call whose context ended or whose own deadline is too close: the call's
+// deadline passed, its caller disconnected, or the daemon reached its shutdown deadline.
 func (c *callHandler) refuseEnded(ctx context.Context) {
 	if isPastShutdownDeadline(ctx) {
 		c.refuse(stoppingRefusal)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -46,7 +46,8 @@
 )
 
 // ErrShutdownDeadline is the cause of a context that is canceled because the daemon reached
-// its shutdown deadline while the caller was still connected.
+// its shutdown deadline while the caller was still connected. Requests without a complete
+// answer are refused or aborted then; the kill at the end of the stop time comes later.
 var ErrShutdownDeadline = eris.New("relay: shutdown deadline reached")
 
 // Ledger stores the token budgets and the turns of programs.
--- a/internal/relay/shutdown_deadline.go
+++ b/internal/relay/shutdown_deadline.go
@@ -7,9 +7,9 @@
 type callerContextKey struct{}
 
 // WithShutdownDeadline returns a request's context that is also canceled, with
-// ErrShutdownDeadline, once deadline ends: that gives up all further attempts to serve the
-// request. Only a complete answer that waits for its turn to be stored goes on waiting
-// until ctx itself ends.
+// ErrShutdownDeadline, once deadline ends, which is at the daemon's shutdown deadline: all
+// further attempts to serve the request are then abandoned. Only a complete answer that
+// waits for its turn to be stored goes on waiting until ctx itself ends.
 func WithShutdownDeadline(ctx, deadline context.Context) (context.Context, context.CancelFunc) {
 	bounded, end := context.WithCancelCause(context.WithValue(ctx, callerContextKey{}, ctx))
 	unwatch := context.AfterFunc(deadline, func() { end(ErrShutdownDeadline) })
--- a/internal/relay/shutdown_deadline_test.go
+++ b/internal/relay/shutdown_deadline_test.go
@@ -111,8 +111,8 @@
 	return got
 }
 
-// Until connections are closed, the ledger still works for a daemon past its shutdown
-// deadline.
+// The ledger still works between the shutdown deadline and the later close of the callers'
+// connections.
 func TestReadyAnswerWaitsForItsRecordUntilConnectionsAreClosed(t *testing.T) {
 	const cutAfter = 200 * time.Millisecond
 	for takes, isRecorded := range map[time.Duration]bool{shutdownDeadlineAfter + cutAfter/2: true, shutdownDeadlineAfter + 2*cutAfter: false} {
@@ -130,7 +130,7 @@
 	}
 }
 
-// Only complete answers continue past the shutdown deadline.
+// Only complete answers that wait for their record continue past the shutdown deadline.
 func TestShutdownDeadlineEndsUnfinishedCalls(t *testing.T) {
 	for name, prepare := range map[string]func(*harness){
 		"an offer": func(h *harness) { h.driver.steps = []step{{hold: true}} },
--- a/internal/relay/turn.go
+++ b/internal/relay/turn.go
@@ -154,8 +154,8 @@
 
 // record waits until a kept turn is stored, as long as its caller stays connected: the
 // answer is complete, and an outage of the store or a shortage of record memory may end at
-// any moment. The shutdown deadline does not end the wait: the ledger works until the
-// callers' connections are closed, and longer.
+// any moment. The shutdown deadline does not end the wait: the ledger works until after the
+// callers' connections are closed, which is later but before the kill.
 func (c *callHandler) record(ctx context.Context, state *streamState, outcome ledger.Outcome) error {
 	started := time.Now()
 	ctx, cancel := c.untilCallerLeaves(ctx)
--- a/internal/relaydaemon/front.go
+++ b/internal/relaydaemon/front.go
@@ -32,8 +32,9 @@
 	listener *frontListener
 	// acceptEnded is closed once no more connections are accepted.
 	acceptEnded chan struct{}
-	// shutdownDeadline is a context that reachShutdownDeadline ends: requests without a complete
-	// answer then end. cancelAll cancels the contexts of all requests, with a cause.
+	// shutdownDeadline is a context that reachShutdownDeadline ends at the shutdown deadline:
+	// requests without a complete answer are then refused or aborted. cancelAll cancels the
+	// contexts of all requests, with a cause.
 	shutdownDeadline      context.Context
 	reachShutdownDeadline context.CancelFunc
 	cancelAll             context.CancelCauseFunc
@@ -142,7 +143,8 @@
 }
 
 // forceExpireIdle closes idle connections even if their callers may still reuse them, and returns
-// the number of others. It is called at the shutdown deadline, when the process is about to exit.
+// the number of others. It is called at the shutdown deadline: the connections would not outlast
+// the process, which exits before the kill.
 func (s *frontServer) forceExpireIdle() (busy int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/relaydaemon/front_reuse.go
+++ b/internal/relaydaemon/front_reuse.go
@@ -9,8 +9,9 @@
 // HTTP/1.1 cannot close an idle connection safely while the caller's next request may be in flight:
 // that request is lost, and its caller may not be allowed to repeat it. Therefore each answer
 // announces how long the connection may be reused, or that it closes. Until that time is over, only
-// the caller or the exit of the process ends an idle connection: not the drain of a planned
-// shutdown, nor a lower limit of the operators, nor the daemon's isolation.
+// the caller, the shutdown deadline or the exit of the process ends an idle connection: not the
+// drain before the shutdown deadline, nor a lower limit of the operators, nor the daemon's
+// isolation.
 
 const (
 	// reuseTime is how long callers may reuse a connection after an answer. Including
--- a/internal/relaydaemon/settings.go
+++ b/internal/relaydaemon/settings.go
@@ -53,7 +53,8 @@
 	ProcessorShare float64 `yaml:"processor_share"`
 	ProcessorSpeed float64 `yaml:"processor_speed"`
 	LinkMegabits   float64 `yaml:"link_megabits"`
-	// StopSeconds limits the duration of a planned shutdown.
+	// StopSeconds is the stop time: how many seconds after the begin of a planned shutdown the
+	// platform kills the process. The shutdown deadline is exitMargin before the kill.
 	StopSeconds float64 `yaml:"stop_seconds"`
 	// RevocationMS is the time in milliseconds after the revocation of a key from which no request
 	// sent with it may run.
--- a/internal/relaydaemon/stop.go
+++ b/internal/relaydaemon/stop.go
@@ -8,6 +8,10 @@
 	"github.com/mintpulley/mintpulley/internal/clock"
 )
 
+// A planned shutdown has two limits. At the shutdown deadline, requests without a complete answer
+// are refused or aborted. At the kill, exitMargin later, the platform kills the process: its stop
+// time (Settings.StopSeconds) is over.
+
 const (
 	// rerouteTime is how long the platform takes to route new connections to other daemons after
 	// this one became unready; requests keep arriving until then.
@@ -15,20 +19,20 @@
 	// handoverTimeout is how long a daemon that has answered all requests waits for the handover of
 	// its shards, as a successor may take seconds to read them.
 	handoverTimeout = 2 * time.Second
-	// exitMargin is the time between the last answers of a planned shutdown and its deadline, at
-	// which the platform kills the process.
+	// exitMargin is the time between the shutdown deadline and the kill.
 	exitMargin = 700 * time.Millisecond
-	// refusalTime is the part of exitMargin in which waiting callers are refused, and complete
-	// answers still wait for their record.
+	// refusalTime is the part of exitMargin, right after the shutdown deadline, in which waiting
+	// callers are refused, and complete answers still wait for their record.
 	refusalTime = 200 * time.Millisecond
-	// killMargin is the time between the end of all other work, such as settling the turns that
-	// were aborted, and the kill.
+	// killMargin is the part of exitMargin, right before the kill, that is left for stopping the
+	// membership and closing the transport and the servers. Earlier work, such as settling the
+	// turns that were aborted, is limited to the time before it.
 	killMargin = 250 * time.Millisecond
 )
 
 // Stop performs a planned shutdown: the daemon becomes unready, hands over its shards, finishes its
-// requests, and leaves the fleet. Requests that still run at the deadline are aborted. Further
-// calls wait for the first.
+// requests, and leaves the fleet. Requests without a complete answer at the shutdown deadline are
+// refused or aborted. The stop time counts from the first call; further calls wait for its return.
 func (d *Daemon) Stop() { d.stopOnce.Do(d.stop) }
 
 func (d *Daemon) stop() {
@@ -54,10 +58,10 @@
 	d.logger.Info().Dur("took", time.Since(started)).Msg("Daemon stopped.")
 }
 
-// drainFront answers the requests that callers have sent. When ctx ends, a request that still waits
-// is refused, and an answer that has begun is visibly aborted; only a complete answer continues to
-// wait for its record, as the ledger serves until the end of the shutdown. What does not end within
-// refusalTime is cut off.
+// drainFront answers the requests that callers have sent. ctx ends at the shutdown deadline: a
+// request that still waits is then refused, and an answer that has begun is visibly aborted; only a
+// complete answer continues to wait for its record, as the ledger still works. Connections that are
+// open refusalTime later are closed.
 func (d *Daemon) drainFront(ctx context.Context) {
 	defer d.front.close()
 	if d.front.drain(ctx) == nil || d.front.forceExpireIdle() == 0 {
@@ -72,7 +76,8 @@
 	}
 }
 
-// waitForHandover waits until successors have read the shards that this daemon still holds.
+// waitForHandover waits until successors have read the shards that this daemon still holds, but at
+// most for handoverTimeout, and not beyond the shutdown deadline, at which ctx ends.
 func (d *Daemon) waitForHandover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
@@ -80,8 +85,9 @@
 	d.regional.waitForHandover(ctx)
 }
 
-// settleAndWithdraw settles turns and withdraws this daemon's registry entry, until end. It has
-// time even if requests took all of theirs.
+// settleAndWithdraw settles turns and withdraws this daemon's registry entry, until end, which is
+// killMargin before the kill. Some of exitMargin is left for it even if requests ran until the
+// shutdown deadline.
 func (d *Daemon) settleAndWithdraw(end time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
