--- a/internal/relaydaemon/adapter.go
+++ b/internal/relaydaemon/adapter.go
@@ -46,8 +46,8 @@
 	// Identify returns the tenant that a request acts for, nil for none, or why the request is
 	// refused. It must be called once the request has arrived.
 	Identify(ctx context.Context, query IdentifyQuery) (*tenant.Tenant, *relay.Refusal)
-	// EnsureEnding calls serve with a responder that records how the request ends, and aborts a request
-	// that serve leaves without an ending.
+	// EnsureEnding calls serve with a responder that records how the request ends, and aborts a
+	// request that serve leaves without an ending.
 	EnsureEnding(ctx context.Context, request string, responder relay.Responder, serve func(relay.Responder))
 	// Serve handles a call until it ends.
 	Serve(ctx context.Context, call *relay.Call, responder relay.Responder)
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -55,8 +55,8 @@
 	topology zone.Topology
 	// evacuations are the zones that the operators evacuated.
 	evacuations zone.Evacuations
-	// reachability tells which zones this daemon is cut off from, and reachMonitor detects it; both
-	// are nil in a fleet of one zone.
+	// reachability records which zones this daemon is cut off from, and reachMonitor detects it;
+	// both are nil in a fleet of one zone.
 	reachability *zone.Reachability
 	reachMonitor *reach.Monitor
 	registry     *memberRegistry
@@ -193,8 +193,9 @@
 	d.relay.Serve(ctx, call, responder)
 }
 
-// isReady reports whether the daemon should get requests. One that is isolated should not, since it
-// cannot serve most of them and another zone could.
+// isReady reports whether the daemon should get requests: it knows routes and instances, had time
+// to discover the other daemons, and is not shutting down. It must not be isolated either: it could
+// not serve most requests, and another zone could.
 func (d *Daemon) isReady() bool {
 	return !d.RedirectsCallers() && d.table.Load() != nil && d.pool.HasList() && d.ledger.DiscoveryDone()
 }
--- a/internal/relaydaemon/keys.go
+++ b/internal/relaydaemon/keys.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// revocationMargin is subtracted from the time within which a revoked key must be refused. It
-	// allows for monotonic clocks of machines that differ by up to one in 50.
+	// revocationMargin is subtracted from the time within which a revoked key must be refused. At
+	// the default of 5 s, it allows for monotonic clocks whose rates differ by up to 2 %.
 	revocationMargin = 100 * time.Millisecond
 	// maxAgeForUnknownKey is the maximum age of the confirmed keys for a key that is not among them
 	// to be refused. Operators expect a new key to be accepted within the time that routes take, at
