--- a/internal/relay/shutdown_deadline_test.go
+++ b/internal/relay/shutdown_deadline_test.go
@@ -18,7 +18,8 @@
 const shutdownDeadlineAfter = time.Second
 
 // serveUntilShutdownDeadline serves a call whose daemon reaches its shutdown deadline, and
-// returns what the caller got and the log.
+// returns what the caller got and the log. The caller's own context ends at the same time,
+// as when its connection is closed, so that a complete answer cannot wait for its record.
 func (h *harness) serveUntilShutdownDeadline(call *Call) (*recorder, string) {
 	h.t.Helper()
 	lines := &bytes.Buffer{}
