--- a/internal/relay/shutdown_deadline_test.go
+++ b/internal/relay/shutdown_deadline_test.go
@@ -18,7 +18,8 @@
 const shutdownDeadlineAfter = time.Second
 
 // serveUntilShutdownDeadline serves a call whose daemon reaches its shutdown deadline, and
-// returns what the caller got and the log.
+// returns what the caller got and the log. The caller's own context ends at the same time,
+// as when its connection is closed, so that a complete answer cannot wait for its record.
 func (h *harness) serveUntilShutdownDeadline(call *Call) (*recorder, string) {
 	h.t.Helper()
 	lines := &bytes.Buffer{}
@@ -111,8 +112,8 @@
 	return got
 }
 
-// Until connections are closed, the ledger still works for a daemon past its shutdown
-// deadline.
+// The ledger still works between the shutdown deadline and the later close of the callers'
+// connections.
 func TestReadyAnswerWaitsForItsRecordUntilConnectionsAreClosed(t *testing.T) {
 	const cutAfter = 200 * time.Millisecond
 	for takes, isRecorded := range map[time.Duration]bool{shutdownDeadlineAfter + cutAfter/2: true, shutdownDeadlineAfter + 2*cutAfter: false} {
@@ -130,7 +131,7 @@
 	}
 }
 
-// Only complete answers continue past the shutdown deadline.
+// Only complete answers that wait for their record continue past the shutdown deadline.
 func TestShutdownDeadlineEndsUnfinishedCalls(t *testing.T) {
 	for name, prepare := range map[string]func(*harness){
 		"an offer": func(h *harness) { h.driver.steps = []step{{hold: true}} },
